--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bad_entries.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bad_entries.py
@@ -42,7 +42,7 @@
         self._known[entry.key] = seen
         if len(self._known) > MAX_REMEMBERED:
             del self._known[next(iter(self._known))]
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target-unreadable", key=entry.key, reason=reason, revision=entry.revision
         )
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -82,12 +82,12 @@
             case Ok((deployment, problems)):
                 self._put(deployment, value, origin)
             case Err(problem):
-                self._decisions.note_belief(
+                self._decisions.log_state_change(
                     "configuration-unreadable", revision=revision, reason=str(problem)
                 )
                 return False
         for problem in problems:
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "configuration-problem", revision=revision, reason=str(problem)
             )
         return True
@@ -95,7 +95,7 @@
     def _put(self, deployment: Deployment, value: bytes, origin: str) -> None:
         before = self.deployment
         if before is not None and deployment.version < before.version:
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "configuration-older",
                 version=deployment.version,
                 in_force=before.version,
@@ -106,7 +106,7 @@
         self._revision = deployment.revision
         self._value = value
         self._since = self._clock.now()
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "configuration",
             version=deployment.version,
             before=before.version if before else 0,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -128,7 +128,7 @@
         if not report.digests:
             return
         self._metrics.count("targets.ended_under_requests")
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target-ended",
             target=str(incarnation),
             service=target.service,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -132,12 +132,12 @@
             return
         if not held:
             self._held.discard(digest)
-            self._decisions.note_belief("request-released", digest=digest)
+            self._decisions.log_state_change("request-released", digest=digest)
             return
         self._held.add(digest)
         self._metrics.count("requests.held")
         ended = self._quarantine.list_ended(digest)
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "request-held",
             digest=digest,
             seconds=round(seconds),
@@ -253,7 +253,7 @@
             reports = decode_reports(value)
         except ValueError as error:
             self._metrics.count("crashes.unreadable")
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "crash-report-unreadable", key=key, reason=str(error)
             )
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
@@ -52,7 +52,7 @@
             self._dropped = 0
         self._write(kind, fields)
 
-    def note_belief(self, kind: str, **fields: Any) -> None:
+    def log_state_change(self, kind: str, **fields: Any) -> None:
         """Log a change of what this process believes; it is never left out."""
         self._metrics.count(f"beliefs.{kind}")
         self._write(kind, fields)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
@@ -174,7 +174,7 @@
         )
         if rests != self._resting:
             self._resting = rests
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "store-left-to-others" if rests else "store-followed",
                 silence_ms=round(self.silence * 1000),
             )
@@ -208,7 +208,7 @@
 
     def _take_error(self, error: StoreError) -> bool:
         if error.kind is StoreErrorKind.COMPACTED:
-            self._decisions.note_belief("history-lost", after=self._after)
+            self._decisions.log_state_change("history-lost", after=self._after)
             self._after = None
             return True
         if error.kind is StoreErrorKind.TIMEOUT and self._after is not None:
@@ -237,7 +237,7 @@
         now = self._clock.now()
         if not self._reached:
             self._reached = True
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "store-regained",
                 after=self._after,
                 silence_ms=round((now - self._heard) * 1000),
@@ -254,4 +254,4 @@
         if not self._reached:
             return
         self._reached = False
-        self._decisions.note_belief("store-lost", after=self._after, reason=error)
+        self._decisions.log_state_change("store-lost", after=self._after, reason=error)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -139,7 +139,7 @@
         self._check_service(target.target_id)
         if not changed:
             return
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target",
             target=str(target.incarnation),
             service=target.service,
@@ -160,7 +160,7 @@
         """
         self._metrics.count("targets.restarted")
         self._outdated.pop(target.target_id, None)
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target-restarted",
             target=str(target.incarnation),
             former=str(former),
@@ -177,7 +177,7 @@
         self._outdated[target.target_id] = target.incarnation
         if len(self._outdated) > MAX_OUTDATED:
             del self._outdated[next(iter(self._outdated))]
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target-outdated",
             target=str(target.incarnation),
             known=str(self._book.find_newest(target.target_id)),
@@ -204,7 +204,7 @@
             return
         self._strange[target_id] = target.service
         self._metrics.count("targets.unknown_service")
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target-unknown-service",
             target=str(target.incarnation),
             service=target.service,
@@ -236,7 +236,7 @@
             return
         self._outdated.pop(target.target_id, None)
         self._strange.pop(target.target_id, None)
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "target",
             target=str(target.incarnation),
             service=target.service,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -241,7 +241,7 @@
     ) -> None:
         self._metrics.count("stages.owner_lost")
         self._ownership.shun(owner)
-        self._decisions.note_belief(
+        self._decisions.log_state_change(
             "owner-lost",
             owner=owner,
             service=bundle.service,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -110,7 +110,7 @@
             # at once: who owns a group only in between has calls at its makers too
             for group in tuple(self._ranked):
                 self._rank_anew(group, self._candidates)
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "instances",
                 gone=sorted(set(before) - set(after)),
                 come=sorted(set(after) - set(before)),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -122,7 +122,7 @@
         if written.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
             # a conflict is this process's own write, whose answer was lost
             self._lease_id = lease_id
-            self._decisions.note_belief("registered", lease=lease_id)
+            self._decisions.log_state_change("registered", lease=lease_id)
             return True
         self._metrics.count("registry.errors")
         return False
@@ -132,7 +132,9 @@
         if not isinstance(kept, Err):
             return True
         if kept.err_value.kind is StoreErrorKind.LEASE_GONE:
-            self._decisions.note_belief("registration-lapsed", lease=self._lease_id)
+            self._decisions.log_state_change(
+                "registration-lapsed", lease=self._lease_id
+            )
             self._lease_id = ""
         self._metrics.count("registry.errors")
         return False
@@ -144,7 +146,7 @@
             # entries of earlier releases don't tell it
             capacity = int(fields.get("capacity", 0))
         except (ValueError, KeyError, TypeError) as error:
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "instance-unreadable", key=entry.key, reason=str(error)
             )
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/usage.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/usage.py
@@ -87,7 +87,7 @@
         busy = is_busy(usage, self._busy)
         if busy != self._busy:
             self._busy = busy
-            self._decisions.note_belief(
+            self._decisions.log_state_change(
                 "busy" if busy else "relieved", **self._describe()
             )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -50,7 +50,7 @@
     def note(self, kind: str, **fields) -> None:
         pass
 
-    def note_belief(self, kind: str, **fields) -> None:
+    def log_state_change(self, kind: str, **fields) -> None:
         pass
 
     def count(self, name: str, number: float = 1) -> None:
--- a/tests/test_entry/test_relay/test_usage.py
+++ b/tests/test_entry/test_relay/test_usage.py
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
 
-    def note_belief(self, kind: str, **fields) -> None:
+    def log_state_change(self, kind: str, **fields) -> None:
         self.lines.append((kind, fields))
 
 
