--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
@@ -35,7 +35,7 @@
         self._filled = clock.now()
         self._dropped = 0
 
-    def note(self, kind: str, **fields: Any) -> None:
+    def log_decision(self, kind: str, **fields: Any) -> None:
         """Log one decision about a request; it may be left out under load."""
         self._metrics.count(f"decisions.{kind}")
         now = self._clock.now()
