--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -64,7 +64,7 @@
         """The configuration in force, encoded."""
         return self._value
 
-    def take_scan(self, scan: Scan) -> None:
+    def apply_scan(self, scan: Scan) -> None:
         for entry in scan.entries:
             if entry.key == self._codec.key:
                 self.take(entry.value, entry.revision, "store")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -206,7 +206,7 @@
 
     # what is heard of other instances
 
-    def take_scan(self, scan: Scan) -> None:
+    def apply_scan(self, scan: Scan) -> None:
         for entry in scan.entries:
             self._take(entry.key, entry.value, entry.revision)
         self._revision = max(self._revision, scan.revision)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
@@ -63,7 +63,7 @@
     prefix: str
 
     @abstractmethod
-    def take_scan(self, scan: Scan) -> None:
+    def apply_scan(self, scan: Scan) -> None:
         """Take in all that lies below the prefix."""
 
     @abstractmethod
@@ -224,7 +224,7 @@
                 entries = tuple(
                     entry for entry in found.entries if entry.key.startswith(prefix)
                 )
-                subscriber.take_scan(Scan(entries, found.revision))
+                subscriber.apply_scan(Scan(entries, found.revision))
                 continue
             written = tuple(
                 entry for entry in found.written if entry.key.startswith(prefix)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -79,7 +79,7 @@
         """Whether a listing has been read at all."""
         return self._informed
 
-    def take_scan(self, scan: Scan) -> None:
+    def apply_scan(self, scan: Scan) -> None:
         targets = self._read(scan.entries)
         self._bad.keep({entry.key for entry in scan.entries})
         listed = {target.target_id for target in targets}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -73,7 +73,7 @@
         self._revision = 0
         events.declare(LISTING_RECEIVED)
 
-    def take_scan(self, scan: Scan) -> None:
+    def apply_scan(self, scan: Scan) -> None:
         self._instances = {}
         for entry in scan.entries:
             self._put(entry)
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -101,14 +101,14 @@
     listing = Listing()
     bad = Entry("servers/bad", b"{}", 3)
     for _ in range(3):
-        listing.follower.take_scan(Scan((bad,), 9))
+        listing.follower.apply_scan(Scan((bad,), 9))
     count = listing.metrics.value
     assert count("beliefs.target-unreadable") == 1
     assert count("targets.unreadable") == 3
     listing.write(10, bad=b"[]")
     assert count("beliefs.target-unreadable") == 2
     assert set(listing.follower.dump()["bad_entries"]) == {"servers/bad"}
-    listing.follower.take_scan(Scan((), 12))
+    listing.follower.apply_scan(Scan((), 12))
     assert listing.follower.dump()["bad_entries"] == {}
 
 
@@ -213,7 +213,7 @@
         entry = Entry(key, value, revision)
         match step:
             case "scan":
-                listing.follower.take_scan(Scan((good, entry), revision))
+                listing.follower.apply_scan(Scan((good, entry), revision))
             case "write":
                 listing.follower.take_changes(Changes((entry,), (), revision))
             case "remove":
