--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -69,7 +69,7 @@
             if entry.key == self._codec.key:
                 self.take(entry.value, entry.revision, "store")
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for entry in changes.written:
             if entry.key == self._codec.key:
                 self.take(entry.value, entry.revision, "store")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -211,7 +211,7 @@
             self._take(entry.key, entry.value, entry.revision)
         self._revision = max(self._revision, scan.revision)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         # what is removed has lapsed, here as well
         for entry in changes.written:
             self._take(entry.key, entry.value, entry.revision)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
@@ -67,7 +67,7 @@
         """Take in all that lies below the prefix."""
 
     @abstractmethod
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take in what has changed below the prefix."""
 
     def note_regained(self) -> None:  # noqa: B027
@@ -231,7 +231,7 @@
             )
             removed = tuple(row for row in found.removed if row[0].startswith(prefix))
             if written or removed:
-                subscriber.take_changes(Changes(written, removed, found.revision))
+                subscriber.apply_changes(Changes(written, removed, found.revision))
 
     def _note_reached(self) -> None:
         now = self._clock.now()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -92,7 +92,7 @@
         self._revision = max(self._revision, scan.revision)
         self._informed = True
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for target in self._read(changes.written):
             self._put(target)
         for key, revision in changes.removed:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -79,7 +79,7 @@
             self._put(entry)
         self._tell(scan.revision)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         for entry in changes.written:
             self._put(entry)
         for key, _ in changes.removed:
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -59,7 +59,7 @@
         entries = tuple(
             Entry(f"servers/{name}", value, revision) for name, value in values.items()
         )
-        self.follower.take_changes(Changes(entries, (), revision))
+        self.follower.apply_changes(Changes(entries, (), revision))
 
     def accepts(self, target_id: str) -> bool:
         listed = self.book.find_listed(target_id)
@@ -215,9 +215,11 @@
             case "scan":
                 listing.follower.apply_scan(Scan((good, entry), revision))
             case "write":
-                listing.follower.take_changes(Changes((entry,), (), revision))
+                listing.follower.apply_changes(Changes((entry,), (), revision))
             case "remove":
-                listing.follower.take_changes(Changes((), ((key, revision),), revision))
+                listing.follower.apply_changes(
+                    Changes((), ((key, revision),), revision)
+                )
         assert listing.accepts("good")
     listed = listing.book.list_all()
     # what is listed can be told to peers and written into a request
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -45,7 +45,7 @@
         revision = world.store.put_bytes(key, value)
         entry = Entry(key, value, revision)
         listing = world.find("news")._listing
-        listing.take_changes(Changes((entry,), (), listing.revision))
+        listing.apply_changes(Changes((entry,), (), listing.revision))
 
 
 async def test_restart_is_told_once_and_everything_of_before_is_dropped(world):
