--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -104,7 +104,7 @@
         received = exchange.request.received
         # below 0: it came before the stop
         since_stop = {} if stop is None else {"since_stop_ms": _to_ms(received - stop)}
-        self._decisions.note(
+        self._decisions.log_decision(
             "request",
             request=exchange.request.request_id,
             digest=exchange.digest,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -127,7 +127,7 @@
         except (NotSentError, LinkError) as error:
             # its maker drops them by itself after a while
             self._metrics.count("stages.unfreed", len(handles))
-            self._decisions.note(
+            self._decisions.log_decision(
                 "unfreed", service=self._service, address=address, reason=str(error)
             )
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -183,7 +183,7 @@
             self._fleet.note_failure(target.incarnation, now)
             # what is kept open to it may be as dead as this one
             self._links.drop(target.incarnation)
-        self._decisions.note(
+        self._decisions.log_decision(
             "send",
             request=exchange.request.request_id,
             digest=exchange.digest,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -285,7 +285,7 @@
         finally:
             reading.cancel()
             self._settle_room(maker, call, end, now)
-        self._decisions.note(
+        self._decisions.log_decision(
             "stage-call",
             service=self._group.service,
             makers=self._group.data_centre,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -150,7 +150,7 @@
         return self._collect()
 
     def _note_again(self, error: _StageFailedError, started: float) -> None:
-        self._decisions.note(
+        self._decisions.log_decision(
             "stages-again",
             request=self._exchange.request.request_id,
             stage=error.work.number,
@@ -331,7 +331,7 @@
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
         code = RefusalCode.OVERLOADED if late else RefusalCode.STAGE_FAILED
         wait = self._desk.estimate_wait(error.work.service).whole
-        self._decisions.note(
+        self._decisions.log_decision(
             "stage-failed",
             request=self._exchange.request.request_id,
             stage=error.work.number,
