--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
@@ -70,7 +70,7 @@
     def apply_changes(self, changes: Changes) -> None:
         """Take in what has changed below the prefix."""
 
-    def note_regained(self) -> None:  # noqa: B027
+    def handle_store_recovered(self) -> None:  # noqa: B027
         """Take in that the store answers again."""
 
 
@@ -243,7 +243,7 @@
                 silence_ms=round((now - self._heard) * 1000),
             )
             for subscriber in self._subscribers:
-                subscriber.note_regained()
+                subscriber.handle_store_recovered()
         self._heard = now
         self._pause = FIRST_PAUSE
         self._error = ""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -115,7 +115,7 @@
         self._revision = max(self._revision, revision)
         self._informed = True
 
-    def note_regained(self) -> None:
+    def handle_store_recovered(self) -> None:
         # entries lapse while targets can't renew them; those that live write them
         # again within this time
         self._returning_until = self._clock.now() + RETURN_SECONDS
