--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/following.py
@@ -136,7 +136,7 @@
         """Whether the store is left to other instances for now."""
         return self._resting
 
-    def note_news(self, seconds: float) -> None:
+    def record_peer_report(self, seconds: float) -> None:
         """Take in that a peer has told all that the store said so long ago."""
         self._told = self._clock.now()
         self._heard = max(self._heard, self._told - seconds)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -158,7 +158,7 @@
             self._listing.take_news(targets, news.listing_revision)
         self._crashes.take_news(news.crashes)
         if news.heard_seconds is not None:
-            self._follower.note_news(news.heard_seconds + seconds)
+            self._follower.record_peer_report(news.heard_seconds + seconds)
 
     def _answer(self, sender: str, query: NewsQuery) -> News:
         configuration = self._configuration
--- a/tests/test_entry/test_relay/test_following.py
+++ b/tests/test_entry/test_relay/test_following.py
@@ -54,7 +54,7 @@
 async def tell(follower: StoreFollower, seconds: float) -> None:
     """Have peers tell the newest for so many seconds."""
     for _ in range(round(seconds / 0.4)):
-        follower.note_news(0.2)
+        follower.record_peer_report(0.2)
         await asyncio.sleep(0.4)
 
 
