--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -39,7 +39,7 @@
     SplitFilter,
     StopFilter,
 )
-from .following import StoreFollower
+from .store_follower import StoreFollower
 from .front import RelayFront
 from .links import TargetLinks
 from .listing import ListingFollower
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -8,7 +8,7 @@
 
 from greengagelatch.relay.routes import RouteTable
 
-from .following import StoreSubscriber
+from .store_follower import StoreSubscriber
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -21,7 +21,7 @@
 from greengagelatch.store import ABSENT, WriteOutcome
 
 from ..controllers import Controller
-from .following import StoreSubscriber
+from .store_follower import StoreSubscriber
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -11,7 +11,7 @@
 from greengagelatch.relay.targets import RETURN_SECONDS
 
 from .bad_entries import BadEntries
-from .following import StoreSubscriber
+from .store_follower import StoreSubscriber
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -26,7 +26,7 @@
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
     from .crashes import CrashBoard
-    from .following import StoreFollower
+    from .store_follower import StoreFollower
     from .listing import ListingFollower
 
 __all__ = ("NewsController",)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -14,7 +14,7 @@
 
 from ..controllers import Controller
 from ..controllers.listing import LISTING_RECEIVED
-from .following import StoreSubscriber
+from .store_follower import StoreSubscriber
 
 if TYPE_CHECKING:
     from greengagelatch.events import EventBus
