--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bad_entries.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bad_entries.py
@@ -14,13 +14,13 @@
     from ..metrics import Metrics
     from .decisions import DecisionLog
 
-__all__ = ("BadEntries",)
+__all__ = ("InvalidEntries",)
 
 #: bad entries that are remembered; beyond it a line may be written again
 MAX_REMEMBERED = 1024
 
 
-class BadEntries:
+class InvalidEntries:
     """Tells of each bad entry once, and again when its bytes have changed.
 
     The listing is read again after each outage of the store, by every instance. A
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.incarnations import Succession
 from greengagelatch.relay.targets import RETURN_SECONDS
 
-from .bad_entries import BadEntries
+from .bad_entries import InvalidEntries
 from .store_follower import StoreSubscriber
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         self._note_gone = note_gone
         self._find_services = find_services
         self._metrics = metrics
-        self._bad = BadEntries(metrics=metrics, decisions=decisions)
+        self._bad = InvalidEntries(metrics=metrics, decisions=decisions)
         #: incarnations whose old answers have been logged, by id
         self._outdated: dict[str, Incarnation] = {}
         #: services that no configuration names, by the id of their target
