--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.incarnations import Succession
 from greengagelatch.relay.targets import RETURN_SECONDS
 
-from .bad_entries import InvalidEntries
+from .invalid_entries import InvalidEntries
 from .store_follower import StoreSubscriber
 
 if TYPE_CHECKING:
