--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -67,14 +67,14 @@
     def apply_scan(self, scan: Scan) -> None:
         for entry in scan.entries:
             if entry.key == self._codec.key:
-                self.take(entry.value, entry.revision, "store")
+                self.apply(entry.value, entry.revision, "store")
 
     def apply_changes(self, changes: Changes) -> None:
         for entry in changes.written:
             if entry.key == self._codec.key:
-                self.take(entry.value, entry.revision, "store")
+                self.apply(entry.value, entry.revision, "store")
 
-    def take(self, value: bytes, revision: int, origin: str) -> bool:
+    def apply(self, value: bytes, revision: int, origin: str) -> bool:
         """Put a configuration in force if it is newer; whether it was."""
         if revision <= self._revision:
             return False
