--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -102,7 +102,9 @@
                 self._lose(target, revision)
         self._revision = max(self._revision, changes.revision)
 
-    def take_news(self, targets: tuple[ListedTarget, ...], revision: int) -> None:
+    def apply_peer_listing(
+        self, targets: tuple[ListedTarget, ...], revision: int
+    ) -> None:
         """Take in a listing that a peer has read later than this instance."""
         if revision <= self._revision and self._informed:
             return
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -153,8 +153,8 @@
     later = GOOD["born"] + 5
     ahead.write(2, one=write_fields(born=later))
     # whatever revision the one behind may claim
-    ahead.follower.take_news(behind.book.list_all(), 9)
-    behind.follower.take_news(ahead.book.list_all(), 9)
+    ahead.follower.apply_peer_listing(behind.book.list_all(), 9)
+    behind.follower.apply_peer_listing(ahead.book.list_all(), 9)
     for listing in (ahead, behind):
         assert listing.book.find_newest("one").born == later
         assert listing.accepts("one")
