--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -43,7 +43,7 @@
 from .front import RelayFront
 from .links import TargetLinks
 from .listing import ListingFollower
-from .news import NewsController
+from .news import PeerSyncController
 from .owned_desk import OwnedDesk
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelayRules
@@ -210,7 +210,7 @@
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        self.news = NewsController(
+        self.news = PeerSyncController(
             peers=self.peers,
             list_listeners=self._list_listeners,
             data_centre=self.rules.data_centre,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -29,7 +29,7 @@
     from .store_follower import StoreFollower
     from .listing import ListingFollower
 
-__all__ = ("NewsController",)
+__all__ = ("PeerSyncController",)
 
 #: seconds between two questions: with a peer's watch and one question, what the
 #: store has accepted is in force here half a second later
@@ -46,7 +46,7 @@
 LEVEL = 1
 
 
-class NewsController(Controller):
+class PeerSyncController(Controller):
     """Asks a peer, another one each time, where the store is not heard itself.
 
     The store may turn some instances away while it serves others and the operator.
