--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -43,7 +43,7 @@
 from .front import RelayFront
 from .links import TargetLinks
 from .listing import ListingFollower
-from .news import PeerSyncController
+from .peer_sync import PeerSyncController
 from .owned_desk import OwnedDesk
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelayRules
