--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -41,7 +41,7 @@
 )
 from .store_follower import StoreFollower
 from .front import RelayFront
-from .links import TargetLinks
+from .links import TargetConnectionPool
 from .listing import ListingFollower
 from .peer_sync import PeerSyncController
 from .owned_desk import OwnedDesk
@@ -141,7 +141,7 @@
             data_centre=self.rules.data_centre,
             random_source=self.random,
         )
-        self.links = TargetLinks(
+        self.links = TargetConnectionPool(
             count_kept=self._count_kept, clock=self.clock, metrics=self.metrics
         )
         self.configuration = ConfigurationFollower(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -20,7 +20,7 @@
     from ..metrics import Metrics
     from .crashes import CrashBoard
     from .decisions import DecisionLog
-    from .links import TargetLinks
+    from .links import TargetConnectionPool
 
 __all__ = ("CrashWatch",)
 
@@ -61,7 +61,7 @@
         board: CrashBoard,
         quarantine: Quarantine,
         book: TargetBook,
-        links: TargetLinks,
+        links: TargetConnectionPool,
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -17,7 +17,7 @@
     from ..metrics import Metrics
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .links import TargetLinks
+    from .links import TargetConnectionPool
     from .makers import Maker
 
 __all__ = ("ResultFreeing",)
@@ -47,7 +47,7 @@
         find_maker: Callable[[Incarnation], Maker | None],
         note_freed: Callable[[], None],
         book: TargetBook,
-        links: TargetLinks,
+        links: TargetConnectionPool,
         codec: TargetCodec,
         metrics: Metrics,
         decisions: DecisionLog,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
@@ -27,7 +27,7 @@
 __all__ = (
     "LinkError",
     "NotSentError",
-    "TargetLinks",
+    "TargetConnectionPool",
     "TargetReply",
     "set_up_socket",
 )
@@ -164,7 +164,7 @@
         return self.message.chunked or "Content-Length" in headers
 
 
-class TargetLinks:
+class TargetConnectionPool:
     """Opens, keeps and ends connections, by the incarnation that they lead to.
 
     A library's client sends a request again by itself when a kept connection drops;
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -15,7 +15,7 @@
     from greengagelatch.relay.targets import TargetBook
 
     from .codecs import TargetCodec
-    from .links import TargetLinks
+    from .links import TargetConnectionPool
     from .makers import Maker
     from .messages import AnswerHead
 
@@ -48,7 +48,12 @@
     """Sends planned calls to makers."""
 
     def __init__(
-        self, *, links: TargetLinks, codec: TargetCodec, book: TargetBook, clock: Clock
+        self,
+        *,
+        links: TargetConnectionPool,
+        codec: TargetCodec,
+        book: TargetBook,
+        clock: Clock,
     ) -> None:
         self._links = links
         self._codec = codec
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -22,7 +22,7 @@
     from .crash_watch import CrashWatch
     from .decisions import DecisionLog
     from .exchange import RelayExchange
-    from .links import TargetLinks, TargetReply
+    from .links import TargetConnectionPool, TargetReply
     from .messages import AnswerHead, RelayCall
 
 __all__ = ("Answered", "TargetSender", "Unanswered")
@@ -58,7 +58,7 @@
     def __init__(
         self,
         *,
-        links: TargetLinks,
+        links: TargetConnectionPool,
         codec: TargetCodec,
         fleet: Fleet,
         book: TargetBook,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -31,7 +31,7 @@
     from .budgets import RepeatBudgets
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .links import TargetLinks
+    from .links import TargetConnectionPool
     from .piece_suspects import PieceSuspects
     from .stage_queue import Work
 
@@ -68,7 +68,7 @@
         suspects: PieceSuspects,
         policy: BatchPolicy,
         book: TargetBook,
-        links: TargetLinks,
+        links: TargetConnectionPool,
         codec: TargetCodec,
         budgets: RepeatBudgets,
         clock: Clock,
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -17,7 +17,7 @@
 from greengagelatch_entry.relay import runners
 from greengagelatch_entry.relay.event_split import EventSplitter
 from greengagelatch_entry.relay.front import RelayFront
-from greengagelatch_entry.relay.links import TargetLinks, _Link
+from greengagelatch_entry.relay.links import TargetConnectionPool, _Link
 from greengagelatch_lab.platform_standins.targets import TargetFault
 from greengagelatch_platform import headers
 from greengagelatch_platform.listing import PlatformListingCodec
@@ -234,7 +234,7 @@
     async def believe(self, address):
         return True
 
-    monkeypatch.setattr(TargetLinks, "is_closed", believe)
+    monkeypatch.setattr(TargetConnectionPool, "is_closed", believe)
     await test_crashes.lose_answers(world)
     await world.wait_for(lambda: world.describe()["crashes"]["held_count"] == 1)
     assert (await world.ask(test_crashes.LOST)).status == 503
