--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .links import LinkError, NotSentError
+from .links import TargetResponseError, NotSentError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -124,7 +124,7 @@
                 reply.release()
             else:
                 reply.abort()
-        except (NotSentError, LinkError) as error:
+        except (NotSentError, TargetResponseError) as error:
             # its maker drops them by itself after a while
             self._metrics.count("stages.unfreed", len(handles))
             self._decisions.log_decision(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
@@ -25,7 +25,7 @@
     from .messages import Outbound
 
 __all__ = (
-    "LinkError",
+    "TargetResponseError",
     "NotSentError",
     "TargetConnectionPool",
     "TargetReply",
@@ -57,7 +57,7 @@
     """No byte of a request reached its target."""
 
 
-class LinkError(Exception):
+class TargetResponseError(Exception):
     """An answer that did not come, or not whole; the request may have run.
 
     :param broken: whether the other end closed or reset the connection
@@ -127,7 +127,7 @@
     async def iterate(self) -> AsyncIterator[bytes]:
         """Yield the body as it arrives.
 
-        :raises LinkError: if it ends before it is whole
+        :raises TargetResponseError: if it ends before it is whole
         """
         try:
             while chunk := await self.content.readany():
@@ -135,19 +135,21 @@
         except (ClientError, HttpProcessingError, OSError) as error:
             raise _describe("answer cut", error) from error
         if self._link.reset and not self._is_framed():
-            raise LinkError("answer without a length ended by a reset", broken=True)
+            raise TargetResponseError(
+                "answer without a length ended by a reset", broken=True
+            )
 
     async def read(self, limit: int) -> bytes:
         """Return the whole body.
 
-        :raises LinkError: if it is cut or larger than ``limit`` bytes
+        :raises TargetResponseError: if it is cut or larger than ``limit`` bytes
         """
         chunks = []
         size = 0
         async for chunk in self.iterate():
             size += len(chunk)
             if size > limit:
-                raise LinkError(f"answer of more than {limit} bytes")
+                raise TargetResponseError(f"answer of more than {limit} bytes")
             chunks.append(chunk)
         return b"".join(chunks)
 
@@ -204,7 +206,7 @@
         :param timeout: seconds until the head must be there
         :param may_send: asked again once the connection stands, and before it is kept
         :raises NotSentError: if no byte left
-        :raises LinkError: if it was written and no answer came
+        :raises TargetResponseError: if it was written and no answer came
         """
         end = asyncio.get_running_loop().time() + timeout
         link = None if fresh else self._take(incarnation)
@@ -229,7 +231,7 @@
                 message, content = await self._read_head(link)
         except TimeoutError:
             link.abort()
-            raise LinkError("no answer in time") from None
+            raise TargetResponseError("no answer in time") from None
         except (ClientError, HttpProcessingError, OSError) as error:
             link.abort()
             raise _describe("no answer", error) from error
@@ -349,10 +351,10 @@
         self._put(incarnation, link, seconds)
 
 
-def _describe(what: str, error: Exception) -> LinkError:
+def _describe(what: str, error: Exception) -> TargetResponseError:
     # bytes that are no answer come from a process that lives
     broken = not isinstance(error, HttpProcessingError)
-    return LinkError(f"{what}: {type(error).__name__}", broken=broken)
+    return TargetResponseError(f"{what}: {type(error).__name__}", broken=broken)
 
 
 def _find_idle_seconds(text: str) -> float:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .links import LinkError, NotSentError
+from .links import TargetResponseError, NotSentError
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
@@ -82,7 +82,7 @@
         except TimeoutError:
             maker.note_timeout(count, started, self._clock.now())
             return CallEnd(TIMED_OUT)
-        except LinkError as error:
+        except TargetResponseError as error:
             return self._note_lost(maker, count, allowed, started, error)
         except asyncio.CancelledError:
             maker.calls -= 1
@@ -126,7 +126,7 @@
         count: int,
         allowed: float,
         started: float,
-        error: LinkError,
+        error: TargetResponseError,
     ) -> CallEnd:
         now = self._clock.now()
         if now - started >= allowed:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.deployment import RouteKind
 from greengagelatch.relay.outcomes import SendOutcome
 
-from .links import LinkError
+from .links import TargetResponseError
 from .messages import RelayCall
 from .runners import Runner
 from .sending import Answered, Unanswered
@@ -117,9 +117,9 @@
                 body = await reply.read(MAX_ANSWER_BYTES)
         except TimeoutError:
             reply.abort()
-            late = LinkError("answer not whole in time")
+            late = TargetResponseError("answer not whole in time")
             return self.sender.note_lost(exchange, target, late)
-        except LinkError as error:
+        except TargetResponseError as error:
             reply.abort()
             return self.sender.note_lost(exchange, target, error)
         except BaseException:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.verdict import Verdict
 
-from .links import LinkError, NotSentError
+from .links import TargetResponseError, NotSentError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -106,7 +106,7 @@
             return self._note(
                 exchange, target, SendOutcome.UNSENT, str(error), blamed=may_send()
             )
-        except LinkError as error:
+        except TargetResponseError as error:
             exchange.targets.append(incarnation)
             return self.note_lost(exchange, target, error)
         except asyncio.CancelledError:
@@ -119,7 +119,7 @@
         self,
         exchange: RelayExchange,
         target: ListedTarget,
-        error: LinkError,
+        error: TargetResponseError,
         ran: float = 0.0,
     ) -> Unanswered:
         """Take in that an answer did not come, or broke off.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -13,7 +13,7 @@
 
 from .event_split import EventSplitter
 from .input_fetch import InputFetch
-from .links import LinkError
+from .links import TargetResponseError
 from .messages import RelayCall
 from .refusals import create_error
 from .runners import Runner
@@ -228,7 +228,7 @@
             if not answered.head.succeeded:
                 return await self._pass_failure(target, answered)
             await self._pass_events(target, answered, reading)
-        except LinkError as error:
+        except TargetResponseError as error:
             reply.abort()
             ran = self._find_ran()
             return self._runner.sender.note_lost(self._exchange, target, error, ran)
@@ -264,7 +264,7 @@
                     self._last_id = event_id
             await writer.write(b"".join(events))
         if splitter.pending:
-            raise LinkError("stream ended within an event", broken=True)
+            raise TargetResponseError("stream ended within an event", broken=True)
         if not writer.started:
             await writer.begin(answered.head)
         await writer.finish()
@@ -279,7 +279,7 @@
             async with asyncio.timeout(max(0.0, patience)):
                 return await anext(chunks, None)
         except TimeoutError:
-            raise LinkError("no further event in time") from None
+            raise TargetResponseError("no further event in time") from None
 
     def _note_begun(self, target: ListedTarget, reading: _Reading) -> None:
         if not reading.note_begun():
