--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -15,7 +15,7 @@
     from greengagelatch.relay.requests import HeaderLine, OpaqueRequest
     from greengagelatch.relay.targets import ListedTarget
 
-    from .links import TargetReply
+    from .links import TargetResponse
     from .messages import AnswerHead, Outbound, RelayCall
 
 __all__ = ("CallerCodec", "DeploymentCodec", "ListingCodec", "TargetCodec")
@@ -66,7 +66,7 @@
         """Return the call that gives up results at their maker."""
 
     @abstractmethod
-    def read_head(self, reply: TargetReply) -> AnswerHead:
+    def read_head(self, reply: TargetResponse) -> AnswerHead:
         """Decode the head of an answer."""
 
     @abstractmethod
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
@@ -28,7 +28,7 @@
     "TargetResponseError",
     "NotSentError",
     "TargetConnectionPool",
-    "TargetReply",
+    "TargetResponse",
     "set_up_socket",
 )
 
@@ -116,7 +116,7 @@
 
 
 @dataclass(slots=True)
-class TargetReply:
+class TargetResponse:
     """An answer whose head is there; it must be released or aborted."""
 
     message: RawResponseMessage
@@ -198,7 +198,7 @@
         fresh: bool,
         timeout: float,
         may_send: Callable[[], bool] | None = None,
-    ) -> TargetReply:
+    ) -> TargetResponse:
         """Write a request and wait for the head of its answer.
 
         :param fresh: whether to leave kept connections alone; on one of them a
@@ -238,7 +238,7 @@
         except BaseException:
             link.abort()
             raise
-        return TargetReply(
+        return TargetResponse(
             message,
             content,
             link,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -22,7 +22,7 @@
     from .crash_watch import CrashWatch
     from .decisions import DecisionLog
     from .exchange import RelayExchange
-    from .links import TargetConnectionPool, TargetReply
+    from .links import TargetConnectionPool, TargetResponse
     from .messages import AnswerHead, RelayCall
 
 __all__ = ("Answered", "TargetSender", "Unanswered")
@@ -39,7 +39,7 @@
     """A target's answer; its body is still to be read."""
 
     head: AnswerHead
-    reply: TargetReply
+    reply: TargetResponse
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +135,7 @@
         self._crashes.note_survived(target, exchange.digest)
 
     def _judge(
-        self, exchange: RelayExchange, target: ListedTarget, reply: TargetReply
+        self, exchange: RelayExchange, target: ListedTarget, reply: TargetResponse
     ) -> Answered | Unanswered:
         head = self._codec.read_head(reply)
         if head.load is not None:
