--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/links.py
@@ -29,7 +29,7 @@
     "NotSentError",
     "TargetConnectionPool",
     "TargetResponse",
-    "set_up_socket",
+    "configure_socket",
 )
 
 #: seconds allowed for opening a connection. The far end is milliseconds away, and the
@@ -68,7 +68,7 @@
         self.broken = broken
 
 
-def set_up_socket(connection: socket.socket) -> None:
+def configure_socket(connection: socket.socket) -> None:
     """Have the kernel notice an end that is gone without a word.
 
     A connection behind a partition, or one that something between the two ends has
@@ -99,7 +99,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        set_up_socket(transport.get_extra_info("socket"))
+        configure_socket(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: BaseException | None) -> None:
         # the parser takes the end of a connection for the end of an answer without
