--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -15,7 +15,7 @@
     from greengagelatch.relay.requests import HeaderLine, OpaqueRequest
     from greengagelatch.relay.targets import ListedTarget
 
-    from .links import TargetResponse
+    from .target_connections import TargetResponse
     from .messages import AnswerHead, Outbound, RelayCall
 
 __all__ = ("CallerCodec", "DeploymentCodec", "ListingCodec", "TargetCodec")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -41,7 +41,7 @@
 )
 from .store_follower import StoreFollower
 from .front import RelayFront
-from .links import TargetConnectionPool
+from .target_connections import TargetConnectionPool
 from .listing import ListingFollower
 from .peer_sync import PeerSyncController
 from .owned_desk import OwnedDesk
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -20,7 +20,7 @@
     from ..metrics import Metrics
     from .crashes import CrashBoard
     from .decisions import DecisionLog
-    from .links import TargetConnectionPool
+    from .target_connections import TargetConnectionPool
 
 __all__ = ("CrashWatch",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .links import TargetResponseError, NotSentError
+from .target_connections import TargetResponseError, NotSentError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,7 +17,7 @@
     from ..metrics import Metrics
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .links import TargetConnectionPool
+    from .target_connections import TargetConnectionPool
     from .makers import Maker
 
 __all__ = ("ResultFreeing",)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .links import TargetResponseError, NotSentError
+from .target_connections import TargetResponseError, NotSentError
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
@@ -15,7 +15,7 @@
     from greengagelatch.relay.targets import TargetBook
 
     from .codecs import TargetCodec
-    from .links import TargetConnectionPool
+    from .target_connections import TargetConnectionPool
     from .makers import Maker
     from .messages import AnswerHead
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.deployment import RouteKind
 from greengagelatch.relay.outcomes import SendOutcome
 
-from .links import TargetResponseError
+from .target_connections import TargetResponseError
 from .messages import RelayCall
 from .runners import Runner
 from .sending import Answered, Unanswered
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.verdict import Verdict
 
-from .links import TargetResponseError, NotSentError
+from .target_connections import TargetResponseError, NotSentError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,7 +22,7 @@
     from .crash_watch import CrashWatch
     from .decisions import DecisionLog
     from .exchange import RelayExchange
-    from .links import TargetConnectionPool, TargetResponse
+    from .target_connections import TargetConnectionPool, TargetResponse
     from .messages import AnswerHead, RelayCall
 
 __all__ = ("Answered", "TargetSender", "Unanswered")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -31,7 +31,7 @@
     from .budgets import RepeatBudgets
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .links import TargetConnectionPool
+    from .target_connections import TargetConnectionPool
     from .piece_suspects import PieceSuspects
     from .stage_queue import Work
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -13,7 +13,7 @@
 
 from .event_split import EventSplitter
 from .input_fetch import InputFetch
-from .links import TargetResponseError
+from .target_connections import TargetResponseError
 from .messages import RelayCall
 from .refusals import create_error
 from .runners import Runner
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch_entry.relay.codecs import TargetCodec
-from greengagelatch_entry.relay.links import NotSentError
+from greengagelatch_entry.relay.target_connections import NotSentError
 from greengagelatch_entry.relay.messages import AnswerHead, Outbound
 
 if TYPE_CHECKING:
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -17,7 +17,7 @@
 from greengagelatch_entry.relay import runners
 from greengagelatch_entry.relay.event_split import EventSplitter
 from greengagelatch_entry.relay.front import RelayFront
-from greengagelatch_entry.relay.links import TargetConnectionPool, _Link
+from greengagelatch_entry.relay.target_connections import TargetConnectionPool, _Link
 from greengagelatch_lab.platform_standins.targets import TargetFault
 from greengagelatch_platform import headers
 from greengagelatch_platform.listing import PlatformListingCodec
