--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -16,7 +16,7 @@
     from greengagelatch.relay.targets import ListedTarget
 
     from .target_connections import TargetResponse
-    from .messages import AnswerHead, Outbound, RelayCall
+    from .messages import ResponseHead, Outbound, RelayCall
 
 __all__ = ("CallerCodec", "DeploymentCodec", "ListingCodec", "TargetCodec")
 
@@ -66,7 +66,7 @@
         """Return the call that gives up results at their maker."""
 
     @abstractmethod
-    def read_head(self, reply: TargetResponse) -> AnswerHead:
+    def read_head(self, reply: TargetResponse) -> ResponseHead:
         """Decode the head of an answer."""
 
     @abstractmethod
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -19,7 +19,7 @@
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.requests import OpaqueRequest
 
-    from .messages import AnswerHead
+    from .messages import ResponseHead
 
 __all__ = ("AnswerWriter", "CallerGoneError", "RelayExchange")
 
@@ -75,7 +75,7 @@
         self._note_sent(len(body))
         await self._guard(self._write_whole(response))
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def begin(self, head: ResponseHead) -> None:
         """Write the head of a stream."""
         response = web.StreamResponse(status=head.status, reason=head.reason)
         _copy(head.headers, response)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -17,7 +17,7 @@
     from .codecs import TargetCodec
     from .target_connections import TargetConnectionPool
     from .makers import Maker
-    from .messages import AnswerHead
+    from .messages import ResponseHead
 
 __all__ = ("ANSWERED", "MADE", "REJECTED", "UNSENT", "CallEnd", "MakerCaller")
 
@@ -91,7 +91,7 @@
 
     async def _exchange(
         self, maker: Maker, call: PlannedCall, allowed: float, started: float
-    ) -> tuple[AnswerHead, bytes]:
+    ) -> tuple[ResponseHead, bytes]:
         target = maker.target
         pieces = tuple(piece for _, piece in call.pieces)
         remaining = tuple(
@@ -136,7 +136,7 @@
         return CallEnd(str(error), broken=error.broken)
 
     def _judge(
-        self, maker: Maker, head: AnswerHead, body: bytes, count: int, started: float
+        self, maker: Maker, head: ResponseHead, body: bytes, count: int, started: float
     ) -> CallEnd:
         now = self._clock.now()
         if head.misdirected:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
@@ -10,7 +10,7 @@
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.requests import HeaderLine
 
-__all__ = ("AnswerHead", "Outbound", "RelayCall")
+__all__ = ("ResponseHead", "Outbound", "RelayCall")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerHead:
+class ResponseHead:
     """The head of a target's answer, decoded."""
 
     status: int
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -19,7 +19,7 @@
     from greengagelatch.relay.targets import ListedTarget
 
     from .exchange import RelayExchange
-    from .messages import AnswerHead
+    from .messages import ResponseHead
 
 __all__ = ("PlainRunner",)
 
@@ -37,7 +37,7 @@
 class _Whole:
     """An answer that was read to its end."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -23,7 +23,7 @@
     from .decisions import DecisionLog
     from .exchange import RelayExchange
     from .target_connections import TargetConnectionPool, TargetResponse
-    from .messages import AnswerHead, RelayCall
+    from .messages import ResponseHead, RelayCall
 
 __all__ = ("Answered", "TargetSender", "Unanswered")
 
@@ -38,7 +38,7 @@
 class Answered:
     """A target's answer; its body is still to be read."""
 
-    head: AnswerHead
+    head: ResponseHead
     reply: TargetResponse
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -29,7 +29,7 @@
 
     from .codecs import TargetCodec
     from .exchange import RelayExchange
-    from .messages import AnswerHead
+    from .messages import ResponseHead
     from .run_times import RunTimes
     from .stages import StageResults, StageRun, StageRunner
 
@@ -296,7 +296,7 @@
     async def _pass_failure(
         self, target: ListedTarget, answered: Answered
     ) -> Unanswered | None:
-        head: AnswerHead = answered.head
+        head: ResponseHead = answered.head
         body = await answered.reply.read(MAX_FAILURE_BYTES)
         answered.reply.release()
         self._runner.sender.note_survived(self._exchange, target)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch_entry.relay.codecs import TargetCodec
 from greengagelatch_entry.relay.target_connections import NotSentError
-from greengagelatch_entry.relay.messages import AnswerHead, Outbound
+from greengagelatch_entry.relay.messages import ResponseHead, Outbound
 
 if TYPE_CHECKING:
     import random
@@ -297,8 +297,8 @@
     def encode_freeing(self, handles, incarnation) -> Outbound:
         return Outbound(method="POST", target="free", body=handles)
 
-    def read_head(self, reply) -> AnswerHead:
-        return AnswerHead(status=200, reason="OK")
+    def read_head(self, reply) -> ResponseHead:
+        return ResponseHead(status=200, reason="OK")
 
     def read_pieces(self, body, count, maker):
         return tuple(replace(one, maker=maker.incarnation) for one in body)
