--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -16,7 +16,7 @@
     from greengagelatch.relay.targets import ListedTarget
 
     from .target_connections import TargetResponse
-    from .messages import ResponseHead, Outbound, RelayCall
+    from .messages import ResponseHead, OutboundRequest, RelayCall
 
 __all__ = ("CallerCodec", "DeploymentCodec", "ListingCodec", "TargetCodec")
 
@@ -44,7 +44,9 @@
     """Writes requests to targets and reads their answers."""
 
     @abstractmethod
-    def encode_request(self, request: OpaqueRequest, call: RelayCall) -> Outbound:
+    def encode_request(
+        self, request: OpaqueRequest, call: RelayCall
+    ) -> OutboundRequest:
         """Return a caller's request as a target gets it."""
 
     @abstractmethod
@@ -53,7 +55,7 @@
         pieces: tuple[Piece, ...],
         remaining: tuple[float, ...],
         incarnation: Incarnation,
-    ) -> Outbound:
+    ) -> OutboundRequest:
         """Return the call that asks a maker for ``pieces``.
 
         :param remaining: seconds that are left for each piece
@@ -62,7 +64,7 @@
     @abstractmethod
     def encode_freeing(
         self, handles: tuple[str, ...], incarnation: Incarnation
-    ) -> Outbound:
+    ) -> OutboundRequest:
         """Return the call that gives up results at their maker."""
 
     @abstractmethod
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
@@ -10,11 +10,11 @@
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.requests import HeaderLine
 
-__all__ = ("ResponseHead", "Outbound", "RelayCall")
+__all__ = ("ResponseHead", "OutboundRequest", "RelayCall")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Outbound:
+class OutboundRequest:
     """One HTTP request, ready to be written."""
 
     method: str
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
@@ -22,7 +22,7 @@
     from greengagelatch.relay.incarnations import Incarnation
 
     from ..metrics import Metrics
-    from .messages import Outbound
+    from .messages import OutboundRequest
 
 __all__ = (
     "TargetResponseError",
@@ -194,7 +194,7 @@
         *,
         incarnation: Incarnation,
         address: str,
-        outbound: Outbound,
+        outbound: OutboundRequest,
         fresh: bool,
         timeout: float,
         may_send: Callable[[], bool] | None = None,
@@ -366,7 +366,7 @@
     return IDLE_SECONDS
 
 
-def _serialize(outbound: Outbound, address: str) -> bytes:
+def _serialize(outbound: OutboundRequest, address: str) -> bytes:
     lines = [f"{outbound.method} {outbound.target} HTTP/1.1".encode()]
     if not any(name.lower() == b"host" for name, _ in outbound.headers):
         lines.append(b"Host: " + address.encode())
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch_entry.relay.codecs import TargetCodec
 from greengagelatch_entry.relay.target_connections import NotSentError
-from greengagelatch_entry.relay.messages import ResponseHead, Outbound
+from greengagelatch_entry.relay.messages import ResponseHead, OutboundRequest
 
 if TYPE_CHECKING:
     import random
@@ -238,7 +238,7 @@
         """Return the same links as one instance uses them, by its own machine."""
         return _MachineLinks(self, machine)
 
-    async def send(self, *, address: str, outbound: Outbound, **_) -> _Reply:
+    async def send(self, *, address: str, outbound: OutboundRequest, **_) -> _Reply:
         """Do what a call asks for."""
         maker = self._makers[address]
         if maker.lost:
@@ -268,7 +268,7 @@
         self._links = links
         self._machine = machine
 
-    async def send(self, *, outbound: Outbound, **details) -> _Reply:
+    async def send(self, *, outbound: OutboundRequest, **details) -> _Reply:
         await self._machine.work(CALL_WORK)
         await self._machine.send(_count_bytes(outbound))
         reply = await self._links.send(outbound=outbound, **details)
@@ -276,7 +276,7 @@
         return reply
 
 
-def _count_bytes(outbound: Outbound) -> int:
+def _count_bytes(outbound: OutboundRequest) -> int:
     """Return about how many bytes a call takes on its way."""
     if outbound.target == "free":
         return CALL_BYTES + len(outbound.body) * HANDLE_BYTES
@@ -288,14 +288,14 @@
 class ModelCodec(TargetCodec):
     """Passes objects where the real one writes and reads bytes."""
 
-    def encode_request(self, request, call) -> Outbound:
+    def encode_request(self, request, call) -> OutboundRequest:
         raise NotImplementedError
 
-    def encode_pieces(self, pieces, remaining, incarnation) -> Outbound:
-        return Outbound(method="POST", target="run", body=(pieces, remaining))
+    def encode_pieces(self, pieces, remaining, incarnation) -> OutboundRequest:
+        return OutboundRequest(method="POST", target="run", body=(pieces, remaining))
 
-    def encode_freeing(self, handles, incarnation) -> Outbound:
-        return Outbound(method="POST", target="free", body=handles)
+    def encode_freeing(self, handles, incarnation) -> OutboundRequest:
+        return OutboundRequest(method="POST", target="free", body=handles)
 
     def read_head(self, reply) -> ResponseHead:
         return ResponseHead(status=200, reason="OK")
