--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -16,7 +16,7 @@
     from greengagelatch.relay.targets import ListedTarget
 
     from .target_connections import TargetResponse
-    from .messages import ResponseHead, OutboundRequest, RelayCall
+    from .messages import ResponseHead, OutboundRequest, AttemptContext
 
 __all__ = ("CallerCodec", "DeploymentCodec", "ListingCodec", "TargetCodec")
 
@@ -45,7 +45,7 @@
 
     @abstractmethod
     def encode_request(
-        self, request: OpaqueRequest, call: RelayCall
+        self, request: OpaqueRequest, call: AttemptContext
     ) -> OutboundRequest:
         """Return a caller's request as a target gets it."""
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
@@ -10,7 +10,7 @@
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.requests import HeaderLine
 
-__all__ = ("ResponseHead", "OutboundRequest", "RelayCall")
+__all__ = ("ResponseHead", "OutboundRequest", "AttemptContext")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RelayCall:
+class AttemptContext:
     """What a request is sent to a target with, beside the request itself."""
 
     #: the target that is meant; one of another id must not run it
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.outcomes import SendOutcome
 
 from .target_connections import TargetResponseError
-from .messages import RelayCall
+from .messages import AttemptContext
 from .runners import Runner
 from .sending import Answered, Unanswered
 
@@ -82,7 +82,7 @@
         left = self.find_left(exchange)
         if left <= 0:
             return Unanswered(SendOutcome.UNSENT, "deadline over")
-        call = RelayCall(
+        call = AttemptContext(
             incarnation=target.incarnation,
             remaining=left,
             workspace=exchange.workspace,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -23,7 +23,7 @@
     from .decisions import DecisionLog
     from .exchange import RelayExchange
     from .target_connections import TargetConnectionPool, TargetResponse
-    from .messages import ResponseHead, RelayCall
+    from .messages import ResponseHead, AttemptContext
 
 __all__ = ("Answered", "TargetSender", "Unanswered")
 
@@ -78,7 +78,7 @@
         self,
         exchange: RelayExchange,
         target: ListedTarget,
-        call: RelayCall,
+        call: AttemptContext,
         *,
         timeout: float,
         fresh: bool,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -14,7 +14,7 @@
 from .event_split import EventSplitter
 from .input_fetch import InputFetch
 from .target_connections import TargetResponseError
-from .messages import RelayCall
+from .messages import AttemptContext
 from .refusals import create_error
 from .runners import Runner
 from .sending import STATUS_CONFLICT, Answered, Unanswered
@@ -178,7 +178,7 @@
         left = runner.find_left(exchange)
         if left <= 0:
             return Unanswered(SendOutcome.UNSENT, "deadline over")
-        call = RelayCall(
+        call = AttemptContext(
             incarnation=target.incarnation,
             remaining=left,
             workspace=exchange.workspace,
--- a/tests/test_platform/test_targets.py
+++ b/tests/test_platform/test_targets.py
@@ -8,7 +8,7 @@
 from greengagelatch.relay.pieces import Piece, PieceFailure
 from greengagelatch.relay.requests import OpaqueRequest
 from greengagelatch.relay.targets import ListedTarget
-from greengagelatch_entry.relay.messages import RelayCall
+from greengagelatch_entry.relay.messages import AttemptContext
 from greengagelatch_platform.targets import PlatformTargetCodec
 
 CODEC = PlatformTargetCodec()
@@ -31,7 +31,7 @@
 
 
 def test_request_carries_what_the_system_knows():
-    call = RelayCall(
+    call = AttemptContext(
         incarnation=Incarnation("i-1", 1_700_000_000_123),
         remaining=0.7504,
         workspace="north",
