--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -21,7 +21,7 @@
 
     from .messages import ResponseHead
 
-__all__ = ("AnswerWriter", "CallerGoneError", "RelayExchange")
+__all__ = ("ResponseWriter", "CallerGoneError", "RelayExchange")
 
 #: seconds for which a caller that does not read may hold up an answer
 WRITE_TIMEOUT = 10.0
@@ -31,7 +31,7 @@
     """The caller can't be written to any more."""
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Writes one answer to a caller, whole or event by event.
 
     :param keep: whether the connection is kept after an answer that begins now
@@ -117,7 +117,7 @@
     """One request on its way through the filters; the only record that changes."""
 
     request: OpaqueRequest
-    writer: AnswerWriter
+    writer: ResponseWriter
     use: ConnectionUse = field(default_factory=ConnectionUse)
     #: set by the filter that looks the route up
     deployment: Deployment | None = None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -12,7 +12,7 @@
 from ..adapters.caller_bodies import CLOSING_STATUSES, BodyError, read_body
 from ..adapters.caller_connections import CallerConnections, find_use
 from ..adapters.caller_listener import CallerListener
-from .exchange import AnswerWriter, CallerGoneError, RelayExchange
+from .exchange import ResponseWriter, CallerGoneError, RelayExchange
 from .refusals import describe, find_refusal_status
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         received = self._clock.now()
-        writer = AnswerWriter(
+        writer = ResponseWriter(
             request, keep=self._keeps_connections, note_sent=self._note_sent
         )
         use = find_use(request)
@@ -124,7 +124,7 @@
         return not self._draining() and not self.closing
 
     async def _refuse(
-        self, writer: AnswerWriter, request_id: str, refusal: Refusal, status: int
+        self, writer: ResponseWriter, request_id: str, refusal: Refusal, status: int
     ) -> None:
         if writer.started:
             # a part of another answer is out: only a cut is honest
