--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -21,13 +21,13 @@
 
     from .messages import ResponseHead
 
-__all__ = ("ResponseWriter", "CallerGoneError", "RelayExchange")
+__all__ = ("ResponseWriter", "CallerDisconnectedError", "RelayExchange")
 
 #: seconds for which a caller that does not read may hold up an answer
 WRITE_TIMEOUT = 10.0
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller can't be written to any more."""
 
 
@@ -109,7 +109,7 @@
                 await writing
         except (TimeoutError, ConnectionError) as error:
             self.abort()
-            raise CallerGoneError(str(error)) from error
+            raise CallerDisconnectedError(str(error)) from error
 
 
 @dataclass(slots=True, kw_only=True)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -15,7 +15,7 @@
 
 from ..filters.stop import STOPPING_RETRY_MS
 from ..inflight import BrokenOffError
-from .exchange import CallerGoneError, RelayExchange
+from .exchange import CallerDisconnectedError, RelayExchange
 from .refusals import create_error, create_hold_error, find_refusal_status
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
                 exchange.status = error.status or find_refusal_status(error.refusal)
             reason = error.refusal.message
             raise
-        except CallerGoneError:
+        except CallerDisconnectedError:
             exchange.outcome = "caller-gone"
             raise
         except BaseException:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -12,7 +12,7 @@
 from ..adapters.caller_bodies import CLOSING_STATUSES, BodyError, read_body
 from ..adapters.caller_connections import CallerConnections, find_use
 from ..adapters.caller_listener import CallerListener
-from .exchange import ResponseWriter, CallerGoneError, RelayExchange
+from .exchange import ResponseWriter, CallerDisconnectedError, RelayExchange
 from .refusals import describe, find_refusal_status
 
 if TYPE_CHECKING:
@@ -98,7 +98,7 @@
             await self._refuse(writer, request_id, error.refusal, error.status)
         except RefusedError as error:
             await self._refuse(writer, request_id, error.refusal, error.status)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._metrics.count("front.gone")
         except Exception:
             logger.exception("request %s failed", request_id)
@@ -134,5 +134,5 @@
         headers, body = describe(request_id, refusal)
         try:
             await writer.send(status, headers, body, close=status in CLOSING_STATUSES)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             self._metrics.count("front.gone")
