--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -49,7 +49,7 @@
 from .parts import RelayAdapters, RelayParts, RelayRules
 from .peer_settings import create_peer_settings
 from .piece_suspects import WatchedPieces
-from .plain import PlainRunner
+from .plain import UnaryRunner
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
 from .registry import RegistryController
@@ -305,7 +305,7 @@
             QuarantineFilter(quarantine=self.quarantine, clock=self.clock),
             SplitFilter(random_source=self.random),
         )
-        last = RunHandler(plain=PlainRunner(**common), streams=streams)
+        last = RunHandler(plain=UnaryRunner(**common), streams=streams)
         self.handler = chain(filters, last)
 
     def _build_servers(self) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -21,7 +21,7 @@
     from .exchange import RelayExchange
     from .messages import ResponseHead
 
-__all__ = ("PlainRunner",)
+__all__ = ("UnaryRunner",)
 
 #: largest answer that is passed on
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class PlainRunner(Runner):
+class UnaryRunner(Runner):
     """Sends a request until a target has answered it, or it may not be sent again."""
 
     async def run(self, exchange: RelayExchange) -> None:
