--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -49,7 +49,7 @@
 from .parts import RelayAdapters, RelayParts, RelayRules
 from .peer_settings import create_peer_settings
 from .piece_suspects import WatchedPieces
-from .plain import UnaryRunner
+from .unary import UnaryRunner
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
 from .registry import RegistryController
