--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -23,7 +23,7 @@
 
     from .budgets import RepeatBudgets
     from .exchange import RelayExchange
-    from .sending import TargetSender, Unanswered
+    from .sending import TargetSender, FailedSend
 
 __all__ = ("Runner",)
 
@@ -98,7 +98,7 @@
         return False
 
     def create_refusal(
-        self, exchange: RelayExchange, last: Unanswered | None
+        self, exchange: RelayExchange, last: FailedSend | None
     ) -> RefusedError:
         """Return the error that ends ``exchange`` after its last send."""
         if last is None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -25,7 +25,7 @@
     from .target_connections import TargetConnectionPool, TargetResponse
     from .messages import ResponseHead, AttemptContext
 
-__all__ = ("Answered", "TargetSender", "Unanswered")
+__all__ = ("Answered", "TargetSender", "FailedSend")
 
 #: statuses by which a target says that it did not run a request, if marked so
 STATUS_CONFLICT = 409
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unanswered:
+class FailedSend:
     """A send without an answer that could be passed on."""
 
     outcome: SendOutcome
@@ -83,7 +83,7 @@
         timeout: float,
         fresh: bool,
         may_send: Callable[[], bool] = lambda: True,
-    ) -> Answered | Unanswered:
+    ) -> Answered | FailedSend:
         """Send once; the verdict of ``exchange`` rises by what is known then.
 
         :param timeout: seconds until the answer's head must be there
@@ -121,7 +121,7 @@
         target: ListedTarget,
         error: TargetResponseError,
         ran: float = 0.0,
-    ) -> Unanswered:
+    ) -> FailedSend:
         """Take in that an answer did not come, or broke off.
 
         :param ran: seconds for which the target is known to have been at work on it
@@ -136,7 +136,7 @@
 
     def _judge(
         self, exchange: RelayExchange, target: ListedTarget, reply: TargetResponse
-    ) -> Answered | Unanswered:
+    ) -> Answered | FailedSend:
         head = self._codec.read_head(reply)
         if head.load is not None:
             self._fleet.note_report(target.incarnation, head.load, self._clock.now())
@@ -175,7 +175,7 @@
         status: int = 0,
         *,
         blamed: bool = True,
-    ) -> Unanswered:
+    ) -> FailedSend:
         if not outcome.proves_not_run:
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
         now = self._clock.now()
@@ -194,4 +194,4 @@
             sends=len(exchange.targets),
             left_ms=round((exchange.deadline - now) * 1000),
         )
-        return Unanswered(outcome, reason, status)
+        return FailedSend(outcome, reason, status)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -17,7 +17,7 @@
 from .messages import AttemptContext
 from .refusals import create_error
 from .runners import Runner
-from .sending import STATUS_CONFLICT, Answered, Unanswered
+from .sending import STATUS_CONFLICT, Answered, FailedSend
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -141,7 +141,7 @@
         """Send until the stream is whole, or may not go on."""
         exchange, runner = self._exchange, self._runner
         excluded: frozenset[Incarnation] = frozenset()
-        last: Unanswered | None = None
+        last: FailedSend | None = None
         while True:
             if self._run.is_lost(self._results):
                 await self._make_again()
@@ -172,12 +172,12 @@
         fleet, now = self._runner.fleet, self._runner.clock.now()
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
-    async def _try(self, target: ListedTarget) -> Unanswered | None:
+    async def _try(self, target: ListedTarget) -> FailedSend | None:
         """Send once and pass events on; ``None`` if the answer is complete."""
         runner, exchange = self._runner, self._exchange
         left = runner.find_left(exchange)
         if left <= 0:
-            return Unanswered(SendOutcome.UNSENT, "deadline over")
+            return FailedSend(SendOutcome.UNSENT, "deadline over")
         call = AttemptContext(
             incarnation=target.incarnation,
             remaining=left,
@@ -200,7 +200,7 @@
                 fresh=not exchange.route.repeatable,
                 may_send=lambda: fetching.begin(not self._run.is_lost(self._results)),
             )
-            if isinstance(result, Unanswered):
+            if isinstance(result, FailedSend):
                 return result
             return await self._pass_on(target, result, reading)
         finally:
@@ -222,7 +222,7 @@
 
     async def _pass_on(
         self, target: ListedTarget, answered: Answered, reading: _Reading
-    ) -> Unanswered | None:
+    ) -> FailedSend | None:
         reply = answered.reply
         try:
             if not answered.head.succeeded:
@@ -295,7 +295,7 @@
 
     async def _pass_failure(
         self, target: ListedTarget, answered: Answered
-    ) -> Unanswered | None:
+    ) -> FailedSend | None:
         head: ResponseHead = answered.head
         body = await answered.reply.read(MAX_FAILURE_BYTES)
         answered.reply.release()
@@ -303,7 +303,7 @@
         self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
         exchange = self._exchange
         if exchange.writer.started:
-            return Unanswered(SendOutcome.FAILED, f"status {head.status} on resuming")
+            return FailedSend(SendOutcome.FAILED, f"status {head.status} on resuming")
         exchange.status = head.status
         exchange.outcome = "failed"
         await exchange.writer.send(head.status, head.headers, body, reason=head.reason)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -12,7 +12,7 @@
 from .target_connections import TargetResponseError
 from .messages import AttemptContext
 from .runners import Runner
-from .sending import Answered, Unanswered
+from .sending import Answered, FailedSend
 
 if TYPE_CHECKING:
     from greengagelatch.relay.incarnations import Incarnation
@@ -47,7 +47,7 @@
     async def run(self, exchange: RelayExchange) -> None:
         self.budgets.note_request(exchange.service)
         excluded: frozenset[Incarnation] = frozenset()
-        last: Unanswered | None = None
+        last: FailedSend | None = None
         failed: _Whole | None = None
         while True:
             target = self.fleet.choose_plain(
@@ -78,10 +78,10 @@
 
     async def _try(
         self, exchange: RelayExchange, target: ListedTarget
-    ) -> _Whole | Unanswered:
+    ) -> _Whole | FailedSend:
         left = self.find_left(exchange)
         if left <= 0:
-            return Unanswered(SendOutcome.UNSENT, "deadline over")
+            return FailedSend(SendOutcome.UNSENT, "deadline over")
         call = AttemptContext(
             incarnation=target.incarnation,
             remaining=left,
@@ -98,7 +98,7 @@
                 timeout=timeout,
                 fresh=not exchange.route.repeatable,
             )
-            if isinstance(result, Unanswered):
+            if isinstance(result, FailedSend):
                 return result
             return await self._read(exchange, target, result, end)
         finally:
@@ -110,7 +110,7 @@
         target: ListedTarget,
         answered: Answered,
         end: float,
-    ) -> _Whole | Unanswered:
+    ) -> _Whole | FailedSend:
         reply = answered.reply
         try:
             async with asyncio.timeout_at(end):
