--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -25,7 +25,7 @@
     from .target_connections import TargetConnectionPool, TargetResponse
     from .messages import ResponseHead, AttemptContext
 
-__all__ = ("Answered", "TargetSender", "FailedSend")
+__all__ = ("ReceivedResponse", "TargetSender", "FailedSend")
 
 #: statuses by which a target says that it did not run a request, if marked so
 STATUS_CONFLICT = 409
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class ReceivedResponse:
     """A target's answer; its body is still to be read."""
 
     head: ResponseHead
@@ -83,7 +83,7 @@
         timeout: float,
         fresh: bool,
         may_send: Callable[[], bool] = lambda: True,
-    ) -> Answered | FailedSend:
+    ) -> ReceivedResponse | FailedSend:
         """Send once; the verdict of ``exchange`` rises by what is known then.
 
         :param timeout: seconds until the answer's head must be there
@@ -136,7 +136,7 @@
 
     def _judge(
         self, exchange: RelayExchange, target: ListedTarget, reply: TargetResponse
-    ) -> Answered | FailedSend:
+    ) -> ReceivedResponse | FailedSend:
         head = self._codec.read_head(reply)
         if head.load is not None:
             self._fleet.note_report(target.incarnation, head.load, self._clock.now())
@@ -164,7 +164,7 @@
             reason = f"unsigned answer of status {head.status}"
             return self._note(exchange, target, SendOutcome.LOST, reason)
         exchange.raise_verdict(Verdict.RAN)
-        return Answered(head, reply)
+        return ReceivedResponse(head, reply)
 
     def _note(
         self,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -17,7 +17,7 @@
 from .messages import AttemptContext
 from .refusals import create_error
 from .runners import Runner
-from .sending import STATUS_CONFLICT, Answered, FailedSend
+from .sending import STATUS_CONFLICT, ReceivedResponse, FailedSend
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
@@ -221,7 +221,7 @@
         self._run.free()
 
     async def _pass_on(
-        self, target: ListedTarget, answered: Answered, reading: _Reading
+        self, target: ListedTarget, answered: ReceivedResponse, reading: _Reading
     ) -> FailedSend | None:
         reply = answered.reply
         try:
@@ -242,7 +242,7 @@
         return None
 
     async def _pass_events(
-        self, target: ListedTarget, answered: Answered, reading: _Reading
+        self, target: ListedTarget, answered: ReceivedResponse, reading: _Reading
     ) -> None:
         splitter = EventSplitter()
         writer = self._exchange.writer
@@ -294,7 +294,7 @@
         self._run.free()
 
     async def _pass_failure(
-        self, target: ListedTarget, answered: Answered
+        self, target: ListedTarget, answered: ReceivedResponse
     ) -> FailedSend | None:
         head: ResponseHead = answered.head
         body = await answered.reply.read(MAX_FAILURE_BYTES)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -12,7 +12,7 @@
 from .target_connections import TargetResponseError
 from .messages import AttemptContext
 from .runners import Runner
-from .sending import Answered, FailedSend
+from .sending import ReceivedResponse, FailedSend
 
 if TYPE_CHECKING:
     from greengagelatch.relay.incarnations import Incarnation
@@ -108,7 +108,7 @@
         self,
         exchange: RelayExchange,
         target: ListedTarget,
-        answered: Answered,
+        answered: ReceivedResponse,
         end: float,
     ) -> _Whole | FailedSend:
         reply = answered.reply
