--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -108,14 +108,14 @@
             )
         except TargetResponseError as error:
             exchange.targets.append(incarnation)
-            return self.note_lost(exchange, target, error)
+            return self.record_lost_response(exchange, target, error)
         except asyncio.CancelledError:
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
             raise
         exchange.targets.append(incarnation)
         return self._judge(exchange, target, reply)
 
-    def note_lost(
+    def record_lost_response(
         self,
         exchange: RelayExchange,
         target: ListedTarget,
