--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -130,7 +130,7 @@
             self._crashes.note_broken(target, exchange.digest)
         return self._note(exchange, target, SendOutcome.LOST, str(error))
 
-    def note_survived(self, exchange: RelayExchange, target: ListedTarget) -> None:
+    def record_survival(self, exchange: RelayExchange, target: ListedTarget) -> None:
         """Take in that a target has answered to the end, if only that it failed."""
         self._crashes.note_survived(target, exchange.digest)
 
