--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -54,7 +54,7 @@
 from .readiness import ReadinessServer
 from .registry import RegistryController
 from .run_times import RunTimes
-from .sending import TargetSender
+from .target_sender import TargetSender
 from .stage_groups import MakerGroups
 from .stage_pool import StagePool
 from .stages import StageRunner
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -23,7 +23,7 @@
 
     from .budgets import RepeatBudgets
     from .exchange import RelayExchange
-    from .sending import TargetSender, FailedSend
+    from .target_sender import TargetSender, FailedSend
 
 __all__ = ("Runner",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -17,7 +17,7 @@
 from .messages import AttemptContext
 from .refusals import create_error
 from .runners import Runner
-from .sending import STATUS_CONFLICT, ReceivedResponse, FailedSend
+from .target_sender import STATUS_CONFLICT, ReceivedResponse, FailedSend
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -12,7 +12,7 @@
 from .target_connections import TargetResponseError
 from .messages import AttemptContext
 from .runners import Runner
-from .sending import ReceivedResponse, FailedSend
+from .target_sender import ReceivedResponse, FailedSend
 
 if TYPE_CHECKING:
     from greengagelatch.relay.incarnations import Incarnation
