--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -46,7 +46,7 @@
 from .peer_sync import PeerSyncController
 from .owned_desk import OwnedDesk
 from .ownership import Ownership
-from .parts import RelayAdapters, RelayParts, RelayRules
+from .parts import RelayAdapters, RelayParts, RelaySettings
 from .peer_settings import create_peer_settings
 from .piece_suspects import WatchedPieces
 from .unary import UnaryRunner
@@ -78,7 +78,7 @@
 
 
 def compose_relay(
-    rules: RelayRules,
+    rules: RelaySettings,
     adapters: RelayAdapters,
     reload: Callable[[], None] = lambda: None,
     read_work: Callable[[], float] = lambda: 0.0,
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        rules: RelayRules,
+        rules: RelaySettings,
         adapters: RelayAdapters,
         reload: Callable[[], None],
         read_work: Callable[[], float],
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
@@ -18,11 +18,11 @@
     from .front import RelayFront
     from .prometheus import PrometheusMetrics
 
-__all__ = ("RelayAdapters", "RelayParts", "RelayRules")
+__all__ = ("RelayAdapters", "RelayParts", "RelaySettings")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RelayRules:
+class RelaySettings:
     """What an instance is told at its start; times in seconds."""
 
     instance_id: str
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_settings.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_settings.py
@@ -7,7 +7,7 @@
 from greengagelatch.settings import Settings
 
 if TYPE_CHECKING:
-    from .parts import RelayRules
+    from .parts import RelaySettings
 
 __all__ = ("create_peer_settings",)
 
@@ -31,7 +31,7 @@
 }
 
 
-def create_peer_settings(rules: RelayRules) -> Settings:
+def create_peer_settings(rules: RelaySettings) -> Settings:
     """Return the settings of the network of peers."""
     return Settings(
         {
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -12,7 +12,7 @@
 
 from greengagelatch.relay.repeats import RepeatRule
 from greengagelatch_entry.relay.composition import compose_relay
-from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelayRules
+from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelaySettings
 from greengagelatch_lab.platform_standins.deployment import (
     HOST,
     KEY,
@@ -163,8 +163,8 @@
         }
         return await self.ask(f"/{route}/1", method="POST", body=b"prompt", **lines)
 
-    def _create_rules(self) -> RelayRules:
-        return RelayRules(
+    def _create_rules(self) -> RelaySettings:
+        return RelaySettings(
             instance_id="entry-1",
             data_centre="north",
             callers_listen="127.0.0.1:0",
