--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -11,7 +11,7 @@
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.relay.requests import Prompt
 
-from .event_split import EventSplitter
+from .event_splitter import EventSplitter
 from .input_fetch import InputFetch
 from .target_connections import TargetResponseError
 from .messages import AttemptContext
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -15,7 +15,7 @@
 from greengagelatch.relay.targets import ListedTarget, TargetBook
 from greengagelatch_entry.adapters.caller_connections import _Connection
 from greengagelatch_entry.relay import runners
-from greengagelatch_entry.relay.event_split import EventSplitter
+from greengagelatch_entry.relay.event_splitter import EventSplitter
 from greengagelatch_entry.relay.front import RelayFront
 from greengagelatch_entry.relay.target_connections import TargetConnectionPool, _Link
 from greengagelatch_lab.platform_standins.targets import TargetFault
