--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -13,7 +13,7 @@
 from ..adapters.caller_connections import CallerConnections, find_use
 from ..adapters.caller_listener import CallerListener
 from .exchange import ResponseWriter, CallerDisconnectedError, RelayExchange
-from .refusals import describe, find_refusal_status
+from .refusals import encode_refusal, find_refusal_status
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -131,7 +131,7 @@
             writer.abort()
             return
         status = status or find_refusal_status(refusal)
-        headers, body = describe(request_id, refusal)
+        headers, body = encode_refusal(request_id, refusal)
         try:
             await writer.send(status, headers, body, close=status in CLOSING_STATUSES)
         except CallerDisconnectedError:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from .exchange import RelayExchange
 
-__all__ = ("create_error", "create_hold_error", "describe", "find_refusal_status")
+__all__ = ("create_error", "create_hold_error", "encode_refusal", "find_refusal_status")
 
 _FINAL = {
     RefusalCode.BAD_REQUEST: 400,
@@ -39,7 +39,7 @@
     return STATUS_BAD_GATEWAY
 
 
-def describe(
+def encode_refusal(
     request_id: str, refusal: Refusal
 ) -> tuple[tuple[tuple[str, str], ...], bytes]:
     """Return the headers and the body of a refusal."""
