--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -152,10 +152,10 @@
             if value is None:
                 self._metrics.count("news.unreadable")
                 return
-            self._configuration.take(value, news.configuration_revision, "peer")
+            self._configuration.apply(value, news.configuration_revision, "peer")
         if news.listed:
             targets = tuple(filter(None, map(decode_target, news.targets)))
-            self._listing.take_news(targets, news.listing_revision)
+            self._listing.apply_peer_listing(targets, news.listing_revision)
         self._crashes.take_news(news.crashes)
         if news.heard_seconds is not None:
             self._follower.record_peer_report(news.heard_seconds + seconds)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -231,13 +231,15 @@
         except TargetResponseError as error:
             reply.abort()
             ran = self._find_ran()
-            return self._runner.sender.note_lost(self._exchange, target, error, ran)
+            return self._runner.sender.record_lost_response(
+                self._exchange, target, error, ran
+            )
         except BaseException:
             reply.abort()
             raise
         reply.release()
         self._runner.fleet.note_success(target.incarnation)
-        self._runner.sender.note_survived(self._exchange, target)
+        self._runner.sender.record_survival(self._exchange, target)
         self._exchange.outcome = "answered"
         return None
 
@@ -299,7 +301,7 @@
         head: ResponseHead = answered.head
         body = await answered.reply.read(MAX_FAILURE_BYTES)
         answered.reply.release()
-        self._runner.sender.note_survived(self._exchange, target)
+        self._runner.sender.record_survival(self._exchange, target)
         self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
         exchange = self._exchange
         if exchange.writer.started:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -118,15 +118,15 @@
         except TimeoutError:
             reply.abort()
             late = TargetResponseError("answer not whole in time")
-            return self.sender.note_lost(exchange, target, late)
+            return self.sender.record_lost_response(exchange, target, late)
         except TargetResponseError as error:
             reply.abort()
-            return self.sender.note_lost(exchange, target, error)
+            return self.sender.record_lost_response(exchange, target, error)
         except BaseException:
             reply.abort()
             raise
         reply.release()
-        self.sender.note_survived(exchange, target)
+        self.sender.record_survival(exchange, target)
         if answered.head.succeeded:
             self.fleet.note_success(target.incarnation)
         else:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -47,7 +47,7 @@
 class Silent:
     """Takes the place of logs and metrics."""
 
-    def note(self, kind: str, **fields) -> None:
+    def log_decision(self, kind: str, **fields) -> None:
         pass
 
     def log_state_change(self, kind: str, **fields) -> None:
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -117,11 +117,11 @@
     configuration = world.find("news")._configuration
     old = configuration.value
     fields = old.replace(b'"version": 3', b'"version": 9')
-    assert configuration.take(fields, configuration.revision + 10, "peer")
-    assert not configuration.take(old, configuration.revision - 5, "peer")
+    assert configuration.apply(fields, configuration.revision + 10, "peer")
+    assert not configuration.apply(old, configuration.revision - 5, "peer")
     monkeypatch.setattr(configuration, "_revision", 0)
     # the version itself is the second guard
-    configuration.take(old, 1, "peer")
+    configuration.apply(old, 1, "peer")
     assert configuration.deployment.version == 9
 
 
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -56,8 +56,8 @@
     configuration = world.find("news")._configuration
     world.store.put("op/config", create_configuration(12))
     await world.wait_for(lambda: configuration.deployment.version == 12)
-    assert not configuration.take(b"{}", configuration.revision, "peer")
-    assert not configuration.take(b"{}", configuration.revision - 1, "peer")
+    assert not configuration.apply(b"{}", configuration.revision, "peer")
+    assert not configuration.apply(b"{}", configuration.revision - 1, "peer")
     assert configuration.deployment.version == 12
 
 
