--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -114,7 +114,7 @@
         incarnation = target.incarnation
         try:
             origin = "refused"
-            if not await self._links.is_closed(target.address):
+            if not await self._links.is_port_closed(target.address):
                 origin = "listing"
                 async with asyncio.timeout(CONFIRM_SECONDS):
                     await suspicion.gone.wait()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
@@ -245,7 +245,7 @@
             lambda one, head: self._give_back(incarnation, one, head, may_send),
         )
 
-    async def is_closed(self, address: str) -> bool:
+    async def is_port_closed(self, address: str) -> bool:
         """Whether nobody listens at an address: its process has ended.
 
         One that is silent may be out of reach only.
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -234,7 +234,7 @@
     async def believe(self, address):
         return True
 
-    monkeypatch.setattr(TargetConnectionPool, "is_closed", believe)
+    monkeypatch.setattr(TargetConnectionPool, "is_port_closed", believe)
     await test_crashes.lose_answers(world)
     await world.wait_for(lambda: world.describe()["crashes"]["held_count"] == 1)
     assert (await world.ask(test_crashes.LOST)).status == 503
