--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -441,7 +441,7 @@
         return deployment.bounds if deployment else CallerBounds()
 
     def _is_ready(self) -> bool:
-        informed = self.configuration.table is not None and self.listing.informed
+        informed = self.configuration.table is not None and self.listing.synced
         return informed and not self.drain.draining
 
     async def _wait_idle(self, timeout: float) -> bool:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -64,7 +64,7 @@
         self._outdated: dict[str, Incarnation] = {}
         #: services that no configuration names, by the id of their target
         self._strange: dict[str, str] = {}
-        self._informed = False
+        self._synced = False
         self._revision = 0
         #: monotonic seconds until which a missing entry may yet be written again
         self._returning_until = float("-inf")
@@ -75,9 +75,9 @@
         return self._revision
 
     @property
-    def informed(self) -> bool:
+    def synced(self) -> bool:
         """Whether a listing has been read at all."""
-        return self._informed
+        return self._synced
 
     def apply_scan(self, scan: Scan) -> None:
         targets = self._read(scan.entries)
@@ -90,7 +90,7 @@
         for target in targets:
             self._put(target)
         self._revision = max(self._revision, scan.revision)
-        self._informed = True
+        self._synced = True
 
     def apply_changes(self, changes: Changes) -> None:
         for target in self._read(changes.written):
@@ -106,7 +106,7 @@
         self, targets: tuple[ListedTarget, ...], revision: int
     ) -> None:
         """Take in a listing that a peer has read later than this instance."""
-        if revision <= self._revision and self._informed:
+        if revision <= self._revision and self._synced:
             return
         listed = {target.target_id for target in targets}
         for target in self._book.list_all():
@@ -115,7 +115,7 @@
         for target in targets:
             self._put(target)
         self._revision = max(self._revision, revision)
-        self._informed = True
+        self._synced = True
 
     def handle_store_recovered(self) -> None:
         # entries lapse while targets can't renew them; those that live write them
@@ -285,7 +285,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the state as JSON-compatible values."""
         return {
-            "informed": self._informed,
+            "informed": self._synced,
             "targets": len(self._book),
             "bad_entries": self._bad.dump(),
             "unknown_services": dict(self._strange),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -101,7 +101,11 @@
         while not self.should_stop:
             await asyncio.sleep(INTERVAL)
             follower = self._follower
-            if follower.resting or not follower.reached or follower.silence > SILENCE:
+            if (
+                follower.passive
+                or not follower.reachable
+                or follower.staleness > SILENCE
+            ):
                 await self._ask_one()
 
     async def _ask_one(self) -> None:
@@ -133,7 +137,7 @@
             for member in self._peers.members()
             if member.instance_id != own and member.state is not MemberState.DEAD
         ]
-        if self._follower.resting:
+        if self._follower.passive:
             listeners = self._list_listeners()
             listening = [one for one in others if one.instance_id in listeners]
             others = self._select_near(listening) or listening or others
@@ -164,10 +168,10 @@
         configuration = self._configuration
         newer = configuration.revision > query.configuration_revision
         listed = (
-            self._listing.informed and self._listing.revision > query.listing_revision
+            self._listing.synced and self._listing.revision > query.listing_revision
         )
         return News(
-            heard_seconds=self._follower.silence,
+            heard_seconds=self._follower.staleness,
             configuration_revision=configuration.revision,
             configuration=self._pack() if newer else b"",
             listing_revision=self._listing.revision,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
@@ -116,25 +116,25 @@
         #: when a peer last told anything of it
         self._told = float("-inf")
         self._asked = float("-inf")
-        self._reached = True
-        self._resting = False
+        self._reachable = True
+        self._passive = False
         self._pause = FIRST_PAUSE
         self._error = ""
 
     @property
-    def silence(self) -> float:
+    def staleness(self) -> float:
         """Seconds since the store last answered, here or to a peer that told so."""
         return self._clock.now() - self._heard
 
     @property
-    def reached(self) -> bool:
+    def reachable(self) -> bool:
         """Whether the last call to the store was answered."""
-        return self._reached
+        return self._reachable
 
     @property
-    def resting(self) -> bool:
+    def passive(self) -> bool:
         """Whether the store is left to other instances for now."""
-        return self._resting
+        return self._passive
 
     def record_peer_report(self, seconds: float) -> None:
         """Take in that a peer has told all that the store said so long ago."""
@@ -144,9 +144,9 @@
     def dump(self) -> dict[str, Any]:
         return {
             "revision": self._after,
-            "seconds_since_answer": round(self.silence, 3),
-            "reached": self._reached,
-            "resting": self._resting,
+            "seconds_since_answer": round(self.staleness, 3),
+            "reached": self._reachable,
+            "resting": self._passive,
             "last_error": self._error,
         }
 
@@ -169,14 +169,14 @@
         rests = (
             self._after is not None
             and not self._is_listener()
-            and self.silence < STALE_SECONDS
+            and self.staleness < STALE_SECONDS
             and self._clock.now() - self._told < UNTOLD_SECONDS
         )
-        if rests != self._resting:
-            self._resting = rests
+        if rests != self._passive:
+            self._passive = rests
             self._decisions.log_state_change(
                 "store-left-to-others" if rests else "store-followed",
-                silence_ms=round(self.silence * 1000),
+                silence_ms=round(self.staleness * 1000),
             )
             if not rests:
                 # much may have changed; a watch from so long ago is refused
@@ -235,8 +235,8 @@
 
     def _note_reached(self) -> None:
         now = self._clock.now()
-        if not self._reached:
-            self._reached = True
+        if not self._reachable:
+            self._reachable = True
             self._decisions.log_state_change(
                 "store-regained",
                 after=self._after,
@@ -251,7 +251,7 @@
     def _note_lost(self, error: str) -> None:
         self._metrics.count("store.errors")
         self._error = error
-        if not self._reached:
+        if not self._reachable:
             return
-        self._reached = False
+        self._reachable = False
         self._decisions.log_state_change("store-lost", after=self._after, reason=error)
--- a/tests/test_entry/test_relay/test_following.py
+++ b/tests/test_entry/test_relay/test_following.py
@@ -65,7 +65,7 @@
     await follower.start()
     await asyncio.sleep(4.0)
     await tell(follower, 8.0)
-    assert follower.resting
+    assert follower.passive
     before = store.scans
     await asyncio.sleep(IN_FORCE / 2)
     assert store.scans > before
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -27,10 +27,10 @@
 async def test_instance_serves_on_while_the_store_is_away(world):
     follower = world.find("store")
     world.store.fault = StoreFault.BUSY
-    await world.wait_for(lambda: not follower.reached)
+    await world.wait_for(lambda: not follower.reachable)
     assert (await world.ask("/look/1")).status == 200
     world.store.fault = StoreFault.NONE
-    await world.wait_for(lambda: follower.reached)
+    await world.wait_for(lambda: follower.reachable)
 
 
 async def test_lost_history_is_read_again(world):
@@ -43,7 +43,7 @@
     configuration = world.find("news")._configuration
     world.store.fault = StoreFault.BUSY
     follower = world.find("store")
-    await world.wait_for(lambda: not follower.reached)
+    await world.wait_for(lambda: not follower.reachable)
     world.store.put("op/config", create_configuration(12))
     world.store.remove("servers/desk-1")
     world.store.compact()
