--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -98,7 +98,7 @@
             while not condition():  # noqa: ASYNC110 - any part may make it true
                 await asyncio.sleep(0.01)
 
-    async def wait_heard(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Wait until the store has been heard up to a revision."""
         follower = self.find("store")
         await self.wait_for(lambda: (follower.dump()["revision"] or 0) >= revision)
@@ -113,7 +113,7 @@
         believed = self.describe()["targets"]
         return believed.get(str(incarnation), {}).get("breaker", "")
 
-    async def wait_known(self, targets: int) -> None:
+    async def wait_until_synced(self, targets: int) -> None:
         """Wait until the configuration and so many targets are known."""
         book = self.find("news")._book
         configuration = self.find("news")._configuration
@@ -198,7 +198,7 @@
     await created.start()
     await created.add("desk-1", "desk")
     await created.add("desk-2", "desk")
-    await created.wait_known(2)
+    await created.wait_until_synced(2)
     yield created
     await created.stop()
 
@@ -211,6 +211,6 @@
     for service in ("llm", "portal", "ledger"):
         for number in (1, 2):
             await created.add(f"{service}-{number}", service)
-    await created.wait_known(6)
+    await created.wait_until_synced(6)
     yield created
     await created.stop()
--- a/tests/test_entry/test_relay/test_crashes.py
+++ b/tests/test_entry/test_relay/test_crashes.py
@@ -17,7 +17,7 @@
     """Have a request lose its answer at four targets, each alive."""
     for number in (3, 4):
         await world.add(f"desk-{number}", "desk")
-    await world.wait_known(4)
+    await world.wait_until_synced(4)
     for target in world.targets.values():
         target.fault = TargetFault.LOSE_ANSWER
     while any(not target.seen for target in world.targets.values()):
@@ -75,14 +75,14 @@
 
 async def test_what_others_found_counts(world):
     put_report(world, "entry-2/1", "t1", "t2")
-    await world.wait_heard(put_report(world, "entry-3/1", "t3"))
+    await world.wait_for_revision(put_report(world, "entry-3/1", "t3"))
     assert list(describe(world)["held"]) == ["aa"]
 
 
 async def test_entry_that_cannot_be_read_hides_no_other(world):
     world.store.put_bytes(PREFIX + "entry-2/1", b"\xff")
     world.store.put_bytes(PREFIX + "entry-2/2", b"[{}]")
-    await world.wait_heard(put_report(world, "entry-2/3", "t1", "t2", "t3"))
+    await world.wait_for_revision(put_report(world, "entry-2/3", "t1", "t2", "t3"))
     assert describe(world)["held_count"] == 1
     assert world.count("crashes.unreadable") == 2
 
@@ -90,7 +90,7 @@
 async def test_peers_are_told_the_oldest_first(world):
     """Guards against reports that a peer passes over as it asks for later ones."""
     revisions = [put_report(world, f"entry-2/{n}", f"t{n}") for n in range(100)]
-    await world.wait_heard(revisions[-1])
+    await world.wait_for_revision(revisions[-1])
     crashes = world.find("crashes")
     told = crashes.list_newer(revisions[9])
     assert [row[1] for row in told] == revisions[10 : 10 + MAX_TOLD]
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -255,7 +255,7 @@
     await world.wait_for(lambda: busy.runs.total() >= 1)
     revision = world.store.put_bytes("servers/desk-1", b"\xff\x00")
     await world.wait_for(lambda: not world.accepts("desk-1"))
-    await world.wait_heard(revision)
+    await world.wait_for_revision(revision)
     before = busy.runs.total()
     for number in range(6):
         reply = await world.ask("/look/1", request_id=f"s-{number}")
--- a/tests/test_entry/test_relay/test_plain.py
+++ b/tests/test_entry/test_relay/test_plain.py
@@ -135,7 +135,7 @@
     """
     other = await world.add("other-1", "other")
     world.store.put("servers/desk-3", {**other.describe(), "service": "desk"})
-    await world.wait_known(4)
+    await world.wait_until_synced(4)
     for number in range(12):
         reply = await world.ask("/look/1", request_id=f"s-{number}")
         assert reply.status == 200
--- a/tests/test_entry/test_relay/test_repeat_budgets.py
+++ b/tests/test_entry/test_relay/test_repeat_budgets.py
@@ -29,7 +29,7 @@
     """Guards against repeats beyond the bound as many targets are replaced at once."""
     for number in (3, 4, 5):
         await world.add(f"desk-{number}", "desk")
-    await world.wait_known(5)
+    await world.wait_until_synced(5)
     replace_all(world, "desk")
     for _ in range(REQUESTS):
         reply = await world.ask("/book/1", method="POST")
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -98,7 +98,7 @@
     known = find_listed(world, "desk-1").incarnation
     for slots in (3, 5):
         revision = world.store.put("servers/desk-1", {**old, "slots": slots})
-        await world.wait_heard(revision)
+        await world.wait_for_revision(revision)
     assert find_listed(world, "desk-1").incarnation == known
     assert world.accepts("desk-1")
     assert world.count("targets.outdated") == 2
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -94,7 +94,7 @@
     """
     engine = await world.add("llm-1", "llm")
     engine.pause = asyncio.Event()
-    await world.wait_known(3)
+    await world.wait_until_synced(3)
     reader, writer = await connect(world)
     writer.write(encode_request("streamed", "/scan/1", "X-Prefix-Hash: aa:100"))
     async with asyncio.timeout(PATIENCE):
@@ -147,7 +147,7 @@
     await pipeline.add("desk-1", "desk")
     # longer than the test may take: only the end of the stop can end the requests
     pipeline.store.put("op/config", create_configuration(4, timeout_ms=60_000))
-    await pipeline.wait_known(7)
+    await pipeline.wait_until_synced(7)
     configuration = pipeline.find("news")._configuration
     await pipeline.wait_for(lambda: configuration.deployment.version == 4)
     gate = hold_targets(pipeline)
@@ -313,7 +313,7 @@
     """
     engine = await world.add("llm-1", "llm")
     engine.pause = asyncio.Event()
-    await world.wait_known(3)
+    await world.wait_until_synced(3)
     reader, writer = await connect(world)
     writer.write(encode_request("streamed", "/scan/1", "X-Prefix-Hash: aa:100"))
     async with asyncio.timeout(PATIENCE):
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -73,7 +73,7 @@
 async def test_unreadable_entry_sets_only_itself_aside(world):
     world.store.put("servers/bad", {"service": 7})
     await world.add("desk-3", "desk")
-    await world.wait_known(3)
+    await world.wait_until_synced(3)
     assert (await world.ask("/look/1")).status == 200
 
 
