--- a/tests/test_entry/test_relay/test_following.py
+++ b/tests/test_entry/test_relay/test_store_follower.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.following in virtual time."""
+"""Tests of greengagelatch_entry.relay.store_follower in virtual time."""
 
 from __future__ import annotations
 
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.following through outages of the store."""
+"""Tests of greengagelatch_entry.relay.store_follower through outages of the store."""
 
 from __future__ import annotations
 
--- a/tests/test_entry/test_relay/test_links.py
+++ b/tests/test_entry/test_relay/test_target_connections.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.links on a whole instance."""
+"""Tests of greengagelatch_entry.relay.target_connections on a whole instance."""
 
 from __future__ import annotations
 
--- a/tests/test_entry/test_relay/test_plain.py
+++ b/tests/test_entry/test_relay/test_unary.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.plain on a whole instance."""
+"""Tests of greengagelatch_entry.relay.unary on a whole instance."""
 
 from __future__ import annotations
 
