--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -62,7 +62,7 @@
         """
 
     @abstractmethod
-    def encode_freeing(
+    def encode_release(
         self, handles: tuple[str, ...], incarnation: Incarnation
     ) -> OutboundRequest:
         """Return the call that gives up results at their maker."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -113,7 +113,7 @@
             reply = await self._links.send(
                 incarnation=incarnation,
                 address=address,
-                outbound=self._codec.encode_freeing(handles, incarnation),
+                outbound=self._codec.encode_release(handles, incarnation),
                 fresh=False,
                 timeout=FREE_TIMEOUT,
                 # one that leaves holds its results until it ends
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -294,7 +294,7 @@
     def encode_pieces(self, pieces, remaining, incarnation) -> OutboundRequest:
         return OutboundRequest(method="POST", target="run", body=(pieces, remaining))
 
-    def encode_freeing(self, handles, incarnation) -> OutboundRequest:
+    def encode_release(self, handles, incarnation) -> OutboundRequest:
         return OutboundRequest(method="POST", target="free", body=handles)
 
     def read_head(self, reply) -> ResponseHead:
