--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -16,7 +16,7 @@
 from ..filters.stop import STOPPING_RETRY_MS
 from ..inflight import BrokenOffError
 from .exchange import CallerDisconnectedError, RelayExchange
-from .refusals import create_error, create_hold_error, find_refusal_status
+from .refusals import create_error, create_quarantine_error, find_refusal_status
 
 if TYPE_CHECKING:
     import random
@@ -242,7 +242,7 @@
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
         hold = self._quarantine.find_hold(exchange.digest, self._clock.now())
         if hold is not None:
-            raise create_hold_error(exchange, hold)
+            raise create_quarantine_error(exchange, hold)
         await proceed(exchange)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
@@ -13,7 +13,12 @@
 if TYPE_CHECKING:
     from .exchange import RelayExchange
 
-__all__ = ("create_error", "create_hold_error", "encode_refusal", "find_refusal_status")
+__all__ = (
+    "create_error",
+    "create_quarantine_error",
+    "encode_refusal",
+    "find_refusal_status",
+)
 
 _FINAL = {
     RefusalCode.BAD_REQUEST: 400,
@@ -73,7 +78,7 @@
     return RefusedError(refusal)
 
 
-def create_hold_error(exchange: RelayExchange, seconds: float) -> RefusedError:
+def create_quarantine_error(exchange: RelayExchange, seconds: float) -> RefusedError:
     """Return the error that refuses a request which ends the targets that run it.
 
     :param seconds: for how long it is kept from them
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -13,7 +13,7 @@
     decide_next,
 )
 
-from .refusals import create_error, create_hold_error
+from .refusals import create_error, create_quarantine_error
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
@@ -76,7 +76,7 @@
         """
         hold = self._quarantine.find_hold(exchange.digest, self.clock.now())
         if hold is not None:
-            raise create_hold_error(exchange, hold)
+            raise create_quarantine_error(exchange, hold)
 
     def may_repeat(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
         """Whether to send again after ``outcome``; a repeat is charged."""
