--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -81,14 +81,14 @@
     rules: RelaySettings,
     adapters: RelayAdapters,
     reload: Callable[[], None] = lambda: None,
-    read_work: Callable[[], float] = lambda: 0.0,
+    read_busy_seconds: Callable[[], float] = lambda: 0.0,
 ) -> RelayParts:
     """Build and wire all parts; nothing is started yet.
 
     :param reload: reads the settings file again
-    :param read_work: returns the seconds that the event loop has been at work
+    :param read_busy_seconds: returns the seconds that the event loop has been at work
     """
-    return _Composer(rules, adapters, reload, read_work).compose()
+    return _Composer(rules, adapters, reload, read_busy_seconds).compose()
 
 
 class _Composer:
@@ -99,12 +99,12 @@
         rules: RelaySettings,
         adapters: RelayAdapters,
         reload: Callable[[], None],
-        read_work: Callable[[], float],
+        read_busy_seconds: Callable[[], float],
     ) -> None:
         self.rules = rules
         self.adapters = adapters
         self.reload = reload
-        self.read_work = read_work
+        self.read_busy_seconds = read_busy_seconds
         self.clock = SystemClock()
         self.random = random.Random()
         self.events = EventBus()
@@ -113,7 +113,7 @@
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
         self.listeners: frozenset[str] = frozenset()
         #: members by which these were chosen
-        self.listening_members: tuple[Member, ...] = ()
+        self.listener_members: tuple[Member, ...] = ()
 
     def compose(self) -> RelayParts:
         self.store = self.adapters.create_store(self.metrics)
@@ -141,8 +141,10 @@
             data_centre=self.rules.data_centre,
             random_source=self.random,
         )
-        self.links = TargetConnectionPool(
-            count_kept=self._count_kept, clock=self.clock, metrics=self.metrics
+        self.connections = TargetConnectionPool(
+            find_idle_limit=self._find_idle_limit,
+            clock=self.clock,
+            metrics=self.metrics,
         )
         self.configuration = ConfigurationFollower(
             codec=self.adapters.deployments,
@@ -152,7 +154,7 @@
         self.listing = ListingFollower(
             codec=self.adapters.listings,
             book=self.book,
-            note_gone=self._note_gone,
+            on_removed=self._forget_target,
             find_services=self._find_services,
             clock=self.clock,
             metrics=self.metrics,
@@ -177,7 +179,7 @@
             metrics=self.metrics,
             capacity=self.rules.capacity.bundles,
         )
-        self.crashes = CrashBoard(
+        self.crash_reports = CrashBoard(
             instance_id=self.rules.instance_id,
             quarantine=self.quarantine,
             store=self.store,
@@ -186,11 +188,11 @@
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        self.crash_watch = CrashWatch(
-            board=self.crashes,
+        self.crash_detector = CrashWatch(
+            board=self.crash_reports,
             quarantine=self.quarantine,
             book=self.book,
-            links=self.links,
+            links=self.connections,
             clock=self.clock,
             metrics=self.metrics,
             decisions=self.decisions,
@@ -201,23 +203,23 @@
                 self.configuration,
                 self.listing,
                 self.registry,
-                self.crashes,
+                self.crash_reports,
             ),
             is_listener=lambda: self.peers.instance_id in self._list_listeners(),
-            is_relied_on=self._is_relied_on,
+            has_dependents=self._has_dependents,
             clock=self.clock,
             random_source=self.random,
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        self.news = PeerSyncController(
+        self.peer_sync = PeerSyncController(
             peers=self.peers,
             list_listeners=self._list_listeners,
             data_centre=self.rules.data_centre,
             follower=self.follower,
             configuration=self.configuration,
             listing=self.listing,
-            crashes=self.crashes,
+            crashes=self.crash_reports,
             book=self.book,
             clock=self.clock,
             random_source=self.random,
@@ -241,14 +243,14 @@
             list_members=self.peers.members,
             find_profile=self._find_maker,
         )
-        self.local_desk = LocalDesk(
+        self.local_executor = LocalDesk(
             create_pool=self._create_pool, find_group=self.groups.find_group
         )
         self.ownership = Ownership(
             peers=self.peers, clock=self.clock, decisions=self.decisions
         )
-        self.desk = OwnedDesk(
-            local=self.local_desk,
+        self.stage_executor = OwnedDesk(
+            local=self.local_executor,
             groups=self.groups,
             ownership=self.ownership,
             peers=self.peers,
@@ -260,7 +262,7 @@
             decisions=self.decisions,
         )
         stages = StageRunner(
-            desk=self.desk,
+            desk=self.stage_executor,
             clock=self.clock,
             decisions=self.decisions,
             data_centre=self.rules.data_centre,
@@ -269,11 +271,11 @@
         )
         common = {
             "sender": TargetSender(
-                links=self.links,
+                connections=self.connections,
                 codec=self.adapters.targets,
                 fleet=self.fleet,
                 book=self.book,
-                crashes=self.crash_watch,
+                crashes=self.crash_detector,
                 clock=self.clock,
                 decisions=self.decisions,
             ),
@@ -290,22 +292,25 @@
             **common,
         )
 
-        def find_end() -> float:
+        def find_stop_deadline() -> float:
             return self.drain.ends_at
 
         filters = (
             ObserveFilter(
-                find_stop=lambda: self.drain.started_at,
+                find_stop_time=lambda: self.drain.started_at,
                 clock=self.clock,
                 metrics=self.metrics,
                 decisions=self.decisions,
             ),
-            StopFilter(in_flight=self.in_flight, find_end=find_end),
-            RouteFilter(find_table=lambda: self.configuration.table, find_end=find_end),
+            StopFilter(in_flight=self.in_flight, find_stop_deadline=find_stop_deadline),
+            RouteFilter(
+                find_table=lambda: self.configuration.table,
+                find_stop_deadline=find_stop_deadline,
+            ),
             QuarantineFilter(quarantine=self.quarantine, clock=self.clock),
             SplitFilter(random_source=self.random),
         )
-        last = RunHandler(plain=UnaryRunner(**common), streams=streams)
+        last = RunHandler(unary=UnaryRunner(**common), streams=streams)
         self.handler = chain(filters, last)
 
     def _build_servers(self) -> None:
@@ -339,7 +344,7 @@
         )
         self.usage = UsageController(
             capacity=self.rules.capacity,
-            read_work=self.read_work,
+            read_busy_seconds=self.read_busy_seconds,
             clock=self.clock,
             metrics=self.metrics,
             decisions=self.decisions,
@@ -352,11 +357,13 @@
             find_profile=lambda: self._find_maker(group.service),
             is_sole=lambda: self.ownership.is_sole(group),
             suspects=WatchedPieces(
-                quarantine=self.quarantine, crashes=self.crash_watch, clock=self.clock
+                quarantine=self.quarantine,
+                crashes=self.crash_detector,
+                clock=self.clock,
             ),
             policy=SharedCalls(),
             book=self.book,
-            links=self.links,
+            links=self.connections,
             codec=self.adapters.targets,
             budgets=self.stage_budgets,
             clock=self.clock,
@@ -376,7 +383,7 @@
         """Return how many instances share budgets of stage work."""
         return max(ASSUMED_OWNERS, self.groups.count_most())
 
-    def _count_kept(self, incarnation: Incarnation) -> int:
+    def _find_idle_limit(self, incarnation: Incarnation) -> int:
         """Return how many idle connections may be kept to a target."""
         target = self.book.find_listed(incarnation.target_id)
         deployment = self.configuration.deployment
@@ -392,9 +399,9 @@
 
     def _list_listeners(self) -> frozenset[str]:
         members = self.peers.members()
-        if members is not self.listening_members:
+        if members is not self.listener_members:
             # asked for several times a second, and changes rarely
-            self.listening_members = members
+            self.listener_members = members
             self.listeners = choose_listeners(
                 {
                     member.instance_id: member.data_centre
@@ -404,23 +411,23 @@
             )
         return self.listeners
 
-    def _is_relied_on(self) -> bool:
+    def _has_dependents(self) -> bool:
         """Whether others leave the store to this instance."""
         listeners = self._list_listeners()
         if self.peers.instance_id not in listeners:
             return False
-        return len(listeners) < len(self.listening_members)
+        return len(listeners) < len(self.listener_members)
 
     def _list_controllers(self) -> tuple[Controller, ...]:
         return (
             self.peers,
             self.registry,
-            self.crashes,
-            self.crash_watch,
+            self.crash_reports,
+            self.crash_detector,
             self.follower,
-            self.news,
-            self.local_desk,
-            self.desk,
+            self.peer_sync,
+            self.local_executor,
+            self.stage_executor,
             self.drain,
             self.front,
             self.readiness,
@@ -441,21 +448,21 @@
         return deployment.bounds if deployment else CallerBounds()
 
     def _is_ready(self) -> bool:
-        informed = self.configuration.table is not None and self.listing.synced
-        return informed and not self.drain.draining
+        synced = self.configuration.table is not None and self.listing.synced
+        return synced and not self.drain.draining
 
     async def _wait_idle(self, timeout: float) -> bool:
         """Wait until neither a caller nor a peer waits for this instance."""
         end = self.clock.now() + timeout
         if not await self.front.wait_idle(timeout):
             return False
-        return await self.desk.wait_idle(max(0.0, end - self.clock.now()))
+        return await self.stage_executor.wait_idle(max(0.0, end - self.clock.now()))
 
-    def _note_gone(self, incarnation: Incarnation) -> None:
-        self.links.drop(incarnation)
-        self.crash_watch.note_gone(incarnation)
+    def _forget_target(self, incarnation: Incarnation) -> None:
+        self.connections.close_idle(incarnation)
+        self.crash_detector.note_gone(incarnation)
         self.fleet.forget(incarnation)
-        self.local_desk.note_gone(incarnation)
+        self.local_executor.note_gone(incarnation)
 
     def _describe(self) -> dict[str, Any]:
         parts = {part.name: part.dump() for part in self._list_controllers()}
@@ -466,10 +473,10 @@
             "data_centre": self.rules.data_centre,
             **parts,
             "targets": self.fleet.describe(self.clock.now()),
-            "links": {"idle": self.links.count_idle()},
+            "links": {"idle": self.connections.count_idle()},
             "metrics": self.metrics.dump(),
         }
 
     async def _close(self) -> None:
-        self.links.drop_all()
+        self.connections.close_all_idle()
         await self.store.close()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -40,7 +40,7 @@
         self._table: RouteTable | None = None
         self._revision = 0
         self._value = b""
-        self._since = 0.0
+        self._active_since = 0.0
         #: called without arguments once another version is in force
         self.listeners: list[Callable[[], None]] = []
 
@@ -80,7 +80,7 @@
             return False
         match self._codec.decode(value, revision):
             case Ok((deployment, problems)):
-                self._put(deployment, value, origin)
+                self._activate(deployment, value, origin)
             case Err(problem):
                 self._decisions.log_state_change(
                     "configuration-unreadable", revision=revision, reason=str(problem)
@@ -92,24 +92,24 @@
             )
         return True
 
-    def _put(self, deployment: Deployment, value: bytes, origin: str) -> None:
-        before = self.deployment
-        if before is not None and deployment.version < before.version:
+    def _activate(self, deployment: Deployment, value: bytes, origin: str) -> None:
+        previous = self.deployment
+        if previous is not None and deployment.version < previous.version:
             self._decisions.log_state_change(
                 "configuration-older",
                 version=deployment.version,
-                in_force=before.version,
+                in_force=previous.version,
                 revision=deployment.revision,
             )
             return
         self._table = RouteTable(deployment)
         self._revision = deployment.revision
         self._value = value
-        self._since = self._clock.now()
+        self._active_since = self._clock.now()
         self._decisions.log_state_change(
             "configuration",
             version=deployment.version,
-            before=before.version if before else 0,
+            before=previous.version if previous else 0,
             revision=deployment.revision,
             origin=origin,
             routes=len(deployment.routes),
@@ -124,6 +124,6 @@
         return {
             "version": deployment.version if deployment else 0,
             "in_force_revision": self._revision,
-            "in_force_seconds": self._clock.now() - self._since,
+            "in_force_seconds": self._clock.now() - self._active_since,
             "routes": len(deployment.routes) if deployment else 0,
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
@@ -18,7 +18,7 @@
 #: lines in a second, and in a burst, beyond which lines are dropped and counted; a
 #: line costs about a twentieth of a request's processor time
 LINES_PER_SECOND = 120.0
-BURST = 600.0
+BURST_LINES = 600.0
 
 
 class DecisionLog:
@@ -31,17 +31,17 @@
     def __init__(self, *, clock: Clock, metrics: Metrics) -> None:
         self._clock = clock
         self._metrics = metrics
-        self._tokens = BURST
-        self._filled = clock.now()
+        self._tokens = BURST_LINES
+        self._refilled_at = clock.now()
         self._dropped = 0
 
     def log_decision(self, kind: str, **fields: Any) -> None:
         """Log one decision about a request; it may be left out under load."""
         self._metrics.count(f"decisions.{kind}")
         now = self._clock.now()
-        earned = (now - self._filled) * LINES_PER_SECOND
-        self._tokens = min(BURST, self._tokens + earned)
-        self._filled = now
+        refill = (now - self._refilled_at) * LINES_PER_SECOND
+        self._tokens = min(BURST_LINES, self._tokens + refill)
+        self._refilled_at = now
         if self._tokens < 1:
             self._dropped += 1
             self._metrics.count("decisions.dropped")
@@ -58,8 +58,8 @@
         self._write(kind, fields)
 
     def _write(self, kind: str, fields: dict[str, Any]) -> None:
-        shown = {
+        logged = {
             name: truncate(value) if isinstance(value, str) else value
             for name, value in fields.items()
         }
-        eliot.log_message(f"greengagelatch:{kind}", **shown)
+        eliot.log_message(f"greengagelatch:{kind}", **logged)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/event_splitter.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/event_splitter.py
@@ -6,7 +6,7 @@
 
 __all__ = ("EventSplitter",)
 
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
 
 
 class EventSplitter:
@@ -17,20 +17,20 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def pending(self) -> bool:
         """Whether a part of an event is left."""
-        return bool(self._rest)
+        return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the events that ``data`` completes, with their ends."""
-        rest = self._rest + data
+        buffer = self._buffer + data
         events = []
         start = 0
-        for match in _END.finditer(rest):
-            events.append(rest[start : match.end()])
+        for match in _EVENT_END.finditer(buffer):
+            events.append(buffer[start : match.end()])
             start = match.end()
-        self._rest = rest[start:]
+        self._buffer = buffer[start:]
         return events
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -42,12 +42,12 @@
         self,
         request: web.BaseRequest,
         *,
-        keep: Callable[[], bool],
-        note_sent: Callable[[int], None] = lambda _: None,
+        keep_alive: Callable[[], bool],
+        on_bytes_sent: Callable[[int], None] = lambda _: None,
     ) -> None:
         self._request = request
-        self._keep = keep
-        self._note_sent = note_sent
+        self._keep_alive = keep_alive
+        self._on_bytes_sent = on_bytes_sent
         self._stream: web.StreamResponse | None = None
         #: what the connection's handler has to return
         self.response: web.StreamResponse | None = None
@@ -68,30 +68,30 @@
     ) -> None:
         """Write a whole answer."""
         response = web.Response(status=status, reason=reason, body=body)
-        _copy(headers, response)
-        if close or not self._keep():
+        _copy_headers(headers, response)
+        if close or not self._keep_alive():
             response.force_close()
         self.response = response
-        self._note_sent(len(body))
-        await self._guard(self._write_whole(response))
+        self._on_bytes_sent(len(body))
+        await self._write_with_timeout(self._write_whole(response))
 
     async def begin(self, head: ResponseHead) -> None:
         """Write the head of a stream."""
         response = web.StreamResponse(status=head.status, reason=head.reason)
-        _copy(head.headers, response)
-        if not self._keep():
+        _copy_headers(head.headers, response)
+        if not self._keep_alive():
             response.force_close()
         self.response = self._stream = response
-        await self._guard(response.prepare(self._request))
+        await self._write_with_timeout(response.prepare(self._request))
 
     async def write(self, data: bytes) -> None:
         """Write a part of a stream."""
-        self._note_sent(len(data))
-        await self._guard(self._stream.write(data))
+        self._on_bytes_sent(len(data))
+        await self._write_with_timeout(self._stream.write(data))
 
     async def finish(self) -> None:
         """End a stream as complete."""
-        await self._guard(self._stream.write_eof())
+        await self._write_with_timeout(self._stream.write_eof())
 
     def abort(self) -> None:
         """Break off: what was written must not look like a whole answer."""
@@ -103,7 +103,7 @@
         await response.prepare(self._request)
         await response.write_eof()
 
-    async def _guard(self, writing: Awaitable[object]) -> None:
+    async def _write_with_timeout(self, writing: Awaitable[object]) -> None:
         try:
             async with asyncio.timeout(WRITE_TIMEOUT):
                 await writing
@@ -159,6 +159,8 @@
         self.verdict = self.verdict.raise_to(verdict)
 
 
-def _copy(headers: tuple[tuple[str, str], ...], response: web.StreamResponse) -> None:
+def _copy_headers(
+    headers: tuple[tuple[str, str], ...], response: web.StreamResponse
+) -> None:
     for name, value in headers:
         response.headers.add(name, value)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -65,12 +65,12 @@
     def __init__(
         self,
         *,
-        find_stop: Callable[[], float | None],
+        find_stop_time: Callable[[], float | None],
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
     ) -> None:
-        self._find_stop = find_stop
+        self._find_stop_time = find_stop_time
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
@@ -92,15 +92,15 @@
             exchange.outcome = "cancelled"
             raise
         finally:
-            self._note(exchange, reason)
+            self._log(exchange, reason)
 
-    def _note(self, exchange: RelayExchange, reason: str) -> None:
+    def _log(self, exchange: RelayExchange, reason: str) -> None:
         now = self._clock.now()
         seconds = now - exchange.request.received
         self._metrics.count(f"requests.{exchange.outcome}")
         self._metrics.timing("requests", seconds)
         route, deployment = exchange.route, exchange.deployment
-        stop = self._find_stop()
+        stop = self._find_stop_time()
         received = exchange.request.received
         # below 0: it came before the stop
         since_stop = {} if stop is None else {"since_stop_ms": _to_ms(received - stop)}
@@ -136,9 +136,11 @@
     :param find_end: returns when a stop breaks requests off
     """
 
-    def __init__(self, *, in_flight: InFlight, find_end: Callable[[], float]) -> None:
+    def __init__(
+        self, *, in_flight: InFlight, find_stop_deadline: Callable[[], float]
+    ) -> None:
         self._in_flight = in_flight
-        self._find_end = find_end
+        self._find_stop_deadline = find_stop_deadline
 
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
         if exchange.use.late:
@@ -150,9 +152,11 @@
             raise self._refuse(exchange, "broken off by a stop") from None
         except RefusedError as error:
             # what is held here is held by all instances
-            held = error.refusal.code is RefusalCode.QUARANTINED
-            helps = error.refusal.retry_after_ms is not None and not held
-            if not helps or exchange.deadline < self._find_end():
+            is_quarantined = error.refusal.code is RefusalCode.QUARANTINED
+            retry_helps = (
+                error.refusal.retry_after_ms is not None and not is_quarantined
+            )
+            if not retry_helps or exchange.deadline < self._find_stop_deadline():
                 raise
             # other instances have the time that this one lacks: come back now
             refusal = replace(error.refusal, retry_after_ms=STOPPING_RETRY_MS)
@@ -180,10 +184,10 @@
         self,
         *,
         find_table: Callable[[], RouteTable | None],
-        find_end: Callable[[], float],
+        find_stop_deadline: Callable[[], float],
     ) -> None:
         self._find_table = find_table
-        self._find_end = find_end
+        self._find_stop_deadline = find_stop_deadline
 
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
         table = self._find_table()
@@ -208,7 +212,8 @@
             )
         exchange.route = route
         exchange.deadline = min(
-            request.received + min(request.patience, route.timeout), self._find_end()
+            request.received + min(request.patience, route.timeout),
+            self._find_stop_deadline(),
         )
         workspace = None
         if table.deployment.keyed and not route.public:
@@ -268,12 +273,12 @@
 class RunHandler:
     """Last step: hands the exchange to what runs its kind of request."""
 
-    def __init__(self, *, plain: Runner, streams: Runner) -> None:
-        self._plain = plain
+    def __init__(self, *, unary: Runner, streams: Runner) -> None:
+        self._unary = unary
         self._streams = streams
 
     async def __call__(self, exchange: RelayExchange) -> None:
         if exchange.route.kind is RouteKind.STREAMING:
             await self._streams.run(exchange)
         else:
-            await self._plain.run(exchange)
+            await self._unary.run(exchange)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -34,7 +34,7 @@
 MAX_CONNECTIONS = 2400
 #: seconds beyond the callers' own bound for which an idle connection is kept, so
 #: that none is closed while a request is on its way
-IDLE_MARGIN = 5.0
+IDLE_MARGIN_SECONDS = 5.0
 #: seconds allowed for writing to a caller before the kernel gives it up
 WRITE_TIMEOUT = 5.0
 
@@ -71,14 +71,16 @@
             self.handle,
             max_connections=MAX_CONNECTIONS,
             max_header_bytes=bounds.max_header_bytes,
-            idle_timeout=bounds.idle_timeout + IDLE_MARGIN,
+            idle_timeout=bounds.idle_timeout + IDLE_MARGIN_SECONDS,
             write_timeout=WRITE_TIMEOUT,
         )
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         received = self._clock.now()
         writer = ResponseWriter(
-            request, keep=self._keeps_connections, note_sent=self._note_sent
+            request,
+            keep_alive=self._keeps_connections,
+            on_bytes_sent=self._count_bytes_sent,
         )
         use = find_use(request)
         request_id = ""
@@ -117,7 +119,7 @@
             request, limit=bounds.max_body_bytes, timeout=bounds.header_timeout
         )
 
-    def _note_sent(self, size: int) -> None:
+    def _count_bytes_sent(self, size: int) -> None:
         self._metrics.count("front.bytes_out", size)
 
     def _keeps_connections(self) -> bool:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/invalid_entries.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/invalid_entries.py
@@ -17,7 +17,7 @@
 __all__ = ("InvalidEntries",)
 
 #: bad entries that are remembered; beyond it a line may be written again
-MAX_REMEMBERED = 1024
+MAX_REPORTED = 1024
 
 
 class InvalidEntries:
@@ -31,31 +31,31 @@
         self._metrics = metrics
         self._decisions = decisions
         #: digest of the bytes, and what is wrong with them, by key
-        self._known: dict[str, tuple[int, str]] = {}
+        self._reported: dict[str, tuple[int, str]] = {}
 
-    def note(self, entry: Entry, reason: str) -> None:
+    def record(self, entry: Entry, reason: str) -> None:
         """Take in that an entry can't be used."""
         self._metrics.count("targets.unreadable")
         seen = (xxhash.xxh3_64_intdigest(entry.value), reason)
-        if self._known.get(entry.key) == seen:
+        if self._reported.get(entry.key) == seen:
             return
-        self._known[entry.key] = seen
-        if len(self._known) > MAX_REMEMBERED:
-            del self._known[next(iter(self._known))]
+        self._reported[entry.key] = seen
+        if len(self._reported) > MAX_REPORTED:
+            del self._reported[next(iter(self._reported))]
         self._decisions.log_state_change(
             "target-unreadable", key=entry.key, reason=reason, revision=entry.revision
         )
 
-    def forget(self, key: str) -> None:
+    def discard(self, key: str) -> None:
         """Take in that an entry is gone, or can be used."""
-        self._known.pop(key, None)
+        self._reported.pop(key, None)
 
-    def keep(self, keys: Collection[str]) -> None:
+    def retain_only(self, keys: Collection[str]) -> None:
         """Forget all entries but those of ``keys``."""
-        for key in tuple(self._known):
+        for key in tuple(self._reported):
             if key not in keys:
-                del self._known[key]
+                del self._reported[key]
 
     def dump(self) -> dict[str, str]:
         """Return what is wrong with each, by key."""
-        return {key: reason for key, (_, reason) in self._known.items()}
+        return {key: reason for key, (_, reason) in self._reported.items()}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -29,7 +29,7 @@
 __all__ = ("ListingFollower",)
 
 #: old answers that are remembered; beyond it a line may be written again
-MAX_OUTDATED = 1024
+MAX_OUTDATED_REPORTED = 1024
 
 
 class ListingFollower(StoreSubscriber):
@@ -45,7 +45,7 @@
         *,
         codec: ListingCodec,
         book: TargetBook,
-        note_gone: Callable[[Incarnation], None],
+        on_removed: Callable[[Incarnation], None],
         find_services: Callable[[], Collection[str] | None],
         clock: Clock,
         metrics: Metrics,
@@ -56,18 +56,18 @@
         self._decisions = decisions
         self._codec = codec
         self._book = book
-        self._note_gone = note_gone
+        self._on_removed = on_removed
         self._find_services = find_services
         self._metrics = metrics
-        self._bad = InvalidEntries(metrics=metrics, decisions=decisions)
+        self._invalid = InvalidEntries(metrics=metrics, decisions=decisions)
         #: incarnations whose old answers have been logged, by id
         self._outdated: dict[str, Incarnation] = {}
         #: services that no configuration names, by the id of their target
-        self._strange: dict[str, str] = {}
+        self._unknown_services: dict[str, str] = {}
         self._synced = False
         self._revision = 0
         #: monotonic seconds until which a missing entry may yet be written again
-        self._returning_until = float("-inf")
+        self._grace_until = float("-inf")
 
     @property
     def revision(self) -> int:
@@ -81,12 +81,12 @@
 
     def apply_scan(self, scan: Scan) -> None:
         targets = self._read(scan.entries)
-        self._bad.keep({entry.key for entry in scan.entries})
+        self._invalid.retain_only({entry.key for entry in scan.entries})
         listed = {target.target_id for target in targets}
         for target in self._book.list_all():
             if target.target_id in listed or target.revision > scan.revision:
                 continue
-            self._lose(target, scan.revision)
+            self._handle_missing(target, scan.revision)
         for target in targets:
             self._put(target)
         self._revision = max(self._revision, scan.revision)
@@ -96,10 +96,10 @@
         for target in self._read(changes.written):
             self._put(target)
         for key, revision in changes.removed:
-            self._bad.forget(key)
+            self._invalid.discard(key)
             target = self._book.find_listed(key.removeprefix(self._codec.prefix))
             if target is not None:
-                self._lose(target, revision)
+                self._handle_missing(target, revision)
         self._revision = max(self._revision, changes.revision)
 
     def apply_peer_listing(
@@ -120,13 +120,13 @@
     def handle_store_recovered(self) -> None:
         # entries lapse while targets can't renew them; those that live write them
         # again within this time
-        self._returning_until = self._clock.now() + RETURN_SECONDS
+        self._grace_until = self._clock.now() + RETURN_SECONDS
 
     def _put(self, target: ListedTarget) -> None:
         former = None
         match self._book.compare(target):
             case Succession.OUTDATED:
-                self._note_outdated(target)
+                self._record_outdated(target)
                 return
             case Succession.UNTOLD:
                 # told by a peer that does not know the newest; the store's own
@@ -137,7 +137,7 @@
                 former = self._book.find_newest(target.target_id)
         changed = self._book.put(target)
         if former is not None:
-            self._note_restart(target, former)
+            self._handle_restart(target, former)
         self._check_service(target.target_id)
         if not changed:
             return
@@ -151,9 +151,9 @@
             revision=target.revision,
         )
         if target.leaving:
-            self._note_gone(target.incarnation)
+            self._on_removed(target.incarnation)
 
-    def _note_restart(self, target: ListedTarget, former: Incarnation) -> None:
+    def _handle_restart(self, target: ListedTarget, former: Incarnation) -> None:
         """Drop all that is known of the incarnation before.
 
         Believed of the new one, it would be sent prompts whose parts it has lost, be
@@ -169,15 +169,15 @@
             address=target.address,
             revision=target.revision,
         )
-        self._note_gone(former)
+        self._on_removed(former)
 
-    def _note_outdated(self, target: ListedTarget) -> None:
+    def _record_outdated(self, target: ListedTarget) -> None:
         """Take in an old answer: it is of an incarnation that has ended."""
         self._metrics.count("targets.outdated")
         if self._outdated.get(target.target_id) == target.incarnation:
             return
         self._outdated[target.target_id] = target.incarnation
-        if len(self._outdated) > MAX_OUTDATED:
+        if len(self._outdated) > MAX_OUTDATED_REPORTED:
             del self._outdated[next(iter(self._outdated))]
         self._decisions.log_state_change(
             "target-outdated",
@@ -200,11 +200,11 @@
         target = self._book.find_listed(target_id)
         services = self._find_services()
         if target is None or services is None or target.service in services:
-            self._strange.pop(target_id, None)
+            self._unknown_services.pop(target_id, None)
             return
-        if self._strange.get(target_id) == target.service:
+        if self._unknown_services.get(target_id) == target.service:
             return
-        self._strange[target_id] = target.service
+        self._unknown_services[target_id] = target.service
         self._metrics.count("targets.unknown_service")
         self._decisions.log_state_change(
             "target-unknown-service",
@@ -213,23 +213,23 @@
             revision=target.revision,
         )
 
-    def _lose(self, target: ListedTarget, revision: int) -> None:
+    def _handle_missing(self, target: ListedTarget, revision: int) -> None:
         """Take in that an entry is missing.
 
         Right after the store was away whole services may be missing for a moment,
         although their targets live. One that is the last of its service is given
         the time in which it would be written again.
         """
-        returning = self._clock.now() < self._returning_until
-        last = len(self._book.list_service(target.service)) <= 1
-        if returning and last and not target.leaving:
-            left = self._returning_until - self._clock.now()
+        in_grace = self._clock.now() < self._grace_until
+        is_last = len(self._book.list_service(target.service)) <= 1
+        if in_grace and is_last and not target.leaving:
+            left = self._grace_until - self._clock.now()
             loop = asyncio.get_running_loop()
-            loop.call_later(left, self._lose_unless_back, target, revision)
+            loop.call_later(left, self._remove_if_still_missing, target, revision)
             return
-        self._remove(target, revision, lapsed=returning)
+        self._remove(target, revision, lapsed=in_grace)
 
-    def _lose_unless_back(self, target: ListedTarget, revision: int) -> None:
+    def _remove_if_still_missing(self, target: ListedTarget, revision: int) -> None:
         # nothing is done if it has been written again, or has started again
         self._remove(target, revision, lapsed=True)
 
@@ -237,7 +237,7 @@
         if not self._book.remove(target.incarnation, revision, lapsed=lapsed):
             return
         self._outdated.pop(target.target_id, None)
-        self._strange.pop(target.target_id, None)
+        self._unknown_services.pop(target.target_id, None)
         self._decisions.log_state_change(
             "target",
             target=str(target.incarnation),
@@ -246,7 +246,7 @@
             state="lapsed" if lapsed else "gone",
             revision=revision,
         )
-        self._note_gone(target.incarnation)
+        self._on_removed(target.incarnation)
 
     def _read(self, entries: tuple[Entry, ...]) -> list[ListedTarget]:
         """Return the targets of the entries that name one to use."""
@@ -254,13 +254,13 @@
         for entry in entries:
             match self._codec.decode(entry.key, entry.value, entry.revision):
                 case Err(problem):
-                    self._set_aside(entry, str(problem))
+                    self._exclude(entry, str(problem))
                 case Ok(target):
                     reason = self._find_fault(target)
                     if reason:
-                        self._set_aside(entry, reason)
+                        self._exclude(entry, reason)
                         continue
-                    self._bad.forget(entry.key)
+                    self._invalid.discard(entry.key)
                     targets.append(target)
         return targets
 
@@ -271,13 +271,13 @@
             return f"tells no start, and {known} was at another address"
         return ""
 
-    def _set_aside(self, entry: Entry, reason: str) -> None:
+    def _exclude(self, entry: Entry, reason: str) -> None:
         """Send a target nothing more while its entry names none to use.
 
         What it has been sent stays with it. It is used again once its entry can be
         read: nothing says that it has ended.
         """
-        self._bad.note(entry, reason)
+        self._invalid.record(entry, reason)
         target = self._book.find_listed(entry.key.removeprefix(self._codec.prefix))
         if target is not None and target.revision < entry.revision:
             self._remove(target, entry.revision, lapsed=True)
@@ -287,6 +287,6 @@
         return {
             "informed": self._synced,
             "targets": len(self._book),
-            "bad_entries": self._bad.dump(),
-            "unknown_services": dict(self._strange),
+            "bad_entries": self._invalid.dump(),
+            "unknown_services": dict(self._unknown_services),
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -33,17 +33,17 @@
 
 #: seconds between two questions: with a peer's watch and one question, what the
 #: store has accepted is in force here half a second later
-INTERVAL = 0.4
+POLL_INTERVAL = 0.4
 #: seconds of the store's silence after which peers are asked; a watch that waits
 #: is silent that long by itself
-SILENCE = 1.6
-TIMEOUT = 0.6
+STALENESS_THRESHOLD = 1.6
+QUERY_TIMEOUT = 0.6
 #: bytes of a configuration that a peer may tell, so that a broken one can't fill the
 #: memory: eight times what the store holds in one value
-MAX_CONFIGURATION = 8 * 1024 * 1024
+MAX_CONFIGURATION_BYTES = 8 * 1024 * 1024
 #: level at which configurations are compressed: routes are much alike, so that the
 #: fastest one makes them a tenth as long; a link of 10 Mbit/s takes 0.1 s for 125 kB
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 
 
 class PeerSyncController(Controller):
@@ -86,44 +86,44 @@
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
-        self._learnt = 0
+        self._adopted = 0
         #: whether the last question was answered
-        self._answered = True
+        self._last_query_answered = True
         #: the configuration in force, compressed, and its revision
-        self._packed = (0, b"")
-        peers.handle(NewsQuery, self._answer)
+        self._compressed = (0, b"")
+        peers.handle(NewsQuery, self._handle_query)
 
     def dump(self) -> dict[str, Any]:
-        return {"learnt_from_peers": self._learnt}
+        return {"learnt_from_peers": self._adopted}
 
     @Service.task
-    async def _ask_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(INTERVAL)
+            await asyncio.sleep(POLL_INTERVAL)
             follower = self._follower
             if (
                 follower.passive
                 or not follower.reachable
-                or follower.staleness > SILENCE
+                or follower.staleness > STALENESS_THRESHOLD
             ):
-                await self._ask_one()
+                await self._query_peer()
 
-    async def _ask_one(self) -> None:
+    async def _query_peer(self) -> None:
         peer = self._choose_peer()
         if peer is None:
             return
-        question = NewsQuery(
+        query = NewsQuery(
             self._configuration.revision,
             self._listing.revision,
             self._crashes.revision,
         )
-        asked = self._clock.now()
-        reply = await self._peers.ask(peer, question, TIMEOUT)
-        self._answered = not isinstance(reply, Err)
+        sent_at = self._clock.now()
+        reply = await self._peers.ask(peer, query, QUERY_TIMEOUT)
+        self._last_query_answered = not isinstance(reply, Err)
         if isinstance(reply, Err) or not isinstance(reply.ok_value, News):
             self._metrics.count("news.unanswered")
             return
-        self._take(reply.ok_value, self._clock.now() - asked)
+        self._apply(reply.ok_value, self._clock.now() - sent_at)
 
     def _choose_peer(self) -> str | None:
         """Return whom to ask: one that follows the store, a near one if it answers.
@@ -139,32 +139,32 @@
         ]
         if self._follower.passive:
             listeners = self._list_listeners()
-            listening = [one for one in others if one.instance_id in listeners]
-            others = self._select_near(listening) or listening or others
+            followers = [one for one in others if one.instance_id in listeners]
+            others = self._select_same_data_centre(followers) or followers or others
         return self._random.choice(others).instance_id if others else None
 
-    def _select_near(self, members: list[Member]) -> list[Member]:
-        if not self._answered:
+    def _select_same_data_centre(self, members: list[Member]) -> list[Member]:
+        if not self._last_query_answered:
             return []
         return [one for one in members if one.data_centre == self._data_centre]
 
-    def _take(self, news: News, seconds: float) -> None:
+    def _apply(self, update: News, elapsed: float) -> None:
         """Take in news that were asked for so many seconds ago."""
-        if news.configuration:
-            self._learnt += 1
-            value = _unpack(news.configuration)
+        if update.configuration:
+            self._adopted += 1
+            value = _decompress(update.configuration)
             if value is None:
                 self._metrics.count("news.unreadable")
                 return
-            self._configuration.apply(value, news.configuration_revision, "peer")
-        if news.listed:
-            targets = tuple(filter(None, map(decode_target, news.targets)))
-            self._listing.apply_peer_listing(targets, news.listing_revision)
-        self._crashes.take_news(news.crashes)
-        if news.heard_seconds is not None:
-            self._follower.record_peer_report(news.heard_seconds + seconds)
-
-    def _answer(self, sender: str, query: NewsQuery) -> News:
+            self._configuration.apply(value, update.configuration_revision, "peer")
+        if update.listed:
+            targets = tuple(filter(None, map(decode_target, update.targets)))
+            self._listing.apply_peer_listing(targets, update.listing_revision)
+        self._crashes.take_news(update.crashes)
+        if update.heard_seconds is not None:
+            self._follower.record_peer_report(update.heard_seconds + elapsed)
+
+    def _handle_query(self, sender: str, query: NewsQuery) -> News:
         configuration = self._configuration
         newer = configuration.revision > query.configuration_revision
         listed = (
@@ -173,26 +173,29 @@
         return News(
             heard_seconds=self._follower.staleness,
             configuration_revision=configuration.revision,
-            configuration=self._pack() if newer else b"",
+            configuration=self._compress_configuration() if newer else b"",
             listing_revision=self._listing.revision,
             listed=listed,
             targets=tuple(map(encode_target, self._book.list_all())) if listed else (),
             crashes=self._crashes.list_newer(query.crashes_revision),
         )
 
-    def _pack(self) -> bytes:
+    def _compress_configuration(self) -> bytes:
         """Return the configuration in force, compressed once for all that ask."""
         revision = self._configuration.revision
-        if self._packed[0] != revision:
-            self._packed = (revision, zlib.compress(self._configuration.value, LEVEL))
-        return self._packed[1]
+        if self._compressed[0] != revision:
+            self._compressed = (
+                revision,
+                zlib.compress(self._configuration.value, COMPRESSION_LEVEL),
+            )
+        return self._compressed[1]
 
 
-def _unpack(packed: bytes) -> bytes | None:
+def _decompress(compressed: bytes) -> bytes | None:
     """Return a configuration as it was before; ``None`` if it can't be read."""
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        value = unpacking.decompress(packed, MAX_CONFIGURATION)
+        value = decompressor.decompress(compressed, MAX_CONFIGURATION_BYTES)
     except zlib.error:
         return None
-    return None if unpacking.unconsumed_tail else value
+    return None if decompressor.unconsumed_tail else value
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/readiness.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/readiness.py
@@ -54,9 +54,9 @@
 
     async def on_start(self) -> None:
         """Bind the addresses."""
-        await self._serve(self._listen, self._answer_readiness)
+        await self._serve(self._listen, self._handle_readiness)
         if self._metrics_listen:
-            await self._serve(self._metrics_listen, self._answer_operators)
+            await self._serve(self._metrics_listen, self._handle_operators)
 
     async def on_stop(self) -> None:
         """Close the addresses."""
@@ -74,12 +74,12 @@
         await web.TCPSite(runner, host, int(port)).start()
         self._runners.append(runner)
 
-    async def _answer_readiness(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path != self._readiness_path:
             return web.Response(status=404)
         return web.Response(status=200 if self._ready() else 503)
 
-    async def _answer_operators(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_operators(self, request: web.BaseRequest) -> web.Response:
         if request.path == self._metrics_path:
             return web.Response(
                 body=generate_latest(self._registry),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
@@ -20,7 +20,7 @@
     "find_refusal_status",
 )
 
-_FINAL = {
+_STATUS_BY_CODE = {
     RefusalCode.BAD_REQUEST: 400,
     RefusalCode.UNAUTHORIZED: 401,
     RefusalCode.UNKNOWN_PIPELINE: 404,
@@ -34,9 +34,9 @@
 
 def find_refusal_status(refusal: Refusal) -> int:
     """Return the status; one that promises "not run" only where that is true."""
-    final = _FINAL.get(refusal.code)
-    if final is not None:
-        return final
+    status = _STATUS_BY_CODE.get(refusal.code)
+    if status is not None:
+        return status
     if refusal.verdict is Verdict.NOT_RUN:
         return STATUS_UNAVAILABLE
     if refusal.code is RefusalCode.DEADLINE:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -29,10 +29,10 @@
 #: prefix of the keys of instances in the store
 PREFIX = "greengagelatch/instances/"
 #: seconds after which the entry of an instance that is gone lapses; a few renewals
-LEASE_SECONDS = 12.0
-RENEW_SECONDS = 4.0
+LEASE_TTL_SECONDS = 12.0
+RENEW_INTERVAL_SECONDS = 4.0
 #: seconds after a failed call
-PAUSE_SECONDS = 0.7
+RETRY_SECONDS = 0.7
 
 
 class RegistryController(Controller, StoreSubscriber):
@@ -77,14 +77,14 @@
         self._instances = {}
         for entry in scan.entries:
             self._put(entry)
-        self._tell(scan.revision)
+        self._publish(scan.revision)
 
     def apply_changes(self, changes: Changes) -> None:
         for entry in changes.written:
             self._put(entry)
         for key, _ in changes.removed:
             self._instances.pop(key, None)
-        self._tell(changes.revision)
+        self._publish(changes.revision)
 
     async def on_stop(self) -> None:
         """Give the entry up, so that nobody looks for this instance."""
@@ -101,11 +101,11 @@
     @Service.task
     async def _register_forever(self) -> None:
         while not self.should_stop:
-            kept = await self._keep() if self._lease_id else await self._register()
-            await asyncio.sleep(RENEW_SECONDS if kept else PAUSE_SECONDS)
+            renewed = await self._renew() if self._lease_id else await self._register()
+            await asyncio.sleep(RENEW_INTERVAL_SECONDS if renewed else RETRY_SECONDS)
 
     async def _register(self) -> bool:
-        granted = await self._store.grant_lease(LEASE_SECONDS)
+        granted = await self._store.grant_lease(LEASE_TTL_SECONDS)
         if isinstance(granted, Err):
             self._metrics.count("registry.errors")
             return False
@@ -127,11 +127,11 @@
         self._metrics.count("registry.errors")
         return False
 
-    async def _keep(self) -> bool:
-        kept = await self._store.keep_lease(self._lease_id)
-        if not isinstance(kept, Err):
+    async def _renew(self) -> bool:
+        renewed = await self._store.keep_lease(self._lease_id)
+        if not isinstance(renewed, Err):
             return True
-        if kept.err_value.kind is StoreErrorKind.LEASE_GONE:
+        if renewed.err_value.kind is StoreErrorKind.LEASE_GONE:
             self._decisions.log_state_change(
                 "registration-lapsed", lease=self._lease_id
             )
@@ -159,7 +159,7 @@
         )
         self._instances[entry.key] = (entry.revision, instance)
 
-    def _tell(self, revision: int) -> None:
+    def _publish(self, revision: int) -> None:
         self._revision = max(self._revision, revision)
         newest: dict[str, tuple[int, Instance]] = {}
         for row in self._instances.values():
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
@@ -36,24 +36,24 @@
 WATCH_SECONDS = 2.5
 #: the same for an instance that others follow the store by: what it tells reaches them
 #: half a second later still
-WATCH_SECONDS_FOR_OTHERS = 1.5
+SHARED_WATCH_SECONDS = 1.5
 #: seconds between two watches at the least: changes that come one after the other,
 #: as when all instances start, are then told by one answer
-LEAST_SPACING = 0.2
+MIN_CALL_SPACING = 0.2
 #: seconds after a failed call: first, and at the most
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 0.4
+MIN_BACKOFF = 0.05
+MAX_BACKOFF = 0.4
 #: the same at the most for an instance that others follow the store for
-LONGEST_PAUSE_AT_REST = 2.0
+MAX_PASSIVE_BACKOFF = 2.0
 #: age of what peers tell from which an instance follows the store by itself: a watch
 #: of theirs, and two questions
 STALE_SECONDS = 2.5
 #: seconds without an answer of any peer after which it does the same: when many
 #: instances are lost at once, most of those that follow the store are among them, and
 #: to find one that is left takes a second for each that is not
-UNTOLD_SECONDS = 1.0
+PEER_REPORT_TIMEOUT = 1.0
 #: seconds after which one that leaves the store to others looks again whether it may
-LOOK_AGAIN = 0.25
+PASSIVE_CHECK_INTERVAL = 0.25
 
 
 class StoreSubscriber(ABC):
@@ -93,7 +93,7 @@
         store: RangeStore,
         subscribers: tuple[StoreSubscriber, ...],
         is_listener: Callable[[], bool],
-        is_relied_on: Callable[[], bool],
+        has_dependents: Callable[[], bool],
         clock: Clock,
         random_source: random.Random,
         metrics: Metrics,
@@ -103,7 +103,7 @@
         self._store = store
         self._subscribers = subscribers
         self._is_listener = is_listener
-        self._is_relied_on = is_relied_on
+        self._has_dependents = has_dependents
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
@@ -112,19 +112,19 @@
         self._after: int | None = None
         #: monotonic seconds at which the store was last known to have said nothing
         #: newer, by its own word or a peer's
-        self._heard = clock.now()
+        self._confirmed_at = clock.now()
         #: when a peer last told anything of it
-        self._told = float("-inf")
-        self._asked = float("-inf")
+        self._peer_reported_at = float("-inf")
+        self._called_at = float("-inf")
         self._reachable = True
         self._passive = False
-        self._pause = FIRST_PAUSE
+        self._backoff = MIN_BACKOFF
         self._error = ""
 
     @property
     def staleness(self) -> float:
         """Seconds since the store last answered, here or to a peer that told so."""
-        return self._clock.now() - self._heard
+        return self._clock.now() - self._confirmed_at
 
     @property
     def reachable(self) -> bool:
@@ -138,8 +138,8 @@
 
     def record_peer_report(self, seconds: float) -> None:
         """Take in that a peer has told all that the store said so long ago."""
-        self._told = self._clock.now()
-        self._heard = max(self._heard, self._told - seconds)
+        self._peer_reported_at = self._clock.now()
+        self._confirmed_at = max(self._confirmed_at, self._peer_reported_at - seconds)
 
     def dump(self) -> dict[str, Any]:
         return {
@@ -153,60 +153,60 @@
     @Service.task
     async def _follow_forever(self) -> None:
         while not self.should_stop:
-            if self._may_rest():
-                await asyncio.sleep(LOOK_AGAIN)
+            if self._may_be_passive():
+                await asyncio.sleep(PASSIVE_CHECK_INTERVAL)
                 continue
             if await self._step():
-                await self._keep_spacing()
+                await self._wait_min_spacing()
                 continue
-            await asyncio.sleep(self._pause * self._random.uniform(0.7, 1.3))
-            listens = self._is_listener()
-            longest = LONGEST_PAUSE if listens else LONGEST_PAUSE_AT_REST
-            self._pause = min(longest, self._pause * 2)
+            await asyncio.sleep(self._backoff * self._random.uniform(0.7, 1.3))
+            is_listener = self._is_listener()
+            max_backoff = MAX_BACKOFF if is_listener else MAX_PASSIVE_BACKOFF
+            self._backoff = min(max_backoff, self._backoff * 2)
 
-    def _may_rest(self) -> bool:
+    def _may_be_passive(self) -> bool:
         """Whether others follow the store, and tell what they hear."""
-        rests = (
+        passive_now = (
             self._after is not None
             and not self._is_listener()
             and self.staleness < STALE_SECONDS
-            and self._clock.now() - self._told < UNTOLD_SECONDS
+            and self._clock.now() - self._peer_reported_at < PEER_REPORT_TIMEOUT
         )
-        if rests != self._passive:
-            self._passive = rests
+        if passive_now != self._passive:
+            self._passive = passive_now
             self._decisions.log_state_change(
-                "store-left-to-others" if rests else "store-followed",
+                "store-left-to-others" if passive_now else "store-followed",
                 silence_ms=round(self.staleness * 1000),
             )
-            if not rests:
+            if not passive_now:
                 # much may have changed; a watch from so long ago is refused
                 self._after = None
-        return rests
+        return passive_now
 
-    async def _keep_spacing(self) -> None:
-        left = LEAST_SPACING - (self._clock.now() - self._asked)
+    async def _wait_min_spacing(self) -> None:
+        left = MIN_CALL_SPACING - (self._clock.now() - self._called_at)
         if left > 0:
             await asyncio.sleep(left)
 
     async def _step(self) -> bool:
         """Scan or watch once; whether to go on at once."""
-        self._asked = self._clock.now()
+        self._called_at = self._clock.now()
         if self._after is None:
             result = await self._store.scan(ALL_KEYS)
         else:
-            relied_on = self._is_relied_on()
-            seconds = WATCH_SECONDS_FOR_OTHERS if relied_on else WATCH_SECONDS
+            shared = self._has_dependents()
+            seconds = SHARED_WATCH_SECONDS if shared else WATCH_SECONDS
             result = await self._store.follow(ALL_KEYS, self._after, seconds)
         match result:
             case Ok(found):
-                self._note_reached()
-                self._tell(found)
+                self._record_reachable()
+                self._dispatch(found)
                 self._after = max(self._after or 0, found.revision)
                 return True
             case Err(error):
-                return self._take_error(error)
+                return self._handle_error(error)
 
-    def _take_error(self, error: StoreError) -> bool:
+    def _handle_error(self, error: StoreError) -> bool:
         if error.kind is StoreErrorKind.COMPACTED:
             self._decisions.log_state_change("history-lost", after=self._after)
             self._after = None
@@ -214,10 +214,10 @@
         if error.kind is StoreErrorKind.TIMEOUT and self._after is not None:
             # a watch without an answer may be one whose history is gone
             self._after = None
-        self._note_lost(f"{error.kind.value}: {error.message}")
+        self._record_unreachable(f"{error.kind.value}: {error.message}")
         return False
 
-    def _tell(self, found: Scan | Changes) -> None:
+    def _dispatch(self, found: Scan | Changes) -> None:
         for subscriber in self._subscribers:
             prefix = subscriber.prefix
             if isinstance(found, Scan):
@@ -233,22 +233,22 @@
             if written or removed:
                 subscriber.apply_changes(Changes(written, removed, found.revision))
 
-    def _note_reached(self) -> None:
+    def _record_reachable(self) -> None:
         now = self._clock.now()
         if not self._reachable:
             self._reachable = True
             self._decisions.log_state_change(
                 "store-regained",
                 after=self._after,
-                silence_ms=round((now - self._heard) * 1000),
+                silence_ms=round((now - self._confirmed_at) * 1000),
             )
             for subscriber in self._subscribers:
                 subscriber.handle_store_recovered()
-        self._heard = now
-        self._pause = FIRST_PAUSE
+        self._confirmed_at = now
+        self._backoff = MIN_BACKOFF
         self._error = ""
 
-    def _note_lost(self, error: str) -> None:
+    def _record_unreachable(self, error: str) -> None:
         self._metrics.count("store.errors")
         self._error = error
         if not self._reachable:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -36,14 +36,14 @@
 __all__ = ("StreamRunner",)
 
 #: largest failure answer that is passed on whole
-MAX_FAILURE_BYTES = 1024 * 1024
+MAX_ERROR_BODY_BYTES = 1024 * 1024
 #: share of the route's objective without a first event after which a stream that
 #: can be resumed is tried elsewhere, and the least such time in seconds
-FIRST_EVENT_SHARE = 0.9
-LEAST_FIRST_EVENT = 1.0
+FIRST_EVENT_FACTOR = 0.9
+MIN_FIRST_EVENT_TIMEOUT = 1.0
 #: the same between events, as a multiple of the longest pause that is on time
-PAUSE_FACTOR = 3.0
-LEAST_PAUSE = 0.75
+EVENT_GAP_FACTOR = 3.0
+MIN_EVENT_GAP_TIMEOUT = 0.75
 
 
 class StreamRunner(Runner):
@@ -129,13 +129,13 @@
         self._run = run
         self._results = results
         self._prompt = exchange.request.prompt or Prompt()
-        self._last_id = exchange.request.resume_after
-        self._begun = False
+        self._last_event_id = exchange.request.resume_after
+        self._first_event_seen = False
         #: whether results were freed that another target would have to read
-        self._freed = False
+        self._inputs_released = False
         self._sent_at = 0.0
         #: when the first event of the send under way came
-        self._begun_at: float | None = None
+        self._first_event_at: float | None = None
 
     async def serve(self) -> None:
         """Send until the stream is whole, or may not go on."""
@@ -144,12 +144,12 @@
         last: FailedSend | None = None
         while True:
             if self._run.is_lost(self._results):
-                await self._make_again()
+                await self._rerun_stages()
             target = self._choose(excluded)
             if target is None:
                 break
             runner.check_hold(exchange)
-            last = await self._try(target)
+            last = await self._attempt(target)
             if last is None:
                 return
             lost = self._run.is_lost(self._results)
@@ -157,14 +157,14 @@
                 excluded |= {target.incarnation}
             if not runner.may_repeat(exchange, last.outcome):
                 break
-            if last.status == STATUS_CONFLICT or self._freed:
+            if last.status == STATUS_CONFLICT or self._inputs_released:
                 # another target reads them anew
-                await self._make_again()
+                await self._rerun_stages()
         raise runner.create_refusal(exchange, last)
 
-    async def _make_again(self) -> None:
+    async def _rerun_stages(self) -> None:
         self._run.free()
-        self._freed = False
+        self._inputs_released = False
         self._results = await self._run.make()
 
     def _choose(self, excluded: frozenset[Incarnation]) -> ListedTarget | None:
@@ -172,7 +172,7 @@
         fleet, now = self._runner.fleet, self._runner.clock.now()
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
-    async def _try(self, target: ListedTarget) -> FailedSend | None:
+    async def _attempt(self, target: ListedTarget) -> FailedSend | None:
         """Send once and pass events on; ``None`` if the answer is complete."""
         runner, exchange = self._runner, self._exchange
         left = runner.find_left(exchange)
@@ -182,32 +182,34 @@
             incarnation=target.incarnation,
             remaining=left,
             workspace=exchange.workspace,
-            resume_after=self._last_id,
+            resume_after=self._last_event_id,
             inputs=self._results.inputs,
         )
         now = runner.clock.now()
         tokens = runner.fleet.count_tokens(target.incarnation, self._prompt, now)
         self._sent_at = now
-        self._begun_at = None
-        reading = _Reading(runner.fleet, target.incarnation, tokens)
-        fetching = InputFetch(lambda: self._note_fetched(target))
+        self._first_event_at = None
+        prefill = _PrefillTracker(runner.fleet, target.incarnation, tokens)
+        fetch_timer = InputFetch(lambda: self._release_fetched_inputs(target))
         try:
             result = await runner.sender.send(
                 exchange,
                 target,
                 call,
-                timeout=self._choose_first_patience(left),
+                timeout=self._choose_first_event_timeout(left),
                 fresh=not exchange.route.repeatable,
-                may_send=lambda: fetching.begin(not self._run.is_lost(self._results)),
+                may_send=lambda: fetch_timer.begin(
+                    not self._run.is_lost(self._results)
+                ),
             )
             if isinstance(result, FailedSend):
                 return result
-            return await self._pass_on(target, result, reading)
+            return await self._forward_response(target, result, prefill)
         finally:
-            fetching.end()
-            reading.end()
+            fetch_timer.end()
+            prefill.end()
 
-    def _note_fetched(self, target: ListedTarget) -> None:
+    def _release_fetched_inputs(self, target: ListedTarget) -> None:
         """Free what the target has fetched by now, although it is still to begin.
 
         An engine fetches a request's inputs as it takes the request in, and begins to
@@ -217,22 +219,22 @@
         now = self._runner.clock.now()
         if not self._runner.fleet.takes_in(target, now):
             return
-        self._freed = True
+        self._inputs_released = True
         self._run.free()
 
-    async def _pass_on(
-        self, target: ListedTarget, answered: ReceivedResponse, reading: _Reading
+    async def _forward_response(
+        self, target: ListedTarget, received: ReceivedResponse, prefill: _PrefillTracker
     ) -> FailedSend | None:
-        reply = answered.reply
+        reply = received.reply
         try:
-            if not answered.head.succeeded:
-                return await self._pass_failure(target, answered)
-            await self._pass_events(target, answered, reading)
+            if not received.head.succeeded:
+                return await self._forward_error(target, received)
+            await self._forward_events(target, received, prefill)
         except TargetResponseError as error:
             reply.abort()
-            ran = self._find_ran()
+            ran_seconds = self._find_ran_seconds()
             return self._runner.sender.record_lost_response(
-                self._exchange, target, error, ran
+                self._exchange, target, error, ran_seconds
             )
         except BaseException:
             reply.abort()
@@ -243,12 +245,12 @@
         self._exchange.outcome = "answered"
         return None
 
-    async def _pass_events(
-        self, target: ListedTarget, answered: ReceivedResponse, reading: _Reading
+    async def _forward_events(
+        self, target: ListedTarget, received: ReceivedResponse, prefill: _PrefillTracker
     ) -> None:
         splitter = EventSplitter()
         writer = self._exchange.writer
-        chunks = answered.reply.iterate()
+        chunks = received.reply.iterate()
         while True:
             data = await self._read_chunk(chunks)
             if data is None:
@@ -256,19 +258,19 @@
             events = splitter.feed(data)
             if not events:
                 continue
-            self._note_begun(target, reading)
+            self._handle_first_event(target, prefill)
             if not writer.started:
-                self._exchange.status = answered.head.status
-                await writer.begin(answered.head)
+                self._exchange.status = received.head.status
+                await writer.begin(received.head)
             for event in events:
                 event_id = self._runner.codec.read_event_id(event)
                 if event_id is not None:
-                    self._last_id = event_id
+                    self._last_event_id = event_id
             await writer.write(b"".join(events))
         if splitter.pending:
             raise TargetResponseError("stream ended within an event", broken=True)
         if not writer.started:
-            await writer.begin(answered.head)
+            await writer.begin(received.head)
         await writer.finish()
         self._runner.times.note_whole(
             self._exchange, self._runner.clock.now() - self._sent_at
@@ -276,31 +278,33 @@
 
     async def _read_chunk(self, chunks: AsyncIterator[bytes]) -> bytes | None:
         left = self._runner.find_left(self._exchange)
-        patience = min(left, self._choose_pause())
+        timeout = min(left, self._choose_event_timeout())
         try:
-            async with asyncio.timeout(max(0.0, patience)):
+            async with asyncio.timeout(max(0.0, timeout)):
                 return await anext(chunks, None)
         except TimeoutError:
             raise TargetResponseError("no further event in time") from None
 
-    def _note_begun(self, target: ListedTarget, reading: _Reading) -> None:
-        if not reading.note_begun():
+    def _handle_first_event(
+        self, target: ListedTarget, prefill: _PrefillTracker
+    ) -> None:
+        if not prefill.finish_prefill():
             return
         runner = self._runner
         now = runner.clock.now()
-        self._begun_at = now
+        self._first_event_at = now
         runner.times.note_first(self._exchange, now - self._sent_at)
         runner.fleet.note_parts(target.incarnation, self._prompt, now)
-        self._begun = self._freed = True
+        self._first_event_seen = self._inputs_released = True
         # the target has read the stages' results; their makers need the room
         self._run.free()
 
-    async def _pass_failure(
-        self, target: ListedTarget, answered: ReceivedResponse
+    async def _forward_error(
+        self, target: ListedTarget, received: ReceivedResponse
     ) -> FailedSend | None:
-        head: ResponseHead = answered.head
-        body = await answered.reply.read(MAX_FAILURE_BYTES)
-        answered.reply.release()
+        head: ResponseHead = received.head
+        body = await received.reply.read(MAX_ERROR_BODY_BYTES)
+        received.reply.release()
         self._runner.sender.record_survival(self._exchange, target)
         self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
         exchange = self._exchange
@@ -311,51 +315,53 @@
         await exchange.writer.send(head.status, head.headers, body, reason=head.reason)
         return None
 
-    def _find_ran(self) -> float:
+    def _find_ran_seconds(self) -> float:
         """Return for how long the target has been sending events."""
-        if self._begun_at is None:
+        if self._first_event_at is None:
             return 0.0
-        return self._runner.clock.now() - self._begun_at
+        return self._runner.clock.now() - self._first_event_at
 
-    def _choose_first_patience(self, left: float) -> float:
-        if not self._may_go_elsewhere():
+    def _choose_first_event_timeout(self, left: float) -> float:
+        if not self._may_fail_over():
             return left
-        patience = self._exchange.route.objective * FIRST_EVENT_SHARE
-        return min(left, max(LEAST_FIRST_EVENT, patience))
+        timeout = self._exchange.route.objective * FIRST_EVENT_FACTOR
+        return min(left, max(MIN_FIRST_EVENT_TIMEOUT, timeout))
 
-    def _choose_pause(self) -> float:
+    def _choose_event_timeout(self) -> float:
         left = self._runner.find_left(self._exchange)
-        if not self._may_go_elsewhere():
+        if not self._may_fail_over():
             return left
-        if not self._begun:
-            return self._choose_first_patience(left)
-        return max(LEAST_PAUSE, self._exchange.route.longest_pause * PAUSE_FACTOR)
+        if not self._first_event_seen:
+            return self._choose_first_event_timeout(left)
+        return max(
+            MIN_EVENT_GAP_TIMEOUT, self._exchange.route.longest_pause * EVENT_GAP_FACTOR
+        )
 
-    def _may_go_elsewhere(self) -> bool:
+    def _may_fail_over(self) -> bool:
         route = self._exchange.route
         sent = len(set(self._exchange.targets))
         return route.resumable and sent <= route.max_attempts - 1
 
 
-class _Reading:
+class _PrefillTracker:
     """Counts a request at its engine: first as a prompt to read, then as running."""
 
     def __init__(self, fleet: Fleet, incarnation: Incarnation, tokens: float) -> None:
         self.fleet = fleet
         self._incarnation = incarnation
         self._tokens = tokens
-        self._reading = True
+        self._in_prefill = True
         fleet.start(incarnation, tokens)
 
-    def note_begun(self) -> bool:
+    def finish_prefill(self) -> bool:
         """Take in the first event; whether it was the first."""
-        if not self._reading:
+        if not self._in_prefill:
             return False
-        self._reading = False
+        self._in_prefill = False
         self.fleet.begin(self._incarnation, self._tokens)
         return True
 
     def end(self) -> None:
         """Take in the end of the send."""
-        self.note_begun()
+        self.finish_prefill()
         self.fleet.finish(self._incarnation)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
@@ -37,20 +37,20 @@
 #: reached sooner. One behind a partition would hold a booking until its deadline
 CONNECT_TIMEOUT = 0.3
 #: seconds for which an idle connection is used again where the target says nothing
-IDLE_SECONDS = 3.0
+MAX_IDLE_SECONDS = 3.0
 #: share of the idle time that a target announces which is used
-IDLE_SHARE = 0.5
+KEEP_ALIVE_FRACTION = 0.5
 #: seconds without an acknowledgement after which the kernel gives a connection up
-UNACKNOWLEDGED_LIMIT = 2.0
+UNACKNOWLEDGED_SECONDS = 2.0
 #: seconds of quiet after which the kernel probes the other end, and between probes
-PROBE_AFTER = 1
+PROBE_INTERVAL = 1
 PROBE_COUNT = 2
 #: bytes of an answer that wait to be read
-READ_BUFFER = 256 * 1024
+READ_BUFFER_BYTES = 256 * 1024
 MAX_HEADER_BYTES = 32_768
 
 #: targets of which it is remembered when a kept connection was asked for
-MAX_WANTED = 1024
+MAX_TRACKED_TARGETS = 1024
 
 
 class NotSentError(Exception):
@@ -77,17 +77,21 @@
     """
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(UNACKNOWLEDGED_LIMIT * 1000)),
+        (
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            int(UNACKNOWLEDGED_SECONDS * 1000),
+        ),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL),
         (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBE_COUNT),
     )
     for level, option, value in options:
         connection.setsockopt(level, option, value)
 
 
-class _Link(ResponseHandler):
+class _TargetConnection(ResponseHandler):
     """One connection; remembers whether it was reset."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -95,7 +99,7 @@
         #: whether it ended by anything but an orderly close
         self.reset = False
         #: monotonic seconds until which it may be used again
-        self.usable_until = 0.0
+        self.reusable_until = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -121,8 +125,8 @@
 
     message: RawResponseMessage
     content: StreamReader
-    _link: _Link
-    _give_back: Callable[[_Link, RawResponseMessage], None]
+    _connection: _TargetConnection
+    _release: Callable[[_TargetConnection, RawResponseMessage], None]
 
     async def iterate(self) -> AsyncIterator[bytes]:
         """Yield the body as it arrives.
@@ -133,8 +137,8 @@
             while chunk := await self.content.readany():
                 yield chunk
         except (ClientError, HttpProcessingError, OSError) as error:
-            raise _describe("answer cut", error) from error
-        if self._link.reset and not self._is_framed():
+            raise _create_error("answer cut", error) from error
+        if self._connection.reset and not self._is_framed():
             raise TargetResponseError(
                 "answer without a length ended by a reset", broken=True
             )
@@ -155,11 +159,11 @@
 
     def release(self) -> None:
         """Give the connection back, if nothing is left on it."""
-        self._give_back(self._link, self.message)
+        self._release(self._connection, self.message)
 
     def abort(self) -> None:
         """Close the connection at once; the target may stop its work."""
-        self._link.abort()
+        self._connection.abort()
 
     def _is_framed(self) -> bool:
         headers = self.message.headers
@@ -178,16 +182,16 @@
     def __init__(
         self,
         *,
-        count_kept: Callable[[Incarnation], int],
+        find_idle_limit: Callable[[Incarnation], int],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
-        self._count_kept = count_kept
+        self._find_idle_limit = find_idle_limit
         self._clock = clock
         self._metrics = metrics
-        self._idle: dict[Incarnation, list[_Link]] = defaultdict(list)
+        self._idle: dict[Incarnation, list[_TargetConnection]] = defaultdict(list)
         #: monotonic seconds at which a kept connection was last asked for
-        self._wanted: dict[Incarnation, float] = {}
+        self._last_requested: dict[Incarnation, float] = {}
 
     async def send(
         self,
@@ -209,40 +213,40 @@
         :raises TargetResponseError: if it was written and no answer came
         """
         end = asyncio.get_running_loop().time() + timeout
-        link = None if fresh else self._take(incarnation)
-        if link is None:
-            link = await self._open(address, min(timeout, CONNECT_TIMEOUT))
+        connection = None if fresh else self._checkout(incarnation)
+        if connection is None:
+            connection = await self._open(address, min(timeout, CONNECT_TIMEOUT))
         if may_send is not None and not may_send():
-            link.abort()
+            connection.abort()
             raise NotSentError("the target began to leave, or its inputs are lost")
-        link.set_response_params(
+        connection.set_response_params(
             skip_payload=outbound.method == "HEAD",
             read_until_eof=True,
             auto_decompress=False,
-            read_bufsize=READ_BUFFER,
+            read_bufsize=READ_BUFFER_BYTES,
             max_line_size=MAX_HEADER_BYTES,
             max_field_size=MAX_HEADER_BYTES,
         )
         try:
             data = _serialize(outbound, address)
             self._metrics.count("links.bytes_out", len(data))
-            link.transport.write(data)
+            connection.transport.write(data)
             async with asyncio.timeout_at(end):
-                message, content = await self._read_head(link)
+                message, content = await self._read_head(connection)
         except TimeoutError:
-            link.abort()
+            connection.abort()
             raise TargetResponseError("no answer in time") from None
         except (ClientError, HttpProcessingError, OSError) as error:
-            link.abort()
-            raise _describe("no answer", error) from error
+            connection.abort()
+            raise _create_error("no answer", error) from error
         except BaseException:
-            link.abort()
+            connection.abort()
             raise
         return TargetResponse(
             message,
             content,
-            link,
-            lambda one, head: self._give_back(incarnation, one, head, may_send),
+            connection,
+            lambda one, head: self._release(incarnation, one, head, may_send),
         )
 
     async def is_port_closed(self, address: str) -> bool:
@@ -251,119 +255,127 @@
         One that is silent may be out of reach only.
         """
         try:
-            link = await self._open(address, CONNECT_TIMEOUT)
+            connection = await self._open(address, CONNECT_TIMEOUT)
         except NotSentError as error:
             return isinstance(error.__cause__, ConnectionRefusedError)
-        link.abort()
+        connection.abort()
         return False
 
-    def drop(self, incarnation: Incarnation) -> None:
+    def close_idle(self, incarnation: Incarnation) -> None:
         """Close the idle connections to a target that is gone."""
-        self._wanted.pop(incarnation, None)
-        for link in self._idle.pop(incarnation, ()):
-            link.abort()
+        self._last_requested.pop(incarnation, None)
+        for connection in self._idle.pop(incarnation, ()):
+            connection.abort()
 
-    def drop_all(self) -> None:
+    def close_all_idle(self) -> None:
         """Close every idle connection, as all may have gone silent."""
         for incarnation in tuple(self._idle):
-            self.drop(incarnation)
+            self.close_idle(incarnation)
 
     def count_idle(self) -> int:
         """Return the number of connections that are kept."""
-        return sum(len(links) for links in self._idle.values())
+        return sum(len(connections) for connections in self._idle.values())
 
-    async def _read_head(self, link: _Link) -> tuple[RawResponseMessage, StreamReader]:
+    async def _read_head(
+        self, connection: _TargetConnection
+    ) -> tuple[RawResponseMessage, StreamReader]:
         while True:
-            message, content = await link.read()
+            message, content = await connection.read()
             # an interim answer such as 100 is not the answer
             if message.code >= 200:
                 return message, content
 
-    async def _open(self, address: str, timeout: float) -> _Link:
+    async def _open(self, address: str, timeout: float) -> _TargetConnection:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._metrics.count("links.opened")
         try:
             async with asyncio.timeout(timeout):
-                _, link = await loop.create_connection(
-                    lambda: _Link(loop), host, int(port)
+                _, connection = await loop.create_connection(
+                    lambda: _TargetConnection(loop), host, int(port)
                 )
         except TimeoutError:
             raise NotSentError("no connection in time") from None
         except (OSError, ValueError) as error:
             raise NotSentError(f"no connection: {type(error).__name__}") from error
-        return link
+        return connection
 
-    def _take(self, incarnation: Incarnation) -> _Link | None:
-        links = self._idle.get(incarnation)
+    def _checkout(self, incarnation: Incarnation) -> _TargetConnection | None:
+        connections = self._idle.get(incarnation)
         now = self._clock.now()
-        self._note_wanted(incarnation, now)
-        while links:
-            link = links.pop()
-            if link.reusable and now < link.usable_until:
-                return link
-            link.abort()
+        self._record_demand(incarnation, now)
+        while connections:
+            connection = connections.pop()
+            if connection.reusable and now < connection.reusable_until:
+                return connection
+            connection.abort()
         return None
 
-    def _put(
-        self, incarnation: Incarnation, link: _Link, seconds: float = IDLE_SECONDS
+    def _keep_idle(
+        self,
+        incarnation: Incarnation,
+        connection: _TargetConnection,
+        seconds: float = MAX_IDLE_SECONDS,
     ) -> None:
-        links = self._idle[incarnation]
+        connections = self._idle[incarnation]
         now = self._clock.now()
-        wanted = self._is_wanted(incarnation, now)
-        if len(links) >= (self._count_kept(incarnation) if wanted else 0):
-            link.abort()
+        in_demand = self._is_in_demand(incarnation, now)
+        if len(connections) >= (self._find_idle_limit(incarnation) if in_demand else 0):
+            connection.abort()
             return
-        link.usable_until = now + seconds
-        links.append(link)
+        connection.reusable_until = now + seconds
+        connections.append(connection)
 
-    def _note_wanted(self, incarnation: Incarnation, now: float) -> None:
+    def _record_demand(self, incarnation: Incarnation, now: float) -> None:
         # to the end, so that those asked for longest ago are forgotten first
-        self._wanted.pop(incarnation, None)
-        self._wanted[incarnation] = now
-        if len(self._wanted) > MAX_WANTED:
-            del self._wanted[next(iter(self._wanted))]
+        self._last_requested.pop(incarnation, None)
+        self._last_requested[incarnation] = now
+        if len(self._last_requested) > MAX_TRACKED_TARGETS:
+            del self._last_requested[next(iter(self._last_requested))]
 
-    def _is_wanted(self, incarnation: Incarnation, now: float) -> bool:
+    def _is_in_demand(self, incarnation: Incarnation, now: float) -> bool:
         """Whether a request might use a kept connection.
 
         Requests that run only once never do; kept after these alone, connections
         would take those that their target accepts from instances in need of one.
         """
-        return now - self._wanted.get(incarnation, float("-inf")) < IDLE_SECONDS
+        return (
+            now - self._last_requested.get(incarnation, float("-inf"))
+            < MAX_IDLE_SECONDS
+        )
 
-    def _give_back(
+    def _release(
         self,
         incarnation: Incarnation,
-        link: _Link,
+        connection: _TargetConnection,
         message: RawResponseMessage,
         may_send: Callable[[], bool] | None,
     ) -> None:
-        seconds = _find_idle_seconds(message.headers.get("Keep-Alive", ""))
+        seconds = _parse_idle_seconds(message.headers.get("Keep-Alive", ""))
         if may_send is not None and not may_send():
             # nobody would take it or close it: each restart of a target would leave
             # some open
-            link.abort()
+            connection.abort()
             return
-        if message.should_close or not link.reusable or seconds <= 0:
-            link.abort()
+        if message.should_close or not connection.reusable or seconds <= 0:
+            connection.abort()
             return
-        self._put(incarnation, link, seconds)
+        self._keep_idle(incarnation, connection, seconds)
 
 
-def _describe(what: str, error: Exception) -> TargetResponseError:
+def _create_error(what: str, error: Exception) -> TargetResponseError:
     # bytes that are no answer come from a process that lives
     broken = not isinstance(error, HttpProcessingError)
     return TargetResponseError(f"{what}: {type(error).__name__}", broken=broken)
 
 
-def _find_idle_seconds(text: str) -> float:
+def _parse_idle_seconds(text: str) -> float:
     """Return the seconds for which a connection may be used after an answer."""
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdecimal():
-            return min(IDLE_SECONDS, int(value) * IDLE_SHARE)
-    return IDLE_SECONDS
+            return min(MAX_IDLE_SECONDS, int(value) * KEEP_ALIVE_FRACTION)
+    return MAX_IDLE_SECONDS
 
 
 def _serialize(outbound: OutboundRequest, address: str) -> bytes:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -31,7 +31,7 @@
 STATUS_CONFLICT = 409
 #: seconds of work after which the end of a target is not put down to a request: what
 #: crashes one does so as it begins to run
-BEGINNING_SECONDS = 1.0
+CRASH_BLAME_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     def __init__(
         self,
         *,
-        links: TargetConnectionPool,
+        connections: TargetConnectionPool,
         codec: TargetCodec,
         fleet: Fleet,
         book: TargetBook,
@@ -67,7 +67,7 @@
         decisions: DecisionLog,
     ) -> None:
         self._crashes = crashes
-        self._links = links
+        self._connections = connections
         self._codec = codec
         self._fleet = fleet
         self._book = book
@@ -93,7 +93,7 @@
         incarnation = target.incarnation
         outbound = self._codec.encode_request(exchange.request, call)
         try:
-            reply = await self._links.send(
+            reply = await self._connections.send(
                 incarnation=incarnation,
                 address=target.address,
                 outbound=outbound,
@@ -103,7 +103,7 @@
             )
         except NotSentError as error:
             exchange.unsent += 1
-            return self._note(
+            return self._record_failure(
                 exchange, target, SendOutcome.UNSENT, str(error), blamed=may_send()
             )
         except TargetResponseError as error:
@@ -113,28 +113,28 @@
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
             raise
         exchange.targets.append(incarnation)
-        return self._judge(exchange, target, reply)
+        return self._classify(exchange, target, reply)
 
     def record_lost_response(
         self,
         exchange: RelayExchange,
         target: ListedTarget,
         error: TargetResponseError,
-        ran: float = 0.0,
+        ran_seconds: float = 0.0,
     ) -> FailedSend:
         """Take in that an answer did not come, or broke off.
 
         :param ran: seconds for which the target is known to have been at work on it
         """
-        if error.broken and ran < BEGINNING_SECONDS:
+        if error.broken and ran_seconds < CRASH_BLAME_SECONDS:
             self._crashes.note_broken(target, exchange.digest)
-        return self._note(exchange, target, SendOutcome.LOST, str(error))
+        return self._record_failure(exchange, target, SendOutcome.LOST, str(error))
 
     def record_survival(self, exchange: RelayExchange, target: ListedTarget) -> None:
         """Take in that a target has answered to the end, if only that it failed."""
         self._crashes.note_survived(target, exchange.digest)
 
-    def _judge(
+    def _classify(
         self, exchange: RelayExchange, target: ListedTarget, reply: TargetResponse
     ) -> ReceivedResponse | FailedSend:
         head = self._codec.read_head(reply)
@@ -144,15 +144,17 @@
             # an answer to somebody else's request, or one that nobody can place
             reply.abort()
             reason = f"answer to request {head.request_id[:40]!r}"
-            return self._note(exchange, target, SendOutcome.LOST, reason)
+            return self._record_failure(exchange, target, SendOutcome.LOST, reason)
         if head.misdirected:
             reply.abort()
             exchange.targets.pop()
             exchange.unsent += 1
-            return self._note(exchange, target, SendOutcome.MISDIRECTED, "other id")
+            return self._record_failure(
+                exchange, target, SendOutcome.MISDIRECTED, "other id"
+            )
         if head.not_run:
             reply.abort()
-            return self._note(
+            return self._record_failure(
                 exchange,
                 target,
                 SendOutcome.REJECTED,
@@ -162,11 +164,11 @@
         if head.encoded or not head.signed:
             reply.abort()
             reason = f"unsigned answer of status {head.status}"
-            return self._note(exchange, target, SendOutcome.LOST, reason)
+            return self._record_failure(exchange, target, SendOutcome.LOST, reason)
         exchange.raise_verdict(Verdict.RAN)
         return ReceivedResponse(head, reply)
 
-    def _note(
+    def _record_failure(
         self,
         exchange: RelayExchange,
         target: ListedTarget,
@@ -182,7 +184,7 @@
         if blamed and outcome is not SendOutcome.REJECTED:
             self._fleet.note_failure(target.incarnation, now)
             # what is kept open to it may be as dead as this one
-            self._links.drop(target.incarnation)
+            self._connections.close_idle(target.incarnation)
         self._decisions.log_decision(
             "send",
             request=exchange.request.request_id,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -27,14 +27,14 @@
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
 #: silence, as a multiple of the route's objective, after which an idempotent request
 #: is sent to another target: one that is mute answers nothing until the deadline
-PATIENCE = 1.0
+ATTEMPT_TIMEOUT_FACTOR = 1.0
 #: the same at the least, in seconds
-LEAST_PATIENCE = 0.15
+MIN_ATTEMPT_TIMEOUT = 0.15
 STATUS_SERVER_ERROR = 500
 
 
 @dataclass(frozen=True, slots=True)
-class _Whole:
+class _FullResponse:
     """An answer that was read to its end."""
 
     head: ResponseHead
@@ -48,7 +48,7 @@
         self.budgets.note_request(exchange.service)
         excluded: frozenset[Incarnation] = frozenset()
         last: FailedSend | None = None
-        failed: _Whole | None = None
+        error_response: _FullResponse | None = None
         while True:
             target = self.fleet.choose_plain(
                 exchange.service, excluded, self.clock.now()
@@ -56,12 +56,12 @@
             if target is None:
                 break
             self.check_hold(exchange)
-            result = await self._try(exchange, target)
-            if isinstance(result, _Whole):
+            result = await self._attempt(exchange, target)
+            if isinstance(result, _FullResponse):
                 if result.head.succeeded:
                     await self._deliver(exchange, result)
                     return
-                failed = result
+                error_response = result
                 if result.head.status < STATUS_SERVER_ERROR:
                     break
                 outcome = SendOutcome.FAILED
@@ -70,24 +70,24 @@
             excluded |= {target.incarnation}
             if not self.may_repeat(exchange, outcome):
                 break
-        if failed is not None:
+        if error_response is not None:
             # the target's own word is better than ours about it
-            await self._deliver(exchange, failed)
+            await self._deliver(exchange, error_response)
             return
         raise self.create_refusal(exchange, last)
 
-    async def _try(
+    async def _attempt(
         self, exchange: RelayExchange, target: ListedTarget
-    ) -> _Whole | FailedSend:
-        left = self.find_left(exchange)
-        if left <= 0:
+    ) -> _FullResponse | FailedSend:
+        remaining_seconds = self.find_left(exchange)
+        if remaining_seconds <= 0:
             return FailedSend(SendOutcome.UNSENT, "deadline over")
         call = AttemptContext(
             incarnation=target.incarnation,
-            remaining=left,
+            remaining=remaining_seconds,
             workspace=exchange.workspace,
         )
-        timeout = self._choose_patience(exchange, left)
+        timeout = self._choose_timeout(exchange, remaining_seconds)
         end = asyncio.get_running_loop().time() + timeout
         self.fleet.start(target.incarnation)
         try:
@@ -108,17 +108,17 @@
         self,
         exchange: RelayExchange,
         target: ListedTarget,
-        answered: ReceivedResponse,
+        received: ReceivedResponse,
         end: float,
-    ) -> _Whole | FailedSend:
-        reply = answered.reply
+    ) -> _FullResponse | FailedSend:
+        reply = received.reply
         try:
             async with asyncio.timeout_at(end):
                 body = await reply.read(MAX_ANSWER_BYTES)
         except TimeoutError:
             reply.abort()
-            late = TargetResponseError("answer not whole in time")
-            return self.sender.record_lost_response(exchange, target, late)
+            timed_out = TargetResponseError("answer not whole in time")
+            return self.sender.record_lost_response(exchange, target, timed_out)
         except TargetResponseError as error:
             reply.abort()
             return self.sender.record_lost_response(exchange, target, error)
@@ -127,24 +127,28 @@
             raise
         reply.release()
         self.sender.record_survival(exchange, target)
-        if answered.head.succeeded:
+        if received.head.succeeded:
             self.fleet.note_success(target.incarnation)
         else:
             self.fleet.note_failure(target.incarnation, self.clock.now())
-        return _Whole(answered.head, body)
+        return _FullResponse(received.head, body)
 
-    def _choose_patience(self, exchange: RelayExchange, left: float) -> float:
+    def _choose_timeout(
+        self, exchange: RelayExchange, remaining_seconds: float
+    ) -> float:
         route = exchange.route
-        again = len(exchange.targets) + 1 < route.max_attempts
-        if route.kind is not RouteKind.SAFE or not again:
-            return left
-        patience = max(LEAST_PATIENCE, route.objective * PATIENCE)
-        return min(patience, left / 2)
-
-    async def _deliver(self, exchange: RelayExchange, whole: _Whole) -> None:
-        head = whole.head
+        may_fail_over = len(exchange.targets) + 1 < route.max_attempts
+        if route.kind is not RouteKind.SAFE or not may_fail_over:
+            return remaining_seconds
+        attempt_timeout = max(
+            MIN_ATTEMPT_TIMEOUT, route.objective * ATTEMPT_TIMEOUT_FACTOR
+        )
+        return min(attempt_timeout, remaining_seconds / 2)
+
+    async def _deliver(self, exchange: RelayExchange, response: _FullResponse) -> None:
+        head = response.head
         exchange.status = head.status
         exchange.outcome = "answered" if head.succeeded else "failed"
         await exchange.writer.send(
-            head.status, head.headers, whole.body, reason=head.reason
+            head.status, head.headers, response.body, reason=head.reason
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/usage.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/usage.py
@@ -23,9 +23,9 @@
 __all__ = ("UsageController",)
 
 #: seconds between two samples
-INTERVAL = 1.0
+SAMPLE_INTERVAL = 1.0
 #: counters of the bytes that leave this instance
-SENT_BYTES = ("links.bytes_out", "peers.wire_out", "front.bytes_out")
+SENT_BYTE_COUNTERS = ("links.bytes_out", "peers.wire_out", "front.bytes_out")
 
 
 class UsageController(Controller):
@@ -44,14 +44,14 @@
         self,
         *,
         capacity: Capacity,
-        read_work: Callable[[], float],
+        read_busy_seconds: Callable[[], float],
         clock: Clock,
         metrics: MetricTotals,
         decisions: DecisionLog,
     ) -> None:
         super().__init__()
         self._capacity = capacity
-        self._read_work = read_work
+        self._read_busy_seconds = read_busy_seconds
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
@@ -64,22 +64,22 @@
     @Service.task
     async def _sample_forever(self) -> None:
         while not self.should_stop:
-            self._take(await self._sample())
+            self._publish(await self._sample())
 
     async def _sample(self) -> Usage:
         began = self._clock.now()
-        work, sent = self._read_work(), self._count_sent()
-        await asyncio.sleep(INTERVAL)
+        work, sent = self._read_busy_seconds(), self._count_sent()
+        await asyncio.sleep(SAMPLE_INTERVAL)
         seconds = self._clock.now() - began
         return Usage(
-            work=_find_share(self._read_work() - work, seconds),
-            link=_find_share(
+            work=_compute_share(self._read_busy_seconds() - work, seconds),
+            link=_compute_share(
                 self._count_sent() - sent, seconds * self._capacity.link_bytes
             ),
-            lag=max(0.0, seconds - INTERVAL),
+            lag=max(0.0, seconds - SAMPLE_INTERVAL),
         )
 
-    def _take(self, usage: Usage) -> None:
+    def _publish(self, usage: Usage) -> None:
         self._usage = usage
         self._metrics.gauge("usage.work", usage.work)
         self._metrics.gauge("usage.link", usage.link)
@@ -92,7 +92,7 @@
             )
 
     def _count_sent(self) -> int:
-        return sum(self._metrics.value(name) for name in SENT_BYTES)
+        return sum(self._metrics.value(name) for name in SENT_BYTE_COUNTERS)
 
     def _describe(self) -> dict[str, float]:
         return {
@@ -102,5 +102,5 @@
         }
 
 
-def _find_share(used: float, allowed: float) -> float:
+def _compute_share(used: float, allowed: float) -> float:
     return used / allowed if allowed > 0 else 0.0
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -27,7 +27,7 @@
 from greengagelatch_platform.targets import PlatformTargetCodec
 
 #: bound of every wait, in seconds
-PATIENCE = 20
+WAIT_SECONDS = 20
 
 
 @dataclass(frozen=True)
@@ -94,7 +94,7 @@
 
     async def wait_for(self, condition) -> None:
         """Wait until ``condition`` holds."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_SECONDS):
             while not condition():  # noqa: ASYNC110 - any part may make it true
                 await asyncio.sleep(0.01)
 
@@ -105,13 +105,13 @@
 
     async def wait_for_breaker(self, incarnation: object, state: str) -> None:
         """Send requests until a target's breaker is in a state."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_SECONDS):
             while self._read_breaker(incarnation) != state:
                 await self.ask("/look/1")
 
     def _read_breaker(self, incarnation: object) -> str:
-        believed = self.describe()["targets"]
-        return believed.get(str(incarnation), {}).get("breaker", "")
+        targets = self.describe()["targets"]
+        return targets.get(str(incarnation), {}).get("breaker", "")
 
     async def wait_until_synced(self, targets: int) -> None:
         """Wait until the configuration and so many targets are known."""
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -17,7 +17,10 @@
 from greengagelatch_entry.relay import runners
 from greengagelatch_entry.relay.event_splitter import EventSplitter
 from greengagelatch_entry.relay.front import RelayFront
-from greengagelatch_entry.relay.target_connections import TargetConnectionPool, _Link
+from greengagelatch_entry.relay.target_connections import (
+    TargetConnectionPool,
+    _TargetConnection,
+)
 from greengagelatch_lab.platform_standins.targets import TargetFault
 from greengagelatch_platform import headers
 from greengagelatch_platform.listing import PlatformListingCodec
@@ -53,12 +56,12 @@
 
 
 async def test_reset_is_told_from_an_orderly_end(world, monkeypatch):
-    lose = _Link.connection_lost
+    connection_lost = _TargetConnection.connection_lost
 
-    def lose_in_order(self, exc):
-        lose(self, None)
+    def close_in_order(self, exc):
+        connection_lost(self, None)
 
-    monkeypatch.setattr(_Link, "connection_lost", lose_in_order)
+    monkeypatch.setattr(_TargetConnection, "connection_lost", close_in_order)
     set_fault(world, TargetFault.UNFRAMED_RESET)
     reply = await world.ask("/book/1", method="POST", request_id="b-1")
     assert reply.status == 200
@@ -164,7 +167,7 @@
 
 async def test_end_of_a_stop_breaks_requests_off(pipeline, monkeypatch):
     monkeypatch.setattr(pipeline.parts.drain, "_break_off", lambda: None)
-    monkeypatch.setattr(test_stop, "PATIENCE", 2)
+    monkeypatch.setattr(test_stop, "WAIT_SECONDS", 2)
     with pytest.raises(TimeoutError):
         await test_stop.test_what_is_in_flight_at_the_end_of_a_stop_is_answered(
             pipeline
@@ -200,7 +203,7 @@
 async def test_starts_of_targets_are_told_apart(world, monkeypatch, name):
     ignore_starts(monkeypatch)
     monkeypatch.setattr(test_restarts, "is_known", has_heard_all)
-    monkeypatch.setattr(conftest, "PATIENCE", 3)
+    monkeypatch.setattr(conftest, "WAIT_SECONDS", 3)
     with pytest.raises((AssertionError, TimeoutError)):
         await getattr(test_restarts, name)(world)
 
@@ -215,7 +218,7 @@
 )
 async def test_starts_of_makers_are_told_apart(pipeline, monkeypatch, name):
     ignore_starts(monkeypatch)
-    monkeypatch.setattr(conftest, "PATIENCE", 3)
+    monkeypatch.setattr(conftest, "WAIT_SECONDS", 3)
     with pytest.raises((AssertionError, TimeoutError)):
         await getattr(test_restarts, name)(pipeline)
 
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -47,7 +47,7 @@
         self.follower = ListingFollower(
             codec=PlatformListingCodec(),
             book=self.book,
-            note_gone=lambda incarnation: self.gone.append(str(incarnation)),
+            on_removed=lambda incarnation: self.gone.append(str(incarnation)),
             find_services=lambda: self.services,
             clock=clock,
             metrics=self.metrics,
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -14,7 +14,7 @@
 )
 
 #: bound of every wait, in seconds
-PATIENCE = 20
+WAIT_SECONDS = 20
 
 
 def encode_request(request_id: str, path: str = "/look/1", *more: str) -> bytes:
@@ -31,7 +31,7 @@
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, str]:
     """Return status and head of the next answer; status 0 if there is none."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -97,13 +97,13 @@
     await world.wait_until_synced(3)
     reader, writer = await connect(world)
     writer.write(encode_request("streamed", "/scan/1", "X-Prefix-Hash: aa:100"))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         head = await reader.readuntil(b"\r\n\r\n")
     assert b"connection: close" not in head.lower()
     world.parts.drain.request_stop()
     await world.parts.front.close_listener()
     engine.pause.set()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         rest = await reader.read()
     assert rest.endswith(b"\r\n0\r\n\r\n")
     writer.close()
@@ -161,7 +161,7 @@
     await pipeline.wait_for(lambda: count_runs(pipeline, "booking") == 1)
     drain = pipeline.parts.drain
     drain.request_stop()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         assert not await drain.wait()
         # the stop itself answers: the process may be killed right after it
         refused, unsettled = await asyncio.gather(staged, booked)
@@ -209,7 +209,7 @@
 
 async def stop_instance(world) -> bool:
     """Carry out a stop that was requested as the application does."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         finished = await world.parts.drain.wait()
         await world.parts.front.stop()
     return finished
@@ -225,7 +225,7 @@
     Cause: a request was in flight only once its handler had begun, two turns later.
     """
     drain, front = world.parts.drain, world.parts.front
-    drain._longest = PATIENCE
+    drain._longest = WAIT_SECONDS
     reader, writer = await connect(world)
     writer.write(encode_request("first"))
     assert (await read_answer(reader))[0] == 200
@@ -316,14 +316,14 @@
     await world.wait_until_synced(3)
     reader, writer = await connect(world)
     writer.write(encode_request("streamed", "/scan/1", "X-Prefix-Hash: aa:100"))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         await reader.readuntil(b"\r\n\r\n")
     (connection,) = world.parts.front._connections._server.connections
     connection.data_received(encode_request("next"))
     world.parts.drain.request_stop()
     await world.parts.front.close_listener()
     engine.pause.set()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         await reader.readuntil(b"\r\n0\r\n\r\n")
     status, head = await read_answer(reader)
     assert status == 503
--- a/tests/test_entry/test_relay/test_store_follower.py
+++ b/tests/test_entry/test_relay/test_store_follower.py
@@ -47,11 +47,11 @@
         random_source=random.Random(1),
         metrics=metrics,
         decisions=DecisionLog(clock=clock, metrics=metrics),
-        **{"is_listener": lambda: False, "is_relied_on": lambda: False, **rules},
+        **{"is_listener": lambda: False, "has_dependents": lambda: False, **rules},
     )
 
 
-async def tell(follower: StoreFollower, seconds: float) -> None:
+async def report_from_peers(follower: StoreFollower, seconds: float) -> None:
     """Have peers tell the newest for so many seconds."""
     for _ in range(round(seconds / 0.4)):
         follower.record_peer_report(0.2)
@@ -64,7 +64,7 @@
     follower = create_follower(store)
     await follower.start()
     await asyncio.sleep(4.0)
-    await tell(follower, 8.0)
+    await report_from_peers(follower, 8.0)
     assert follower.passive
     before = store.scans
     await asyncio.sleep(IN_FORCE / 2)
@@ -76,7 +76,7 @@
     """Guards against news that are as old as the bound when they are passed on."""
     store = Store()
     follower = create_follower(
-        store, is_listener=lambda: True, is_relied_on=lambda: True
+        store, is_listener=lambda: True, has_dependents=lambda: True
     )
     await follower.start()
     await asyncio.sleep(5.0)
--- a/tests/test_entry/test_relay/test_usage.py
+++ b/tests/test_entry/test_relay/test_usage.py
@@ -26,7 +26,7 @@
         return 0.0
 
 
-class Beliefs:
+class RecordingLog:
     """Keeps what is logged."""
 
     def __init__(self) -> None:
@@ -38,34 +38,34 @@
 
 async def sample(monkeypatch, metrics, clock, sent=0):
     """Take one sample while so many bytes are sent."""
-    monkeypatch.setattr(usage, "INTERVAL", 0.0)
-    beliefs = Beliefs()
+    monkeypatch.setattr(usage, "SAMPLE_INTERVAL", 0.0)
+    log = RecordingLog()
     controller = UsageController(
         capacity=Capacity(cores=1.0, link_bytes=LINK_BYTES),
         clock=clock,
-        read_work=iter((1.0, 1.0)).__next__,
+        read_busy_seconds=iter((1.0, 1.0)).__next__,
         metrics=metrics,
-        decisions=beliefs,
+        decisions=log,
     )
     sampling = asyncio.create_task(controller._sample())
     await asyncio.sleep(0)
     metrics.count("links.bytes_out", sent)
-    controller._take(await sampling)
-    return controller, beliefs
+    controller._publish(await sampling)
+    return controller, log
 
 
 async def test_full_link_is_told_apart_from_a_late_loop(monkeypatch):
     metrics = MetricTotals()
-    _, beliefs = await sample(monkeypatch, metrics, StepClock(5.0, 5.01), sent=9)
-    kind, fields = beliefs.lines[0]
+    _, log = await sample(monkeypatch, metrics, StepClock(5.0, 5.01), sent=9)
+    kind, fields = log.lines[0]
     assert kind == "busy"
     assert fields["link"] == 0.9
     assert fields["lag_ms"] == 10
 
 
 async def test_late_loop_is_told_apart_from_a_full_link(monkeypatch):
-    controller, beliefs = await sample(monkeypatch, MetricTotals(), StepClock(5.0, 5.2))
-    kind, fields = beliefs.lines[0]
+    controller, log = await sample(monkeypatch, MetricTotals(), StepClock(5.0, 5.2))
+    kind, fields = log.lines[0]
     assert kind == "busy"
     assert fields["link"] == 0.0
     assert fields["lag_ms"] == 200
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -26,7 +26,7 @@
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(180)]
 
 #: bound of every wait, in seconds
-PATIENCE = 60
+WAIT_SECONDS = 60
 
 
 @pytest.fixture
@@ -66,7 +66,7 @@
 
 
 async def wait_for_status(session, instance, status: int, **fields) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while await ask(session, instance, **fields) != status:  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
@@ -91,7 +91,7 @@
     return any(line["version"] == version for line in lines)
 
 
-class KeptCaller:
+class KeepAliveCaller:
     """Sends streams one after the other on one connection until it is closed."""
 
     def __init__(self, instance, number: int) -> None:
@@ -103,7 +103,7 @@
         host, _, port = self._instance.front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         statuses = []
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_SECONDS):
             while True:
                 writer.write(self._encode(len(statuses)))
                 try:
@@ -187,7 +187,7 @@
     stopped.set()
     await asyncio.gather(*senders)
     assert set(statuses) == {200}
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         assert await instance.process.wait() == 0
 
 
@@ -203,19 +203,21 @@
     instance = fleet.instances[0]
     # longer than the stop may take, also on a busy machine
     fleet.store.put("op/config", create_configuration(4, timeout_ms=60_000))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not knows_version(instance, 4):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
     engines = fleet.find_targets("llm")
     gate = asyncio.Event()
     for engine in engines:
         engine.gate = gate
-    callers = [asyncio.create_task(KeptCaller(instance, n).call()) for n in range(4)]
-    async with asyncio.timeout(PATIENCE):
+    callers = [
+        asyncio.create_task(KeepAliveCaller(instance, n).call()) for n in range(4)
+    ]
+    async with asyncio.timeout(WAIT_SECONDS):
         while sum(engine.runs.total() for engine in engines) < len(callers):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
     instance.process.send_signal(signal.SIGTERM)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not find_log_message(instance, "no new connections"):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
     gate.set()
@@ -223,7 +225,7 @@
     # each had its whole answer, and its connection was closed behind it
     assert answered == [[200]] * len(callers)
     assert sum(engine.runs.total() for engine in engines) == len(callers)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         assert await instance.process.wait() == 0
 
 
@@ -280,7 +282,7 @@
     instance = fleet.instances[0]
     assert await ask(session, instance, request_id="look-for-me") == 200
     lines: list[dict] = []
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not lines:
             await asyncio.sleep(0.05)
             lines = read_log(instance, "request")
