--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -15,8 +15,8 @@
     from greengagelatch.relay.requests import HeaderLine, OpaqueRequest
     from greengagelatch.relay.targets import ListedTarget
 
+    from .messages import AttemptContext, OutboundRequest, ResponseHead
     from .target_connections import TargetResponse
-    from .messages import ResponseHead, OutboundRequest, AttemptContext
 
 __all__ = ("CallerCodec", "DeploymentCodec", "ListingCodec", "TargetCodec")
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -39,26 +39,26 @@
     SplitFilter,
     StopFilter,
 )
-from .store_follower import StoreFollower
 from .front import RelayFront
-from .target_connections import TargetConnectionPool
 from .listing import ListingFollower
-from .peer_sync import PeerSyncController
 from .owned_desk import OwnedDesk
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelaySettings
 from .peer_settings import create_peer_settings
+from .peer_sync import PeerSyncController
 from .piece_suspects import WatchedPieces
-from .unary import UnaryRunner
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
 from .registry import RegistryController
 from .run_times import RunTimes
-from .target_sender import TargetSender
 from .stage_groups import MakerGroups
 from .stage_pool import StagePool
 from .stages import StageRunner
+from .store_follower import StoreFollower
 from .streams import StreamRunner
+from .target_connections import TargetConnectionPool
+from .target_sender import TargetSender
+from .unary import UnaryRunner
 from .usage import UsageController
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .target_connections import TargetResponseError, NotSentError
+from .target_connections import NotSentError, TargetResponseError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,8 +17,8 @@
     from ..metrics import Metrics
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .target_connections import TargetConnectionPool
     from .makers import Maker
+    from .target_connections import TargetConnectionPool
 
 __all__ = ("ResultFreeing",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -12,7 +12,7 @@
 from ..adapters.caller_bodies import CLOSING_STATUSES, BodyError, read_body
 from ..adapters.caller_connections import CallerConnections, find_use
 from ..adapters.caller_listener import CallerListener
-from .exchange import ResponseWriter, CallerDisconnectedError, RelayExchange
+from .exchange import CallerDisconnectedError, RelayExchange, ResponseWriter
 from .refusals import encode_refusal, find_refusal_status
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .target_connections import TargetResponseError, NotSentError
+from .target_connections import NotSentError, TargetResponseError
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
@@ -15,9 +15,9 @@
     from greengagelatch.relay.targets import TargetBook
 
     from .codecs import TargetCodec
-    from .target_connections import TargetConnectionPool
     from .makers import Maker
     from .messages import ResponseHead
+    from .target_connections import TargetConnectionPool
 
 __all__ = ("ANSWERED", "MADE", "REJECTED", "UNSENT", "CallEnd", "MakerCaller")
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -26,8 +26,8 @@
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
     from .crashes import CrashBoard
-    from .store_follower import StoreFollower
     from .listing import ListingFollower
+    from .store_follower import StoreFollower
 
 __all__ = ("PeerSyncController",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -23,7 +23,7 @@
 
     from .budgets import RepeatBudgets
     from .exchange import RelayExchange
-    from .target_sender import TargetSender, FailedSend
+    from .target_sender import FailedSend, TargetSender
 
 __all__ = ("Runner",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -31,9 +31,9 @@
     from .budgets import RepeatBudgets
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .target_connections import TargetConnectionPool
     from .piece_suspects import PieceSuspects
     from .stage_queue import Work
+    from .target_connections import TargetConnectionPool
 
 __all__ = ("StagePool",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -13,11 +13,11 @@
 
 from .event_splitter import EventSplitter
 from .input_fetch import InputFetch
-from .target_connections import TargetResponseError
 from .messages import AttemptContext
 from .refusals import create_error
 from .runners import Runner
-from .target_sender import STATUS_CONFLICT, ReceivedResponse, FailedSend
+from .target_connections import TargetResponseError
+from .target_sender import STATUS_CONFLICT, FailedSend, ReceivedResponse
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.verdict import Verdict
 
-from .target_connections import TargetResponseError, NotSentError
+from .target_connections import NotSentError, TargetResponseError
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,8 +22,8 @@
     from .crash_watch import CrashWatch
     from .decisions import DecisionLog
     from .exchange import RelayExchange
+    from .messages import AttemptContext, ResponseHead
     from .target_connections import TargetConnectionPool, TargetResponse
-    from .messages import ResponseHead, AttemptContext
 
 __all__ = ("ReceivedResponse", "TargetSender", "FailedSend")
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -9,10 +9,10 @@
 from greengagelatch.relay.deployment import RouteKind
 from greengagelatch.relay.outcomes import SendOutcome
 
-from .target_connections import TargetResponseError
 from .messages import AttemptContext
 from .runners import Runner
-from .target_sender import ReceivedResponse, FailedSend
+from .target_connections import TargetResponseError
+from .target_sender import FailedSend, ReceivedResponse
 
 if TYPE_CHECKING:
     from greengagelatch.relay.incarnations import Incarnation
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -9,8 +9,8 @@
 
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch_entry.relay.codecs import TargetCodec
+from greengagelatch_entry.relay.messages import OutboundRequest, ResponseHead
 from greengagelatch_entry.relay.target_connections import NotSentError
-from greengagelatch_entry.relay.messages import ResponseHead, OutboundRequest
 
 if TYPE_CHECKING:
     import random
--- a/tests/test_entry/test_relay/test_store_follower.py
+++ b/tests/test_entry/test_relay/test_store_follower.py
@@ -10,8 +10,8 @@
 
 from greengagelatch.store.ranges import Changes, Scan
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.store_follower import StoreFollower
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
+from greengagelatch_entry.relay.store_follower import StoreFollower
 from greengagelatch_lab.stage_load.trial import LoopClock
 
 pytestmark = pytest.mark.looptime
