--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque requests: the way from a caller to a target and back."""
+"""Proxying of opaque requests between callers and targets."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/codecs.py
@@ -1,4 +1,4 @@
-"""Interfaces of what translates between the wire and the product's own types."""
+"""Interfaces for conversion between wire formats and internal types."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CallerCodec(ABC):
-    """Reads callers' requests."""
+    """Decodes requests from callers."""
 
     @abstractmethod
     def decode(
@@ -36,18 +36,18 @@
     ) -> OpaqueRequest:
         """Return the request.
 
-        :raises RefusedError: if a header has no meaning
+        :raises RefusedError: if a header value is malformed
         """
 
 
 class TargetCodec(ABC):
-    """Writes requests to targets and reads their answers."""
+    """Encodes requests to targets and decodes their responses."""
 
     @abstractmethod
     def encode_request(
         self, request: OpaqueRequest, call: AttemptContext
     ) -> OutboundRequest:
-        """Return a caller's request as a target gets it."""
+        """Return a caller's request in the form sent to a target."""
 
     @abstractmethod
     def encode_pieces(
@@ -56,26 +56,26 @@
         remaining: tuple[float, ...],
         incarnation: Incarnation,
     ) -> OutboundRequest:
-        """Return the call that asks a maker for ``pieces``.
+        """Return the call that asks a maker to compute ``pieces``.
 
-        :param remaining: seconds that are left for each piece
+        :param remaining: seconds until the deadline of each piece
         """
 
     @abstractmethod
     def encode_release(
         self, handles: tuple[str, ...], incarnation: Incarnation
     ) -> OutboundRequest:
-        """Return the call that gives up results at their maker."""
+        """Return the call that releases results held by their maker."""
 
     @abstractmethod
     def read_head(self, reply: TargetResponse) -> ResponseHead:
-        """Decode the head of an answer."""
+        """Decode the head of a response."""
 
     @abstractmethod
     def read_pieces(
         self, body: bytes, count: int, maker: ListedTarget
     ) -> tuple[PieceResult, ...] | None:
-        """Return the results that a maker tells; ``None`` if it can't be read."""
+        """Return the results in a maker's response; ``None`` if it is malformed."""
 
     @abstractmethod
     def find_maker_address(self, handle: str) -> str:
@@ -83,11 +83,11 @@
 
     @abstractmethod
     def read_event_id(self, event: bytes) -> int | None:
-        """Return the id of one event of a stream."""
+        """Return the id of a stream event; ``None`` if it has none."""
 
 
 class DeploymentCodec(ABC):
-    """Reads configurations."""
+    """Decodes deployment configurations."""
 
     #: key of the configuration in the store
     key: str
@@ -96,11 +96,11 @@
     def decode(
         self, value: bytes, revision: int
     ) -> Result[tuple[Deployment, tuple[Problem, ...]], Problem]:
-        """Return the deployment, and what of it had to be set aside."""
+        """Return the deployment and the problems of the parts that were rejected."""
 
 
 class ListingCodec(ABC):
-    """Reads targets' entries."""
+    """Decodes the store entries of targets."""
 
     #: prefix of the entries' keys in the store
     prefix: str
@@ -109,4 +109,4 @@
     def decode(
         self, key: str, value: bytes, revision: int
     ) -> Result[ListedTarget, Problem]:
-        """Return the target of an entry."""
+        """Return the target that an entry describes."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -1,4 +1,4 @@
-"""The composition root of an instance that passes opaque requests on."""
+"""Composition root of an instance that proxies opaque requests."""
 
 from __future__ import annotations
 
@@ -69,11 +69,11 @@
 
 __all__ = ("compose_relay",)
 
-#: instances assumed to share a budget before others are known; more than there
-#: usually are, so that the share errs on the safe side
+#: lower bound on the instances assumed to share a retry budget. It exceeds the usual
+#: fleet size, so that an instance without full membership takes too small a share
 ASSUMED_INSTANCES = 10
-#: instances that may gather the pieces of one service at the same time, while they
-#: don't agree on who is alive
+#: lower bound on the instances assumed to own the same service at a time: several
+#: may batch its pieces while their views of the membership differ
 ASSUMED_OWNERS = 3
 
 
@@ -83,16 +83,16 @@
     reload: Callable[[], None] = lambda: None,
     read_busy_seconds: Callable[[], float] = lambda: 0.0,
 ) -> RelayParts:
-    """Build and wire all parts; nothing is started yet.
+    """Build and wire all components without starting them.
 
-    :param reload: reads the settings file again
-    :param read_busy_seconds: returns the seconds that the event loop has been at work
+    :param reload: reloads the settings file
+    :param read_busy_seconds: returns the cumulative busy time of the event loop
     """
     return _Composer(rules, adapters, reload, read_busy_seconds).compose()
 
 
 class _Composer:
-    """Holds what most parts are built from while they are wired."""
+    """Holds the shared dependencies while the components are wired."""
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
         self.listeners: frozenset[str] = frozenset()
-        #: members by which these were chosen
+        #: membership from which ``listeners`` was computed
         self.listener_members: tuple[Member, ...] = ()
 
     def compose(self) -> RelayParts:
@@ -126,7 +126,7 @@
             drain=self.drain,
             close=self._close,
             signals={
-                # a second signal must not cut what the first one lets finish
+                # a second signal must not cut short the drain begun by the first
                 signal.SIGTERM: self.drain.start_drain,
                 signal.SIGINT: self.drain.start_drain,
                 signal.SIGHUP: self.reload,
@@ -372,7 +372,7 @@
         )
 
     def _count_instances(self) -> int:
-        """Return how many instances share budgets, rather too many than too few."""
+        """Return how many instances share retry budgets, with a lower bound."""
         alive = sum(
             member.state in (MemberState.ALIVE, MemberState.SUSPECT)
             for member in self.peers.members()
@@ -380,11 +380,11 @@
         return max(alive, ASSUMED_INSTANCES)
 
     def _count_owners(self) -> int:
-        """Return how many instances share budgets of stage work."""
+        """Return how many instances share the retry budgets of stage calls."""
         return max(ASSUMED_OWNERS, self.groups.count_most())
 
     def _find_idle_limit(self, incarnation: Incarnation) -> int:
-        """Return how many idle connections may be kept to a target."""
+        """Return the maximum number of idle connections to a target."""
         target = self.book.find_listed(incarnation.target_id)
         deployment = self.configuration.deployment
         service = None
@@ -400,7 +400,7 @@
     def _list_listeners(self) -> frozenset[str]:
         members = self.peers.members()
         if members is not self.listener_members:
-            # asked for several times a second, and changes rarely
+            # cached: read several times a second, while the membership changes rarely
             self.listener_members = members
             self.listeners = choose_listeners(
                 {
@@ -412,7 +412,7 @@
         return self.listeners
 
     def _has_dependents(self) -> bool:
-        """Whether others leave the store to this instance."""
+        """Whether other instances rely on this one to watch the store."""
         listeners = self._list_listeners()
         if self.peers.instance_id not in listeners:
             return False
@@ -452,7 +452,7 @@
         return synced and not self.drain.draining
 
     async def _wait_idle(self, timeout: float) -> bool:
-        """Wait until neither a caller nor a peer waits for this instance."""
+        """Wait until no request of a caller or a peer is in flight."""
         end = self.clock.now() + timeout
         if not await self.front.wait_idle(timeout):
             return False
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this instance."""
+"""Active configuration of this instance."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class ConfigurationFollower(StoreSubscriber):
-    """Follows the configuration and never goes back to an older version.
+    """Follows the configuration and rejects versions older than the active one.
 
-    A stale read, a peer that is behind, or an answer that was held up must not take
-    back what callers and targets have already seen in force.
+    Stale reads, lagging peers and delayed responses must not roll back a
+    configuration that callers and targets have already observed.
     """
 
     def __init__(
@@ -41,27 +41,27 @@
         self._revision = 0
         self._value = b""
         self._active_since = 0.0
-        #: called without arguments once another version is in force
+        #: called without arguments after another version has become active
         self.listeners: list[Callable[[], None]] = []
 
     @property
     def table(self) -> RouteTable | None:
-        """Routes and keys in force; ``None`` before any are known."""
+        """Active routes and keys; ``None`` until a configuration has been loaded."""
         return self._table
 
     @property
     def deployment(self) -> Deployment | None:
-        """The configuration in force; ``None`` before any is known."""
+        """Active configuration; ``None`` until one has been loaded."""
         return None if self._table is None else self._table.deployment
 
     @property
     def revision(self) -> int:
-        """Revision of the store at which the version in force was written."""
+        """Store revision at which the active version was written."""
         return self._revision
 
     @property
     def value(self) -> bytes:
-        """The configuration in force, encoded."""
+        """Active configuration in its encoded form."""
         return self._value
 
     def apply_scan(self, scan: Scan) -> None:
@@ -75,7 +75,10 @@
                 self.apply(entry.value, entry.revision, "store")
 
     def apply(self, value: bytes, revision: int, origin: str) -> bool:
-        """Put a configuration in force if it is newer; whether it was."""
+        """Activate a configuration if it is newer than the active one.
+
+        :return: whether the value was newer by its revision and could be decoded
+        """
         if revision <= self._revision:
             return False
         match self._codec.decode(value, revision):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/decisions.py
@@ -1,4 +1,4 @@
-"""Log lines on decisions and beliefs, bounded in number."""
+"""Rate-limited log of request decisions and log of state changes."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 __all__ = ("DecisionLog",)
 
-#: lines in a second, and in a burst, beyond which lines are dropped and counted; a
-#: line costs about a twentieth of a request's processor time
+#: token bucket of the decision log: lines per second, and lines in a burst. Lines
+#: beyond it are dropped and counted; one line costs about a twentieth of the processor
+#: time of a request
 LINES_PER_SECOND = 120.0
 BURST_LINES = 600.0
 
 
 class DecisionLog:
-    """Writes one line for each decision, as long as there are not too many.
+    """Writes one line per decision, limited by a token bucket.
 
-    Under load a process would otherwise spend its processor on lines about being
-    short of it. What is left out is counted, and the count is logged.
+    Without the limit, an overloaded process would spend much of its processor time
+    on logging. Dropped lines are counted, and the next line carries the count.
     """
 
     def __init__(self, *, clock: Clock, metrics: Metrics) -> None:
@@ -36,7 +37,7 @@
         self._dropped = 0
 
     def log_decision(self, kind: str, **fields: Any) -> None:
-        """Log one decision about a request; it may be left out under load."""
+        """Log a decision on a request, unless the rate limit is exceeded."""
         self._metrics.count(f"decisions.{kind}")
         now = self._clock.now()
         refill = (now - self._refilled_at) * LINES_PER_SECOND
@@ -53,7 +54,7 @@
         self._write(kind, fields)
 
     def log_state_change(self, kind: str, **fields: Any) -> None:
-        """Log a change of what this process believes; it is never left out."""
+        """Log a change in this instance's view of the system, without a rate limit."""
         self._metrics.count(f"beliefs.{kind}")
         self._write(kind, fields)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/event_splitter.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/event_splitter.py
@@ -1,4 +1,4 @@
-"""Splitting of an event stream into whole events, byte for byte."""
+"""Splitting of a byte stream into complete server-sent events."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class EventSplitter:
-    """Cuts a stream after each event.
+    """Buffers a stream and returns complete events only.
 
-    A target may stop in the middle of an event. What was passed on up to there
-    could not be taken back when another target goes on with the same event.
+    A target may fail in the middle of an event. If the first part had been forwarded,
+    the caller would receive it again when another target resends the event.
     """
 
     def __init__(self) -> None:
@@ -21,11 +21,11 @@
 
     @property
     def pending(self) -> bool:
-        """Whether a part of an event is left."""
+        """Whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the events that ``data`` completes, with their ends."""
+        """Return the events that ``data`` completes, including their terminators."""
         buffer = self._buffer + data
         events = []
         start = 0
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -1,4 +1,4 @@
-"""One opaque request on its way, and the writing of its answer."""
+"""State of one opaque request and the writer of its response."""
 
 from __future__ import annotations
 
@@ -23,19 +23,20 @@
 
 __all__ = ("ResponseWriter", "CallerDisconnectedError", "RelayExchange")
 
-#: seconds for which a caller that does not read may hold up an answer
+#: seconds after which a write is abandoned because the caller does not read
 WRITE_TIMEOUT = 10.0
 
 
 class CallerDisconnectedError(Exception):
-    """The caller can't be written to any more."""
+    """The caller has disconnected or does not read its response."""
 
 
 class ResponseWriter:
-    """Writes one answer to a caller, whole or event by event.
+    """Writes one response to a caller, in one piece or as a stream.
 
-    :param keep: whether the connection is kept after an answer that begins now
-    :param note_sent: called with the bytes of each part of a body
+    :param keep_alive: returns whether the connection stays open after a response that
+        begins now
+    :param on_bytes_sent: called with the size in bytes of each part of a body
     """
 
     def __init__(
@@ -49,12 +50,12 @@
         self._keep_alive = keep_alive
         self._on_bytes_sent = on_bytes_sent
         self._stream: web.StreamResponse | None = None
-        #: what the connection's handler has to return
+        #: response object that the connection handler must return
         self.response: web.StreamResponse | None = None
 
     @property
     def started(self) -> bool:
-        """Whether a part of the answer has been written."""
+        """Whether writing the response has begun."""
         return self.response is not None
 
     async def send(
@@ -66,7 +67,7 @@
         reason: str | None = None,
         close: bool = False,
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         response = web.Response(status=status, reason=reason, body=body)
         _copy_headers(headers, response)
         if close or not self._keep_alive():
@@ -76,7 +77,7 @@
         await self._write_with_timeout(self._write_whole(response))
 
     async def begin(self, head: ResponseHead) -> None:
-        """Write the head of a stream."""
+        """Write the head of a streamed response."""
         response = web.StreamResponse(status=head.status, reason=head.reason)
         _copy_headers(head.headers, response)
         if not self._keep_alive():
@@ -85,16 +86,16 @@
         await self._write_with_timeout(response.prepare(self._request))
 
     async def write(self, data: bytes) -> None:
-        """Write a part of a stream."""
+        """Write a chunk of a streamed response."""
         self._on_bytes_sent(len(data))
         await self._write_with_timeout(self._stream.write(data))
 
     async def finish(self) -> None:
-        """End a stream as complete."""
+        """Terminate a streamed response as complete."""
         await self._write_with_timeout(self._stream.write_eof())
 
     def abort(self) -> None:
-        """Break off: what was written must not look like a whole answer."""
+        """Abort the connection, so that a partial response does not look complete."""
         transport = self._request.transport
         if transport is not None:
             transport.abort()
@@ -114,26 +115,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class RelayExchange:
-    """One request on its way through the filters; the only record that changes."""
+    """Mutable state of one request as it passes through the filters."""
 
     request: OpaqueRequest
     writer: ResponseWriter
     use: ConnectionUse = field(default_factory=ConnectionUse)
-    #: set by the filter that looks the route up
+    #: set by ``RouteFilter``
     deployment: Deployment | None = None
     route: Route | None = None
     service: str = ""
     workspace: str = ""
-    #: the same for all attempts that carry the same request
+    #: identifies the content of a request; equal for all attempts at it
     digest: str = ""
-    #: 0 is the most urgent
+    #: priority rank; 0 is the most urgent
     rank: float = 0.0
-    #: monotonic seconds by which the answer must be out
+    #: monotonic time in seconds by which the response must be complete
     deadline: float = 0.0
     verdict: Verdict = Verdict.NOT_RUN
-    #: targets that have had the request, in order
+    #: targets that the request was sent to, in order
     targets: list[Incarnation] = field(default_factory=list)
-    #: sends that reached no target
+    #: attempts in which no target received the request
     unsent: int = 0
     stage_seconds: float = 0.0
     outcome: str = ""
@@ -141,21 +142,21 @@
 
     @property
     def waited(self) -> float:
-        """Seconds for which the caller has waited before this attempt, it seems.
+        """Estimated seconds that the caller has waited before this attempt.
 
-        A caller that comes back after a refusal has less time left than its route
-        would give it.
+        A caller that retries after a refusal has less time left than the timeout of
+        its route.
         """
         return max(0.0, self.route.timeout - self.request.patience)
 
     @property
     def first_deadline(self) -> float:
-        """Monotonic seconds by which the first part of a stream must be out."""
+        """Monotonic time in seconds by which a stream must have begun."""
         limit = self.request.received + self.route.silence_limit
         return min(self.deadline, limit)
 
     def raise_verdict(self, verdict: Verdict) -> None:
-        """Raise the verdict; a lower one changes nothing."""
+        """Raise the verdict; a lower one has no effect."""
         self.verdict = self.verdict.raise_to(verdict)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -1,4 +1,4 @@
-"""The steps that every opaque request passes, in order."""
+"""Filter chain that every opaque request passes through, in order."""
 
 from __future__ import annotations
 
@@ -44,22 +44,24 @@
 
 RelayHandler = Callable[[RelayExchange], Awaitable[None]]
 
-#: seconds after which an instance that has just started should know a configuration
+#: ``Retry-After`` in seconds while no configuration is loaded; a starting instance
+#: usually loads one within this time
 NOT_READY_RETRY = 0.5
 
 
 class RelayFilter(ABC):
-    """One step of the chain."""
+    """One filter of the chain."""
 
     @abstractmethod
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
-        """Answer the exchange, usually by ``proceed``."""
+        """Handle the exchange, usually by calling ``proceed``."""
 
 
 class ObserveFilter(RelayFilter):
-    """Logs and counts each request once it is settled.
+    """Logs and counts each request when it has ended.
 
-    :param find_stop: returns the moment at which this instance was told to stop
+    :param find_stop_time: returns the monotonic time at which this instance was told
+        to stop; ``None`` if it was not
     """
 
     def __init__(
@@ -102,7 +104,7 @@
         route, deployment = exchange.route, exchange.deployment
         stop = self._find_stop_time()
         received = exchange.request.received
-        # below 0: it came before the stop
+        # negative if the request arrived before the stop
         since_stop = {} if stop is None else {"since_stop_ms": _to_ms(received - stop)}
         self._decisions.log_decision(
             "request",
@@ -131,9 +133,10 @@
 
 
 class StopFilter(RelayFilter):
-    """Answers for this instance where a planned stop leaves no time for a request.
+    """Refuses requests that can't complete before a planned stop ends.
 
-    :param find_end: returns when a stop breaks requests off
+    :param find_stop_deadline: returns the monotonic time at which a stop cancels the
+        requests in flight
     """
 
     def __init__(
@@ -144,21 +147,23 @@
 
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
         if exchange.use.late:
-            # what is begun so late may not be finished before the process is killed
+            # a request begun this late may not finish before the process is killed
             raise self._refuse(exchange, "this instance is stopping")
         try:
             await self._in_flight.run(proceed(exchange))
         except BrokenOffError:
-            raise self._refuse(exchange, "broken off by a stop") from None
+            raise self._refuse(
+                exchange, "cancelled by a stop of this instance"
+            ) from None
         except RefusedError as error:
-            # what is held here is held by all instances
+            # a request in quarantine is refused by every instance
             is_quarantined = error.refusal.code is RefusalCode.QUARANTINED
             retry_helps = (
                 error.refusal.retry_after_ms is not None and not is_quarantined
             )
             if not retry_helps or exchange.deadline < self._find_stop_deadline():
                 raise
-            # other instances have the time that this one lacks: come back now
+            # only this instance is short of time: another can serve a retry at once
             refusal = replace(error.refusal, retry_after_ms=STOPPING_RETRY_MS)
             raise RefusedError(refusal, error.status) from error
 
@@ -172,12 +177,14 @@
 
 
 class RouteFilter(RelayFilter):
-    """Finds the route and the workspace, by the configuration in force on arrival.
-
-    :param find_table: returns the routes in force; ``None`` before any is known
-    :param find_end: returns when a stop breaks requests off. No more time than that
-        is promised to targets and stages, so that what can't be made until then is
-        refused while its caller has time to go elsewhere
+    """Resolves route and workspace by the configuration active on arrival.
+
+    :param find_table: returns the active routes; ``None`` until a configuration has
+        been loaded
+    :param find_stop_deadline: returns the monotonic time at which a stop cancels the
+        requests in flight. It bounds the deadlines of targets and stages, so that a
+        request that can't finish in time is refused while its caller can still turn
+        to another instance
     """
 
     def __init__(
@@ -192,11 +199,11 @@
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
         table = self._find_table()
         if table is None:
-            # no answer on routes or keys: only a configuration can give one
+            # without a configuration, neither routes nor keys can be judged
             raise create_error(
                 exchange,
                 RefusalCode.NOT_READY,
-                "no configuration is known yet",
+                "no configuration has been loaded yet",
                 retry_after=NOT_READY_RETRY,
             )
         request = exchange.request
@@ -206,7 +213,7 @@
             raise create_error(
                 exchange,
                 RefusalCode.UNKNOWN_PIPELINE,
-                "no route of this host begins the path",
+                "no route of this host matches the path",
                 field="path",
                 value=request.target[:64],
             )
@@ -231,14 +238,14 @@
             raise create_error(
                 exchange,
                 RefusalCode.UNAUTHORIZED,
-                "the key is not known",
+                "unknown API key",
                 field="authorization",
             )
         return workspace
 
 
 class QuarantineFilter(RelayFilter):
-    """Keeps requests from all targets under which one after the other has ended."""
+    """Refuses quarantined requests, which are suspected of crashing targets."""
 
     def __init__(self, *, quarantine: Quarantine, clock: Clock) -> None:
         self._quarantine = quarantine
@@ -252,7 +259,7 @@
 
 
 class SplitFilter(RelayFilter):
-    """Draws the service where a route is split between several."""
+    """Chooses a service at random by weight if the route splits traffic."""
 
     def __init__(self, *, random_source: random.Random) -> None:
         self._random = random_source
@@ -271,7 +278,7 @@
 
 
 class RunHandler:
-    """Last step: hands the exchange to what runs its kind of request."""
+    """End of the chain: dispatches the exchange to the runner for its route kind."""
 
     def __init__(self, *, unary: Runner, streams: Runner) -> None:
         self._unary = unary
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -1,4 +1,4 @@
-"""HTTP server for callers whose requests are passed on unchanged."""
+"""HTTP server for callers of opaque requests."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 logger = logging.getLogger(__name__)
 
-#: connections of callers; the instances' descriptors are shared with targets
+#: connections of callers; connections to targets need file descriptors as well
 MAX_CONNECTIONS = 2400
-#: seconds beyond the callers' own bound for which an idle connection is kept, so
-#: that none is closed while a request is on its way
+#: seconds added to the callers' own idle timeout, so that the server closes no
+#: connection on which a request is in transit
 IDLE_MARGIN_SECONDS = 5.0
-#: seconds allowed for writing to a caller before the kernel gives it up
+#: seconds without an acknowledgement after which the kernel drops a connection
 WRITE_TIMEOUT = 5.0
 
 
 class RelayFront(CallerListener):
-    """Reads a request, has it handled, and sees to it that it is answered once."""
+    """Reads each request, runs the handler and ensures exactly one response."""
 
     name = "front"
-    # a burst of new connections beyond it would wait for seconds to be let in
+    # accept queue: connections of a burst beyond it are delayed by seconds
     backlog = 1024
 
     def __init__(
@@ -85,7 +85,7 @@
         use = find_use(request)
         request_id = ""
         try:
-            # a late one is refused, whatever its body
+            # a late request is refused without reading its body
             body = b"" if use.late else await self._read_body(request)
             opaque = self._codec.decode(
                 method=request.method,
@@ -103,11 +103,11 @@
         except CallerDisconnectedError:
             self._metrics.count("front.gone")
         except Exception:
-            logger.exception("request %s failed", request_id)
+            logger.exception("unhandled exception while serving request %s", request_id)
             self._metrics.count("front.errors")
             refusal = Refusal(
                 code=RefusalCode.INTERNAL,
-                message="error of this instance",
+                message="internal error of this instance",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
             await self._refuse(writer, request_id, refusal, 0)
@@ -129,7 +129,7 @@
         self, writer: ResponseWriter, request_id: str, refusal: Refusal, status: int
     ) -> None:
         if writer.started:
-            # a part of another answer is out: only a cut is honest
+            # a partial response has been sent; only an abort marks it as incomplete
             writer.abort()
             return
         status = status or find_refusal_status(refusal)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/invalid_entries.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/invalid_entries.py
@@ -1,4 +1,4 @@
-"""Entries in the listing of targets that name none to use."""
+"""Invalid entries in the target listing."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 __all__ = ("InvalidEntries",)
 
-#: bad entries that are remembered; beyond it a line may be written again
+#: entries remembered as reported; once one is evicted, it may be logged again
 MAX_REPORTED = 1024
 
 
 class InvalidEntries:
-    """Tells of each bad entry once, and again when its bytes have changed.
+    """Logs each invalid entry once, and again when its content changes.
 
-    The listing is read again after each outage of the store, by every instance. A
-    line for each reading would fill the log with entries that nobody can mend.
+    Every instance reads the listing again after each store outage. Logging an entry
+    on each read would flood the log.
     """
 
     def __init__(self, *, metrics: Metrics, decisions: DecisionLog) -> None:
         self._metrics = metrics
         self._decisions = decisions
-        #: digest of the bytes, and what is wrong with them, by key
+        #: digest of the value and the reason it is invalid, by key
         self._reported: dict[str, tuple[int, str]] = {}
 
     def record(self, entry: Entry, reason: str) -> None:
-        """Take in that an entry can't be used."""
+        """Count an invalid entry, and log it unless it has been logged already."""
         self._metrics.count("targets.unreadable")
         seen = (xxhash.xxh3_64_intdigest(entry.value), reason)
         if self._reported.get(entry.key) == seen:
@@ -47,15 +47,15 @@
         )
 
     def discard(self, key: str) -> None:
-        """Take in that an entry is gone, or can be used."""
+        """Remove an entry that was deleted or has become valid."""
         self._reported.pop(key, None)
 
     def retain_only(self, keys: Collection[str]) -> None:
-        """Forget all entries but those of ``keys``."""
+        """Remove all entries except those of ``keys``."""
         for key in tuple(self._reported):
             if key not in keys:
                 del self._reported[key]
 
     def dump(self) -> dict[str, str]:
-        """Return what is wrong with each, by key."""
+        """Return the reason for each invalid entry, by key."""
         return {key: reason for key, (_, reason) in self._reported.items()}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -1,4 +1,4 @@
-"""The targets that are listed, as far as the store can be heard."""
+"""Target listing, replicated from the store or from peers."""
 
 from __future__ import annotations
 
@@ -28,16 +28,17 @@
 
 __all__ = ("ListingFollower",)
 
-#: old answers that are remembered; beyond it a line may be written again
+#: outdated entries remembered as reported; an evicted one may be logged again
 MAX_OUTDATED_REPORTED = 1024
 
 
 class ListingFollower(StoreSubscriber):
-    """Follows the targets' entries and keeps the book of targets.
+    """Follows the entries of targets and maintains the target book.
 
-    :param note_gone: called with each incarnation that is gone
-    :param find_services: returns the services that are configured; ``None`` before
-        any are known
+    :param on_removed: called with each incarnation that has left, restarted or been
+        removed
+    :param find_services: returns the configured services; ``None`` until a
+        configuration has been loaded
     """
 
     def __init__(
@@ -60,23 +61,24 @@
         self._find_services = find_services
         self._metrics = metrics
         self._invalid = InvalidEntries(metrics=metrics, decisions=decisions)
-        #: incarnations whose old answers have been logged, by id
+        #: incarnations whose outdated entries have been logged, by target id
         self._outdated: dict[str, Incarnation] = {}
-        #: services that no configuration names, by the id of their target
+        #: services missing from the configuration, by target id
         self._unknown_services: dict[str, str] = {}
         self._synced = False
         self._revision = 0
-        #: monotonic seconds until which a missing entry may yet be written again
+        #: monotonic time in seconds until which lapsed entries may be rewritten after a
+        #: store outage
         self._grace_until = float("-inf")
 
     @property
     def revision(self) -> int:
-        """Revision of the store up to which targets' entries are known."""
+        """Store revision up to which the entries of targets are known."""
         return self._revision
 
     @property
     def synced(self) -> bool:
-        """Whether a listing has been read at all."""
+        """Whether a listing has been loaded since the start."""
         return self._synced
 
     def apply_scan(self, scan: Scan) -> None:
@@ -105,7 +107,7 @@
     def apply_peer_listing(
         self, targets: tuple[ListedTarget, ...], revision: int
     ) -> None:
-        """Take in a listing that a peer has read later than this instance."""
+        """Apply the listing of a peer if it is newer than the local one."""
         if revision <= self._revision and self._synced:
             return
         listed = {target.target_id for target in targets}
@@ -118,8 +120,8 @@
         self._synced = True
 
     def handle_store_recovered(self) -> None:
-        # entries lapse while targets can't renew them; those that live write them
-        # again within this time
+        # leases of entries expire during an outage; targets that are alive write
+        # their entries again within this time
         self._grace_until = self._clock.now() + RETURN_SECONDS
 
     def _put(self, target: ListedTarget) -> None:
@@ -129,8 +131,8 @@
                 self._record_outdated(target)
                 return
             case Succession.UNTOLD:
-                # told by a peer that does not know the newest; the store's own
-                # entries of this kind are set aside before
+                # from a peer that does not know the newest incarnation; entries of this
+                # kind from the store itself are excluded earlier
                 self._metrics.count("targets.untold")
                 return
             case Succession.NEWER:
@@ -154,11 +156,11 @@
             self._on_removed(target.incarnation)
 
     def _handle_restart(self, target: ListedTarget, former: Incarnation) -> None:
-        """Drop all that is known of the incarnation before.
+        """Discard the state of the previous incarnation.
 
-        Believed of the new one, it would be sent prompts whose parts it has lost, be
-        passed over for failures that are not its own, or get nothing for good where
-        the former one was leaving.
+        Applied to the new one, that state would route prompts to it for cache contents
+        that it has lost, avoid it for failures of its predecessor, or exclude it
+        permanently if its predecessor was leaving.
         """
         self._metrics.count("targets.restarted")
         self._outdated.pop(target.target_id, None)
@@ -172,7 +174,7 @@
         self._on_removed(former)
 
     def _record_outdated(self, target: ListedTarget) -> None:
-        """Take in an old answer: it is of an incarnation that has ended."""
+        """Count and log an entry of an incarnation that has already ended."""
         self._metrics.count("targets.outdated")
         if self._outdated.get(target.target_id) == target.incarnation:
             return
@@ -187,15 +189,16 @@
         )
 
     def check_services(self) -> None:
-        """Take in that other services are configured than before."""
+        """Check all targets again after the configured services have changed."""
         for target in self._book.list_all():
             self._check_service(target.target_id)
 
     def _check_service(self, target_id: str) -> None:
-        """Tell once of a target whose service is in no configuration.
+        """Log once if the service of a target is not configured.
 
-        It gets no work, as no route leads there. It stays in the book: a later
-        version may name the service, and no entry would tell of the target again.
+        Such a target gets no requests, as no route leads to it. It stays in the book,
+        because a later configuration may define the service and the entry will not be
+        delivered again.
         """
         target = self._book.find_listed(target_id)
         services = self._find_services()
@@ -214,11 +217,11 @@
         )
 
     def _handle_missing(self, target: ListedTarget, revision: int) -> None:
-        """Take in that an entry is missing.
+        """Handle a missing entry.
 
-        Right after the store was away whole services may be missing for a moment,
-        although their targets live. One that is the last of its service is given
-        the time in which it would be written again.
+        Right after a store outage, the entries of whole services may be missing
+        although their targets are alive. The last target of a service is therefore
+        removed only after the grace period in which its entry would be rewritten.
         """
         in_grace = self._clock.now() < self._grace_until
         is_last = len(self._book.list_service(target.service)) <= 1
@@ -230,7 +233,7 @@
         self._remove(target, revision, lapsed=in_grace)
 
     def _remove_if_still_missing(self, target: ListedTarget, revision: int) -> None:
-        # nothing is done if it has been written again, or has started again
+        # has no effect if the entry was rewritten or the target has restarted
         self._remove(target, revision, lapsed=True)
 
     def _remove(self, target: ListedTarget, revision: int, *, lapsed: bool) -> None:
@@ -249,7 +252,7 @@
         self._on_removed(target.incarnation)
 
     def _read(self, entries: tuple[Entry, ...]) -> list[ListedTarget]:
-        """Return the targets of the entries that name one to use."""
+        """Return the targets of the valid entries."""
         targets = []
         for entry in entries:
             match self._codec.decode(entry.key, entry.value, entry.revision):
@@ -265,17 +268,17 @@
         return targets
 
     def _find_fault(self, target: ListedTarget) -> str:
-        """Return why an entry that can be read names no target to use."""
+        """Return why the target of a decoded entry is not usable; empty if it is."""
         if self._book.compare(target) is Succession.UNTOLD:
             known = self._book.find_newest(target.target_id)
-            return f"tells no start, and {known} was at another address"
+            return f"no start time, and {known} was at another address"
         return ""
 
     def _exclude(self, entry: Entry, reason: str) -> None:
-        """Send a target nothing more while its entry names none to use.
+        """Exclude a target from routing while its entry is invalid.
 
-        What it has been sent stays with it. It is used again once its entry can be
-        read: nothing says that it has ended.
+        Requests already sent to it continue. It is used again once its entry is
+        valid, because an invalid entry is no evidence that the target has ended.
         """
         self._invalid.record(entry, reason)
         target = self._book.find_listed(entry.key.removeprefix(self._codec.prefix))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
@@ -1,4 +1,4 @@
-"""What goes to targets and comes back, apart from any names on the wire."""
+"""Requests to targets and their responses, independent of the wire format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OutboundRequest:
-    """One HTTP request, ready to be written."""
+    """One HTTP request, ready to be serialized."""
 
     method: str
     #: path and query
@@ -26,40 +26,40 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptContext:
-    """What a request is sent to a target with, beside the request itself."""
+    """Metadata sent to a target along with a request."""
 
-    #: the target that is meant; one of another id must not run it
+    #: intended target; a target with another id must not run the request
     incarnation: Incarnation
-    #: seconds that are left
+    #: seconds until the deadline
     remaining: float
     workspace: str = ""
-    #: id of the last event that the caller has; ``None``: from the beginning
+    #: id of the last event that the caller has received; ``None``: from the start
     resume_after: int | None = None
-    #: handles of the stage results that the target reads; ``None``: no stages
+    #: handles of the stage results to fetch; ``None``: the request has no stages
     inputs: tuple[str, ...] | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ResponseHead:
-    """The head of a target's answer, decoded."""
+    """Decoded head of a target's response."""
 
     status: int
     reason: str
-    #: headers for the caller; those of the connection are left out
+    #: end-to-end headers; hop-by-hop headers are removed
     headers: tuple[tuple[str, str], ...] = field(repr=False, default=())
-    #: id of the request that the answer says it belongs to
+    #: request id echoed by the target
     request_id: str = ""
-    #: whether it bears the target's signature
+    #: whether the target's signature header is present
     signed: bool = False
-    #: whether the target says that it did not run the request
+    #: whether the target states that it did not run the request
     not_run: bool = False
-    #: whether a target of another id answered than the one that was meant
+    #: whether the responding target has another id than the intended one
     misdirected: bool = False
-    #: whether the body is encoded in a way that nobody asked for
+    #: whether the body has a content encoding that was not requested
     encoded: bool = False
     load: LoadReport | None = None
 
     @property
     def succeeded(self) -> bool:
-        """Whether the status is a success."""
+        """Whether the status is 2xx."""
         return 200 <= self.status < 300
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
@@ -1,4 +1,4 @@
-"""What one instance is composed from, and what comes of it."""
+"""Inputs and result of the composition of one instance."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelaySettings:
-    """What an instance is told at its start; times in seconds."""
+    """Start-up settings of an instance; times in seconds."""
 
     instance_id: str
     data_centre: str
     callers_listen: str
-    #: where other instances connect
+    #: address on which connections of other instances are accepted
     peers_listen: str
-    #: addresses of some of these, with commas between them
+    #: comma-separated addresses of some other instances, to join the fleet
     peers_seeds: str
     readiness_listen: str
     readiness_path: str
-    #: empty: no metrics are served
+    #: address of metrics and state; empty: not served
     metrics_listen: str
     metrics_path: str
-    #: time for which the balancer may still send connections after a stop signal
+    #: time after a stop signal in which the balancer may still open connections
     balancer_lag: float
-    #: time that requests in flight get after that
+    #: time after that in which requests in flight may finish
     longest_drain: float
     repeats: RepeatRule
     capacity: Capacity = field(default_factory=Capacity)
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayAdapters:
-    """What speaks the platform's protocols."""
+    """Adapters for the protocols of the platform."""
 
     create_store: Callable[[PrometheusMetrics], RangeStore]
     callers: CallerCodec
@@ -58,16 +58,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayParts:
-    """The parts of one instance."""
+    """Components of one instance."""
 
-    #: in the order in which they start
+    #: in start order
     controllers: tuple[Controller, ...]
     front: RelayFront
     drain: DrainController
     close: Callable[[], Awaitable[None]]
-    #: what is done on signals, by number
+    #: handlers by signal number
     signals: dict[int, Callable[[], None]] = field(default_factory=dict)
 
     def list_addresses(self) -> dict[str, str]:
-        """Return what this instance listens on."""
+        """Return the ports on which this instance listens."""
         return {"callers": str(self.front.port)}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_settings.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the links between instances on the platform."""
+"""Settings of the peer network between instances."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 __all__ = ("create_peer_settings",)
 
-#: bounds of the links between instances; times in seconds. A link that is silent
-#: for so long is dropped, and the stage work asked for over it is asked for elsewhere
+#: timeouts and limits of the links between instances; times in seconds. A link without
+#: traffic for ``peers.silence`` is closed, and stage calls pending on it are sent to
+#: another instance
 PEER_BOUNDS = {
     "peers.heartbeat": 0.3,
     "peers.silence": 1.0,
@@ -20,11 +21,11 @@
     "peers.open_timeout": 1.0,
     "peers.idle": 15.0,
     "peers.links": 8,
-    # an owner of stage work is asked by all instances that there are
+    # every instance may send stage calls to the owner of a service
     "peers.max_links": 512,
-    # bundles wait with their owner: of 200 a second each waits for seconds in a
-    # burst. One that called itself busy was passed over, and two owners filled the
-    # makers' room without a word between them
+    # bundles queue at their owner: at 200 per second, each may wait for seconds in a
+    # burst. An owner that refuses as busy is bypassed, and two owners that don't
+    # coordinate exceed the capacity of the makers
     "peers.in_work": 8192,
     "peers.probe_interval": 0.5,
     "peers.dead_interval": 2.0,
@@ -32,7 +33,7 @@
 
 
 def create_peer_settings(rules: RelaySettings) -> Settings:
-    """Return the settings of the network of peers."""
+    """Return the settings of the peer network."""
     return Settings(
         {
             "instance.id": rules.instance_id,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -1,4 +1,4 @@
-"""What peers have heard of the store, asked for where it is not heard itself."""
+"""Anti-entropy: pulling the state of the store from peers."""
 
 from __future__ import annotations
 
@@ -31,30 +31,31 @@
 
 __all__ = ("PeerSyncController",)
 
-#: seconds between two questions: with a peer's watch and one question, what the
-#: store has accepted is in force here half a second later
+#: seconds between two queries; a change that a peer has received from its watch is
+#: active here within half a second
 POLL_INTERVAL = 0.4
-#: seconds of the store's silence after which peers are asked; a watch that waits
-#: is silent that long by itself
+#: staleness in seconds above which peers are queried; a pending watch without changes
+#: reaches up to this value
 STALENESS_THRESHOLD = 1.6
+#: seconds to wait for the answer of a peer
 QUERY_TIMEOUT = 0.6
-#: bytes of a configuration that a peer may tell, so that a broken one can't fill the
-#: memory: eight times what the store holds in one value
+#: maximum size in bytes of a decompressed configuration, so that a faulty peer can't
+#: exhaust the memory; eight times the maximum size of a value in the store
 MAX_CONFIGURATION_BYTES = 8 * 1024 * 1024
-#: level at which configurations are compressed: routes are much alike, so that the
-#: fastest one makes them a tenth as long; a link of 10 Mbit/s takes 0.1 s for 125 kB
+#: zlib level for configurations. Routes are repetitive, so that the fastest level
+#: reduces them to a tenth; a link of 10 Mbit/s transfers 125 kB in 0.1 s
 COMPRESSION_LEVEL = 1
 
 
 class PeerSyncController(Controller):
-    """Asks a peer, another one each time, where the store is not heard itself.
+    """Queries a random peer periodically while the store is not followed directly.
 
-    The store may turn some instances away while it serves others and the operator.
-    An instance that only waited for it would go on with withdrawn keys and routes,
-    and send work to targets that leave. In a large fleet those that leave the store
-    to others ask these all the time.
+    The store may reject some instances while it serves others and the operators. An
+    instance that only waited for it would keep using revoked keys and removed routes,
+    and send requests to targets that are leaving. In a large fleet, passive instances
+    query the listeners all the time.
 
-    :param list_listeners: returns the instances that follow the store
+    :param list_listeners: returns the instances that watch the store
     """
 
     name = "news"
@@ -87,9 +88,9 @@
         self._random = random_source
         self._metrics = metrics
         self._adopted = 0
-        #: whether the last question was answered
+        #: whether the last query was answered
         self._last_query_answered = True
-        #: the configuration in force, compressed, and its revision
+        #: revision of the active configuration, and its compressed value
         self._compressed = (0, b"")
         peers.handle(NewsQuery, self._handle_query)
 
@@ -126,10 +127,11 @@
         self._apply(reply.ok_value, self._clock.now() - sent_at)
 
     def _choose_peer(self) -> str | None:
-        """Return whom to ask: one that follows the store, a near one if it answers.
+        """Return the peer to query.
 
-        Where the store is out of reach for this instance, those near it may be no
-        better off, so that any of the others is asked.
+        A passive instance prefers listeners in its own data centre, unless the last
+        query failed. If this instance can't reach the store, its neighbours may not
+        reach it either, so that any other instance may be chosen.
         """
         own = self._peers.instance_id
         others = [
@@ -149,7 +151,10 @@
         return [one for one in members if one.data_centre == self._data_centre]
 
     def _apply(self, update: News, elapsed: float) -> None:
-        """Take in news that were asked for so many seconds ago."""
+        """Apply the state of a peer.
+
+        :param elapsed: seconds since the query was sent
+        """
         if update.configuration:
             self._adopted += 1
             value = _decompress(update.configuration)
@@ -181,7 +186,7 @@
         )
 
     def _compress_configuration(self) -> bytes:
-        """Return the configuration in force, compressed once for all that ask."""
+        """Return the active configuration, compressed once per revision."""
         revision = self._configuration.revision
         if self._compressed[0] != revision:
             self._compressed = (
@@ -192,7 +197,7 @@
 
 
 def _decompress(compressed: bytes) -> bytes | None:
-    """Return a configuration as it was before; ``None`` if it can't be read."""
+    """Return a decompressed configuration; ``None`` if malformed or too large."""
     decompressor = zlib.decompressobj()
     try:
         value = decompressor.decompress(compressed, MAX_CONFIGURATION_BYTES)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/prometheus.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/prometheus.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and histograms for a scrape."""
+"""Metrics in Prometheus format."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 __all__ = ("PrometheusMetrics",)
 
-#: upper bounds of the buckets, in seconds: from a short call to the longest deadline
+#: upper bounds of the histogram buckets in seconds, up to the longest deadline
 BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 20.0)
 PREFIX = "greengagelatch"
 
 
 class PrometheusMetrics(MetricTotals, Collector):
-    """Keeps running totals and shows them when they are asked for.
+    """Accumulates totals and exposes them to scrapes.
 
-    It takes the place of the client that sends metrics: here they are fetched.
+    It replaces the client that pushes metrics.
     """
 
     def __init__(self) -> None:
@@ -37,13 +37,13 @@
         self._sums: Counter[str] = Counter()
 
     def timing(self, name: str, seconds: float) -> None:
-        """Report a duration."""
+        """Record a duration in the histogram of an operation."""
         buckets = self._buckets.setdefault(name, [0] * (len(BUCKETS) + 1))
         buckets[bisect_left(BUCKETS, seconds)] += 1
         self._sums[name] += seconds
 
     def flush(self) -> None:
-        """Do nothing: metrics are fetched."""
+        """Do nothing, as metrics are pulled."""
 
     def collect(self) -> Iterator[Any]:
         """Yield all metrics for one scrape."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/readiness.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/readiness.py
@@ -1,4 +1,4 @@
-"""What the balancer and the operators ask: readiness, metrics and state."""
+"""HTTP endpoints for the balancer and operators: readiness, metrics and state."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 __all__ = ("ReadinessServer",)
 
-#: seconds that a connection of the balancer may stay idle
+#: idle timeout of connections from the balancer in seconds
 IDLE_TIMEOUT = 15.0
 
 
 class ReadinessServer(Controller):
-    """Answers on the addresses that callers don't reach.
+    """Serves internal endpoints on addresses that callers can't reach.
 
-    :param listen: address of the readiness question
-    :param metrics_listen: address of metrics and state; empty: none
+    :param listen: address of the readiness endpoint
+    :param metrics_listen: address of the metrics and state endpoints; empty: not served
     """
 
     name = "readiness"
@@ -53,13 +53,13 @@
         self._runners: list[web.ServerRunner] = []
 
     async def on_start(self) -> None:
-        """Bind the addresses."""
+        """Start the listeners."""
         await self._serve(self._listen, self._handle_readiness)
         if self._metrics_listen:
             await self._serve(self._metrics_listen, self._handle_operators)
 
     async def on_stop(self) -> None:
-        """Close the addresses."""
+        """Stop the listeners."""
         for runner in self._runners:
             await runner.cleanup()
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of opaque requests: their status, and when to come back."""
+"""Refusals of opaque requests: status, body and ``Retry-After``."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def find_refusal_status(refusal: Refusal) -> int:
-    """Return the status; one that promises "not run" only where that is true."""
+    """Return the HTTP status; one that implies "not run" only if that is proven."""
     status = _STATUS_BY_CODE.get(refusal.code)
     if status is not None:
         return status
@@ -47,7 +47,7 @@
 def encode_refusal(
     request_id: str, refusal: Refusal
 ) -> tuple[tuple[tuple[str, str], ...], bytes]:
-    """Return the headers and the body of a refusal."""
+    """Return the response headers and body of a refusal."""
     headers = [("Content-Type", CONTENT_TYPE)]
     if refusal.retry_after_ms is not None and refusal.verdict is Verdict.NOT_RUN:
         headers.append(("Retry-After", f"{refusal.retry_after_ms / 1000:.3f}"))
@@ -63,9 +63,9 @@
     field: str = "",
     value: str = "",
 ) -> RefusedError:
-    """Return the error that refuses ``exchange`` with what is known of it.
+    """Return the error that refuses ``exchange`` with its current verdict.
 
-    :param retry_after: seconds after which asking again may help
+    :param retry_after: seconds after which a retry may succeed
     """
     refusal = Refusal(
         code=code,
@@ -79,14 +79,14 @@
 
 
 def create_quarantine_error(exchange: RelayExchange, seconds: float) -> RefusedError:
-    """Return the error that refuses a request which ends the targets that run it.
+    """Return the error that refuses a request suspected of crashing targets.
 
-    :param seconds: for how long it is kept from them
+    :param seconds: remaining time in quarantine
     """
     return create_error(
         exchange,
         RefusalCode.QUARANTINED,
-        f"targets have ended under this request; held for {seconds:.0f} s more",
+        f"targets have crashed on this request; quarantined for {seconds:.0f} s more",
         retry_after=seconds,
         field="digest",
         value=exchange.digest,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -1,4 +1,4 @@
-"""Instances make themselves known to each other through the store."""
+"""Registration and discovery of instances through the store."""
 
 from __future__ import annotations
 
@@ -26,21 +26,22 @@
 
 __all__ = ("RegistryController",)
 
-#: prefix of the keys of instances in the store
+#: key prefix of the entries of instances
 PREFIX = "greengagelatch/instances/"
-#: seconds after which the entry of an instance that is gone lapses; a few renewals
+#: lease duration in seconds, after which the entry of a failed instance expires; it
+#: spans several renewals
 LEASE_TTL_SECONDS = 12.0
 RENEW_INTERVAL_SECONDS = 4.0
-#: seconds after a failed call
+#: seconds between two attempts after a failed call
 RETRY_SECONDS = 0.7
 
 
 class RegistryController(Controller, StoreSubscriber):
-    """Keeps this instance's entry alive, and tells the membership of the others.
+    """Renews the entry of this instance and publishes the entries of the others.
 
-    Seeds name a few instances only, and these may be gone. Instances that know
-    different seeds could form groups that never hear of each other; one would
-    notice it by two owners of one service, who send their calls to the same makers.
+    Seeds name only a few instances, and these may no longer exist. Instances with
+    different seeds could form separate clusters. The symptom would be two owners of
+    one service that both send calls to the same makers.
     """
 
     name = "registry"
@@ -87,7 +88,7 @@
         self._publish(changes.revision)
 
     async def on_stop(self) -> None:
-        """Give the entry up, so that nobody looks for this instance."""
+        """Revoke the lease, so that other instances stop dialling this one."""
         if self._lease_id:
             await self._store.revoke_lease(self._lease_id)
 
@@ -120,7 +121,7 @@
         key = PREFIX + self._instance_id
         written = await self._store.swap(key, value, ABSENT, lease_id=lease_id)
         if written.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
-            # a conflict is this process's own write, whose answer was lost
+            # a conflict means that an earlier write of this process had succeeded
             self._lease_id = lease_id
             self._decisions.log_state_change("registered", lease=lease_id)
             return True
@@ -143,7 +144,7 @@
         try:
             fields = json.loads(entry.value)
             address, data_centre = fields["address"], fields["data_centre"]
-            # entries of earlier releases don't tell it
+            # entries written by earlier releases lack the capacity
             capacity = int(fields.get("capacity", 0))
         except (ValueError, KeyError, TypeError) as error:
             self._decisions.log_state_change(
@@ -163,8 +164,8 @@
         self._revision = max(self._revision, revision)
         newest: dict[str, tuple[int, Instance]] = {}
         for row in self._instances.values():
-            # the entry of a former life at the same address lapses only later; to
-            # dial that one would find this instance itself, or the new life
+            # the entry of an earlier process at the same address expires only later;
+            # dialling it would reach this instance itself or the new process
             address = row[1].address
             if address not in newest or newest[address][0] < row[0]:
                 newest[address] = row
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
@@ -1,4 +1,4 @@
-"""The store's keys, read once and then followed by a single watch."""
+"""Replication of the store's keys by one scan and a single watch."""
 
 from __future__ import annotations
 
@@ -27,62 +27,63 @@
 
 __all__ = ("StoreFollower", "StoreSubscriber")
 
-#: prefix that covers all keys
+#: prefix that matches all keys
 ALL_KEYS = ""
-#: seconds that one watch waits. A store that has lost the history of a watch may
-#: leave it waiting without a word, so what has changed is seen with the next one:
-#: this bounds how old beliefs get, against one call for each wait. Peers are asked
-#: meanwhile, whose watches began at other moments
+#: long-poll duration of one watch in seconds. A store that has lost the history of a
+#: watch may leave it pending without an error, and the changes show only in the next
+#: one. The value trades staleness for one call to the store per wait. Peers, whose
+#: watches began at other times, are queried meanwhile
 WATCH_SECONDS = 2.5
-#: the same for an instance that others follow the store by: what it tells reaches them
-#: half a second later still
+#: the same for an instance whose peers depend on its watch; its updates reach them
+#: with a further delay of half a second
 SHARED_WATCH_SECONDS = 1.5
-#: seconds between two watches at the least: changes that come one after the other,
-#: as when all instances start, are then told by one answer
+#: minimum interval between two calls in seconds, so that bursts of changes, as when
+#: all instances start, arrive in one response
 MIN_CALL_SPACING = 0.2
-#: seconds after a failed call: first, and at the most
+#: exponential backoff after failed calls in seconds: initial and maximum
 MIN_BACKOFF = 0.05
 MAX_BACKOFF = 0.4
-#: the same at the most for an instance that others follow the store for
+#: maximum backoff in seconds for an instance that leaves the store to others
 MAX_PASSIVE_BACKOFF = 2.0
-#: age of what peers tell from which an instance follows the store by itself: a watch
-#: of theirs, and two questions
+#: staleness in seconds beyond which a passive instance watches the store itself; it
+#: covers one watch of a peer and two queries to peers
 STALE_SECONDS = 2.5
-#: seconds without an answer of any peer after which it does the same: when many
-#: instances are lost at once, most of those that follow the store are among them, and
-#: to find one that is left takes a second for each that is not
+#: seconds without a report of any peer after which it does the same. When many
+#: instances fail at once, most of those that watch the store may be among them, and
+#: each failed one that is queried costs up to a second
 PEER_REPORT_TIMEOUT = 1.0
-#: seconds after which one that leaves the store to others looks again whether it may
+#: seconds between two checks whether an instance may remain passive
 PASSIVE_CHECK_INTERVAL = 0.25
 
 
 class StoreSubscriber(ABC):
-    """A part that keeps what lies below one prefix."""
+    """Interface of a component that replicates the keys below one prefix."""
 
-    #: prefix of the keys that it is told of
+    #: prefix of the keys that are delivered to it
     prefix: str
 
     @abstractmethod
     def apply_scan(self, scan: Scan) -> None:
-        """Take in all that lies below the prefix."""
+        """Replace the state by a full scan of the prefix."""
 
     @abstractmethod
     def apply_changes(self, changes: Changes) -> None:
-        """Take in what has changed below the prefix."""
+        """Apply changes below the prefix."""
 
     def handle_store_recovered(self) -> None:  # noqa: B027
-        """Take in that the store answers again."""
+        """React to the store being reachable again after an outage."""
 
 
 class StoreFollower(Controller):
-    """Follows all keys by one watch, and tells each part of what it keeps.
+    """Watches all keys and dispatches changes to subscribers by prefix.
 
-    The platform counts each call, a waiting watch as one, so that two watches cost
-    twice as much and say no more. In a large fleet a few instances follow it for
-    all; the others do so only while those tell them nothing new enough.
+    The platform meters every call, and a pending watch counts as one, so a single
+    watch covers all subscribers. In a large fleet only a few instances, the listeners,
+    watch the store. The others are passive: they receive updates from listeners and
+    watch the store themselves only while these updates are missing or stale.
 
-    :param is_listener: whether this instance is one of those that follow it
-    :param is_relied_on: whether others leave the store to this instance
+    :param is_listener: returns whether this instance is a listener
+    :param has_dependents: returns whether passive instances depend on this one
     """
 
     name = "store"
@@ -108,12 +109,12 @@
         self._random = random_source
         self._metrics = metrics
         self._decisions = decisions
-        #: revision from which to follow; ``None``: scan first
+        #: revision to watch from; ``None``: a scan is needed first
         self._after: int | None = None
-        #: monotonic seconds at which the store was last known to have said nothing
-        #: newer, by its own word or a peer's
+        #: monotonic time in seconds at which the replicated state was last known to be
+        #: current, by a response of the store or a report of a peer
         self._confirmed_at = clock.now()
-        #: when a peer last told anything of it
+        #: monotonic time in seconds of the last report of a peer
         self._peer_reported_at = float("-inf")
         self._called_at = float("-inf")
         self._reachable = True
@@ -123,21 +124,24 @@
 
     @property
     def staleness(self) -> float:
-        """Seconds since the store last answered, here or to a peer that told so."""
+        """Seconds since the state was last confirmed by the store or by a peer."""
         return self._clock.now() - self._confirmed_at
 
     @property
     def reachable(self) -> bool:
-        """Whether the last call to the store was answered."""
+        """Whether the last call to the store succeeded."""
         return self._reachable
 
     @property
     def passive(self) -> bool:
-        """Whether the store is left to other instances for now."""
+        """Whether this instance currently relies on listeners for updates."""
         return self._passive
 
     def record_peer_report(self, seconds: float) -> None:
-        """Take in that a peer has told all that the store said so long ago."""
+        """Record that a peer has shared its state of the store.
+
+        :param seconds: staleness of that state
+        """
         self._peer_reported_at = self._clock.now()
         self._confirmed_at = max(self._confirmed_at, self._peer_reported_at - seconds)
 
@@ -165,7 +169,7 @@
             self._backoff = min(max_backoff, self._backoff * 2)
 
     def _may_be_passive(self) -> bool:
-        """Whether others follow the store, and tell what they hear."""
+        """Return whether listeners provide updates that are recent enough."""
         passive_now = (
             self._after is not None
             and not self._is_listener()
@@ -179,7 +183,7 @@
                 silence_ms=round(self.staleness * 1000),
             )
             if not passive_now:
-                # much may have changed; a watch from so long ago is refused
+                # the store rejects a watch from a revision that old; scan instead
                 self._after = None
         return passive_now
 
@@ -189,7 +193,7 @@
             await asyncio.sleep(left)
 
     async def _step(self) -> bool:
-        """Scan or watch once; whether to go on at once."""
+        """Scan or watch once; return whether to continue without backoff."""
         self._called_at = self._clock.now()
         if self._after is None:
             result = await self._store.scan(ALL_KEYS)
@@ -212,7 +216,7 @@
             self._after = None
             return True
         if error.kind is StoreErrorKind.TIMEOUT and self._after is not None:
-            # a watch without an answer may be one whose history is gone
+            # the history of a watch that timed out may be lost
             self._after = None
         self._record_unreachable(f"{error.kind.value}: {error.message}")
         return False
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -1,4 +1,4 @@
-"""Requests that are answered by a stream of events."""
+"""Streaming requests, answered by a stream of events."""
 
 from __future__ import annotations
 
@@ -35,22 +35,24 @@
 
 __all__ = ("StreamRunner",)
 
-#: largest failure answer that is passed on whole
+#: maximum size in bytes of a forwarded error response
 MAX_ERROR_BODY_BYTES = 1024 * 1024
-#: share of the route's objective without a first event after which a stream that
-#: can be resumed is tried elsewhere, and the least such time in seconds
+#: timeout for the first event of a resumable stream, after which it fails over to
+#: another target: a fraction of the route's latency objective, and the minimum in
+#: seconds
 FIRST_EVENT_FACTOR = 0.9
 MIN_FIRST_EVENT_TIMEOUT = 1.0
-#: the same between events, as a multiple of the longest pause that is on time
+#: timeout between events: a multiple of the route's maximum event gap, and the minimum
+#: in seconds
 EVENT_GAP_FACTOR = 3.0
 MIN_EVENT_GAP_TIMEOUT = 0.75
 
 
 class StreamRunner(Runner):
-    """Makes the stages, then passes a target's events on as they arrive.
+    """Runs the stages, then forwards the events of a target as they arrive.
 
-    A stream that breaks off goes on at another target after the last whole event,
-    if its route allows that; the caller sees one answer with the first one's head.
+    If the route allows it, an interrupted stream resumes at another target after the
+    last complete event. The caller sees one response, with the head of the first.
     """
 
     def __init__(
@@ -82,13 +84,13 @@
     async def pass_on(
         self, exchange: RelayExchange, run: StageRun, results: StageResults
     ) -> None:
-        """Send a request whose stages are made, and pass its events on."""
+        """Send a request whose stages are complete, and forward its events."""
         await _Stream(self, exchange, run, results).serve()
 
     def _check_admission(
         self, exchange: RelayExchange, run: StageRun, first: float
     ) -> None:
-        """Refuse at once what should not be begun now."""
+        """Refuse a request that admission control rejects, before any work is done."""
         chain = run.estimate()
         work = chain.work + first
         route = exchange.route
@@ -115,7 +117,7 @@
 
 
 class _Stream:
-    """One stream on its way to the caller."""
+    """State of one stream to a caller."""
 
     def __init__(
         self,
@@ -131,14 +133,14 @@
         self._prompt = exchange.request.prompt or Prompt()
         self._last_event_id = exchange.request.resume_after
         self._first_event_seen = False
-        #: whether results were freed that another target would have to read
+        #: whether results were released that another target would have to fetch
         self._inputs_released = False
         self._sent_at = 0.0
-        #: when the first event of the send under way came
+        #: monotonic time in seconds of the first event of the current attempt
         self._first_event_at: float | None = None
 
     async def serve(self) -> None:
-        """Send until the stream is whole, or may not go on."""
+        """Send until the stream is complete or no further retry is allowed."""
         exchange, runner = self._exchange, self._runner
         excluded: frozenset[Incarnation] = frozenset()
         last: FailedSend | None = None
@@ -158,7 +160,7 @@
             if not runner.may_repeat(exchange, last.outcome):
                 break
             if last.status == STATUS_CONFLICT or self._inputs_released:
-                # another target reads them anew
+                # another target has to fetch the results again
                 await self._rerun_stages()
         raise runner.create_refusal(exchange, last)
 
@@ -173,11 +175,11 @@
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
     async def _attempt(self, target: ListedTarget) -> FailedSend | None:
-        """Send once and pass events on; ``None`` if the answer is complete."""
+        """Send once and forward events; return ``None`` if the response is complete."""
         runner, exchange = self._runner, self._exchange
         left = runner.find_left(exchange)
         if left <= 0:
-            return FailedSend(SendOutcome.UNSENT, "deadline over")
+            return FailedSend(SendOutcome.UNSENT, "deadline exceeded")
         call = AttemptContext(
             incarnation=target.incarnation,
             remaining=left,
@@ -210,11 +212,11 @@
             prefill.end()
 
     def _release_fetched_inputs(self, target: ListedTarget) -> None:
-        """Free what the target has fetched by now, although it is still to begin.
+        """Release the inputs that the target has fetched, before its first event.
 
-        An engine fetches a request's inputs as it takes the request in, and begins to
-        answer after its prompt and those before it: for that long results filled the
-        room that their makers need for others.
+        An engine fetches the inputs of a request when it schedules it, and responds
+        only after the prefill of its prompt and of those ahead. Holding the results
+        until then would take memory that their makers need for other requests.
         """
         now = self._runner.clock.now()
         if not self._runner.fleet.takes_in(target, now):
@@ -268,7 +270,9 @@
                     self._last_event_id = event_id
             await writer.write(b"".join(events))
         if splitter.pending:
-            raise TargetResponseError("stream ended within an event", broken=True)
+            raise TargetResponseError(
+                "stream ended in the middle of an event", broken=True
+            )
         if not writer.started:
             await writer.begin(received.head)
         await writer.finish()
@@ -283,7 +287,7 @@
             async with asyncio.timeout(max(0.0, timeout)):
                 return await anext(chunks, None)
         except TimeoutError:
-            raise TargetResponseError("no further event in time") from None
+            raise TargetResponseError("timed out waiting for the next event") from None
 
     def _handle_first_event(
         self, target: ListedTarget, prefill: _PrefillTracker
@@ -296,7 +300,7 @@
         runner.times.note_first(self._exchange, now - self._sent_at)
         runner.fleet.note_parts(target.incarnation, self._prompt, now)
         self._first_event_seen = self._inputs_released = True
-        # the target has read the stages' results; their makers need the room
+        # the target has fetched the stage results; release their makers' memory
         self._run.free()
 
     async def _forward_error(
@@ -309,14 +313,14 @@
         self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
         exchange = self._exchange
         if exchange.writer.started:
-            return FailedSend(SendOutcome.FAILED, f"status {head.status} on resuming")
+            return FailedSend(SendOutcome.FAILED, f"status {head.status} on resumption")
         exchange.status = head.status
         exchange.outcome = "failed"
         await exchange.writer.send(head.status, head.headers, body, reason=head.reason)
         return None
 
     def _find_ran_seconds(self) -> float:
-        """Return for how long the target has been sending events."""
+        """Return for how many seconds the target has been sending events."""
         if self._first_event_at is None:
             return 0.0
         return self._runner.clock.now() - self._first_event_at
@@ -344,7 +348,7 @@
 
 
 class _PrefillTracker:
-    """Counts a request at its engine: first as a prompt to read, then as running."""
+    """Accounts for a request at its engine: first in prefill, then in decoding."""
 
     def __init__(self, fleet: Fleet, incarnation: Incarnation, tokens: float) -> None:
         self.fleet = fleet
@@ -354,7 +358,7 @@
         fleet.start(incarnation, tokens)
 
     def finish_prefill(self) -> bool:
-        """Take in the first event; whether it was the first."""
+        """Record the first event; return whether the request was still in prefill."""
         if not self._in_prefill:
             return False
         self._in_prefill = False
@@ -362,6 +366,6 @@
         return True
 
     def end(self) -> None:
-        """Take in the end of the send."""
+        """Record the end of the attempt."""
         self.finish_prefill()
         self.fleet.finish(self._incarnation)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_connections.py
@@ -1,4 +1,4 @@
-"""Connections to targets: each request is written once, and known to be or not."""
+"""Connection pool for targets; each request is written at most once."""
 
 from __future__ import annotations
 
@@ -32,35 +32,35 @@
     "configure_socket",
 )
 
-#: seconds allowed for opening a connection. The far end is milliseconds away, and the
-#: kernel sends a lost opening packet again after a second only: another target is
-#: reached sooner. One behind a partition would hold a booking until its deadline
+#: connect timeout in seconds. Targets are milliseconds away and the kernel retransmits
+#: a lost SYN only after a second, so that trying another target is faster. Without the
+#: timeout, a target behind a partition holds a request until its deadline
 CONNECT_TIMEOUT = 0.3
-#: seconds for which an idle connection is used again where the target says nothing
+#: seconds for which an idle connection is reused if the target announces no timeout
 MAX_IDLE_SECONDS = 3.0
-#: share of the idle time that a target announces which is used
+#: fraction of the idle timeout announced by a target that is used
 KEEP_ALIVE_FRACTION = 0.5
-#: seconds without an acknowledgement after which the kernel gives a connection up
+#: seconds without an acknowledgement after which the kernel drops a connection
 UNACKNOWLEDGED_SECONDS = 2.0
-#: seconds of quiet after which the kernel probes the other end, and between probes
+#: TCP keepalive: seconds of idleness before the first probe and between probes
 PROBE_INTERVAL = 1
 PROBE_COUNT = 2
-#: bytes of an answer that wait to be read
+#: size in bytes of the read buffer for a response
 READ_BUFFER_BYTES = 256 * 1024
 MAX_HEADER_BYTES = 32_768
 
-#: targets of which it is remembered when a kept connection was asked for
+#: targets for which the time of the last request for an idle connection is kept
 MAX_TRACKED_TARGETS = 1024
 
 
 class NotSentError(Exception):
-    """No byte of a request reached its target."""
+    """No byte of the request was sent to the target."""
 
 
 class TargetResponseError(Exception):
-    """An answer that did not come, or not whole; the request may have run.
+    """A response is missing or incomplete; the request may have run.
 
-    :param broken: whether the other end closed or reset the connection
+    :param broken: whether the target closed or reset the connection
     """
 
     def __init__(self, message: str, *, broken: bool = False) -> None:
@@ -69,11 +69,11 @@
 
 
 def configure_socket(connection: socket.socket) -> None:
-    """Have the kernel notice an end that is gone without a word.
+    """Configure the kernel to detect a peer that vanished silently.
 
-    A connection behind a partition, or one that something between the two ends has
-    lost track of, accepts writes and never answers; a request on it would be held
-    until its deadline.
+    A connection across a partition, or one whose state a middlebox has lost, accepts
+    writes but never delivers a response. Without detection, a request on it would
+    wait until its deadline.
     """
     options = (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -92,13 +92,13 @@
 
 
 class _TargetConnection(ResponseHandler):
-    """One connection; remembers whether it was reset."""
+    """One connection; records whether it was reset."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        #: whether it ended by anything but an orderly close
+        #: whether it ended by anything other than an orderly close
         self.reset = False
-        #: monotonic seconds until which it may be used again
+        #: monotonic time in seconds until which it may be reused
         self.reusable_until = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -106,14 +106,14 @@
         configure_socket(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        # the parser takes the end of a connection for the end of an answer without
-        # a length, also where a reset cut it short
+        # the parser takes the end of the connection for the end of a response without
+        # a length, even if a reset truncated it
         self.reset = exc is not None
         super().connection_lost(exc)
 
     @property
     def reusable(self) -> bool:
-        """Whether nothing is left on it of an earlier request."""
+        """Whether no data of an earlier request is left on the connection."""
         if not self.is_connected() or self.should_close:
             return False
         return self.transport.get_write_buffer_size() == 0
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True)
 class TargetResponse:
-    """An answer whose head is there; it must be released or aborted."""
+    """A response whose head was received; it must be released or aborted."""
 
     message: RawResponseMessage
     content: StreamReader
@@ -131,38 +131,38 @@
     async def iterate(self) -> AsyncIterator[bytes]:
         """Yield the body as it arrives.
 
-        :raises TargetResponseError: if it ends before it is whole
+        :raises TargetResponseError: if the body is truncated
         """
         try:
             while chunk := await self.content.readany():
                 yield chunk
         except (ClientError, HttpProcessingError, OSError) as error:
-            raise _create_error("answer cut", error) from error
+            raise _create_error("response truncated", error) from error
         if self._connection.reset and not self._is_framed():
             raise TargetResponseError(
-                "answer without a length ended by a reset", broken=True
+                "connection reset during a response without a length", broken=True
             )
 
     async def read(self, limit: int) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises TargetResponseError: if it is cut or larger than ``limit`` bytes
+        :raises TargetResponseError: if it is truncated or exceeds ``limit`` bytes
         """
         chunks = []
         size = 0
         async for chunk in self.iterate():
             size += len(chunk)
             if size > limit:
-                raise TargetResponseError(f"answer of more than {limit} bytes")
+                raise TargetResponseError(f"response exceeds {limit} bytes")
             chunks.append(chunk)
         return b"".join(chunks)
 
     def release(self) -> None:
-        """Give the connection back, if nothing is left on it."""
+        """Return the connection to the pool if it is reusable."""
         self._release(self._connection, self.message)
 
     def abort(self) -> None:
-        """Close the connection at once; the target may stop its work."""
+        """Close the connection immediately; the target may cancel its work."""
         self._connection.abort()
 
     def _is_framed(self) -> bool:
@@ -171,12 +171,13 @@
 
 
 class TargetConnectionPool:
-    """Opens, keeps and ends connections, by the incarnation that they lead to.
+    """Pools connections by the incarnation of their target.
 
-    A library's client sends a request again by itself when a kept connection drops;
-    here each request is written once, so that one which may run only once does.
+    The client of the HTTP library resends a request by itself when a pooled connection
+    drops. Here each request is written once, so that requests that are not idempotent
+    run at most once.
 
-    :param count_kept: returns how many idle connections may be kept to a target
+    :param find_idle_limit: returns the maximum number of idle connections to a target
     """
 
     def __init__(
@@ -190,7 +191,7 @@
         self._clock = clock
         self._metrics = metrics
         self._idle: dict[Incarnation, list[_TargetConnection]] = defaultdict(list)
-        #: monotonic seconds at which a kept connection was last asked for
+        #: monotonic time in seconds at which an idle connection was last requested
         self._last_requested: dict[Incarnation, float] = {}
 
     async def send(
@@ -203,14 +204,14 @@
         timeout: float,
         may_send: Callable[[], bool] | None = None,
     ) -> TargetResponse:
-        """Write a request and wait for the head of its answer.
-
-        :param fresh: whether to leave kept connections alone; on one of them a
-            request may be lost without a word on whether it ran
-        :param timeout: seconds until the head must be there
-        :param may_send: asked again once the connection stands, and before it is kept
-        :raises NotSentError: if no byte left
-        :raises TargetResponseError: if it was written and no answer came
+        """Write a request and wait for the head of its response.
+
+        :param fresh: whether to open a new connection; a pooled one may drop the
+            request without evidence of whether it ran
+        :param timeout: seconds until the head must have arrived
+        :param may_send: checked once connected, and again before pooling the connection
+        :raises NotSentError: if no byte was sent
+        :raises TargetResponseError: if the request was written without a response
         """
         end = asyncio.get_running_loop().time() + timeout
         connection = None if fresh else self._checkout(incarnation)
@@ -218,7 +219,9 @@
             connection = await self._open(address, min(timeout, CONNECT_TIMEOUT))
         if may_send is not None and not may_send():
             connection.abort()
-            raise NotSentError("the target began to leave, or its inputs are lost")
+            raise NotSentError(
+                "the target is leaving, or inputs of the request are lost"
+            )
         connection.set_response_params(
             skip_payload=outbound.method == "HEAD",
             read_until_eof=True,
@@ -235,10 +238,12 @@
                 message, content = await self._read_head(connection)
         except TimeoutError:
             connection.abort()
-            raise TargetResponseError("no answer in time") from None
+            raise TargetResponseError(
+                "timed out waiting for the response head"
+            ) from None
         except (ClientError, HttpProcessingError, OSError) as error:
             connection.abort()
-            raise _create_error("no answer", error) from error
+            raise _create_error("no response", error) from error
         except BaseException:
             connection.abort()
             raise
@@ -250,9 +255,9 @@
         )
 
     async def is_port_closed(self, address: str) -> bool:
-        """Whether nobody listens at an address: its process has ended.
+        """Return whether an address refuses connections: its process has ended.
 
-        One that is silent may be out of reach only.
+        A connect timeout is no evidence of that: the target may only be unreachable.
         """
         try:
             connection = await self._open(address, CONNECT_TIMEOUT)
@@ -262,18 +267,18 @@
         return False
 
     def close_idle(self, incarnation: Incarnation) -> None:
-        """Close the idle connections to a target that is gone."""
+        """Close the idle connections to a target."""
         self._last_requested.pop(incarnation, None)
         for connection in self._idle.pop(incarnation, ()):
             connection.abort()
 
     def close_all_idle(self) -> None:
-        """Close every idle connection, as all may have gone silent."""
+        """Close all idle connections."""
         for incarnation in tuple(self._idle):
             self.close_idle(incarnation)
 
     def count_idle(self) -> int:
-        """Return the number of connections that are kept."""
+        """Return the number of idle connections."""
         return sum(len(connections) for connections in self._idle.values())
 
     async def _read_head(
@@ -281,7 +286,7 @@
     ) -> tuple[RawResponseMessage, StreamReader]:
         while True:
             message, content = await connection.read()
-            # an interim answer such as 100 is not the answer
+            # skip informational responses such as 100
             if message.code >= 200:
                 return message, content
 
@@ -295,9 +300,9 @@
                     lambda: _TargetConnection(loop), host, int(port)
                 )
         except TimeoutError:
-            raise NotSentError("no connection in time") from None
+            raise NotSentError("connect timed out") from None
         except (OSError, ValueError) as error:
-            raise NotSentError(f"no connection: {type(error).__name__}") from error
+            raise NotSentError(f"connect failed: {type(error).__name__}") from error
         return connection
 
     def _checkout(self, incarnation: Incarnation) -> _TargetConnection | None:
@@ -327,17 +332,18 @@
         connections.append(connection)
 
     def _record_demand(self, incarnation: Incarnation, now: float) -> None:
-        # to the end, so that those asked for longest ago are forgotten first
+        # reinsert at the end, so that eviction removes the least recent target
         self._last_requested.pop(incarnation, None)
         self._last_requested[incarnation] = now
         if len(self._last_requested) > MAX_TRACKED_TARGETS:
             del self._last_requested[next(iter(self._last_requested))]
 
     def _is_in_demand(self, incarnation: Incarnation, now: float) -> bool:
-        """Whether a request might use a kept connection.
+        """Return whether a coming request might use an idle connection.
 
-        Requests that run only once never do; kept after these alone, connections
-        would take those that their target accepts from instances in need of one.
+        Requests that are not idempotent never do. If connections were pooled after
+        these alone, they would take up the connection limit of the target, to the
+        disadvantage of instances that need one.
         """
         return (
             now - self._last_requested.get(incarnation, float("-inf"))
@@ -353,8 +359,8 @@
     ) -> None:
         seconds = _parse_idle_seconds(message.headers.get("Keep-Alive", ""))
         if may_send is not None and not may_send():
-            # nobody would take it or close it: each restart of a target would leave
-            # some open
+            # the target has left or restarted: a pooled connection would neither be
+            # used nor closed, and each restart would leak some
             connection.abort()
             return
         if message.should_close or not connection.reusable or seconds <= 0:
@@ -364,13 +370,13 @@
 
 
 def _create_error(what: str, error: Exception) -> TargetResponseError:
-    # bytes that are no answer come from a process that lives
+    # malformed data comes from a live process
     broken = not isinstance(error, HttpProcessingError)
     return TargetResponseError(f"{what}: {type(error).__name__}", broken=broken)
 
 
 def _parse_idle_seconds(text: str) -> float:
-    """Return the seconds for which a connection may be used after an answer."""
+    """Return for how many seconds the connection may be reused after a response."""
     for part in text.split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.strip().isdecimal():
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -1,4 +1,4 @@
-"""One send of a request to a target, and what is learnt from how it ends."""
+"""Single attempts to send a request to a target, and recording their outcome."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 __all__ = ("ReceivedResponse", "TargetSender", "FailedSend")
 
-#: statuses by which a target says that it did not run a request, if marked so
+#: status by which a target rejects a request without running it, if marked as such
 STATUS_CONFLICT = 409
-#: seconds of work after which the end of a target is not put down to a request: what
-#: crashes one does so as it begins to run
+#: seconds of execution after which the crash of a target is no longer attributed to a
+#: request: requests that crash a target do so soon after they begin to run
 CRASH_BLAME_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedResponse:
-    """A target's answer; its body is still to be read."""
+    """A response whose head was accepted; its body is still to be read."""
 
     head: ResponseHead
     reply: TargetResponse
@@ -44,16 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FailedSend:
-    """A send without an answer that could be passed on."""
+    """An attempt without a response that could be forwarded."""
 
     outcome: SendOutcome
     reason: str
-    #: status by which the target rejected it; 0: no status
+    #: status with which the target rejected it; 0: none
     status: int = 0
 
 
 class TargetSender:
-    """Sends requests to targets and keeps the record of what each has had."""
+    """Sends requests to targets and records the result of each attempt."""
 
     def __init__(
         self,
@@ -84,10 +84,10 @@
         fresh: bool,
         may_send: Callable[[], bool] = lambda: True,
     ) -> ReceivedResponse | FailedSend:
-        """Send once; the verdict of ``exchange`` rises by what is known then.
+        """Send once and raise the verdict of ``exchange`` accordingly.
 
-        :param timeout: seconds until the answer's head must be there
-        :param may_send: asked once the connection stands: what ``call`` names may have
+        :param timeout: seconds until the response head must have arrived
+        :param may_send: checked once connected, as inputs named in ``call`` may have
             been lost by then
         """
         incarnation = target.incarnation
@@ -122,16 +122,16 @@
         error: TargetResponseError,
         ran_seconds: float = 0.0,
     ) -> FailedSend:
-        """Take in that an answer did not come, or broke off.
+        """Record a missing or truncated response.
 
-        :param ran: seconds for which the target is known to have been at work on it
+        :param ran_seconds: time for which the target is known to have been running it
         """
         if error.broken and ran_seconds < CRASH_BLAME_SECONDS:
             self._crashes.note_broken(target, exchange.digest)
         return self._record_failure(exchange, target, SendOutcome.LOST, str(error))
 
     def record_survival(self, exchange: RelayExchange, target: ListedTarget) -> None:
-        """Take in that a target has answered to the end, if only that it failed."""
+        """Record that a target survived the request, even if it reported a failure."""
         self._crashes.note_survived(target, exchange.digest)
 
     def _classify(
@@ -141,16 +141,16 @@
         if head.load is not None:
             self._fleet.note_report(target.incarnation, head.load, self._clock.now())
         if head.request_id != exchange.request.request_id and not head.misdirected:
-            # an answer to somebody else's request, or one that nobody can place
+            # the response belongs to another request or carries no id
             reply.abort()
-            reason = f"answer to request {head.request_id[:40]!r}"
+            reason = f"response carries request id {head.request_id[:40]!r}"
             return self._record_failure(exchange, target, SendOutcome.LOST, reason)
         if head.misdirected:
             reply.abort()
             exchange.targets.pop()
             exchange.unsent += 1
             return self._record_failure(
-                exchange, target, SendOutcome.MISDIRECTED, "other id"
+                exchange, target, SendOutcome.MISDIRECTED, "another target responded"
             )
         if head.not_run:
             reply.abort()
@@ -163,7 +163,7 @@
             )
         if head.encoded or not head.signed:
             reply.abort()
-            reason = f"unsigned answer of status {head.status}"
+            reason = f"unsigned or encoded response with status {head.status}"
             return self._record_failure(exchange, target, SendOutcome.LOST, reason)
         exchange.raise_verdict(Verdict.RAN)
         return ReceivedResponse(head, reply)
@@ -183,7 +183,7 @@
         now = self._clock.now()
         if blamed and outcome is not SendOutcome.REJECTED:
             self._fleet.note_failure(target.incarnation, now)
-            # what is kept open to it may be as dead as this one
+            # idle connections to it may be broken as well
             self._connections.close_idle(target.incarnation)
         self._decisions.log_decision(
             "send",
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -1,4 +1,4 @@
-"""Requests that one target answers whole."""
+"""Unary requests: one request, one complete response."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 
 __all__ = ("UnaryRunner",)
 
-#: largest answer that is passed on
+#: maximum size in bytes of a forwarded response
 MAX_ANSWER_BYTES = 32 * 1024 * 1024
-#: silence, as a multiple of the route's objective, after which an idempotent request
-#: is sent to another target: one that is mute answers nothing until the deadline
+#: attempt timeout of idempotent requests as a multiple of the route's latency
+#: objective. After it the request fails over to another target, as a hung target would
+#: hold it until the deadline
 ATTEMPT_TIMEOUT_FACTOR = 1.0
-#: the same at the least, in seconds
+#: minimum attempt timeout in seconds
 MIN_ATTEMPT_TIMEOUT = 0.15
 STATUS_SERVER_ERROR = 500
 
 
 @dataclass(frozen=True, slots=True)
 class _FullResponse:
-    """An answer that was read to its end."""
+    """A response whose body has been read completely."""
 
     head: ResponseHead
     body: bytes
 
 
 class UnaryRunner(Runner):
-    """Sends a request until a target has answered it, or it may not be sent again."""
+    """Sends a request until a target answers or no further retry is allowed."""
 
     async def run(self, exchange: RelayExchange) -> None:
         self.budgets.note_request(exchange.service)
@@ -71,7 +72,7 @@
             if not self.may_repeat(exchange, outcome):
                 break
         if error_response is not None:
-            # the target's own word is better than ours about it
+            # the target's own error response tells more than a refusal by this instance
             await self._deliver(exchange, error_response)
             return
         raise self.create_refusal(exchange, last)
@@ -81,7 +82,7 @@
     ) -> _FullResponse | FailedSend:
         remaining_seconds = self.find_left(exchange)
         if remaining_seconds <= 0:
-            return FailedSend(SendOutcome.UNSENT, "deadline over")
+            return FailedSend(SendOutcome.UNSENT, "deadline exceeded")
         call = AttemptContext(
             incarnation=target.incarnation,
             remaining=remaining_seconds,
@@ -117,7 +118,7 @@
                 body = await reply.read(MAX_ANSWER_BYTES)
         except TimeoutError:
             reply.abort()
-            timed_out = TargetResponseError("answer not whole in time")
+            timed_out = TargetResponseError("timed out reading the response body")
             return self.sender.record_lost_response(exchange, target, timed_out)
         except TargetResponseError as error:
             reply.abort()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/usage.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/usage.py
@@ -1,4 +1,4 @@
-"""How much of its processor and network link this instance uses."""
+"""Sampling of the processor and network utilization of this instance."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 #: seconds between two samples
 SAMPLE_INTERVAL = 1.0
-#: counters of the bytes that leave this instance
+#: counters of bytes sent by this instance
 SENT_BYTE_COUNTERS = ("links.bytes_out", "peers.wire_out", "front.bytes_out")
 
 
 class UsageController(Controller):
-    """Samples what this instance uses, and tells when it is short of anything.
+    """Samples resource utilization and logs when a resource is saturated.
 
-    Whatever an instance is short of delays all that it does, so that calls to others
-    look slow. Without this, a slow target, a full processor and a full link are the
-    same in the log.
+    Saturation delays everything that an instance does, so that its calls to others
+    appear slow. Without these samples, a slow target, a saturated processor and a
+    saturated link look the same in the log.
 
-    :param read_work: returns the seconds that the event loop has been at work
+    :param read_busy_seconds: returns the cumulative busy time of the event loop
     """
 
     name = "usage"
