--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -34,7 +34,7 @@
         target.fault = fault
 
 
-async def test_kind_of_a_request_decides_on_repeats(world, monkeypatch):
+async def test_request_kind_decides_on_retries(world, monkeypatch):
     steps = iter([NextStep.REPEAT, NextStep.GIVE_UP])
     monkeypatch.setattr(runners, "decide_next", lambda facts: next(steps))
     set_fault(world, TargetFault.LOSE_ANSWER)
@@ -43,7 +43,7 @@
     assert runs == 2
 
 
-async def test_echoed_id_keeps_answers_apart(world, monkeypatch):
+async def test_echoed_request_id_distinguishes_responses(world, monkeypatch):
     read_head = PlatformTargetCodec.read_head
 
     def read_without_id(self, reply):
@@ -55,7 +55,7 @@
     assert reply.status == 200
 
 
-async def test_reset_is_told_from_an_orderly_end(world, monkeypatch):
+async def test_reset_is_distinguished_from_an_orderly_close(world, monkeypatch):
     connection_lost = _TargetConnection.connection_lost
 
     def close_in_order(self, exc):
@@ -67,7 +67,7 @@
     assert reply.status == 200
 
 
-async def test_expected_life_keeps_addresses_apart(world, monkeypatch):
+async def test_expected_incarnation_detects_a_reused_address(world, monkeypatch):
     encode = PlatformTargetCodec.encode_request
 
     def encode_without_life(self, request, call):
@@ -90,7 +90,7 @@
     assert other.runs["s-1"] == 1
 
 
-async def test_only_whole_events_are_passed_on(pipeline, monkeypatch):
+async def test_only_complete_events_are_forwarded(pipeline, monkeypatch):
     breaks = pipeline.targets["llm-1"].breaks = pipeline.targets["llm-2"].breaks
     whole = (await pipeline.stream()).body
     breaks.append(2)
@@ -116,7 +116,7 @@
     assert book.accepts(Incarnation("t-1"))
 
 
-async def test_revision_keeps_the_configuration_from_going_back(world, monkeypatch):
+async def test_revision_prevents_a_configuration_rollback(world, monkeypatch):
     configuration = world.find("news")._configuration
     old = configuration.value
     fields = old.replace(b'"version": 3', b'"version": 9')
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("name", ["x-tenant", "x-hold", "authorization"])
-async def test_headers_of_the_system_are_taken_out(world, monkeypatch, name):
+async def test_system_headers_are_removed(world, monkeypatch, name):
     left = headers.SYSTEM_HEADERS - {name.encode()}
     monkeypatch.setattr(headers, "SYSTEM_HEADERS", left)
     await world.ask("/look/1", X_Tenant="south", X_Hold="h-1")
@@ -152,7 +152,7 @@
     monkeypatch.setattr(_Connection, "end_request", end_as_idle)
     monkeypatch.setattr(_Connection, "_begin", begin_in_time)
     with pytest.raises(AssertionError):
-        await test_stop.test_connection_that_was_busy_at_the_stop_takes_nothing_more(
+        await test_stop.test_connection_busy_at_the_stop_accepts_no_further_request(
             world
         )
 
@@ -160,25 +160,25 @@
 async def test_connections_are_busy_from_the_first_byte(world, monkeypatch):
     monkeypatch.setattr(_Connection, "_begin", lambda self: None)
     with pytest.raises(AssertionError):
-        await test_stop.test_request_that_is_read_as_idle_connections_close_is_answered(
+        await test_stop.test_request_read_while_idle_connections_close_is_answered(
             world
         )
 
 
-async def test_end_of_a_stop_breaks_requests_off(pipeline, monkeypatch):
+async def test_end_of_a_stop_cancels_requests(pipeline, monkeypatch):
     monkeypatch.setattr(pipeline.parts.drain, "_break_off", lambda: None)
     monkeypatch.setattr(test_stop, "WAIT_SECONDS", 2)
     with pytest.raises(TimeoutError):
-        await test_stop.test_what_is_in_flight_at_the_end_of_a_stop_is_answered(
+        await test_stop.test_requests_in_flight_at_the_end_of_a_stop_are_answered(
             pipeline
         )
 
 
-def has_heard_all(world, target) -> bool:
+def has_received_all(world, target) -> bool:
     return (world.find("store").dump()["revision"] or 0) >= world.store.revision
 
 
-def ignore_starts(monkeypatch) -> None:
+def ignore_incarnations(monkeypatch) -> None:
     """Have every start of an id taken for the same target."""
     decode = PlatformListingCodec.decode
 
@@ -193,16 +193,16 @@
 @pytest.mark.parametrize(
     "name",
     [
-        "test_restart_is_told_once_and_everything_of_before_is_dropped",
-        "test_target_that_left_and_starts_again_is_used",
-        "test_entry_of_the_former_one_changes_nothing",
-        "test_connections_of_the_former_one_are_not_used",
-        "test_request_that_may_be_repeated_goes_to_the_new_start",
+        "test_restart_is_logged_once_and_discards_former_state",
+        "test_target_that_left_and_restarts_is_used",
+        "test_entry_of_a_former_incarnation_is_ignored",
+        "test_connections_of_a_former_incarnation_are_not_reused",
+        "test_idempotent_request_is_retried_at_the_new_incarnation",
     ],
 )
-async def test_starts_of_targets_are_told_apart(world, monkeypatch, name):
-    ignore_starts(monkeypatch)
-    monkeypatch.setattr(test_restarts, "is_known", has_heard_all)
+async def test_target_incarnations_are_distinguished(world, monkeypatch, name):
+    ignore_incarnations(monkeypatch)
+    monkeypatch.setattr(test_restarts, "is_known", has_received_all)
     monkeypatch.setattr(conftest, "WAIT_SECONDS", 3)
     with pytest.raises((AssertionError, TimeoutError)):
         await getattr(test_restarts, name)(world)
@@ -211,29 +211,29 @@
 @pytest.mark.parametrize(
     "name",
     [
-        "test_results_lost_before_the_next_stage_are_made_again",
-        "test_results_lost_before_a_further_engine_reads_them_are_made_again",
-        "test_answer_of_a_former_maker_is_not_used",
+        "test_results_lost_before_the_next_stage_are_recomputed",
+        "test_results_lost_before_failover_to_another_engine_are_recomputed",
+        "test_response_of_a_former_maker_incarnation_is_discarded",
     ],
 )
-async def test_starts_of_makers_are_told_apart(pipeline, monkeypatch, name):
-    ignore_starts(monkeypatch)
+async def test_maker_incarnations_are_distinguished(pipeline, monkeypatch, name):
+    ignore_incarnations(monkeypatch)
     monkeypatch.setattr(conftest, "WAIT_SECONDS", 3)
     with pytest.raises((AssertionError, TimeoutError)):
         await getattr(test_restarts, name)(pipeline)
 
 
-async def test_kind_of_a_request_decides_on_repeats_to_a_new_start(world, monkeypatch):
+async def test_request_kind_decides_on_retries_to_a_new_incarnation(world, monkeypatch):
     steps = iter([NextStep.REPEAT, NextStep.GIVE_UP])
     monkeypatch.setattr(runners, "decide_next", lambda facts: next(steps))
     with pytest.raises(AssertionError):
-        await test_restarts.test_booking_that_may_have_run_before_is_not_sent_again(
+        await test_restarts.test_non_idempotent_request_is_not_resent_after_a_restart(
             world
         )
     assert world.targets["desk-1"].runs["b-1"] == 2
 
 
-async def test_dial_tells_lost_answers_from_crashes(world, monkeypatch):
+async def test_dial_distinguishes_lost_responses_from_crashes(world, monkeypatch):
     async def believe(self, address):
         return True
 
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize(
     "value", [b"\xff\xfe", b"", b"[]", write_fields(state="resting"), b'{"service":']
 )
-def test_target_whose_entry_names_none_gets_nothing_until_it_does_again(value):
+def test_target_with_an_invalid_entry_is_excluded_until_it_is_valid(value):
     """Symptom: requests go to a target that says, in words not known, that it must
     not have them.
 
@@ -92,7 +92,7 @@
     assert listing.gone == ["one@1700000000000"]
 
 
-def test_bad_entry_is_told_once_and_again_when_its_bytes_change():
+def test_invalid_entry_is_logged_once_per_content():
     """Symptom: the log is full of lines about one entry.
 
     Sequence: the listing is read again after each outage of the store.
@@ -112,7 +112,7 @@
     assert listing.follower.dump()["bad_entries"] == {}
 
 
-def test_entry_without_a_start_at_another_address_is_set_aside():
+def test_entry_without_a_start_time_at_another_address_is_excluded():
     listing = Listing()
     listing.write(1, one=write_fields())
     fields = {**GOOD, "address": "10.0.0.2:80"}
@@ -122,7 +122,7 @@
     assert listing.metrics.value("beliefs.target-unreadable") == 1
 
 
-def test_service_in_no_configuration_is_told_once_and_used_once_it_is():
+def test_unknown_service_is_logged_once_and_used_once_configured():
     listing = Listing()
     listing.write(1, one=write_fields(service="new"))
     listing.write(2, one=write_fields(service="new", slots=5))
@@ -134,14 +134,14 @@
     assert len(listing.book.list_service("new")) == 1
 
 
-def test_target_that_moves_to_an_unknown_service_gets_nothing():
+def test_target_that_moves_to_an_unknown_service_leaves_the_known_one():
     listing = Listing()
     listing.write(1, one=write_fields())
     listing.write(2, one=write_fields(service="new"))
     assert listing.book.list_service("desk") == ()
 
 
-def test_of_two_instances_that_know_different_starts_the_later_one_wins():
+def test_later_incarnation_wins_between_two_instances():
     """Symptom: an instance sends handles and prompts by what a former start held.
 
     Sequence: one instance has heard that a target started again; news go both ways.
@@ -203,7 +203,7 @@
 
 @given(_steps)
 @settings(suppress_health_check=[HealthCheck.too_slow])
-def test_drawn_entries_never_raise_and_others_hold(steps):
+def test_arbitrary_entries_never_raise_or_affect_others(steps):
     listing = Listing()
     good = Entry("servers/good", write_fields(), 1)
     listing.write(1, good=good.value)
@@ -235,7 +235,7 @@
 # on a whole instance
 
 
-async def test_work_of_a_target_goes_on_while_its_entry_can_not_be_read(world):
+async def test_requests_in_flight_continue_while_the_entry_is_invalid(world):
     """Symptom: requests in work are given up, or new ones go on to a target whose
     entry somebody has overwritten.
 
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -48,7 +48,7 @@
         listing.apply_changes(Changes((entry,), (), listing.revision))
 
 
-async def test_restart_is_told_once_and_everything_of_before_is_dropped(world):
+async def test_restart_is_logged_once_and_discards_former_state(world):
     """Symptom: a target that is back and well gets no work for seconds.
 
     Sequence: it fails, is ended, and starts again under its id.
@@ -69,7 +69,7 @@
     assert world.count("targets.restarted") == 1
 
 
-async def test_target_that_left_and_starts_again_is_used(world):
+async def test_target_that_left_and_restarts_is_used(world):
     """Symptom: a service is short of a target until the instance is restarted.
 
     Sequence: a target drains and leaves, and starts again under its id.
@@ -85,7 +85,7 @@
     assert (await world.ask("/look/1")).status == 200
 
 
-async def test_entry_of_the_former_one_changes_nothing(world):
+async def test_entry_of_a_former_incarnation_is_ignored(world):
     """Symptom: each late write of a target that has ended has its successor's state
     forgotten, and what it holds asked for in vain.
 
@@ -106,7 +106,7 @@
     assert world.count("beliefs.target-outdated") == 1
 
 
-async def test_connections_of_the_former_one_are_not_used(world):
+async def test_connections_of_a_former_incarnation_are_not_reused(world):
     """Symptom: the first requests after a restart fail, or are answered by a process
     that is about to end.
 
@@ -126,7 +126,7 @@
     assert target.connections == before + 1
 
 
-async def test_booking_that_may_have_run_before_is_not_sent_again(world):
+async def test_non_idempotent_request_is_not_resent_after_a_restart(world):
     """Symptom: a booking is made twice.
 
     Sequence: a target has a booking when it is ended; it starts again at once, and
@@ -150,7 +150,7 @@
     assert target.runs["b-1"] == 1
 
 
-async def test_request_that_may_be_repeated_goes_to_the_new_start(world):
+async def test_idempotent_request_is_retried_at_the_new_incarnation(world):
     """Symptom: a request that may be repeated fails, though its only target is back.
 
     Sequence: the target that has it starts again.
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("cut", [True, False])
-async def test_stream_goes_on_after_a_restart_of_its_engine(pipeline, cut):
+async def test_stream_resumes_after_a_restart_of_its_engine(pipeline, cut):
     """Symptom: a stream that can be resumed breaks off as its only engine restarts."""
     pipeline.store.remove("servers/llm-2")
     await pipeline.wait_for(lambda: not pipeline.accepts("llm-2"))
@@ -202,7 +202,7 @@
     return [one for one in world.targets.values() if one.service == service]
 
 
-async def test_results_lost_before_the_next_stage_are_made_again(pipeline):
+async def test_results_lost_before_the_next_stage_are_recomputed(pipeline):
     """Symptom: makers turn pieces away as what they read is gone, after all waiting.
 
     Sequence: a stage is made; its makers start again while the next stage waits for a
@@ -227,7 +227,7 @@
     assert not former & set().union(*(one.freed for one in portals))
 
 
-async def test_results_lost_before_a_further_engine_reads_them_are_made_again(pipeline):
+async def test_results_lost_before_failover_to_another_engine_are_recomputed(pipeline):
     """Symptom: an engine refuses a request as its inputs are gone, after all stages.
 
     Sequence: an engine is mute, so that the request goes to another one; meanwhile
@@ -260,7 +260,7 @@
     assert pipeline.count("stages.lost_by_restart") >= len(former)
 
 
-async def test_owner_that_knows_of_a_restart_says_that_inputs_are_gone(pipeline):
+async def test_owner_aware_of_a_restart_reports_inputs_as_gone(pipeline):
     """Symptom: makers are asked for pieces whose inputs nobody holds.
 
     Sequence: an instance that has not heard of a restart asks an owner that has.
@@ -281,7 +281,7 @@
     assert [one.failure for one in results] == [PieceFailure.GONE]
 
 
-async def test_owner_that_does_not_know_of_a_restart_fails_no_engine(pipeline):
+async def test_owner_unaware_of_a_restart_does_not_penalize_engines(pipeline):
     """Symptom: engines that are well get no work for a second.
 
     Sequence: the owner of a service names results by a former start of their maker
@@ -311,7 +311,7 @@
     assert (await pipeline.stream()).status == 200
 
 
-async def test_answer_of_a_former_maker_is_not_used(pipeline):
+async def test_response_of_a_former_maker_incarnation_is_discarded(pipeline):
     """Symptom: as above, though the maker was known to have started again.
 
     Sequence: a maker starts again with a call in work; the old process, which is slow
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -57,7 +57,7 @@
     return sum(target.runs[request_id] for target in world.targets.values())
 
 
-async def test_connection_that_was_busy_at_the_stop_takes_nothing_more(world):
+async def test_connection_busy_at_the_stop_accepts_no_further_request(world):
     """An instance was told to stop, served on for 2.6 s, closed its listener and the
     connections that were idle then, and waited 4.9 s for what was in flight. A
     connection that served a request in that instant stayed open: whether to keep it
@@ -88,7 +88,7 @@
     writer.close()
 
 
-async def test_connection_is_closed_behind_a_stream_that_began_before_the_stop(world):
+async def test_connection_is_closed_after_a_stream_that_began_before_the_stop(world):
     """The head of the stream has said that the connection is kept, so that only its
     close can tell the caller to send its next request elsewhere.
     """
@@ -109,7 +109,7 @@
     writer.close()
 
 
-async def test_request_that_is_read_as_idle_connections_close_is_answered(world):
+async def test_request_read_while_idle_connections_close_is_answered(world):
     """A process that had been kept from running for 50 ms read a request and, in the
     same turn of its loop, found the time come to close idle connections. A
     connection counted as idle until the request's handler had begun, two turns
@@ -135,7 +135,7 @@
     writer.close()
 
 
-async def test_what_is_in_flight_at_the_end_of_a_stop_is_answered(pipeline):
+async def test_requests_in_flight_at_the_end_of_a_stop_are_answered(pipeline):
     """Two scans waited for a maker of their stages when the time for requests in
     flight was over, 7.5 s after the signal. Nothing refused them, although nothing
     of them had run: the server waited 1 s for its handlers, and the process was
@@ -174,7 +174,7 @@
     assert not any(engine.runs for engine in engines)
 
 
-async def test_request_that_comes_during_a_stop_is_given_no_time_beyond_it(world):
+async def test_deadline_of_a_request_is_capped_by_the_end_of_a_stop(world):
     """Symptom: requests taken while the balancer lags are broken off at the end.
 
     Sequence: an instance that is to stop takes a request whose deadline lies after
@@ -191,7 +191,9 @@
     assert int(seen.headers["x-deadline-ms"]) <= 2000
 
 
-async def test_request_for_which_a_stop_has_no_time_may_come_back_at_once(pipeline):
+async def test_request_refused_for_lack_of_time_before_a_stop_may_retry_at_once(
+    pipeline,
+):
     """Symptom: callers wait before they turn to an instance that has time for them.
 
     Sequence: a request comes during a stop, and its stages can't be made before the
@@ -215,7 +217,7 @@
     return finished
 
 
-async def test_request_read_as_the_listener_closes_is_waited_for(world):
+async def test_stop_waits_for_a_request_read_as_the_listener_closes(world):
     """Symptom: an idle instance is told to stop, and a request that it passed on is
     cut at the end of the balancer's lag.
 
@@ -250,7 +252,7 @@
     writer.close()
 
 
-async def test_late_request_is_refused_before_its_body_is_there(world):
+async def test_late_request_is_refused_before_its_body_arrives(world):
     """Symptom: a stop takes longer than its requests in flight.
 
     Sequence: a request whose first byte is late sends its body slowly; it is refused
--- a/tests/test_entry/test_relay/test_store_follower.py
+++ b/tests/test_entry/test_relay/test_store_follower.py
@@ -58,7 +58,7 @@
         await asyncio.sleep(0.4)
 
 
-async def test_instance_follows_the_store_once_no_peer_tells_of_it():
+async def test_passive_instance_watches_the_store_once_peer_reports_stop():
     """Guards against configurations that are in force late after a loss of power."""
     store = Store()
     follower = create_follower(store)
@@ -72,7 +72,7 @@
     await follower.stop()
 
 
-async def test_instance_that_others_rely_on_hears_of_lost_history_in_time():
+async def test_listener_with_dependents_detects_lost_history_in_time():
     """Guards against news that are as old as the bound when they are passed on."""
     store = Store()
     follower = create_follower(
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -8,7 +8,7 @@
 from .conftest import World
 
 
-async def test_instance_without_a_configuration_says_that_it_is_not_ready():
+async def test_instance_without_a_configuration_responds_not_ready():
     """Symptom: callers are told for good that their route or key does not exist.
 
     Sequence: an instance starts while the store is out of reach.
@@ -24,7 +24,7 @@
         await world.stop()
 
 
-async def test_instance_serves_on_while_the_store_is_away(world):
+async def test_instance_serves_during_a_store_outage(world):
     follower = world.find("store")
     world.store.fault = StoreFault.BUSY
     await world.wait_for(lambda: not follower.reachable)
@@ -33,7 +33,7 @@
     await world.wait_for(lambda: follower.reachable)
 
 
-async def test_lost_history_is_read_again(world):
+async def test_lost_watch_history_triggers_a_scan(world):
     """Symptom: a withdrawn key is accepted for minutes.
 
     Sequence: the store forgets its history while a watch waits; changes made
@@ -52,7 +52,7 @@
     await world.wait_for(lambda: not world.accepts("desk-1"))
 
 
-async def test_older_configuration_is_not_taken_back(world):
+async def test_older_configuration_is_rejected(world):
     configuration = world.find("news")._configuration
     world.store.put("op/config", create_configuration(12))
     await world.wait_for(lambda: configuration.deployment.version == 12)
@@ -61,7 +61,7 @@
     assert configuration.deployment.version == 12
 
 
-async def test_bad_route_sets_only_itself_aside(world):
+async def test_invalid_route_does_not_affect_others(world):
     configuration = world.find("news")._configuration
     fields = create_configuration(12)
     fields["routes"].append({"name": "bad", "prefix": "no-slash"})
@@ -70,14 +70,14 @@
     assert (await world.ask("/look/1")).status == 200
 
 
-async def test_unreadable_entry_sets_only_itself_aside(world):
+async def test_invalid_entry_does_not_affect_others(world):
     world.store.put("servers/bad", {"service": 7})
     await world.add("desk-3", "desk")
     await world.wait_until_synced(3)
     assert (await world.ask("/look/1")).status == 200
 
 
-async def test_unreadable_configuration_leaves_the_former_one(world):
+async def test_invalid_configuration_keeps_the_active_one(world):
     configuration = world.find("news")._configuration
     follower = world.find("store")
     revision = world.store.put("op/config", {"routes": 7})
@@ -86,7 +86,7 @@
     assert (await world.ask("/look/1")).status == 200
 
 
-async def test_registration_lapses_and_comes_back(world):
+async def test_instance_registers_in_the_store(world):
     registry = world.find("registry")
     await world.wait_for(lambda: registry.dump()["registered"])
     prefix = "greengagelatch/instances/"
--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -27,13 +27,13 @@
     return pool["bundles"] > 0 or any(one["calls"] for one in pool["makers"].values())
 
 
-async def test_stream_passes_whole(pipeline):
+async def test_stream_is_forwarded_completely(pipeline):
     reply = await pipeline.stream()
     assert reply.status == 200
     assert reply.body == WHOLE
 
 
-async def test_stages_are_made_once_and_their_results_read(pipeline):
+async def test_stages_run_once_and_their_results_are_read(pipeline):
     await pipeline.stream(X_Attempt_Id="r-1")
     seen = [one for engine in engines(pipeline) for one in engine.seen]
     inputs = seen[0].headers["x-inputs"].split(",")
@@ -48,7 +48,7 @@
     }
 
 
-async def test_results_are_freed_at_their_makers(pipeline):
+async def test_results_are_released_at_their_makers(pipeline):
     """Symptom: makers refuse pieces for lack of room under light load.
 
     Sequence: requests end, and their results stay until they lapse.
@@ -87,7 +87,7 @@
     assert (await held).body == WHOLE
 
 
-async def test_results_are_freed_once_an_engine_has_fetched_them(pipeline):
+async def test_results_are_released_once_an_engine_has_fetched_them(pipeline):
     """Symptom: makers have no room while calls are half full and engines have places.
 
     Sequence: an engine takes a request in, fetches its inputs, and reads prompts for
@@ -100,7 +100,7 @@
     await release(pipeline, held)
 
 
-async def test_results_are_kept_for_an_engine_that_has_a_queue(pipeline):
+async def test_results_are_kept_for_an_engine_with_a_queue(pipeline):
     held = await start_held_stream(pipeline, "4,2,4")
     # those of the last stage, which only the engine reads, stay
     await pipeline.wait_for(lambda: count_freed(pipeline) == 20 + 2)
@@ -109,7 +109,9 @@
     await release(pipeline, held)
 
 
-async def test_stream_is_whole_that_leaves_an_engine_which_had_fetched(pipeline):
+async def test_stream_completes_after_failover_from_an_engine_that_had_fetched(
+    pipeline,
+):
     """Symptom: streams that go elsewhere are refused there, as their inputs are gone.
 
     Sequence: an engine fetches a request's inputs and falls silent; they were freed;
@@ -150,7 +152,7 @@
     assert max(batches) > 3
 
 
-async def test_stream_goes_on_elsewhere_after_a_break_within_an_event(pipeline):
+async def test_stream_fails_over_after_a_break_within_an_event(pipeline):
     """Symptom: a caller reads a piece twice, or one that is cut.
 
     Sequence: an engine dies in the middle of an event; another one goes on after the
@@ -168,14 +170,14 @@
 
 
 @pytest.mark.parametrize("broken", ["llm-1", "llm-2"])
-async def test_resumed_stream_is_whole(pipeline, broken):
+async def test_resumed_stream_is_complete(pipeline, broken):
     pipeline.targets[broken].break_after = 2
     for _ in range(3):
         reply = await pipeline.stream()
         assert (reply.status, reply.body) == (200, WHOLE)
 
 
-async def test_stream_that_can_not_go_on_does_not_look_whole(pipeline):
+async def test_interrupted_stream_does_not_look_complete(pipeline):
     """Symptom: half a summary is taken for a whole one.
 
     Sequence: the engine dies in mid-stream, on a route that can't be resumed.
@@ -188,7 +190,7 @@
     assert sum(engine.runs["r-1"] for engine in engines(pipeline)) == 1
 
 
-async def test_stream_that_a_mute_engine_holds_goes_elsewhere(pipeline):
+async def test_stream_fails_over_from_a_hung_engine(pipeline):
     engines(pipeline)[0].fault = TargetFault.MUTE
     for _ in range(2):
         reply = await pipeline.stream()
@@ -204,7 +206,7 @@
     assert sum(engine.runs.total() for engine in engines(pipeline)) == 0
 
 
-async def test_pieces_of_a_lost_maker_are_made_by_the_other(pipeline):
+async def test_pieces_of_a_failed_maker_are_computed_by_the_other(pipeline):
     """Symptom: requests fail for as long as one maker is lost.
 
     Sequence: a maker dies and stays listed; calls to it reach nobody.
@@ -216,7 +218,7 @@
         assert (reply.status, reply.body) == (200, WHOLE)
 
 
-async def test_maker_that_is_full_is_tried_again(pipeline):
+async def test_full_maker_is_retried(pipeline):
     for maker in makers(pipeline):
         maker.fault = TargetFault.FULL
     waiting = asyncio.create_task(pipeline.stream())
@@ -235,7 +237,7 @@
     assert reply.status == 503
 
 
-async def test_caller_that_leaves_frees_what_was_made_for_it(pipeline):
+async def test_results_of_a_disconnected_caller_are_released(pipeline):
     """Symptom: makers work for callers that have gone.
 
     Sequence: a caller closes its connection while its stages are being made.
--- a/tests/test_entry/test_relay/test_target_connections.py
+++ b/tests/test_entry/test_relay/test_target_connections.py
@@ -7,7 +7,7 @@
     return world.describe()["links"]["idle"]
 
 
-async def test_no_connection_is_kept_that_no_request_may_use(world):
+async def test_no_connection_is_pooled_that_no_request_may_use(world):
     """Symptom: targets reset connections of instances that need one.
 
     Sequence: requests that run only once, each over a connection of its own, are
@@ -19,7 +19,7 @@
     assert count_idle(world) == 0
 
 
-async def test_idempotent_requests_use_a_connection_again(world):
+async def test_idempotent_requests_reuse_a_connection(world):
     for _ in range(6):
         await world.ask("/look/1")
     assert world.count("links.opened") <= 2
--- a/tests/test_entry/test_relay/test_unary.py
+++ b/tests/test_entry/test_relay/test_unary.py
@@ -19,7 +19,7 @@
     return sum(target.runs[request_id] for target in world.targets.values())
 
 
-async def test_answer_passes_unchanged(world):
+async def test_response_is_forwarded_unchanged(world):
     reply = await world.ask("/look/1?a=%2F&&b", request_id="r-1")
     assert reply.status == 200
     assert reply.body == b"answer to r-1 "
@@ -63,7 +63,7 @@
         TargetFault.FOREIGN,
     ],
 )
-async def test_booking_whose_answer_is_lost_runs_once(world, fault):
+async def test_non_idempotent_request_with_a_lost_response_runs_once(world, fault):
     """Symptom: one coach set is booked on two lathes.
 
     Sequence: the target books and its answer is cut, or is that of another request;
@@ -89,7 +89,7 @@
         TargetFault.FAIL,
     ],
 )
-async def test_idempotent_request_is_answered_by_the_other_target(world, fault):
+async def test_idempotent_request_fails_over_to_the_other_target(world, fault):
     world.targets["desk-1"].fault = fault
     for number in range(4):
         reply = await world.ask("/look/1", request_id=f"s-{number}")
@@ -97,7 +97,7 @@
         assert reply.body == f"answer to s-{number} ".encode()
 
 
-async def test_refusal_of_all_targets_is_a_promise(world):
+async def test_rejection_by_all_targets_is_reported_as_not_run(world):
     set_fault(world, TargetFault.FULL)
     reply = await world.ask("/book/1", method="POST", request_id="b-1")
     assert reply.status == 503
@@ -105,7 +105,7 @@
     assert count_runs(world, "b-1") == 0
 
 
-async def test_failure_of_a_target_is_passed_on(world):
+async def test_error_of_a_target_is_forwarded(world):
     set_fault(world, TargetFault.FAIL)
     reply = await world.ask("/book/1", method="POST", request_id="b-1")
     assert (reply.status, reply.body) == (500, b"failed")
@@ -113,7 +113,7 @@
     assert count_runs(world, "b-1") == 1
 
 
-async def test_second_answer_reaches_nobody(world):
+async def test_surplus_response_is_discarded(world):
     """Symptom: a caller gets the answer to somebody else's request.
 
     Sequence: a target sends another answer after a complete one; the next request
@@ -126,7 +126,7 @@
         assert reply.body == f"answer to s-{number} ".encode()
 
 
-async def test_address_of_another_target_is_not_run(world):
+async def test_request_to_a_reused_address_is_not_run(world):
     """Symptom: a request is run by a service that it must not go to.
 
     Sequence: a target ends, its address is given to another one, and the entry of
@@ -142,7 +142,7 @@
     assert other.runs.total() == 0
 
 
-async def test_leaving_target_gets_nothing_more(world):
+async def test_leaving_target_gets_no_requests(world):
     world.targets["desk-1"].register(world.store, state="draining")
     await world.wait_for(lambda: not world.accepts("desk-1"))
     before = world.targets["desk-1"].runs.total()
@@ -166,7 +166,7 @@
     assert (await world.ask("/nowhere/1")).status == 404
 
 
-async def test_withdrawn_key_is_refused(world):
+async def test_revoked_key_is_refused(world):
     configuration = world.find("news")._configuration
     before = configuration.revision
     world.store.put("op/config", create_configuration(9, keys=("another",)))
@@ -175,7 +175,7 @@
     assert (await world.ask("/look/1", key="another")).status == 200
 
 
-async def test_body_beyond_the_bound_is_refused(world):
+async def test_oversized_body_is_refused(world):
     reply = await world.ask("/book/1", method="POST", body=b"x" * 70_000)
     assert reply.status == 413
     assert json.loads(reply.body)["field"] == "body"
@@ -185,7 +185,7 @@
     ("name", "value"),
     [("X-Deadline-Ms", "soon"), ("X-Deadline-Ms", "nan"), ("Last-Event-Id", "x")],
 )
-async def test_header_without_a_meaning_is_named(world, name, value):
+async def test_malformed_header_is_named(world, name, value):
     reply = await world.ask("/look/1", **{name.replace("-", "_"): value})
     fields = json.loads(reply.body)
     assert reply.status == 400
--- a/tests/test_entry/test_relay/test_usage.py
+++ b/tests/test_entry/test_relay/test_usage.py
@@ -54,7 +54,7 @@
     return controller, log
 
 
-async def test_full_link_is_told_apart_from_a_late_loop(monkeypatch):
+async def test_saturated_link_is_distinguished_from_loop_lag(monkeypatch):
     metrics = MetricTotals()
     _, log = await sample(monkeypatch, metrics, StepClock(5.0, 5.01), sent=9)
     kind, fields = log.lines[0]
@@ -63,7 +63,7 @@
     assert fields["lag_ms"] == 10
 
 
-async def test_late_loop_is_told_apart_from_a_full_link(monkeypatch):
+async def test_loop_lag_is_distinguished_from_a_saturated_link(monkeypatch):
     controller, log = await sample(monkeypatch, MetricTotals(), StepClock(5.0, 5.2))
     kind, fields = log.lines[0]
     assert kind == "busy"
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -141,7 +141,7 @@
         return status
 
 
-async def test_plain_and_streamed_requests_are_served(fleet, session):
+async def test_unary_and_streaming_requests_are_served(fleet, session):
     for number, instance in enumerate(fleet.instances):
         assert await ask(session, instance) == 200
         status = await ask(
@@ -162,7 +162,7 @@
     assert EVENTS > 1
 
 
-async def test_stop_cuts_no_request(fleet, session):
+async def test_stop_interrupts_no_request(fleet, session):
     """Symptom: every rollout cuts some requests.
 
     Sequence: an instance is told to stop, twice, while callers keep sending on open
@@ -191,7 +191,7 @@
         assert await instance.process.wait() == 0
 
 
-async def test_stop_answers_what_comes_on_kept_connections(fleet):
+async def test_stop_answers_requests_on_keep_alive_connections(fleet):
     """Symptom: rolling restarts lose requests.
 
     Sequence: streams are under way on kept connections when an instance is told to
@@ -229,7 +229,7 @@
         assert await instance.process.wait() == 0
 
 
-async def test_hangup_cuts_nothing(fleet, session):
+async def test_hangup_interrupts_no_request(fleet, session):
     instance = fleet.instances[0]
     instance.process.send_signal(signal.SIGHUP)
     for _ in range(5):
@@ -237,7 +237,7 @@
     assert instance.process.returncode is None
 
 
-async def test_withdrawn_key_is_learnt_from_peers(fleet, session):
+async def test_revoked_key_is_received_from_peers(fleet, session):
     """Symptom: a withdrawn key opens the doors of one instance for minutes.
 
     Sequence: the store turns all calls of that instance away and serves the others.
@@ -257,7 +257,7 @@
     assert read_log(late, "configuration")[-1]["origin"] == "peer"
 
 
-async def test_fleet_serves_through_the_loss_of_an_instance(fleet, session):
+async def test_fleet_serves_after_the_loss_of_an_instance(fleet, session):
     """Symptom: no stage is made for seconds after one instance has died.
 
     Sequence: the instance that gathers the pieces of a service is killed.
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -96,7 +96,7 @@
             await asyncio.sleep(0.05)
 
 
-async def test_requests_pass_and_a_planned_stop_cuts_none(tmp_path):
+async def test_requests_succeed_and_a_planned_stop_interrupts_none(tmp_path):
     """A stream ends half way while its instance is replaced.
 
     The instance gets SIGTERM while an engine still generates; it closes its
