--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -1,4 +1,4 @@
-"""One instance in the test's own process, on the stand-ins of the platform."""
+"""Fixtures: one in-process instance with stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from greengagelatch_platform.store import PlatformStore
 from greengagelatch_platform.targets import PlatformTargetCodec
 
-#: bound of every wait, in seconds
+#: timeout of every wait in seconds
 WAIT_SECONDS = 20
 
 
 @dataclass(frozen=True)
 class Reply:
-    """A whole answer, or the error by which it was cut."""
+    """A complete response, or the error that interrupted it."""
 
     status: int
     headers: dict[str, str]
@@ -41,7 +41,7 @@
 
 
 class World:
-    """Store, targets and one instance; everything on loopback."""
+    """Store, targets and one instance on the loopback interface."""
 
     def __init__(self) -> None:
         self.store = StoreStandIn()
@@ -79,15 +79,15 @@
         return next(one for one in self.parts.controllers if one.name == controller)
 
     def describe(self) -> dict[str, Any]:
-        """Return the state as the instance shows it to operators."""
+        """Return the state that the instance exposes to operators."""
         return self.find("readiness")._describe()
 
     def count(self, name: str) -> int:
-        """Return a counter's total."""
+        """Return the total of a counter."""
         return self.describe()["metrics"]["counters"].get(name, 0)
 
     def accepts(self, target_id: str) -> bool:
-        """Whether the target listed under an id may be sent work."""
+        """Return whether the target listed under an id accepts requests."""
         book = self.find("news")._book
         listed = book.find_listed(target_id)
         return listed is not None and book.accepts(listed.incarnation)
@@ -95,16 +95,16 @@
     async def wait_for(self, condition) -> None:
         """Wait until ``condition`` holds."""
         async with asyncio.timeout(WAIT_SECONDS):
-            while not condition():  # noqa: ASYNC110 - any part may make it true
+            while not condition():  # noqa: ASYNC110 - no event covers every condition
                 await asyncio.sleep(0.01)
 
     async def wait_for_revision(self, revision: int) -> None:
-        """Wait until the store has been heard up to a revision."""
+        """Wait until the store follower has reached a revision."""
         follower = self.find("store")
         await self.wait_for(lambda: (follower.dump()["revision"] or 0) >= revision)
 
     async def wait_for_breaker(self, incarnation: object, state: str) -> None:
-        """Send requests until a target's breaker is in a state."""
+        """Send requests until the circuit breaker of a target is in a state."""
         async with asyncio.timeout(WAIT_SECONDS):
             while self._read_breaker(incarnation) != state:
                 await self.ask("/look/1")
@@ -114,7 +114,7 @@
         return targets.get(str(incarnation), {}).get("breaker", "")
 
     async def wait_until_synced(self, targets: int) -> None:
-        """Wait until the configuration and so many targets are known."""
+        """Wait until the configuration and a number of targets are loaded."""
         book = self.find("news")._book
         configuration = self.find("news")._configuration
         await self.wait_for(
@@ -131,7 +131,7 @@
         request_id: str = "",
         **headers: str,
     ) -> Reply:
-        """Send one request and read the whole answer."""
+        """Send one request and read the complete response."""
         lines = {
             "Host": HOST,
             "X-Attempt-Id": request_id or f"r-{next(self._numbers)}",
@@ -140,7 +140,7 @@
         }
         if key is not None:
             lines["Authorization"] = f"Bearer {key}"
-        # encoded: the client's library would normalize the path
+        # mark as encoded, as the client library would normalize the path otherwise
         url = URL(f"http://127.0.0.1:{self.parts.front.port}{path}", encoded=True)
         try:
             async with self.session.request(
@@ -152,7 +152,7 @@
             return Reply(0, {}, b"", type(error).__name__)
 
     async def stream(self, route: str = "draft", **headers: str) -> Reply:
-        """Send a request that is answered by a stream."""
+        """Send a request for a streamed response."""
         lines = {
             "X-Model": "m",
             "X-Token-Counts": "100,20",
@@ -193,7 +193,7 @@
 
 @pytest.fixture
 async def world():
-    """An instance with two plain targets."""
+    """An instance with two targets of a unary service."""
     created = World()
     await created.start()
     await created.add("desk-1", "desk")
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -1,7 +1,6 @@
-"""Guards of the relay, each taken out: the fault that it prevents must then show.
+"""Mutation tests: each removes one safeguard, and the fault it prevents must appear.
 
-Symptom: a guard is lost in a change and no test fails. Sequence: the fault that it was
-written for comes, on a whole instance. Cause: tests that would pass without it.
+They guard against tests that would still pass if a change removed the safeguard.
 """
 
 from __future__ import annotations
@@ -123,7 +122,7 @@
     assert configuration.apply(fields, configuration.revision + 10, "peer")
     assert not configuration.apply(old, configuration.revision - 5, "peer")
     monkeypatch.setattr(configuration, "_revision", 0)
-    # the version itself is the second guard
+    # the version number is the second safeguard
     configuration.apply(old, 1, "peer")
     assert configuration.deployment.version == 9
 
@@ -146,8 +145,8 @@
     def begin_in_time(connection):
         connection.busy = True
 
-    # two more guards stand beside it: answers that begin during a stop say that the
-    # connection ends, and what comes late is refused
+    # disables two further safeguards: responses that begin during a stop announce the
+    # close of the connection, and late requests are refused
     monkeypatch.setattr(RelayFront, "_keeps_connections", lambda self: True)
     monkeypatch.setattr(_Connection, "end_request", end_as_idle)
     monkeypatch.setattr(_Connection, "_begin", begin_in_time)
@@ -179,7 +178,7 @@
 
 
 def ignore_incarnations(monkeypatch) -> None:
-    """Have every start of an id taken for the same target."""
+    """Treat all incarnations of a target id as the same target."""
     decode = PlatformListingCodec.decode
 
     def decode_without_start(self, key, value, revision):
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.listing: entries that name no target to use."""
+"""Tests of greengagelatch_entry.relay.listing with invalid and outdated entries."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Listing:
-    """A follower of its own, told directly what a store would tell."""
+    """A listing follower that receives changes directly, without a store."""
 
     def __init__(self) -> None:
         clock = ManualClock()
@@ -55,7 +55,7 @@
         )
 
     def write(self, revision: int, **values: bytes) -> None:
-        """Take in that entries were written; names stand for ids."""
+        """Apply writes of entries, given by target id."""
         entries = tuple(
             Entry(f"servers/{name}", value, revision) for name, value in values.items()
         )
@@ -74,11 +74,10 @@
     "value", [b"\xff\xfe", b"", b"[]", write_fields(state="resting"), b'{"service":']
 )
 def test_target_with_an_invalid_entry_is_excluded_until_it_is_valid(value):
-    """Symptom: requests go to a target that says, in words not known, that it must
-    not have them.
+    """Guards against requests to a target whose entry has become invalid.
 
-    Sequence: another writer changes the entry of a target that was ready.
-    Cause: an entry that could not be read changed nothing, or its state counted as
+    Another writer replaces the entry of a ready target by one that can't be decoded or
+    has an unknown state. The fault is to ignore such an entry, or to read the state as
     ready.
     """
     listing = Listing()
@@ -88,15 +87,14 @@
     assert listing.accepts("two")
     listing.write(3, one=write_fields())
     assert listing.accepts("one")
-    # nothing says that it has ended
+    # only the exclusion is reported; the target itself has not ended
     assert listing.gone == ["one@1700000000000"]
 
 
 def test_invalid_entry_is_logged_once_per_content():
-    """Symptom: the log is full of lines about one entry.
+    """Guards against a log flooded by one invalid entry.
 
-    Sequence: the listing is read again after each outage of the store.
-    Cause: a line was written for each reading.
+    The listing is read again after each store outage, and each read would log a line.
     """
     listing = Listing()
     bad = Entry("servers/bad", b"{}", 3)
@@ -142,17 +140,17 @@
 
 
 def test_later_incarnation_wins_between_two_instances():
-    """Symptom: an instance sends handles and prompts by what a former start held.
+    """Guards against requests routed by the state of a former incarnation.
 
-    Sequence: one instance has heard that a target started again; news go both ways.
-    Cause: what a peer told last was believed.
+    Only one of two instances knows that a target has restarted, and both exchange
+    their listings. The fault is to accept whatever a peer sent last.
     """
     ahead, behind = Listing(), Listing()
     ahead.write(1, one=write_fields())
     behind.write(1, one=write_fields())
     later = GOOD["born"] + 5
     ahead.write(2, one=write_fields(born=later))
-    # whatever revision the one behind may claim
+    # regardless of the revision that the lagging peer claims
     ahead.follower.apply_peer_listing(behind.book.list_all(), 9)
     behind.follower.apply_peer_listing(ahead.book.list_all(), 9)
     for listing in (ahead, behind):
@@ -222,7 +220,7 @@
                 )
         assert listing.accepts("good")
     listed = listing.book.list_all()
-    # what is listed can be told to peers and written into a request
+    # listed targets can be encoded for peers and for requests
     rows = tuple(map(encode_target, listed))
     message = decode(encode(Envelope(News(listed=True, targets=rows)))).unwrap()
     assert tuple(map(decode_target, message.message.targets)) == listed
@@ -232,16 +230,15 @@
         assert target.incarnation.born >= 0
 
 
-# on a whole instance
+# tests on an instance
 
 
 async def test_requests_in_flight_continue_while_the_entry_is_invalid(world):
-    """Symptom: requests in work are given up, or new ones go on to a target whose
-    entry somebody has overwritten.
+    """Guards against lost requests when the entry of a busy target becomes invalid.
 
-    Sequence: the entry of a target with work turns into bytes that can't be read, and
-    is mended later.
-    Cause: such an entry changed nothing, or was taken for the target's end.
+    The entry is overwritten by invalid bytes and restored later. The faults are to
+    ignore the change, so that new requests are still sent to the target, or to take it
+    for the end of the target, so that requests in flight are abandoned.
     """
     busy = world.targets["desk-1"]
     other = world.targets["desk-2"]
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -1,4 +1,4 @@
-"""Targets that start again under the id that they had, on a whole instance."""
+"""Tests of targets that restart under the same id, on an instance."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 def is_known(world, target) -> bool:
-    """Whether the instance knows the start that a target tells."""
+    """Return whether the instance knows the current incarnation of a target."""
     return find_listed(world, target.target_id).incarnation.born == target.born
 
 
 async def restart(world, target_id: str, *, cut: bool = True) -> None:
-    """Start a target again and wait until the instance knows."""
+    """Restart a target and wait until the instance knows."""
     target = world.targets[target_id]
     await target.restart(world.store, cut=cut)
     await world.wait_for(lambda: world.accepts(target_id) and is_known(world, target))
 
 
 async def restart_known(world, targets, *, cut: bool = True) -> None:
-    """Start targets again and let the instance know at that moment.
+    """Restart targets and notify the instance immediately.
 
-    What is in work is given up within half a second; the store would tell of each
-    restart later than that at times.
+    Requests in flight are abandoned within half a second, and a notification through
+    the store may take longer.
     """
     for target in targets:
         await target.restart(world.store, cut=cut)
@@ -49,10 +49,10 @@
 
 
 async def test_restart_is_logged_once_and_discards_former_state(world):
-    """Symptom: a target that is back and well gets no work for seconds.
+    """Guards against a restarted target that gets no requests for seconds.
 
-    Sequence: it fails, is ended, and starts again under its id.
-    Cause: beliefs about it were kept under the id alone.
+    The target fails, is terminated and restarts under its id. The fault is to key its
+    circuit breaker and other state by the id alone.
     """
     target = world.targets["desk-1"]
     former = find_listed(world, "desk-1").incarnation
@@ -70,10 +70,10 @@
 
 
 async def test_target_that_left_and_restarts_is_used(world):
-    """Symptom: a service is short of a target until the instance is restarted.
+    """Guards against a target that is excluded permanently after a drain.
 
-    Sequence: a target drains and leaves, and starts again under its id.
-    Cause: that it had left was remembered under its id.
+    The target drains, leaves and restarts under its id. The fault is to remember by id
+    alone that it has left.
     """
     world.targets["desk-1"].register(world.store, state="draining")
     await world.wait_for(lambda: not world.accepts("desk-1"))
@@ -86,11 +86,11 @@
 
 
 async def test_entry_of_a_former_incarnation_is_ignored(world):
-    """Symptom: each late write of a target that has ended has its successor's state
-    forgotten, and what it holds asked for in vain.
+    """Guards against late writes of a former incarnation.
 
-    Sequence: a target has started again; an entry of before is written after its own.
-    Cause: the entry written last was believed.
+    A target has restarted, and an entry of its former incarnation is written after the
+    new one. The fault is to accept the last write, which discards the state of the new
+    incarnation and requests results that it does not hold.
     """
     target = world.targets["desk-1"]
     old = target.describe()
@@ -102,17 +102,15 @@
     assert find_listed(world, "desk-1").incarnation == known
     assert world.accepts("desk-1")
     assert world.count("targets.outdated") == 2
-    # one line for the incarnation, and not for each reading
+    # one line per incarnation, not per read
     assert world.count("beliefs.target-outdated") == 1
 
 
 async def test_connections_of_a_former_incarnation_are_not_reused(world):
-    """Symptom: the first requests after a restart fail, or are answered by a process
-    that is about to end.
+    """Guards against requests on connections to a terminating process.
 
-    Sequence: a target starts again while connections to it are kept; the old process
-    still has them.
-    Cause: connections were kept under the target's id.
+    A target restarts while connections to its old process are pooled. The fault is to
+    pool connections by the id of the target.
     """
     world.store.remove("servers/desk-2")
     await world.wait_for(lambda: not world.accepts("desk-2"))
@@ -127,11 +125,10 @@
 
 
 async def test_non_idempotent_request_is_not_resent_after_a_restart(world):
-    """Symptom: a booking is made twice.
+    """Guards against running a non-idempotent request twice.
 
-    Sequence: a target has a booking when it is ended; it starts again at once, and
-    there is no other.
-    Cause: the new start was taken for a target that has not had the booking.
+    The only target restarts while it runs the request. The fault is to treat the new
+    incarnation as a target that the request has not been sent to.
     """
     world.store.remove("servers/desk-2")
     await world.wait_for(lambda: not world.accepts("desk-2"))
@@ -141,7 +138,7 @@
         world.ask("/book/1", method="POST", request_id="b-1", X_Deadline_Ms="5000")
     )
     await world.wait_for(lambda: target.runs["b-1"] == 1)
-    # known to have started again before the connection breaks
+    # the restart is known before the connection breaks
     await restart(world, "desk-1", cut=False)
     target.abort_connections()
     target.gate.set()
@@ -151,10 +148,10 @@
 
 
 async def test_idempotent_request_is_retried_at_the_new_incarnation(world):
-    """Symptom: a request that may be repeated fails, though its only target is back.
+    """Guards against failed idempotent requests after a restart of the only target.
 
-    Sequence: the target that has it starts again.
-    Cause: the new start was passed over for having had the request.
+    The fault is to exclude the new incarnation because the request had been sent to the
+    former one.
     """
     world.store.remove("servers/desk-2")
     await world.wait_for(lambda: not world.accepts("desk-2"))
@@ -174,7 +171,7 @@
 
 @pytest.mark.parametrize("cut", [True, False])
 async def test_stream_resumes_after_a_restart_of_its_engine(pipeline, cut):
-    """Symptom: a stream that can be resumed breaks off as its only engine restarts."""
+    """Guards against resumable streams that fail when their only engine restarts."""
     pipeline.store.remove("servers/llm-2")
     await pipeline.wait_for(lambda: not pipeline.accepts("llm-2"))
     engine = pipeline.targets["llm-1"]
@@ -193,7 +190,7 @@
 
 
 def read_inputs(engine, request_id: str) -> list[str]:
-    """Return the handles that an engine was sent last with a request."""
+    """Return the handles sent to an engine with the last attempt at a request."""
     seen = [one for one in engine.seen if one.headers["x-attempt-id"] == request_id]
     return seen[-1].headers["x-inputs"].split(",")
 
@@ -203,11 +200,10 @@
 
 
 async def test_results_lost_before_the_next_stage_are_recomputed(pipeline):
-    """Symptom: makers turn pieces away as what they read is gone, after all waiting.
+    """Guards against passing on handles of lost results.
 
-    Sequence: a stage is made; its makers start again while the next stage waits for a
-    maker with room.
-    Cause: the handles of before were sent on.
+    A stage completes, and its makers restart while the next stage waits for capacity.
+    With the old handles, makers would reject the pieces after the wait.
     """
     for maker in list_targets(pipeline, "ledger"):
         maker.fault = TargetFault.FULL
@@ -228,11 +224,11 @@
 
 
 async def test_results_lost_before_failover_to_another_engine_are_recomputed(pipeline):
-    """Symptom: an engine refuses a request as its inputs are gone, after all stages.
+    """Guards against failing over with handles of lost results.
 
-    Sequence: an engine is mute, so that the request goes to another one; meanwhile
-    the makers of what it reads have started again.
-    Cause: the handles of before were sent to the other engine.
+    An engine hangs, so that the request fails over to another one; meanwhile the makers
+    of its inputs have restarted. With the old handles, the other engine would reject
+    the request.
     """
     engines = list_targets(pipeline, "llm")
     for engine in engines:
@@ -252,7 +248,7 @@
     again = set(read_inputs(other, "r-1"))
     assert len(again) == len(former) == 3
     assert not former & again
-    # no freeing is sent for what has been lost anyway
+    # no release is sent for results that are already lost
     await pipeline.wait_for(
         lambda: again <= set().union(*(one.freed for one in makers))
     )
@@ -261,10 +257,10 @@
 
 
 async def test_owner_aware_of_a_restart_reports_inputs_as_gone(pipeline):
-    """Symptom: makers are asked for pieces whose inputs nobody holds.
+    """Guards against computing pieces whose inputs are lost.
 
-    Sequence: an instance that has not heard of a restart asks an owner that has.
-    Cause: the owner went by the handles alone.
+    An instance that does not know of a restart sends a bundle to an owner that does.
+    The fault is that the owner checks the handles alone, not the incarnations.
     """
     former = find_listed(pipeline, "portal-1").incarnation
     await restart_known(pipeline, [pipeline.targets["portal-1"]])
@@ -282,11 +278,11 @@
 
 
 async def test_owner_unaware_of_a_restart_does_not_penalize_engines(pipeline):
-    """Symptom: engines that are well get no work for a second.
+    """Guards against tripping the circuit breakers of healthy engines.
 
-    Sequence: the owner of a service names results by a former start of their maker
-    for as long as it has not heard of the restart; this instance has.
-    Cause: requests that could not be sent for that were counted against engines.
+    The owner of a service does not know of a restart yet and returns results of the
+    former incarnation of a maker. This instance knows of it and sends nothing. The
+    fault is to count these unsent requests as failures of engines.
     """
     make_in = LocalDesk.make_in
     former = Incarnation("ledger-1", 1)
@@ -312,11 +308,10 @@
 
 
 async def test_response_of_a_former_maker_incarnation_is_discarded(pipeline):
-    """Symptom: as above, though the maker was known to have started again.
+    """Guards against using results of a former incarnation.
 
-    Sequence: a maker starts again with a call in work; the old process, which is slow
-    to end, still answers it.
-    Cause: its results were taken for those of the new one.
+    A maker restarts during a call, and its old process, which terminates slowly, still
+    responds. The fault is to attribute these results to the new incarnation.
     """
     portals = list_targets(pipeline, "portal")
     gate = asyncio.Event()
@@ -331,5 +326,5 @@
     assert (await asking).status == 200
     read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
     assert read
-    # the second making of each piece
+    # the second computation of each piece
     assert {one.rpartition("-")[2] for one in read} == {"2"}
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -1,4 +1,4 @@
-"""Tests of a planned stop, from callers that go on using their connections."""
+"""Tests of a planned stop with callers on persistent connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     create_configuration,
 )
 
-#: bound of every wait, in seconds
+#: timeout of every wait in seconds
 WAIT_SECONDS = 20
 
 
@@ -30,7 +30,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, str]:
-    """Return status and head of the next answer; status 0 if there is none."""
+    """Return status and head of the next response; status 0 if there is none."""
     async with asyncio.timeout(WAIT_SECONDS):
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
@@ -46,7 +46,7 @@
 
 
 def hold_targets(world) -> asyncio.Event:
-    """Have all targets wait with their answers; return what lets them go on."""
+    """Block the responses of all targets; return the event that releases them."""
     gate = asyncio.Event()
     for target in world.targets.values():
         target.gate = gate
@@ -58,18 +58,12 @@
 
 
 async def test_connection_busy_at_the_stop_accepts_no_further_request(world):
-    """An instance was told to stop, served on for 2.6 s, closed its listener and the
-    connections that were idle then, and waited 4.9 s for what was in flight. A
-    connection that served a request in that instant stayed open: whether to keep it
-    had been decided as its request came, before the stop. Callers sent their next
-    requests on it and these were taken up to 4.1 s after the listener was closed;
-    some were still waiting for stage work, or in the middle of their stream, when
-    the process was killed. In four days of restarts 42 requests came so, each on a
-    connection whose request before came ahead of the signal and ended after the
-    close; none came on a connection that was new:
-
-    no new connections: 11 idle ones closed, 3 kept, 3 requests in flight
-    request … "connection_request":4,"since_stop_ms":4414
+    """Guards against requests accepted after the listener has closed.
+
+    A connection that is busy when idle connections are closed stays open, because
+    keep-alive was decided when its request arrived, before the stop. Further requests
+    on it, up to 4.1 s after the close of the listener, would still wait for stages or
+    be streaming when the process is killed. New connections are not affected.
     """
     gate = hold_targets(world)
     reader, writer = await connect(world)
@@ -83,14 +77,16 @@
     writer.write(encode_request("after"))
     status, head = await read_answer(reader)
     assert count_runs(world, "after") == 0
-    # closed, or refused as not run and closed
+    # either closed, or refused as not run and then closed
     assert status == 0 or (status == 503 and "connection: close" in head)
     writer.close()
 
 
 async def test_connection_is_closed_after_a_stream_that_began_before_the_stop(world):
-    """The head of the stream has said that the connection is kept, so that only its
-    close can tell the caller to send its next request elsewhere.
+    """Guards against requests sent after a stream that began before the stop.
+
+    The head of the stream announced keep-alive, so that only closing the connection
+    makes the caller send its next request elsewhere.
     """
     engine = await world.add("llm-1", "llm")
     engine.pause = asyncio.Event()
@@ -110,16 +106,12 @@
 
 
 async def test_request_read_while_idle_connections_close_is_answered(world):
-    """A process that had been kept from running for 50 ms read a request and, in the
-    same turn of its loop, found the time come to close idle connections. A
-    connection counted as idle until the request's handler had begun, two turns
-    later. So the connection was closed and the request went on to a target all the
-    same; it ran 3 ms after the close, and its caller got neither an answer nor a
-    refusal:
-
-    50.653 s  the instance is told to stop
-    53.256 s  a target runs the request, 2.603 s later
-    53.257 s  its caller's connection is closed
+    """Guards against closing a connection whose request has just been read.
+
+    If the process stalls, for example for 50 ms, it may read a request and close idle
+    connections in the same iteration of the event loop. The handler begins two
+    iterations later. A connection that counts as idle until then is closed, while the
+    request still runs at a target and its caller gets no response.
     """
     reader, writer = await connect(world)
     writer.write(encode_request("first"))
@@ -136,16 +128,14 @@
 
 
 async def test_requests_in_flight_at_the_end_of_a_stop_are_answered(pipeline):
-    """Two scans waited for a maker of their stages when the time for requests in
-    flight was over, 7.5 s after the signal. Nothing refused them, although nothing
-    of them had run: the server waited 1 s for its handlers, and the process was
-    killed 0.5 s later. In a day of 27 restarts 8 to 15 processes were killed so.
+    """Guards against requests without a response at the end of a stop.
 
-    43.964 s  [^RelayFront]: Stopping...
-    44.461 s  the connection is closed with no answer
+    Requests still wait for stages when the time for requests in flight is over, 7.5 s
+    after the signal. Unless they are refused as not run at that point, the server waits
+    1 s for its handlers and the process is killed 0.5 s into that wait.
     """
     await pipeline.add("desk-1", "desk")
-    # longer than the test may take: only the end of the stop can end the requests
+    # exceeds the test timeout, so that only the end of the stop ends the requests
     pipeline.store.put("op/config", create_configuration(4, timeout_ms=60_000))
     await pipeline.wait_until_synced(7)
     configuration = pipeline.find("news")._configuration
@@ -163,23 +153,22 @@
     drain.request_stop()
     async with asyncio.timeout(WAIT_SECONDS):
         assert not await drain.wait()
-        # the stop itself answers: the process may be killed right after it
+        # responses come from the stop itself: the process may be killed right after it
         refused, unsettled = await asyncio.gather(staged, booked)
     gate.set()
     assert (refused.status, refused.error) == (503, "")
     assert "Retry-After" in refused.headers
-    # it may have run, and no answer may promise that it has not
+    # it may have run, so the response must not claim the opposite
     assert (unsettled.status, unsettled.error) == (502, "")
     engines = [one for one in pipeline.targets.values() if one.service == "llm"]
     assert not any(engine.runs for engine in engines)
 
 
 async def test_deadline_of_a_request_is_capped_by_the_end_of_a_stop(world):
-    """Symptom: requests taken while the balancer lags are broken off at the end.
+    """Guards against cancelling requests accepted during the balancer lag.
 
-    Sequence: an instance that is to stop takes a request whose deadline lies after
-    the end of the stop, and begins work that can't be finished by then.
-    Cause: the request's own deadline alone decided what was begun, and for how long.
+    During a stop, an instance accepts a request whose deadline lies after the end of
+    the stop. By that deadline alone, it would begin work that can't finish in time.
     """
     drain = world.parts.drain
     drain._longest = 2.0
@@ -194,11 +183,11 @@
 async def test_request_refused_for_lack_of_time_before_a_stop_may_retry_at_once(
     pipeline,
 ):
-    """Symptom: callers wait before they turn to an instance that has time for them.
+    """Guards against needless waiting after a refusal during a stop.
 
-    Sequence: a request comes during a stop, and its stages can't be made before the
-    end of it; it is refused, with the time after which the queue may be shorter.
-    Cause: the refusal spoke of a queue, although it was the stop that left no time.
+    The stages of a request can't complete before the end of the stop. The fault is a
+    ``Retry-After`` computed from the queue, although another instance could serve the
+    request at once.
     """
     drain = pipeline.parts.drain
     drain._longest = 0.05
@@ -210,7 +199,7 @@
 
 
 async def stop_instance(world) -> bool:
-    """Carry out a stop that was requested as the application does."""
+    """Complete a requested stop in the same way as the application."""
     async with asyncio.timeout(WAIT_SECONDS):
         finished = await world.parts.drain.wait()
         await world.parts.front.stop()
@@ -218,13 +207,12 @@
 
 
 async def test_stop_waits_for_a_request_read_as_the_listener_closes(world):
-    """Symptom: an idle instance is told to stop, and a request that it passed on is
-    cut at the end of the balancer's lag.
+    """Guards against a stop that does not wait for a request that was just read.
 
-    Sequence: the loop stands still for a moment; the request's bytes and the end of
-    the lag fall due in the same turn; the connection is kept, as it is busy, but
-    nothing counts as in flight yet, and the stop goes on to its end.
-    Cause: a request was in flight only once its handler had begun, two turns later.
+    After a stall of the event loop, the bytes of a request and the end of the balancer
+    lag are processed in the same iteration. The connection stays open because it is
+    busy. The fault is to count a request as in flight only when its handler has begun,
+    two iterations later, so that the stop completes and interrupts it.
     """
     drain, front = world.parts.drain, world.parts.front
     drain._longest = WAIT_SECONDS
@@ -243,7 +231,7 @@
     drain.request_stop()
     stopping = asyncio.create_task(stop_instance(world))
     await world.wait_for(lambda: count_runs(world, "second") == 1)
-    # time enough for a stop that waits for nothing
+    # long enough for a stop that does not wait to complete
     await asyncio.sleep(0.05)
     assert drain.state is DrainState.FINISHING
     gate.set()
@@ -253,11 +241,10 @@
 
 
 async def test_late_request_is_refused_before_its_body_arrives(world):
-    """Symptom: a stop takes longer than its requests in flight.
+    """Guards against a stop that is delayed by the body of a late request.
 
-    Sequence: a request whose first byte is late sends its body slowly; it is refused
-    once the body is whole, or cut at the end.
-    Cause: the body was read before the request was known to come too late.
+    A request whose first byte arrives after the close sends its body slowly. The fault
+    is to read the body before the request is refused as late.
     """
     gate = hold_targets(world)
     _, writer = await connect(world)
@@ -271,7 +258,7 @@
         for one in world.parts.front._connections._server.connections
         if not one.busy
     ]
-    # its bytes are on their way, so that it is not closed as idle
+    # unread bytes keep the connection from being closed as idle
     other_writer.write(encode_request("late", "/book/1", "Content-Length: 5"))
     await other_writer.drain()
     await world.parts.front.close_listener()
@@ -285,15 +272,14 @@
 
 
 async def test_connection_with_an_unread_request_is_not_reset(world):
-    """Symptom: callers see resets when an instance closes its idle connections.
+    """Guards against resets when an instance closes its idle connections.
 
-    Sequence: a request arrives while the loop stands still, and its connection is
-    closed before the bytes are read.
-    Cause: a connection without a request in the process's own hands was idle.
+    A request arrives while the event loop is stalled. The fault is to treat a
+    connection as idle although unread bytes are in the kernel's receive buffer.
     """
     reader, writer = await connect(world)
     await world.wait_for(lambda: len(world.parts.front._connections) == 1)
-    # straight to the kernel, and no turn of the loop before the close
+    # written directly to the socket, so that the loop does not run before the close
     os.write(
         writer.get_extra_info("socket").fileno(),
         encode_request("unread"),
@@ -307,11 +293,11 @@
 
 
 async def test_request_sent_during_a_stream_is_refused_after_it(world):
-    """Symptom: a request that was read while the one before was answered is cut.
+    """Guards against dropping a request that was read during a stream.
 
-    Sequence: it comes on a connection whose stream began before the stop and ends
-    after the listener is closed; its bytes have been read by then.
-    Cause: a connection was idle between two requests, whatever had been read.
+    The stream began before the stop and ends after the listener has closed. The fault
+    is to treat the connection as idle between two requests although the next one has
+    been read.
     """
     engine = await world.add("llm-1", "llm")
     engine.pause = asyncio.Event()
--- a/tests/test_entry/test_relay/test_store_follower.py
+++ b/tests/test_entry/test_relay/test_store_follower.py
@@ -16,13 +16,13 @@
 
 pytestmark = pytest.mark.looptime
 
-#: seconds within which a configuration has to be in force everywhere, as the platform
-#: of a fleet in which instances leave the store to others asks for
+#: seconds within which a configuration must be active on every instance; required by
+#: the platform for fleets in which only some instances watch the store
 IN_FORCE = 3.0
 
 
 class Store:
-    """A store in which nothing changes; counts its calls."""
+    """A store without changes that counts its calls."""
 
     def __init__(self) -> None:
         self.scans = 0
@@ -52,14 +52,17 @@
 
 
 async def report_from_peers(follower: StoreFollower, seconds: float) -> None:
-    """Have peers tell the newest for so many seconds."""
+    """Simulate up-to-date peer reports for a number of seconds."""
     for _ in range(round(seconds / 0.4)):
         follower.record_peer_report(0.2)
         await asyncio.sleep(0.4)
 
 
 async def test_passive_instance_watches_the_store_once_peer_reports_stop():
-    """Guards against configurations that are in force late after a loss of power."""
+    """Guards against late configurations after many listeners failed at once.
+
+    A passive instance keeps waiting for reports of peers that no longer exist.
+    """
     store = Store()
     follower = create_follower(store)
     await follower.start()
@@ -73,7 +76,11 @@
 
 
 async def test_listener_with_dependents_detects_lost_history_in_time():
-    """Guards against news that are as old as the bound when they are passed on."""
+    """Guards against updates that reach passive instances too late.
+
+    A watch whose history was lost shows changes only after its timeout. If that were
+    as long as the required time, the updates would be late when passed on.
+    """
     store = Store()
     follower = create_follower(
         store, is_listener=lambda: True, has_dependents=lambda: True
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -9,10 +9,10 @@
 
 
 async def test_instance_without_a_configuration_responds_not_ready():
-    """Symptom: callers are told for good that their route or key does not exist.
+    """Guards against permanent errors while no configuration is loaded.
 
-    Sequence: an instance starts while the store is out of reach.
-    Cause: not knowing was taken for knowing that there is none.
+    An instance starts while the store is unreachable. The fault is to report routes and
+    keys as non-existent instead of refusing with a retry.
     """
     world = World()
     await world.start(configured=False)
@@ -34,11 +34,10 @@
 
 
 async def test_lost_watch_history_triggers_a_scan(world):
-    """Symptom: a withdrawn key is accepted for minutes.
+    """Guards against revoked keys that stay valid after a lost watch history.
 
-    Sequence: the store forgets its history while a watch waits; changes made
-    meanwhile are in none of its answers.
-    Cause: the watch went on from a revision whose history was gone.
+    The store compacts its history during an outage. A watch from an older revision
+    never returns the changes made meanwhile, so that a new scan is needed.
     """
     configuration = world.find("news")._configuration
     world.store.fault = StoreFault.BUSY
--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.streams on a whole instance."""
+"""Tests of greengagelatch_entry.relay.streams on an instance."""
 
 from __future__ import annotations
 
@@ -49,10 +49,9 @@
 
 
 async def test_results_are_released_at_their_makers(pipeline):
-    """Symptom: makers refuse pieces for lack of room under light load.
+    """Guards against makers that run out of memory under light load.
 
-    Sequence: requests end, and their results stay until they lapse.
-    Cause: nobody gave them up.
+    Results that are not released when their request ends stay until they expire.
     """
     await pipeline.stream()
     await pipeline.wait_for(
@@ -65,7 +64,7 @@
 
 
 async def start_held_stream(pipeline, load: str) -> asyncio.Task:
-    """Start a stream at engines that have told ``load`` and hold their answers."""
+    """Start a stream at engines that report ``load`` and block their responses."""
     for engine in engines(pipeline):
         engine.load = load
     for _ in range(4):
@@ -88,11 +87,11 @@
 
 
 async def test_results_are_released_once_an_engine_has_fetched_them(pipeline):
-    """Symptom: makers have no room while calls are half full and engines have places.
+    """Guards against makers without memory while engines have free slots.
 
-    Sequence: an engine takes a request in, fetches its inputs, and reads prompts for
-    half a second before the first event.
-    Cause: the inputs were freed at the first event.
+    An engine schedules a request, fetches its inputs, and spends half a second on
+    prefill before the first event. Inputs released only at the first event occupy the
+    memory of their makers for that time.
     """
     held = await start_held_stream(pipeline, "1,0,4")
     await pipeline.wait_for(lambda: count_freed(pipeline) == 25)
@@ -102,7 +101,7 @@
 
 async def test_results_are_kept_for_an_engine_with_a_queue(pipeline):
     held = await start_held_stream(pipeline, "4,2,4")
-    # those of the last stage, which only the engine reads, stay
+    # results of the last stage, which only the engine fetches, are kept
     await pipeline.wait_for(lambda: count_freed(pipeline) == 20 + 2)
     await asyncio.sleep(2 * FETCH_SECONDS)
     assert count_freed(pipeline) == 20 + 2
@@ -112,11 +111,10 @@
 async def test_stream_completes_after_failover_from_an_engine_that_had_fetched(
     pipeline,
 ):
-    """Symptom: streams that go elsewhere are refused there, as their inputs are gone.
+    """Guards against failing over with handles of released inputs.
 
-    Sequence: an engine fetches a request's inputs and falls silent; they were freed;
-    the request goes to another engine.
-    Cause: it went with the handles of before.
+    An engine fetches the inputs of a request and hangs after they were released. With
+    the old handles, the engine that the request fails over to would reject it.
     """
     for engine in engines(pipeline):
         engine.load = "1,0,4"
@@ -126,7 +124,7 @@
     silent.fault = TargetFault.MUTE
     count = len(silent.seen)
     number = 0
-    # either engine may be chosen for each
+    # each request may go to either engine
     while len(silent.seen) == count:
         reply = await pipeline.stream(X_Attempt_Id=f"left-{number}")
         assert (reply.status, reply.body) == (200, WHOLE)
@@ -140,10 +138,10 @@
 
 
 async def test_requests_share_calls_to_makers(pipeline):
-    """Symptom: makers turn calls away as full, with hardly a piece in each call.
+    """Guards against small batches that exhaust the call slots of makers.
 
-    Sequence: requests come at the same moment, and each finds the same maker idle.
-    Cause: a call was counted only once its task ran.
+    Concurrent requests each find the same maker idle if a call is counted only once its
+    task runs.
     """
     replies = await asyncio.gather(*(pipeline.stream() for _ in range(12)))
     assert [reply.body for reply in replies] == [WHOLE] * 12
@@ -153,11 +151,10 @@
 
 
 async def test_stream_fails_over_after_a_break_within_an_event(pipeline):
-    """Symptom: a caller reads a piece twice, or one that is cut.
+    """Guards against duplicated or truncated events.
 
-    Sequence: an engine dies in the middle of an event; another one goes on after the
-    last whole one.
-    Cause: the beginning of the event had been passed on.
+    An engine crashes in the middle of an event and another one resumes after the last
+    complete event. The fault is to forward the beginning of the event.
     """
     for engine in engines(pipeline):
         engine.break_after = 2
@@ -178,10 +175,10 @@
 
 
 async def test_interrupted_stream_does_not_look_complete(pipeline):
-    """Symptom: half a summary is taken for a whole one.
+    """Guards against partial streams that look complete.
 
-    Sequence: the engine dies in mid-stream, on a route that can't be resumed.
-    Cause: the answer's end was written all the same.
+    The engine crashes in mid-stream on a route that is not resumable. The fault is to
+    terminate the response properly all the same.
     """
     for engine in engines(pipeline):
         engine.break_after = 2
@@ -207,10 +204,9 @@
 
 
 async def test_pieces_of_a_failed_maker_are_computed_by_the_other(pipeline):
-    """Symptom: requests fail for as long as one maker is lost.
+    """Guards against requests that fail while one maker is down.
 
-    Sequence: a maker dies and stays listed; calls to it reach nobody.
-    Cause: pieces were bound to a maker.
+    A maker crashes and stays listed. The fault is to bind pieces to one maker.
     """
     await pipeline.targets["portal-1"].stop()
     for _ in range(3):
@@ -238,10 +234,9 @@
 
 
 async def test_results_of_a_disconnected_caller_are_released(pipeline):
-    """Symptom: makers work for callers that have gone.
+    """Guards against work and results held for disconnected callers.
 
-    Sequence: a caller closes its connection while its stages are being made.
-    Cause: the work went on, and its results stayed.
+    A caller closes its connection while its stages are running.
     """
     task = asyncio.create_task(pipeline.stream(X_Attempt_Id="gone"))
     await pipeline.wait_for(lambda: any(maker.pieces for maker in makers(pipeline)))
--- a/tests/test_entry/test_relay/test_target_connections.py
+++ b/tests/test_entry/test_relay/test_target_connections.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.target_connections on a whole instance."""
+"""Tests of greengagelatch_entry.relay.target_connections on an instance."""
 
 from __future__ import annotations
 
@@ -8,11 +8,10 @@
 
 
 async def test_no_connection_is_pooled_that_no_request_may_use(world):
-    """Symptom: targets reset connections of instances that need one.
+    """Guards against idle connections that exhaust the limits of targets.
 
-    Sequence: requests that run only once, each over a connection of its own, are
-    answered; their connections stay open although the next one opens another.
-    Cause: connections were kept whatever they had carried.
+    Each non-idempotent request opens a new connection. If these were pooled, none would
+    be reused, and targets would reset connections of other instances.
     """
     for number in range(4):
         await world.ask("/book/1", method="POST", request_id=f"b-{number}")
--- a/tests/test_entry/test_relay/test_unary.py
+++ b/tests/test_entry/test_relay/test_unary.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.unary on a whole instance."""
+"""Tests of greengagelatch_entry.relay.unary on an instance."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 async def test_system_sets_its_own_headers(world):
-    """Symptom: a caller names another workspace, or steers a target's memory.
+    """Guards against callers that set headers reserved for the system.
 
-    Sequence: a request comes with headers that only the system may set.
-    Cause: they were passed on as sent.
+    Forwarded as received, these would select another workspace or control the memory
+    of a target.
     """
     await world.ask(
         "/look/1",
@@ -64,11 +64,11 @@
     ],
 )
 async def test_non_idempotent_request_with_a_lost_response_runs_once(world, fault):
-    """Symptom: one coach set is booked on two lathes.
+    """Guards against running a non-idempotent request twice.
 
-    Sequence: the target books and its answer is cut, or is that of another request;
-    the instance sends the booking to the other target.
-    Cause: no answer was taken for a proof that it did not run.
+    The target runs the request, but its response is lost, truncated, or belongs to
+    another request. The fault is to take this for proof that it did not run and to
+    retry at the other target.
     """
     set_fault(world, fault)
     reply = await world.ask("/book/1", method="POST", body=b"x", request_id="b-1")
@@ -114,11 +114,10 @@
 
 
 async def test_surplus_response_is_discarded(world):
-    """Symptom: a caller gets the answer to somebody else's request.
+    """Guards against returning the response of another request.
 
-    Sequence: a target sends another answer after a complete one; the next request
-    on the same connection takes it for its own.
-    Cause: what was left on a connection was not looked at.
+    A target sends a surplus response after a complete one. The next request on the
+    connection would read it, unless leftover data prevents reuse.
     """
     set_fault(world, TargetFault.EXTRA)
     for number in range(8):
@@ -127,11 +126,10 @@
 
 
 async def test_request_to_a_reused_address_is_not_run(world):
-    """Symptom: a request is run by a service that it must not go to.
+    """Guards against requests run by the wrong service.
 
-    Sequence: a target ends, its address is given to another one, and the entry of
-    the first is still listed.
-    Cause: a request was sent to an address, whoever has it.
+    A target ends and its address is reassigned to a target of another service, while
+    the entry of the first is still listed.
     """
     other = await world.add("other-1", "other")
     world.store.put("servers/desk-3", {**other.describe(), "service": "desk"})
--- a/tests/test_entry/test_relay/test_usage.py
+++ b/tests/test_entry/test_relay/test_usage.py
@@ -14,7 +14,7 @@
 
 
 class StepClock(Clock):
-    """Gives the moments of a list, one after the other."""
+    """Returns the given times in order."""
 
     def __init__(self, *moments: float) -> None:
         self._moments = list(moments)
@@ -27,7 +27,7 @@
 
 
 class RecordingLog:
-    """Keeps what is logged."""
+    """Records log lines."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict]] = []
@@ -37,7 +37,7 @@
 
 
 async def sample(monkeypatch, metrics, clock, sent=0):
-    """Take one sample while so many bytes are sent."""
+    """Take one sample while a number of bytes are sent."""
     monkeypatch.setattr(usage, "SAMPLE_INTERVAL", 0.0)
     log = RecordingLog()
     controller = UsageController(
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -1,4 +1,4 @@
-"""The platform program as real processes on the stand-ins."""
+"""Tests of the platform program as processes with stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(180)]
 
-#: bound of every wait, in seconds
+#: timeout of every wait in seconds
 WAIT_SECONDS = 60
 
 
@@ -46,7 +46,7 @@
 
 
 async def ask(session, instance, path="/look/1", *, key=KEY, **headers) -> int:
-    """Return the status of one request, or 0 if it was cut."""
+    """Return the status of one request, or 0 if it was interrupted."""
     lines = {
         "Host": HOST,
         "X-Attempt-Id": headers.pop("request_id", "r-1"),
@@ -92,14 +92,14 @@
 
 
 class KeepAliveCaller:
-    """Sends streams one after the other on one connection until it is closed."""
+    """Sends streaming requests in sequence on one connection until it is closed."""
 
     def __init__(self, instance, number: int) -> None:
         self._instance = instance
         self._number = number
 
     async def call(self) -> list[int]:
-        """Return the statuses of the whole answers; 0 for one that is cut."""
+        """Return the statuses of the responses; 0 for a truncated one."""
         host, _, port = self._instance.front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         statuses = []
@@ -163,11 +163,11 @@
 
 
 async def test_stop_interrupts_no_request(fleet, session):
-    """Symptom: every rollout cuts some requests.
+    """Guards against requests interrupted by a rollout.
 
-    Sequence: an instance is told to stop, twice, while callers keep sending on open
-    and on new connections; the balancer takes it out some seconds later.
-    Cause: it stopped listening at once, or took the second signal for impatience.
+    An instance receives SIGTERM twice while callers send on open and on new
+    connections, and the balancer removes it some seconds later. The faults are to close
+    the listener at once, or to exit at once on the second signal.
     """
     instance = fleet.instances[0]
     statuses = []
@@ -192,16 +192,14 @@
 
 
 async def test_stop_answers_requests_on_keep_alive_connections(fleet):
-    """Symptom: rolling restarts lose requests.
+    """Guards against requests lost in rolling restarts.
 
-    Sequence: streams are under way on kept connections when an instance is told to
-    stop; they end after it has closed its listener, and callers send their next
-    requests on the same connections until the process is gone.
-    Cause: a connection that was busy as the idle ones were closed took requests to
-    the very end.
+    Streams in flight on persistent connections end after a stopping instance has closed
+    its listener. The fault is to accept further requests on these connections until the
+    process exits.
     """
     instance = fleet.instances[0]
-    # longer than the stop may take, also on a busy machine
+    # longer than the stop may take, even on a loaded machine
     fleet.store.put("op/config", create_configuration(4, timeout_ms=60_000))
     async with asyncio.timeout(WAIT_SECONDS):
         while not knows_version(instance, 4):  # noqa: ASYNC110
@@ -222,7 +220,7 @@
             await asyncio.sleep(0.02)
     gate.set()
     answered = await asyncio.gather(*callers)
-    # each had its whole answer, and its connection was closed behind it
+    # each caller got a complete response, then its connection was closed
     assert answered == [[200]] * len(callers)
     assert sum(engine.runs.total() for engine in engines) == len(callers)
     async with asyncio.timeout(WAIT_SECONDS):
@@ -238,11 +236,11 @@
 
 
 async def test_revoked_key_is_received_from_peers(fleet, session):
-    """Symptom: a withdrawn key opens the doors of one instance for minutes.
+    """Guards against revoked keys that one instance accepts for minutes.
 
-    Sequence: the store turns all calls of that instance away and serves the others.
-    Here it is silent to all once the others have read the change.
-    Cause: an instance waited for the store, whatever its peers knew.
+    The store rejects all calls of that instance and serves the others; here it rejects
+    all calls once the others have read the change. The fault is to wait for the store
+    although peers know the change.
     """
     late = fleet.instances[2]
     await fleet.kill(late)
@@ -258,10 +256,10 @@
 
 
 async def test_fleet_serves_after_the_loss_of_an_instance(fleet, session):
-    """Symptom: no stage is made for seconds after one instance has died.
+    """Guards against stages that stall for seconds after the loss of an instance.
 
-    Sequence: the instance that gathers the pieces of a service is killed.
-    Cause: the others went on asking it.
+    The owner of a service, which batches its pieces, is killed. The fault is that the
+    others keep sending calls to it.
     """
     headers = {
         "X-Token-Counts": "100,20",
@@ -308,10 +306,11 @@
 
 
 async def test_instance_whose_port_is_taken_gets_another(tmp_path):
-    """Symptom: one test in a thousand waits half a minute for an instance and fails.
+    """Guards against rare time-outs of tests while an instance starts.
 
-    Sequence: a free port is looked up; before the process binds it, the system gives
-    it to somebody else. Cause: nobody looked whether the process had ended.
+    Between finding a free port and binding it, the system may assign it to another
+    process, so that the instance exits. Without a check for that, a test waits half a
+    minute and fails.
     """
     taken = socket.socket()
     taken.bind(("127.0.0.1", 0))
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -1,4 +1,4 @@
-"""A new instance while the platform is out of reach, with real processes."""
+"""Test of starting an instance while the platform is unreachable, with processes."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 
 
 async def test_instance_starts_while_the_platform_is_down(tmp_path):
-    """
-    Symptom: an instance that is replaced during an outage of the platform is never
-    ready, so that each replacement makes the fleet smaller. Sequence: the store and
-    the list are down; a new instance starts in a data centre that is cut off from
-    the platform, with the addresses of two others, one of them dead. Cause: the
-    configuration came from peers, but peers and targets only from the list.
+    """Guards against instances that never become ready during a platform outage.
+
+    The store and the listing are down. A new instance starts in a data centre that is
+    partitioned from the platform, with two seeds, one of them dead. The fault is to get
+    the configuration from peers, but members and targets only from the listing; each
+    replaced instance would then reduce the fleet.
     """
     async with (
         FleetRunner(PORTAL, tmp_path, entries=1, routed=True) as runner,
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path with real processes: platform, targets, daemons, operators' client."""
+"""End-to-end tests with processes: platform, targets, daemons, command line."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 
 
 async def wait_for_run(runner, stage):
-    """Wait until a target has begun to run ``stage``."""
+    """Wait until a target has started ``stage``."""
     async with asyncio.timeout(10):
         while True:
             records = await read_records(runner.targets)
@@ -97,11 +97,11 @@
 
 
 async def test_requests_succeed_and_a_planned_stop_interrupts_none(tmp_path):
-    """A stream ends half way while its instance is replaced.
+    """Guards against streams truncated by the replacement of their instance.
 
-    The instance gets SIGTERM while an engine still generates; it closes its
-    connections, and the caller's stream ends without an end event. The cause would
-    be a stop that does not wait for what is in flight.
+    The instance receives SIGTERM while an engine is still generating. The fault is to
+    close connections without waiting for requests in flight, so that the stream ends
+    without an end event.
     """
     settings = {"drain.balancer_lag": "0.2"}
     async with (
