--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -141,7 +141,7 @@
     status: int = 0
 
     @property
-    def waited(self) -> float:
+    def prior_wait(self) -> float:
         """Estimated seconds that the caller has waited before this attempt.
 
         A caller that retries after a refusal has less time left than the timeout of
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -63,7 +63,7 @@
         exchange = self._exchange
         objective = exchange.request.received + exchange.route.objective
         return TargetBounds(
-            aim=objective - exchange.waited - self._first_seconds,
+            aim=objective - exchange.prior_wait - self._first_seconds,
             latest=min(
                 exchange.first_deadline - self._first_seconds,
                 exchange.deadline - self._whole_seconds,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -100,8 +100,8 @@
             urgent_wait=chain.urgent_wait,
             work=work,
             left=exchange.first_deadline - self.clock.now(),
-            objective_left=route.objective - exchange.waited - elapsed,
-            waited_share=exchange.waited / route.timeout if route.timeout else 0.0,
+            objective_left=route.objective - exchange.prior_wait - elapsed,
+            waited_share=exchange.prior_wait / route.timeout if route.timeout else 0.0,
         )
         decision = self._admission.decide(estimate)
         if decision.admitted:
