--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -226,12 +226,12 @@
             metrics=self.metrics,
         )
         self.budgets = RepeatBudgets(
-            rule=self.rules.repeats,
+            rule=self.rules.retry_budget,
             clock=self.clock,
             count_instances=self._count_instances,
         )
         self.stage_budgets = RepeatBudgets(
-            rule=self.rules.repeats,
+            rule=self.rules.retry_budget,
             clock=self.clock,
             count_instances=self._count_owners,
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
@@ -41,7 +41,7 @@
     balancer_lag: float
     #: time after that in which requests in flight may finish
     longest_drain: float
-    repeats: RepeatRule
+    retry_budget: RepeatRule
     capacity: Capacity = field(default_factory=Capacity)
 
 
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -176,7 +176,7 @@
             metrics_path="",
             balancer_lag=0.0,
             longest_drain=0.2,
-            repeats=RepeatRule(),
+            retry_budget=RepeatRule(),
         )
 
     def _create_adapters(self) -> RelayAdapters:
