--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -153,7 +153,7 @@
         )
         self.listing = ListingFollower(
             codec=self.adapters.listings,
-            book=self.book,
+            target_table=self.book,
             on_removed=self._forget_target,
             find_services=self._find_services,
             clock=self.clock,
@@ -220,7 +220,7 @@
             configuration=self.configuration,
             listing=self.listing,
             crashes=self.crash_reports,
-            book=self.book,
+            target_table=self.book,
             clock=self.clock,
             random_source=self.random,
             metrics=self.metrics,
@@ -274,7 +274,7 @@
                 connections=self.connections,
                 codec=self.adapters.targets,
                 fleet=self.fleet,
-                book=self.book,
+                target_table=self.book,
                 crashes=self.crash_detector,
                 clock=self.clock,
                 decisions=self.decisions,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -45,7 +45,7 @@
         self,
         *,
         codec: ListingCodec,
-        book: TargetBook,
+        target_table: TargetBook,
         on_removed: Callable[[Incarnation], None],
         find_services: Callable[[], Collection[str] | None],
         clock: Clock,
@@ -56,7 +56,7 @@
         self._clock = clock
         self._decisions = decisions
         self._codec = codec
-        self._book = book
+        self._target_table = target_table
         self._on_removed = on_removed
         self._find_services = find_services
         self._metrics = metrics
@@ -85,7 +85,7 @@
         targets = self._read(scan.entries)
         self._invalid.retain_only({entry.key for entry in scan.entries})
         listed = {target.target_id for target in targets}
-        for target in self._book.list_all():
+        for target in self._target_table.list_all():
             if target.target_id in listed or target.revision > scan.revision:
                 continue
             self._handle_missing(target, scan.revision)
@@ -99,7 +99,9 @@
             self._put(target)
         for key, revision in changes.removed:
             self._invalid.discard(key)
-            target = self._book.find_listed(key.removeprefix(self._codec.prefix))
+            target = self._target_table.find_listed(
+                key.removeprefix(self._codec.prefix)
+            )
             if target is not None:
                 self._handle_missing(target, revision)
         self._revision = max(self._revision, changes.revision)
@@ -111,7 +113,7 @@
         if revision <= self._revision and self._synced:
             return
         listed = {target.target_id for target in targets}
-        for target in self._book.list_all():
+        for target in self._target_table.list_all():
             if target.target_id not in listed and target.revision <= revision:
                 self._remove(target, revision, lapsed=True)
         for target in targets:
@@ -126,7 +128,7 @@
 
     def _put(self, target: ListedTarget) -> None:
         former = None
-        match self._book.compare(target):
+        match self._target_table.compare(target):
             case Succession.OUTDATED:
                 self._record_outdated(target)
                 return
@@ -136,8 +138,8 @@
                 self._metrics.count("targets.untold")
                 return
             case Succession.NEWER:
-                former = self._book.find_newest(target.target_id)
-        changed = self._book.put(target)
+                former = self._target_table.find_newest(target.target_id)
+        changed = self._target_table.put(target)
         if former is not None:
             self._handle_restart(target, former)
         self._check_service(target.target_id)
@@ -184,13 +186,13 @@
         self._decisions.log_state_change(
             "target-outdated",
             target=str(target.incarnation),
-            known=str(self._book.find_newest(target.target_id)),
+            known=str(self._target_table.find_newest(target.target_id)),
             revision=target.revision,
         )
 
     def check_services(self) -> None:
         """Check all targets again after the configured services have changed."""
-        for target in self._book.list_all():
+        for target in self._target_table.list_all():
             self._check_service(target.target_id)
 
     def _check_service(self, target_id: str) -> None:
@@ -200,7 +202,7 @@
         because a later configuration may define the service and the entry will not be
         delivered again.
         """
-        target = self._book.find_listed(target_id)
+        target = self._target_table.find_listed(target_id)
         services = self._find_services()
         if target is None or services is None or target.service in services:
             self._unknown_services.pop(target_id, None)
@@ -224,7 +226,7 @@
         removed only after the grace period in which its entry would be rewritten.
         """
         in_grace = self._clock.now() < self._grace_until
-        is_last = len(self._book.list_service(target.service)) <= 1
+        is_last = len(self._target_table.list_service(target.service)) <= 1
         if in_grace and is_last and not target.leaving:
             left = self._grace_until - self._clock.now()
             loop = asyncio.get_running_loop()
@@ -237,7 +239,7 @@
         self._remove(target, revision, lapsed=True)
 
     def _remove(self, target: ListedTarget, revision: int, *, lapsed: bool) -> None:
-        if not self._book.remove(target.incarnation, revision, lapsed=lapsed):
+        if not self._target_table.remove(target.incarnation, revision, lapsed=lapsed):
             return
         self._outdated.pop(target.target_id, None)
         self._unknown_services.pop(target.target_id, None)
@@ -269,8 +271,8 @@
 
     def _find_fault(self, target: ListedTarget) -> str:
         """Return why the target of a decoded entry is not usable; empty if it is."""
-        if self._book.compare(target) is Succession.UNTOLD:
-            known = self._book.find_newest(target.target_id)
+        if self._target_table.compare(target) is Succession.UNTOLD:
+            known = self._target_table.find_newest(target.target_id)
             return f"no start time, and {known} was at another address"
         return ""
 
@@ -281,7 +283,9 @@
         valid, because an invalid entry is no evidence that the target has ended.
         """
         self._invalid.record(entry, reason)
-        target = self._book.find_listed(entry.key.removeprefix(self._codec.prefix))
+        target = self._target_table.find_listed(
+            entry.key.removeprefix(self._codec.prefix)
+        )
         if target is not None and target.revision < entry.revision:
             self._remove(target, entry.revision, lapsed=True)
 
@@ -289,7 +293,7 @@
         """Return the state as JSON-compatible values."""
         return {
             "informed": self._synced,
-            "targets": len(self._book),
+            "targets": len(self._target_table),
             "bad_entries": self._invalid.dump(),
             "unknown_services": dict(self._unknown_services),
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -70,7 +70,7 @@
         configuration: ConfigurationFollower,
         listing: ListingFollower,
         crashes: CrashBoard,
-        book: TargetBook,
+        target_table: TargetBook,
         clock: Clock,
         random_source: random.Random,
         metrics: Metrics,
@@ -83,7 +83,7 @@
         self._configuration = configuration
         self._listing = listing
         self._crashes = crashes
-        self._book = book
+        self._target_table = target_table
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
@@ -181,7 +181,9 @@
             configuration=self._compress_configuration() if newer else b"",
             listing_revision=self._listing.revision,
             listed=listed,
-            targets=tuple(map(encode_target, self._book.list_all())) if listed else (),
+            targets=tuple(map(encode_target, self._target_table.list_all()))
+            if listed
+            else (),
             crashes=self._crashes.list_newer(query.crashes_revision),
         )
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -61,7 +61,7 @@
         connections: TargetConnectionPool,
         codec: TargetCodec,
         fleet: Fleet,
-        book: TargetBook,
+        target_table: TargetBook,
         crashes: CrashWatch,
         clock: Clock,
         decisions: DecisionLog,
@@ -70,7 +70,7 @@
         self._connections = connections
         self._codec = codec
         self._fleet = fleet
-        self._book = book
+        self._target_table = target_table
         self._clock = clock
         self._decisions = decisions
 
@@ -99,7 +99,7 @@
                 outbound=outbound,
                 fresh=fresh,
                 timeout=timeout,
-                may_send=lambda: self._book.accepts(incarnation) and may_send(),
+                may_send=lambda: self._target_table.accepts(incarnation) and may_send(),
             )
         except NotSentError as error:
             exchange.unsent += 1
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -88,7 +88,7 @@
 
     def accepts(self, target_id: str) -> bool:
         """Return whether the target listed under an id accepts requests."""
-        book = self.find("news")._book
+        book = self.find("news")._target_table
         listed = book.find_listed(target_id)
         return listed is not None and book.accepts(listed.incarnation)
 
@@ -115,7 +115,7 @@
 
     async def wait_until_synced(self, targets: int) -> None:
         """Wait until the configuration and a number of targets are loaded."""
-        book = self.find("news")._book
+        book = self.find("news")._target_table
         configuration = self.find("news")._configuration
         await self.wait_for(
             lambda: configuration.table is not None and len(book) >= targets
--- a/tests/test_entry/test_relay/test_crashes.py
+++ b/tests/test_entry/test_relay/test_crashes.py
@@ -53,7 +53,9 @@
     target.register(world.store, state="draining")
     await world.wait_for(lambda: not world.accepts("desk-1"))
     world.store.remove("servers/desk-1")
-    await world.wait_for(lambda: world.find("news")._book.find_listed("desk-1") is None)
+    await world.wait_for(
+        lambda: world.find("news")._target_table.find_listed("desk-1") is None
+    )
     assert world.count("targets.ended_under_requests") == 0
 
 
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -81,7 +81,7 @@
     for name in ("desk-1", "desk-2"):
         world.store.remove(f"servers/{name}")
     world.store.put("servers/desk-3", {**other.describe(), "service": "desk"})
-    book = world.find("news")._book
+    book = world.find("news")._target_table
     await world.wait_for(
         lambda: book.find_listed("desk-3") and not book.find_listed("desk-1")
     )
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -46,7 +46,7 @@
         self.services = {"desk"}
         self.follower = ListingFollower(
             codec=PlatformListingCodec(),
-            book=self.book,
+            target_table=self.book,
             on_removed=lambda incarnation: self.gone.append(str(incarnation)),
             find_services=lambda: self.services,
             clock=clock,
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -17,7 +17,7 @@
 
 
 def find_listed(world, target_id: str):
-    return world.find("news")._book.find_listed(target_id)
+    return world.find("news")._target_table.find_listed(target_id)
 
 
 def is_known(world, target) -> bool:
--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -227,7 +227,7 @@
 async def test_stages_without_a_maker_are_refused_at_once(pipeline):
     for number in (1, 2):
         pipeline.store.remove(f"servers/portal-{number}")
-    book = pipeline.find("news")._book
+    book = pipeline.find("news")._target_table
     await pipeline.wait_for(lambda: not book.list_service("portal"))
     reply = await pipeline.stream()
     assert reply.status == 503
