--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -78,7 +78,7 @@
 
 
 def compose_relay(
-    rules: RelaySettings,
+    settings: RelaySettings,
     adapters: RelayAdapters,
     reload: Callable[[], None] = lambda: None,
     read_busy_seconds: Callable[[], float] = lambda: 0.0,
@@ -88,7 +88,7 @@
     :param reload: reloads the settings file
     :param read_busy_seconds: returns the cumulative busy time of the event loop
     """
-    return _Composer(rules, adapters, reload, read_busy_seconds).compose()
+    return _Composer(settings, adapters, reload, read_busy_seconds).compose()
 
 
 class _Composer:
@@ -96,12 +96,12 @@
 
     def __init__(
         self,
-        rules: RelaySettings,
+        settings: RelaySettings,
         adapters: RelayAdapters,
         reload: Callable[[], None],
         read_busy_seconds: Callable[[], float],
     ) -> None:
-        self.rules = rules
+        self.settings = settings
         self.adapters = adapters
         self.reload = reload
         self.read_busy_seconds = read_busy_seconds
@@ -111,9 +111,9 @@
         self.in_flight = InFlight()
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
-        self.listeners: frozenset[str] = frozenset()
-        #: membership from which ``listeners`` was computed
-        self.listener_members: tuple[Member, ...] = ()
+        self.followers: frozenset[str] = frozenset()
+        #: membership from which ``followers`` was computed
+        self.follower_members: tuple[Member, ...] = ()
 
     def compose(self) -> RelayParts:
         self.store = self.adapters.create_store(self.metrics)
@@ -134,11 +134,11 @@
         )
 
     def _build_state(self) -> None:
-        self.book = TargetBook()
+        self.target_table = TargetBook()
         self.quarantine = Quarantine()
-        self.fleet = Fleet(
-            book=self.book,
-            data_centre=self.rules.data_centre,
+        self.load_balancer = Fleet(
+            book=self.target_table,
+            data_centre=self.settings.data_centre,
             random_source=self.random,
         )
         self.connections = TargetConnectionPool(
@@ -153,20 +153,20 @@
         )
         self.listing = ListingFollower(
             codec=self.adapters.listings,
-            target_table=self.book,
+            target_table=self.target_table,
             on_removed=self._forget_target,
             find_services=self._find_services,
             clock=self.clock,
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        self.configuration.listeners.append(self.listing.check_services)
+        self.configuration.callbacks.append(self.listing.check_services)
         self.registry = RegistryController(
             store=self.store,
-            instance_id=self.rules.instance_id,
-            data_centre=self.rules.data_centre,
-            address=self.rules.peers_listen,
-            capacity=self.rules.capacity.bundles,
+            instance_id=self.settings.instance_id,
+            data_centre=self.settings.data_centre,
+            address=self.settings.peers_listen,
+            capacity=self.settings.capacity.bundles,
             events=self.events,
             metrics=self.metrics,
             decisions=self.decisions,
@@ -175,12 +175,12 @@
             clock=self.clock,
             random_source=self.random,
             events=self.events,
-            settings=create_peer_settings(self.rules),
+            settings=create_peer_settings(self.settings),
             metrics=self.metrics,
-            capacity=self.rules.capacity.bundles,
+            capacity=self.settings.capacity.bundles,
         )
         self.crash_reports = CrashBoard(
-            instance_id=self.rules.instance_id,
+            instance_id=self.settings.instance_id,
             quarantine=self.quarantine,
             store=self.store,
             peers=self.peers,
@@ -191,7 +191,7 @@
         self.crash_detector = CrashWatch(
             board=self.crash_reports,
             quarantine=self.quarantine,
-            book=self.book,
+            book=self.target_table,
             links=self.connections,
             clock=self.clock,
             metrics=self.metrics,
@@ -205,7 +205,7 @@
                 self.registry,
                 self.crash_reports,
             ),
-            is_listener=lambda: self.peers.instance_id in self._list_listeners(),
+            is_follower=lambda: self.peers.instance_id in self._list_followers(),
             has_dependents=self._has_dependents,
             clock=self.clock,
             random_source=self.random,
@@ -214,47 +214,47 @@
         )
         self.peer_sync = PeerSyncController(
             peers=self.peers,
-            list_listeners=self._list_listeners,
-            data_centre=self.rules.data_centre,
+            list_followers=self._list_followers,
+            data_centre=self.settings.data_centre,
             follower=self.follower,
             configuration=self.configuration,
             listing=self.listing,
-            crashes=self.crash_reports,
-            target_table=self.book,
+            crash_reports=self.crash_reports,
+            target_table=self.target_table,
             clock=self.clock,
             random_source=self.random,
             metrics=self.metrics,
         )
-        self.budgets = RepeatBudgets(
-            rule=self.rules.retry_budget,
+        self.retry_budgets = RepeatBudgets(
+            rule=self.settings.retry_budget,
             clock=self.clock,
             count_instances=self._count_instances,
         )
-        self.stage_budgets = RepeatBudgets(
-            rule=self.rules.retry_budget,
+        self.stage_retry_budgets = RepeatBudgets(
+            rule=self.settings.retry_budget,
             clock=self.clock,
             count_instances=self._count_owners,
         )
 
     def _build_request_path(self) -> None:
-        self.groups = MakerGroups(
+        self.maker_groups = MakerGroups(
             rule=ByCapacity(),
-            book=self.book,
+            book=self.target_table,
             list_members=self.peers.members,
             find_profile=self._find_maker,
         )
         self.local_executor = LocalDesk(
-            create_pool=self._create_pool, find_group=self.groups.find_group
+            create_pool=self._create_pool, find_group=self.maker_groups.find_group
         )
         self.ownership = Ownership(
             peers=self.peers, clock=self.clock, decisions=self.decisions
         )
         self.stage_executor = OwnedDesk(
             local=self.local_executor,
-            groups=self.groups,
+            groups=self.maker_groups,
             ownership=self.ownership,
             peers=self.peers,
-            data_centre=self.rules.data_centre,
+            data_centre=self.settings.data_centre,
             find_profile=self._find_maker,
             clock=self.clock,
             random_source=self.random,
@@ -265,22 +265,22 @@
             desk=self.stage_executor,
             clock=self.clock,
             decisions=self.decisions,
-            data_centre=self.rules.data_centre,
-            fleet=self.fleet,
-            book=self.book,
+            data_centre=self.settings.data_centre,
+            fleet=self.load_balancer,
+            book=self.target_table,
         )
         common = {
             "sender": TargetSender(
                 connections=self.connections,
                 codec=self.adapters.targets,
-                fleet=self.fleet,
-                target_table=self.book,
-                crashes=self.crash_detector,
+                load_balancer=self.load_balancer,
+                target_table=self.target_table,
+                crash_detector=self.crash_detector,
                 clock=self.clock,
                 decisions=self.decisions,
             ),
-            "fleet": self.fleet,
-            "budgets": self.budgets,
+            "fleet": self.load_balancer,
+            "budgets": self.retry_budgets,
             "quarantine": self.quarantine,
             "clock": self.clock,
         }
@@ -315,11 +315,11 @@
 
     def _build_servers(self) -> None:
         self.front = RelayFront(
-            listen=self.rules.callers_listen,
+            listen=self.settings.callers_listen,
             codec=self.adapters.callers,
             handler=self.handler,
-            bounds=self._find_bounds,
-            draining=lambda: self.drain.draining,
+            find_limits=self._find_limits,
+            is_draining=lambda: self.drain.draining,
             clock=self.clock,
             metrics=self.metrics,
         )
@@ -327,23 +327,23 @@
             clock=self.clock,
             events=self.events,
             metrics=self.metrics,
-            balancer_lag=self.rules.balancer_lag,
-            longest=self.rules.longest_drain,
+            balancer_lag=self.settings.balancer_lag,
+            longest=self.settings.longest_drain,
             close_listener=self.front.close_listener,
             wait_idle=self._wait_idle,
             break_off=self.in_flight.break_off,
         )
         self.readiness = ReadinessServer(
-            listen=self.rules.readiness_listen,
-            readiness_path=self.rules.readiness_path,
-            metrics_listen=self.rules.metrics_listen,
-            metrics_path=self.rules.metrics_path,
-            ready=self._is_ready,
+            listen=self.settings.readiness_listen,
+            readiness_path=self.settings.readiness_path,
+            metrics_listen=self.settings.metrics_listen,
+            metrics_path=self.settings.metrics_path,
+            is_ready=self._is_ready,
             metrics=self.metrics,
             describe=self._describe,
         )
         self.usage = UsageController(
-            capacity=self.rules.capacity,
+            capacity=self.settings.capacity,
             read_busy_seconds=self.read_busy_seconds,
             clock=self.clock,
             metrics=self.metrics,
@@ -353,7 +353,7 @@
     def _create_pool(self, group: MakerGroup) -> StagePool:
         return StagePool(
             group,
-            list_makers=lambda: self.groups.list_makers(group),
+            list_makers=lambda: self.maker_groups.list_makers(group),
             find_profile=lambda: self._find_maker(group.service),
             is_sole=lambda: self.ownership.is_sole(group),
             suspects=WatchedPieces(
@@ -362,10 +362,10 @@
                 clock=self.clock,
             ),
             policy=SharedCalls(),
-            book=self.book,
+            book=self.target_table,
             links=self.connections,
             codec=self.adapters.targets,
-            budgets=self.stage_budgets,
+            budgets=self.stage_retry_budgets,
             clock=self.clock,
             metrics=self.metrics,
             decisions=self.decisions,
@@ -381,11 +381,11 @@
 
     def _count_owners(self) -> int:
         """Return how many instances share the retry budgets of stage calls."""
-        return max(ASSUMED_OWNERS, self.groups.count_most())
+        return max(ASSUMED_OWNERS, self.maker_groups.count_most())
 
     def _find_idle_limit(self, incarnation: Incarnation) -> int:
         """Return the maximum number of idle connections to a target."""
-        target = self.book.find_listed(incarnation.target_id)
+        target = self.target_table.find_listed(incarnation.target_id)
         deployment = self.configuration.deployment
         service = None
         if target is not None and deployment is not None:
@@ -393,30 +393,30 @@
         return count_kept(
             service.max_connections if service else 0,
             self._count_instances(),
-            self.rules.instance_id,
+            self.settings.instance_id,
             incarnation.target_id,
         )
 
-    def _list_listeners(self) -> frozenset[str]:
+    def _list_followers(self) -> frozenset[str]:
         members = self.peers.members()
-        if members is not self.listener_members:
+        if members is not self.follower_members:
             # cached: read several times a second, while the membership changes rarely
-            self.listener_members = members
-            self.listeners = choose_listeners(
+            self.follower_members = members
+            self.followers = choose_listeners(
                 {
                     member.instance_id: member.data_centre
                     for member in members
                     if member.state in (MemberState.ALIVE, MemberState.SUSPECT)
                 }
             )
-        return self.listeners
+        return self.followers
 
     def _has_dependents(self) -> bool:
         """Whether other instances rely on this one to watch the store."""
-        listeners = self._list_listeners()
-        if self.peers.instance_id not in listeners:
+        followers = self._list_followers()
+        if self.peers.instance_id not in followers:
             return False
-        return len(listeners) < len(self.listener_members)
+        return len(followers) < len(self.follower_members)
 
     def _list_controllers(self) -> tuple[Controller, ...]:
         return (
@@ -443,7 +443,7 @@
         found = deployment.services.get(service) if deployment else None
         return found.maker if found else None
 
-    def _find_bounds(self) -> CallerBounds:
+    def _find_limits(self) -> CallerBounds:
         deployment = self.configuration.deployment
         return deployment.bounds if deployment else CallerBounds()
 
@@ -461,7 +461,7 @@
     def _forget_target(self, incarnation: Incarnation) -> None:
         self.connections.close_idle(incarnation)
         self.crash_detector.note_gone(incarnation)
-        self.fleet.forget(incarnation)
+        self.load_balancer.forget(incarnation)
         self.local_executor.note_gone(incarnation)
 
     def _describe(self) -> dict[str, Any]:
@@ -469,10 +469,10 @@
         parts["configuration"] = self.configuration.dump()
         parts["listing"] = self.listing.dump()
         return {
-            "instance": self.rules.instance_id,
-            "data_centre": self.rules.data_centre,
+            "instance": self.settings.instance_id,
+            "data_centre": self.settings.data_centre,
             **parts,
-            "targets": self.fleet.describe(self.clock.now()),
+            "targets": self.load_balancer.describe(self.clock.now()),
             "links": {"idle": self.connections.count_idle()},
             "metrics": self.metrics.dump(),
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/configuration.py
@@ -42,7 +42,7 @@
         self._value = b""
         self._active_since = 0.0
         #: called without arguments after another version has become active
-        self.listeners: list[Callable[[], None]] = []
+        self.callbacks: list[Callable[[], None]] = []
 
     @property
     def table(self) -> RouteTable | None:
@@ -118,8 +118,8 @@
             routes=len(deployment.routes),
             workspaces=len(deployment.workspaces),
         )
-        for listener in self.listeners:
-            listener()
+        for callback in self.callbacks:
+            callback()
 
     def dump(self) -> dict[str, Any]:
         deployment = self.deployment
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -52,26 +52,26 @@
         listen: str,
         codec: CallerCodec,
         handler: Callable[[RelayExchange], Awaitable[None]],
-        bounds: Callable[[], CallerBounds],
-        draining: Callable[[], bool],
+        find_limits: Callable[[], CallerBounds],
+        is_draining: Callable[[], bool],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
         super().__init__(listen)
         self._codec = codec
         self._handler = handler
-        self._bounds = bounds
-        self._draining = draining
+        self._find_limits = find_limits
+        self._is_draining = is_draining
         self._clock = clock
         self._metrics = metrics
 
     def create_connections(self) -> CallerConnections:
-        bounds = self._bounds()
+        limits = self._find_limits()
         return CallerConnections(
             self.handle,
             max_connections=MAX_CONNECTIONS,
-            max_header_bytes=bounds.max_header_bytes,
-            idle_timeout=bounds.idle_timeout + IDLE_MARGIN_SECONDS,
+            max_header_bytes=limits.max_header_bytes,
+            idle_timeout=limits.idle_timeout + IDLE_MARGIN_SECONDS,
             write_timeout=WRITE_TIMEOUT,
         )
 
@@ -114,16 +114,16 @@
         return writer.response
 
     async def _read_body(self, request: web.BaseRequest) -> bytes:
-        bounds = self._bounds()
+        limits = self._find_limits()
         return await read_body(
-            request, limit=bounds.max_body_bytes, timeout=bounds.header_timeout
+            request, limit=limits.max_body_bytes, timeout=limits.header_timeout
         )
 
     def _count_bytes_sent(self, size: int) -> None:
         self._metrics.count("front.bytes_out", size)
 
     def _keeps_connections(self) -> bool:
-        return not self._draining() and not self.closing
+        return not self._is_draining() and not self.closing
 
     async def _refuse(
         self, writer: ResponseWriter, request_id: str, refusal: Refusal, status: int
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -53,9 +53,9 @@
     The store may reject some instances while it serves others and the operators. An
     instance that only waited for it would keep using revoked keys and removed routes,
     and send requests to targets that are leaving. In a large fleet, passive instances
-    query the listeners all the time.
+    query the followers all the time.
 
-    :param list_listeners: returns the instances that watch the store
+    :param list_followers: returns the instances that watch the store
     """
 
     name = "news"
@@ -64,12 +64,12 @@
         self,
         *,
         peers: PeerNetwork,
-        list_listeners: Callable[[], frozenset[str]],
+        list_followers: Callable[[], frozenset[str]],
         data_centre: str,
         follower: StoreFollower,
         configuration: ConfigurationFollower,
         listing: ListingFollower,
-        crashes: CrashBoard,
+        crash_reports: CrashBoard,
         target_table: TargetBook,
         clock: Clock,
         random_source: random.Random,
@@ -77,12 +77,12 @@
     ) -> None:
         super().__init__()
         self._peers = peers
-        self._list_listeners = list_listeners
+        self._list_followers = list_followers
         self._data_centre = data_centre
         self._follower = follower
         self._configuration = configuration
         self._listing = listing
-        self._crashes = crashes
+        self._crash_reports = crash_reports
         self._target_table = target_table
         self._clock = clock
         self._random = random_source
@@ -116,7 +116,7 @@
         query = NewsQuery(
             self._configuration.revision,
             self._listing.revision,
-            self._crashes.revision,
+            self._crash_reports.revision,
         )
         sent_at = self._clock.now()
         reply = await self._peers.ask(peer, query, QUERY_TIMEOUT)
@@ -129,7 +129,7 @@
     def _choose_peer(self) -> str | None:
         """Return the peer to query.
 
-        A passive instance prefers listeners in its own data centre, unless the last
+        A passive instance prefers followers in its own data centre, unless the last
         query failed. If this instance can't reach the store, its neighbours may not
         reach it either, so that any other instance may be chosen.
         """
@@ -140,9 +140,9 @@
             if member.instance_id != own and member.state is not MemberState.DEAD
         ]
         if self._follower.passive:
-            listeners = self._list_listeners()
-            followers = [one for one in others if one.instance_id in listeners]
-            others = self._select_same_data_centre(followers) or followers or others
+            followers = self._list_followers()
+            candidates = [one for one in others if one.instance_id in followers]
+            others = self._select_same_data_centre(candidates) or candidates or others
         return self._random.choice(others).instance_id if others else None
 
     def _select_same_data_centre(self, members: list[Member]) -> list[Member]:
@@ -165,7 +165,7 @@
         if update.listed:
             targets = tuple(filter(None, map(decode_target, update.targets)))
             self._listing.apply_peer_listing(targets, update.listing_revision)
-        self._crashes.take_news(update.crashes)
+        self._crash_reports.take_news(update.crashes)
         if update.heard_seconds is not None:
             self._follower.record_peer_report(update.heard_seconds + elapsed)
 
@@ -184,7 +184,7 @@
             targets=tuple(map(encode_target, self._target_table.list_all()))
             if listed
             else (),
-            crashes=self._crashes.list_newer(query.crashes_revision),
+            crashes=self._crash_reports.list_newer(query.crashes_revision),
         )
 
     def _compress_configuration(self) -> bytes:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/readiness.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/readiness.py
@@ -37,7 +37,7 @@
         readiness_path: str,
         metrics_listen: str,
         metrics_path: str,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         metrics: PrometheusMetrics,
         describe: Callable[[], dict[str, Any]],
     ) -> None:
@@ -46,7 +46,7 @@
         self._readiness_path = readiness_path
         self._metrics_listen = metrics_listen
         self._metrics_path = metrics_path
-        self._ready = ready
+        self._is_ready = is_ready
         self._describe = describe
         self._registry = CollectorRegistry()
         self._registry.register(metrics)
@@ -64,7 +64,7 @@
             await runner.cleanup()
 
     def dump(self) -> dict[str, Any]:
-        return {"ready": self._ready()}
+        return {"ready": self._is_ready()}
 
     async def _serve(self, address: str, handler) -> None:
         server = web.Server(handler, access_log=None, keepalive_timeout=IDLE_TIMEOUT)
@@ -77,7 +77,7 @@
     async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path != self._readiness_path:
             return web.Response(status=404)
-        return web.Response(status=200 if self._ready() else 503)
+        return web.Response(status=200 if self._is_ready() else 503)
 
     async def _handle_operators(self, request: web.BaseRequest) -> web.Response:
         if request.path == self._metrics_path:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/store_follower.py
@@ -78,11 +78,11 @@
     """Watches all keys and dispatches changes to subscribers by prefix.
 
     The platform meters every call, and a pending watch counts as one, so a single
-    watch covers all subscribers. In a large fleet only a few instances, the listeners,
-    watch the store. The others are passive: they receive updates from listeners and
+    watch covers all subscribers. In a large fleet only a few instances, the followers,
+    watch the store. The others are passive: they receive updates from followers and
     watch the store themselves only while these updates are missing or stale.
 
-    :param is_listener: returns whether this instance is a listener
+    :param is_follower: returns whether this instance is one of the followers
     :param has_dependents: returns whether passive instances depend on this one
     """
 
@@ -93,7 +93,7 @@
         *,
         store: RangeStore,
         subscribers: tuple[StoreSubscriber, ...],
-        is_listener: Callable[[], bool],
+        is_follower: Callable[[], bool],
         has_dependents: Callable[[], bool],
         clock: Clock,
         random_source: random.Random,
@@ -103,7 +103,7 @@
         super().__init__()
         self._store = store
         self._subscribers = subscribers
-        self._is_listener = is_listener
+        self._is_follower = is_follower
         self._has_dependents = has_dependents
         self._clock = clock
         self._random = random_source
@@ -134,7 +134,7 @@
 
     @property
     def passive(self) -> bool:
-        """Whether this instance currently relies on listeners for updates."""
+        """Whether this instance currently relies on followers for updates."""
         return self._passive
 
     def record_peer_report(self, seconds: float) -> None:
@@ -164,15 +164,15 @@
                 await self._wait_min_spacing()
                 continue
             await asyncio.sleep(self._backoff * self._random.uniform(0.7, 1.3))
-            is_listener = self._is_listener()
-            max_backoff = MAX_BACKOFF if is_listener else MAX_PASSIVE_BACKOFF
+            is_follower = self._is_follower()
+            max_backoff = MAX_BACKOFF if is_follower else MAX_PASSIVE_BACKOFF
             self._backoff = min(max_backoff, self._backoff * 2)
 
     def _may_be_passive(self) -> bool:
-        """Return whether listeners provide updates that are recent enough."""
+        """Return whether followers provide updates that are recent enough."""
         passive_now = (
             self._after is not None
-            and not self._is_listener()
+            and not self._is_follower()
             and self.staleness < STALE_SECONDS
             and self._clock.now() - self._peer_reported_at < PEER_REPORT_TIMEOUT
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -72,9 +72,9 @@
 
     async def run(self, exchange: RelayExchange) -> None:
         self.budgets.note_request(exchange.service)
-        first, whole = self.times.estimate(exchange)
-        run = self._stages.begin(exchange, first, whole)
-        self._check_admission(exchange, run, first)
+        first_seconds, total_seconds = self.times.estimate(exchange)
+        run = self._stages.begin(exchange, first_seconds, total_seconds)
+        self._check_admission(exchange, run, first_seconds)
         try:
             results = await run.make()
             await self.pass_on(exchange, run, results)
@@ -88,11 +88,11 @@
         await _Stream(self, exchange, run, results).serve()
 
     def _check_admission(
-        self, exchange: RelayExchange, run: StageRun, first: float
+        self, exchange: RelayExchange, run: StageRun, first_seconds: float
     ) -> None:
         """Refuse a request that admission control rejects, before any work is done."""
         chain = run.estimate()
-        work = chain.work + first
+        work = chain.work + first_seconds
         route = exchange.route
         elapsed = self.clock.now() - exchange.request.received
         estimate = Estimate(
@@ -227,21 +227,21 @@
     async def _forward_response(
         self, target: ListedTarget, received: ReceivedResponse, prefill: _PrefillTracker
     ) -> FailedSend | None:
-        reply = received.reply
+        response = received.response
         try:
             if not received.head.succeeded:
                 return await self._forward_error(target, received)
             await self._forward_events(target, received, prefill)
         except TargetResponseError as error:
-            reply.abort()
+            response.abort()
             ran_seconds = self._find_ran_seconds()
             return self._runner.sender.record_lost_response(
                 self._exchange, target, error, ran_seconds
             )
         except BaseException:
-            reply.abort()
+            response.abort()
             raise
-        reply.release()
+        response.release()
         self._runner.fleet.note_success(target.incarnation)
         self._runner.sender.record_survival(self._exchange, target)
         self._exchange.outcome = "answered"
@@ -252,7 +252,7 @@
     ) -> None:
         splitter = EventSplitter()
         writer = self._exchange.writer
-        chunks = received.reply.iterate()
+        chunks = received.response.iterate()
         while True:
             data = await self._read_chunk(chunks)
             if data is None:
@@ -307,8 +307,8 @@
         self, target: ListedTarget, received: ReceivedResponse
     ) -> FailedSend | None:
         head: ResponseHead = received.head
-        body = await received.reply.read(MAX_ERROR_BODY_BYTES)
-        received.reply.release()
+        body = await received.response.read(MAX_ERROR_BODY_BYTES)
+        received.response.release()
         self._runner.sender.record_survival(self._exchange, target)
         self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
         exchange = self._exchange
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -39,7 +39,7 @@
     """A response whose head was accepted; its body is still to be read."""
 
     head: ResponseHead
-    reply: TargetResponse
+    response: TargetResponse
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,16 +60,16 @@
         *,
         connections: TargetConnectionPool,
         codec: TargetCodec,
-        fleet: Fleet,
+        load_balancer: Fleet,
         target_table: TargetBook,
-        crashes: CrashWatch,
+        crash_detector: CrashWatch,
         clock: Clock,
         decisions: DecisionLog,
     ) -> None:
-        self._crashes = crashes
+        self._crash_detector = crash_detector
         self._connections = connections
         self._codec = codec
-        self._fleet = fleet
+        self._load_balancer = load_balancer
         self._target_table = target_table
         self._clock = clock
         self._decisions = decisions
@@ -93,7 +93,7 @@
         incarnation = target.incarnation
         outbound = self._codec.encode_request(exchange.request, call)
         try:
-            reply = await self._connections.send(
+            response = await self._connections.send(
                 incarnation=incarnation,
                 address=target.address,
                 outbound=outbound,
@@ -113,7 +113,7 @@
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
             raise
         exchange.targets.append(incarnation)
-        return self._classify(exchange, target, reply)
+        return self._classify(exchange, target, response)
 
     def record_lost_response(
         self,
@@ -127,33 +127,35 @@
         :param ran_seconds: time for which the target is known to have been running it
         """
         if error.broken and ran_seconds < CRASH_BLAME_SECONDS:
-            self._crashes.note_broken(target, exchange.digest)
+            self._crash_detector.note_broken(target, exchange.digest)
         return self._record_failure(exchange, target, SendOutcome.LOST, str(error))
 
     def record_survival(self, exchange: RelayExchange, target: ListedTarget) -> None:
         """Record that a target survived the request, even if it reported a failure."""
-        self._crashes.note_survived(target, exchange.digest)
+        self._crash_detector.note_survived(target, exchange.digest)
 
     def _classify(
-        self, exchange: RelayExchange, target: ListedTarget, reply: TargetResponse
+        self, exchange: RelayExchange, target: ListedTarget, response: TargetResponse
     ) -> ReceivedResponse | FailedSend:
-        head = self._codec.read_head(reply)
+        head = self._codec.read_head(response)
         if head.load is not None:
-            self._fleet.note_report(target.incarnation, head.load, self._clock.now())
+            self._load_balancer.note_report(
+                target.incarnation, head.load, self._clock.now()
+            )
         if head.request_id != exchange.request.request_id and not head.misdirected:
             # the response belongs to another request or carries no id
-            reply.abort()
+            response.abort()
             reason = f"response carries request id {head.request_id[:40]!r}"
             return self._record_failure(exchange, target, SendOutcome.LOST, reason)
         if head.misdirected:
-            reply.abort()
+            response.abort()
             exchange.targets.pop()
             exchange.unsent += 1
             return self._record_failure(
                 exchange, target, SendOutcome.MISDIRECTED, "another target responded"
             )
         if head.not_run:
-            reply.abort()
+            response.abort()
             return self._record_failure(
                 exchange,
                 target,
@@ -162,11 +164,11 @@
                 head.status,
             )
         if head.encoded or not head.signed:
-            reply.abort()
+            response.abort()
             reason = f"unsigned or encoded response with status {head.status}"
             return self._record_failure(exchange, target, SendOutcome.LOST, reason)
         exchange.raise_verdict(Verdict.RAN)
-        return ReceivedResponse(head, reply)
+        return ReceivedResponse(head, response)
 
     def _record_failure(
         self,
@@ -182,7 +184,7 @@
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
         now = self._clock.now()
         if blamed and outcome is not SendOutcome.REJECTED:
-            self._fleet.note_failure(target.incarnation, now)
+            self._load_balancer.note_failure(target.incarnation, now)
             # idle connections to it may be broken as well
             self._connections.close_idle(target.incarnation)
         self._decisions.log_decision(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -24,7 +24,7 @@
 __all__ = ("UnaryRunner",)
 
 #: maximum size in bytes of a forwarded response
-MAX_ANSWER_BYTES = 32 * 1024 * 1024
+MAX_RESPONSE_BYTES = 32 * 1024 * 1024
 #: attempt timeout of idempotent requests as a multiple of the route's latency
 #: objective. After it the request fails over to another target, as a hung target would
 #: hold it until the deadline
@@ -112,21 +112,21 @@
         received: ReceivedResponse,
         end: float,
     ) -> _FullResponse | FailedSend:
-        reply = received.reply
+        response = received.response
         try:
             async with asyncio.timeout_at(end):
-                body = await reply.read(MAX_ANSWER_BYTES)
+                body = await response.read(MAX_RESPONSE_BYTES)
         except TimeoutError:
-            reply.abort()
+            response.abort()
             timed_out = TargetResponseError("timed out reading the response body")
             return self.sender.record_lost_response(exchange, target, timed_out)
         except TargetResponseError as error:
-            reply.abort()
+            response.abort()
             return self.sender.record_lost_response(exchange, target, error)
         except BaseException:
-            reply.abort()
+            response.abort()
             raise
-        reply.release()
+        response.release()
         self.sender.record_survival(exchange, target)
         if received.head.succeeded:
             self.fleet.note_success(target.incarnation)
--- a/tests/test_entry/test_relay/test_store_follower.py
+++ b/tests/test_entry/test_relay/test_store_follower.py
@@ -47,7 +47,7 @@
         random_source=random.Random(1),
         metrics=metrics,
         decisions=DecisionLog(clock=clock, metrics=metrics),
-        **{"is_listener": lambda: False, "has_dependents": lambda: False, **rules},
+        **{"is_follower": lambda: False, "has_dependents": lambda: False, **rules},
     )
 
 
@@ -59,7 +59,7 @@
 
 
 async def test_passive_instance_watches_the_store_once_peer_reports_stop():
-    """Guards against late configurations after many listeners failed at once.
+    """Guards against late configurations after many followers failed at once.
 
     A passive instance keeps waiting for reports of peers that no longer exist.
     """
@@ -75,7 +75,7 @@
     await follower.stop()
 
 
-async def test_listener_with_dependents_detects_lost_history_in_time():
+async def test_follower_with_dependents_detects_lost_history_in_time():
     """Guards against updates that reach passive instances too late.
 
     A watch whose history was lost shows changes only after its timeout. If that were
@@ -83,7 +83,7 @@
     """
     store = Store()
     follower = create_follower(
-        store, is_listener=lambda: True, has_dependents=lambda: True
+        store, is_follower=lambda: True, has_dependents=lambda: True
     )
     await follower.start()
     await asyncio.sleep(5.0)
