--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -34,8 +34,8 @@
 #: seconds between two queries; a change that a peer has received from its watch is
 #: active here within half a second
 POLL_INTERVAL = 0.4
-#: staleness in seconds above which peers are queried; a pending watch without changes
-#: reaches up to this value
+#: staleness in seconds above which peers are queried; a pending watch alone leaves the
+#: state unconfirmed for about that long
 STALENESS_THRESHOLD = 1.6
 #: seconds to wait for the answer of a peer
 QUERY_TIMEOUT = 0.6
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -91,13 +91,13 @@
 
 async def test_only_complete_events_are_forwarded(pipeline, monkeypatch):
     breaks = pipeline.targets["llm-1"].breaks = pipeline.targets["llm-2"].breaks
-    whole = (await pipeline.stream()).body
+    complete = (await pipeline.stream()).body
     breaks.append(2)
-    assert (await pipeline.stream()).body == whole
+    assert (await pipeline.stream()).body == complete
     monkeypatch.setattr(EventSplitter, "feed", lambda self, data: [data])
     monkeypatch.setattr(EventSplitter, "pending", False)
     breaks.append(2)
-    assert (await pipeline.stream()).body != whole
+    assert (await pipeline.stream()).body != complete
 
 
 def test_targets_that_left_are_remembered(monkeypatch):
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -243,7 +243,7 @@
     busy = world.targets["desk-1"]
     other = world.targets["desk-2"]
     busy.gate = asyncio.Event()
-    asking = [
+    pending = [
         asyncio.create_task(
             world.ask("/book/1", method="POST", request_id=f"b-{number}")
         )
@@ -260,7 +260,7 @@
     assert busy.runs.total() == before
     assert other.runs.total() >= 6
     busy.gate.set()
-    assert [reply.status for reply in await asyncio.gather(*asking)] == [200] * 4
+    assert [reply.status for reply in await asyncio.gather(*pending)] == [200] * 4
     assert world.count("beliefs.target-unreadable") == 1
     busy.register(world.store)
     await world.wait_for(lambda: world.accepts("desk-1"))
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -134,7 +134,7 @@
     await world.wait_for(lambda: not world.accepts("desk-2"))
     target = world.targets["desk-1"]
     target.gate = asyncio.Event()
-    asking = asyncio.create_task(
+    pending = asyncio.create_task(
         world.ask("/book/1", method="POST", request_id="b-1", X_Deadline_Ms="5000")
     )
     await world.wait_for(lambda: target.runs["b-1"] == 1)
@@ -142,7 +142,7 @@
     await restart(world, "desk-1", cut=False)
     target.abort_connections()
     target.gate.set()
-    reply = await asking
+    reply = await pending
     assert reply.status == 502
     assert target.runs["b-1"] == 1
 
@@ -157,14 +157,14 @@
     await world.wait_for(lambda: not world.accepts("desk-2"))
     target = world.targets["desk-1"]
     target.gate = asyncio.Event()
-    asking = asyncio.create_task(
+    pending = asyncio.create_task(
         world.ask("/look/1", request_id="s-1", X_Deadline_Ms="5000")
     )
     await world.wait_for(lambda: target.runs["s-1"] == 1)
     await restart(world, "desk-1", cut=False)
     target.abort_connections()
     target.gate.set()
-    reply = await asking
+    reply = await pending
     assert reply.status == 200
     assert target.runs["s-1"] == 2
 
@@ -176,7 +176,7 @@
     await pipeline.wait_for(lambda: not pipeline.accepts("llm-2"))
     engine = pipeline.targets["llm-1"]
     engine.pause = asyncio.Event()
-    asking = asyncio.create_task(
+    pending = asyncio.create_task(
         pipeline.stream(X_Attempt_Id="r-1", X_Deadline_Ms="6000")
     )
     await pipeline.wait_for(lambda: engine.runs["r-1"] == 1)
@@ -184,7 +184,7 @@
     if cut:
         engine.abort_connections()
     engine.pause.set()
-    reply = await asking
+    reply = await pending
     assert (reply.status, reply.error) == (200, "")
     assert reply.body.count(b"id: ") == 5
 
@@ -207,7 +207,7 @@
     """
     for maker in list_targets(pipeline, "ledger"):
         maker.fault = TargetFault.FULL
-    asking = asyncio.create_task(
+    pending = asyncio.create_task(
         pipeline.stream(X_Attempt_Id="r-1", X_Deadline_Ms="6000")
     )
     portals = list_targets(pipeline, "portal")
@@ -216,7 +216,7 @@
     await restart_known(pipeline, portals)
     for maker in list_targets(pipeline, "ledger"):
         maker.fault = TargetFault.NONE
-    assert (await asking).status == 200
+    assert (await pending).status == 200
     read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
     assert read
     assert not former & set(read)
@@ -233,7 +233,7 @@
     engines = list_targets(pipeline, "llm")
     for engine in engines:
         engine.fault = TargetFault.MUTE
-    asking = asyncio.create_task(
+    pending = asyncio.create_task(
         pipeline.stream(X_Attempt_Id="r-1", X_Deadline_Ms="6000")
     )
     await pipeline.wait_for(lambda: any(one.runs["r-1"] for one in engines))
@@ -244,7 +244,7 @@
     former = set(read_inputs(mute, "r-1"))
     makers = list_targets(pipeline, "ledger")
     await restart_known(pipeline, makers)
-    assert (await asking).status == 200
+    assert (await pending).status == 200
     again = set(read_inputs(other, "r-1"))
     assert len(again) == len(former) == 3
     assert not former & again
@@ -317,13 +317,13 @@
     gate = asyncio.Event()
     for portal in portals:
         portal.gate = gate
-    asking = asyncio.create_task(
+    pending = asyncio.create_task(
         pipeline.stream(X_Attempt_Id="r-1", X_Deadline_Ms="6000")
     )
     await pipeline.wait_for(lambda: any(one.batches for one in portals))
     await restart_known(pipeline, portals, cut=False)
     gate.set()
-    assert (await asking).status == 200
+    assert (await pending).status == 200
     read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
     assert read
     # the second computation of each piece
