--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.streams on a whole instance."""
+"""Tests of greengagelatch_entry.relay.streams on an instance."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
     return pool["bundles"] > 0 or any(one["calls"] for one in pool["makers"].values())
 
 
-async def test_stream_passes_whole(pipeline):
+async def test_stream_is_forwarded_completely(pipeline):
     reply = await pipeline.stream()
     assert reply.status == 200
     assert reply.body == WHOLE
 
 
-async def test_stages_are_made_once_and_their_results_read(pipeline):
+async def test_stages_run_once_and_their_results_are_read(pipeline):
     await pipeline.stream(X_Attempt_Id="r-1")
     seen = [one for engine in engines(pipeline) for one in engine.seen]
     inputs = seen[0].headers["x-inputs"].split(",")
@@ -48,11 +48,10 @@
     }
 
 
-async def test_results_are_freed_at_their_makers(pipeline):
-    """Symptom: makers refuse pieces for lack of room under light load.
+async def test_results_are_released_at_their_makers(pipeline):
+    """Guards against makers that run out of memory under light load.
 
-    Sequence: requests end, and their results stay until they lapse.
-    Cause: nobody gave them up.
+    Results that are not released when their request ends stay until they expire.
     """
     await pipeline.stream()
     await pipeline.wait_for(
@@ -65,7 +64,7 @@
 
 
 async def start_held_stream(pipeline, load: str) -> asyncio.Task:
-    """Start a stream at engines that have told ``load`` and hold their answers."""
+    """Start a stream at engines that report ``load`` and block their responses."""
     for engine in engines(pipeline):
         engine.load = load
     for _ in range(4):
@@ -87,12 +86,12 @@
     assert (await held).body == WHOLE
 
 
-async def test_results_are_freed_once_an_engine_has_fetched_them(pipeline):
-    """Symptom: makers have no room while calls are half full and engines have places.
+async def test_results_are_released_once_an_engine_has_fetched_them(pipeline):
+    """Guards against makers without memory while engines have free slots.
 
-    Sequence: an engine takes a request in, fetches its inputs, and reads prompts for
-    half a second before the first event.
-    Cause: the inputs were freed at the first event.
+    An engine schedules a request, fetches its inputs, and spends half a second on
+    prefill before the first event. Inputs released only at the first event occupy the
+    memory of their makers for that time.
     """
     held = await start_held_stream(pipeline, "1,0,4")
     await pipeline.wait_for(lambda: count_freed(pipeline) == 25)
@@ -100,21 +99,22 @@
     await release(pipeline, held)
 
 
-async def test_results_are_kept_for_an_engine_that_has_a_queue(pipeline):
+async def test_results_are_kept_for_an_engine_with_a_queue(pipeline):
     held = await start_held_stream(pipeline, "4,2,4")
-    # those of the last stage, which only the engine reads, stay
+    # results of the last stage, which only the engine fetches, are kept
     await pipeline.wait_for(lambda: count_freed(pipeline) == 20 + 2)
     await asyncio.sleep(2 * FETCH_SECONDS)
     assert count_freed(pipeline) == 20 + 2
     await release(pipeline, held)
 
 
-async def test_stream_is_whole_that_leaves_an_engine_which_had_fetched(pipeline):
-    """Symptom: streams that go elsewhere are refused there, as their inputs are gone.
+async def test_stream_completes_after_failover_from_an_engine_that_had_fetched(
+    pipeline,
+):
+    """Guards against failing over with handles of released inputs.
 
-    Sequence: an engine fetches a request's inputs and falls silent; they were freed;
-    the request goes to another engine.
-    Cause: it went with the handles of before.
+    An engine fetches the inputs of a request and hangs after they were released. With
+    the old handles, the engine that the request fails over to would reject it.
     """
     for engine in engines(pipeline):
         engine.load = "1,0,4"
@@ -124,7 +124,7 @@
     silent.fault = TargetFault.MUTE
     count = len(silent.seen)
     number = 0
-    # either engine may be chosen for each
+    # each request may go to either engine
     while len(silent.seen) == count:
         reply = await pipeline.stream(X_Attempt_Id=f"left-{number}")
         assert (reply.status, reply.body) == (200, WHOLE)
@@ -138,10 +138,10 @@
 
 
 async def test_requests_share_calls_to_makers(pipeline):
-    """Symptom: makers turn calls away as full, with hardly a piece in each call.
+    """Guards against small batches that exhaust the call slots of makers.
 
-    Sequence: requests come at the same moment, and each finds the same maker idle.
-    Cause: a call was counted only once its task ran.
+    Concurrent requests each find the same maker idle if a call is counted only once its
+    task runs.
     """
     replies = await asyncio.gather(*(pipeline.stream() for _ in range(12)))
     assert [reply.body for reply in replies] == [WHOLE] * 12
@@ -150,12 +150,11 @@
     assert max(batches) > 3
 
 
-async def test_stream_goes_on_elsewhere_after_a_break_within_an_event(pipeline):
-    """Symptom: a caller reads a piece twice, or one that is cut.
+async def test_stream_fails_over_after_a_break_within_an_event(pipeline):
+    """Guards against duplicated or truncated events.
 
-    Sequence: an engine dies in the middle of an event; another one goes on after the
-    last whole one.
-    Cause: the beginning of the event had been passed on.
+    An engine crashes in the middle of an event and another one resumes after the last
+    complete event. The fault is to forward the beginning of the event.
     """
     for engine in engines(pipeline):
         engine.break_after = 2
@@ -168,18 +167,18 @@
 
 
 @pytest.mark.parametrize("broken", ["llm-1", "llm-2"])
-async def test_resumed_stream_is_whole(pipeline, broken):
+async def test_resumed_stream_is_complete(pipeline, broken):
     pipeline.targets[broken].break_after = 2
     for _ in range(3):
         reply = await pipeline.stream()
         assert (reply.status, reply.body) == (200, WHOLE)
 
 
-async def test_stream_that_can_not_go_on_does_not_look_whole(pipeline):
-    """Symptom: half a summary is taken for a whole one.
+async def test_interrupted_stream_does_not_look_complete(pipeline):
+    """Guards against partial streams that look complete.
 
-    Sequence: the engine dies in mid-stream, on a route that can't be resumed.
-    Cause: the answer's end was written all the same.
+    The engine crashes in mid-stream on a route that is not resumable. The fault is to
+    terminate the response properly all the same.
     """
     for engine in engines(pipeline):
         engine.break_after = 2
@@ -188,7 +187,7 @@
     assert sum(engine.runs["r-1"] for engine in engines(pipeline)) == 1
 
 
-async def test_stream_that_a_mute_engine_holds_goes_elsewhere(pipeline):
+async def test_stream_fails_over_from_a_hung_engine(pipeline):
     engines(pipeline)[0].fault = TargetFault.MUTE
     for _ in range(2):
         reply = await pipeline.stream()
@@ -204,11 +203,10 @@
     assert sum(engine.runs.total() for engine in engines(pipeline)) == 0
 
 
-async def test_pieces_of_a_lost_maker_are_made_by_the_other(pipeline):
-    """Symptom: requests fail for as long as one maker is lost.
+async def test_pieces_of_a_failed_maker_are_computed_by_the_other(pipeline):
+    """Guards against requests that fail while one maker is down.
 
-    Sequence: a maker dies and stays listed; calls to it reach nobody.
-    Cause: pieces were bound to a maker.
+    A maker crashes and stays listed. The fault is to bind pieces to one maker.
     """
     await pipeline.targets["portal-1"].stop()
     for _ in range(3):
@@ -216,7 +214,7 @@
         assert (reply.status, reply.body) == (200, WHOLE)
 
 
-async def test_maker_that_is_full_is_tried_again(pipeline):
+async def test_full_maker_is_retried(pipeline):
     for maker in makers(pipeline):
         maker.fault = TargetFault.FULL
     waiting = asyncio.create_task(pipeline.stream())
@@ -229,17 +227,16 @@
 async def test_stages_without_a_maker_are_refused_at_once(pipeline):
     for number in (1, 2):
         pipeline.store.remove(f"servers/portal-{number}")
-    book = pipeline.find("news")._book
+    book = pipeline.find("news")._target_table
     await pipeline.wait_for(lambda: not book.list_service("portal"))
     reply = await pipeline.stream()
     assert reply.status == 503
 
 
-async def test_caller_that_leaves_frees_what_was_made_for_it(pipeline):
-    """Symptom: makers work for callers that have gone.
+async def test_results_of_a_disconnected_caller_are_released(pipeline):
+    """Guards against work and results held for disconnected callers.
 
-    Sequence: a caller closes its connection while its stages are being made.
-    Cause: the work went on, and its results stayed.
+    A caller closes its connection while its stages are running.
     """
     task = asyncio.create_task(pipeline.stream(X_Attempt_Id="gone"))
     await pipeline.wait_for(lambda: any(maker.pieces for maker in makers(pipeline)))
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -1,4 +1,4 @@
-"""The platform program as real processes on the stand-ins."""
+"""Tests of the platform program as processes with stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(180)]
 
-#: bound of every wait, in seconds
-PATIENCE = 60
+#: timeout of every wait in seconds
+WAIT_SECONDS = 60
 
 
 @pytest.fixture
@@ -46,7 +46,7 @@
 
 
 async def ask(session, instance, path="/look/1", *, key=KEY, **headers) -> int:
-    """Return the status of one request, or 0 if it was cut."""
+    """Return the status of one request, or 0 if it was interrupted."""
     lines = {
         "Host": HOST,
         "X-Attempt-Id": headers.pop("request_id", "r-1"),
@@ -66,7 +66,7 @@
 
 
 async def wait_for_status(session, instance, status: int, **fields) -> None:
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while await ask(session, instance, **fields) != status:  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
@@ -91,19 +91,19 @@
     return any(line["version"] == version for line in lines)
 
 
-class KeptCaller:
-    """Sends streams one after the other on one connection until it is closed."""
+class KeepAliveCaller:
+    """Sends streaming requests in sequence on one connection until it is closed."""
 
     def __init__(self, instance, number: int) -> None:
         self._instance = instance
         self._number = number
 
     async def call(self) -> list[int]:
-        """Return the statuses of the whole answers; 0 for one that is cut."""
+        """Return the statuses of the responses; 0 for a truncated one."""
         host, _, port = self._instance.front.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         statuses = []
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_SECONDS):
             while True:
                 writer.write(self._encode(len(statuses)))
                 try:
@@ -141,7 +141,7 @@
         return status
 
 
-async def test_plain_and_streamed_requests_are_served(fleet, session):
+async def test_unary_and_streaming_requests_are_served(fleet, session):
     for number, instance in enumerate(fleet.instances):
         assert await ask(session, instance) == 200
         status = await ask(
@@ -162,12 +162,12 @@
     assert EVENTS > 1
 
 
-async def test_stop_cuts_no_request(fleet, session):
-    """Symptom: every rollout cuts some requests.
+async def test_stop_interrupts_no_request(fleet, session):
+    """Guards against requests interrupted by a rollout.
 
-    Sequence: an instance is told to stop, twice, while callers keep sending on open
-    and on new connections; the balancer takes it out some seconds later.
-    Cause: it stopped listening at once, or took the second signal for impatience.
+    An instance receives SIGTERM twice while callers send on open and on new
+    connections, and the balancer removes it some seconds later. The faults are to close
+    the listener at once, or to exit at once on the second signal.
     """
     instance = fleet.instances[0]
     statuses = []
@@ -187,47 +187,47 @@
     stopped.set()
     await asyncio.gather(*senders)
     assert set(statuses) == {200}
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         assert await instance.process.wait() == 0
 
 
-async def test_stop_answers_what_comes_on_kept_connections(fleet):
-    """Symptom: rolling restarts lose requests.
+async def test_stop_answers_requests_on_keep_alive_connections(fleet):
+    """Guards against requests lost in rolling restarts.
 
-    Sequence: streams are under way on kept connections when an instance is told to
-    stop; they end after it has closed its listener, and callers send their next
-    requests on the same connections until the process is gone.
-    Cause: a connection that was busy as the idle ones were closed took requests to
-    the very end.
+    Streams in flight on persistent connections end after a stopping instance has closed
+    its listener. The fault is to accept further requests on these connections until the
+    process exits.
     """
     instance = fleet.instances[0]
-    # longer than the stop may take, also on a busy machine
+    # longer than the stop may take, even on a loaded machine
     fleet.store.put("op/config", create_configuration(4, timeout_ms=60_000))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not knows_version(instance, 4):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
     engines = fleet.find_targets("llm")
     gate = asyncio.Event()
     for engine in engines:
         engine.gate = gate
-    callers = [asyncio.create_task(KeptCaller(instance, n).call()) for n in range(4)]
-    async with asyncio.timeout(PATIENCE):
+    callers = [
+        asyncio.create_task(KeepAliveCaller(instance, n).call()) for n in range(4)
+    ]
+    async with asyncio.timeout(WAIT_SECONDS):
         while sum(engine.runs.total() for engine in engines) < len(callers):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
     instance.process.send_signal(signal.SIGTERM)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not find_log_message(instance, "no new connections"):  # noqa: ASYNC110
             await asyncio.sleep(0.02)
     gate.set()
     answered = await asyncio.gather(*callers)
-    # each had its whole answer, and its connection was closed behind it
+    # each caller got a complete response, then its connection was closed
     assert answered == [[200]] * len(callers)
     assert sum(engine.runs.total() for engine in engines) == len(callers)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         assert await instance.process.wait() == 0
 
 
-async def test_hangup_cuts_nothing(fleet, session):
+async def test_hangup_interrupts_no_request(fleet, session):
     instance = fleet.instances[0]
     instance.process.send_signal(signal.SIGHUP)
     for _ in range(5):
@@ -235,12 +235,12 @@
     assert instance.process.returncode is None
 
 
-async def test_withdrawn_key_is_learnt_from_peers(fleet, session):
-    """Symptom: a withdrawn key opens the doors of one instance for minutes.
+async def test_revoked_key_is_received_from_peers(fleet, session):
+    """Guards against revoked keys that one instance accepts for minutes.
 
-    Sequence: the store turns all calls of that instance away and serves the others.
-    Here it is silent to all once the others have read the change.
-    Cause: an instance waited for the store, whatever its peers knew.
+    The store rejects all calls of that instance and serves the others; here it rejects
+    all calls once the others have read the change. The fault is to wait for the store
+    although peers know the change.
     """
     late = fleet.instances[2]
     await fleet.kill(late)
@@ -255,11 +255,11 @@
     assert read_log(late, "configuration")[-1]["origin"] == "peer"
 
 
-async def test_fleet_serves_through_the_loss_of_an_instance(fleet, session):
-    """Symptom: no stage is made for seconds after one instance has died.
+async def test_fleet_serves_after_the_loss_of_an_instance(fleet, session):
+    """Guards against stages that stall for seconds after the loss of an instance.
 
-    Sequence: the instance that gathers the pieces of a service is killed.
-    Cause: the others went on asking it.
+    The owner of a service, which batches its pieces, is killed. The fault is that the
+    others keep sending calls to it.
     """
     headers = {
         "X-Token-Counts": "100,20",
@@ -280,7 +280,7 @@
     instance = fleet.instances[0]
     assert await ask(session, instance, request_id="look-for-me") == 200
     lines: list[dict] = []
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_SECONDS):
         while not lines:
             await asyncio.sleep(0.05)
             lines = read_log(instance, "request")
@@ -306,10 +306,11 @@
 
 
 async def test_instance_whose_port_is_taken_gets_another(tmp_path):
-    """Symptom: one test in a thousand waits half a minute for an instance and fails.
+    """Guards against rare time-outs of tests while an instance starts.
 
-    Sequence: a free port is looked up; before the process binds it, the system gives
-    it to somebody else. Cause: nobody looked whether the process had ended.
+    Between finding a free port and binding it, the system may assign it to another
+    process, so that the instance exits. Without a check for that, a test waits half a
+    minute and fails.
     """
     taken = socket.socket()
     taken.bind(("127.0.0.1", 0))
