--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -12,10 +12,10 @@
     from greengagelatch.clock import Clock
     from greengagelatch.relay.repeats import RepeatRule
 
-__all__ = ("RepeatBudgets",)
+__all__ = ("RetryBudgets",)
 
 
-class RepeatBudgets:
+class RetryBudgets:
     """This instance's repeats to all services.
 
     :param count_instances: returns how many instances share the budgets
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -25,7 +25,7 @@
 from ..controllers.drain import DrainController
 from ..filters import chain
 from ..inflight import InFlight
-from .budgets import RepeatBudgets
+from .budgets import RetryBudgets
 from .configuration import ConfigurationFollower
 from .crash_watch import CrashWatch
 from .crashes import CrashBoard
@@ -223,12 +223,12 @@
             random_source=self.random,
             metrics=self.metrics,
         )
-        self.budgets = RepeatBudgets(
+        self.budgets = RetryBudgets(
             rule=self.rules.repeats,
             clock=self.clock,
             count_instances=self._count_instances,
         )
-        self.stage_budgets = RepeatBudgets(
+        self.stage_budgets = RetryBudgets(
             rule=self.rules.repeats,
             clock=self.clock,
             count_instances=self._count_owners,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -21,7 +21,7 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.requests import RefusedError
 
-    from .budgets import RepeatBudgets
+    from .budgets import RetryBudgets
     from .exchange import RelayExchange
     from .sending import TargetSender, Unanswered
 
@@ -45,7 +45,7 @@
         *,
         sender: TargetSender,
         fleet: Fleet,
-        budgets: RepeatBudgets,
+        budgets: RetryBudgets,
         quarantine: Quarantine,
         clock: Clock,
     ) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -28,7 +28,7 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from ..metrics import Metrics
-    from .budgets import RepeatBudgets
+    from .budgets import RetryBudgets
     from .codecs import TargetCodec
     from .decisions import DecisionLog
     from .links import TargetLinks
@@ -70,7 +70,7 @@
         book: TargetBook,
         links: TargetLinks,
         codec: TargetCodec,
-        budgets: RepeatBudgets,
+        budgets: RetryBudgets,
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -19,7 +19,7 @@
     from greengagelatch.relay.targets import TargetBook
 
     from ..metrics import Metrics
-    from .budgets import RepeatBudgets
+    from .budgets import RetryBudgets
     from .maker_calls import CallEnd
 
 __all__ = ("BundleQueue", "Work")
@@ -57,7 +57,7 @@
         *,
         free: Callable[[tuple[PieceResult, ...]], None],
         book: TargetBook,
-        budgets: RepeatBudgets,
+        budgets: RetryBudgets,
         metrics: Metrics,
     ) -> None:
         self._service = service
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -8,7 +8,7 @@
 from greengagelatch.relay.fleet import EngineNeed, Fleet
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.repeats import RepeatRule
-from greengagelatch_entry.relay.budgets import RepeatBudgets
+from greengagelatch_entry.relay.budgets import RetryBudgets
 from greengagelatch_entry.relay.desk import LocalDesk
 from greengagelatch_entry.relay.owned_desk import OwnedDesk
 from greengagelatch_entry.relay.ownership import Ownership
@@ -204,8 +204,8 @@
             ),
         )
 
-    def _create_budgets(self) -> RepeatBudgets:
-        return RepeatBudgets(
+    def _create_budgets(self) -> RetryBudgets:
+        return RetryBudgets(
             rule=RepeatRule(slack=1e6), clock=self._clock, count_instances=lambda: 1
         )
 
