--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -27,7 +27,7 @@
 from ..inflight import InFlight
 from .budgets import RetryBudgets
 from .configuration import ConfigurationFollower
-from .crash_watch import CrashWatch
+from .crash_watch import CrashDetector
 from .crashes import CrashBoard
 from .decisions import DecisionLog
 from .desk import LocalDesk
@@ -186,7 +186,7 @@
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        self.crash_watch = CrashWatch(
+        self.crash_watch = CrashDetector(
             board=self.crashes,
             quarantine=self.quarantine,
             book=self.book,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -22,7 +22,7 @@
     from .decisions import DecisionLog
     from .links import TargetLinks
 
-__all__ = ("CrashWatch",)
+__all__ = ("CrashDetector",)
 
 #: seconds for which requests are gathered that were on the same target: their
 #: connections break in the same moment
@@ -45,7 +45,7 @@
     gone: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class CrashWatch(Controller):
+class CrashDetector(Controller):
     """Finds targets that ended with requests of this instance on them.
 
     A connection that breaks does not show a crash: answers get lost, and connections
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -13,7 +13,7 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.targets import ListedTarget
 
-    from .crash_watch import CrashWatch
+    from .crash_watch import CrashDetector
 
 __all__ = ("NoSuspects", "PieceSuspects", "WatchedPieces")
 
@@ -72,7 +72,7 @@
     """
 
     def __init__(
-        self, *, quarantine: Quarantine, crashes: CrashWatch, clock: Clock
+        self, *, quarantine: Quarantine, crashes: CrashDetector, clock: Clock
     ) -> None:
         self._quarantine = quarantine
         self._crashes = crashes
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -19,7 +19,7 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from .codecs import TargetCodec
-    from .crash_watch import CrashWatch
+    from .crash_watch import CrashDetector
     from .decisions import DecisionLog
     from .exchange import RelayExchange
     from .links import TargetLinks, TargetReply
@@ -62,7 +62,7 @@
         codec: TargetCodec,
         fleet: Fleet,
         book: TargetBook,
-        crashes: CrashWatch,
+        crashes: CrashDetector,
         clock: Clock,
         decisions: DecisionLog,
     ) -> None:
