--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -28,7 +28,7 @@
 from .budgets import RetryBudgets
 from .configuration import ConfigurationFollower
 from .crash_watch import CrashDetector
-from .crashes import CrashBoard
+from .crashes import CrashReportReplicator
 from .decisions import DecisionLog
 from .desk import LocalDesk
 from .filters import (
@@ -177,7 +177,7 @@
             metrics=self.metrics,
             capacity=self.rules.capacity.bundles,
         )
-        self.crashes = CrashBoard(
+        self.crashes = CrashReportReplicator(
             instance_id=self.rules.instance_id,
             quarantine=self.quarantine,
             store=self.store,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -18,7 +18,7 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from ..metrics import Metrics
-    from .crashes import CrashBoard
+    from .crashes import CrashReportReplicator
     from .decisions import DecisionLog
     from .links import TargetLinks
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         *,
-        board: CrashBoard,
+        board: CrashReportReplicator,
         quarantine: Quarantine,
         book: TargetBook,
         links: TargetLinks,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -34,7 +34,7 @@
     from ..metrics import Metrics
     from .decisions import DecisionLog
 
-__all__ = ("CrashBoard",)
+__all__ = ("CrashReportReplicator",)
 
 #: prefix of the keys of reports in the store
 PREFIX = "greengagelatch/crashes/"
@@ -61,7 +61,7 @@
     heard: float
 
 
-class CrashBoard(Controller, StoreSubscriber):
+class CrashReportReplicator(Controller, StoreSubscriber):
     """Tells all instances of targets that ended, and hears of those of others.
 
     A request that crashes what runs it comes again at any instance, which then knows
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -25,7 +25,7 @@
 
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
-    from .crashes import CrashBoard
+    from .crashes import CrashReportReplicator
     from .following import StoreFollower
     from .listing import ListingFollower
 
@@ -68,7 +68,7 @@
         follower: StoreFollower,
         configuration: ConfigurationFollower,
         listing: ListingFollower,
-        crashes: CrashBoard,
+        crashes: CrashReportReplicator,
         book: TargetBook,
         clock: Clock,
         random_source: random.Random,
