--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -30,7 +30,7 @@
 from .crash_watch import CrashDetector
 from .crashes import CrashReportReplicator
 from .decisions import DecisionLog
-from .desk import LocalDesk
+from .desk import LocalStageExecutor
 from .filters import (
     ObserveFilter,
     QuarantineFilter,
@@ -241,7 +241,7 @@
             list_members=self.peers.members,
             find_profile=self._find_maker,
         )
-        self.local_desk = LocalDesk(
+        self.local_desk = LocalStageExecutor(
             create_pool=self._create_pool, find_group=self.groups.find_group
         )
         self.ownership = Ownership(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
@@ -19,10 +19,10 @@
     from greengagelatch.relay.queue_waits import QueueWait
 
 
-__all__ = ("LocalDesk",)
+__all__ = ("LocalStageExecutor",)
 
 
-class LocalDesk(Controller, StageDesk):
+class LocalStageExecutor(Controller, StageDesk):
     """One pool for each group of makers, made when its first bundle comes.
 
     :param create_pool: makes the pool of a group
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -43,7 +43,7 @@
 
     from ..metrics import Metrics
     from .decisions import DecisionLog
-    from .desk import LocalDesk
+    from .desk import LocalStageExecutor
     from .ownership import Ownership
     from .stage_groups import MakerGroups
 
@@ -69,7 +69,7 @@
     def __init__(
         self,
         *,
-        local: LocalDesk,
+        local: LocalStageExecutor,
         groups: MakerGroups,
         ownership: Ownership,
         peers: PeerNetwork,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.repeats import RepeatRule
 from greengagelatch_entry.relay.budgets import RetryBudgets
-from greengagelatch_entry.relay.desk import LocalDesk
+from greengagelatch_entry.relay.desk import LocalStageExecutor
 from greengagelatch_entry.relay.owned_desk import OwnedDesk
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import NoSuspects
@@ -184,8 +184,8 @@
 
     def _create_local(
         self, links, groups: MakerGroups, is_sole: Callable[[MakerGroup], bool]
-    ) -> LocalDesk:
-        return LocalDesk(
+    ) -> LocalStageExecutor:
+        return LocalStageExecutor(
             find_group=groups.find_group,
             create_pool=lambda group: StagePool(
                 group,
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.store import Entry
 from greengagelatch.store.ranges import Changes
-from greengagelatch_entry.relay.desk import LocalDesk
+from greengagelatch_entry.relay.desk import LocalStageExecutor
 from greengagelatch_lab.platform_standins.targets import TargetFault
 
 
@@ -288,7 +288,7 @@
     for as long as it has not heard of the restart; this instance has.
     Cause: requests that could not be sent for that were counted against engines.
     """
-    make_in = LocalDesk.make_in
+    make_in = LocalStageExecutor.make_in
     former = Incarnation("ledger-1", 1)
     engines = [find_listed(pipeline, one).incarnation for one in ("llm-1", "llm-2")]
 
@@ -299,7 +299,7 @@
         return tuple(replace(one, maker=former) for one in results)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(LocalDesk, "make_in", make_unaware)
+        patch.setattr(LocalStageExecutor, "make_in", make_unaware)
         reply = await pipeline.stream(X_Attempt_Id="r-1")
     assert reply.status in (502, 503)
     assert not any(one.runs["r-1"] for one in list_targets(pipeline, "llm"))
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -19,7 +19,7 @@
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.desk import LocalDesk
+from greengagelatch_entry.relay.desk import LocalStageExecutor
 from greengagelatch_entry.relay.owned_desk import OwnedDesk
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import NoSuspects
@@ -117,7 +117,7 @@
         )
         ownership = Ownership(peers=peers, clock=self.clock, decisions=self.decisions)
         desk = OwnedDesk(
-            local=LocalDesk(
+            local=LocalStageExecutor(
                 create_pool=lambda group: self.create_pool(
                     lambda: ownership.is_sole(group)
                 )
