--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -44,7 +44,7 @@
 from .links import TargetLinks
 from .listing import ListingFollower
 from .news import NewsController
-from .owned_desk import OwnedDesk
+from .owned_desk import ForwardingStageExecutor
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelayRules
 from .peer_settings import create_peer_settings
@@ -247,7 +247,7 @@
         self.ownership = Ownership(
             peers=self.peers, clock=self.clock, decisions=self.decisions
         )
-        self.desk = OwnedDesk(
+        self.desk = ForwardingStageExecutor(
             local=self.local_desk,
             groups=self.groups,
             ownership=self.ownership,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -47,13 +47,13 @@
     from .ownership import Ownership
     from .stage_groups import MakerGroups
 
-__all__ = ("OwnedDesk",)
+__all__ = ("ForwardingStageExecutor",)
 
 #: seconds beyond a bundle's last moment for which its owner is waited for
 ANSWER_MARGIN = 0.3
 
 
-class OwnedDesk(Controller, StageDesk):
+class ForwardingStageExecutor(Controller, StageDesk):
     """Sends bundles to an owner of makers of their service, which fills calls from all.
 
     A call to a maker costs as much as several pieces. Instances that each fill
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.repeats import RepeatRule
 from greengagelatch_entry.relay.budgets import RetryBudgets
 from greengagelatch_entry.relay.desk import LocalStageExecutor
-from greengagelatch_entry.relay.owned_desk import OwnedDesk
+from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import NoSuspects
 from greengagelatch_entry.relay.run_times import RunTimes
@@ -94,7 +94,7 @@
 
     streams: ModelledStreams
     #: ``None`` where it does all stage work by itself
-    desk: OwnedDesk | None = None
+    desk: ForwardingStageExecutor | None = None
     machine: Machine | None = None
 
 
@@ -156,7 +156,7 @@
         local = self._create_local(
             self._links.through(machine), groups, ownership.is_sole
         )
-        desk = OwnedDesk(
+        desk = ForwardingStageExecutor(
             local=local,
             groups=groups,
             ownership=ownership,
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -19,7 +19,7 @@
 from greengagelatch.relay.queue_waits import QueueWait
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.owned_desk import OwnedDesk
+from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import (
     MEETING_SECONDS,
     MEMBERS_LIFE,
@@ -157,13 +157,13 @@
         self.desks = {name: self._create_desk(name) for name in NAMES}
         self.ranked = rank_owners(WHOLE, self.network.list_members())
 
-    def _create_desk(self, name: str) -> OwnedDesk:
+    def _create_desk(self, name: str) -> ForwardingStageExecutor:
         peers = self.network.create_peers(name)
         book = SimpleNamespace(list_service=lambda service: MAKERS)
         self.ownerships[name] = Ownership(
             peers=peers, clock=self.clock, decisions=self.decisions
         )
-        return OwnedDesk(
+        return ForwardingStageExecutor(
             local=self.local[name],
             groups=MakerGroups(
                 rule=ByCapacity(),
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -20,7 +20,7 @@
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.desk import LocalStageExecutor
-from greengagelatch_entry.relay.owned_desk import OwnedDesk
+from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import NoSuspects
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
@@ -105,7 +105,7 @@
             decisions=self.decisions,
         )
 
-    def create_desk(self, members: dict[str, MemberState]) -> OwnedDesk:
+    def create_desk(self, members: dict[str, MemberState]) -> ForwardingStageExecutor:
         """Return the desk of the first of ``members``, as that one sees them."""
         peers = SimpleNamespace(
             instance_id=next(iter(members)),
@@ -116,7 +116,7 @@
             handle=lambda kind, handler: None,
         )
         ownership = Ownership(peers=peers, clock=self.clock, decisions=self.decisions)
-        desk = OwnedDesk(
+        desk = ForwardingStageExecutor(
             local=LocalStageExecutor(
                 create_pool=lambda group: self.create_pool(
                     lambda: ownership.is_sole(group)
