--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
@@ -8,7 +8,7 @@
 from greengagelatch.relay.groups import MakerGroup
 
 from ..controllers import Controller
-from .stage_desk import StageDesk
+from .stage_desk import StageExecutor
 from .stage_pool import StagePool
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 __all__ = ("LocalStageExecutor",)
 
 
-class LocalStageExecutor(Controller, StageDesk):
+class LocalStageExecutor(Controller, StageExecutor):
     """One pool for each group of makers, made when its first bundle comes.
 
     :param create_pool: makes the pool of a group
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -26,7 +26,7 @@
 
 from ..controllers import Controller
 from .queue_words import QueueWords
-from .stage_desk import StageDesk
+from .stage_desk import StageExecutor
 
 if TYPE_CHECKING:
     import random
@@ -53,7 +53,7 @@
 ANSWER_MARGIN = 0.3
 
 
-class ForwardingStageExecutor(Controller, StageDesk):
+class ForwardingStageExecutor(Controller, StageExecutor):
     """Sends bundles to an owner of makers of their service, which fills calls from all.
 
     A call to a maker costs as much as several pieces. Instances that each fill
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -17,7 +17,7 @@
     from greengagelatch.relay.stage_plan import StagePlan, StageWork
 
     from .exchange import RelayExchange
-    from .stage_desk import StageDesk
+    from .stage_desk import StageExecutor
 
 __all__ = ("BundleFactory", "list_makers")
 
@@ -42,7 +42,7 @@
         *,
         exchange: RelayExchange,
         plan: StagePlan,
-        desk: StageDesk,
+        desk: StageExecutor,
         fleet: Fleet,
         clock: Clock,
         data_centre: str,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_desk.py
@@ -11,10 +11,10 @@
     from greengagelatch.relay.pieces import Bundle, PieceResult
     from greengagelatch.relay.queue_waits import QueueWait
 
-__all__ = ("StageDesk",)
+__all__ = ("StageExecutor",)
 
 
-class StageDesk(ABC):
+class StageExecutor(ABC):
     """Takes bundles of pieces and has them made."""
 
     @abstractmethod
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -25,7 +25,7 @@
 
     from .decisions import DecisionLog
     from .exchange import RelayExchange
-    from .stage_desk import StageDesk
+    from .stage_desk import StageExecutor
 
 __all__ = ("StageResults", "StageRun", "StageRunner")
 
@@ -65,7 +65,7 @@
     def __init__(
         self,
         *,
-        desk: StageDesk,
+        desk: StageExecutor,
         clock: Clock,
         decisions: DecisionLog,
         data_centre: str,
