--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -20,7 +20,7 @@
     from .links import TargetLinks
     from .makers import Maker
 
-__all__ = ("ResultFreeing",)
+__all__ = ("ResultReleaser",)
 
 #: seconds for which results to be freed are gathered
 FREE_DELAY = 0.01
@@ -31,7 +31,7 @@
 MAX_ANSWER_BYTES = 64 * 1024
 
 
-class ResultFreeing:
+class ResultReleaser:
     """Tells makers of results that are not needed, those of a moment together.
 
     Those of a maker that has started again are gone, and nothing is sent for them.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch.relay.room import MakerRoom
 
-from .freeing import ResultFreeing
+from .freeing import ResultReleaser
 from .maker_calls import ANSWERED, CallEnd, MakerCaller
 from .makers import Maker
 from .stage_queue import BundleQueue
@@ -96,7 +96,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._caller = MakerCaller(links=links, codec=codec, book=book, clock=clock)
-        self._freeing = ResultFreeing(
+        self._freeing = ResultReleaser(
             group.service,
             find_maker=self._makers.get,
             book=book,
--- a/tests/test_entry/test_relay/test_freeing.py
+++ b/tests/test_entry/test_relay/test_freeing.py
@@ -11,7 +11,7 @@
 from greengagelatch.relay.pieces import PieceResult
 from greengagelatch.relay.targets import TargetBook
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.freeing import CLOSE_SECONDS, ResultFreeing
+from greengagelatch_entry.relay.freeing import CLOSE_SECONDS, ResultReleaser
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_lab.stage_load.models import ModelCodec
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -41,9 +41,9 @@
     return PieceResult(handle=handle, maker=Incarnation(handle.partition(":")[0], 1))
 
 
-def create_freeing(links: Links) -> ResultFreeing:
+def create_freeing(links: Links) -> ResultReleaser:
     metrics = PrometheusMetrics()
-    return ResultFreeing(
+    return ResultReleaser(
         "ledger",
         find_maker=lambda incarnation: None,
         note_freed=lambda: None,
