--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch.py
@@ -8,14 +8,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("FETCH_SECONDS", "InputFetch")
+__all__ = ("FETCH_SECONDS", "InputFetchTimer")
 
 #: seconds after a request was written by which its target, if it takes it in at once,
 #: has read it and fetched its inputs; both take a few milliseconds on these links
 FETCH_SECONDS = 0.1
 
 
-class InputFetch:
+class InputFetchTimer:
     """Tells once when the inputs of one send should have been fetched.
 
     :param note_fetched: called then, unless the send has ended before
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.requests import Prompt
 
 from .event_split import EventSplitter
-from .input_fetch import InputFetch
+from .input_fetch import InputFetchTimer
 from .links import LinkError
 from .messages import RelayCall
 from .refusals import create_error
@@ -190,7 +190,7 @@
         self._sent_at = now
         self._begun_at = None
         reading = _Reading(runner.fleet, target.incarnation, tokens)
-        fetching = InputFetch(lambda: self._note_fetched(target))
+        fetching = InputFetchTimer(lambda: self._note_fetched(target))
         try:
             result = await runner.sender.send(
                 exchange,
