--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -19,7 +19,7 @@
     from .makers import Maker
     from .messages import AnswerHead
 
-__all__ = ("ANSWERED", "MADE", "REJECTED", "UNSENT", "CallEnd", "MakerCaller")
+__all__ = ("ANSWERED", "MADE", "REJECTED", "UNSENT", "CallResult", "MakerCaller")
 
 #: bytes of an answer to a call
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallEnd:
+class CallResult:
     """How a call ended; ``results`` are in the order of its pieces."""
 
     outcome: str = "cancelled"
@@ -57,7 +57,7 @@
 
     async def call(
         self, maker: Maker, call: PlannedCall, allowed: float, started: float
-    ) -> CallEnd:
+    ) -> CallResult:
         """Make a call; the maker learns from how it ends.
 
         :param allowed: seconds until it is given up
@@ -73,10 +73,10 @@
             else:
                 # not its doing: what the pieces read was lost meanwhile
                 maker.calls -= 1
-            return CallEnd(UNSENT)
+            return CallResult(UNSENT)
         except TimeoutError:
             maker.note_timeout(count, started, self._clock.now())
-            return CallEnd(TIMED_OUT)
+            return CallResult(TIMED_OUT)
         except LinkError as error:
             return self._note_lost(maker, count, allowed, started, error)
         except asyncio.CancelledError:
@@ -122,31 +122,31 @@
         allowed: float,
         started: float,
         error: LinkError,
-    ) -> CallEnd:
+    ) -> CallResult:
         now = self._clock.now()
         if now - started >= allowed:
             maker.note_timeout(count, started, now)
         else:
             maker.note_failure(now)
-        return CallEnd(str(error), broken=error.broken)
+        return CallResult(str(error), broken=error.broken)
 
     def _judge(
         self, maker: Maker, head: AnswerHead, body: bytes, count: int, started: float
-    ) -> CallEnd:
+    ) -> CallResult:
         now = self._clock.now()
         if head.misdirected:
             # whoever has the address now has had the call: the next one is a repeat
             maker.note_failure(now)
-            return CallEnd(REJECTED)
+            return CallResult(REJECTED)
         if head.not_run:
             maker.note_rejection(now)
-            return CallEnd(REJECTED)
+            return CallResult(REJECTED)
         results = None
         if head.status == STATUS_OK:
             results = self._codec.read_pieces(body, count, maker.target)
         if results is None:
             maker.note_failure(now)
-            return CallEnd(f"status {head.status}")
+            return CallResult(f"status {head.status}")
         made = any(result.failure is None for result in results)
         maker.note_end(count, started, now, made=made)
-        return CallEnd(MADE, results)
+        return CallResult(MADE, results)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.room import MakerRoom
 
 from .freeing import ResultReleaser
-from .maker_calls import ANSWERED, CallEnd, MakerCaller
+from .maker_calls import ANSWERED, CallResult, MakerCaller
 from .makers import Maker
 from .stage_queue import BundleQueue
 from .wait_estimates import WaitEstimate
@@ -277,7 +277,7 @@
         self, call: PlannedCall, maker: Maker, allowed: float, now: float
     ) -> None:
         works = [self._queue.find(bundle) for bundle, _ in call.pieces]
-        end = CallEnd()
+        end = CallResult()
         loop = asyncio.get_running_loop()
         reading = loop.call_later(READ_SECONDS, self._note_read, maker, works)
         try:
@@ -302,7 +302,7 @@
         self._queue.take_results(call, works, end)
         self._look()
 
-    def _note_end(self, maker: Maker, call: PlannedCall, end: CallEnd) -> None:
+    def _note_end(self, maker: Maker, call: PlannedCall, end: CallResult) -> None:
         bundles = [bundle for bundle, _ in call.pieces]
         if end.broken:
             self._suspects.note_broken(maker.target, bundles)
@@ -310,7 +310,7 @@
             self._suspects.note_made(maker.target, bundles)
 
     def _settle_room(
-        self, maker: Maker, call: PlannedCall, end: CallEnd, started: float
+        self, maker: Maker, call: PlannedCall, end: CallResult, started: float
     ) -> None:
         """Turn the room that was reserved for a call into what it left there."""
         now = self._clock.now()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -20,7 +20,7 @@
 
     from ..metrics import Metrics
     from .budgets import RetryBudgets
-    from .maker_calls import CallEnd
+    from .maker_calls import CallResult
 
 __all__ = ("BundleQueue", "Work")
 
@@ -160,7 +160,7 @@
         self,
         call: PlannedCall,
         works: list[Work | None],
-        end: CallEnd,
+        end: CallResult,
     ) -> None:
         """Take in how a call ended.
 
