--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -15,13 +15,13 @@
 
     from .crash_watch import CrashDetector
 
-__all__ = ("NoSuspects", "PieceSuspects", "WatchedPieces")
+__all__ = ("NoSuspects", "BundleQuarantine", "WatchedPieces")
 
 #: makers that may end under a bundle until it is made in calls of its own
 MAX_ENDED_SHARED = 2
 
 
-class PieceSuspects(ABC):
+class BundleQuarantine(ABC):
     """What is known of bundles whose calls broke."""
 
     @abstractmethod
@@ -45,7 +45,7 @@
         """Whether no maker may be given a bundle."""
 
 
-class NoSuspects(PieceSuspects):
+class NoSuspects(BundleQuarantine):
     """Trusts every bundle."""
 
     def note_broken(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
@@ -64,7 +64,7 @@
         return False
 
 
-class WatchedPieces(PieceSuspects):
+class WatchedPieces(BundleQuarantine):
     """Counts the makers that end under a bundle, over all instances.
 
     A request's stages are counted apart from each other and from the request: one of
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -32,7 +32,7 @@
     from .codecs import TargetCodec
     from .decisions import DecisionLog
     from .links import TargetLinks
-    from .piece_suspects import PieceSuspects
+    from .piece_suspects import BundleQuarantine
     from .stage_queue import Work
 
 __all__ = ("StagePool",)
@@ -65,7 +65,7 @@
         list_makers: Callable[[], Sequence[ListedTarget]],
         find_profile: Callable[[], MakerProfile | None],
         is_sole: Callable[[], bool],
-        suspects: PieceSuspects,
+        suspects: BundleQuarantine,
         policy: BatchPolicy,
         book: TargetBook,
         links: TargetLinks,
