--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -15,7 +15,7 @@
 
     from .crash_watch import CrashDetector
 
-__all__ = ("NoSuspects", "BundleQuarantine", "WatchedPieces")
+__all__ = ("DisabledBundleQuarantine", "BundleQuarantine", "WatchedPieces")
 
 #: makers that may end under a bundle until it is made in calls of its own
 MAX_ENDED_SHARED = 2
@@ -45,7 +45,7 @@
         """Whether no maker may be given a bundle."""
 
 
-class NoSuspects(BundleQuarantine):
+class DisabledBundleQuarantine(BundleQuarantine):
     """Trusts every bundle."""
 
     def note_broken(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -12,7 +12,7 @@
 from greengagelatch_entry.relay.desk import LocalStageExecutor
 from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
-from greengagelatch_entry.relay.piece_suspects import NoSuspects
+from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.run_times import RunTimes
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
@@ -192,7 +192,7 @@
                 list_makers=lambda: groups.list_makers(group),
                 find_profile=lambda: self._find_profile(group.service),
                 is_sole=lambda: is_sole(group),
-                suspects=NoSuspects(),
+                suspects=DisabledBundleQuarantine(),
                 policy=self._create_batches(),
                 book=self._book,
                 links=links,
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.piece_suspects import NoSuspects
+from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_pool import LOOK_AGAIN, StagePool
 from greengagelatch_lab.stage_load.models import Maker, ModelCodec, ModelLinks, Results
@@ -49,7 +49,7 @@
         return calls
 
 
-class NamedSuspects(NoSuspects):
+class NamedSuspects(DisabledBundleQuarantine):
     """Suspects and holds the requests whose names it is given."""
 
     def __init__(self) -> None:
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -22,7 +22,7 @@
 from greengagelatch_entry.relay.desk import LocalStageExecutor
 from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
-from greengagelatch_entry.relay.piece_suspects import NoSuspects
+from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
@@ -94,7 +94,7 @@
             list_makers=lambda: self.makers,
             find_profile=lambda: PROFILE,
             is_sole=is_sole,
-            suspects=NoSuspects(),
+            suspects=DisabledBundleQuarantine(),
             policy=SharedCalls(),
             book=self.book,
             links=self.links,
