--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -48,7 +48,7 @@
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelayRules
 from .peer_settings import create_peer_settings
-from .piece_suspects import WatchedPieces
+from .piece_suspects import SharedBundleQuarantine
 from .plain import PlainRunner
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
@@ -351,7 +351,7 @@
             list_makers=lambda: self.groups.list_makers(group),
             find_profile=lambda: self._find_maker(group.service),
             is_sole=lambda: self.ownership.is_sole(group),
-            suspects=WatchedPieces(
+            suspects=SharedBundleQuarantine(
                 quarantine=self.quarantine, crashes=self.crash_watch, clock=self.clock
             ),
             policy=SharedCalls(),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -15,7 +15,7 @@
 
     from .crash_watch import CrashDetector
 
-__all__ = ("DisabledBundleQuarantine", "BundleQuarantine", "WatchedPieces")
+__all__ = ("DisabledBundleQuarantine", "BundleQuarantine", "SharedBundleQuarantine")
 
 #: makers that may end under a bundle until it is made in calls of its own
 MAX_ENDED_SHARED = 2
@@ -64,7 +64,7 @@
         return False
 
 
-class WatchedPieces(BundleQuarantine):
+class SharedBundleQuarantine(BundleQuarantine):
     """Counts the makers that end under a bundle, over all instances.
 
     A request's stages are counted apart from each other and from the request: one of
