--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -25,7 +25,7 @@
 from greengagelatch.relay.pieces import PieceFailure
 
 from ..controllers import Controller
-from .queue_words import QueueWords
+from .queue_words import QueueWaitReports
 from .stage_desk import StageExecutor
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         self._random = random_source
         self._metrics = metrics
         self._decisions = decisions
-        self._words = QueueWords(peers=peers, clock=clock)
+        self._words = QueueWaitReports(peers=peers, clock=clock)
         #: owner by handle, for results that are not freed yet
         self._makers_owner: dict[str, str] = {}
         #: what to call once the inputs of a bundle are read, by owner and bundle id
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_words.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_words.py
@@ -12,7 +12,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.peers import PeerNetwork
 
-__all__ = ("QueueWords",)
+__all__ = ("QueueWaitReports",)
 
 #: seconds for which an owner's word about its queue counts
 WAIT_LIFE = 0.6
@@ -26,7 +26,7 @@
 ASKER_LIFE = 10.0
 
 
-class QueueWords:
+class QueueWaitReports:
     """Tells peers that ask how long queues are, and remembers what they tell.
 
     Without it they would begin requests behind a queue that they don't see.
