--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -53,7 +53,7 @@
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
 from .registry import RegistryController
-from .run_times import RunTimes
+from .run_times import RouteLatencies
 from .sending import TargetSender
 from .stage_groups import MakerGroups
 from .stage_pool import StagePool
@@ -285,7 +285,7 @@
         streams = StreamRunner(
             stages=stages,
             codec=self.adapters.targets,
-            times=RunTimes(),
+            times=RouteLatencies(),
             admission=EstimateRule(),
             **common,
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/run_times.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/run_times.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from .exchange import RelayExchange
 
-__all__ = ("RunTimes",)
+__all__ = ("RouteLatencies",)
 
 #: weight of one answer in the mean of its route
 WEIGHT = 0.15
@@ -23,7 +23,7 @@
     whole: float = WHOLE_SECONDS
 
 
-class RunTimes:
+class RouteLatencies:
     """Means of the time to the first part of an answer, and to its end, by route."""
 
     def __init__(self) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -30,7 +30,7 @@
     from .codecs import TargetCodec
     from .exchange import RelayExchange
     from .messages import AnswerHead
-    from .run_times import RunTimes
+    from .run_times import RouteLatencies
     from .stages import StageResults, StageRun, StageRunner
 
 __all__ = ("StreamRunner",)
@@ -58,7 +58,7 @@
         *,
         stages: StageRunner,
         codec: TargetCodec,
-        times: RunTimes,
+        times: RouteLatencies,
         admission: RouteAdmission,
         **common,
     ) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -13,7 +13,7 @@
 from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
-from greengagelatch_entry.relay.run_times import RunTimes
+from greengagelatch_entry.relay.run_times import RouteLatencies
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
 from greengagelatch_entry.relay.stages import StageRunner
@@ -223,7 +223,7 @@
             engines=self._engines,
             stages=stages,
             codec=ModelCodec(),
-            times=RunTimes(),
+            times=RouteLatencies(),
             admission=self._create_admission(),
             sender=None,
             quarantine=Quarantine(),
