--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -33,7 +33,7 @@
     from .decisions import DecisionLog
     from .links import TargetLinks
     from .piece_suspects import BundleQuarantine
-    from .stage_queue import Work
+    from .stage_queue import QueuedBundle
 
 __all__ = ("StagePool",)
 
@@ -328,7 +328,7 @@
             # it may go on with the call, and keep the results for a while
             maker.room.hold_unknown(f"lost at {started}", size, now)
 
-    def _note_read(self, maker: Maker, works: list[Work | None]) -> None:
+    def _note_read(self, maker: Maker, works: list[QueuedBundle | None]) -> None:
         """Take in that a call has begun and has fetched what its pieces read.
 
         Inputs fill the room of the makers before; kept until the call ends, they
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -22,14 +22,14 @@
     from .budgets import RetryBudgets
     from .maker_calls import CallResult
 
-__all__ = ("BundleQueue", "Work")
+__all__ = ("BundleQueue", "QueuedBundle")
 
 #: pieces of one bundle that may be lost by makers until it is given up
 MAX_LOSSES = 60
 
 
 @dataclass(slots=True, eq=False)
-class Work:
+class QueuedBundle:
     """A bundle and how far it has come."""
 
     bundle: Bundle
@@ -66,23 +66,23 @@
         self._budgets = budgets
         self._metrics = metrics
         #: by the identity of their bundles: two peers may ask for one of the same id
-        self._works: dict[int, Work] = {}
+        self._works: dict[int, QueuedBundle] = {}
 
     def __len__(self) -> int:
         return len(self._works)
 
-    def __iter__(self) -> Iterator[Work]:
+    def __iter__(self) -> Iterator[QueuedBundle]:
         return iter(self._works.values())
 
-    def add(self, bundle: Bundle, note_read: Callable[[], None]) -> Work:
+    def add(self, bundle: Bundle, note_read: Callable[[], None]) -> QueuedBundle:
         """Take in a bundle, of which nothing is made yet."""
         self._budgets.note_request(self._service)
         done = asyncio.get_running_loop().create_future()
-        work = Work(bundle, list(bundle.pieces), done, note_read)
+        work = QueuedBundle(bundle, list(bundle.pieces), done, note_read)
         self._works[id(bundle)] = work
         return work
 
-    def find(self, bundle: Bundle) -> Work | None:
+    def find(self, bundle: Bundle) -> QueuedBundle | None:
         """Return the work on a bundle, unless that has ended."""
         return self._works.get(id(bundle))
 
@@ -144,7 +144,7 @@
         for work in tuple(self):
             self._drop_lost(work, incarnation)
 
-    def _drop_lost(self, work: Work, incarnation: Incarnation) -> None:
+    def _drop_lost(self, work: QueuedBundle, incarnation: Incarnation) -> None:
         if work.left and incarnation in work.bundle.input_makers:
             self.fail(work, PieceFailure.GONE)
             return
@@ -159,7 +159,7 @@
     def take_results(
         self,
         call: PlannedCall,
-        works: list[Work | None],
+        works: list[QueuedBundle | None],
         end: CallResult,
     ) -> None:
         """Take in how a call ended.
@@ -181,7 +181,7 @@
             self._free(tuple(unwanted))
 
     def _take_result(
-        self, work: Work, piece: Piece, outcome: str, result: PieceResult | None
+        self, work: QueuedBundle, piece: Piece, outcome: str, result: PieceResult | None
     ) -> None:
         if result is not None and result.failure is None:
             work.results[piece.segment] = result
@@ -214,13 +214,13 @@
         """Whether a result was made by a maker that has started again since."""
         return result.failure is None and self._book.is_former(result.maker)
 
-    def _finish(self, work: Work) -> None:
+    def _finish(self, work: QueuedBundle) -> None:
         self._take_off(work)
         ordered = tuple(work.results[piece.segment] for piece in work.bundle.pieces)
         if not work.done.done():
             work.done.set_result(ordered)
 
-    def fail(self, work: Work, failure: PieceFailure) -> None:
+    def fail(self, work: QueuedBundle, failure: PieceFailure) -> None:
         """End a bundle; those of its results that are there are passed on."""
         self._metrics.count(f"stages.failed.{failure.value}")
         self._take_off(work)
@@ -231,10 +231,10 @@
         if not work.done.done():
             work.done.set_result(results)
 
-    def _take_off(self, work: Work) -> None:
+    def _take_off(self, work: QueuedBundle) -> None:
         self._works.pop(id(work.bundle), None)
 
-    def withdraw(self, work: Work) -> None:
+    def withdraw(self, work: QueuedBundle) -> None:
         """Take out a bundle that nobody waits for any more."""
         work.withdrawn = True
         self._take_off(work)
