--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -13,7 +13,7 @@
 from .maker_calls import ANSWERED, CallResult, MakerCaller
 from .makers import Maker
 from .stage_queue import BundleQueue
-from .wait_estimates import WaitEstimate
+from .wait_estimates import WaitEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -91,7 +91,7 @@
         #: the makers listed, as of the entries and the profile they were made from
         self._listed: list[Maker] = []
         self._listed_from: tuple[object, MakerProfile] | None = None
-        self._estimate = WaitEstimate(clock.now())
+        self._estimate = WaitEstimator(clock.now())
         self._hopeless_sought = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimates.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimates.py
@@ -15,7 +15,7 @@
     from .makers import Maker
     from .stage_queue import BundleQueue
 
-__all__ = ("WaitEstimate",)
+__all__ = ("WaitEstimator",)
 
 #: seconds over which the pieces made are counted
 RATE_SECONDS = 2.0
@@ -25,7 +25,7 @@
 COUNT_LIFE = 0.02
 
 
-class WaitEstimate:
+class WaitEstimator:
     """Estimates the wait from the pieces that wait and the speed of their makers.
 
     Every request asks, some several times. With the whole queue counted for each, a
