--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -29,7 +29,7 @@
         self._count_instances = count_instances
         self._budgets: dict[str, RepeatBudget] = {}
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a request for ``service``."""
         self._find(service).note_request(self._clock.now())
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -45,7 +45,7 @@
     """Sends a request until a target has answered it, or it may not be sent again."""
 
     async def run(self, exchange: RelayExchange) -> None:
-        self.budgets.note_request(exchange.service)
+        self.budgets.record_request(exchange.service)
         excluded: frozenset[Incarnation] = frozenset()
         last: Unanswered | None = None
         failed: _Whole | None = None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -76,7 +76,7 @@
 
     def add(self, bundle: Bundle, note_read: Callable[[], None]) -> QueuedBundle:
         """Take in a bundle, of which nothing is made yet."""
-        self._budgets.note_request(self._service)
+        self._budgets.record_request(self._service)
         done = asyncio.get_running_loop().create_future()
         work = QueuedBundle(bundle, list(bundle.pieces), done, note_read)
         self._works[id(bundle)] = work
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -69,7 +69,7 @@
         self.times = times
 
     async def run(self, exchange: RelayExchange) -> None:
-        self.budgets.note_request(exchange.service)
+        self.budgets.record_request(exchange.service)
         first, whole = self.times.estimate(exchange)
         run = self._stages.begin(exchange, first, whole)
         self._check_admission(exchange, run, first)
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -102,7 +102,7 @@
             ),
             codec=ModelCodec(),
             budgets=SimpleNamespace(
-                note_request=lambda service: None,
+                record_request=lambda service: None,
                 count_left=lambda service: 99,
                 take=lambda service: None,
             ),
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -85,7 +85,7 @@
 
     def create_pool(self, is_sole: Callable[[], bool] = lambda: False) -> StagePool:
         budgets = SimpleNamespace(
-            note_request=lambda service: None,
+            record_request=lambda service: None,
             count_left=lambda service: 99,
             take=lambda service: None,
         )
