--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -33,7 +33,7 @@
         """Count a request for ``service``."""
         self._find(service).note_request(self._clock.now())
 
-    def take(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Spend one repeat; ``False`` if none is left."""
         return self._find(service).take(self._clock.now(), self._count_instances())
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -94,7 +94,7 @@
             case NextStep.SEND:
                 return True
             case NextStep.REPEAT:
-                return self.budgets.take(exchange.service)
+                return self.budgets.try_spend(exchange.service)
         return False
 
     def create_refusal(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -131,7 +131,7 @@
             sends = work.sends.get(piece.segment, 0)
             work.sends[piece.segment] = sends + 1
             if sends:
-                self._budgets.take(self._service)
+                self._budgets.try_spend(self._service)
 
     def fail_all(self, failure: PieceFailure) -> None:
         """Fail all bundles of which pieces wait."""
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -104,7 +104,7 @@
             budgets=SimpleNamespace(
                 record_request=lambda service: None,
                 count_left=lambda service: 99,
-                take=lambda service: None,
+                try_spend=lambda service: None,
             ),
             clock=self.clock,
             metrics=metrics,
