--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -77,7 +77,7 @@
         self._suspicions: dict[Incarnation, _Suspicion] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def note_broken(self, target: ListedTarget, digest: str) -> None:
+    def record_disconnect(self, target: ListedTarget, digest: str) -> None:
         """Take in that a connection broke before its request was answered."""
         incarnation = target.incarnation
         if self._quarantine.is_sound(digest, self._clock.now()):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -80,7 +80,7 @@
 
     def note_broken(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         for subject in _list_subjects(bundles):
-            self._crashes.note_broken(maker, subject)
+            self._crashes.record_disconnect(maker, subject)
 
     def note_made(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         for subject in _list_subjects(bundles):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -127,7 +127,7 @@
         :param ran: seconds for which the target is known to have been at work on it
         """
         if error.broken and ran < BEGINNING_SECONDS:
-            self._crashes.note_broken(target, exchange.digest)
+            self._crashes.record_disconnect(target, exchange.digest)
         return self._note(exchange, target, SendOutcome.LOST, str(error))
 
     def note_survived(self, exchange: RelayExchange, target: ListedTarget) -> None:
