--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -95,7 +95,7 @@
         if len(suspicion.digests) < MAX_DIGESTS:
             suspicion.digests[digest] = None
 
-    def note_survived(self, target: ListedTarget, digest: str) -> None:
+    def record_answer(self, target: ListedTarget, digest: str) -> None:
         """Take in that a target has answered a request."""
         self._quarantine.note_survived(digest, self._clock.now())
         suspicion = self._suspicions.get(target.incarnation)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -85,7 +85,7 @@
     def note_made(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         for subject in _list_subjects(bundles):
             if self._quarantine.count_ended(subject):
-                self._crashes.note_survived(maker, subject)
+                self._crashes.record_answer(maker, subject)
 
     def has_any(self) -> bool:
         return self._quarantine.has_ends()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -132,7 +132,7 @@
 
     def note_survived(self, exchange: RelayExchange, target: ListedTarget) -> None:
         """Take in that a target has answered to the end, if only that it failed."""
-        self._crashes.note_survived(target, exchange.digest)
+        self._crashes.record_answer(target, exchange.digest)
 
     def _judge(
         self, exchange: RelayExchange, target: ListedTarget, reply: TargetReply
