--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -453,7 +453,7 @@
 
     def _note_gone(self, incarnation: Incarnation) -> None:
         self.links.drop(incarnation)
-        self.crash_watch.note_gone(incarnation)
+        self.crash_watch.record_removal(incarnation)
         self.fleet.forget(incarnation)
         self.local_desk.note_gone(incarnation)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -102,7 +102,7 @@
         if suspicion is not None:
             suspicion.digests.pop(digest, None)
 
-    def note_gone(self, incarnation: Incarnation) -> None:
+    def record_removal(self, incarnation: Incarnation) -> None:
         """Take in that the listing tells of a target's end, or that it leaves."""
         suspicion = self._suspicions.get(incarnation)
         listed = self._book.find_listed(incarnation.target_id)
