--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -226,7 +226,7 @@
         )
         return tuple((key, found, value) for found, key, value in rows[:MAX_TOLD])
 
-    def take_news(self, rows: Iterable[object]) -> None:
+    def apply_updates(self, rows: Iterable[object]) -> None:
         """Take in what a peer knows of the store beyond :attr:`revision`."""
         for row in rows:
             match row:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -156,7 +156,7 @@
         if news.listed:
             targets = tuple(filter(None, map(decode_target, news.targets)))
             self._listing.take_news(targets, news.listing_revision)
-        self._crashes.take_news(news.crashes)
+        self._crashes.apply_updates(news.crashes)
         if news.heard_seconds is not None:
             self._follower.note_news(news.heard_seconds + seconds)
 
--- a/tests/test_entry/test_relay/test_crashes.py
+++ b/tests/test_entry/test_relay/test_crashes.py
@@ -95,7 +95,7 @@
     told = crashes.list_newer(revisions[9])
     assert [row[1] for row in told] == revisions[10 : 10 + MAX_TOLD]
     assert crashes.list_newer(crashes.revision) == ()
-    crashes.take_news([("other", "row"), None, ("k", -1, b"[]")])
+    crashes.apply_updates([("other", "row"), None, ("k", -1, b"[]")])
     assert crashes.revision >= revisions[-1]
 
 
