--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -47,7 +47,7 @@
 MAX_UNWRITTEN = 64
 MAX_KEPT = 2048
 #: values of one answer to a peer
-MAX_TOLD = 64
+MAX_ANSWER_ENTRIES = 64
 #: digests that a line of the log or the state shows
 MAX_SHOWN = 16
 
@@ -224,7 +224,9 @@
             for key, kept in self._kept.items()
             if kept.revision > revision
         )
-        return tuple((key, found, value) for found, key, value in rows[:MAX_TOLD])
+        return tuple(
+            (key, found, value) for found, key, value in rows[:MAX_ANSWER_ENTRIES]
+        )
 
     def apply_updates(self, rows: Iterable[object]) -> None:
         """Take in what a peer knows of the store beyond :attr:`revision`."""
--- a/tests/test_entry/test_relay/test_crashes.py
+++ b/tests/test_entry/test_relay/test_crashes.py
@@ -6,7 +6,7 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.messages import CrashesSeen
 from greengagelatch.relay.quarantine import CrashReport
-from greengagelatch_entry.relay.crashes import MAX_TOLD, PREFIX
+from greengagelatch_entry.relay.crashes import MAX_ANSWER_ENTRIES, PREFIX
 from greengagelatch_lab.platform_standins.store import StoreFault
 from greengagelatch_lab.platform_standins.targets import TargetFault
 
@@ -93,7 +93,7 @@
     await world.wait_heard(revisions[-1])
     crashes = world.find("crashes")
     told = crashes.list_newer(revisions[9])
-    assert [row[1] for row in told] == revisions[10 : 10 + MAX_TOLD]
+    assert [row[1] for row in told] == revisions[10 : 10 + MAX_ANSWER_ENTRIES]
     assert crashes.list_newer(crashes.revision) == ()
     crashes.apply_updates([("other", "row"), None, ("k", -1, b"[]")])
     assert crashes.revision >= revisions[-1]
