--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/run_times.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/run_times.py
@@ -34,7 +34,7 @@
         times = self._find(exchange)
         return times.first, times.whole
 
-    def note_first(self, exchange: RelayExchange, seconds: float) -> None:
+    def record_first_part(self, exchange: RelayExchange, seconds: float) -> None:
         """Take in the time from a send to the first part of its answer."""
         times = self._find(exchange)
         times.first += (seconds - times.first) * WEIGHT
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -81,7 +81,7 @@
         now = self.clock.now()
         self.fleet.begin(target.incarnation, tokens)
         if read:
-            self.times.note_first(exchange, now - started)
+            self.times.record_first_part(exchange, now - started)
             self.fleet.note_parts(target.incarnation, prompt, now)
             exchange.outcome = "answered"
         run.free()
