--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/run_times.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/run_times.py
@@ -39,7 +39,7 @@
         times = self._find(exchange)
         times.first += (seconds - times.first) * WEIGHT
 
-    def note_whole(self, exchange: RelayExchange, seconds: float) -> None:
+    def record_total(self, exchange: RelayExchange, seconds: float) -> None:
         """Take in the time from a send to the end of its answer."""
         times = self._find(exchange)
         times.whole += (seconds - times.whole) * WEIGHT
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -268,7 +268,7 @@
         if not writer.started:
             await writer.begin(answered.head)
         await writer.finish()
-        self._runner.times.note_whole(
+        self._runner.times.record_total(
             self._exchange, self._runner.clock.now() - self._sent_at
         )
 
