--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -65,7 +65,7 @@
         """Whether this instance is the owner of a group."""
         return self.rank(group)[:1] == (self._peers.instance_id,)
 
-    def is_sole(self, group: MakerGroup) -> bool:
+    def is_exclusive(self, group: MakerGroup) -> bool:
         """Return whether no other instance's calls are at the makers of a group.
 
         So it is where this instance has owned the group for as long as an owner
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -154,7 +154,7 @@
         ownership = Ownership(peers=peers, clock=self._clock, decisions=Silent())
         groups = self._create_groups(peers.members)
         local = self._create_local(
-            self._links.through(machine), groups, ownership.is_sole
+            self._links.through(machine), groups, ownership.is_exclusive
         )
         desk = ForwardingStageExecutor(
             local=local,
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -386,21 +386,21 @@
     """
     owner, second, _ = world.ranked
     desks = world.desks
-    assert not world.ownerships[owner].is_sole(WHOLE)
+    assert not world.ownerships[owner].is_exclusive(WHOLE)
     world.clock.advance(SETTLING_SECONDS)
     for desk in desks.values():
         desk.estimate_wait(SERVICE)
     world.clock.advance(SETTLING_SECONDS)
-    soles = [world.ownerships[name].is_sole(WHOLE) for name in world.ranked]
+    soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
     assert soles == [True, False, False]
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
-    soles = [world.ownerships[name].is_sole(WHOLE) for name in world.ranked]
+    soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
     assert soles == [False, False, False]
     world.clock.advance(SETTLING_SECONDS - 1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
-    soles = [world.ownerships[name].is_sole(WHOLE) for name in world.ranked]
+    soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
     assert soles == [False, True, False]
 
 
@@ -415,13 +415,13 @@
     owner, second, third = world.ranked
     world.desks[owner].estimate_wait(SERVICE)
     world.clock.advance(SETTLING_SECONDS)
-    assert world.ownerships[owner].is_sole(WHOLE)
+    assert world.ownerships[owner].is_exclusive(WHOLE)
     for other in (third, second):
         world.network.leaving.add(other)
         world.clock.advance(1.0)
-        assert not world.ownerships[owner].is_sole(WHOLE)
+        assert not world.ownerships[owner].is_exclusive(WHOLE)
         world.clock.advance(MEETING_SECONDS)
-        assert world.ownerships[owner].is_sole(WHOLE)
+        assert world.ownerships[owner].is_exclusive(WHOLE)
 
 
 async def test_owner_that_is_suspected_for_a_moment_stays_the_owner(world):
@@ -453,17 +453,17 @@
     world.network.leaving.add(owner)
     world.desks[second].estimate_wait(SERVICE)
     world.clock.advance(SETTLING_SECONDS)
-    assert world.ownerships[second].is_sole(WHOLE)
+    assert world.ownerships[second].is_exclusive(WHOLE)
     world.network.leaving.discard(owner)
     world.clock.advance(1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(SETTLING_SECONDS - 1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
-    assert world.ownerships[second].is_sole(WHOLE)
+    assert world.ownerships[second].is_exclusive(WHOLE)
 
 
 async def test_instance_that_passed_the_owner_over_is_not_sole(world):
@@ -480,8 +480,8 @@
     world.network.gone.update((owner, second))
     await world.desks[third].make(BUNDLE, do_nothing)
     assert world.local[third].made == [BUNDLE.bundle_id]
-    assert not world.ownerships[third].is_sole(WHOLE)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[third].is_exclusive(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
 
 
 async def test_caller_that_leaves_withdraws_its_bundle_at_the_owner(world):
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -119,7 +119,7 @@
         desk = ForwardingStageExecutor(
             local=LocalStageExecutor(
                 create_pool=lambda group: self.create_pool(
-                    lambda: ownership.is_sole(group)
+                    lambda: ownership.is_exclusive(group)
                 )
             ),
             groups=MakerGroups(
