--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -82,7 +82,7 @@
             return False
         return self._clock.now() - self._owner_since[group] >= SETTLING_SECONDS
 
-    def shun(self, owner: str) -> None:
+    def exclude(self, owner: str) -> None:
         """Pass an owner over for a while that did not answer."""
         self._shunned[owner] = self._clock.now() + SHUNNED_SECONDS
         self._candidates_until = 0.0
