--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -78,7 +78,7 @@
         """
         if not self.owns(group):
             return False
-        if self.find_unchanged() < MEETING_SECONDS:
+        if self.find_stable_seconds() < MEETING_SECONDS:
             return False
         return self._clock.now() - self._owner_since[group] >= SETTLING_SECONDS
 
@@ -118,7 +118,7 @@
             )
         return self._candidates
 
-    def find_unchanged(self) -> float:
+    def find_stable_seconds(self) -> float:
         """Return the seconds for which the candidates have been the same."""
         self.list_candidates()
         return self._clock.now() - self._unchanged_since
@@ -127,7 +127,7 @@
         """Return the state as JSON-compatible values."""
         return {
             "instances": [one.instance_id for one in self.list_candidates()],
-            "unchanged_seconds": round(self.find_unchanged(), 1),
+            "unchanged_seconds": round(self.find_stable_seconds(), 1),
             "shunned": list(self._shunned),
             "owners": {
                 str(group): next(iter(ranked), "")
