--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -27,7 +27,7 @@
 #: seconds for which an instance has been the owner until calls of the owner before
 #: are at no maker any more: an instance that leaves goes on until it is killed, usually
 #: 8 s after its stop request, and a call that it began last for less than 2 more
-SETTLING_SECONDS = 10.0
+HANDOVER_SECONDS = 10.0
 #: seconds after any other change in which an instance that does not know the owner
 #: may make pieces itself: until it has heard of the others, and its call has ended
 MEETING_SECONDS = 2.0
@@ -80,7 +80,7 @@
             return False
         if self.find_stable_seconds() < MEETING_SECONDS:
             return False
-        return self._clock.now() - self._owner_since[group] >= SETTLING_SECONDS
+        return self._clock.now() - self._owner_since[group] >= HANDOVER_SECONDS
 
     def exclude(self, owner: str) -> None:
         """Pass an owner over for a while that did not answer."""
