--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -30,7 +30,7 @@
 HANDOVER_SECONDS = 10.0
 #: seconds after any other change in which an instance that does not know the owner
 #: may make pieces itself: until it has heard of the others, and its call has ended
-MEETING_SECONDS = 2.0
+CONVERGENCE_SECONDS = 2.0
 
 
 class Ownership:
@@ -78,7 +78,7 @@
         """
         if not self.owns(group):
             return False
-        if self.find_stable_seconds() < MEETING_SECONDS:
+        if self.find_stable_seconds() < CONVERGENCE_SECONDS:
             return False
         return self._clock.now() - self._owner_since[group] >= HANDOVER_SECONDS
 
