--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -23,7 +23,7 @@
 #: refuted it by then, and one that is gone fails its links at the first question
 SUSPICION_SECONDS = 0.5
 #: seconds for which the list of members is used again
-MEMBERS_LIFE = 0.1
+MEMBERS_CACHE_SECONDS = 0.1
 #: seconds for which an instance has been the owner until calls of the owner before
 #: are at no maker any more: an instance that leaves goes on until it is killed, usually
 #: 8 s after its stop request, and a call that it began last for less than 2 more
@@ -92,7 +92,7 @@
         now = self._clock.now()
         if now < self._candidates_until:
             return self._candidates
-        self._candidates_until = now + MEMBERS_LIFE
+        self._candidates_until = now + MEMBERS_CACHE_SECONDS
         for owner, until in tuple(self._shunned.items()):
             if until <= now:
                 del self._shunned[owner]
