--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -79,7 +79,7 @@
         self.decisions = decisions
         self.data_centre = data_centre
 
-    def begin(
+    def create_run(
         self, exchange: RelayExchange, first_seconds: float, whole_seconds: float
     ) -> StageRun:
         """Return the stage work of one request, not yet started.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -71,7 +71,7 @@
     async def run(self, exchange: RelayExchange) -> None:
         self.budgets.record_request(exchange.service)
         first, whole = self.times.estimate(exchange)
-        run = self._stages.begin(exchange, first, whole)
+        run = self._stages.create_run(exchange, first, whole)
         self._check_admission(exchange, run, first)
         try:
             results = await run.make()
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -123,7 +123,7 @@
         service="engines",
         deadline=clock.now() + 6.0,
     )
-    return runner.begin(exchange, 0.1, 0.5)
+    return runner.create_run(exchange, 0.1, 0.5)
 
 
 async def test_stages_that_share_nothing_with_lost_results_are_kept():
