--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -79,7 +79,7 @@
     async def _try(
         self, exchange: RelayExchange, target: ListedTarget
     ) -> _Whole | Unanswered:
-        left = self.find_left(exchange)
+        left = self.find_remaining(exchange)
         if left <= 0:
             return Unanswered(SendOutcome.UNSENT, "deadline over")
         call = RelayCall(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -62,7 +62,7 @@
         :raises RefusedError: if it is to be refused
         """
 
-    def find_left(self, exchange: RelayExchange) -> float:
+    def find_remaining(self, exchange: RelayExchange) -> float:
         """Return the seconds until the deadline."""
         return exchange.deadline - self.clock.now()
 
@@ -87,7 +87,7 @@
             arrivals=len(set(exchange.targets)),
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
-            remaining=self.find_left(exchange),
+            remaining=self.find_remaining(exchange),
             least=LEAST_SECONDS,
         )
         match decide_next(facts):
@@ -113,6 +113,6 @@
         code, retry = RefusalCode.STAGE_FAILED, UNSENT_RETRY
         if last.outcome is SendOutcome.REJECTED:
             code, retry = RefusalCode.OVERLOADED, REJECTED_RETRY
-        elif self.find_left(exchange) <= LEAST_SECONDS:
+        elif self.find_remaining(exchange) <= LEAST_SECONDS:
             code = RefusalCode.DEADLINE
         return create_error(exchange, code, last.reason, retry_after=retry)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -175,7 +175,7 @@
     async def _try(self, target: ListedTarget) -> Unanswered | None:
         """Send once and pass events on; ``None`` if the answer is complete."""
         runner, exchange = self._runner, self._exchange
-        left = runner.find_left(exchange)
+        left = runner.find_remaining(exchange)
         if left <= 0:
             return Unanswered(SendOutcome.UNSENT, "deadline over")
         call = RelayCall(
@@ -273,7 +273,7 @@
         )
 
     async def _read_chunk(self, chunks: AsyncIterator[bytes]) -> bytes | None:
-        left = self._runner.find_left(self._exchange)
+        left = self._runner.find_remaining(self._exchange)
         patience = min(left, self._choose_pause())
         try:
             async with asyncio.timeout(max(0.0, patience)):
@@ -322,7 +322,7 @@
         return min(left, max(LEAST_FIRST_EVENT, patience))
 
     def _choose_pause(self) -> float:
-        left = self._runner.find_left(self._exchange)
+        left = self._runner.find_remaining(self._exchange)
         if not self._may_go_elsewhere():
             return left
         if not self._begun:
