--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -68,7 +68,7 @@
             else:
                 last, outcome = result, result.outcome
             excluded |= {target.incarnation}
-            if not self.may_repeat(exchange, outcome):
+            if not self.may_retry(exchange, outcome):
                 break
         if failed is not None:
             # the target's own word is better than ours about it
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -78,7 +78,7 @@
         if hold is not None:
             raise create_hold_error(exchange, hold)
 
-    def may_repeat(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
+    def may_retry(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
         """Whether to send again after ``outcome``; a repeat is charged."""
         route = exchange.route
         facts = RepeatFacts(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -155,7 +155,7 @@
             lost = self._run.is_lost(self._results)
             if not lost or last.outcome is not SendOutcome.UNSENT:
                 excluded |= {target.incarnation}
-            if not runner.may_repeat(exchange, last.outcome):
+            if not runner.may_retry(exchange, last.outcome):
                 break
             if last.status == STATUS_CONFLICT or self._freed:
                 # another target reads them anew
