--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -109,7 +109,7 @@
     ) -> tuple[PieceResult, ...]:
         results = await self._make_in(self._choose_group(bundle), bundle, note_read)
         if results is None or _lack_maker(results):
-            near = self._groups.find_near(bundle.service, self._data_centre)
+            near = self._groups.find_local_group(bundle.service, self._data_centre)
             results = await self._make_in(near, bundle, note_read)
             if results is None:
                 results = await self._local.make_in(near, bundle, note_read)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -110,7 +110,7 @@
             known = self._selections[group] = _Selection(listed, fleet, chosen)
         return known.chosen
 
-    def find_near(self, service: str, data_centre: str) -> MakerGroup:
+    def find_local_group(self, service: str, data_centre: str) -> MakerGroup:
         """Return the makers beside an instance, whether they are divided or not.
 
         All of the service, where there are none in its data centre.
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -107,9 +107,9 @@
 
 def test_makers_beside_an_instance_are_found_whether_divided_or_not(world):
     near = MakerGroup(SERVICE, "north")
-    assert world.groups.find_near(SERVICE, "north") == near
-    assert world.groups.find_near(SERVICE, "nowhere") == WHOLE
+    assert world.groups.find_local_group(SERVICE, "north") == near
+    assert world.groups.find_local_group(SERVICE, "nowhere") == WHOLE
     assert world.groups.find_group(SERVICE, "north") == near
     world.members = world.list_members(*PLACES, capacity=900)
-    assert world.groups.find_near(SERVICE, "north") == near
+    assert world.groups.find_local_group(SERVICE, "north") == near
     assert world.groups.find_group(SERVICE, "north") == WHOLE
