--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -374,7 +374,7 @@
 
     def _count_owners(self) -> int:
         """Return how many instances share budgets of stage work."""
-        return max(ASSUMED_OWNERS, self.groups.count_most())
+        return max(ASSUMED_OWNERS, self.groups.count_max_groups())
 
     def _count_kept(self, incarnation: Incarnation) -> int:
         """Return how many idle connections may be kept to a target."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -124,7 +124,7 @@
         group = MakerGroup(service, home)
         return group if group in self.list_groups(service) else MakerGroup(service)
 
-    def count_most(self) -> int:
+    def count_max_groups(self) -> int:
         """Return the largest number of groups of a service."""
         return max((len(one.groups) for one in self._divisions.values()), default=1)
 
