--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch.py
@@ -25,7 +25,7 @@
         self._note_fetched = note_fetched
         self._timer: asyncio.TimerHandle | None = None
 
-    def begin(self, allowed: bool) -> bool:
+    def start(self, allowed: bool) -> bool:
         """Take in that the request is written now, if it is allowed; return that."""
         if allowed and self._timer is None:
             loop = asyncio.get_running_loop()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -198,7 +198,7 @@
                 call,
                 timeout=self._choose_first_patience(left),
                 fresh=not exchange.route.repeatable,
-                may_send=lambda: fetching.begin(not self._run.is_lost(self._results)),
+                may_send=lambda: fetching.start(not self._run.is_lost(self._results)),
             )
             if isinstance(result, Unanswered):
                 return result
