--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch.py
@@ -32,7 +32,7 @@
             self._timer = loop.call_later(FETCH_SECONDS, self._note_fetched)
         return allowed
 
-    def end(self) -> None:
+    def cancel(self) -> None:
         """Take in that the send has ended."""
         if self._timer is not None:
             self._timer.cancel()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -204,7 +204,7 @@
                 return result
             return await self._pass_on(target, result, reading)
         finally:
-            fetching.end()
+            fetching.cancel()
             reading.end()
 
     def _note_fetched(self, target: ListedTarget) -> None:
