--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -39,7 +39,7 @@
 
 #: seconds after which pieces that wait are looked at again, and between two searches
 #: for those that can't be made in time
-LOOK_AGAIN = 0.05
+RESCHEDULE_SECONDS = 0.05
 #: seconds after which a call that began at once has fetched its inputs, which takes
 #: a few milliseconds on these links
 READ_SECONDS = 0.1
@@ -189,14 +189,14 @@
         if not makers:
             self._queue.fail_all(PieceFailure.NO_MAKER)
             return
-        if now >= self._hopeless_sought + LOOK_AGAIN:
+        if now >= self._hopeless_sought + RESCHEDULE_SECONDS:
             self._hopeless_sought = now
             self._drop_hopeless(makers, profile, now)
         if any(maker.is_idle(now) for maker in makers):
             self._begin_calls(makers, profile, now)
         if self._timer is None and self._queue.has_waiting():
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(LOOK_AGAIN, self._look_again)
+            self._timer = loop.call_later(RESCHEDULE_SECONDS, self._look_again)
 
     def _look_again(self) -> None:
         self._timer = None
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -16,7 +16,7 @@
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_entry.relay.stage_pool import LOOK_AGAIN, StagePool
+from greengagelatch_entry.relay.stage_pool import RESCHEDULE_SECONDS, StagePool
 from greengagelatch_lab.stage_load.models import Maker, ModelCodec, ModelLinks, Results
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -180,7 +180,7 @@
 async def test_bundle_that_can_not_be_made_in_time_is_given_up_while_makers_work(world):
     tasks = [world.ask(number) for number in range(40)]
     hopeless = world.ask(40, patience=0.3)
-    await asyncio.sleep(3 * LOOK_AGAIN)
+    await asyncio.sleep(3 * RESCHEDULE_SECONDS)
     assert hopeless.done()
     assert {one.failure for one in hopeless.result()} == {PieceFailure.LATE}
     await asyncio.gather(*tasks)
