--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -136,7 +136,7 @@
         """Have makers drop results."""
         self._freeing.free(results)
 
-    def note_gone(self, incarnation: Incarnation) -> None:
+    def record_removal(self, incarnation: Incarnation) -> None:
         """Take in that a maker is gone; if it has started again, its results are lost.
 
         Their pieces are made again: an engine that was sent their handles would turn
