--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -455,7 +455,7 @@
         self.links.drop(incarnation)
         self.crash_watch.record_removal(incarnation)
         self.fleet.forget(incarnation)
-        self.local_desk.note_gone(incarnation)
+        self.local_desk.record_removal(incarnation)
 
     def _describe(self) -> dict[str, Any]:
         parts = {part.name: part.dump() for part in self._list_controllers()}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
@@ -70,7 +70,7 @@
         """Return how long a piece would wait for the makers of a group."""
         return self.find_pool(group).estimate_wait()
 
-    def note_gone(self, incarnation: Incarnation) -> None:
+    def record_removal(self, incarnation: Incarnation) -> None:
         """Take in that a maker is gone, or has started again."""
         for pool in self._pools.values():
             pool.note_gone(incarnation)
