--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -25,7 +25,6 @@
 from ..controllers.drain import DrainController
 from ..filters import chain
 from ..inflight import InFlight
-from .budgets import RetryBudgets
 from .configuration import ConfigurationFollower
 from .crash_watch import CrashDetector
 from .crashes import CrashReportReplicator
@@ -53,6 +52,7 @@
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
 from .registry import RegistryController
+from .retry_budgets import RetryBudgets
 from .run_times import RouteLatencies
 from .sending import TargetSender
 from .stage_groups import MakerGroups
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -21,8 +21,8 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.requests import RefusedError
 
-    from .budgets import RetryBudgets
     from .exchange import RelayExchange
+    from .retry_budgets import RetryBudgets
     from .sending import TargetSender, Unanswered
 
 __all__ = ("Runner",)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -19,8 +19,8 @@
     from greengagelatch.relay.targets import TargetBook
 
     from ..metrics import Metrics
-    from .budgets import RetryBudgets
     from .maker_calls import CallResult
+    from .retry_budgets import RetryBudgets
 
 __all__ = ("BundleQueue", "QueuedBundle")
 
