--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -26,7 +26,7 @@
 from ..filters import chain
 from ..inflight import InFlight
 from .configuration import ConfigurationFollower
-from .crash_watch import CrashDetector
+from .crash_detector import CrashDetector
 from .crashes import CrashReportReplicator
 from .decisions import DecisionLog
 from .desk import LocalStageExecutor
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -13,7 +13,7 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.targets import ListedTarget
 
-    from .crash_watch import CrashDetector
+    from .crash_detector import CrashDetector
 
 __all__ = ("DisabledBundleQuarantine", "BundleQuarantine", "SharedBundleQuarantine")
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -19,7 +19,7 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from .codecs import TargetCodec
-    from .crash_watch import CrashDetector
+    from .crash_detector import CrashDetector
     from .decisions import DecisionLog
     from .exchange import RelayExchange
     from .links import TargetLinks, TargetReply
