--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -27,7 +27,7 @@
 from ..inflight import InFlight
 from .configuration import ConfigurationFollower
 from .crash_detector import CrashDetector
-from .crashes import CrashReportReplicator
+from .crash_report_replicator import CrashReportReplicator
 from .decisions import DecisionLog
 from .desk import LocalStageExecutor
 from .filters import (
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -18,7 +18,7 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from ..metrics import Metrics
-    from .crashes import CrashReportReplicator
+    from .crash_report_replicator import CrashReportReplicator
     from .decisions import DecisionLog
     from .links import TargetLinks
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -25,7 +25,7 @@
 
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
-    from .crashes import CrashReportReplicator
+    from .crash_report_replicator import CrashReportReplicator
     from .following import StoreFollower
     from .listing import ListingFollower
 
--- a/tests/test_entry/test_relay/test_crashes.py
+++ b/tests/test_entry/test_relay/test_crashes.py
@@ -6,7 +6,10 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.messages import CrashesSeen
 from greengagelatch.relay.quarantine import CrashReport
-from greengagelatch_entry.relay.crashes import MAX_ANSWER_ENTRIES, PREFIX
+from greengagelatch_entry.relay.crash_report_replicator import (
+    MAX_ANSWER_ENTRIES,
+    PREFIX,
+)
 from greengagelatch_lab.platform_standins.store import StoreFault
 from greengagelatch_lab.platform_standins.targets import TargetFault
 
