--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -29,7 +29,6 @@
 from .crash_detector import CrashDetector
 from .crash_report_replicator import CrashReportReplicator
 from .decisions import DecisionLog
-from .desk import LocalStageExecutor
 from .filters import (
     ObserveFilter,
     QuarantineFilter,
@@ -42,6 +41,7 @@
 from .front import RelayFront
 from .links import TargetLinks
 from .listing import ListingFollower
+from .local_stage_executor import LocalStageExecutor
 from .news import NewsController
 from .owned_desk import ForwardingStageExecutor
 from .ownership import Ownership
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -43,7 +43,7 @@
 
     from ..metrics import Metrics
     from .decisions import DecisionLog
-    from .desk import LocalStageExecutor
+    from .local_stage_executor import LocalStageExecutor
     from .ownership import Ownership
     from .stage_groups import MakerGroups
 
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.store import Entry
 from greengagelatch.store.ranges import Changes
-from greengagelatch_entry.relay.desk import LocalStageExecutor
+from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_lab.platform_standins.targets import TargetFault
 
 
