--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -9,9 +9,9 @@
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch.relay.room import MakerRoom
 
-from .freeing import ResultReleaser
 from .maker_calls import ANSWERED, CallResult, MakerCaller
 from .makers import Maker
+from .result_releaser import ResultReleaser
 from .stage_queue import BundleQueue
 from .wait_estimates import WaitEstimator
 
--- a/tests/test_entry/test_relay/test_freeing.py
+++ b/tests/test_entry/test_relay/test_freeing.py
@@ -11,8 +11,8 @@
 from greengagelatch.relay.pieces import PieceResult
 from greengagelatch.relay.targets import TargetBook
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.freeing import CLOSE_SECONDS, ResultReleaser
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
+from greengagelatch_entry.relay.result_releaser import CLOSE_SECONDS, ResultReleaser
 from greengagelatch_lab.stage_load.models import ModelCodec
 from greengagelatch_lab.stage_load.trial import LoopClock
 
