--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.requests import Prompt
 
 from .event_split import EventSplitter
-from .input_fetch import InputFetchTimer
+from .input_fetch_timer import InputFetchTimer
 from .links import LinkError
 from .messages import RelayCall
 from .refusals import create_error
--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch_entry.relay.input_fetch import FETCH_SECONDS
+from greengagelatch_entry.relay.input_fetch_timer import FETCH_SECONDS
 from greengagelatch_lab.platform_standins.targets import EVENTS, TargetFault
 
 WHOLE = b"".join(
