--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -38,12 +38,12 @@
     StopFilter,
 )
 from .following import StoreFollower
+from .forwarding_stage_executor import ForwardingStageExecutor
 from .front import RelayFront
 from .links import TargetLinks
 from .listing import ListingFollower
 from .local_stage_executor import LocalStageExecutor
 from .news import NewsController
-from .owned_desk import ForwardingStageExecutor
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelayRules
 from .peer_settings import create_peer_settings
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -8,8 +8,8 @@
 from greengagelatch.relay.fleet import EngineNeed, Fleet
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
-from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.retry_budgets import RetryBudgets
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -19,7 +19,7 @@
 from greengagelatch.relay.queue_waits import QueueWait
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
+from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import (
     MEETING_SECONDS,
     MEMBERS_LIFE,
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -19,8 +19,8 @@
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
+from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
-from greengagelatch_entry.relay.owned_desk import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
