--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -25,6 +25,7 @@
 from ..controllers.drain import DrainController
 from ..filters import chain
 from ..inflight import InFlight
+from .bundle_quarantine import SharedBundleQuarantine
 from .configuration import ConfigurationFollower
 from .crash_detector import CrashDetector
 from .crash_report_replicator import CrashReportReplicator
@@ -47,7 +48,6 @@
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelayRules
 from .peer_settings import create_peer_settings
-from .piece_suspects import SharedBundleQuarantine
 from .plain import PlainRunner
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -28,10 +28,10 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from ..metrics import Metrics
+    from .bundle_quarantine import BundleQuarantine
     from .codecs import TargetCodec
     from .decisions import DecisionLog
     from .links import TargetLinks
-    from .piece_suspects import BundleQuarantine
     from .retry_budgets import RetryBudgets
     from .stage_queue import QueuedBundle
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -8,10 +8,10 @@
 from greengagelatch.relay.fleet import EngineNeed, Fleet
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
 from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
-from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.retry_budgets import RetryBudgets
 from greengagelatch_entry.relay.run_times import RouteLatencies
 from greengagelatch_entry.relay.stage_groups import MakerGroups
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -13,8 +13,8 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
+from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_pool import RESCHEDULE_SECONDS, StagePool
 from greengagelatch_lab.stage_load.models import Maker, ModelCodec, ModelLinks, Results
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -18,11 +18,11 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
+from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
-from greengagelatch_entry.relay.piece_suspects import DisabledBundleQuarantine
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
