--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -25,7 +25,7 @@
 from greengagelatch.relay.pieces import PieceFailure
 
 from ..controllers import Controller
-from .queue_words import QueueWaitReports
+from .queue_wait_reports import QueueWaitReports
 from .stage_desk import StageExecutor
 
 if TYPE_CHECKING:
