--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -53,7 +53,7 @@
 from .readiness import ReadinessServer
 from .registry import RegistryController
 from .retry_budgets import RetryBudgets
-from .run_times import RouteLatencies
+from .route_latencies import RouteLatencies
 from .sending import TargetSender
 from .stage_groups import MakerGroups
 from .stage_pool import StagePool
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -30,7 +30,7 @@
     from .codecs import TargetCodec
     from .exchange import RelayExchange
     from .messages import AnswerHead
-    from .run_times import RouteLatencies
+    from .route_latencies import RouteLatencies
     from .stages import StageResults, StageRun, StageRunner
 
 __all__ = ("StreamRunner",)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -13,7 +13,7 @@
 from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
 from greengagelatch_entry.relay.retry_budgets import RetryBudgets
-from greengagelatch_entry.relay.run_times import RouteLatencies
+from greengagelatch_entry.relay.route_latencies import RouteLatencies
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
 from greengagelatch_entry.relay.stages import StageRunner
