--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -26,7 +26,7 @@
 
 from ..controllers import Controller
 from .queue_wait_reports import QueueWaitReports
-from .stage_desk import StageExecutor
+from .stage_executor import StageExecutor
 
 if TYPE_CHECKING:
     import random
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -8,7 +8,7 @@
 from greengagelatch.relay.groups import MakerGroup
 
 from ..controllers import Controller
-from .stage_desk import StageExecutor
+from .stage_executor import StageExecutor
 from .stage_pool import StagePool
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -17,7 +17,7 @@
     from greengagelatch.relay.stage_plan import StagePlan, StageWork
 
     from .exchange import RelayExchange
-    from .stage_desk import StageExecutor
+    from .stage_executor import StageExecutor
 
 __all__ = ("BundleFactory", "list_makers")
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -25,7 +25,7 @@
 
     from .decisions import DecisionLog
     from .exchange import RelayExchange
-    from .stage_desk import StageExecutor
+    from .stage_executor import StageExecutor
 
 __all__ = ("StageResults", "StageRun", "StageRunner")
 
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -23,7 +23,7 @@
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.exchange import RelayExchange
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_entry.relay.stage_desk import StageExecutor
+from greengagelatch_entry.relay.stage_executor import StageExecutor
 from greengagelatch_entry.relay.stages import StageRun, StageRunner
 from greengagelatch_lab.stage_load.trial import LoopClock
 
