--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -9,10 +9,10 @@
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch.relay.room import MakerRoom
 
+from .bundle_queue import BundleQueue
 from .maker_calls import ANSWERED, CallResult, MakerCaller
 from .makers import Maker
 from .result_releaser import ResultReleaser
-from .stage_queue import BundleQueue
 from .wait_estimates import WaitEstimator
 
 if TYPE_CHECKING:
@@ -29,11 +29,11 @@
 
     from ..metrics import Metrics
     from .bundle_quarantine import BundleQuarantine
+    from .bundle_queue import QueuedBundle
     from .codecs import TargetCodec
     from .decisions import DecisionLog
     from .links import TargetLinks
     from .retry_budgets import RetryBudgets
-    from .stage_queue import QueuedBundle
 
 __all__ = ("StagePool",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimates.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimates.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from greengagelatch.relay.deployment import MakerProfile
 
+    from .bundle_queue import BundleQueue
     from .makers import Maker
-    from .stage_queue import BundleQueue
 
 __all__ = ("WaitEstimator",)
 
