--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -13,7 +13,7 @@
 from .maker_calls import ANSWERED, CallResult, MakerCaller
 from .makers import Maker
 from .result_releaser import ResultReleaser
-from .wait_estimates import WaitEstimator
+from .wait_estimator import WaitEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
