--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -21,9 +21,9 @@
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import (
-    MEETING_SECONDS,
-    MEMBERS_LIFE,
-    SETTLING_SECONDS,
+    CONVERGENCE_SECONDS,
+    HANDOVER_SECONDS,
+    MEMBERS_CACHE_SECONDS,
     SUSPICION_SECONDS,
     Ownership,
 )
@@ -387,17 +387,17 @@
     owner, second, _ = world.ranked
     desks = world.desks
     assert not world.ownerships[owner].is_exclusive(WHOLE)
-    world.clock.advance(SETTLING_SECONDS)
+    world.clock.advance(HANDOVER_SECONDS)
     for desk in desks.values():
         desk.estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    world.clock.advance(HANDOVER_SECONDS)
     soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
     assert soles == [True, False, False]
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
     soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
     assert soles == [False, False, False]
-    world.clock.advance(SETTLING_SECONDS - 1.0)
+    world.clock.advance(HANDOVER_SECONDS - 1.0)
     assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
     soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
@@ -414,13 +414,13 @@
     """
     owner, second, third = world.ranked
     world.desks[owner].estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    world.clock.advance(HANDOVER_SECONDS)
     assert world.ownerships[owner].is_exclusive(WHOLE)
     for other in (third, second):
         world.network.leaving.add(other)
         world.clock.advance(1.0)
         assert not world.ownerships[owner].is_exclusive(WHOLE)
-        world.clock.advance(MEETING_SECONDS)
+        world.clock.advance(CONVERGENCE_SECONDS)
         assert world.ownerships[owner].is_exclusive(WHOLE)
 
 
@@ -434,9 +434,9 @@
     owner, second, third = world.ranked
     for desk in world.desks.values():
         desk.estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    world.clock.advance(HANDOVER_SECONDS)
     world.network.suspected.add(owner)
-    world.clock.advance(MEMBERS_LIFE)
+    world.clock.advance(MEMBERS_CACHE_SECONDS)
     await world.desks[third].make(BUNDLE, do_nothing)
     assert world.local[owner].made == [BUNDLE.bundle_id]
     world.clock.advance(SUSPICION_SECONDS)
@@ -452,7 +452,7 @@
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
     world.desks[second].estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    world.clock.advance(HANDOVER_SECONDS)
     assert world.ownerships[second].is_exclusive(WHOLE)
     world.network.leaving.discard(owner)
     world.clock.advance(1.0)
@@ -460,7 +460,7 @@
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
     assert not world.ownerships[second].is_exclusive(WHOLE)
-    world.clock.advance(SETTLING_SECONDS - 1.0)
+    world.clock.advance(HANDOVER_SECONDS - 1.0)
     assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
     assert world.ownerships[second].is_exclusive(WHOLE)
@@ -476,7 +476,7 @@
     owner, second, third = world.ranked
     for desk in world.desks.values():
         desk.estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    world.clock.advance(HANDOVER_SECONDS)
     world.network.gone.update((owner, second))
     await world.desks[third].make(BUNDLE, do_nothing)
     assert world.local[third].made == [BUNDLE.bundle_id]
