--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -240,7 +240,7 @@
         self, owner: str, group: MakerGroup, bundle: Bundle, reason: str
     ) -> None:
         self._metrics.count("stages.owner_lost")
-        self._ownership.shun(owner)
+        self._ownership.exclude(owner)
         self._decisions.note_belief(
             "owner-lost",
             owner=owner,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -73,7 +73,7 @@
     def record_removal(self, incarnation: Incarnation) -> None:
         """Take in that a maker is gone, or has started again."""
         for pool in self._pools.values():
-            pool.note_gone(incarnation)
+            pool.record_removal(incarnation)
 
     def list_waits(self) -> list[tuple[MakerGroup, QueueWait]]:
         """Return how long a piece would wait for the makers of each group."""
