--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -112,7 +112,7 @@
             near = self._groups.find_local_group(bundle.service, self._data_centre)
             results = await self._make_in(near, bundle, note_read)
             if results is None:
-                results = await self._local.make_in(near, bundle, note_read)
+                results = await self._local.execute_in(near, bundle, note_read)
         return results
 
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
@@ -190,7 +190,7 @@
         """Return the results of a group's makers; ``None`` if no owner answers."""
         owner = next(iter(self._ownership.rank(group)), self._peers.instance_id)
         if owner == self._peers.instance_id:
-            return await self._local.make_in(group, bundle, note_read)
+            return await self._local.execute_in(group, bundle, note_read)
         return await self._ask(owner, group, bundle, note_read)
 
     async def _ask(
@@ -260,7 +260,7 @@
         if task is None:
             note_read = partial(self._peers.send, sender, PiecesRead(bundle.bundle_id))
             group = self._find_wanted(bundle.service, message.group)
-            making = self._local.make_in(group, bundle, note_read)
+            making = self._local.execute_in(group, bundle, note_read)
             task = asyncio.ensure_future(making)
             self._in_work[place] = task
             task.add_done_callback(partial(self._forget, place))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -47,9 +47,9 @@
     async def make(
         self, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
-        return await self.make_in(MakerGroup(bundle.service), bundle, note_read)
+        return await self.execute_in(MakerGroup(bundle.service), bundle, note_read)
 
-    async def make_in(
+    async def execute_in(
         self, group: MakerGroup, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Have a bundle made by the makers of a group."""
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -117,7 +117,7 @@
         self.hold: asyncio.Event | None = None
         self.cancelled = 0
 
-    async def make_in(self, group, bundle, note_read):
+    async def execute_in(self, group, bundle, note_read):
         self.made.append(bundle.bundle_id)
         self.groups.append(group)
         try:
@@ -561,7 +561,7 @@
     async def make_nothing(group, bundle, note_read):
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
 
-    world.local[owner].make_in = make_nothing
+    world.local[owner].execute_in = make_nothing
     world.network.handlers[owner][PiecesWanted] = fail
     results = await world.desks[third].make(BUNDLE, do_nothing)
     assert {one.failure for one in results} == {PieceFailure.LATE}
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -288,18 +288,18 @@
     for as long as it has not heard of the restart; this instance has.
     Cause: requests that could not be sent for that were counted against engines.
     """
-    make_in = LocalStageExecutor.make_in
+    execute_in = LocalStageExecutor.execute_in
     former = Incarnation("ledger-1", 1)
     engines = [find_listed(pipeline, one).incarnation for one in ("llm-1", "llm-2")]
 
     async def make_unaware(self, group, bundle, note_read):
-        results = await make_in(self, group, bundle, note_read)
+        results = await execute_in(self, group, bundle, note_read)
         if bundle.service != "ledger":
             return results
         return tuple(replace(one, maker=former) for one in results)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(LocalStageExecutor, "make_in", make_unaware)
+        patch.setattr(LocalStageExecutor, "execute_in", make_unaware)
         reply = await pipeline.stream(X_Attempt_Id="r-1")
     assert reply.status in (502, 503)
     assert not any(one.runs["r-1"] for one in list_targets(pipeline, "llm"))
