--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -104,7 +104,7 @@
         peers.handle(ResultsFreed, self._take_freed)
         peers.handle(StageWaits, self._take_waits)
 
-    async def make(
+    async def execute(
         self, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         results = await self._make_in(self._choose_group(bundle), bundle, note_read)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -44,7 +44,7 @@
         self._find_group = find_group
         self._pools: dict[MakerGroup, StagePool] = {}
 
-    async def make(
+    async def execute(
         self, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         return await self.execute_in(MakerGroup(bundle.service), bundle, note_read)
@@ -53,7 +53,7 @@
         self, group: MakerGroup, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Have a bundle made by the makers of a group."""
-        return await self.find_pool(group).make(bundle, note_read)
+        return await self.find_pool(group).execute(bundle, note_read)
 
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
         by_group: dict[MakerGroup, list[PieceResult]] = {}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_executor.py
@@ -18,7 +18,7 @@
     """Takes bundles of pieces and has them made."""
 
     @abstractmethod
-    async def make(
+    async def execute(
         self, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Return the results of all pieces, in order.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -107,7 +107,7 @@
             decisions=decisions,
         )
 
-    async def make(
+    async def execute(
         self, bundle: Bundle, note_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Return the results of a bundle's pieces, in order.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -274,7 +274,7 @@
         seconds = queue.urgent + queue.find_seconds(work.seconds)
         self._ends[number] = self._clock.now() + seconds
         bundle = self._bundles.create(work, self._held)
-        results = await self._desk.make(bundle, lambda: self._note_read(work))
+        results = await self._desk.execute(bundle, lambda: self._note_read(work))
         failed = next((one.failure for one in results if one.failure), None)
         made = tuple(one for one in results if one.failure is None)
         self._held[number] = made
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -196,7 +196,7 @@
 
 async def test_all_instances_ask_the_same_owner(world):
     for desk in world.desks.values():
-        results = await desk.make(BUNDLE, do_nothing)
+        results = await desk.execute(BUNDLE, do_nothing)
         assert [one.failure for one in results] == [None, None]
     owner = world.ranked[0]
     assert world.count_made() == {name: 3 * (name == owner) for name in NAMES}
@@ -210,9 +210,9 @@
     """
     owner, second, third = world.ranked
     world.network.gone.add(owner)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert world.local[second].made == [BUNDLE.bundle_id]
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert len(world.local[second].made) == 2
 
 
@@ -234,7 +234,7 @@
         return await ask(sender, to, message)
 
     world.network.ask = ask_over_two_links
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert calls == [owner, owner]
     assert len(world.local[owner].made) == 1
 
@@ -266,7 +266,7 @@
         return await ask(sender, to, message)
 
     world.network.ask = ask_in_vain
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert calls == [owner, second]
 
 
@@ -289,7 +289,7 @@
     world.network.gone.add(owner)
     near = rank_owners(MakerGroup(SERVICE, "north"), world.network.list_members())[0]
     for asker in (second, third):
-        await world.desks[asker].make(BUNDLE, do_nothing)
+        await world.desks[asker].execute(BUNDLE, do_nothing)
     assert world.count_made() == {name: 2 * (name == near) for name in NAMES}
     assert world.local[near].groups == [MakerGroup(SERVICE, "north")] * 2
 
@@ -297,23 +297,23 @@
 async def test_owner_that_is_back_is_asked_again(world):
     owner, _, third = world.ranked
     world.network.gone.add(owner)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     world.network.gone.clear()
     world.clock.advance(5.0)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert len(world.local[owner].made) == 1
 
 
 async def test_instance_that_reaches_nobody_makes_its_pieces_itself(world):
     third = world.ranked[2]
     world.network.gone.update(world.ranked[:2])
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.desks[third].execute(BUNDLE, do_nothing)
     assert results[0].handle == f"{third}/0"
 
 
 async def test_dead_instance_owns_nothing(world):
     world.network.dead.add(world.ranked[0])
-    await world.desks[world.ranked[2]].make(BUNDLE, do_nothing)
+    await world.desks[world.ranked[2]].execute(BUNDLE, do_nothing)
     assert world.count_made()[world.ranked[1]] == 1
 
 
@@ -326,7 +326,7 @@
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
-    results = await world.desks[owner].make(BUNDLE, do_nothing)
+    results = await world.desks[owner].execute(BUNDLE, do_nothing)
     assert [one.handle for one in results] == [f"{second}/0", f"{second}/1"]
     assert world.count_made() == {name: int(name == second) for name in NAMES}
 
@@ -334,7 +334,7 @@
 async def test_instance_that_leaves_last_makes_its_pieces_itself(world):
     owner = world.ranked[0]
     world.network.leaving.update(NAMES)
-    results = await world.desks[owner].make(BUNDLE, do_nothing)
+    results = await world.desks[owner].execute(BUNDLE, do_nothing)
     assert results[0].handle == f"{owner}/0"
     assert world.count_made() == {name: int(name == owner) for name in NAMES}
 
@@ -343,7 +343,7 @@
     owner, _, third = world.ranked
     local = world.local[owner]
     local.hold = asyncio.Event()
-    task = asyncio.create_task(world.desks[third].make(BUNDLE, do_nothing))
+    task = asyncio.create_task(world.desks[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
@@ -366,7 +366,7 @@
     desk, local = world.desks[owner], world.local[owner]
     assert await desk.wait_idle(0.0)
     local.hold = asyncio.Event()
-    asking = asyncio.create_task(world.desks[third].make(BUNDLE, do_nothing))
+    asking = asyncio.create_task(world.desks[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
@@ -437,10 +437,10 @@
     world.clock.advance(HANDOVER_SECONDS)
     world.network.suspected.add(owner)
     world.clock.advance(MEMBERS_CACHE_SECONDS)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert world.local[owner].made == [BUNDLE.bundle_id]
     world.clock.advance(SUSPICION_SECONDS)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert world.local[second].made == [BUNDLE.bundle_id]
 
 
@@ -478,7 +478,7 @@
         desk.estimate_wait(SERVICE)
     world.clock.advance(HANDOVER_SECONDS)
     world.network.gone.update((owner, second))
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     assert world.local[third].made == [BUNDLE.bundle_id]
     assert not world.ownerships[third].is_exclusive(WHOLE)
     assert not world.ownerships[second].is_exclusive(WHOLE)
@@ -487,7 +487,7 @@
 async def test_caller_that_leaves_withdraws_its_bundle_at_the_owner(world):
     owner, _, third = world.ranked
     world.local[owner].hold = asyncio.Event()
-    task = asyncio.create_task(world.desks[third].make(BUNDLE, do_nothing))
+    task = asyncio.create_task(world.desks[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     task.cancel()
@@ -523,14 +523,14 @@
 
 async def test_results_are_freed_by_the_owner_that_made_them(world):
     owner, _, third = world.ranked
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.desks[third].execute(BUNDLE, do_nothing)
     world.desks[third].free(SERVICE, results)
     assert world.local[owner].freed == list(results)
 
 
 async def test_results_of_an_owner_that_is_gone_are_freed_directly(world):
     owner, _, third = world.ranked
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.desks[third].execute(BUNDLE, do_nothing)
     world.network.gone.add(owner)
     world.desks[third].free(SERVICE, results)
     assert world.local[third].freed == list(results)
@@ -538,13 +538,13 @@
 
 async def test_reader_is_told_that_inputs_are_read(world):
     read = []
-    await world.desks[world.ranked[2]].make(BUNDLE, lambda: read.append(True))
+    await world.desks[world.ranked[2]].execute(BUNDLE, lambda: read.append(True))
     assert read == [True]
 
 
 async def test_owner_tells_how_long_its_queue_is(world):
     owner, _, third = world.ranked
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.desks[third].execute(BUNDLE, do_nothing)
     world.local[owner].wait = QueueWait(0.5, 1.5)
     world.desks[owner]._words.tell(world.local[owner].list_waits())
     assert world.desks[third].estimate_wait(SERVICE) == QueueWait(0.5, 1.5)
@@ -563,5 +563,5 @@
 
     world.local[owner].execute_in = make_nothing
     world.network.handlers[owner][PiecesWanted] = fail
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.desks[third].execute(BUNDLE, do_nothing)
     assert {one.failure for one in results} == {PieceFailure.LATE}
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -277,7 +277,7 @@
         latest=1e9,
         input_makers=(former,),
     )
-    results = await pipeline.find("stages").make(bundle, lambda: None)
+    results = await pipeline.find("stages").execute(bundle, lambda: None)
     assert [one.failure for one in results] == [PieceFailure.GONE]
 
 
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -127,7 +127,7 @@
             aim=now + patience,
             latest=now + patience,
         )
-        return asyncio.create_task(self.pool.make(bundle, lambda: None))
+        return asyncio.create_task(self.pool.execute(bundle, lambda: None))
 
 
 @pytest.fixture
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -69,7 +69,7 @@
         self.missed: list[str] = []
         self._failures = failures
 
-    async def make(self, bundle: Bundle, note_read) -> tuple[PieceResult, ...]:
+    async def execute(self, bundle: Bundle, note_read) -> tuple[PieceResult, ...]:
         stage = bundle.pieces[0].stage
         self.tries[stage] += 1
         number = self.tries[stage]
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -173,7 +173,7 @@
             bundle = self.create_bundle(f"r-{number}")
             handle = bundle.pieces[0].inputs[0]
             note_read = self._create_freeing(handle)
-            tasks.append(asyncio.create_task(maker.make(bundle, note_read)))
+            tasks.append(asyncio.create_task(maker.execute(bundle, note_read)))
             await asyncio.sleep(APART)
         made = await asyncio.gather(*tasks)
         return [{one.failure for one in results} for results in made]
@@ -256,7 +256,7 @@
     await asyncio.sleep(LONG)
     bundle = world.create_bundle("r-1")
     read = []
-    task = asyncio.create_task(desk.make(bundle, lambda: read.append(task.done())))
+    task = asyncio.create_task(desk.execute(bundle, lambda: read.append(task.done())))
     assert [one.failure for one in await task] == [None] * 4
     assert read == [False]
 
@@ -268,6 +268,6 @@
     del members["entry-2"]
     bundle = world.create_bundle("r-1")
     read = []
-    results = await desk._local.make(bundle, lambda: read.append(True))
+    results = await desk._local.execute(bundle, lambda: read.append(True))
     assert [one.failure for one in results] == [None] * 4
     assert read == []
