--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -127,7 +127,7 @@
         """Return what is expected of the stages, one after the other."""
         return self._plan.estimate(self._desk.estimate_wait)
 
-    async def make(self) -> StageResults:
+    async def execute(self) -> StageResults:
         """Make all stages and return what the target needs.
 
         :raises RefusedError: if they can't be made in time
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -74,7 +74,7 @@
         run = self._stages.create_run(exchange, first, whole)
         self._check_admission(exchange, run, first)
         try:
-            results = await run.make()
+            results = await run.execute()
             await self.pass_on(exchange, run, results)
         finally:
             run.free()
@@ -165,7 +165,7 @@
     async def _make_again(self) -> None:
         self._run.free()
         self._freed = False
-        self._results = await self._run.make()
+        self._results = await self._run.execute()
 
     def _choose(self, excluded: frozenset[Incarnation]) -> ListedTarget | None:
         need = EngineNeed(self._prompt, self._results.bytes_by_data_centre)
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -134,7 +134,7 @@
     Cause: all stages of the request were made again.
     """
     desk = Desk({3: [PieceFailure.GONE]})
-    results = await begin(desk).make()
+    results = await begin(desk).execute()
     assert desk.tries == {0: 1, 1: 2, 2: 2, 3: 2}
     assert results.inputs == ("0/1/0", "3/2/0")
     assert not set(results.inputs).intersection(desk.freed)
@@ -143,7 +143,7 @@
 
 async def test_stages_before_a_lost_result_are_made_again():
     desk = Desk({2: [PieceFailure.GONE]})
-    results = await begin(desk).make()
+    results = await begin(desk).execute()
     assert desk.tries == {0: 1, 1: 2, 2: 2, 3: 1}
     assert results.inputs == ("0/1/0", "3/1/0")
     assert desk.missed == []
@@ -153,14 +153,14 @@
     desk = Desk({2: [PieceFailure.GONE] * 5})
     run = begin(desk)
     with pytest.raises(RefusedError, match="lost again and again"):
-        await run.make()
+        await run.execute()
     assert desk.tries == {0: 1, 1: 2, 2: 2}
     assert sorted(desk.freed) == ["0/1/0", "1/1/0", "1/2/0"]
 
 
 async def test_request_that_needs_none_of_the_stages_waits_for_nothing():
     desk = Desk({})
-    results = await begin(desk, (0, 0, 0, 0)).make()
+    results = await begin(desk, (0, 0, 0, 0)).execute()
     assert results.inputs == ()
     assert not desk.tries
 
@@ -169,13 +169,13 @@
     desk = Desk({1: [PieceFailure.LATE]})
     run = begin(desk)
     with pytest.raises(RefusedError, match="stage 1 of a: late"):
-        await run.make()
+        await run.execute()
     assert desk.tries == {0: 1, 1: 1}
 
 
 async def test_caller_that_leaves_gives_up_all_stages():
     desk = Desk({})
-    task = asyncio.create_task(begin(desk).make())
+    task = asyncio.create_task(begin(desk).execute())
     await asyncio.sleep(0.3)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
