--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -350,7 +350,7 @@
             group,
             list_makers=lambda: self.groups.list_makers(group),
             find_profile=lambda: self._find_maker(group.service),
-            is_sole=lambda: self.ownership.is_exclusive(group),
+            is_exclusive=lambda: self.ownership.is_exclusive(group),
             suspects=SharedBundleQuarantine(
                 quarantine=self.quarantine, crashes=self.crash_watch, clock=self.clock
             ),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -55,7 +55,7 @@
 
     :param list_makers: returns the makers listed, the same object as long as nothing
         changes
-    :param is_sole: tells whether no other instance's calls are at the makers
+    :param is_exclusive: tells whether no other instance's calls are at the makers
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         *,
         list_makers: Callable[[], Sequence[ListedTarget]],
         find_profile: Callable[[], MakerProfile | None],
-        is_sole: Callable[[], bool],
+        is_exclusive: Callable[[], bool],
         suspects: BundleQuarantine,
         policy: BatchPolicy,
         book: TargetBook,
@@ -78,7 +78,7 @@
         self._group = group
         self._list_targets = list_makers
         self._find_profile = find_profile
-        self._is_sole = is_sole
+        self._is_exclusive = is_exclusive
         self._suspects = suspects
         self._policy = policy
         self._book = book
@@ -337,7 +337,7 @@
         inputs that are freed while it waits are gone at its turn, and the request's
         stages are made again or fail.
         """
-        if not self._is_sole():
+        if not self._is_exclusive():
             return
         now = self._clock.now()
         if maker.calls > 1 or maker.find_slowness(now) > STEADY:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -183,7 +183,7 @@
         return self._deployment.services[service].maker
 
     def _create_local(
-        self, links, groups: MakerGroups, is_sole: Callable[[MakerGroup], bool]
+        self, links, groups: MakerGroups, is_exclusive: Callable[[MakerGroup], bool]
     ) -> LocalStageExecutor:
         return LocalStageExecutor(
             find_group=groups.find_group,
@@ -191,7 +191,7 @@
                 group,
                 list_makers=lambda: groups.list_makers(group),
                 find_profile=lambda: self._find_profile(group.service),
-                is_sole=lambda: is_sole(group),
+                is_exclusive=lambda: is_exclusive(group),
                 suspects=DisabledBundleQuarantine(),
                 policy=self._create_batches(),
                 book=self._book,
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -88,7 +88,7 @@
             MakerGroup(SERVICE),
             list_makers=lambda: listed,
             find_profile=lambda: PROFILE,
-            is_sole=lambda: False,
+            is_exclusive=lambda: False,
             suspects=self.suspects,
             policy=self.policy,
             book=SimpleNamespace(
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -83,7 +83,9 @@
             has_former=lambda incarnations: False,
         )
 
-    def create_pool(self, is_sole: Callable[[], bool] = lambda: False) -> StagePool:
+    def create_pool(
+        self, is_exclusive: Callable[[], bool] = lambda: False
+    ) -> StagePool:
         budgets = SimpleNamespace(
             record_request=lambda service: None,
             count_left=lambda service: 99,
@@ -93,7 +95,7 @@
             WHOLE,
             list_makers=lambda: self.makers,
             find_profile=lambda: PROFILE,
-            is_sole=is_sole,
+            is_exclusive=is_exclusive,
             suspects=DisabledBundleQuarantine(),
             policy=SharedCalls(),
             book=self.book,
