--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -351,7 +351,7 @@
             list_makers=lambda: self.groups.list_makers(group),
             find_profile=lambda: self._find_maker(group.service),
             is_exclusive=lambda: self.ownership.is_exclusive(group),
-            suspects=SharedBundleQuarantine(
+            quarantine=SharedBundleQuarantine(
                 quarantine=self.quarantine, crashes=self.crash_watch, clock=self.clock
             ),
             policy=SharedCalls(),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -65,7 +65,7 @@
         list_makers: Callable[[], Sequence[ListedTarget]],
         find_profile: Callable[[], MakerProfile | None],
         is_exclusive: Callable[[], bool],
-        suspects: BundleQuarantine,
+        quarantine: BundleQuarantine,
         policy: BatchPolicy,
         book: TargetBook,
         links: TargetLinks,
@@ -79,7 +79,7 @@
         self._list_targets = list_makers
         self._find_profile = find_profile
         self._is_exclusive = is_exclusive
-        self._suspects = suspects
+        self._quarantine = quarantine
         self._policy = policy
         self._book = book
         self._clock = clock
@@ -225,16 +225,16 @@
         those beside it.
         """
         views = [maker.view(now) for maker in makers]
-        if not self._suspects.has_any():
+        if not self._quarantine.has_any():
             return self._policy.plan(self._queue.list_ready(), views, profile, now)
         self._drop_held()
         ready = self._queue.list_ready()
-        suspected = [row for row in ready if self._suspects.is_suspect(row[0])]
+        suspected = [row for row in ready if self._quarantine.is_suspect(row[0])]
         for row in suspected:
             calls = self._policy.plan([row], views, profile, now)
             if calls:
                 return calls
-        shared = [row for row in ready if not self._suspects.is_suspect(row[0])]
+        shared = [row for row in ready if not self._quarantine.is_suspect(row[0])]
         return self._policy.plan(shared, views, profile, now)
 
     def _list_makers(self, profile: MakerProfile) -> list[Maker]:
@@ -268,7 +268,7 @@
     def _drop_held(self) -> None:
         """Fail the bundles under which makers have ended."""
         for work in tuple(self._queue):
-            if work.left and self._suspects.is_held(work.bundle):
+            if work.left and self._quarantine.is_held(work.bundle):
                 self._queue.fail(work, PieceFailure.HELD)
 
     # calls
@@ -305,9 +305,9 @@
     def _note_end(self, maker: Maker, call: PlannedCall, end: CallResult) -> None:
         bundles = [bundle for bundle, _ in call.pieces]
         if end.broken:
-            self._suspects.note_broken(maker.target, bundles)
+            self._quarantine.note_broken(maker.target, bundles)
         elif end.results is not None:
-            self._suspects.note_made(maker.target, bundles)
+            self._quarantine.note_made(maker.target, bundles)
 
     def _settle_room(
         self, maker: Maker, call: PlannedCall, end: CallResult, started: float
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -192,7 +192,7 @@
                 list_makers=lambda: groups.list_makers(group),
                 find_profile=lambda: self._find_profile(group.service),
                 is_exclusive=lambda: is_exclusive(group),
-                suspects=DisabledBundleQuarantine(),
+                quarantine=DisabledBundleQuarantine(),
                 policy=self._create_batches(),
                 book=self._book,
                 links=links,
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -49,7 +49,7 @@
         return calls
 
 
-class NamedSuspects(DisabledBundleQuarantine):
+class FakeQuarantine(DisabledBundleQuarantine):
     """Suspects and holds the requests whose names it is given."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
     def __init__(self) -> None:
         self.clock = LoopClock()
         self.policy = CountingPolicy()
-        self.suspects = NamedSuspects()
+        self.quarantine = FakeQuarantine()
         self.results = Results()
         self.maker = Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         listed = (
@@ -89,7 +89,7 @@
             list_makers=lambda: listed,
             find_profile=lambda: PROFILE,
             is_exclusive=lambda: False,
-            suspects=self.suspects,
+            quarantine=self.quarantine,
             policy=self.policy,
             book=SimpleNamespace(
                 list_service=lambda service: listed,
@@ -188,7 +188,7 @@
 
 async def test_bundle_under_which_makers_ended_shares_calls_with_none(world):
     """Guards against sound requests whose calls a suspected one ends."""
-    world.suspects.suspected = {"r3"}
+    world.quarantine.suspected = {"r3"}
     await asyncio.gather(*(world.ask(number) for number in range(8)))
     shared = [call for call in world.policy.calls if "r3" in call]
     assert shared == [{"r3"}]
@@ -197,7 +197,7 @@
 
 async def test_held_bundle_goes_to_no_maker(world):
     """Guards against a maker that ends under a bundle known to end makers."""
-    world.suspects.held = {"r1"}
+    world.quarantine.held = {"r1"}
     held, sound = await asyncio.gather(world.ask(1), world.ask(2))
     assert [one.failure for one in held] == [PieceFailure.HELD]
     assert [one.failure for one in sound] == [None]
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -96,7 +96,7 @@
             list_makers=lambda: self.makers,
             find_profile=lambda: PROFILE,
             is_exclusive=is_exclusive,
-            suspects=DisabledBundleQuarantine(),
+            quarantine=DisabledBundleQuarantine(),
             policy=SharedCalls(),
             book=self.book,
             links=self.links,
