--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -260,7 +260,7 @@
             decisions=self.decisions,
         )
         stages = StageRunner(
-            desk=self.desk,
+            executor=self.desk,
             clock=self.clock,
             decisions=self.decisions,
             data_centre=self.rules.data_centre,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -42,7 +42,7 @@
         *,
         exchange: RelayExchange,
         plan: StagePlan,
-        desk: StageExecutor,
+        executor: StageExecutor,
         fleet: Fleet,
         clock: Clock,
         data_centre: str,
@@ -51,7 +51,7 @@
     ) -> None:
         self._exchange = exchange
         self._plan = plan
-        self._desk = desk
+        self._executor = executor
         self._fleet = fleet
         self._clock = clock
         self._data_centre = data_centre
@@ -78,7 +78,7 @@
         :param held: results of the stages made so far, by stage
         """
         bounds = self.find_bounds()
-        rest = self._plan.estimate_rest(work, self._desk.estimate_wait)
+        rest = self._plan.estimate_rest(work, self._executor.estimate_wait)
         handles = {
             one: tuple(result.handle for result in held[one]) for one in work.after
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -65,7 +65,7 @@
     def __init__(
         self,
         *,
-        desk: StageExecutor,
+        executor: StageExecutor,
         clock: Clock,
         decisions: DecisionLog,
         data_centre: str,
@@ -74,7 +74,7 @@
     ) -> None:
         self.fleet = fleet
         self.book = book
-        self.desk = desk
+        self.executor = executor
         self.clock = clock
         self.decisions = decisions
         self.data_centre = data_centre
@@ -100,7 +100,7 @@
         first_seconds: float,
         whole_seconds: float,
     ) -> None:
-        self._desk = runner.desk
+        self._executor = runner.executor
         self._clock = runner.clock
         self._decisions = runner.decisions
         self._book = runner.book
@@ -109,7 +109,7 @@
         self._bundles = BundleFactory(
             exchange=exchange,
             plan=self._plan,
-            desk=runner.desk,
+            executor=runner.executor,
             fleet=runner.fleet,
             clock=runner.clock,
             data_centre=runner.data_centre,
@@ -125,7 +125,7 @@
 
     def estimate(self) -> ChainEstimate:
         """Return what is expected of the stages, one after the other."""
-        return self._plan.estimate(self._desk.estimate_wait)
+        return self._plan.estimate(self._executor.estimate_wait)
 
     async def execute(self) -> StageResults:
         """Make all stages and return what the target needs.
@@ -270,11 +270,11 @@
         await self._wait_for_others(work)
         if self._book.has_former(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
-        queue = self._desk.estimate_wait(work.service)
+        queue = self._executor.estimate_wait(work.service)
         seconds = queue.urgent + queue.find_seconds(work.seconds)
         self._ends[number] = self._clock.now() + seconds
         bundle = self._bundles.create(work, self._held)
-        results = await self._desk.execute(bundle, lambda: self._note_read(work))
+        results = await self._executor.execute(bundle, lambda: self._note_read(work))
         failed = next((one.failure for one in results if one.failure), None)
         made = tuple(one for one in results if one.failure is None)
         self._held[number] = made
@@ -291,7 +291,7 @@
                 work,
                 self._clock.now(),
                 self._ends,
-                self._desk.estimate_wait,
+                self._executor.estimate_wait,
                 self._bundles.find_bounds(),
                 self._held,
             )
@@ -325,12 +325,12 @@
     def _free_stage(self, number: int) -> None:
         held = self._held.pop(number, ())
         if held:
-            self._desk.free(self._plan.works[number].service, held)
+            self._executor.free(self._plan.works[number].service, held)
 
     def _refuse(self, error: _StageFailedError) -> RefusedError:
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
         code = RefusalCode.OVERLOADED if late else RefusalCode.STAGE_FAILED
-        wait = self._desk.estimate_wait(error.work.service).whole
+        wait = self._executor.estimate_wait(error.work.service).whole
         self._decisions.note(
             "stage-failed",
             request=self._exchange.request.request_id,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -212,7 +212,7 @@
     def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
         fleet = Fleet(book=self._book, data_centre=near, random_source=self._random)
         stages = StageRunner(
-            desk=desk,
+            executor=desk,
             clock=self._clock,
             decisions=Silent(),
             data_centre=centre,
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -95,7 +95,7 @@
 def begin(desk: Desk, counts: tuple[int, ...] = (1, 1, 2, 1)) -> StageRun:
     clock = LoopClock()
     runner = StageRunner(
-        desk=desk,
+        executor=desk,
         clock=clock,
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
