--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -187,7 +187,7 @@
             decisions=self.decisions,
         )
         self.crash_watch = CrashDetector(
-            board=self.crashes,
+            replicator=self.crashes,
             quarantine=self.quarantine,
             book=self.book,
             links=self.links,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -58,7 +58,7 @@
     def __init__(
         self,
         *,
-        board: CrashReportReplicator,
+        replicator: CrashReportReplicator,
         quarantine: Quarantine,
         book: TargetBook,
         links: TargetLinks,
@@ -67,7 +67,7 @@
         decisions: DecisionLog,
     ) -> None:
         super().__init__()
-        self._board = board
+        self._replicator = replicator
         self._quarantine = quarantine
         self._book = book
         self._links = links
@@ -136,7 +136,7 @@
             origin=origin,
             digests=report.digests[:MAX_SHOWN],
         )
-        self._board.publish(report)
+        self._replicator.publish(report)
 
     async def on_stop(self) -> None:
         """Give up what is not confirmed yet."""
