--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -37,7 +37,7 @@
     Those of a maker that has started again are gone, and nothing is sent for them.
 
     :param find_maker: returns what is known of a maker, if it is one of the service's
-    :param note_freed: called once room has become free
+    :param on_freed: called once room has become free
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         service: str,
         *,
         find_maker: Callable[[Incarnation], Maker | None],
-        note_freed: Callable[[], None],
+        on_freed: Callable[[], None],
         book: TargetBook,
         links: TargetLinks,
         codec: TargetCodec,
@@ -54,7 +54,7 @@
     ) -> None:
         self._service = service
         self._find_maker = find_maker
-        self._note_freed = note_freed
+        self._on_freed = on_freed
         self._book = book
         self._links = links
         self._codec = codec
@@ -137,4 +137,4 @@
         # only now: a call that began earlier would still find the room taken
         for handle in handles:
             maker.room.free(handle)
-        self._note_freed()
+        self._on_freed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -100,7 +100,7 @@
             group.service,
             find_maker=self._makers.get,
             book=book,
-            note_freed=self._look,
+            on_freed=self._look,
             links=links,
             codec=codec,
             metrics=metrics,
--- a/tests/test_entry/test_relay/test_freeing.py
+++ b/tests/test_entry/test_relay/test_freeing.py
@@ -46,7 +46,7 @@
     return ResultReleaser(
         "ledger",
         find_maker=lambda incarnation: None,
-        note_freed=lambda: None,
+        on_freed=lambda: None,
         book=TargetBook(),
         links=links,
         codec=ModelCodec(),
