--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
@@ -18,22 +18,22 @@
 __all__ = ("DisabledBundleQuarantine", "BundleQuarantine", "SharedBundleQuarantine")
 
 #: makers that may end under a bundle until it is made in calls of its own
-MAX_ENDED_SHARED = 2
+MAX_SHARED_CRASHES = 2
 
 
 class BundleQuarantine(ABC):
     """What is known of bundles whose calls broke."""
 
     @abstractmethod
-    def note_broken(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
+    def record_disconnect(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         """Take in that a maker broke off a call with pieces of these."""
 
     @abstractmethod
-    def note_made(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
+    def record_success(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         """Take in that a maker answered a call with pieces of these."""
 
     @abstractmethod
-    def has_any(self) -> bool:
+    def has_suspects(self) -> bool:
         """Whether any bundle may be suspected: asked for each call of a maker."""
 
     @abstractmethod
@@ -48,13 +48,13 @@
 class DisabledBundleQuarantine(BundleQuarantine):
     """Trusts every bundle."""
 
-    def note_broken(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
+    def record_disconnect(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         pass
 
-    def note_made(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
+    def record_success(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         pass
 
-    def has_any(self) -> bool:
+    def has_suspects(self) -> bool:
         return False
 
     def is_suspect(self, bundle: Bundle) -> bool:
@@ -78,30 +78,30 @@
         self._crashes = crashes
         self._clock = clock
 
-    def note_broken(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
-        for subject in _list_subjects(bundles):
-            self._crashes.record_disconnect(maker, subject)
+    def record_disconnect(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
+        for key in _list_keys(bundles):
+            self._crashes.record_disconnect(maker, key)
 
-    def note_made(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
-        for subject in _list_subjects(bundles):
-            if self._quarantine.count_ended(subject):
-                self._crashes.record_answer(maker, subject)
+    def record_success(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
+        for key in _list_keys(bundles):
+            if self._quarantine.count_ended(key):
+                self._crashes.record_answer(maker, key)
 
-    def has_any(self) -> bool:
+    def has_suspects(self) -> bool:
         return self._quarantine.has_ends()
 
     def is_suspect(self, bundle: Bundle) -> bool:
-        return self._quarantine.count_ended(_name(bundle)) >= MAX_ENDED_SHARED
+        return self._quarantine.count_ended(_build_key(bundle)) >= MAX_SHARED_CRASHES
 
     def is_held(self, bundle: Bundle) -> bool:
-        subject = _name(bundle)
-        return self._quarantine.find_hold(subject, self._clock.now()) is not None
+        key = _build_key(bundle)
+        return self._quarantine.find_hold(key, self._clock.now()) is not None
 
 
-def _list_subjects(bundles: Iterable[Bundle]) -> set[str]:
+def _list_keys(bundles: Iterable[Bundle]) -> set[str]:
     # peers of earlier releases don't tell a digest
-    return {_name(bundle) for bundle in bundles if bundle.digest}
+    return {_build_key(bundle) for bundle in bundles if bundle.digest}
 
 
-def _name(bundle: Bundle) -> str:
+def _build_key(bundle: Bundle) -> str:
     return f"{bundle.digest}/{bundle.service}"
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
@@ -25,7 +25,7 @@
 __all__ = ("BundleQueue", "QueuedBundle")
 
 #: pieces of one bundle that may be lost by makers until it is given up
-MAX_LOSSES = 60
+MAX_PIECE_FAILURES = 60
 
 
 @dataclass(slots=True, eq=False)
@@ -33,14 +33,14 @@
     """A bundle and how far it has come."""
 
     bundle: Bundle
-    left: list[Piece]
+    pending: list[Piece]
     done: asyncio.Future[tuple[PieceResult, ...]]
-    note_read: Callable[[], None]
+    on_read: Callable[[], None]
     results: dict[int, PieceResult] = field(default_factory=dict)
     #: calls by which each piece went to a maker, by segment
-    sends: dict[int, int] = field(default_factory=dict)
+    attempts: dict[int, int] = field(default_factory=dict)
     #: pieces that makers lost, or failed at
-    losses: int = 0
+    failure_count: int = 0
     withdrawn: bool = False
 
 
@@ -66,37 +66,37 @@
         self._budgets = budgets
         self._metrics = metrics
         #: by the identity of their bundles: two peers may ask for one of the same id
-        self._works: dict[int, QueuedBundle] = {}
+        self._entries: dict[int, QueuedBundle] = {}
 
     def __len__(self) -> int:
-        return len(self._works)
+        return len(self._entries)
 
     def __iter__(self) -> Iterator[QueuedBundle]:
-        return iter(self._works.values())
+        return iter(self._entries.values())
 
-    def add(self, bundle: Bundle, note_read: Callable[[], None]) -> QueuedBundle:
+    def add(self, bundle: Bundle, on_read: Callable[[], None]) -> QueuedBundle:
         """Take in a bundle, of which nothing is made yet."""
         self._budgets.record_request(self._service)
         done = asyncio.get_running_loop().create_future()
-        work = QueuedBundle(bundle, list(bundle.pieces), done, note_read)
-        self._works[id(bundle)] = work
-        return work
+        entry = QueuedBundle(bundle, list(bundle.pieces), done, on_read)
+        self._entries[id(bundle)] = entry
+        return entry
 
     def find(self, bundle: Bundle) -> QueuedBundle | None:
         """Return the work on a bundle, unless that has ended."""
-        return self._works.get(id(bundle))
+        return self._entries.get(id(bundle))
 
     def count_waiting(self) -> int:
         """Return the pieces that are not yet being made."""
-        return sum(len(work.left) for work in self)
+        return sum(len(entry.pending) for entry in self)
 
     def has_waiting(self) -> bool:
         """Whether any piece is not yet being made."""
-        return any(work.left for work in self)
+        return any(entry.pending for entry in self)
 
     def list_waiting(self) -> list[tuple[Bundle, list[Piece]]]:
         """Return the bundles of which pieces wait, each with these."""
-        return [(work.bundle, work.left) for work in self if work.left]
+        return [(entry.bundle, entry.pending) for entry in self if entry.pending]
 
     def list_ready(self) -> list[tuple[Bundle, list[Piece]]]:
         """Return the pieces that may be sent; repeats wait for their budget.
@@ -106,61 +106,61 @@
         """
         repeats = self._budgets.count_left(self._service)
         ready = []
-        for work in self:
-            if not work.left:
+        for entry in self:
+            if not entry.pending:
                 continue
-            if not work.sends:
-                ready.append((work.bundle, list(work.left)))
+            if not entry.attempts:
+                ready.append((entry.bundle, list(entry.pending)))
                 continue
             pieces = []
-            for piece in work.left:
-                if work.sends.get(piece.segment):
+            for piece in entry.pending:
+                if entry.attempts.get(piece.segment):
                     if repeats < 1:
                         continue
                     repeats -= 1
                 pieces.append(piece)
             if pieces:
-                ready.append((work.bundle, pieces))
+                ready.append((entry.bundle, pieces))
         return ready
 
-    def take_out(self, call: PlannedCall) -> None:
+    def dequeue(self, call: PlannedCall) -> None:
         """Take the pieces of a call off those that wait."""
         for bundle, piece in call.pieces:
-            work = self.find(bundle)
-            work.left.remove(piece)
-            sends = work.sends.get(piece.segment, 0)
-            work.sends[piece.segment] = sends + 1
-            if sends:
+            entry = self.find(bundle)
+            entry.pending.remove(piece)
+            attempts = entry.attempts.get(piece.segment, 0)
+            entry.attempts[piece.segment] = attempts + 1
+            if attempts:
                 self._budgets.try_spend(self._service)
 
     def fail_all(self, failure: PieceFailure) -> None:
         """Fail all bundles of which pieces wait."""
-        for work in tuple(self):
-            if work.left:
-                self.fail(work, failure)
+        for entry in tuple(self):
+            if entry.pending:
+                self.fail(entry, failure)
 
-    def drop_lost(self, incarnation: Incarnation) -> None:
+    def discard_results(self, incarnation: Incarnation) -> None:
         """Take in that a maker has started again: what it had made is lost."""
-        for work in tuple(self):
-            self._drop_lost(work, incarnation)
+        for entry in tuple(self):
+            self._discard_results(entry, incarnation)
 
-    def _drop_lost(self, work: QueuedBundle, incarnation: Incarnation) -> None:
-        if work.left and incarnation in work.bundle.input_makers:
-            self.fail(work, PieceFailure.GONE)
+    def _discard_results(self, entry: QueuedBundle, incarnation: Incarnation) -> None:
+        if entry.pending and incarnation in entry.bundle.input_makers:
+            self.fail(entry, PieceFailure.GONE)
             return
-        for piece in work.bundle.pieces:
-            result = work.results.get(piece.segment)
+        for piece in entry.bundle.pieces:
+            result = entry.results.get(piece.segment)
             if result is None or result.maker != incarnation:
                 continue
-            del work.results[piece.segment]
-            work.losses += 1
-            work.left.append(piece)
+            del entry.results[piece.segment]
+            entry.failure_count += 1
+            entry.pending.append(piece)
 
-    def take_results(
+    def apply_result(
         self,
         call: PlannedCall,
-        works: list[QueuedBundle | None],
-        end: CallResult,
+        entries: list[QueuedBundle | None],
+        call_result: CallResult,
     ) -> None:
         """Take in how a call ended.
 
@@ -168,76 +168,80 @@
         """
         unwanted = []
         for index, (_, piece) in enumerate(call.pieces):
-            work = works[index]
-            result = None if end.results is None else end.results[index]
-            if work is None or work.withdrawn or work.done.done():
+            entry = entries[index]
+            result = None if call_result.results is None else call_result.results[index]
+            if entry is None or entry.withdrawn or entry.done.done():
                 if result is not None and result.failure is None:
                     unwanted.append(result)
                 continue
             if result is not None and self._is_lost(result):
                 result = PieceResult(failure=PieceFailure.LOST)
-            self._take_result(work, piece, end.outcome, result)
+            self._apply_piece_result(entry, piece, call_result.outcome, result)
         if unwanted:
             self._free(tuple(unwanted))
 
-    def _take_result(
-        self, work: QueuedBundle, piece: Piece, outcome: str, result: PieceResult | None
+    def _apply_piece_result(
+        self,
+        entry: QueuedBundle,
+        piece: Piece,
+        outcome: str,
+        result: PieceResult | None,
     ) -> None:
         if result is not None and result.failure is None:
-            work.results[piece.segment] = result
-            if len(work.results) == len(work.bundle.pieces):
-                self._finish(work)
+            entry.results[piece.segment] = result
+            if len(entry.results) == len(entry.bundle.pieces):
+                self._finish(entry)
             return
         if result is not None and result.failure is PieceFailure.GONE:
-            self.fail(work, PieceFailure.GONE)
+            self.fail(entry, PieceFailure.GONE)
             return
         if result is not None and result.failure is PieceFailure.LATE:
-            self.fail(work, PieceFailure.LATE)
+            self.fail(entry, PieceFailure.LATE)
             return
         if outcome == UNSENT:
             # no maker has had it
-            work.sends[piece.segment] -= 1
+            entry.attempts[piece.segment] -= 1
         elif outcome != REJECTED and (
             result is None or result.failure is not PieceFailure.ROOM
         ):
-            work.losses += 1
-            if work.losses >= MAX_LOSSES:
-                self.fail(work, PieceFailure.LOST)
+            entry.failure_count += 1
+            if entry.failure_count >= MAX_PIECE_FAILURES:
+                self.fail(entry, PieceFailure.LOST)
                 return
-        if self._book.has_former(work.bundle.input_makers):
+        if self._book.has_former(entry.bundle.input_makers):
             # one of them started again while the piece was at a maker
-            self.fail(work, PieceFailure.GONE)
+            self.fail(entry, PieceFailure.GONE)
             return
-        work.left.append(piece)
+        entry.pending.append(piece)
 
     def _is_lost(self, result: PieceResult) -> bool:
         """Whether a result was made by a maker that has started again since."""
         return result.failure is None and self._book.is_former(result.maker)
 
-    def _finish(self, work: QueuedBundle) -> None:
-        self._take_off(work)
-        ordered = tuple(work.results[piece.segment] for piece in work.bundle.pieces)
-        if not work.done.done():
-            work.done.set_result(ordered)
+    def _finish(self, entry: QueuedBundle) -> None:
+        self._remove(entry)
+        ordered = tuple(entry.results[piece.segment] for piece in entry.bundle.pieces)
+        if not entry.done.done():
+            entry.done.set_result(ordered)
 
-    def fail(self, work: QueuedBundle, failure: PieceFailure) -> None:
+    def fail(self, entry: QueuedBundle, failure: PieceFailure) -> None:
         """End a bundle; those of its results that are there are passed on."""
         self._metrics.count(f"stages.failed.{failure.value}")
-        self._take_off(work)
+        self._remove(entry)
         results = tuple(
-            work.results.get(piece.segment, PieceResult(failure=failure))
-            for piece in work.bundle.pieces
+            entry.results.get(piece.segment, PieceResult(failure=failure))
+            for piece in entry.bundle.pieces
         )
-        if not work.done.done():
-            work.done.set_result(results)
+        if not entry.done.done():
+            entry.done.set_result(results)
 
-    def _take_off(self, work: QueuedBundle) -> None:
-        self._works.pop(id(work.bundle), None)
+    def _remove(self, entry: QueuedBundle) -> None:
+        self._entries.pop(id(entry.bundle), None)
 
-    def withdraw(self, work: QueuedBundle) -> None:
+    def withdraw(self, entry: QueuedBundle) -> None:
         """Take out a bundle that nobody waits for any more."""
-        work.withdrawn = True
-        self._take_off(work)
-        made = tuple(work.results.values())
+        entry.withdrawn = True
+        self._remove(entry)
+        made = tuple(entry.results.values())
         if made:
             self._free(made)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -26,14 +26,14 @@
 
 #: seconds for which requests are gathered that were on the same target: their
 #: connections break in the same moment
-GATHER_SECONDS = 0.05
+COLLECT_SECONDS = 0.05
 #: seconds in which a target that ended has gone from the listing, or is listed with
 #: another start: its entry lapses after three of its heartbeats
 CONFIRM_SECONDS = 5.0
 #: targets that are looked after at the same time
 MAX_SUSPICIONS = 256
 #: digests and targets that a line of the log or the state shows
-MAX_SHOWN = 16
+MAX_LOGGED_ITEMS = 16
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
     digests: dict[str, None] = field(default_factory=dict)
     #: set once the listing tells that it has ended
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    ended: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class CrashDetector(Controller):
@@ -85,8 +85,8 @@
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
             # one that leaves ends as planned, with whatever is left on it
-            leaving = not self._book.accepts(incarnation)
-            if leaving or len(self._suspicions) >= MAX_SUSPICIONS:
+            draining = not self._book.accepts(incarnation)
+            if draining or len(self._suspicions) >= MAX_SUSPICIONS:
                 return
             suspicion = self._suspicions[incarnation] = _Suspicion()
             task = asyncio.create_task(self._confirm(target, suspicion))
@@ -106,9 +106,9 @@
         """Take in that the listing tells of a target's end, or that it leaves."""
         suspicion = self._suspicions.get(incarnation)
         listed = self._book.find_listed(incarnation.target_id)
-        leaves = listed is not None and listed.incarnation == incarnation
-        if suspicion is not None and not leaves:
-            suspicion.gone.set()
+        is_draining = listed is not None and listed.incarnation == incarnation
+        if suspicion is not None and not is_draining:
+            suspicion.ended.set()
 
     async def _confirm(self, target: ListedTarget, suspicion: _Suspicion) -> None:
         incarnation = target.incarnation
@@ -117,8 +117,8 @@
             if not await self._links.is_closed(target.address):
                 origin = "listing"
                 async with asyncio.timeout(CONFIRM_SECONDS):
-                    await suspicion.gone.wait()
-            await asyncio.sleep(GATHER_SECONDS)
+                    await suspicion.ended.wait()
+            await asyncio.sleep(COLLECT_SECONDS)
         except TimeoutError:
             self._metrics.count("targets.broke_and_live")
             return
@@ -134,7 +134,7 @@
             service=target.service,
             address=target.address,
             origin=origin,
-            digests=report.digests[:MAX_SHOWN],
+            digests=report.digests[:MAX_LOGGED_ITEMS],
         )
         self._replicator.publish(report)
 
@@ -146,5 +146,7 @@
 
     def dump(self) -> dict[str, Any]:
         return {
-            "suspected": [str(one) for one in tuple(self._suspicions)[:MAX_SHOWN]],
+            "suspected": [
+                str(one) for one in tuple(self._suspicions)[:MAX_LOGGED_ITEMS]
+            ],
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
@@ -40,25 +40,25 @@
 PREFIX = "greengagelatch/crashes/"
 #: seconds for which one lease serves for further reports. Entries lapse by themselves
 #: this much before they count no more
-LEASE_REUSE = 30.0
+LEASE_REUSE_SECONDS = 30.0
 #: seconds between two tries to write what the store did not take
-WRITE_PAUSE = 1.0
+WRITE_RETRY_SECONDS = 1.0
 #: values that wait to be written, and that are kept for peers
 MAX_UNWRITTEN = 64
-MAX_KEPT = 2048
+MAX_ENTRIES = 2048
 #: values of one answer to a peer
 MAX_ANSWER_ENTRIES = 64
 #: digests that a line of the log or the state shows
-MAX_SHOWN = 16
+MAX_LOGGED_ITEMS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class _Kept:
+class _StoredEntry:
     """A value of the store, for peers that ask."""
 
     revision: int
     value: bytes
-    heard: float
+    received_at: float
 
 
 class CrashReportReplicator(Controller, StoreSubscriber):
@@ -91,20 +91,20 @@
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
-        self._found: list[CrashReport] = []
+        self._pending: list[CrashReport] = []
         self._wake = asyncio.Event()
         #: values to be written, by their keys
         self._unwritten: deque[tuple[str, bytes]] = deque(maxlen=MAX_UNWRITTEN)
-        self._written = 0
+        self._entry_count = 0
         #: keys of those that peers have been told
-        self._told: set[str] = set()
+        self._sent_keys: set[str] = set()
         self._lease_id = ""
-        self._lease_granted = float("-inf")
-        self._kept: OrderedDict[str, _Kept] = OrderedDict()
+        self._lease_granted_at = float("-inf")
+        self._entries: OrderedDict[str, _StoredEntry] = OrderedDict()
         #: revision up to which all reports in the store are known
         self._revision = 0
-        self._held: set[str] = set()
-        peers.handle(CrashesSeen, self._take_seen)
+        self._held_digests: set[str] = set()
+        peers.handle(CrashesSeen, self._receive_reports)
 
     @property
     def revision(self) -> int:
@@ -113,35 +113,35 @@
 
     def publish(self, report: CrashReport) -> None:
         """Take in what this instance found, and tell the others."""
-        self._note((report,))
-        self._found.append(report)
+        self._record((report,))
+        self._pending.append(report)
         self._wake.set()
 
-    def _note(self, reports: Iterable[CrashReport]) -> None:
+    def _record(self, reports: Iterable[CrashReport]) -> None:
         now = self._clock.now()
         for report in reports:
             self._quarantine.note_crash(report, now)
         # an end may also show that another request was not to blame
         suspected = {digest for report in reports for digest in report.digests}
-        for digest in sorted(suspected | self._held):
-            self._note_hold(digest, self._quarantine.find_hold(digest, now))
+        for digest in sorted(suspected | self._held_digests):
+            self._update_hold(digest, self._quarantine.find_hold(digest, now))
 
-    def _note_hold(self, digest: str, seconds: float | None) -> None:
+    def _update_hold(self, digest: str, seconds: float | None) -> None:
         held = seconds is not None
-        if held == (digest in self._held):
+        if held == (digest in self._held_digests):
             return
         if not held:
-            self._held.discard(digest)
+            self._held_digests.discard(digest)
             self._decisions.note_belief("request-released", digest=digest)
             return
-        self._held.add(digest)
+        self._held_digests.add(digest)
         self._metrics.count("requests.held")
         ended = self._quarantine.list_ended(digest)
         self._decisions.note_belief(
             "request-held",
             digest=digest,
             seconds=round(seconds),
-            targets=[str(one) for one in ended[:MAX_SHOWN]],
+            targets=[str(one) for one in ended[:MAX_LOGGED_ITEMS]],
         )
 
     # what is told to other instances
@@ -151,14 +151,14 @@
         while not self.should_stop:
             await self._wake.wait()
             self._wake.clear()
-            while self._found:
+            while self._pending:
                 self._enqueue()
             while self._unwritten:
                 if await self._write(*self._unwritten[0]):
                     self._unwritten.popleft()
                     continue
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(WRITE_PAUSE):
+                    async with asyncio.timeout(WRITE_RETRY_SECONDS):
                         await self._wake.wait()
                 break
             if self._unwritten:
@@ -166,14 +166,14 @@
 
     def _enqueue(self) -> None:
         """Put what was found in line, as one value."""
-        found = tuple(self._found[:MAX_REPORTS])
-        del self._found[:MAX_REPORTS]
-        self._written += 1
-        key = f"{PREFIX}{self._instance_id}/{self._written}"
+        found = tuple(self._pending[:MAX_REPORTS])
+        del self._pending[:MAX_REPORTS]
+        self._entry_count += 1
+        key = f"{PREFIX}{self._instance_id}/{self._entry_count}"
         self._unwritten.append((key, encode_reports(found)))
 
     async def _write(self, key: str, value: bytes) -> bool:
-        lease_id = await self._find_lease()
+        lease_id = await self._ensure_lease()
         if lease_id:
             written = await self._store.swap(key, value, ABSENT, lease_id=lease_id)
             if written.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
@@ -181,48 +181,48 @@
                 return True
         self._lease_id = ""
         self._metrics.count("crashes.unwritten")
-        self._tell_peers()
+        self._send_to_peers()
         return False
 
-    def _tell_peers(self) -> None:
+    def _send_to_peers(self) -> None:
         """Tell the peers beside this instance what the store does not take."""
-        untold = [row for row in self._unwritten if row[0] not in self._told]
-        if not untold:
+        unsent = [row for row in self._unwritten if row[0] not in self._sent_keys]
+        if not unsent:
             return
-        seen = CrashesSeen(tuple(untold))
+        seen = CrashesSeen(tuple(unsent))
         for peer in self._peers.neighbours():
             self._peers.send(peer, seen)
-        self._told = {key for key, _ in self._unwritten}
+        self._sent_keys = {key for key, _ in self._unwritten}
 
-    async def _find_lease(self) -> str:
+    async def _ensure_lease(self) -> str:
         """Return the lease that reports are kept under; empty if there is none."""
         now = self._clock.now()
-        if self._lease_id and now - self._lease_granted < LEASE_REUSE:
+        if self._lease_id and now - self._lease_granted_at < LEASE_REUSE_SECONDS:
             return self._lease_id
         granted = await self._store.grant_lease(HOLD_SECONDS)
         self._lease_id = "" if isinstance(granted, Err) else granted.ok_value.lease_id
-        self._lease_granted = now
+        self._lease_granted_at = now
         return self._lease_id
 
     # what is heard of other instances
 
     def take_scan(self, scan: Scan) -> None:
         for entry in scan.entries:
-            self._take(entry.key, entry.value, entry.revision)
+            self._apply_entry(entry.key, entry.value, entry.revision)
         self._revision = max(self._revision, scan.revision)
 
     def take_changes(self, changes: Changes) -> None:
         # what is removed has lapsed, here as well
         for entry in changes.written:
-            self._take(entry.key, entry.value, entry.revision)
+            self._apply_entry(entry.key, entry.value, entry.revision)
         self._revision = max(self._revision, changes.revision)
 
     def list_newer(self, revision: int) -> tuple[tuple[str, int, bytes], ...]:
         """Return the oldest values after a revision: key, revision and value."""
         rows = sorted(
-            (kept.revision, key, kept.value)
-            for key, kept in self._kept.items()
-            if kept.revision > revision
+            (stored.revision, key, stored.value)
+            for key, stored in self._entries.items()
+            if stored.revision > revision
         )
         return tuple(
             (key, found, value) for found, key, value in rows[:MAX_ANSWER_ENTRIES]
@@ -233,22 +233,22 @@
         for row in rows:
             match row:
                 case (str(key), int(revision), bytes(value)):
-                    self._take(key, value, revision)
+                    self._apply_entry(key, value, revision)
                     self._revision = max(self._revision, revision)
 
-    def _take_seen(self, sender: str, message: CrashesSeen) -> None:
+    def _receive_reports(self, sender: str, message: CrashesSeen) -> None:
         for row in message.rows:
             match row:
                 case (str(key), bytes(value)):
-                    self._take(key, value, 0)
+                    self._apply_entry(key, value, 0)
 
-    def _take(self, key: str, value: bytes, revision: int) -> None:
-        known = self._kept.get(key)
+    def _apply_entry(self, key: str, value: bytes, revision: int) -> None:
+        known = self._entries.get(key)
         if known is not None and known.revision >= revision:
             return
-        heard = self._clock.now() if known is None else known.heard
-        self._kept[key] = _Kept(revision, value, heard)
-        self._drop_old()
+        received_at = self._clock.now() if known is None else known.received_at
+        self._entries[key] = _StoredEntry(revision, value, received_at)
+        self._evict_expired()
         if known is not None:
             return
         try:
@@ -259,23 +259,25 @@
                 "crash-report-unreadable", key=key, reason=str(error)
             )
             return
-        self._note(reports)
+        self._record(reports)
 
-    def _drop_old(self) -> None:
-        horizon = self._clock.now() - HOLD_SECONDS
-        while self._kept:
-            key, oldest = next(iter(self._kept.items()))
-            if oldest.heard >= horizon and len(self._kept) <= MAX_KEPT:
+    def _evict_expired(self) -> None:
+        cutoff = self._clock.now() - HOLD_SECONDS
+        while self._entries:
+            key, oldest = next(iter(self._entries.items()))
+            if oldest.received_at >= cutoff and len(self._entries) <= MAX_ENTRIES:
                 return
-            del self._kept[key]
+            del self._entries[key]
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
-        holds = {one: self._quarantine.find_hold(one, now) for one in self._held}
+        holds = {
+            one: self._quarantine.find_hold(one, now) for one in self._held_digests
+        }
         held = {one: round(left) for one, left in holds.items() if left is not None}
         return {
-            "held": dict(sorted(held.items())[:MAX_SHOWN]),
+            "held": dict(sorted(held.items())[:MAX_LOGGED_ITEMS]),
             "held_count": len(held),
-            "values_known": len(self._kept),
+            "values_known": len(self._entries),
             "values_unwritten": len(self._unwritten),
         }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -91,34 +91,36 @@
         self._random = random_source
         self._metrics = metrics
         self._decisions = decisions
-        self._words = QueueWaitReports(peers=peers, clock=clock)
+        self._reports = QueueWaitReports(peers=peers, clock=clock)
         #: owner by handle, for results that are not freed yet
-        self._makers_owner: dict[str, str] = {}
+        self._result_owners: dict[str, str] = {}
         #: what to call once the inputs of a bundle are read, by owner and bundle id
-        self._asked: dict[tuple[str, str], Callable[[], None]] = {}
+        self._read_callbacks: dict[tuple[str, str], Callable[[], None]] = {}
         #: bundles of peers in work, by peer and bundle id
-        self._in_work: dict[tuple[str, str], asyncio.Task[Any]] = {}
-        peers.handle(PiecesWanted, self._answer_wanted)
-        peers.handle(PiecesDropped, self._take_dropped)
-        peers.handle(PiecesRead, self._take_read)
-        peers.handle(ResultsFreed, self._take_freed)
-        peers.handle(StageWaits, self._take_waits)
+        self._in_progress: dict[tuple[str, str], asyncio.Task[Any]] = {}
+        peers.handle(PiecesWanted, self._handle_wanted)
+        peers.handle(PiecesDropped, self._handle_dropped)
+        peers.handle(PiecesRead, self._handle_read)
+        peers.handle(ResultsFreed, self._handle_freed)
+        peers.handle(StageWaits, self._handle_waits)
 
     async def execute(
-        self, bundle: Bundle, note_read: Callable[[], None]
+        self, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
-        results = await self._make_in(self._choose_group(bundle), bundle, note_read)
-        if results is None or _lack_maker(results):
-            near = self._groups.find_local_group(bundle.service, self._data_centre)
-            results = await self._make_in(near, bundle, note_read)
+        results = await self._execute_in(self._choose_group(bundle), bundle, on_read)
+        if results is None or _lack_makers(results):
+            local_group = self._groups.find_local_group(
+                bundle.service, self._data_centre
+            )
+            results = await self._execute_in(local_group, bundle, on_read)
             if results is None:
-                results = await self._local.execute_in(near, bundle, note_read)
+                results = await self._local.execute_in(local_group, bundle, on_read)
         return results
 
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
         by_owner: dict[str, list[PieceResult]] = {}
         for result in results:
-            owner = self._makers_owner.pop(result.handle, "")
+            owner = self._result_owners.pop(result.handle, "")
             by_owner.setdefault(owner, []).append(result)
         for owner, freed in by_owner.items():
             message = ResultsFreed(service, encode_results(tuple(freed)))
@@ -127,9 +129,11 @@
 
     def estimate_wait(self, service: str) -> QueueWait:
         views = self._list_views(service)
-        near = [one for one in views if one.group.data_centre == self._data_centre]
+        local_group = [
+            one for one in views if one.group.data_centre == self._data_centre
+        ]
         # the near one unless another is shorter: where a bundle would most likely go
-        return min(near + views, key=lambda one: one.wait.urgent).wait
+        return min(local_group + views, key=lambda one: one.wait.urgent).wait
 
     async def wait_idle(self, timeout: float) -> bool:
         """Wait at most ``timeout`` seconds until no bundle of a peer is in work.
@@ -137,21 +141,21 @@
         Peers ask others for new ones as soon as they know that this instance leaves;
         those that it has would have to be made again.
         """
-        if not self._in_work:
+        if not self._in_progress:
             return True
-        _, left = await asyncio.wait(tuple(self._in_work.values()), timeout=timeout)
+        _, left = await asyncio.wait(tuple(self._in_progress.values()), timeout=timeout)
         return not left
 
     async def on_stop(self) -> None:
-        for task in tuple(self._in_work.values()):
+        for task in tuple(self._in_progress.values()):
             task.cancel()
-        await asyncio.gather(*self._in_work.values(), return_exceptions=True)
+        await asyncio.gather(*self._in_progress.values(), return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
         return {
             **self._ownership.dump(),
-            "bundles_of_peers": len(self._in_work),
-            "results_held": len(self._makers_owner),
+            "bundles_of_peers": len(self._in_progress),
+            "results_held": len(self._result_owners),
         }
 
     # groups
@@ -171,37 +175,41 @@
         """
         groups = self._groups.list_groups(service)
         if len(groups) > 1:
-            places = {one.data_centre for one in self._ownership.list_candidates()}
-            groups = [one for one in groups if one.data_centre in places] or groups
+            live_data_centres = {
+                one.data_centre for one in self._ownership.list_candidates()
+            }
+            groups = [
+                one for one in groups if one.data_centre in live_data_centres
+            ] or groups
         return [self._view(group) for group in groups]
 
     def _view(self, group: MakerGroup) -> GroupView:
         if self._ownership.owns(group):
             wait = self._local.estimate_wait_in(group)
         else:
-            wait = self._words.find(group)
+            wait = self._reports.find_wait(group)
         return GroupView(group, wait)
 
     # as one that asks
 
-    async def _make_in(
-        self, group: MakerGroup, bundle: Bundle, note_read: Callable[[], None]
+    async def _execute_in(
+        self, group: MakerGroup, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...] | None:
         """Return the results of a group's makers; ``None`` if no owner answers."""
         owner = next(iter(self._ownership.rank(group)), self._peers.instance_id)
         if owner == self._peers.instance_id:
-            return await self._local.execute_in(group, bundle, note_read)
-        return await self._ask(owner, group, bundle, note_read)
+            return await self._local.execute_in(group, bundle, on_read)
+        return await self._forward(owner, group, bundle, on_read)
 
-    async def _ask(
+    async def _forward(
         self,
         owner: str,
         group: MakerGroup,
         bundle: Bundle,
-        note_read: Callable[[], None],
+        on_read: Callable[[], None],
     ) -> tuple[PieceResult, ...] | None:
-        place = (owner, bundle.bundle_id)
-        self._asked[place] = note_read
+        bundle_key = (owner, bundle.bundle_id)
+        self._read_callbacks[bundle_key] = on_read
         try:
             reply = await self._send(owner, group, bundle)
             if isinstance(reply, Err) and reply.err_value.cut:
@@ -213,20 +221,20 @@
             self._peers.send(owner, PiecesDropped(bundle.bundle_id))
             raise
         finally:
-            del self._asked[place]
+            del self._read_callbacks[bundle_key]
         if isinstance(reply, Err):
-            self._note_lost(owner, group, bundle, reply.err_value.message)
+            self._record_owner_failure(owner, group, bundle, reply.err_value.message)
             return None
         answer = reply.ok_value
         results = None
         if isinstance(answer, PiecesMade):
             results = decode_results(answer.results, len(bundle.pieces))
         if results is None:
-            self._note_lost(owner, group, bundle, "answer can't be read")
+            self._record_owner_failure(owner, group, bundle, "answer can't be read")
             return None
         for result in results:
             if result.failure is None:
-                self._makers_owner[result.handle] = owner
+                self._result_owners[result.handle] = owner
         return results
 
     async def _send(
@@ -236,7 +244,7 @@
         timeout = max(0.0, bundle.latest - now) + ANSWER_MARGIN
         return await self._peers.ask(owner, encode_bundle(bundle, group, now), timeout)
 
-    def _note_lost(
+    def _record_owner_failure(
         self, owner: str, group: MakerGroup, bundle: Bundle, reason: str
     ) -> None:
         self._metrics.count("stages.owner_lost")
@@ -252,23 +260,23 @@
 
     # as an owner
 
-    async def _answer_wanted(self, sender: str, message: PiecesWanted) -> PiecesMade:
+    async def _handle_wanted(self, sender: str, message: PiecesWanted) -> PiecesMade:
         bundle = decode_bundle(message, self._clock.now())
-        self._words.note_asker(sender)
-        place = (sender, bundle.bundle_id)
-        task = self._in_work.get(place)
+        self._reports.add_subscriber(sender)
+        bundle_key = (sender, bundle.bundle_id)
+        task = self._in_progress.get(bundle_key)
         if task is None:
-            note_read = partial(self._peers.send, sender, PiecesRead(bundle.bundle_id))
-            group = self._find_wanted(bundle.service, message.group)
-            making = self._local.execute_in(group, bundle, note_read)
+            on_read = partial(self._peers.send, sender, PiecesRead(bundle.bundle_id))
+            group = self._find_requested_group(bundle.service, message.group)
+            making = self._local.execute_in(group, bundle, on_read)
             task = asyncio.ensure_future(making)
-            self._in_work[place] = task
-            task.add_done_callback(partial(self._forget, place))
+            self._in_progress[bundle_key] = task
+            task.add_done_callback(partial(self._remove_finished, bundle_key))
         # shielded: the same bundle may be asked for again over another link
         results = await asyncio.shield(task)
         return PiecesMade(encode_results(results))
 
-    def _find_wanted(self, service: str, data_centre: str) -> MakerGroup:
+    def _find_requested_group(self, service: str, data_centre: str) -> MakerGroup:
         """Return the group that a peer means.
 
         One that has just started knows too few others to see makers divided, and would
@@ -280,41 +288,43 @@
                 return own
         return MakerGroup(service, data_centre)
 
-    def _forget(self, place: tuple[str, str], task: asyncio.Task[Any]) -> None:
+    def _remove_finished(
+        self, bundle_key: tuple[str, str], task: asyncio.Task[Any]
+    ) -> None:
         """Take out a bundle that has ended, unless it was asked for again."""
-        if self._in_work.get(place) is task:
-            del self._in_work[place]
+        if self._in_progress.get(bundle_key) is task:
+            del self._in_progress[bundle_key]
 
     @Service.task
-    async def _tell_forever(self) -> None:
+    async def _publish_forever(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(self._words.find_interval())
+            await asyncio.sleep(self._reports.find_interval())
             # who comes and goes is noted in quiet times as well
             self._ownership.list_candidates()
-            self._words.tell(self._local.list_waits())
+            self._reports.publish(self._local.list_waits())
 
-    def _take_waits(self, sender: str, message: StageWaits) -> None:
-        for group, wait in self._words.take(message):
+    def _handle_waits(self, sender: str, message: StageWaits) -> None:
+        for group, wait in self._reports.decode(message):
             if self._ownership.rank(group)[:1] == (sender,):
-                self._words.keep(group, wait)
+                self._reports.store(group, wait)
 
-    def _take_dropped(self, sender: str, message: PiecesDropped) -> None:
+    def _handle_dropped(self, sender: str, message: PiecesDropped) -> None:
         # taken out at once: the stage may be asked for again in the same moment, and
         # would wait for what is being cancelled
-        task = self._in_work.pop((sender, message.bundle_id), None)
+        task = self._in_progress.pop((sender, message.bundle_id), None)
         if task is not None:
             task.cancel()
 
-    def _take_read(self, sender: str, message: PiecesRead) -> None:
-        note_read = self._asked.get((sender, message.bundle_id))
-        if note_read is not None:
-            note_read()
+    def _handle_read(self, sender: str, message: PiecesRead) -> None:
+        on_read = self._read_callbacks.get((sender, message.bundle_id))
+        if on_read is not None:
+            on_read()
 
-    def _take_freed(self, sender: str, message: ResultsFreed) -> None:
+    def _handle_freed(self, sender: str, message: ResultsFreed) -> None:
         results = decode_results(message.results, len(message.results))
         if results is not None:
             self._local.free(message.service, results)
 
 
-def _lack_maker(results: tuple[PieceResult, ...]) -> bool:
+def _lack_makers(results: tuple[PieceResult, ...]) -> bool:
     return all(one.failure is PieceFailure.NO_MAKER for one in results)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch_timer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch_timer.py
@@ -21,15 +21,15 @@
     :param note_fetched: called then, unless the send has ended before
     """
 
-    def __init__(self, note_fetched: Callable[[], None]) -> None:
-        self._note_fetched = note_fetched
+    def __init__(self, on_fetched: Callable[[], None]) -> None:
+        self._on_fetched = on_fetched
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, allowed: bool) -> bool:
         """Take in that the request is written now, if it is allowed; return that."""
         if allowed and self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(FETCH_SECONDS, self._note_fetched)
+            self._timer = loop.call_later(FETCH_SECONDS, self._on_fetched)
         return allowed
 
     def cancel(self) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -45,15 +45,15 @@
         self._pools: dict[MakerGroup, StagePool] = {}
 
     async def execute(
-        self, bundle: Bundle, note_read: Callable[[], None]
+        self, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
-        return await self.execute_in(MakerGroup(bundle.service), bundle, note_read)
+        return await self.execute_in(MakerGroup(bundle.service), bundle, on_read)
 
     async def execute_in(
-        self, group: MakerGroup, bundle: Bundle, note_read: Callable[[], None]
+        self, group: MakerGroup, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Have a bundle made by the makers of a group."""
-        return await self.find_pool(group).execute(bundle, note_read)
+        return await self.find_pool(group).execute(bundle, on_read)
 
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
         by_group: dict[MakerGroup, list[PieceResult]] = {}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -19,7 +19,14 @@
     from .makers import Maker
     from .messages import AnswerHead
 
-__all__ = ("ANSWERED", "MADE", "REJECTED", "UNSENT", "CallResult", "MakerCaller")
+__all__ = (
+    "MADE",
+    "REJECTED",
+    "SETTLED_OUTCOMES",
+    "UNSENT",
+    "CallResult",
+    "MakerCaller",
+)
 
 #: bytes of an answer to a call
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
@@ -31,7 +38,7 @@
 REJECTED = "rejected"
 TIMED_OUT = "timeout"
 #: how calls end of which nothing is left at the maker but what the answer names
-ANSWERED = frozenset({MADE, UNSENT, REJECTED})
+SETTLED_OUTCOMES = frozenset({MADE, UNSENT, REJECTED})
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +63,7 @@
         self._clock = clock
 
     async def call(
-        self, maker: Maker, call: PlannedCall, allowed: float, started: float
+        self, maker: Maker, call: PlannedCall, call_timeout: float, started: float
     ) -> CallResult:
         """Make a call; the maker learns from how it ends.
 
@@ -65,27 +72,27 @@
         """
         count = len(call.pieces)
         try:
-            async with asyncio.timeout(allowed):
-                head, body = await self._exchange(maker, call, allowed, started)
+            async with asyncio.timeout(call_timeout):
+                head, body = await self._exchange(maker, call, call_timeout, started)
         except NotSentError:
             if self._may_send(maker, call):
-                maker.note_failure(self._clock.now())
+                maker.record_failure(self._clock.now())
             else:
                 # not its doing: what the pieces read was lost meanwhile
                 maker.calls -= 1
             return CallResult(UNSENT)
         except TimeoutError:
-            maker.note_timeout(count, started, self._clock.now())
+            maker.record_timeout(count, started, self._clock.now())
             return CallResult(TIMED_OUT)
         except LinkError as error:
-            return self._note_lost(maker, count, allowed, started, error)
+            return self._record_link_error(maker, count, call_timeout, started, error)
         except asyncio.CancelledError:
             maker.calls -= 1
             raise
-        return self._judge(maker, head, body, count, started)
+        return self._process_answer(maker, head, body, count, started)
 
     async def _exchange(
-        self, maker: Maker, call: PlannedCall, allowed: float, started: float
+        self, maker: Maker, call: PlannedCall, call_timeout: float, started: float
     ) -> tuple[AnswerHead, bytes]:
         target = maker.target
         pieces = tuple(piece for _, piece in call.pieces)
@@ -98,7 +105,7 @@
             outbound=self._codec.encode_pieces(pieces, remaining, target.incarnation),
             # a late second answer could be taken for this call's
             fresh=True,
-            timeout=allowed,
+            timeout=call_timeout,
             may_send=lambda: self._may_send(maker, call),
         )
         try:
@@ -115,38 +122,38 @@
             self._book.has_former(bundle.input_makers) for bundle, _ in call.pieces
         )
 
-    def _note_lost(
+    def _record_link_error(
         self,
         maker: Maker,
         count: int,
-        allowed: float,
+        call_timeout: float,
         started: float,
         error: LinkError,
     ) -> CallResult:
         now = self._clock.now()
-        if now - started >= allowed:
-            maker.note_timeout(count, started, now)
+        if now - started >= call_timeout:
+            maker.record_timeout(count, started, now)
         else:
-            maker.note_failure(now)
+            maker.record_failure(now)
         return CallResult(str(error), broken=error.broken)
 
-    def _judge(
+    def _process_answer(
         self, maker: Maker, head: AnswerHead, body: bytes, count: int, started: float
     ) -> CallResult:
         now = self._clock.now()
         if head.misdirected:
             # whoever has the address now has had the call: the next one is a repeat
-            maker.note_failure(now)
+            maker.record_failure(now)
             return CallResult(REJECTED)
         if head.not_run:
-            maker.note_rejection(now)
+            maker.record_rejection(now)
             return CallResult(REJECTED)
         results = None
         if head.status == STATUS_OK:
             results = self._codec.read_pieces(body, count, maker.target)
         if results is None:
-            maker.note_failure(now)
+            maker.record_failure(now)
             return CallResult(f"status {head.status}")
         made = any(result.failure is None for result in results)
-        maker.note_end(count, started, now, made=made)
+        maker.record_completion(count, started, now, made=made)
         return CallResult(MADE, results)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -15,19 +15,19 @@
 __all__ = ("Maker",)
 
 #: weight of one call in a maker's slowness
-WEIGHT = 0.5
+EWMA_WEIGHT = 0.5
 #: seconds in which half of what is known of a maker's slowness is forgotten
-HALF_LIFE = 2.0
+SLOWNESS_HALF_LIFE = 2.0
 #: time allowed for a call, as a multiple of the expected one, and in seconds
-CALL_FACTOR = 2.0
-CALL_EXTRA = 0.35
+CALL_TIMEOUT_FACTOR = 2.0
+CALL_MARGIN = 0.35
 #: seconds for which a maker whose answer was lost may lose others
-LOSS_LIFE = 5.0
+RECENT_FAILURE_SECONDS = 5.0
 #: slowness that is believed at the most
 MAX_SLOWNESS = 10.0
 #: seconds for which a maker that failed gets no call: first, and at the most
-FIRST_PAUSE = 0.25
-LONGEST_PAUSE = 3.0
+INITIAL_BACKOFF = 0.25
+MAX_BACKOFF = 3.0
 
 
 @dataclass(slots=True)
@@ -40,19 +40,19 @@
     calls: int = 0
     #: expected end of the call in progress
     busy_until: float = 0.0
-    paused_until: float = 0.0
-    _pause: float = FIRST_PAUSE
+    backoff_until: float = 0.0
+    _backoff: float = INITIAL_BACKOFF
     _slowness: float = 1.0
-    _measured: float = 0.0
-    _lost: float = float("-inf")
+    _measured_at: float = 0.0
+    _failed_at: float = float("-inf")
 
     def is_idle(self, now: float) -> bool:
         """Whether it can begin a call at once."""
-        return self.calls < self.profile.slots and self.paused_until <= now
+        return self.calls < self.profile.slots and self.backoff_until <= now
 
     def view(self, now: float) -> MakerView:
         """Return the maker as decisions see it."""
-        free_at = max(self.paused_until, 0.0)
+        free_at = max(self.backoff_until, 0.0)
         if self.calls >= self.profile.slots:
             # a call that overruns may end at any moment
             free_at = max(free_at, self.busy_until, now + 0.02)
@@ -66,17 +66,17 @@
 
     def find_slowness(self, now: float) -> float:
         """Return how much longer than expected its calls take."""
-        faded = 0.5 ** ((now - self._measured) / HALF_LIFE)
-        return 1.0 + (self._slowness - 1.0) * faded
+        decay = 0.5 ** ((now - self._measured_at) / SLOWNESS_HALF_LIFE)
+        return 1.0 + (self._slowness - 1.0) * decay
 
-    def begin(self, items: int, now: float) -> float:
+    def start_call(self, items: int, now: float) -> float:
         """Count a call that begins; return the seconds it is allowed."""
         expected = self.profile.estimate_seconds(items) * self.find_slowness(now)
         self.calls += 1
         self.busy_until = now + expected
-        return expected * CALL_FACTOR + CALL_EXTRA
+        return expected * CALL_TIMEOUT_FACTOR + CALL_MARGIN
 
-    def note_end(
+    def record_completion(
         self, items: int, started: float, now: float, *, made: bool = True
     ) -> None:
         """Take in a call that was answered.
@@ -84,46 +84,48 @@
         :param made: whether the maker made any of its pieces
         """
         self.calls -= 1
-        self._pause = FIRST_PAUSE
+        self._backoff = INITIAL_BACKOFF
         ratio = (now - started) / self.profile.estimate_seconds(items)
         if not made and ratio < self.find_slowness(now):
             # nothing was to be made: a maker at which pieces fail would seem fast,
             # and be given more of them
             return
-        self._note_ratio(ratio, now)
+        self._update_slowness(ratio, now)
 
-    def note_timeout(self, items: int, started: float, now: float) -> None:
+    def record_timeout(self, items: int, started: float, now: float) -> None:
         """Take in a call that was given up: it is slower than it was allowed."""
         self.calls -= 1
-        self._lost = now
-        self._note_ratio((now - started) / self.profile.estimate_seconds(items), now)
-        self._measured = now
+        self._failed_at = now
+        self._update_slowness(
+            (now - started) / self.profile.estimate_seconds(items), now
+        )
+        self._measured_at = now
         self._slowness = max(self._slowness, 3.0)
-        self.pause(now)
+        self.back_off(now)
 
-    def lost_lately(self, now: float) -> bool:
+    def failed_recently(self, now: float) -> bool:
         """Whether answers of this maker were lost in the last few seconds."""
-        return now - self._lost < LOSS_LIFE
+        return now - self._failed_at < RECENT_FAILURE_SECONDS
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take in a call that broke off or did not reach it."""
         self.calls -= 1
-        self._lost = now
-        self.pause(now)
+        self._failed_at = now
+        self.back_off(now)
 
-    def note_rejection(self, now: float) -> None:
+    def record_rejection(self, now: float) -> None:
         """Take in that it is busy with the calls of others."""
         self.calls -= 1
         self.room.note_refusal(now)
-        self.pause(now)
+        self.back_off(now)
 
-    def pause(self, now: float) -> None:
+    def back_off(self, now: float) -> None:
         """Give it nothing for a while, longer each time in a row."""
-        self.paused_until = now + self._pause
-        self._pause = min(LONGEST_PAUSE, self._pause * 2)
+        self.backoff_until = now + self._backoff
+        self._backoff = min(MAX_BACKOFF, self._backoff * 2)
 
-    def _note_ratio(self, ratio: float, now: float) -> None:
+    def _update_slowness(self, ratio: float, now: float) -> None:
         current = self.find_slowness(now)
         ratio = min(MAX_SLOWNESS, max(0.5, ratio))
-        self._slowness = current + (ratio - current) * WEIGHT
-        self._measured = now
+        self._slowness = current + (ratio - current) * EWMA_WEIGHT
+        self._measured_at = now
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -18,7 +18,7 @@
 
 #: seconds for which an owner that did not answer is passed over; the membership
 #: has noticed by then whether it is gone
-SHUNNED_SECONDS = 1.5
+EXCLUSION_SECONDS = 1.5
 #: seconds for which a suspected instance may still own stage work: one that lives has
 #: refuted it by then, and one that is gone fails its links at the first question
 SUSPICION_SECONDS = 0.5
@@ -42,7 +42,7 @@
         self._peers = peers
         self._clock = clock
         self._decisions = decisions
-        self._shunned: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
         #: members that are suspected, and since when
         self._suspected: dict[str, float] = {}
         self._candidates: tuple[Member, ...] = ()
@@ -52,13 +52,13 @@
         #: since when this instance has been the owner, by group
         self._owner_since: dict[MakerGroup, float] = {}
         #: since when the candidates have been the same
-        self._unchanged_since = clock.now()
+        self._stable_since = clock.now()
 
     def rank(self, group: MakerGroup) -> tuple[str, ...]:
         """Return who may own a group, its owner first."""
         candidates = self.list_candidates()
         if group not in self._ranked:
-            self._rank_anew(group, candidates)
+            self._update_ranking(group, candidates)
         return self._ranked[group]
 
     def owns(self, group: MakerGroup) -> bool:
@@ -84,7 +84,7 @@
 
     def exclude(self, owner: str) -> None:
         """Pass an owner over for a while that did not answer."""
-        self._shunned[owner] = self._clock.now() + SHUNNED_SECONDS
+        self._excluded_until[owner] = self._clock.now() + EXCLUSION_SECONDS
         self._candidates_until = 0.0
 
     def list_candidates(self) -> tuple[Member, ...]:
@@ -93,49 +93,52 @@
         if now < self._candidates_until:
             return self._candidates
         self._candidates_until = now + MEMBERS_CACHE_SECONDS
-        for owner, until in tuple(self._shunned.items()):
+        for owner, until in tuple(self._excluded_until.items()):
             if until <= now:
-                del self._shunned[owner]
+                del self._excluded_until[owner]
         before = {one.instance_id: one.capacity for one in self._candidates}
         # this instance by the same rule: peers of one that leaves ask the next owner
         # already, and two that fill calls to the same makers are in each other's way
         self._candidates = tuple(
             member
             for member in self._peers.members()
-            if member.instance_id not in self._shunned and self._may_own(member, now)
+            if member.instance_id not in self._excluded_until
+            and self._may_own(member, now)
         )
         after = {one.instance_id: one.capacity for one in self._candidates}
         if after != before:
-            self._unchanged_since = now
+            self._stable_since = now
             # at once: who owns a group only in between has calls at its makers too
             for group in tuple(self._ranked):
-                self._rank_anew(group, self._candidates)
+                self._update_ranking(group, self._candidates)
             self._decisions.note_belief(
                 "instances",
                 gone=sorted(set(before) - set(after)),
                 come=sorted(set(after) - set(before)),
-                shunned=sorted(self._shunned),
+                shunned=sorted(self._excluded_until),
             )
         return self._candidates
 
     def find_stable_seconds(self) -> float:
         """Return the seconds for which the candidates have been the same."""
         self.list_candidates()
-        return self._clock.now() - self._unchanged_since
+        return self._clock.now() - self._stable_since
 
     def dump(self) -> dict[str, Any]:
         """Return the state as JSON-compatible values."""
         return {
             "instances": [one.instance_id for one in self.list_candidates()],
             "unchanged_seconds": round(self.find_stable_seconds(), 1),
-            "shunned": list(self._shunned),
+            "shunned": list(self._excluded_until),
             "owners": {
                 str(group): next(iter(ranked), "")
                 for group, ranked in self._ranked.items()
             },
         }
 
-    def _rank_anew(self, group: MakerGroup, candidates: tuple[Member, ...]) -> None:
+    def _update_ranking(
+        self, group: MakerGroup, candidates: tuple[Member, ...]
+    ) -> None:
         ranked = self._ranked[group] = rank_owners(group, candidates)
         if ranked[:1] == (self._peers.instance_id,):
             self._owner_since.setdefault(group, self._clock.now())
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_wait_reports.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_wait_reports.py
@@ -15,15 +15,15 @@
 __all__ = ("QueueWaitReports",)
 
 #: seconds for which an owner's word about its queue counts
-WAIT_LIFE = 0.6
+REPORT_TTL = 0.6
 #: seconds between two words about queues, and the least wait worth a word
-TELL_INTERVAL = 0.15
-LEAST_TOLD = 0.05
+REPORT_INTERVAL = 0.15
+MIN_REPORTED_WAIT = 0.05
 #: words a second that an instance sends at the most: with hundreds that ask, each
 #: hears less often
-MOST_WORDS = 500.0
+MAX_REPORTS_PER_SECOND = 500.0
 #: seconds for which a peer that asked is told of queues
-ASKER_LIFE = 10.0
+SUBSCRIPTION_SECONDS = 10.0
 
 
 class QueueWaitReports:
@@ -38,36 +38,38 @@
         #: what owners told of their queues, and when
         self._waits: dict[MakerGroup, tuple[QueueWait, float]] = {}
         #: peers that asked lately, and until when they are told of queues
-        self._askers: dict[str, float] = {}
-        self._told: set[MakerGroup] = set()
+        self._subscribers: dict[str, float] = {}
+        self._reported: set[MakerGroup] = set()
 
-    def note_asker(self, instance_id: str) -> None:
+    def add_subscriber(self, instance_id: str) -> None:
         """Take in that a peer asks for stage work."""
-        self._askers[instance_id] = self._clock.now() + ASKER_LIFE
+        self._subscribers[instance_id] = self._clock.now() + SUBSCRIPTION_SECONDS
 
     def find_interval(self) -> float:
         """Return the seconds until peers are to be told again."""
-        return max(TELL_INTERVAL, len(self._askers) / MOST_WORDS)
+        return max(REPORT_INTERVAL, len(self._subscribers) / MAX_REPORTS_PER_SECOND)
 
-    def tell(self, waits: list[tuple[MakerGroup, QueueWait]]) -> None:
+    def publish(self, waits: list[tuple[MakerGroup, QueueWait]]) -> None:
         """Tell those that asked lately how long this instance's queues are."""
         now = self._clock.now()
-        for asker, until in tuple(self._askers.items()):
+        for subscriber, until in tuple(self._subscribers.items()):
             if until <= now:
-                del self._askers[asker]
+                del self._subscribers[subscriber]
         rows = [
             (group, wait)
             for group, wait in waits
-            if wait.whole >= LEAST_TOLD or group in self._told
+            if wait.whole >= MIN_REPORTED_WAIT or group in self._reported
         ]
-        self._told = {group for group, wait in rows if wait.whole >= LEAST_TOLD}
+        self._reported = {
+            group for group, wait in rows if wait.whole >= MIN_REPORTED_WAIT
+        }
         if not rows:
             return
         message = _encode(rows)
-        for asker in self._askers:
-            self._peers.send(asker, message)
+        for subscriber in self._subscribers:
+            self._peers.send(subscriber, message)
 
-    def take(self, message: StageWaits) -> list[tuple[MakerGroup, QueueWait]]:
+    def decode(self, message: StageWaits) -> list[tuple[MakerGroup, QueueWait]]:
         """Return what a peer tells of its queues; it counts once it is kept."""
         former = [
             (MakerGroup(service), QueueWait(*waits))
@@ -79,14 +81,14 @@
         ]
         return former + queues
 
-    def keep(self, group: MakerGroup, wait: QueueWait) -> None:
+    def store(self, group: MakerGroup, wait: QueueWait) -> None:
         """Keep the word of a group's owner."""
         self._waits[group] = (wait, self._clock.now())
 
-    def find(self, group: MakerGroup) -> QueueWait:
+    def find_wait(self, group: MakerGroup) -> QueueWait:
         """Return what a group's owner told; no wait if it told nothing of late."""
-        wait, told = self._waits.get(group, (QueueWait(), 0.0))
-        if self._clock.now() - told > WAIT_LIFE:
+        wait, received_at = self._waits.get(group, (QueueWait(), 0.0))
+        if self._clock.now() - received_at > REPORT_TTL:
             return QueueWait()
         return wait
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -23,11 +23,11 @@
 __all__ = ("ResultReleaser",)
 
 #: seconds for which results to be freed are gathered
-FREE_DELAY = 0.01
+FREE_BATCH_SECONDS = 0.01
 FREE_TIMEOUT = 1.0
 #: seconds for which a stop waits for these; they take a few milliseconds, and a stop
 #: has less than a second left when it comes to them
-CLOSE_SECONDS = 0.2
+CLOSE_TIMEOUT = 0.2
 MAX_ANSWER_BYTES = 64 * 1024
 
 
@@ -61,7 +61,7 @@
         self._metrics = metrics
         self._decisions = decisions
         #: handles by their maker and its address
-        self._waiting: dict[tuple[Incarnation, str], list[str]] = {}
+        self._pending: dict[tuple[Incarnation, str], list[str]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -71,11 +71,11 @@
             if result.maker is None:
                 # a row of a peer that stands for a piece which was not made
                 continue
-            place = (result.maker, self._codec.find_maker_address(result.handle))
-            self._waiting.setdefault(place, []).append(result.handle)
-        if self._timer is None and self._waiting:
+            maker_key = (result.maker, self._codec.find_maker_address(result.handle))
+            self._pending.setdefault(maker_key, []).append(result.handle)
+        if self._timer is None and self._pending:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(FREE_DELAY, self._send_all)
+            self._timer = loop.call_later(FREE_BATCH_SECONDS, self._flush)
 
     async def close(self) -> None:
         """Send what waits, for a moment at the most, and end the rest.
@@ -86,18 +86,18 @@
         """
         if self._timer is not None:
             self._timer.cancel()
-        self._send_all()
+        self._flush()
         tasks = tuple(self._tasks)
         if tasks:
-            await asyncio.wait(tasks, timeout=CLOSE_SECONDS)
+            await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _send_all(self) -> None:
+    def _flush(self) -> None:
         self._timer = None
-        waiting, self._waiting = self._waiting, {}
-        for (incarnation, address), handles in waiting.items():
+        pending, self._pending = self._pending, {}
+        for (incarnation, address), handles in pending.items():
             if self._book.is_former(incarnation):
                 self._metrics.count("stages.lost_by_restart", len(handles))
                 continue
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
@@ -31,18 +31,20 @@
 
     def record_request(self, service: str) -> None:
         """Count a request for ``service``."""
-        self._find(service).note_request(self._clock.now())
+        self._get_budget(service).note_request(self._clock.now())
 
     def try_spend(self, service: str) -> bool:
         """Spend one repeat; ``False`` if none is left."""
-        return self._find(service).take(self._clock.now(), self._count_instances())
+        return self._get_budget(service).take(
+            self._clock.now(), self._count_instances()
+        )
 
     def count_left(self, service: str) -> int:
         """Return how many repeats may be spent now."""
-        budget = self._find(service)
+        budget = self._get_budget(service)
         return budget.count_left(self._clock.now(), self._count_instances())
 
-    def _find(self, service: str) -> RepeatBudget:
+    def _get_budget(self, service: str) -> RepeatBudget:
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = RepeatBudget(self._rule)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/route_latencies.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/route_latencies.py
@@ -11,38 +11,38 @@
 __all__ = ("RouteLatencies",)
 
 #: weight of one answer in the mean of its route
-WEIGHT = 0.15
+EWMA_WEIGHT = 0.15
 #: seconds assumed for a route that nobody has used yet
-FIRST_SECONDS = 0.15
-WHOLE_SECONDS = 0.4
+INITIAL_FIRST_PART_SECONDS = 0.15
+INITIAL_TOTAL_SECONDS = 0.4
 
 
 @dataclass(slots=True)
-class _Times:
-    first: float = FIRST_SECONDS
-    whole: float = WHOLE_SECONDS
+class _Latencies:
+    first_part: float = INITIAL_FIRST_PART_SECONDS
+    total: float = INITIAL_TOTAL_SECONDS
 
 
 class RouteLatencies:
     """Means of the time to the first part of an answer, and to its end, by route."""
 
     def __init__(self) -> None:
-        self._times: dict[str, _Times] = {}
+        self._latencies: dict[str, _Latencies] = {}
 
     def estimate(self, exchange: RelayExchange) -> tuple[float, float]:
         """Return the seconds to the first part of the answer and to its end."""
-        times = self._find(exchange)
-        return times.first, times.whole
+        latencies = self._get_latencies(exchange)
+        return latencies.first_part, latencies.total
 
     def record_first_part(self, exchange: RelayExchange, seconds: float) -> None:
         """Take in the time from a send to the first part of its answer."""
-        times = self._find(exchange)
-        times.first += (seconds - times.first) * WEIGHT
+        latencies = self._get_latencies(exchange)
+        latencies.first_part += (seconds - latencies.first_part) * EWMA_WEIGHT
 
     def record_total(self, exchange: RelayExchange, seconds: float) -> None:
         """Take in the time from a send to the end of its answer."""
-        times = self._find(exchange)
-        times.whole += (seconds - times.whole) * WEIGHT
+        latencies = self._get_latencies(exchange)
+        latencies.total += (seconds - latencies.total) * EWMA_WEIGHT
 
-    def _find(self, exchange: RelayExchange) -> _Times:
-        return self._times.setdefault(exchange.route.name, _Times())
+    def _get_latencies(self, exchange: RelayExchange) -> _Latencies:
+        return self._latencies.setdefault(exchange.route.name, _Latencies())
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -28,13 +28,13 @@
 __all__ = ("Runner",)
 
 #: seconds without which a send could not be answered any more
-LEAST_SECONDS = 0.01
+MIN_ATTEMPT_SECONDS = 0.01
 #: seconds after which a service without a sound target may have one again
-NO_TARGET_RETRY = 0.5
+NO_TARGET_RETRY_AFTER = 0.5
 #: seconds after which targets that were full may have room again
-REJECTED_RETRY = 0.3
+REJECTED_RETRY_AFTER = 0.3
 #: seconds after which a target that could not be reached may have been replaced
-UNSENT_RETRY = 0.5
+UNSENT_RETRY_AFTER = 0.5
 
 
 class Runner(ABC):
@@ -88,7 +88,7 @@
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
             remaining=self.find_remaining(exchange),
-            least=LEAST_SECONDS,
+            least=MIN_ATTEMPT_SECONDS,
         )
         match decide_next(facts):
             case NextStep.SEND:
@@ -106,13 +106,13 @@
                 exchange,
                 RefusalCode.NO_TARGET,
                 f"no target of {exchange.service} is listed",
-                retry_after=NO_TARGET_RETRY,
+                retry_after=NO_TARGET_RETRY_AFTER,
                 field="service",
                 value=exchange.service,
             )
-        code, retry = RefusalCode.STAGE_FAILED, UNSENT_RETRY
+        code, retry_after = RefusalCode.STAGE_FAILED, UNSENT_RETRY_AFTER
         if last.outcome is SendOutcome.REJECTED:
-            code, retry = RefusalCode.OVERLOADED, REJECTED_RETRY
-        elif self.find_remaining(exchange) <= LEAST_SECONDS:
+            code, retry_after = RefusalCode.OVERLOADED, REJECTED_RETRY_AFTER
+        elif self.find_remaining(exchange) <= MIN_ATTEMPT_SECONDS:
             code = RefusalCode.DEADLINE
-        return create_error(exchange, code, last.reason, retry_after=retry)
+        return create_error(exchange, code, last.reason, retry_after=retry_after)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -78,7 +78,7 @@
         :param held: results of the stages made so far, by stage
         """
         bounds = self.find_bounds()
-        rest = self._plan.estimate_rest(work, self._executor.estimate_wait)
+        remaining_seconds = self._plan.estimate_rest(work, self._executor.estimate_wait)
         handles = {
             one: tuple(result.handle for result in held[one]) for one in work.after
         }
@@ -87,9 +87,9 @@
             service=work.service,
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
-            aim=bounds.aim - rest,
-            latest=bounds.latest - rest,
-            inputs_until=self._find_lapse(work),
+            aim=bounds.aim - remaining_seconds,
+            latest=bounds.latest - remaining_seconds,
+            inputs_until=self._find_input_expiry(work),
             input_makers=list_makers(held, work.after),
             rank=self._exchange.rank,
             data_centre=self._find_data_centre(work, held),
@@ -122,16 +122,16 @@
                 return home.data_centre
         return self._data_centre
 
-    def _find_lapse(self, work: StageWork) -> float:
+    def _find_input_expiry(self, work: StageWork) -> float:
         """Return when the first of the results that a stage reads lapses."""
         now = self._clock.now()
         services = self._exchange.deployment.services
-        lapses = [float("inf")]
+        expiries = [float("inf")]
         for one in work.after:
             found = services.get(self._plan.works[one].service)
             if found is not None and found.maker is not None:
-                lapses.append(now + found.maker.keep_seconds)
-        return min(lapses)
+                expiries.append(now + found.maker.keep_seconds)
+        return min(expiries)
 
     def _count_moved_bytes(
         self, work: StageWork, held: Mapping[int, tuple[PieceResult, ...]]
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_executor.py
@@ -19,7 +19,7 @@
 
     @abstractmethod
     async def execute(
-        self, bundle: Bundle, note_read: Callable[[], None]
+        self, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Return the results of all pieces, in order.
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -81,18 +81,18 @@
         """Return the groups of a service."""
         listed = self._book.list_service(service)
         fleet, profile = self._find_fleet(), self._find_profile(service)
-        known = self._divisions.get(service)
+        cached = self._divisions.get(service)
         # the book makes a new list when one of its entries changes
         if (
-            known is None
-            or known.listed is not listed
-            or known.fleet != fleet
-            or known.profile != profile
+            cached is None
+            or cached.listed is not listed
+            or cached.fleet != fleet
+            or cached.profile != profile
         ):
-            groups = self._divide(service, known)
-            known = _Division(listed, fleet, profile, groups)
-            self._divisions[service] = known
-        return known.groups
+            groups = self._divide(service, cached)
+            cached = _Division(listed, fleet, profile, groups)
+            self._divisions[service] = cached
+        return cached.groups
 
     def list_makers(self, group: MakerGroup) -> tuple[ListedTarget, ...]:
         """Return the makers of a group; the same object as long as nothing changes."""
@@ -100,15 +100,15 @@
         if not group.data_centre:
             return listed
         fleet = self._find_fleet()
-        known = self._selections.get(group)
-        if known is None or known.listed is not listed or known.fleet != fleet:
+        cached = self._selections.get(group)
+        if cached is None or cached.listed is not listed or cached.fleet != fleet:
             chosen = tuple(
                 target
                 for target in listed
                 if find_home(target.data_centre, fleet.homes) == group.data_centre
             )
-            known = self._selections[group] = _Selection(listed, fleet, chosen)
-        return known.chosen
+            cached = self._selections[group] = _Selection(listed, fleet, chosen)
+        return cached.chosen
 
     def find_local_group(self, service: str, data_centre: str) -> MakerGroup:
         """Return the makers beside an instance, whether they are divided or not.
@@ -128,7 +128,7 @@
         """Return the largest number of groups of a service."""
         return max((len(one.groups) for one in self._divisions.values()), default=1)
 
-    def _divide(self, service: str, known: _Division | None) -> tuple[MakerGroup, ...]:
+    def _divide(self, service: str, cached: _Division | None) -> tuple[MakerGroup, ...]:
         whole = (MakerGroup(service),)
         profile = self._find_profile(service)
         if profile is None:
@@ -141,7 +141,7 @@
             load=estimate_load(profile, len(listed)),
             capacity=fleet.capacity,
         )
-        before = known is not None and bool(known.groups[0].data_centre)
+        before = cached is not None and bool(cached.groups[0].data_centre)
         if not self._rule.is_divided(view, before):
             return whole
         return tuple(MakerGroup(service, place) for place in sorted(makers))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.room import MakerRoom
 
 from .bundle_queue import BundleQueue
-from .maker_calls import ANSWERED, CallResult, MakerCaller
+from .maker_calls import SETTLED_OUTCOMES, CallResult, MakerCaller
 from .makers import Maker
 from .result_releaser import ResultReleaser
 from .wait_estimator import WaitEstimator
@@ -42,9 +42,9 @@
 RESCHEDULE_SECONDS = 0.05
 #: seconds after which a call that began at once has fetched its inputs, which takes
 #: a few milliseconds on these links
-READ_SECONDS = 0.1
+INPUT_READ_SECONDS = 0.1
 #: slowness up to which a maker is taken to begin at once
-STEADY = 1.5
+MAX_PROMPT_SLOWNESS = 1.5
 
 
 class StagePool:
@@ -91,8 +91,8 @@
         #: the makers listed, as of the entries and the profile they were made from
         self._listed: list[Maker] = []
         self._listed_from: tuple[object, MakerProfile] | None = None
-        self._estimate = WaitEstimator(clock.now())
-        self._hopeless_sought = 0.0
+        self._estimator = WaitEstimator(clock.now())
+        self._expiry_checked_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._caller = MakerCaller(links=links, codec=codec, book=book, clock=clock)
@@ -100,7 +100,7 @@
             group.service,
             find_maker=self._makers.get,
             book=book,
-            on_freed=self._look,
+            on_freed=self._schedule,
             links=links,
             codec=codec,
             metrics=metrics,
@@ -108,7 +108,7 @@
         )
 
     async def execute(
-        self, bundle: Bundle, note_read: Callable[[], None]
+        self, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Return the results of a bundle's pieces, in order.
 
@@ -117,20 +117,20 @@
         if self._book.has_former(bundle.input_makers):
             gone = PieceResult(failure=PieceFailure.GONE)
             return (gone,) * len(bundle.pieces)
-        work = self._queue.add(bundle, note_read)
-        self._look()
-        self._estimate.note_added(len(work.left))
+        entry = self._queue.add(bundle, on_read)
+        self._schedule()
+        self._estimator.record_added(len(entry.pending))
         try:
-            return await work.done
+            return await entry.done
         except asyncio.CancelledError:
-            self._queue.withdraw(work)
+            self._queue.withdraw(entry)
             raise
 
     def estimate_wait(self) -> QueueWait:
         """Return how long a piece that came now would wait."""
         profile = self._find_profile()
         makers = self._list_makers(profile) if profile is not None else []
-        return self._estimate.read(self._queue, makers, profile, self._clock.now())
+        return self._estimator.estimate(self._queue, makers, profile, self._clock.now())
 
     def free(self, results: tuple[PieceResult, ...]) -> None:
         """Have makers drop results."""
@@ -144,8 +144,8 @@
         """
         if not self._book.is_former(incarnation):
             return
-        self._queue.drop_lost(incarnation)
-        self._look()
+        self._queue.discard_results(incarnation)
+        self._schedule()
 
     def describe(self) -> dict[str, object]:
         """Return the state for the dump."""
@@ -175,7 +175,7 @@
 
     # decisions
 
-    def _look(self) -> None:
+    def _schedule(self) -> None:
         """Begin the calls that are due.
 
         It is called for whatever changes, hundreds of times a second in a large
@@ -189,30 +189,30 @@
         if not makers:
             self._queue.fail_all(PieceFailure.NO_MAKER)
             return
-        if now >= self._hopeless_sought + RESCHEDULE_SECONDS:
-            self._hopeless_sought = now
-            self._drop_hopeless(makers, profile, now)
+        if now >= self._expiry_checked_at + RESCHEDULE_SECONDS:
+            self._expiry_checked_at = now
+            self._fail_expired(makers, profile, now)
         if any(maker.is_idle(now) for maker in makers):
             self._begin_calls(makers, profile, now)
         if self._timer is None and self._queue.has_waiting():
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(RESCHEDULE_SECONDS, self._look_again)
+            self._timer = loop.call_later(RESCHEDULE_SECONDS, self._on_timer)
 
-    def _look_again(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._look()
+        self._schedule()
 
     def _begin_calls(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> None:
         for call in self._plan_calls(makers, profile, now):
-            self._queue.take_out(call)
+            self._queue.dequeue(call)
             # counted before its task runs: more bundles may come until then, and
             # the maker would seem idle to each of them
             maker = self._makers[call.incarnation]
-            allowed = maker.begin(len(call.pieces), now)
+            call_timeout = maker.start_call(len(call.pieces), now)
             maker.room.reserve(_sum_sizes(call))
-            task = asyncio.create_task(self._run_call(call, maker, allowed, now))
+            task = asyncio.create_task(self._run_call(call, maker, call_timeout, now))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
@@ -225,9 +225,9 @@
         those beside it.
         """
         views = [maker.view(now) for maker in makers]
-        if not self._quarantine.has_any():
+        if not self._quarantine.has_suspects():
             return self._policy.plan(self._queue.list_ready(), views, profile, now)
-        self._drop_held()
+        self._fail_held()
         ready = self._queue.list_ready()
         suspected = [row for row in ready if self._quarantine.is_suspect(row[0])]
         for row in suspected:
@@ -256,7 +256,7 @@
         self._listed_from = (listed, profile)
         return self._listed
 
-    def _drop_hopeless(
+    def _fail_expired(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> None:
         """Fail the bundles whose request can't be answered in time any more."""
@@ -265,26 +265,28 @@
         for bundle in find_hopeless(waiting, views, profile, now):
             self._queue.fail(self._queue.find(bundle), PieceFailure.LATE)
 
-    def _drop_held(self) -> None:
+    def _fail_held(self) -> None:
         """Fail the bundles under which makers have ended."""
-        for work in tuple(self._queue):
-            if work.left and self._quarantine.is_held(work.bundle):
-                self._queue.fail(work, PieceFailure.HELD)
+        for entry in tuple(self._queue):
+            if entry.pending and self._quarantine.is_held(entry.bundle):
+                self._queue.fail(entry, PieceFailure.HELD)
 
     # calls
 
     async def _run_call(
-        self, call: PlannedCall, maker: Maker, allowed: float, now: float
+        self, call: PlannedCall, maker: Maker, call_timeout: float, now: float
     ) -> None:
-        works = [self._queue.find(bundle) for bundle, _ in call.pieces]
-        end = CallResult()
+        entries = [self._queue.find(bundle) for bundle, _ in call.pieces]
+        call_result = CallResult()
         loop = asyncio.get_running_loop()
-        reading = loop.call_later(READ_SECONDS, self._note_read, maker, works)
+        read_timer = loop.call_later(
+            INPUT_READ_SECONDS, self._report_inputs_read, maker, entries
+        )
         try:
-            end = await self._caller.call(maker, call, allowed, now)
+            call_result = await self._caller.call(maker, call, call_timeout, now)
         finally:
-            reading.cancel()
-            self._settle_room(maker, call, end, now)
+            read_timer.cancel()
+            self._settle_room(maker, call, call_result, now)
         self._decisions.note(
             "stage-call",
             service=self._group.service,
@@ -292,43 +294,49 @@
             target=str(call.incarnation),
             pieces=len(call.pieces),
             requests=len({bundle.request_id for bundle, _ in call.pieces}),
-            outcome=end.outcome,
-            unmade=_count_failures(end.results),
+            outcome=call_result.outcome,
+            unmade=_count_failures(call_result.results),
             ms=round((self._clock.now() - now) * 1000),
             waiting=self._queue.count_waiting(),
             slowness=round(maker.find_slowness(self._clock.now()), 2),
         )
-        self._note_end(maker, call, end)
-        self._queue.take_results(call, works, end)
-        self._look()
+        self._report_to_quarantine(maker, call, call_result)
+        self._queue.apply_result(call, entries, call_result)
+        self._schedule()
 
-    def _note_end(self, maker: Maker, call: PlannedCall, end: CallResult) -> None:
+    def _report_to_quarantine(
+        self, maker: Maker, call: PlannedCall, call_result: CallResult
+    ) -> None:
         bundles = [bundle for bundle, _ in call.pieces]
-        if end.broken:
-            self._quarantine.note_broken(maker.target, bundles)
-        elif end.results is not None:
-            self._quarantine.note_made(maker.target, bundles)
+        if call_result.broken:
+            self._quarantine.record_disconnect(maker.target, bundles)
+        elif call_result.results is not None:
+            self._quarantine.record_success(maker.target, bundles)
 
     def _settle_room(
-        self, maker: Maker, call: PlannedCall, end: CallResult, started: float
+        self, maker: Maker, call: PlannedCall, call_result: CallResult, started: float
     ) -> None:
         """Turn the room that was reserved for a call into what it left there."""
         now = self._clock.now()
         size = _sum_sizes(call)
         made = {}
-        for (bundle, _), result in zip(call.pieces, end.results or (), strict=False):
+        for (bundle, _), result in zip(
+            call.pieces, call_result.results or (), strict=False
+        ):
             if result.failure is None:
                 made[result.handle] = bundle.result_bytes
             elif result.failure is PieceFailure.ROOM:
                 maker.room.note_refusal(now)
         maker.room.settle(size, made, now)
         if made:
-            self._estimate.note_made(len(made), now - started, now)
-        if end.outcome not in ANSWERED:
+            self._estimator.record_success(len(made), now - started, now)
+        if call_result.outcome not in SETTLED_OUTCOMES:
             # it may go on with the call, and keep the results for a while
             maker.room.hold_unknown(f"lost at {started}", size, now)
 
-    def _note_read(self, maker: Maker, works: list[QueuedBundle | None]) -> None:
+    def _report_inputs_read(
+        self, maker: Maker, entries: list[QueuedBundle | None]
+    ) -> None:
         """Take in that a call has begun and has fetched what its pieces read.
 
         Inputs fill the room of the makers before; kept until the call ends, they
@@ -340,15 +348,15 @@
         if not self._is_exclusive():
             return
         now = self._clock.now()
-        if maker.calls > 1 or maker.find_slowness(now) > STEADY:
+        if maker.calls > 1 or maker.find_slowness(now) > MAX_PROMPT_SLOWNESS:
             # its turn may not have come yet
             return
-        if maker.lost_lately(now):
+        if maker.failed_recently(now):
             # what it reads may have to be read again
             return
-        for work in dict.fromkeys(works):
-            if work is not None and not work.left and not work.losses:
-                work.note_read()
+        for entry in dict.fromkeys(entries):
+            if entry is not None and not entry.pending and not entry.failure_count:
+                entry.on_read()
 
 
 def _sum_sizes(call: PlannedCall) -> int:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -30,14 +30,14 @@
 __all__ = ("StageResults", "StageRun", "StageRunner")
 
 #: times that stages are made, because results of earlier ones are gone
-MAX_MAKES = 2
+MAX_EXECUTIONS = 2
 #: seconds after which makers that are behind may have caught up, at the least
-LEAST_RETRY = 0.3
+MIN_RETRY_AFTER = 0.3
 #: slack of a stage at which it is begun, in seconds: about as long as a piece waits
 #: for a maker to end the call before
-LEAST_SLACK = 0.1
+MIN_SLACK = 0.1
 #: seconds for which it is not worth waiting
-LEAST_PAUSE = 0.005
+MIN_PAUSE = 0.005
 
 
 @dataclass(slots=True)
@@ -121,7 +121,7 @@
         self._readers = self._list_readers()
         #: expected moments of the ends of stages that have begun
         self._ends: dict[int, float] = {}
-        self._ended = asyncio.Event()
+        self._stage_ended = asyncio.Event()
 
     def estimate(self) -> ChainEstimate:
         """Return what is expected of the stages, one after the other."""
@@ -136,20 +136,20 @@
             return StageResults()
         started = self._clock.now()
         try:
-            await self._make_all(started)
+            await self._execute_all(started)
         except _StageFailedError as error:
             if error.failure is not PieceFailure.GONE:
-                raise self._refuse(error) from error
+                raise self._create_refusal(error) from error
             raise create_error(
                 self._exchange,
                 RefusalCode.STAGE_FAILED,
                 "stage results were lost again and again",
-                retry_after=LEAST_RETRY,
+                retry_after=MIN_RETRY_AFTER,
             ) from error
         self._exchange.stage_seconds += self._clock.now() - started
-        return self._collect()
+        return self._collect_results()
 
-    def _note_again(self, error: _StageFailedError, started: float) -> None:
+    def _log_rerun(self, error: _StageFailedError, started: float) -> None:
         self._decisions.note(
             "stages-again",
             request=self._exchange.request.request_id,
@@ -186,27 +186,30 @@
             for number in self._plan.works
         }
 
-    async def _make_all(self, started: float) -> None:
+    async def _execute_all(self, started: float) -> None:
         """Make all stages; those of a part again whose results are gone."""
         self._tasks = {}
         self._ends = {}
         self._start_all(tuple(self._plan.works))
         lost: Counter[tuple[int, ...]] = Counter()
         try:
-            while (error := await self._wait_made()) is not None:
-                part = self._find_part(error)
-                lost[part] += 1
+            while (error := await self._wait_finished()) is not None:
+                component = self._find_component(error)
+                lost[component] += 1
                 if error.failure is PieceFailure.GONE:
-                    self._note_again(error, started)
-                if error.failure is not PieceFailure.GONE or lost[part] >= MAX_MAKES:
+                    self._log_rerun(error, started)
+                if (
+                    error.failure is not PieceFailure.GONE
+                    or lost[component] >= MAX_EXECUTIONS
+                ):
                     raise error
-                await self._give_up(part)
-                self._start_all(part)
+                await self._cancel_stages(component)
+                self._start_all(component)
         except BaseException:
-            await self._give_up(tuple(self._tasks))
+            await self._cancel_stages(tuple(self._tasks))
             raise
 
-    async def _wait_made(self) -> _StageFailedError | None:
+    async def _wait_finished(self) -> _StageFailedError | None:
         """Wait until all stages are made or one has failed, and return its error."""
         if not self._tasks:
             # a request may need none of its route's stages
@@ -226,15 +229,17 @@
                 found = error
         return found or self._find_lost()
 
-    def _find_part(self, error: _StageFailedError) -> tuple[int, ...]:
+    def _find_component(self, error: _StageFailedError) -> tuple[int, ...]:
         """Return the stages that have to be made again with one that failed.
 
         A maker doesn't say which input is gone, and what the stages before had read
         is freed by then. So these are all that are linked to it by what they read;
         results of others are kept.
         """
-        parts = self._plan.list_parts()
-        return next(part for part in parts if error.work.number in part)
+        components = self._plan.list_parts()
+        return next(
+            component for component in components if error.work.number in component
+        )
 
     def _start_all(self, numbers: tuple[int, ...]) -> None:
         readers = self._list_readers()
@@ -245,7 +250,7 @@
         for number in numbers:
             self._start(number)
 
-    async def _give_up(self, numbers: tuple[int, ...]) -> None:
+    async def _cancel_stages(self, numbers: tuple[int, ...]) -> None:
         """End the work on stages, and free their results."""
         tasks = [self._tasks[number] for number in numbers]
         for task in tasks:
@@ -258,33 +263,35 @@
         task = self._tasks.get(number)
         if task is None:
             earlier = [self._start(one) for one in self._plan.works[number].after]
-            task = asyncio.create_task(self._make_stage(number, earlier))
+            task = asyncio.create_task(self._execute_stage(number, earlier))
             self._tasks[number] = task
         return task
 
-    async def _make_stage(self, number: int, earlier: list[asyncio.Task[None]]) -> None:
+    async def _execute_stage(
+        self, number: int, earlier: list[asyncio.Task[None]]
+    ) -> None:
         for task in earlier:
             # shielded: a stage that is cancelled must not cancel those it reads
             await asyncio.shield(task)
         work = self._plan.works[number]
-        await self._wait_for_others(work)
+        await self._delay_start(work)
         if self._book.has_former(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
         queue = self._executor.estimate_wait(work.service)
         seconds = queue.urgent + queue.find_seconds(work.seconds)
         self._ends[number] = self._clock.now() + seconds
         bundle = self._bundles.create(work, self._held)
-        results = await self._executor.execute(bundle, lambda: self._note_read(work))
+        results = await self._executor.execute(bundle, lambda: self._free_inputs(work))
         failed = next((one.failure for one in results if one.failure), None)
         made = tuple(one for one in results if one.failure is None)
         self._held[number] = made
         self._ends[number] = self._clock.now()
-        self._ended.set()
+        self._stage_ended.set()
         if failed is not None:
             raise _StageFailedError(work, failed)
-        self._note_read(work)
+        self._free_inputs(work)
 
-    async def _wait_for_others(self, work: StageWork) -> None:
+    async def _delay_start(self, work: StageWork) -> None:
         """Wait as long as a stage's results would only wait for those of others."""
         while True:
             slack = self._plan.find_slack(
@@ -295,15 +302,15 @@
                 self._bundles.find_bounds(),
                 self._held,
             )
-            pause = slack - LEAST_SLACK
-            if pause < LEAST_PAUSE:
+            pause = slack - MIN_SLACK
+            if pause < MIN_PAUSE:
                 return
-            self._ended.clear()
+            self._stage_ended.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
-                    await self._ended.wait()
+                    await self._stage_ended.wait()
 
-    def _note_read(self, work: StageWork) -> None:
+    def _free_inputs(self, work: StageWork) -> None:
         """Free what a stage has read, once no other stage is to read it."""
         for one in work.after:
             readers = self._readers[one]
@@ -311,7 +318,7 @@
             if not readers and one not in self._plan.final:
                 self._free_stage(one)
 
-    def _collect(self) -> StageResults:
+    def _collect_results(self) -> StageResults:
         results = StageResults(inputs=())
         sizes = results.bytes_by_data_centre
         for number in self._plan.final:
@@ -327,7 +334,7 @@
         if held:
             self._executor.free(self._plan.works[number].service, held)
 
-    def _refuse(self, error: _StageFailedError) -> RefusedError:
+    def _create_refusal(self, error: _StageFailedError) -> RefusedError:
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
         code = RefusalCode.OVERLOADED if late else RefusalCode.STAGE_FAILED
         wait = self._executor.estimate_wait(error.work.service).whole
@@ -344,7 +351,7 @@
             self._exchange,
             code,
             str(error),
-            retry_after=max(LEAST_RETRY, wait),
+            retry_after=max(MIN_RETRY_AFTER, wait),
             field="stage",
             value=str(error.work.number),
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimator.py
@@ -18,11 +18,11 @@
 __all__ = ("WaitEstimator",)
 
 #: seconds over which the pieces made are counted
-RATE_SECONDS = 2.0
+RATE_WINDOW_SECONDS = 2.0
 #: share of makers' speed that is believed at the least
-LEAST_SPEED = 0.3
+MIN_RATE_SHARE = 0.3
 #: seconds for which a count of the queue is used again
-COUNT_LIFE = 0.02
+COUNT_CACHE_SECONDS = 0.02
 
 
 class WaitEstimator:
@@ -37,7 +37,7 @@
         #: monotonic seconds since when more than one call's pieces have waited
         self._queued_since = now
         #: ends of calls that were answered, their seconds, and the pieces made by each
-        self._made: deque[tuple[float, float, int]] = deque()
+        self._completed: deque[tuple[float, float, int]] = deque()
         self._counted_until = 0.0
         #: pieces that waited when they were counted, and those that came since
         self._urgent = 0
@@ -46,17 +46,17 @@
         #: pieces made a second
         self._rate = 1.0
         #: seconds that a call takes
-        self._call = 0.0
+        self._call_seconds = 0.0
 
-    def note_made(self, count: int, seconds: float, now: float) -> None:
+    def record_completion(self, count: int, seconds: float, now: float) -> None:
         """Take in the pieces that a call has made, and how long it took."""
-        self._made.append((now, seconds, count))
+        self._completed.append((now, seconds, count))
 
-    def note_added(self, count: int) -> None:
+    def record_added(self, count: int) -> None:
         """Take in pieces that came and wait."""
         self._added += count
 
-    def read(
+    def estimate(
         self,
         queue: BundleQueue,
         makers: list[Maker],
@@ -70,11 +70,11 @@
             return QueueWait()
         if now >= self._counted_until:
             self._count(queue, makers, profile, now)
-            self._counted_until = now + COUNT_LIFE
+            self._counted_until = now + COUNT_CACHE_SECONDS
         return QueueWait(
             (self._urgent + self._added) / self._rate,
             (self._waiting + self._added) / self._rate,
-            self._call,
+            self._call_seconds,
         )
 
     def _count(
@@ -84,24 +84,24 @@
         profile: MakerProfile,
         now: float,
     ) -> None:
-        while self._made and self._made[0][0] < now - RATE_SECONDS:
-            self._made.popleft()
-        self._call = median([one[1] for one in self._made] or [0.0])
+        while self._completed and self._completed[0][0] < now - RATE_WINDOW_SECONDS:
+            self._completed.popleft()
+        self._call_seconds = median([one[1] for one in self._completed] or [0.0])
         self._urgent = self._waiting = self._added = 0
-        for bundle, left in queue.list_waiting():
-            self._waiting += len(left)
-            if not is_late(bundle, len(left), profile, now, self._call):
-                self._urgent += len(left)
+        for bundle, pending in queue.list_waiting():
+            self._waiting += len(pending)
+            if not is_late(bundle, len(pending), profile, now, self._call_seconds):
+                self._urgent += len(pending)
         speed = sum(1 / maker.find_slowness(now) for maker in makers)
         rate = profile.batch / profile.estimate_seconds(profile.batch)
         rate *= max(0.1, speed)
         if self._waiting <= profile.batch:
             self._queued_since = now
-        elif now - self._queued_since >= RATE_SECONDS:
+        elif now - self._queued_since >= RATE_WINDOW_SECONDS:
             # makers' room may bind long before their time does
-            rate = min(rate, max(rate * LEAST_SPEED, self._find_rate()))
+            rate = min(rate, max(rate * MIN_RATE_SHARE, self._measure_rate()))
         self._rate = rate
 
-    def _find_rate(self) -> float:
+    def _measure_rate(self) -> float:
         """Return the pieces made a second, of late."""
-        return sum(count for _, _, count in self._made) / RATE_SECONDS
+        return sum(count for _, _, count in self._completed) / RATE_WINDOW_SECONDS
--- a/tests/test_entry/test_relay/test_forwarding_stage_executor.py
+++ b/tests/test_entry/test_relay/test_forwarding_stage_executor.py
@@ -546,7 +546,7 @@
     owner, _, third = world.ranked
     await world.desks[third].execute(BUNDLE, do_nothing)
     world.local[owner].wait = QueueWait(0.5, 1.5)
-    world.desks[owner]._words.tell(world.local[owner].list_waits())
+    world.desks[owner]._reports.publish(world.local[owner].list_waits())
     assert world.desks[third].estimate_wait(SERVICE) == QueueWait(0.5, 1.5)
     world.clock.advance(2.0)
     assert world.desks[third].estimate_wait(SERVICE) == QueueWait()
@@ -556,7 +556,7 @@
     owner, _, third = world.ranked
 
     async def fail(sender, message):
-        return await world.desks[owner]._answer_wanted(sender, message)
+        return await world.desks[owner]._handle_wanted(sender, message)
 
     async def make_nothing(group, bundle, note_read):
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -71,7 +71,7 @@
             latest=now + ALLOWED,
         )
         call = PlannedCall(Incarnation("m", 1), [(bundle, piece) for piece in pieces])
-        self.maker.begin(len(pieces), now)
+        self.maker.start_call(len(pieces), now)
         end = await self.caller.call(self.maker, call, ALLOWED, now)
         assert end.outcome == MADE
         return {one.failure for one in end.results}
--- a/tests/test_entry/test_relay/test_result_releaser.py
+++ b/tests/test_entry/test_relay/test_result_releaser.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.targets import TargetBook
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_entry.relay.result_releaser import CLOSE_SECONDS, ResultReleaser
+from greengagelatch_entry.relay.result_releaser import CLOSE_TIMEOUT, ResultReleaser
 from greengagelatch_lab.stage_load.models import ModelCodec
 from greengagelatch_lab.stage_load.trial import LoopClock
 
@@ -41,7 +41,7 @@
     return PieceResult(handle=handle, maker=Incarnation(handle.partition(":")[0], 1))
 
 
-def create_freeing(links: Links) -> ResultReleaser:
+def create_releaser(links: Links) -> ResultReleaser:
     metrics = PrometheusMetrics()
     return ResultReleaser(
         "ledger",
@@ -63,36 +63,36 @@
     Cause: what waited to be sent was dropped.
     """
     links = Links(0.002)
-    freeing = create_freeing(links)
-    freeing.free((create_result("m:1/0"), create_result("n:1/0")))
-    await freeing.close()
+    releaser = create_releaser(links)
+    releaser.free((create_result("m:1/0"), create_result("n:1/0")))
+    await releaser.close()
     assert sorted(links.freed) == ["m:1/0", "n:1/0"]
 
 
 async def test_results_that_are_being_freed_at_a_stop_are_waited_for():
     links = Links(0.05)
-    freeing = create_freeing(links)
-    freeing.free((create_result("m:1/0"),))
+    releaser = create_releaser(links)
+    releaser.free((create_result("m:1/0"),))
     await asyncio.sleep(0.03)
     assert links.sent == ["m:1/0"]
-    await freeing.close()
+    await releaser.close()
     assert links.freed == ["m:1/0"]
 
 
 async def test_stop_does_not_wait_for_makers_that_are_out_of_reach():
     links = Links(60.0)
-    freeing = create_freeing(links)
-    freeing.free((create_result("m:1/0"),))
+    releaser = create_releaser(links)
+    releaser.free((create_result("m:1/0"),))
     began = asyncio.get_running_loop().time()
-    await freeing.close()
+    await releaser.close()
     assert links.sent == ["m:1/0"]
     assert links.freed == []
     waited = asyncio.get_running_loop().time() - began
-    assert waited == pytest.approx(CLOSE_SECONDS, abs=0.01)
+    assert waited == pytest.approx(CLOSE_TIMEOUT, abs=0.01)
 
 
 async def test_stop_with_nothing_to_free_waits_for_nothing():
     links = Links(60.0)
     began = asyncio.get_running_loop().time()
-    await create_freeing(links).close()
+    await create_releaser(links).close()
     assert asyncio.get_running_loop().time() == pytest.approx(began, abs=0.001)
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -56,7 +56,7 @@
         self.suspected: set[str] = set()
         self.held: set[str] = set()
 
-    def has_any(self) -> bool:
+    def has_suspects(self) -> bool:
         return bool(self.suspected or self.held)
 
     def is_suspect(self, bundle: Bundle) -> bool:
