--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
@@ -1,4 +1,4 @@
-"""Bundles of pieces under which makers end: told from those in the same calls."""
+"""Quarantine of bundles that crash makers."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 
 __all__ = ("DisabledBundleQuarantine", "BundleQuarantine", "SharedBundleQuarantine")
 
-#: makers that may end under a bundle until it is made in calls of its own
+#: crashes of makers after which a bundle no longer shares calls with others
 MAX_SHARED_CRASHES = 2
 
 
 class BundleQuarantine(ABC):
-    """What is known of bundles whose calls broke."""
+    """Tracks the bundles in calls that broke off."""
 
     @abstractmethod
     def record_disconnect(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
-        """Take in that a maker broke off a call with pieces of these."""
+        """Record that a call with pieces of ``bundles`` broke off."""
 
     @abstractmethod
     def record_success(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
-        """Take in that a maker answered a call with pieces of these."""
+        """Record that a maker answered a call with pieces of ``bundles``."""
 
     @abstractmethod
     def has_suspects(self) -> bool:
-        """Whether any bundle may be suspected: asked for each call of a maker."""
+        """Return whether any bundle may be suspected; called for each call."""
 
     @abstractmethod
     def is_suspect(self, bundle: Bundle) -> bool:
-        """Whether a bundle must not share calls with others."""
+        """Return whether a bundle must not share calls with others."""
 
     @abstractmethod
     def is_held(self, bundle: Bundle) -> bool:
-        """Whether no maker may be given a bundle."""
+        """Return whether a bundle must not be sent to any maker."""
 
 
 class DisabledBundleQuarantine(BundleQuarantine):
-    """Trusts every bundle."""
+    """Suspects no bundle."""
 
     def record_disconnect(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         pass
@@ -65,10 +65,10 @@
 
 
 class SharedBundleQuarantine(BundleQuarantine):
-    """Counts the makers that end under a bundle, over all instances.
+    """Counts the makers that a bundle crashed, over all instances.
 
-    A request's stages are counted apart from each other and from the request: one of
-    them may end what runs it while all others are well.
+    Each stage of a request is counted separately, and apart from the request itself:
+    one of them may crash its targets while the others are harmless.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
 
 
 def _list_keys(bundles: Iterable[Bundle]) -> set[str]:
-    # peers of earlier releases don't tell a digest
+    # peers of earlier releases do not send a digest
     return {_build_key(bundle) for bundle in bundles if bundle.digest}
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
@@ -1,4 +1,4 @@
-"""The bundles that wait for the makers of one service, and what becomes of them."""
+"""Queue of the bundles for the makers of one service."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 
 __all__ = ("BundleQueue", "QueuedBundle")
 
-#: pieces of one bundle that may be lost by makers until it is given up
+#: number of lost or failed pieces after which a bundle fails
 MAX_PIECE_FAILURES = 60
 
 
 @dataclass(slots=True, eq=False)
 class QueuedBundle:
-    """A bundle and how far it has come."""
+    """A bundle and its progress."""
 
     bundle: Bundle
     pending: list[Piece]
     done: asyncio.Future[tuple[PieceResult, ...]]
     on_read: Callable[[], None]
     results: dict[int, PieceResult] = field(default_factory=dict)
-    #: calls by which each piece went to a maker, by segment
+    #: number of calls in which each piece was sent, by segment
     attempts: dict[int, int] = field(default_factory=dict)
-    #: pieces that makers lost, or failed at
+    #: number of pieces that makers lost or failed to make
     failure_count: int = 0
     withdrawn: bool = False
 
 
 class BundleQueue:
-    """Bundles of one service in the order of arrival, until they are made or fail.
+    """Bundles of one service in order of arrival, until they are made or fail.
 
-    :param free: has makers drop results that nobody waits for
-    :param book: tells which makers have started again, and lost what they had made
+    :param free: frees results that are no longer needed at their makers
+    :param book: knows which makers have restarted and thus lost their results
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._book = book
         self._budgets = budgets
         self._metrics = metrics
-        #: by the identity of their bundles: two peers may ask for one of the same id
+        #: by the identity of the bundle object, as two peers may send the same id
         self._entries: dict[int, QueuedBundle] = {}
 
     def __len__(self) -> int:
@@ -75,7 +75,7 @@
         return iter(self._entries.values())
 
     def add(self, bundle: Bundle, on_read: Callable[[], None]) -> QueuedBundle:
-        """Take in a bundle, of which nothing is made yet."""
+        """Add a bundle, none of whose pieces is made yet."""
         self._budgets.record_request(self._service)
         done = asyncio.get_running_loop().create_future()
         entry = QueuedBundle(bundle, list(bundle.pieces), done, on_read)
@@ -83,26 +83,26 @@
         return entry
 
     def find(self, bundle: Bundle) -> QueuedBundle | None:
-        """Return the work on a bundle, unless that has ended."""
+        """Return the queue entry of a bundle, or ``None`` if it has ended."""
         return self._entries.get(id(bundle))
 
     def count_waiting(self) -> int:
-        """Return the pieces that are not yet being made."""
+        """Return the number of queued pieces."""
         return sum(len(entry.pending) for entry in self)
 
     def has_waiting(self) -> bool:
-        """Whether any piece is not yet being made."""
+        """Return whether any piece is queued."""
         return any(entry.pending for entry in self)
 
     def list_waiting(self) -> list[tuple[Bundle, list[Piece]]]:
-        """Return the bundles of which pieces wait, each with these."""
+        """Return the bundles with queued pieces, and these pieces."""
         return [(entry.bundle, entry.pending) for entry in self if entry.pending]
 
     def list_ready(self) -> list[tuple[Bundle, list[Piece]]]:
-        """Return the pieces that may be sent; repeats wait for their budget.
+        """Return the pieces that may be sent; retries wait for the retry budget.
 
-        To fail them instead would lose whole requests over a maker that was full
-        for a moment.
+        Failing them instead would fail whole requests when a maker is full for a
+        moment.
         """
         repeats = self._budgets.count_left(self._service)
         ready = []
@@ -124,7 +124,7 @@
         return ready
 
     def dequeue(self, call: PlannedCall) -> None:
-        """Take the pieces of a call off those that wait."""
+        """Remove the pieces of a call from the queue and count the attempts."""
         for bundle, piece in call.pieces:
             entry = self.find(bundle)
             entry.pending.remove(piece)
@@ -134,13 +134,13 @@
                 self._budgets.try_spend(self._service)
 
     def fail_all(self, failure: PieceFailure) -> None:
-        """Fail all bundles of which pieces wait."""
+        """Fail all bundles with queued pieces."""
         for entry in tuple(self):
             if entry.pending:
                 self.fail(entry, failure)
 
     def discard_results(self, incarnation: Incarnation) -> None:
-        """Take in that a maker has started again: what it had made is lost."""
+        """Discard the results of a maker that has restarted and lost them."""
         for entry in tuple(self):
             self._discard_results(entry, incarnation)
 
@@ -162,9 +162,9 @@
         entries: list[QueuedBundle | None],
         call_result: CallResult,
     ) -> None:
-        """Take in how a call ended.
+        """Apply the result of a call.
 
-        :param works: of each of its pieces, as they were when it began
+        :param works: queue entry of each piece, looked up when the call started
         """
         unwanted = []
         for index, (_, piece) in enumerate(call.pieces):
@@ -199,7 +199,7 @@
             self.fail(entry, PieceFailure.LATE)
             return
         if outcome == UNSENT:
-            # no maker has had it
+            # the piece did not reach the maker
             entry.attempts[piece.segment] -= 1
         elif outcome != REJECTED and (
             result is None or result.failure is not PieceFailure.ROOM
@@ -209,13 +209,13 @@
                 self.fail(entry, PieceFailure.LOST)
                 return
         if self._book.has_former(entry.bundle.input_makers):
-            # one of them started again while the piece was at a maker
+            # a maker of its inputs restarted while the call was in progress
             self.fail(entry, PieceFailure.GONE)
             return
         entry.pending.append(piece)
 
     def _is_lost(self, result: PieceResult) -> bool:
-        """Whether a result was made by a maker that has started again since."""
+        """Return whether the maker of a result has restarted since."""
         return result.failure is None and self._book.is_former(result.maker)
 
     def _finish(self, entry: QueuedBundle) -> None:
@@ -225,7 +225,7 @@
             entry.done.set_result(ordered)
 
     def fail(self, entry: QueuedBundle, failure: PieceFailure) -> None:
-        """End a bundle; those of its results that are there are passed on."""
+        """Fail a bundle; the results made so far are returned with the failures."""
         self._metrics.count(f"stages.failed.{failure.value}")
         self._remove(entry)
         results = tuple(
@@ -239,7 +239,7 @@
         self._entries.pop(id(entry.bundle), None)
 
     def withdraw(self, entry: QueuedBundle) -> None:
-        """Take out a bundle that nobody waits for any more."""
+        """Remove a bundle whose caller no longer waits, and free its results."""
         entry.withdrawn = True
         self._remove(entry)
         made = tuple(entry.results.values())
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Targets that end with requests on them, told from answers that got lost."""
+"""Detection of targets that crash while they process requests."""
 
 from __future__ import annotations
 
@@ -24,33 +24,34 @@
 
 __all__ = ("CrashDetector",)
 
-#: seconds for which requests are gathered that were on the same target: their
-#: connections break in the same moment
+#: seconds for which the requests of one crash are collected: all connections of a
+#: target that crashes break at nearly the same time
 COLLECT_SECONDS = 0.05
-#: seconds in which a target that ended has gone from the listing, or is listed with
-#: another start: its entry lapses after three of its heartbeats
+#: seconds within which a target that ended is removed from the listing, or listed with
+#: a new start time: its entry expires after three missed heartbeats
 CONFIRM_SECONDS = 5.0
-#: targets that are looked after at the same time
+#: maximum number of targets checked at the same time
 MAX_SUSPICIONS = 256
-#: digests and targets that a line of the log or the state shows
+#: maximum number of digests or targets in one log entry or in the state dump
 MAX_LOGGED_ITEMS = 16
 
 
 @dataclass(slots=True)
 class _Suspicion:
-    """A target whose connections broke, and the requests that were on it."""
+    """The requests whose connections to one target broke."""
 
     digests: dict[str, None] = field(default_factory=dict)
-    #: set once the listing tells that it has ended
+    #: set once the listing shows that the target has ended
     ended: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class CrashDetector(Controller):
-    """Finds targets that ended with requests of this instance on them.
+    """Detects targets that crashed with requests of this instance in progress.
 
-    A connection that breaks does not show a crash: answers get lost, and connections
-    are reset, at targets that live. It is one if nobody listens at the address any
-    more, or the listing tells soon that the target has ended.
+    A broken connection alone does not prove a crash: answers get lost and connections
+    are reset by targets that are still running. It counts as a crash if no process
+    listens at the address any more, or if the listing shows within
+    :data:`CONFIRM_SECONDS` that the target has ended.
     """
 
     name = "crash-watch"
@@ -78,13 +79,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def record_disconnect(self, target: ListedTarget, digest: str) -> None:
-        """Take in that a connection broke before its request was answered."""
+        """Record a connection that broke before its request was answered."""
         incarnation = target.incarnation
         if self._quarantine.is_sound(digest, self._clock.now()):
             return
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
-            # one that leaves ends as planned, with whatever is left on it
+            # a draining target stops as planned, with any requests still on it
             draining = not self._book.accepts(incarnation)
             if draining or len(self._suspicions) >= MAX_SUSPICIONS:
                 return
@@ -96,14 +97,14 @@
             suspicion.digests[digest] = None
 
     def record_answer(self, target: ListedTarget, digest: str) -> None:
-        """Take in that a target has answered a request."""
+        """Record that a target has answered a request."""
         self._quarantine.note_survived(digest, self._clock.now())
         suspicion = self._suspicions.get(target.incarnation)
         if suspicion is not None:
             suspicion.digests.pop(digest, None)
 
     def record_removal(self, incarnation: Incarnation) -> None:
-        """Take in that the listing tells of a target's end, or that it leaves."""
+        """Record that a target was removed from the listing, or started to drain."""
         suspicion = self._suspicions.get(incarnation)
         listed = self._book.find_listed(incarnation.target_id)
         is_draining = listed is not None and listed.incarnation == incarnation
@@ -139,7 +140,7 @@
         self._replicator.publish(report)
 
     async def on_stop(self) -> None:
-        """Give up what is not confirmed yet."""
+        """Cancel the checks that are not finished yet."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of targets that ended under requests."""
+"""Replication of crash reports between instances."""
 
 from __future__ import annotations
 
@@ -36,25 +36,25 @@
 
 __all__ = ("CrashReportReplicator",)
 
-#: prefix of the keys of reports in the store
+#: prefix of the report keys in the store
 PREFIX = "greengagelatch/crashes/"
-#: seconds for which one lease serves for further reports. Entries lapse by themselves
-#: this much before they count no more
+#: seconds for which a lease is reused for further reports. An entry may therefore
+#: expire in the store up to this long before its report stops counting
 LEASE_REUSE_SECONDS = 30.0
-#: seconds between two tries to write what the store did not take
+#: seconds between two attempts to write an entry that the store did not accept
 WRITE_RETRY_SECONDS = 1.0
-#: values that wait to be written, and that are kept for peers
+#: maximum number of entries that wait to be written, and that are kept for peers
 MAX_UNWRITTEN = 64
 MAX_ENTRIES = 2048
-#: values of one answer to a peer
+#: maximum number of entries in one answer to a peer
 MAX_ANSWER_ENTRIES = 64
-#: digests that a line of the log or the state shows
+#: maximum number of digests or targets in one log entry or in the state dump
 MAX_LOGGED_ITEMS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class _StoredEntry:
-    """A value of the store, for peers that ask."""
+    """An entry of the store, kept for peers that ask for it."""
 
     revision: int
     value: bytes
@@ -62,11 +62,11 @@
 
 
 class CrashReportReplicator(Controller, StoreSubscriber):
-    """Tells all instances of targets that ended, and hears of those of others.
+    """Publishes this instance's crash reports and applies those of other instances.
 
-    A request that crashes what runs it comes again at any instance, which then knows
-    nothing of it. What each has seen stands in the store, so that it outlasts the
-    instance; peers are told directly while the store does not take it.
+    A request that crashes its target may be retried at an instance that has not seen
+    the crash. Reports are written to the store, so that they outlive the instance;
+    while the store does not accept them, they are sent directly to peers.
     """
 
     name = "crashes"
@@ -93,26 +93,26 @@
         self._decisions = decisions
         self._pending: list[CrashReport] = []
         self._wake = asyncio.Event()
-        #: values to be written, by their keys
+        #: keys and values of entries to be written
         self._unwritten: deque[tuple[str, bytes]] = deque(maxlen=MAX_UNWRITTEN)
         self._entry_count = 0
-        #: keys of those that peers have been told
+        #: keys of the unwritten entries that have been sent to peers
         self._sent_keys: set[str] = set()
         self._lease_id = ""
         self._lease_granted_at = float("-inf")
         self._entries: OrderedDict[str, _StoredEntry] = OrderedDict()
-        #: revision up to which all reports in the store are known
+        #: store revision up to which all reports are known
         self._revision = 0
         self._held_digests: set[str] = set()
         peers.handle(CrashesSeen, self._receive_reports)
 
     @property
     def revision(self) -> int:
-        """Revision of the store up to which all reports are known."""
+        """Store revision up to which all reports are known."""
         return self._revision
 
     def publish(self, report: CrashReport) -> None:
-        """Take in what this instance found, and tell the others."""
+        """Apply a report of this instance and queue it for the other instances."""
         self._record((report,))
         self._pending.append(report)
         self._wake.set()
@@ -121,7 +121,7 @@
         now = self._clock.now()
         for report in reports:
             self._quarantine.note_crash(report, now)
-        # an end may also show that another request was not to blame
+        # a further crash may also clear another request of suspicion
         suspected = {digest for report in reports for digest in report.digests}
         for digest in sorted(suspected | self._held_digests):
             self._update_hold(digest, self._quarantine.find_hold(digest, now))
@@ -144,7 +144,7 @@
             targets=[str(one) for one in ended[:MAX_LOGGED_ITEMS]],
         )
 
-    # what is told to other instances
+    # publishing to other instances
 
     @Service.task
     async def _write_forever(self) -> None:
@@ -165,7 +165,7 @@
                 self._wake.set()
 
     def _enqueue(self) -> None:
-        """Put what was found in line, as one value."""
+        """Encode the pending reports as one entry and queue it to be written."""
         found = tuple(self._pending[:MAX_REPORTS])
         del self._pending[:MAX_REPORTS]
         self._entry_count += 1
@@ -177,7 +177,8 @@
         if lease_id:
             written = await self._store.swap(key, value, ABSENT, lease_id=lease_id)
             if written.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
-                # a conflict is this process's own write, whose answer was lost
+                # keys are unique to this process: a conflict means that an earlier
+                # write was applied and its answer was lost
                 return True
         self._lease_id = ""
         self._metrics.count("crashes.unwritten")
@@ -185,7 +186,7 @@
         return False
 
     def _send_to_peers(self) -> None:
-        """Tell the peers beside this instance what the store does not take."""
+        """Send the entries that the store did not accept to the overlay neighbours."""
         unsent = [row for row in self._unwritten if row[0] not in self._sent_keys]
         if not unsent:
             return
@@ -195,7 +196,7 @@
         self._sent_keys = {key for key, _ in self._unwritten}
 
     async def _ensure_lease(self) -> str:
-        """Return the lease that reports are kept under; empty if there is none."""
+        """Return the id of the lease for reports; empty if none could be granted."""
         now = self._clock.now()
         if self._lease_id and now - self._lease_granted_at < LEASE_REUSE_SECONDS:
             return self._lease_id
@@ -204,7 +205,7 @@
         self._lease_granted_at = now
         return self._lease_id
 
-    # what is heard of other instances
+    # receiving from other instances
 
     def take_scan(self, scan: Scan) -> None:
         for entry in scan.entries:
@@ -212,13 +213,13 @@
         self._revision = max(self._revision, scan.revision)
 
     def take_changes(self, changes: Changes) -> None:
-        # what is removed has lapsed, here as well
+        # removed entries have expired, and their reports expire here by themselves
         for entry in changes.written:
             self._apply_entry(entry.key, entry.value, entry.revision)
         self._revision = max(self._revision, changes.revision)
 
     def list_newer(self, revision: int) -> tuple[tuple[str, int, bytes], ...]:
-        """Return the oldest values after a revision: key, revision and value."""
+        """Return the oldest entries after a revision, as key, revision and value."""
         rows = sorted(
             (stored.revision, key, stored.value)
             for key, stored in self._entries.items()
@@ -229,7 +230,7 @@
         )
 
     def apply_updates(self, rows: Iterable[object]) -> None:
-        """Take in what a peer knows of the store beyond :attr:`revision`."""
+        """Apply store entries that a peer knows beyond :attr:`revision`."""
         for row in rows:
             match row:
                 case (str(key), int(revision), bytes(value)):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -1,4 +1,4 @@
-"""Stage work that one instance gathers for all."""
+"""Execution of stages through the instance that owns the makers."""
 
 from __future__ import annotations
 
@@ -49,19 +49,20 @@
 
 __all__ = ("ForwardingStageExecutor",)
 
-#: seconds beyond a bundle's last moment for which its owner is waited for
+#: seconds after a bundle's deadline for which the owner's answer is awaited
 ANSWER_MARGIN = 0.3
 
 
 class ForwardingStageExecutor(Controller, StageExecutor):
-    """Sends bundles to an owner of makers of their service, which fills calls from all.
-
-    A call to a maker costs as much as several pieces. Instances that each fill
-    their own calls send many that are almost empty, and know nothing of each
-    other's queues and room. So one instance, the same in the eyes of all, gathers the
-    pieces for a group of makers. If it does not answer, the owner of the makers nearby
-    is asked, as a partition most likely lies between; if that one does not answer
-    either, this instance makes the pieces: a piece may be made again.
+    """Forwards bundles to the owner of a group of makers, which batches all of them.
+
+    The fixed cost of a call to a maker is that of several pieces. Instances that batch
+    on their own send many calls that are almost empty, and see neither each other's
+    queues nor the room they have reserved. So one instance, on which all agree, batches
+    the pieces for a group of makers. If it does not answer, a network partition is
+    likely, and the bundle goes to the owner of the local data centre's makers. If that
+    one does not answer either, this instance calls the makers itself. Pieces are
+    idempotent, so that they may be made more than once.
     """
 
     name = "owned-stages"
@@ -92,16 +93,16 @@
         self._metrics = metrics
         self._decisions = decisions
         self._reports = QueueWaitReports(peers=peers, clock=clock)
-        #: owner by handle, for results that are not freed yet
+        #: owner that made a result, by handle, until the result is freed
         self._result_owners: dict[str, str] = {}
-        #: what to call once the inputs of a bundle are read, by owner and bundle id
+        #: callbacks for when a bundle's inputs are read, by owner and bundle id
         self._read_callbacks: dict[tuple[str, str], Callable[[], None]] = {}
-        #: bundles of peers in work, by peer and bundle id
+        #: bundles of peers in progress, by peer and bundle id
         self._in_progress: dict[tuple[str, str], asyncio.Task[Any]] = {}
-        peers.handle(PiecesWanted, self._handle_wanted)
-        peers.handle(PiecesDropped, self._handle_dropped)
-        peers.handle(PiecesRead, self._handle_read)
-        peers.handle(ResultsFreed, self._handle_freed)
+        peers.handle(PiecesWanted, self._handle_request)
+        peers.handle(PiecesDropped, self._handle_cancelled)
+        peers.handle(PiecesRead, self._handle_inputs_read)
+        peers.handle(ResultsFreed, self._handle_released)
         peers.handle(StageWaits, self._handle_waits)
 
     async def execute(
@@ -129,17 +130,17 @@
 
     def estimate_wait(self, service: str) -> QueueWait:
         views = self._list_views(service)
-        local_group = [
+        local_views = [
             one for one in views if one.group.data_centre == self._data_centre
         ]
-        # the near one unless another is shorter: where a bundle would most likely go
-        return min(local_group + views, key=lambda one: one.wait.urgent).wait
+        # a bundle most likely goes to the local group, unless another queue is shorter
+        return min(local_views + views, key=lambda one: one.wait.urgent).wait
 
     async def wait_idle(self, timeout: float) -> bool:
-        """Wait at most ``timeout`` seconds until no bundle of a peer is in work.
+        """Wait up to ``timeout`` seconds until no bundle of a peer is in progress.
 
-        Peers ask others for new ones as soon as they know that this instance leaves;
-        those that it has would have to be made again.
+        Peers send new bundles elsewhere as soon as they know that this instance is
+        draining; bundles that were cut off here would have to be made again.
         """
         if not self._in_progress:
             return True
@@ -168,10 +169,10 @@
         return choose_group(bundle, views, profile, self._clock.now(), self._random)
 
     def _list_views(self, service: str) -> list[GroupView]:
-        """Return the groups that can be asked, with the waits of each.
+        """Return the groups that bundles can be sent to, with the waits of each.
 
-        A data centre of which no instance answers is most likely cut off, and its
-        makers with it.
+        A data centre without a live instance is most likely partitioned from this one,
+        and so are its makers.
         """
         groups = self._groups.list_groups(service)
         if len(groups) > 1:
@@ -190,12 +191,12 @@
             wait = self._reports.find_wait(group)
         return GroupView(group, wait)
 
-    # as one that asks
+    # forwarding to an owner
 
     async def _execute_in(
         self, group: MakerGroup, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...] | None:
-        """Return the results of a group's makers; ``None`` if no owner answers."""
+        """Return the results of a group's makers; ``None`` if its owner fails."""
         owner = next(iter(self._ownership.rank(group)), self._peers.instance_id)
         if owner == self._peers.instance_id:
             return await self._local.execute_in(group, bundle, on_read)
@@ -213,9 +214,10 @@
         try:
             reply = await self._send(owner, group, bundle)
             if isinstance(reply, Err) and reply.err_value.cut:
-                # Passed over for a link that broke, it would not be the owner here
-                # while it is elsewhere, and both would overrun the makers. It knows
-                # the bundle, and a dial tells at once if its process is gone.
+                # An owner excluded for a broken link would not be the owner here while
+                # it is for the other instances, and two owners would overload the
+                # makers. It recognises the bundle, and a new connection fails at once
+                # if its process has ended.
                 reply = await self._send(owner, group, bundle)
         except asyncio.CancelledError:
             self._peers.send(owner, PiecesDropped(bundle.bundle_id))
@@ -230,7 +232,7 @@
         if isinstance(answer, PiecesMade):
             results = decode_results(answer.results, len(bundle.pieces))
         if results is None:
-            self._record_owner_failure(owner, group, bundle, "answer can't be read")
+            self._record_owner_failure(owner, group, bundle, "answer cannot be decoded")
             return None
         for result in results:
             if result.failure is None:
@@ -258,9 +260,9 @@
             reason=reason,
         )
 
-    # as an owner
+    # executing for peers as an owner
 
-    async def _handle_wanted(self, sender: str, message: PiecesWanted) -> PiecesMade:
+    async def _handle_request(self, sender: str, message: PiecesWanted) -> PiecesMade:
         bundle = decode_bundle(message, self._clock.now())
         self._reports.add_subscriber(sender)
         bundle_key = (sender, bundle.bundle_id)
@@ -272,15 +274,15 @@
             task = asyncio.ensure_future(making)
             self._in_progress[bundle_key] = task
             task.add_done_callback(partial(self._remove_finished, bundle_key))
-        # shielded: the same bundle may be asked for again over another link
+        # shielded: the peer may request the same bundle again over another link
         results = await asyncio.shield(task)
         return PiecesMade(encode_results(results))
 
     def _find_requested_group(self, service: str, data_centre: str) -> MakerGroup:
-        """Return the group that a peer means.
+        """Return the group that a peer's request refers to.
 
-        One that has just started knows too few others to see makers divided, and would
-        have all of them called from here beside their owners.
+        A peer that has just started knows too few instances to divide the makers. Its
+        requests would have this instance call makers that other instances own.
         """
         if not data_centre:
             own = self._groups.find_group(service, self._data_centre)
@@ -291,7 +293,7 @@
     def _remove_finished(
         self, bundle_key: tuple[str, str], task: asyncio.Task[Any]
     ) -> None:
-        """Take out a bundle that has ended, unless it was asked for again."""
+        """Remove a bundle that has ended, unless it was requested again."""
         if self._in_progress.get(bundle_key) is task:
             del self._in_progress[bundle_key]
 
@@ -299,7 +301,7 @@
     async def _publish_forever(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(self._reports.find_interval())
-            # who comes and goes is noted in quiet times as well
+            # ownership follows changes of the membership also without requests
             self._ownership.list_candidates()
             self._reports.publish(self._local.list_waits())
 
@@ -308,19 +310,19 @@
             if self._ownership.rank(group)[:1] == (sender,):
                 self._reports.store(group, wait)
 
-    def _handle_dropped(self, sender: str, message: PiecesDropped) -> None:
-        # taken out at once: the stage may be asked for again in the same moment, and
-        # would wait for what is being cancelled
+    def _handle_cancelled(self, sender: str, message: PiecesDropped) -> None:
+        # removed at once: a new request for the stage may follow immediately, and must
+        # not wait for the task that is being cancelled
         task = self._in_progress.pop((sender, message.bundle_id), None)
         if task is not None:
             task.cancel()
 
-    def _handle_read(self, sender: str, message: PiecesRead) -> None:
+    def _handle_inputs_read(self, sender: str, message: PiecesRead) -> None:
         on_read = self._read_callbacks.get((sender, message.bundle_id))
         if on_read is not None:
             on_read()
 
-    def _handle_freed(self, sender: str, message: ResultsFreed) -> None:
+    def _handle_released(self, sender: str, message: ResultsFreed) -> None:
         results = decode_results(message.results, len(message.results))
         if results is not None:
             self._local.free(message.service, results)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch_timer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/input_fetch_timer.py
@@ -1,4 +1,4 @@
-"""The moment by which a target has fetched the inputs of what it was sent."""
+"""Timer for the time at which a target has fetched the inputs of a request."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 __all__ = ("FETCH_SECONDS", "InputFetchTimer")
 
-#: seconds after a request was written by which its target, if it takes it in at once,
-#: has read it and fetched its inputs; both take a few milliseconds on these links
+#: seconds after a request was written within which its target, if it accepts it at
+#: once, has read it and fetched its inputs; both take a few milliseconds
 FETCH_SECONDS = 0.1
 
 
 class InputFetchTimer:
-    """Tells once when the inputs of one send should have been fetched.
+    """Calls back once when the inputs of one attempt should have been fetched.
 
-    :param note_fetched: called then, unless the send has ended before
+    :param on_fetched: called at that time, unless the attempt has ended before
     """
 
     def __init__(self, on_fetched: Callable[[], None]) -> None:
@@ -26,13 +26,13 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, allowed: bool) -> bool:
-        """Take in that the request is written now, if it is allowed; return that."""
+        """Start the timer as the request is written, if allowed; return ``allowed``."""
         if allowed and self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(FETCH_SECONDS, self._on_fetched)
         return allowed
 
     def cancel(self) -> None:
-        """Take in that the send has ended."""
+        """Cancel the timer as the attempt has ended."""
         if self._timer is not None:
             self._timer.cancel()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -1,4 +1,4 @@
-"""Stage work that this instance has made by itself."""
+"""Execution of stages by this instance, without other instances."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class LocalStageExecutor(Controller, StageExecutor):
-    """One pool for each group of makers, made when its first bundle comes.
+    """Keeps a pool for each group of makers, created on its first use.
 
-    :param create_pool: makes the pool of a group
+    :param create_pool: creates the pool of a group
     :param find_group: returns the group of a service's makers in a data centre
     """
 
@@ -52,7 +52,7 @@
     async def execute_in(
         self, group: MakerGroup, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
-        """Have a bundle made by the makers of a group."""
+        """Execute a bundle on the makers of a group."""
         return await self.find_pool(group).execute(bundle, on_read)
 
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
@@ -67,27 +67,27 @@
         return self.estimate_wait_in(MakerGroup(service))
 
     def estimate_wait_in(self, group: MakerGroup) -> QueueWait:
-        """Return how long a piece would wait for the makers of a group."""
+        """Return the expected queue wait for the makers of a group."""
         return self.find_pool(group).estimate_wait()
 
     def record_removal(self, incarnation: Incarnation) -> None:
-        """Take in that a maker is gone, or has started again."""
+        """Record that a maker was removed from the listing, or has restarted."""
         for pool in self._pools.values():
             pool.record_removal(incarnation)
 
     def list_waits(self) -> list[tuple[MakerGroup, QueueWait]]:
-        """Return how long a piece would wait for the makers of each group."""
+        """Return the expected queue wait for each group of makers."""
         return [(group, pool.estimate_wait()) for group, pool in self._pools.items()]
 
     def find_pool(self, group: MakerGroup) -> StagePool:
-        """Return the pool of a group."""
+        """Return the pool of a group, which is created if there is none yet."""
         pool = self._pools.get(group)
         if pool is None:
             pool = self._pools[group] = self._create_pool(group)
         return pool
 
     async def on_stop(self) -> None:
-        # together: each may wait for a moment, of which a stop has few left
+        # concurrently: each pool may wait, and the time left for a stop is short
         await asyncio.gather(*(pool.close() for pool in self._pools.values()))
 
     def dump(self) -> dict[str, Any]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -1,4 +1,4 @@
-"""One call to a maker, and what its end says about the maker."""
+"""Calls to makers, and the maker statistics that their results update."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
     "MakerCaller",
 )
 
-#: bytes of an answer to a call
+#: maximum size of an answer to a call, in bytes
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 STATUS_OK = 200
 MADE = "made"
-#: no byte of the call reached the maker
+#: no byte of the call was sent to the maker
 UNSENT = "unsent"
-#: the maker said that it did not begin
+#: the maker answered that it did not execute the call
 REJECTED = "rejected"
 TIMED_OUT = "timeout"
-#: how calls end of which nothing is left at the maker but what the answer names
+#: outcomes after which the maker holds no results except those in the answer
 SETTLED_OUTCOMES = frozenset({MADE, UNSENT, REJECTED})
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How a call ended; ``results`` are in the order of its pieces."""
+    """Result of a call; ``results`` are in the order of its pieces."""
 
     outcome: str = "cancelled"
     results: tuple[PieceResult, ...] | None = None
-    #: whether the maker broke it off
+    #: whether the connection broke before the answer was complete
     broken: bool = False
 
 
@@ -65,10 +65,10 @@
     async def call(
         self, maker: Maker, call: PlannedCall, call_timeout: float, started: float
     ) -> CallResult:
-        """Make a call; the maker learns from how it ends.
+        """Make a call and update the statistics of ``maker`` with its result.
 
-        :param allowed: seconds until it is given up
-        :param started: monotonic seconds at which the maker was told of it
+        :param allowed: seconds until the call times out
+        :param started: monotonic seconds at which the call was counted at the maker
         """
         count = len(call.pieces)
         try:
@@ -78,7 +78,8 @@
             if self._may_send(maker, call):
                 maker.record_failure(self._clock.now())
             else:
-                # not its doing: what the pieces read was lost meanwhile
+                # not a failure of the maker: it no longer accepts calls, or inputs of
+                # the pieces were lost in the meantime
                 maker.calls -= 1
             return CallResult(UNSENT)
         except TimeoutError:
@@ -103,7 +104,7 @@
             incarnation=target.incarnation,
             address=target.address,
             outbound=self._codec.encode_pieces(pieces, remaining, target.incarnation),
-            # a late second answer could be taken for this call's
+            # on a reused connection, a late answer could be taken for this call's
             fresh=True,
             timeout=call_timeout,
             may_send=lambda: self._may_send(maker, call),
@@ -115,7 +116,7 @@
             reply.abort()
 
     def _may_send(self, maker: Maker, call: PlannedCall) -> bool:
-        """Whether the maker takes calls, and none of what they read is lost."""
+        """Return whether the maker accepts calls and no input of this one is lost."""
         if not self._book.accepts(maker.target.incarnation):
             return False
         return not any(
@@ -142,7 +143,8 @@
     ) -> CallResult:
         now = self._clock.now()
         if head.misdirected:
-            # whoever has the address now has had the call: the next one is a repeat
+            # the call reached the target that has the address now, so that the next
+            # attempt is charged as a retry
             maker.record_failure(now)
             return CallResult(REJECTED)
         if head.not_run:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -1,4 +1,7 @@
-"""The makers of one service: calls in progress, room, and speed."""
+"""Local state of a maker: calls in progress, free room and speed.
+
+A maker is a target that executes pieces of pipeline stages.
+"""
 
 from __future__ import annotations
 
@@ -14,25 +17,25 @@
 
 __all__ = ("Maker",)
 
-#: weight of one call in a maker's slowness
+#: weight of one call in the moving average of a maker's slowness
 EWMA_WEIGHT = 0.5
-#: seconds in which half of what is known of a maker's slowness is forgotten
+#: seconds in which the measured slowness decays half-way towards normal
 SLOWNESS_HALF_LIFE = 2.0
-#: time allowed for a call, as a multiple of the expected one, and in seconds
+#: timeout of a call: this multiple of the expected time, plus a margin in seconds
 CALL_TIMEOUT_FACTOR = 2.0
 CALL_MARGIN = 0.35
-#: seconds for which a maker whose answer was lost may lose others
+#: seconds after a lost answer for which a maker counts as unreliable
 RECENT_FAILURE_SECONDS = 5.0
-#: slowness that is believed at the most
+#: upper bound of the measured slowness, as a multiple of the expected time
 MAX_SLOWNESS = 10.0
-#: seconds for which a maker that failed gets no call: first, and at the most
+#: seconds for which a maker that failed gets no calls: initial and maximum backoff
 INITIAL_BACKOFF = 0.25
 MAX_BACKOFF = 3.0
 
 
 @dataclass(slots=True)
 class Maker:
-    """One maker as this instance sees it; times are monotonic seconds."""
+    """One maker as seen by this instance; times are monotonic seconds."""
 
     target: ListedTarget
     profile: MakerProfile
@@ -47,14 +50,14 @@
     _failed_at: float = float("-inf")
 
     def is_idle(self, now: float) -> bool:
-        """Whether it can begin a call at once."""
+        """Return whether the maker can start a call at once."""
         return self.calls < self.profile.slots and self.backoff_until <= now
 
     def view(self, now: float) -> MakerView:
-        """Return the maker as decisions see it."""
+        """Return the snapshot of the maker that the batch policy uses."""
         free_at = max(self.backoff_until, 0.0)
         if self.calls >= self.profile.slots:
-            # a call that overruns may end at any moment
+            # a call that overruns its expected time may end at any moment
             free_at = max(free_at, self.busy_until, now + 0.02)
         return MakerView(
             incarnation=self.target.incarnation,
@@ -65,12 +68,12 @@
         )
 
     def find_slowness(self, now: float) -> float:
-        """Return how much longer than expected its calls take."""
+        """Return the ratio of actual to expected call time, decayed with its age."""
         decay = 0.5 ** ((now - self._measured_at) / SLOWNESS_HALF_LIFE)
         return 1.0 + (self._slowness - 1.0) * decay
 
     def start_call(self, items: int, now: float) -> float:
-        """Count a call that begins; return the seconds it is allowed."""
+        """Record a call that starts; return its timeout in seconds."""
         expected = self.profile.estimate_seconds(items) * self.find_slowness(now)
         self.calls += 1
         self.busy_until = now + expected
@@ -79,7 +82,7 @@
     def record_completion(
         self, items: int, started: float, now: float, *, made: bool = True
     ) -> None:
-        """Take in a call that was answered.
+        """Record a call that was answered.
 
         :param made: whether the maker made any of its pieces
         """
@@ -87,13 +90,13 @@
         self._backoff = INITIAL_BACKOFF
         ratio = (now - started) / self.profile.estimate_seconds(items)
         if not made and ratio < self.find_slowness(now):
-            # nothing was to be made: a maker at which pieces fail would seem fast,
-            # and be given more of them
+            # pieces that fail take no time: a maker at which they fail would seem
+            # fast and attract more calls
             return
         self._update_slowness(ratio, now)
 
     def record_timeout(self, items: int, started: float, now: float) -> None:
-        """Take in a call that was given up: it is slower than it was allowed."""
+        """Record a call that timed out, which also raises the slowness."""
         self.calls -= 1
         self._failed_at = now
         self._update_slowness(
@@ -104,23 +107,23 @@
         self.back_off(now)
 
     def failed_recently(self, now: float) -> bool:
-        """Whether answers of this maker were lost in the last few seconds."""
+        """Return whether a call failed within :data:`RECENT_FAILURE_SECONDS`."""
         return now - self._failed_at < RECENT_FAILURE_SECONDS
 
     def record_failure(self, now: float) -> None:
-        """Take in a call that broke off or did not reach it."""
+        """Record a call that broke off or did not reach the maker."""
         self.calls -= 1
         self._failed_at = now
         self.back_off(now)
 
     def record_rejection(self, now: float) -> None:
-        """Take in that it is busy with the calls of others."""
+        """Record a call that the maker rejected, as it is busy with others' calls."""
         self.calls -= 1
         self.room.note_refusal(now)
         self.back_off(now)
 
     def back_off(self, now: float) -> None:
-        """Give it nothing for a while, longer each time in a row."""
+        """Send the maker no calls for a while, doubled with each failure in a row."""
         self.backoff_until = now + self._backoff
         self._backoff = min(MAX_BACKOFF, self._backoff * 2)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -1,4 +1,4 @@
-"""Which instance owns which makers, as this one sees it."""
+"""Ownership of maker groups by instances, according to the local membership view."""
 
 from __future__ import annotations
 
@@ -16,20 +16,21 @@
 
 __all__ = ("Ownership",)
 
-#: seconds for which an owner that did not answer is passed over; the membership
-#: has noticed by then whether it is gone
+#: seconds for which an owner that did not answer is excluded; by then the membership
+#: protocol has detected whether it has failed
 EXCLUSION_SECONDS = 1.5
-#: seconds for which a suspected instance may still own stage work: one that lives has
-#: refuted it by then, and one that is gone fails its links at the first question
+#: seconds for which a suspected instance may still own stage work: a live one has
+#: refuted the suspicion by then, and the links to a dead one fail at the first request
 SUSPICION_SECONDS = 0.5
-#: seconds for which the list of members is used again
+#: seconds for which the list of members is cached
 MEMBERS_CACHE_SECONDS = 0.1
-#: seconds for which an instance has been the owner until calls of the owner before
-#: are at no maker any more: an instance that leaves goes on until it is killed, usually
-#: 8 s after its stop request, and a call that it began last for less than 2 more
+#: seconds after a change of owner until no call of the previous owner is left at a
+#: maker: a draining instance continues until it is killed, usually 8 s after its stop
+#: request, and its last call takes less than 2 s more
 HANDOVER_SECONDS = 10.0
-#: seconds after any other change in which an instance that does not know the owner
-#: may make pieces itself: until it has heard of the others, and its call has ended
+#: seconds after any other change of the membership in which an instance that does not
+#: know the owner yet may call the makers itself: until it has learnt of the other
+#: instances and its call has ended
 CONVERGENCE_SECONDS = 2.0
 
 
@@ -43,38 +44,39 @@
         self._clock = clock
         self._decisions = decisions
         self._excluded_until: dict[str, float] = {}
-        #: members that are suspected, and since when
+        #: suspected members, and the time since when they are
         self._suspected: dict[str, float] = {}
         self._candidates: tuple[Member, ...] = ()
         self._candidates_until = 0.0
-        #: owners in order by group, as of the candidates
+        #: ranked owners by group, valid for the current candidates
         self._ranked: dict[MakerGroup, tuple[str, ...]] = {}
-        #: since when this instance has been the owner, by group
+        #: time since when this instance has been the owner, by group
         self._owner_since: dict[MakerGroup, float] = {}
-        #: since when the candidates have been the same
+        #: time since when the candidates have not changed
         self._stable_since = clock.now()
 
     def rank(self, group: MakerGroup) -> tuple[str, ...]:
-        """Return who may own a group, its owner first."""
+        """Return the instances that may own a group, the current owner first."""
         candidates = self.list_candidates()
         if group not in self._ranked:
             self._update_ranking(group, candidates)
         return self._ranked[group]
 
     def owns(self, group: MakerGroup) -> bool:
-        """Whether this instance is the owner of a group."""
+        """Return whether this instance is the owner of a group."""
         return self.rank(group)[:1] == (self._peers.instance_id,)
 
     def is_exclusive(self, group: MakerGroup) -> bool:
-        """Return whether no other instance's calls are at the makers of a group.
+        """Return whether no other instance has calls at the makers of a group.
 
-        So it is where this instance has owned the group for as long as an owner
-        before could go on, and nobody has come or gone just now. An instance that
-        leaves owns nothing, although it finishes what it has in work for its peers.
+        This holds once this instance has owned the group for longer than a previous
+        owner can continue, and the membership has not changed recently. A draining
+        instance owns nothing, although it finishes the bundles of its peers.
 
-        Others that come and go own nothing: were their changes waited for like a
-        change of the owner, inputs would fill the makers' room and leave calls half
-        empty through a whole rolling restart.
+        Changes of instances that are not owners only count for the shorter
+        :data:`CONVERGENCE_SECONDS`. With the longer period, inputs would be kept and
+        fill the makers' room, and calls would be half empty throughout a rolling
+        restart.
         """
         if not self.owns(group):
             return False
@@ -83,7 +85,7 @@
         return self._clock.now() - self._owner_since[group] >= HANDOVER_SECONDS
 
     def exclude(self, owner: str) -> None:
-        """Pass an owner over for a while that did not answer."""
+        """Exclude an owner that did not answer, for :data:`EXCLUSION_SECONDS`."""
         self._excluded_until[owner] = self._clock.now() + EXCLUSION_SECONDS
         self._candidates_until = 0.0
 
@@ -97,8 +99,8 @@
             if until <= now:
                 del self._excluded_until[owner]
         before = {one.instance_id: one.capacity for one in self._candidates}
-        # this instance by the same rule: peers of one that leaves ask the next owner
-        # already, and two that fill calls to the same makers are in each other's way
+        # this instance follows the same rule: while it drains, its peers already use
+        # the next owner, and two owners of the same makers would compete for them
         self._candidates = tuple(
             member
             for member in self._peers.members()
@@ -108,7 +110,7 @@
         after = {one.instance_id: one.capacity for one in self._candidates}
         if after != before:
             self._stable_since = now
-            # at once: who owns a group only in between has calls at its makers too
+            # updated eagerly: a short-lived owner also has calls at the makers
             for group in tuple(self._ranked):
                 self._update_ranking(group, self._candidates)
             self._decisions.note_belief(
@@ -120,7 +122,7 @@
         return self._candidates
 
     def find_stable_seconds(self) -> float:
-        """Return the seconds for which the candidates have been the same."""
+        """Return the seconds for which the candidates have not changed."""
         self.list_candidates()
         return self._clock.now() - self._stable_since
 
@@ -146,11 +148,11 @@
             self._owner_since.pop(group, None)
 
     def _may_own(self, member: Member, now: float) -> bool:
-        """Whether a member is there, or is suspected since a moment only.
+        """Return whether a member is alive, or suspected only since recently.
 
-        Most suspicions are refuted within a tenth of a second: if owners changed with
-        each, two would fill the makers' room, and the one that owns them again would
-        count as new and keep its inputs for seconds.
+        Most suspicions are refuted within 0.1 s. If each changed the owner, two owners
+        would fill the makers' room, and the original one would count as new afterwards
+        and keep inputs at the makers for seconds.
         """
         if member.state is not MemberState.SUSPECT:
             self._suspected.pop(member.instance_id, None)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_wait_reports.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_wait_reports.py
@@ -1,4 +1,4 @@
-"""What owners tell of their queues, and whom this instance tells of its own."""
+"""Reports of queue waits, sent by owners of makers and received from them."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 
 __all__ = ("QueueWaitReports",)
 
-#: seconds for which an owner's word about its queue counts
+#: seconds after which a received report expires
 REPORT_TTL = 0.6
-#: seconds between two words about queues, and the least wait worth a word
+#: seconds between two reports, and the shortest wait that is reported, in seconds
 REPORT_INTERVAL = 0.15
 MIN_REPORTED_WAIT = 0.05
-#: words a second that an instance sends at the most: with hundreds that ask, each
-#: hears less often
+#: maximum rate of report messages that an instance sends: with hundreds of
+#: subscribers, each one receives reports less often
 MAX_REPORTS_PER_SECOND = 500.0
-#: seconds for which a peer that asked is told of queues
+#: seconds for which a peer that sent a bundle receives reports
 SUBSCRIPTION_SECONDS = 10.0
 
 
 class QueueWaitReports:
-    """Tells peers that ask how long queues are, and remembers what they tell.
+    """Sends queue waits to the peers that use them, and keeps those received.
 
-    Without it they would begin requests behind a queue that they don't see.
+    Without reports, peers would admit requests behind a queue that they cannot see.
     """
 
     def __init__(self, *, peers: PeerNetwork, clock: Clock) -> None:
         self._peers = peers
         self._clock = clock
-        #: what owners told of their queues, and when
+        #: latest wait reported by each group's owner, and when it was received
         self._waits: dict[MakerGroup, tuple[QueueWait, float]] = {}
-        #: peers that asked lately, and until when they are told of queues
+        #: peers that sent bundles recently, and the end of their subscription
         self._subscribers: dict[str, float] = {}
         self._reported: set[MakerGroup] = set()
 
     def add_subscriber(self, instance_id: str) -> None:
-        """Take in that a peer asks for stage work."""
+        """Subscribe a peer that has sent a bundle."""
         self._subscribers[instance_id] = self._clock.now() + SUBSCRIPTION_SECONDS
 
     def find_interval(self) -> float:
-        """Return the seconds until peers are to be told again."""
+        """Return the seconds until the next report is due."""
         return max(REPORT_INTERVAL, len(self._subscribers) / MAX_REPORTS_PER_SECOND)
 
     def publish(self, waits: list[tuple[MakerGroup, QueueWait]]) -> None:
-        """Tell those that asked lately how long this instance's queues are."""
+        """Send this instance's queue waits to the subscribers."""
         now = self._clock.now()
         for subscriber, until in tuple(self._subscribers.items()):
             if until <= now:
@@ -70,7 +70,7 @@
             self._peers.send(subscriber, message)
 
     def decode(self, message: StageWaits) -> list[tuple[MakerGroup, QueueWait]]:
-        """Return what a peer tells of its queues; it counts once it is kept."""
+        """Return the waits in a report, which apply only after :meth:`store`."""
         former = [
             (MakerGroup(service), QueueWait(*waits))
             for service, *waits in message.waits
@@ -82,11 +82,11 @@
         return former + queues
 
     def store(self, group: MakerGroup, wait: QueueWait) -> None:
-        """Keep the word of a group's owner."""
+        """Store the wait that the owner of a group reported."""
         self._waits[group] = (wait, self._clock.now())
 
     def find_wait(self, group: MakerGroup) -> QueueWait:
-        """Return what a group's owner told; no wait if it told nothing of late."""
+        """Return the reported wait of a group; no wait if the report has expired."""
         wait, received_at = self._waits.get(group, (QueueWait(), 0.0))
         if self._clock.now() - received_at > REPORT_TTL:
             return QueueWait()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -1,4 +1,4 @@
-"""Results that nobody needs any more, given up at their makers."""
+"""Release of stage results that are no longer needed."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 
 __all__ = ("ResultReleaser",)
 
-#: seconds for which results to be freed are gathered
+#: seconds for which results to be freed are batched
 FREE_BATCH_SECONDS = 0.01
+#: seconds until a request to free results times out
 FREE_TIMEOUT = 1.0
-#: seconds for which a stop waits for these; they take a few milliseconds, and a stop
-#: has less than a second left when it comes to them
+#: seconds for which a stop waits for these requests; they take a few milliseconds, and
+#: less than a second of the stop's time is left at this point
 CLOSE_TIMEOUT = 0.2
 MAX_ANSWER_BYTES = 64 * 1024
 
 
 class ResultReleaser:
-    """Tells makers of results that are not needed, those of a moment together.
+    """Frees results at their makers, in batches.
 
-    Those of a maker that has started again are gone, and nothing is sent for them.
+    A maker that has restarted has lost its results, so that nothing is sent for them.
 
-    :param find_maker: returns what is known of a maker, if it is one of the service's
-    :param on_freed: called once room has become free
+    :param find_maker: returns the local state of a maker, if it belongs to the service
+    :param on_freed: called after a maker has freed results
     """
 
     def __init__(
@@ -60,16 +61,16 @@
         self._codec = codec
         self._metrics = metrics
         self._decisions = decisions
-        #: handles by their maker and its address
+        #: handles to be freed, by maker and its address
         self._pending: dict[tuple[Incarnation, str], list[str]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def free(self, results: tuple[PieceResult, ...]) -> None:
-        """Have makers drop results."""
+        """Queue results to be freed at their makers."""
         for result in results:
             if result.maker is None:
-                # a row of a peer that stands for a piece which was not made
+                # a peer sends such a row for a piece that was not made
                 continue
             maker_key = (result.maker, self._codec.find_maker_address(result.handle))
             self._pending.setdefault(maker_key, []).append(result.handle)
@@ -78,11 +79,10 @@
             self._timer = loop.call_later(FREE_BATCH_SECONDS, self._flush)
 
     async def close(self) -> None:
-        """Send what waits, for a moment at the most, and end the rest.
+        """Flush the queue within :data:`CLOSE_SECONDS` and cancel what remains.
 
-        Results that are not freed at a stop fill their makers' room until they lapse,
-        seconds later: calls of the next owner find no room, without any of its own
-        results there.
+        Results that are not freed before a stop occupy their makers' memory until they
+        expire seconds later, and the calls of the next owner find no room there.
         """
         if self._timer is not None:
             self._timer.cancel()
@@ -116,7 +116,7 @@
                 outbound=self._codec.encode_freeing(handles, incarnation),
                 fresh=False,
                 timeout=FREE_TIMEOUT,
-                # one that leaves holds its results until it ends
+                # a draining maker holds its results until it stops
                 may_send=lambda: not self._book.is_former(incarnation),
             )
             await reply.read(MAX_ANSWER_BYTES)
@@ -125,7 +125,7 @@
             else:
                 reply.abort()
         except (NotSentError, LinkError) as error:
-            # its maker drops them by itself after a while
+            # the maker drops them by itself once they expire
             self._metrics.count("stages.unfreed", len(handles))
             self._decisions.note(
                 "unfreed", service=self._service, address=address, reason=str(error)
@@ -134,7 +134,7 @@
         maker = self._find_maker(incarnation)
         if maker is None:
             return
-        # only now: a call that began earlier would still find the room taken
+        # not before the answer: a call sent earlier would still find no room
         for handle in handles:
             maker.room.free(handle)
         self._on_freed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of repeats, one for each service."""
+"""Retry budgets, one for each service."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class RetryBudgets:
-    """This instance's repeats to all services.
+    """Limits the retries that this instance sends to each service.
 
-    :param count_instances: returns how many instances share the budgets
+    :param count_instances: returns the number of instances that share the budgets
     """
 
     def __init__(
@@ -30,17 +30,17 @@
         self._budgets: dict[str, RepeatBudget] = {}
 
     def record_request(self, service: str) -> None:
-        """Count a request for ``service``."""
+        """Credit the budget of ``service`` with one request."""
         self._get_budget(service).note_request(self._clock.now())
 
     def try_spend(self, service: str) -> bool:
-        """Spend one repeat; ``False`` if none is left."""
+        """Spend one retry; return ``False`` if the budget is exhausted."""
         return self._get_budget(service).take(
             self._clock.now(), self._count_instances()
         )
 
     def count_left(self, service: str) -> int:
-        """Return how many repeats may be spent now."""
+        """Return the number of retries that the budget allows now."""
         budget = self._get_budget(service)
         return budget.count_left(self._clock.now(), self._count_instances())
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/route_latencies.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/route_latencies.py
@@ -1,4 +1,4 @@
-"""How long targets take for the requests of each route."""
+"""Latency of targets' answers, by route."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 __all__ = ("RouteLatencies",)
 
-#: weight of one answer in the mean of its route
+#: weight of one answer in the moving average of its route
 EWMA_WEIGHT = 0.15
-#: seconds assumed for a route that nobody has used yet
+#: seconds to the first part and to the end, assumed for a route without answers
 INITIAL_FIRST_PART_SECONDS = 0.15
 INITIAL_TOTAL_SECONDS = 0.4
 
@@ -24,23 +24,23 @@
 
 
 class RouteLatencies:
-    """Means of the time to the first part of an answer, and to its end, by route."""
+    """Moving averages of the times to an answer's first part and end, by route."""
 
     def __init__(self) -> None:
         self._latencies: dict[str, _Latencies] = {}
 
     def estimate(self, exchange: RelayExchange) -> tuple[float, float]:
-        """Return the seconds to the first part of the answer and to its end."""
+        """Return the expected seconds to the answer's first part and to its end."""
         latencies = self._get_latencies(exchange)
         return latencies.first_part, latencies.total
 
     def record_first_part(self, exchange: RelayExchange, seconds: float) -> None:
-        """Take in the time from a send to the first part of its answer."""
+        """Record the seconds from an attempt to the first part of its answer."""
         latencies = self._get_latencies(exchange)
         latencies.first_part += (seconds - latencies.first_part) * EWMA_WEIGHT
 
     def record_total(self, exchange: RelayExchange, seconds: float) -> None:
-        """Take in the time from a send to the end of its answer."""
+        """Record the seconds from an attempt to the end of its answer."""
         latencies = self._get_latencies(exchange)
         latencies.total += (seconds - latencies.total) * EWMA_WEIGHT
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -1,4 +1,4 @@
-"""Base of what runs requests, and the sends that all kinds of request share."""
+"""Base class of request runners, with the retry rules that they share."""
 
 from __future__ import annotations
 
@@ -27,13 +27,14 @@
 
 __all__ = ("Runner",)
 
-#: seconds without which a send could not be answered any more
+#: seconds before the deadline that an attempt needs at the least
 MIN_ATTEMPT_SECONDS = 0.01
-#: seconds after which a service without a sound target may have one again
+#: seconds after which callers may retry when a service has no healthy target
 NO_TARGET_RETRY_AFTER = 0.5
-#: seconds after which targets that were full may have room again
+#: seconds after which callers may retry when targets were at capacity
 REJECTED_RETRY_AFTER = 0.3
-#: seconds after which a target that could not be reached may have been replaced
+#: seconds after which callers may retry when a target could not be reached: it may
+#: have been replaced by then
 UNSENT_RETRY_AFTER = 0.5
 
 
@@ -57,9 +58,9 @@
 
     @abstractmethod
     async def run(self, exchange: RelayExchange) -> None:
-        """Answer ``exchange``.
+        """Run the request of ``exchange`` and write its answer.
 
-        :raises RefusedError: if it is to be refused
+        :raises RefusedError: if the request is refused
         """
 
     def find_remaining(self, exchange: RelayExchange) -> float:
@@ -67,19 +68,19 @@
         return exchange.deadline - self.clock.now()
 
     def check_hold(self, exchange: RelayExchange) -> None:
-        """Look again whether ``exchange`` may be sent.
+        """Check again that the request of ``exchange`` is not in quarantine.
 
-        Targets may have ended under the same request while this one waited for its
-        stages, or under this one itself.
+        Targets may have crashed under other attempts of the same request while this
+        one waited for its stages, or under this one itself.
 
-        :raises RefusedError: if not
+        :raises RefusedError: if the request is held
         """
         hold = self._quarantine.find_hold(exchange.digest, self.clock.now())
         if hold is not None:
             raise create_hold_error(exchange, hold)
 
     def may_retry(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
-        """Whether to send again after ``outcome``; a repeat is charged."""
+        """Return whether to send again after ``outcome``; a retry is charged."""
         route = exchange.route
         facts = RepeatFacts(
             outcome=outcome,
@@ -100,7 +101,7 @@
     def create_refusal(
         self, exchange: RelayExchange, last: Unanswered | None
     ) -> RefusedError:
-        """Return the error that ends ``exchange`` after its last send."""
+        """Return the error that ends ``exchange`` after its last attempt."""
         if last is None:
             return create_error(
                 exchange,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -1,4 +1,4 @@
-"""What one stage of a request asks of the makers of its service."""
+"""Bundles of pieces that the stages of a request send to makers."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 def list_makers(
     held: Mapping[int, tuple[PieceResult, ...]], numbers: Collection[int]
 ) -> tuple[Incarnation, ...]:
-    """Return the makers of what some stages have made, each once."""
+    """Return the distinct makers of the results of some stages."""
     makers = (result.maker for one in numbers for result in held[one])
     return tuple(dict.fromkeys(makers))
 
 
 class BundleFactory:
-    """Creates the bundles of one request, with the times by which each is wanted.
+    """Creates the bundles of one request, with the deadline of each.
 
-    :param first_seconds: expected time of the target until its answer begins
-    :param whole_seconds: the same until its answer ends
+    :param first_seconds: expected seconds until the target starts to answer
+    :param whole_seconds: expected seconds until the target's answer is complete
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._whole_seconds = whole_seconds
 
     def find_bounds(self) -> TargetBounds:
-        """Return when the target has to begin with the request."""
+        """Return the times by which the target has to start on the request."""
         exchange = self._exchange
         objective = exchange.request.received + exchange.route.objective
         return TargetBounds(
@@ -101,10 +101,10 @@
     def _find_data_centre(
         self, work: StageWork, held: Mapping[int, tuple[PieceResult, ...]]
     ) -> str:
-        """Return where a stage's results are best made.
+        """Return the data centre in which a stage is best executed.
 
-        Each piece reads all results of the stages before; those of a first stage go
-        to the engine, most likely the one that keeps the prompt's parts.
+        Each piece reads all results of the stages before it. Results of a first stage
+        go to the engine, most likely the one that has the prompt's prefix cached.
         """
         sizes: dict[str, int] = {}
         for one in work.after:
@@ -123,7 +123,7 @@
         return self._data_centre
 
     def _find_input_expiry(self, work: StageWork) -> float:
-        """Return when the first of the results that a stage reads lapses."""
+        """Return when the first input of a stage expires at its maker."""
         now = self._clock.now()
         services = self._exchange.deployment.services
         expiries = [float("inf")]
@@ -136,10 +136,10 @@
     def _count_moved_bytes(
         self, work: StageWork, held: Mapping[int, tuple[PieceResult, ...]]
     ) -> int:
-        """Return the bytes that cross data centres if a far maker is chosen.
+        """Return the bytes that cross data centres if a remote maker is chosen.
 
-        Of first stages it is none: they have the most to wait for, and waiting for a
-        maker near the engine cost more than it saved.
+        First stages count as none: they have the most waiting ahead of them, and
+        waiting for a maker near the engine costs more time than it saves.
         """
         return work.count * sum(
             len(held[one]) * self._plan.works[one].result_bytes for one in work.after
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_executor.py
@@ -1,4 +1,4 @@
-"""Who has the pieces of stages made, and how long pieces wait there."""
+"""Interface for the execution of pipeline stages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StageExecutor(ABC):
-    """Takes bundles of pieces and has them made."""
+    """Executes bundles of pieces on the makers of their service."""
 
     @abstractmethod
     async def execute(
@@ -23,16 +23,16 @@
     ) -> tuple[PieceResult, ...]:
         """Return the results of all pieces, in order.
 
-        ``note_read`` is called once the makers have what the pieces read, if that is
-        known before the results are there.
+        ``on_read`` is called once the makers have read the inputs of all pieces, if
+        that is known before the results are complete.
 
-        Cancelling it withdraws the pieces that are not yet being made.
+        Cancelling the call withdraws the pieces that are still queued.
         """
 
     @abstractmethod
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
-        """Give up results."""
+        """Free results that are no longer needed."""
 
     @abstractmethod
     def estimate_wait(self, service: str) -> QueueWait:
-        """Return how long a piece would wait if it came now."""
+        """Return the expected queue wait of a piece that is added now."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -1,4 +1,4 @@
-"""How the makers of each service are divided between owners, as this instance sees."""
+"""Groups of makers by service, according to the local membership view."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Fleet:
-    """What is taken from the members: where they are, and how strong the best is."""
+    """Data centres of the members, and the capacity of the strongest one."""
 
     homes: frozenset[str] = frozenset()
     capacity: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Selection:
-    """Makers of a group, and what they were chosen from."""
+    """Cached makers of a group, and the inputs that they were selected from."""
 
     listed: tuple[ListedTarget, ...]
     fleet: _Fleet
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Division:
-    """Groups of a service, and what they follow from."""
+    """Cached groups of a service, and the inputs that they follow from."""
 
     listed: tuple[ListedTarget, ...]
     fleet: _Fleet
@@ -53,11 +53,11 @@
 
 
 class MakerGroups:
-    """Groups of makers by service; all instances that know the same agree on them.
+    """Groups of makers by service; instances with the same view agree on them.
 
-    :param list_members: returns all instances that are known, the dead ones included:
-        the makers of a data centre that is cut off are not to change their owner
-    :param find_profile: returns what the configuration says of a service's makers
+    :param list_members: returns all known instances, including dead ones, so that the
+        makers of a partitioned data centre do not change their owner
+    :param find_profile: returns the configured profile of a service's makers
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         listed = self._book.list_service(service)
         fleet, profile = self._find_fleet(), self._find_profile(service)
         cached = self._divisions.get(service)
-        # the book makes a new list when one of its entries changes
+        # the book creates a new list whenever an entry changes
         if (
             cached is None
             or cached.listed is not listed
@@ -95,7 +95,7 @@
         return cached.groups
 
     def list_makers(self, group: MakerGroup) -> tuple[ListedTarget, ...]:
-        """Return the makers of a group; the same object as long as nothing changes."""
+        """Return the makers of a group; the same object until something changes."""
         listed = self._book.list_service(group.service)
         if not group.data_centre:
             return listed
@@ -111,21 +111,21 @@
         return cached.chosen
 
     def find_local_group(self, service: str, data_centre: str) -> MakerGroup:
-        """Return the makers beside an instance, whether they are divided or not.
+        """Return the group of makers in a data centre, even if they are not divided.
 
-        All of the service, where there are none in its data centre.
+        If the data centre has no makers, the group of the whole service is returned.
         """
         near = MakerGroup(service, data_centre)
         return near if self.list_makers(near) else MakerGroup(service)
 
     def find_group(self, service: str, data_centre: str) -> MakerGroup:
-        """Return the group that the makers of a data centre belong to."""
+        """Return the group that contains the makers of a data centre."""
         home = find_home(data_centre, self._find_fleet().homes)
         group = MakerGroup(service, home)
         return group if group in self.list_groups(service) else MakerGroup(service)
 
     def count_max_groups(self) -> int:
-        """Return the largest number of groups of a service."""
+        """Return the largest number of groups that any service has."""
         return max((len(one.groups) for one in self._divisions.values()), default=1)
 
     def _divide(self, service: str, cached: _Division | None) -> tuple[MakerGroup, ...]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -1,4 +1,4 @@
-"""Gathers pieces for a group of makers and has these make them."""
+"""Queue and scheduler of the calls to one group of makers."""
 
 from __future__ import annotations
 
@@ -37,25 +37,25 @@
 
 __all__ = ("StagePool",)
 
-#: seconds after which pieces that wait are looked at again, and between two searches
-#: for those that can't be made in time
+#: seconds after which queued pieces are scheduled again, and between two searches for
+#: pieces that cannot be made in time
 RESCHEDULE_SECONDS = 0.05
-#: seconds after which a call that began at once has fetched its inputs, which takes
-#: a few milliseconds on these links
+#: seconds after which a call that started at once has fetched its inputs, which takes a
+#: few milliseconds
 INPUT_READ_SECONDS = 0.1
-#: slowness up to which a maker is taken to begin at once
+#: slowness up to which a maker is assumed to start calls at once
 MAX_PROMPT_SLOWNESS = 1.5
 
 
 class StagePool:
     """Queue and calls of one group of makers.
 
-    Pieces wait here and not at their makers: who is late, dropped, or less urgent
-    than a newcomer can then still be told apart when a maker becomes idle.
+    Pieces wait in this queue and not at their makers. When a maker becomes idle, late
+    and cancelled pieces can still be dropped, and more urgent ones be sent first.
 
-    :param list_makers: returns the makers listed, the same object as long as nothing
+    :param list_makers: returns the listed makers, the same object until something
         changes
-    :param is_exclusive: tells whether no other instance's calls are at the makers
+    :param is_exclusive: returns whether no other instance has calls at the makers
     """
 
     def __init__(
@@ -88,7 +88,7 @@
             group.service, free=self.free, book=book, budgets=budgets, metrics=metrics
         )
         self._makers: dict[Incarnation, Maker] = {}
-        #: the makers listed, as of the entries and the profile they were made from
+        #: cached makers, and the entries and the profile that they were created from
         self._listed: list[Maker] = []
         self._listed_from: tuple[object, MakerProfile] | None = None
         self._estimator = WaitEstimator(clock.now())
@@ -112,7 +112,7 @@
     ) -> tuple[PieceResult, ...]:
         """Return the results of a bundle's pieces, in order.
 
-        :param note_read: called once makers have read the inputs of all pieces
+        :param on_read: called once makers have read the inputs of all pieces
         """
         if self._book.has_former(bundle.input_makers):
             gone = PieceResult(failure=PieceFailure.GONE)
@@ -127,20 +127,20 @@
             raise
 
     def estimate_wait(self) -> QueueWait:
-        """Return how long a piece that came now would wait."""
+        """Return the expected queue wait of a piece that is added now."""
         profile = self._find_profile()
         makers = self._list_makers(profile) if profile is not None else []
         return self._estimator.estimate(self._queue, makers, profile, self._clock.now())
 
     def free(self, results: tuple[PieceResult, ...]) -> None:
-        """Have makers drop results."""
+        """Free results at their makers."""
         self._freeing.free(results)
 
     def record_removal(self, incarnation: Incarnation) -> None:
-        """Take in that a maker is gone; if it has started again, its results are lost.
+        """Record that a maker was removed; if it has restarted, its results are lost.
 
-        Their pieces are made again: an engine that was sent their handles would turn
-        the request away, after all stages.
+        Their pieces are made again: an engine that received the stale handles would
+        reject the request, after all its stages were executed.
         """
         if not self._book.is_former(incarnation):
             return
@@ -164,8 +164,8 @@
         }
 
     async def close(self) -> None:
-        """End what is under way."""
-        # before the timer: room that becomes free is looked at once more
+        """Flush the results to be freed and cancel the calls in progress."""
+        # before the timer is cancelled, as freed room triggers the scheduler again
         await self._freeing.close()
         if self._timer is not None:
             self._timer.cancel()
@@ -173,13 +173,13 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # decisions
+    # scheduling
 
     def _schedule(self) -> None:
-        """Begin the calls that are due.
+        """Start the calls that are due.
 
-        It is called for whatever changes, hundreds of times a second in a large
-        deployment, so it takes long only where a maker can begin a call.
+        This runs on every change, hundreds of times a second in a large deployment, so
+        the expensive planning is done only if a maker can start a call.
         """
         if not self._queue:
             return
@@ -207,8 +207,8 @@
     ) -> None:
         for call in self._plan_calls(makers, profile, now):
             self._queue.dequeue(call)
-            # counted before its task runs: more bundles may come until then, and
-            # the maker would seem idle to each of them
+            # counted before its task runs: the maker would seem idle to bundles that
+            # are added in the meantime
             maker = self._makers[call.incarnation]
             call_timeout = maker.start_call(len(call.pieces), now)
             maker.room.reserve(_sum_sizes(call))
@@ -219,10 +219,10 @@
     def _plan_calls(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> Sequence[PlannedCall]:
-        """Return the calls to begin; a suspected bundle shares its own with none.
+        """Return the calls to start; a suspected bundle gets calls of its own.
 
-        Left in shared calls, it would end them all, and nothing would tell it from
-        those beside it.
+        In shared calls it would crash them all, and could not be distinguished from the
+        other bundles in them.
         """
         views = [maker.view(now) for maker in makers]
         if not self._quarantine.has_suspects():
@@ -259,14 +259,14 @@
     def _fail_expired(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> None:
-        """Fail the bundles whose request can't be answered in time any more."""
+        """Fail the bundles whose request can no longer meet its deadline."""
         views = [maker.view(now) for maker in makers]
         waiting = self._queue.list_waiting()
         for bundle in find_hopeless(waiting, views, profile, now):
             self._queue.fail(self._queue.find(bundle), PieceFailure.LATE)
 
     def _fail_held(self) -> None:
-        """Fail the bundles under which makers have ended."""
+        """Fail the bundles that are held in quarantine."""
         for entry in tuple(self._queue):
             if entry.pending and self._quarantine.is_held(entry.bundle):
                 self._queue.fail(entry, PieceFailure.HELD)
@@ -316,7 +316,7 @@
     def _settle_room(
         self, maker: Maker, call: PlannedCall, call_result: CallResult, started: float
     ) -> None:
-        """Turn the room that was reserved for a call into what it left there."""
+        """Replace a call's reserved room by the size of the results it left."""
         now = self._clock.now()
         size = _sum_sizes(call)
         made = {}
@@ -329,30 +329,31 @@
                 maker.room.note_refusal(now)
         maker.room.settle(size, made, now)
         if made:
-            self._estimator.record_success(len(made), now - started, now)
+            self._estimator.record_completion(len(made), now - started, now)
         if call_result.outcome not in SETTLED_OUTCOMES:
-            # it may go on with the call, and keep the results for a while
+            # the maker may continue the call and keep its results for a while
             maker.room.hold_unknown(f"lost at {started}", size, now)
 
     def _report_inputs_read(
         self, maker: Maker, entries: list[QueuedBundle | None]
     ) -> None:
-        """Take in that a call has begun and has fetched what its pieces read.
-
-        Inputs fill the room of the makers before; kept until the call ends, they
-        would fill it for a third of a second longer. Nothing tells that a call has
-        begun but that there is none before it, of this instance or of another one:
-        inputs that are freed while it waits are gone at its turn, and the request's
-        stages are made again or fail.
+        """Report the inputs of a call as read, if the maker must have started it.
+
+        Inputs occupy room at the makers of the earlier stage; kept until the call ends,
+        they would do so for a third of a second longer. A maker does not signal that it
+        has started a call. It must have if no other call, of this or any other
+        instance, is queued ahead. Inputs freed while the call is still queued would be
+        gone when it starts, and the stages of the request would be executed again or
+        fail.
         """
         if not self._is_exclusive():
             return
         now = self._clock.now()
         if maker.calls > 1 or maker.find_slowness(now) > MAX_PROMPT_SLOWNESS:
-            # its turn may not have come yet
+            # the maker may not have started the call yet
             return
         if maker.failed_recently(now):
-            # what it reads may have to be read again
+            # the call may have to be retried, which reads its inputs again
             return
         for entry in dict.fromkeys(entries):
             if entry is not None and not entry.pending and not entry.failure_count:
@@ -360,11 +361,11 @@
 
 
 def _sum_sizes(call: PlannedCall) -> int:
-    """Return the bytes of the results that a call makes."""
+    """Return the total result size of a call, in bytes."""
     return sum(bundle.result_bytes for bundle, _ in call.pieces)
 
 
 def _count_failures(results: tuple[PieceResult, ...] | None) -> dict[str, int]:
-    """Return how many pieces of an answered call were not made, by the reason."""
+    """Return the number of pieces that failed in an answered call, by reason."""
     failures = [one.failure for one in results or () if one.failure is not None]
     return {one.value: failures.count(one) for one in dict.fromkeys(failures)}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -1,4 +1,4 @@
-"""The stage work of one request: which pieces, when, and when results are freed."""
+"""Execution of the stages of a request, and release of their results."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
 
 __all__ = ("StageResults", "StageRun", "StageRunner")
 
-#: times that stages are made, because results of earlier ones are gone
+#: maximum number of executions of a stage, when results that it reads are lost
 MAX_EXECUTIONS = 2
-#: seconds after which makers that are behind may have caught up, at the least
+#: minimum seconds after which callers may retry when makers are overloaded
 MIN_RETRY_AFTER = 0.3
-#: slack of a stage at which it is begun, in seconds: about as long as a piece waits
-#: for a maker to end the call before
+#: slack at which a stage is started, in seconds: about as long as a piece waits for a
+#: maker to finish the call before
 MIN_SLACK = 0.1
-#: seconds for which it is not worth waiting
+#: pauses shorter than this many seconds are skipped
 MIN_PAUSE = 0.005
 
 
 @dataclass(slots=True)
 class StageResults:
-    """What a request's target needs of its stages."""
+    """Results of the stages that the target of a request reads."""
 
     #: handles for the target; ``None`` where the route has no stages
     inputs: tuple[str, ...] | None = None
-    #: bytes of these by the data centre of their makers
+    #: size of the results in bytes, by the data centre of their makers
     bytes_by_data_centre: dict[str, int] = field(default_factory=dict)
-    #: what holds them
+    #: makers that hold the results
     makers: frozenset[Incarnation] = frozenset()
 
 
@@ -60,7 +60,7 @@
 
 
 class StageRunner:
-    """Makes the stages of requests, each as soon as those it reads are made."""
+    """Executes the stages of requests, each once the stages that it reads are done."""
 
     def __init__(
         self,
@@ -82,16 +82,16 @@
     def create_run(
         self, exchange: RelayExchange, first_seconds: float, whole_seconds: float
     ) -> StageRun:
-        """Return the stage work of one request, not yet started.
+        """Return the run of one request's stages, not yet started.
 
-        :param first_seconds: expected time of the target until its answer begins
-        :param whole_seconds: the same until its answer ends
+        :param first_seconds: expected seconds until the target starts to answer
+        :param whole_seconds: expected seconds until the target's answer is complete
         """
         return StageRun(self, exchange, first_seconds, whole_seconds)
 
 
 class StageRun:
-    """The stages of one request, and the results that it holds."""
+    """Executes the stages of one request and holds their results."""
 
     def __init__(
         self,
@@ -119,18 +119,18 @@
         self._held: dict[int, tuple[PieceResult, ...]] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._readers = self._list_readers()
-        #: expected moments of the ends of stages that have begun
+        #: expected or actual end times of the stages that have started
         self._ends: dict[int, float] = {}
         self._stage_ended = asyncio.Event()
 
     def estimate(self) -> ChainEstimate:
-        """Return what is expected of the stages, one after the other."""
+        """Return the estimated times of the stages along the chain."""
         return self._plan.estimate(self._executor.estimate_wait)
 
     async def execute(self) -> StageResults:
-        """Make all stages and return what the target needs.
+        """Execute all stages and return the results for the target.
 
-        :raises RefusedError: if they can't be made in time
+        :raises RefusedError: if a stage fails or cannot be finished in time
         """
         if not self._exchange.route.stages:
             return StageResults()
@@ -143,7 +143,7 @@
             raise create_error(
                 self._exchange,
                 RefusalCode.STAGE_FAILED,
-                "stage results were lost again and again",
+                "stage results were lost repeatedly",
                 retry_after=MIN_RETRY_AFTER,
             ) from error
         self._exchange.stage_seconds += self._clock.now() - started
@@ -160,10 +160,10 @@
         )
 
     def _find_lost(self) -> _StageFailedError | None:
-        """Return the error of a stage whose results for the target are lost already.
+        """Return the error of a final stage whose results are already lost.
 
-        They may be named by an owner that has not heard of a restart yet; sent on, the
-        request would be turned away by one engine after the other.
+        An owner that has not learnt of a maker's restart yet may return stale handles.
+        Sent with these, the request would be rejected by one engine after the other.
         """
         for number in self._plan.final:
             if self._book.has_former(list_makers(self._held, (number,))):
@@ -171,11 +171,11 @@
         return None
 
     def is_lost(self, results: StageResults) -> bool:
-        """Whether a maker of results has started again: it holds none of them."""
+        """Return whether a maker of ``results`` has restarted and lost them."""
         return self._book.has_former(results.makers)
 
     def free(self) -> None:
-        """Give up every result that is held."""
+        """Free all results that are held."""
         for number in tuple(self._held):
             self._free_stage(number)
 
@@ -187,7 +187,7 @@
         }
 
     async def _execute_all(self, started: float) -> None:
-        """Make all stages; those of a part again whose results are gone."""
+        """Execute all stages, and again those of a component that lost results."""
         self._tasks = {}
         self._ends = {}
         self._start_all(tuple(self._plan.works))
@@ -210,9 +210,9 @@
             raise
 
     async def _wait_finished(self) -> _StageFailedError | None:
-        """Wait until all stages are made or one has failed, and return its error."""
+        """Wait until all stages are done or one has failed, and return its error."""
         if not self._tasks:
-            # a request may need none of its route's stages
+            # a request may use none of its route's stages
             return None
         done, _ = await asyncio.wait(
             self._tasks.values(), return_when=asyncio.FIRST_EXCEPTION
@@ -224,17 +224,17 @@
                 continue
             if not isinstance(error, _StageFailedError):
                 raise error
-            # one that can't be made again decides
+            # a failure that cannot be retried takes precedence
             if found is None or error.failure is not PieceFailure.GONE:
                 found = error
         return found or self._find_lost()
 
     def _find_component(self, error: _StageFailedError) -> tuple[int, ...]:
-        """Return the stages that have to be made again with one that failed.
+        """Return the stages to execute again after one has failed.
 
-        A maker doesn't say which input is gone, and what the stages before had read
-        is freed by then. So these are all that are linked to it by what they read;
-        results of others are kept.
+        A maker does not report which input is lost, and the inputs of the earlier
+        stages are freed by then. So the whole connected component of the stage is
+        executed again; results of other stages are kept.
         """
         components = self._plan.list_parts()
         return next(
@@ -251,7 +251,7 @@
             self._start(number)
 
     async def _cancel_stages(self, numbers: tuple[int, ...]) -> None:
-        """End the work on stages, and free their results."""
+        """Cancel stages and free their results."""
         tasks = [self._tasks[number] for number in numbers]
         for task in tasks:
             task.cancel()
@@ -271,7 +271,7 @@
         self, number: int, earlier: list[asyncio.Task[None]]
     ) -> None:
         for task in earlier:
-            # shielded: a stage that is cancelled must not cancel those it reads
+            # shielded: cancelling a stage must not cancel the stages that it reads
             await asyncio.shield(task)
         work = self._plan.works[number]
         await self._delay_start(work)
@@ -292,7 +292,7 @@
         self._free_inputs(work)
 
     async def _delay_start(self, work: StageWork) -> None:
-        """Wait as long as a stage's results would only wait for those of others."""
+        """Delay a stage while its results would only wait for those of other stages."""
         while True:
             slack = self._plan.find_slack(
                 work,
@@ -311,7 +311,7 @@
                     await self._stage_ended.wait()
 
     def _free_inputs(self, work: StageWork) -> None:
-        """Free what a stage has read, once no other stage is to read it."""
+        """Free the inputs of a stage that no other stage has still to read."""
         for one in work.after:
             readers = self._readers[one]
             readers.discard(work.number)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimator.py
@@ -1,4 +1,4 @@
-"""How long a piece that came now would wait for the makers of its service."""
+"""Estimate of the queue wait for the makers of a service."""
 
 from __future__ import annotations
 
@@ -17,43 +17,43 @@
 
 __all__ = ("WaitEstimator",)
 
-#: seconds over which the pieces made are counted
+#: window of the measured throughput, in seconds
 RATE_WINDOW_SECONDS = 2.0
-#: share of makers' speed that is believed at the least
+#: lower bound of the measured throughput, as a share of the makers' expected one
 MIN_RATE_SHARE = 0.3
-#: seconds for which a count of the queue is used again
+#: seconds for which a count of the queue is cached
 COUNT_CACHE_SECONDS = 0.02
 
 
 class WaitEstimator:
-    """Estimates the wait from the pieces that wait and the speed of their makers.
+    """Estimates the queue wait from the queued pieces and the speed of their makers.
 
-    Every request asks, some several times. With the whole queue counted for each, a
-    burst in a large deployment would cost more of the processor than the calls; so it
-    is counted fifty times a second, and what has come since is added.
+    Every request reads the estimate, some several times. Counting the whole queue each
+    time would cost more CPU time than the calls during a burst in a large deployment.
+    So the queue is counted at most 50 times a second, and later arrivals are added.
     """
 
     def __init__(self, now: float) -> None:
-        #: monotonic seconds since when more than one call's pieces have waited
+        #: monotonic seconds since when more pieces than fill one call have been queued
         self._queued_since = now
-        #: ends of calls that were answered, their seconds, and the pieces made by each
+        #: end time, duration and number of pieces made of each answered call
         self._completed: deque[tuple[float, float, int]] = deque()
         self._counted_until = 0.0
-        #: pieces that waited when they were counted, and those that came since
+        #: urgent and all queued pieces at the last count, and pieces added since
         self._urgent = 0
         self._waiting = 0
         self._added = 0
-        #: pieces made a second
+        #: estimated throughput, in pieces per second
         self._rate = 1.0
-        #: seconds that a call takes
+        #: median duration of a call, in seconds
         self._call_seconds = 0.0
 
     def record_completion(self, count: int, seconds: float, now: float) -> None:
-        """Take in the pieces that a call has made, and how long it took."""
+        """Record the pieces that a call has made, and its duration."""
         self._completed.append((now, seconds, count))
 
     def record_added(self, count: int) -> None:
-        """Take in pieces that came and wait."""
+        """Count pieces that were added to the queue."""
         self._added += count
 
     def estimate(
@@ -63,7 +63,7 @@
         profile: MakerProfile | None,
         now: float,
     ) -> QueueWait:
-        """Return how long a piece that came now would wait."""
+        """Return the expected queue wait of a piece that is added now."""
         if not makers or not queue:
             self._queued_since = now
             self._counted_until = 0.0
@@ -98,10 +98,10 @@
         if self._waiting <= profile.batch:
             self._queued_since = now
         elif now - self._queued_since >= RATE_WINDOW_SECONDS:
-            # makers' room may bind long before their time does
+            # the makers' room may limit the throughput more than their speed
             rate = min(rate, max(rate * MIN_RATE_SHARE, self._measure_rate()))
         self._rate = rate
 
     def _measure_rate(self) -> float:
-        """Return the pieces made a second, of late."""
+        """Return the throughput in the window, in pieces per second."""
         return sum(count for _, _, count in self._completed) / RATE_WINDOW_SECONDS
--- a/tests/test_entry/test_relay/test_crash_report_replicator.py
+++ b/tests/test_entry/test_relay/test_crash_report_replicator.py
@@ -1,4 +1,4 @@
-"""Targets that end under requests, as one instance finds them and tells of them."""
+"""Tests of the detection of crashes and the replication of crash reports."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def lose_answers(world) -> None:
-    """Have a request lose its answer at four targets, each alive."""
+    """Send a request whose answer is lost by four targets that keep running."""
     for number in (3, 4):
         await world.add(f"desk-{number}", "desk")
     await world.wait_known(4)
@@ -38,7 +38,7 @@
 
 
 async def test_targets_that_lose_answers_and_live_are_not_blamed(world):
-    """Guards against a sound request that is held for answers which got lost."""
+    """Guard against holding a sound request because its answers were lost."""
     await lose_answers(world)
     await world.wait_for(lambda: len(list_suspected(world)) == 4)
     assert (await world.ask(LOST)).status == 200
@@ -46,7 +46,7 @@
 
 
 async def test_planned_end_of_a_target_is_not_blamed_on_what_it_cut(world):
-    """Guards against a sound request that is held for a release."""
+    """Guard against holding a sound request because of a rolling update."""
     target = world.targets["desk-1"]
     world.targets["desk-2"].register(world.store, state="draining")
     await world.wait_for(lambda: not world.accepts("desk-2"))
@@ -61,7 +61,7 @@
 
 
 async def test_target_that_starts_again_at_once_is_found_by_the_listing(world):
-    """Guards against a crash that nobody sees, as a dial finds the next process."""
+    """Guard against a missed crash when a new process accepts connections at once."""
     target = world.targets["desk-1"]
     target.fault = TargetFault.LOSE_ANSWER
     world.targets["desk-2"].fault = TargetFault.LOSE_ANSWER
@@ -91,7 +91,7 @@
 
 
 async def test_peers_are_told_the_oldest_first(world):
-    """Guards against reports that a peer passes over as it asks for later ones."""
+    """Guard against reports that a peer misses as it queries only later revisions."""
     revisions = [put_report(world, f"entry-2/{n}", f"t{n}") for n in range(100)]
     await world.wait_heard(revisions[-1])
     crashes = world.find("crashes")
@@ -103,7 +103,7 @@
 
 
 class RecordingPeers:
-    """Takes what is sent to the peers beside an instance."""
+    """Records the messages to an instance's overlay neighbours."""
 
     def __init__(self) -> None:
         self.sent: list[CrashesSeen] = []
@@ -120,7 +120,7 @@
 
 
 async def test_each_report_is_told_once_while_the_store_takes_none(world):
-    """Guards against peers that hear of the first report only, or of one for ever."""
+    """Guard against peers that get only the first report, or one repeatedly."""
     crashes = world.find("crashes")
     peers = crashes._peers = RecordingPeers()
     world.store.fault = StoreFault.BUSY
@@ -134,7 +134,7 @@
 
 
 async def test_many_ends_at_once_are_written_in_values_that_can_be_read(world):
-    """Guards against a loss of a data centre whose reports nobody can read."""
+    """Guard against oversized, unreadable entries when a data centre is lost."""
     crashes = world.find("crashes")
     for number in range(600):
         crashes.publish(CrashReport(Incarnation(f"t{number}"), "desk", ("aa",)))
--- a/tests/test_entry/test_relay/test_forwarding_stage_executor.py
+++ b/tests/test_entry/test_relay/test_forwarding_stage_executor.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.owned_desk with peers in one process."""
+"""Tests of greengagelatch_entry.relay.forwarding_stage_executor, in one process."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class Network:
-    """Links between desks; some instances may be out of reach."""
+    """In-process links between executors; instances may be unreachable."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict] = {name: {} for name in NAMES}
@@ -106,7 +106,7 @@
 
 
 class Local:
-    """Makes pieces at once and notes which."""
+    """Makes pieces at once and records them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -203,10 +203,9 @@
 
 
 async def test_next_one_is_asked_where_the_owner_is_lost(world):
-    """Symptom: stages stand still for seconds after one instance has died.
+    """Guard against stages that stall for seconds after the owner has died.
 
-    Sequence: the owner of a service dies; the membership has not noticed yet.
-    Cause: only the membership could name another owner.
+    Until the membership detected the failure, no other owner was tried.
     """
     owner, second, third = world.ranked
     world.network.gone.add(owner)
@@ -217,11 +216,11 @@
 
 
 async def test_owner_is_asked_again_where_two_links_crossed(world):
-    """Symptom: after a restart of all, several instances own one service for seconds.
+    """Guard against several owners of one service after a restart of all instances.
 
-    Sequence: two instances open a link to each other at the same time; one of the two
-    links is closed, with a question on it, as by a peer of an earlier release.
-    Cause: the owner was passed over for a link that was not needed.
+    Two instances open links to each other at the same time, and one link is closed with
+    a request on it, as by a peer of an earlier release. The owner was then excluded,
+    although the other link still reached it.
     """
     owner, _, third = world.ranked
     ask = world.network.ask
@@ -243,17 +242,16 @@
     "error",
     [
         PeerError(PeerErrorKind.NO_ANSWER, "no answer in time"),
-        # a dial of a machine that is lost would take as long again
+        # connecting to a lost instance would take as long again
         PeerError(PeerErrorKind.NO_ANSWER, "the link went silent"),
         PeerError(PeerErrorKind.NOT_SENT, "no link"),
         PeerError(PeerErrorKind.REFUSED, "the peer is busy"),
     ],
 )
 async def test_owner_that_does_not_answer_is_asked_once(world, error):
-    """Symptom: stage work ends late where its owner's machine was lost.
+    """Guard against stages that are late because a lost owner is tried twice.
 
-    Sequence: the owner does not answer, or nothing can be sent to it.
-    Cause: it is asked again, though no other link leads to it.
+    A second request only helps if another link to the owner may exist.
     """
     owner, second, third = world.ranked
     ask = world.network.ask
@@ -283,7 +281,7 @@
 
 
 async def test_cut_off_instances_ask_the_owner_of_the_makers_beside_them(world):
-    """Guards against calls of each by itself in a data centre that is cut off."""
+    """Guard against separate calls of each instance in a partitioned data centre."""
     owner, second, third = world.ranked
     world.network.places[owner] = "south"
     world.network.gone.add(owner)
@@ -318,11 +316,10 @@
 
 
 async def test_instance_that_leaves_asks_the_next_owner(world):
-    """Symptom: while instances restart, two own one service for seconds.
+    """Guard against two owners of one service while instances restart.
 
-    Sequence: the owner of a service begins to leave; its peers ask the next one; it
-    goes on for as long as its own requests do.
-    Cause: it was the first candidate in its own eyes whatever its state.
+    A draining owner, whose peers already used the next owner, still counted itself as
+    the owner for its own requests.
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
@@ -356,11 +353,10 @@
 
 
 async def test_stop_waits_for_the_bundles_of_peers(world):
-    """Symptom: while instances restart, pieces are made twice and come late.
+    """Guard against pieces that are made twice, and late, while instances restart.
 
-    Sequence: an owner whose own requests are done stops with bundles of its peers in
-    work, which these then ask the next owner for.
-    Cause: the stop waited for its own callers only.
+    An owner waited only for its own callers before it stopped. Bundles of its peers
+    were cut off, and sent again to the next owner.
     """
     owner, _, third = world.ranked
     desk, local = world.desks[owner], world.local[owner]
@@ -378,11 +374,10 @@
 
 
 async def test_owner_is_sole_once_nobody_has_come_or_gone_for_long(world):
-    """Symptom: pieces fail as "input gone" for seconds after an instance has left.
+    """Guard against inputs freed too early after a change of owner.
 
-    Sequence: the owner leaves, and is gone; the next one's calls wait at makers
-    behind its last ones.
-    Cause: the next one took the makers for its own at once.
+    The next owner's calls wait at the makers behind the last calls of the previous
+    one. It assumed exclusive use at once, and pieces failed as "input gone".
     """
     owner, second, _ = world.ranked
     desks = world.desks
@@ -405,12 +400,11 @@
 
 
 async def test_owner_stays_sole_while_others_come_and_go(world):
-    """Symptom: on days on which instances restart in turn, makers' calls are two
-    thirds as full, and their room binds.
+    """Guard against low batch sizes during a rolling restart.
 
-    Sequence: instances that own nothing leave, one after the other, a few seconds
-    apart.
-    Cause: each of them made the owner wait for calls of an owner before.
+    Each instance that left, a few seconds apart and without owning anything, made the
+    owner wait as for the calls of a previous owner. Inputs filled the makers' room,
+    and calls were only two thirds as full.
     """
     owner, second, third = world.ranked
     world.desks[owner].estimate_wait(SERVICE)
@@ -425,11 +419,11 @@
 
 
 async def test_owner_that_is_suspected_for_a_moment_stays_the_owner(world):
-    """Symptom: in a large fleet two instances fill one service's makers, a moment each.
+    """Guard against a change of owner for a suspicion that is soon refuted.
 
-    Sequence: one answer to a probe is lost; the owner is suspected by all, and
-    refutes it a tenth of a second later.
-    Cause: a suspicion moved what the suspected one owned to the next.
+    In a large fleet a lost probe answer makes all instances suspect the owner, which
+    refutes it 0.1 s later. Ownership moved to the next instance in between, and two
+    instances filled the makers of one service.
     """
     owner, second, third = world.ranked
     for desk in world.desks.values():
@@ -445,9 +439,10 @@
 
 
 async def test_owner_that_was_not_for_a_moment_is_not_sole(world):
-    """Symptom and cause as above for an owner that left.
+    """Guard against inputs freed too early after a brief change of owner.
 
-    Sequence: an instance that goes before the owner comes and leaves again.
+    An instance that ranks before the owner joins and leaves again, and may have left
+    calls at the makers.
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
@@ -467,11 +462,12 @@
 
 
 async def test_instance_that_passed_the_owner_over_is_not_sole(world):
-    """Symptom: pieces fail as "input gone" beside lines "owner-lost".
+    """Guard against inputs freed too early where an owner is only unreachable.
 
-    Sequence: an instance can't reach the owner and asks the next one, or makes its
-    pieces itself; the owner goes on with those of others.
-    Cause: whoever makes pieces took the makers for its own.
+    An instance that cannot reach the owner uses the next one or calls the makers
+    itself, while the owner continues for other instances. Any instance that made
+    pieces assumed exclusive use of the makers, and pieces failed as "input gone" next
+    to log entries "owner-lost".
     """
     owner, second, third = world.ranked
     for desk in world.desks.values():
@@ -497,11 +493,10 @@
 
 
 async def test_bundle_that_is_asked_for_right_after_it_was_withdrawn_is_made(world):
-    """Symptom: stages that are made again wait until their last moment for nothing.
+    """Guard against retried stages that wait in vain until their deadline.
 
-    Sequence: a stage is given up and asked for again at once, under the same name;
-    the owner reads both messages together.
-    Cause: it took the work that was being cancelled for that which is asked for.
+    A stage is cancelled and requested again at once under the same id, and the owner
+    reads both messages together. It joined the new request to the cancelled task.
     """
     owner, _, third = world.ranked
     local = world.local[owner]
@@ -556,7 +551,7 @@
     owner, _, third = world.ranked
 
     async def fail(sender, message):
-        return await world.desks[owner]._handle_wanted(sender, message)
+        return await world.desks[owner]._handle_request(sender, message)
 
     async def make_nothing(group, bundle, note_read):
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -1,4 +1,4 @@
-"""Tests of what calls tell of a maker, on the lab's makers in virtual time."""
+"""Tests of the maker statistics that calls update, in virtual time."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     name="ledger", count=1, batch=10, item_seconds=0.01, room_bytes=10_000
 )
 PROFILE = SHAPE.create_profile()
-#: seconds that one call is allowed
+#: timeout of a call, in seconds
 ALLOWED = 5.0
 
 
 class World:
-    """A maker, and what is known of it."""
+    """A simulated maker, and the local state of it."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -56,7 +56,7 @@
         )
 
     async def call(self, *inputs: str) -> set[PieceFailure | None]:
-        """Have four pieces made that read ``inputs``; return what failed."""
+        """Make four pieces that read ``inputs`` and return their distinct failures."""
         now = self.clock.now()
         pieces = tuple(
             Piece(request_id="r", stage=1, segment=one, key="k", inputs=inputs)
@@ -86,11 +86,10 @@
 
 
 async def test_call_whose_inputs_are_gone_does_not_make_its_maker_seem_fast(world):
-    """Symptom: makers at which pieces fail as "input gone" get most of the calls.
+    """Guard against makers that attract calls because pieces fail there quickly.
 
-    Sequence: the inputs of all pieces of a call are gone; its maker answers sooner,
-    as there is nothing to make.
-    Cause: the time of that call was compared with that of making the pieces.
+    If the inputs of all pieces of a call are lost, the maker answers early. Measured
+    against the time for making the pieces, it would seem fast.
     """
     assert await world.call("nowhere/1") == {PieceFailure.GONE}
     assert world.find_slowness() == 1.0
--- a/tests/test_entry/test_relay/test_result_releaser.py
+++ b/tests/test_entry/test_relay/test_result_releaser.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.freeing, in virtual time."""
+"""Tests of greengagelatch_entry.relay.result_releaser, in virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Links:
-    """Takes in which results are freed, some time after they were sent."""
+    """Records results that are freed, some time after the request was sent."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
@@ -56,11 +56,10 @@
 
 
 async def test_results_given_up_right_before_a_stop_are_freed():
-    """Symptom: calls find no room at makers for seconds after an instance has left.
+    """Guard against results that occupy makers after an instance has stopped.
 
-    Sequence: the last requests of an instance end, their results are given up; the
-    instance stops within the moment for which these are gathered.
-    Cause: what waited to be sent was dropped.
+    An instance that stopped while results were still being batched dropped the batch.
+    Calls found no room at the makers for seconds, until the results expired.
     """
     links = Links(0.002)
     releaser = create_releaser(links)
--- a/tests/test_entry/test_relay/test_retry_budgets.py
+++ b/tests/test_entry/test_relay/test_retry_budgets.py
@@ -1,4 +1,4 @@
-"""Repeats as targets count them, whatever they do with what arrives."""
+"""Tests of the retry budget, with retries counted by the targets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def replace_all(world, service: str) -> None:
-    """Give the addresses of a service's targets to others, unknown to the instance."""
+    """Let other targets take over a service's addresses, unknown to the instance."""
     for target in world.targets.values():
         if target.service == service:
             target.target_id = f"another-{target.target_id}"
@@ -20,13 +20,13 @@
 
 
 def find_most(first: int) -> float:
-    """Return the arrivals that the rule allows beside so many first ones."""
+    """Return the arrivals that the rule allows for so many first attempts."""
     rule = RepeatRule()
     return first + rule.ratio * first + rule.slack / 10
 
 
 async def test_requests_that_meet_another_target_are_repeats(world):
-    """Guards against repeats beyond the bound as many targets are replaced at once."""
+    """Guard against unbounded retries when many targets are replaced at once."""
     for number in (3, 4, 5):
         await world.add(f"desk-{number}", "desk")
     await world.wait_known(5)
@@ -38,7 +38,7 @@
 
 
 async def test_calls_that_meet_another_maker_are_repeats(pipeline, monkeypatch):
-    """Guards against calls beyond the bound as all makers are replaced at once."""
+    """Guard against unbounded calls when all makers are replaced at once."""
     ends = []
     make_call = MakerCaller.call
 
@@ -51,6 +51,6 @@
     replace_all(pipeline, "portal")
     reply = await pipeline.stream(request_id="s-1")
     assert reply.status == 503
-    # as one that a full maker turned away: the next one is charged
+    # counted like a rejection by a full maker: the next attempt is charged
     assert set(ends) == {REJECTED}
     assert count_arrivals(pipeline) == len(ends)
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -28,7 +28,7 @@
 
 
 class World:
-    """Makers in several data centres, and the instances that are known."""
+    """Makers in several data centres, and the known instances."""
 
     def __init__(self) -> None:
         self.makers = self.list_makers(*PLACES * 3)
@@ -90,7 +90,7 @@
 
 
 def test_instance_that_is_cut_off_keeps_the_groups(world):
-    """Guards against owners that change with each partition."""
+    """Guard against ownership that changes with each network partition."""
     before = world.groups.list_groups(SERVICE)
     dead = world.list_members("east", "west", state=MemberState.DEAD)
     world.members = world.list_members("north") + dead
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -29,12 +29,12 @@
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
-#: seconds of patience of the bundles here
+#: default deadline of the bundles, in seconds
 PATIENCE = 60.0
 
 
 class CountingPolicy(BatchPolicy):
-    """Decides like the policy in use, and counts the decisions."""
+    """Applies the production policy and counts its decisions."""
 
     def __init__(self) -> None:
         self.plans = 0
@@ -50,7 +50,7 @@
 
 
 class FakeQuarantine(DisabledBundleQuarantine):
-    """Suspects and holds the requests whose names it is given."""
+    """Suspects and holds the requests with the given ids."""
 
     def __init__(self) -> None:
         self.suspected: set[str] = set()
@@ -67,7 +67,7 @@
 
 
 class World:
-    """One maker, and the pool of its service."""
+    """A maker and the pool of its service."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -138,11 +138,10 @@
 
 
 async def test_bundles_that_come_while_no_maker_is_idle_cost_no_decision(world):
-    """Symptom: the instance that gathers a service's pieces is late with all it does.
+    """Guard against an owner that is overloaded by planning calls.
 
-    Sequence: bundles come by the hundred while every maker is at work.
-    Cause: for each, all that wait were put in order, although no call could begin;
-    the work grew with the square of the queue.
+    Each bundle that arrived while all makers were busy had the whole queue sorted,
+    although no call could start, so that the work grew with the square of the queue.
     """
     tasks = [world.ask(0)]
     await asyncio.sleep(0.01)
@@ -156,16 +155,16 @@
 async def test_next_call_begins_as_soon_as_the_maker_is_idle(world):
     tasks = [world.ask(number) for number in range(12)]
     await asyncio.gather(*tasks)
-    # the first alone, then a full call and the one that is left
+    # one call with the first piece, one full call and one with the last piece
     shortest = 3 * SHAPE.call_seconds + 12 * SHAPE.item_seconds
     assert world.clock.now() < shortest + 0.05
 
 
 async def test_those_that_come_at_the_same_moment_see_each_other_wait(world):
-    """Symptom: of requests that come together more are begun than can be on time.
+    """Guard against admitting more simultaneous requests than can be on time.
 
-    Sequence: the queue was counted, then several bundles come within milliseconds.
-    Cause: all of them are told the length that was counted before the first.
+    Bundles that arrived within milliseconds of each other all got the wait that was
+    computed before the first of them.
     """
     tasks = [world.ask(number) for number in range(12)]
     await asyncio.sleep(0.01)
@@ -187,7 +186,7 @@
 
 
 async def test_bundle_under_which_makers_ended_shares_calls_with_none(world):
-    """Guards against sound requests whose calls a suspected one ends."""
+    """Guard against calls of sound requests that a suspected one crashes."""
     world.quarantine.suspected = {"r3"}
     await asyncio.gather(*(world.ask(number) for number in range(8)))
     shared = [call for call in world.policy.calls if "r3" in call]
@@ -196,7 +195,7 @@
 
 
 async def test_held_bundle_goes_to_no_maker(world):
-    """Guards against a maker that ends under a bundle known to end makers."""
+    """Guard against sending a bundle that is known to crash makers."""
     world.quarantine.held = {"r1"}
     held, sound = await asyncio.gather(world.ask(1), world.ask(2))
     assert [one.failure for one in held] == [PieceFailure.HELD]
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -1,4 +1,4 @@
-"""Tests of the stages of one request, on a desk that fails what it is told to."""
+"""Tests of greengagelatch_entry.relay.stages, with injected stage failures."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     room_bytes=1_000_000,
     keep_seconds=4.0,
 )
-#: a stage for the target itself, and a chain of three
+#: one independent stage, and a chain of three stages
 ROUTE = Route(
     name="r",
     host="h",
@@ -57,15 +57,15 @@
 
 
 class Desk(StageExecutor):
-    """Makes each bundle in a moment of its own, unless it is to fail.
+    """Makes each bundle in 0.25 s, unless a failure is injected.
 
-    :param failures: what fails at the tries of a stage, in turn
+    :param failures: outcomes of the successive attempts of a stage
     """
 
     def __init__(self, failures: dict[int, list[PieceFailure | None]]) -> None:
         self.tries: Counter[int] = Counter()
         self.freed: list[str] = []
-        #: inputs that were freed before a stage that reads them was made
+        #: inputs that were freed before the stage that reads them was done
         self.missed: list[str] = []
         self._failures = failures
 
@@ -127,11 +127,10 @@
 
 
 async def test_stages_that_share_nothing_with_lost_results_are_kept():
-    """Symptom: after results were lost, makers are busy with work that was done.
+    """Guard against repeating stages that do not depend on lost results.
 
-    Sequence: the last stage of a chain finds that what it reads is gone, while the
-    results of another stage lie ready for the target.
-    Cause: all stages of the request were made again.
+    When the last stage of a chain lost its inputs, all stages of the request were
+    executed again, including an independent one whose results were still held.
     """
     desk = Desk({3: [PieceFailure.GONE]})
     results = await begin(desk).execute()
@@ -152,7 +151,7 @@
 async def test_all_results_are_freed_where_some_are_lost_again_and_again():
     desk = Desk({2: [PieceFailure.GONE] * 5})
     run = begin(desk)
-    with pytest.raises(RefusedError, match="lost again and again"):
+    with pytest.raises(RefusedError, match="lost repeatedly"):
         await run.execute()
     assert desk.tries == {0: 1, 1: 2, 2: 2}
     assert sorted(desk.freed) == ["0/1/0", "1/1/0", "1/2/0"]
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -1,6 +1,6 @@
-"""Tests of stage work of which two instances believe that they gather it.
+"""Tests of maker groups that two instances own at the same time.
 
-Times are those of a virtual loop, so the order of events is the same in each run.
+They run in virtual time, so that the order of events is the same in each run.
 """
 
 from __future__ import annotations
@@ -48,16 +48,16 @@
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
-#: seconds by which the second owner's call comes after the first one's, of about
-#: 0.25 that each takes
+#: seconds between the first and the second owner's call, each of which takes about
+#: 0.25 s
 APART = 0.02
-#: seconds after which what an instance knows of others is believed: longer than an
-#: instance that leaves goes on
+#: seconds after which the membership counts as stable: longer than a draining instance
+#: continues
 LONG = 30.0
 
 
 class World:
-    """One maker, which works on one call at a time, in the order of arrival."""
+    """A maker that processes one call at a time, in order of arrival."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -108,7 +108,7 @@
         )
 
     def create_desk(self, members: dict[str, MemberState]) -> ForwardingStageExecutor:
-        """Return the desk of the first of ``members``, as that one sees them."""
+        """Return the executor of the first of ``members``, with its view of them."""
         peers = SimpleNamespace(
             instance_id=next(iter(members)),
             members=lambda: tuple(
@@ -139,7 +139,7 @@
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        # takes note of who is there
+        # initialises the membership view
         desk.estimate_wait(SERVICE)
         return desk
 
@@ -166,9 +166,9 @@
         )
 
     async def make_both(self, first, second) -> list[set[PieceFailure | None]]:
-        """Have two desks or pools make a bundle each; return what failed of it.
+        """Let two executors or pools make a bundle each; return the failures of both.
 
-        What the pieces read is freed as soon as it is said to be read.
+        The inputs of the pieces are freed as soon as they are reported as read.
         """
         tasks = []
         for number, maker in enumerate((first, second)):
@@ -190,23 +190,22 @@
 
 
 async def test_second_of_two_owners_keeps_the_inputs_of_its_pieces(world):
-    """Symptom: a tenth of the pieces fail as "input gone" while instances restart,
-    and requests end with "stage results were lost again and again".
+    """Guard against inputs that are freed before a queued call has read them.
 
-    Sequence: two instances gather the pieces of one service; the call of the second
-    waits at the maker behind that of the first; 0.1 s after it was sent its inputs
-    are said to be read and are freed; its turn comes.
-    Cause: each counts only its own calls at a maker.
+    With two owners, the second one's call waits at the maker behind the first one's.
+    Each counted only its own calls at the maker, so that the inputs were reported as
+    read and freed 0.1 s after the call was sent. During restarts a tenth of the pieces
+    failed as "input gone", and their requests with lost stage results.
     """
     made = await world.make_both(world.create_pool(), world.create_pool())
     assert made == [{None}, {None}]
 
 
 async def test_next_owner_waits_for_the_calls_of_one_that_leaves(world):
-    """Symptom and cause as above.
+    """Guard against inputs freed too early while an owner drains.
 
-    Sequence: the owner of a service begins to leave, with bundles of its peers in
-    work; the next owner is asked for the newer ones.
+    The draining owner still executes bundles of its peers, which send newer bundles to
+    the next owner.
     """
     members = {"entry-1": MemberState.LEAVING, "entry-2": MemberState.ALIVE}
     leaving = world.create_desk(members)
@@ -220,10 +219,10 @@
 
 
 async def test_newcomer_waits_for_the_calls_of_the_owner_before(world):
-    """Symptom and cause as above.
+    """Guard against inputs freed too early by a new owner.
 
-    Sequence: an instance comes and owns a service; the one that owned it before has
-    a call at the maker.
+    An instance joins and becomes the owner while the previous owner has a call at the
+    maker.
     """
     members = {"entry-2": MemberState.ALIVE}
     before = world.create_desk(members)
@@ -234,10 +233,10 @@
 
 
 async def test_owner_before_waits_for_the_calls_of_a_newcomer(world):
-    """Symptom and cause as above.
+    """Guard against inputs freed too early by a previous owner.
 
-    Sequence: an instance comes and owns a service; the one that owned it before
-    knows it, and still has bundles of its peers that wait for a maker.
+    An instance joins and becomes the owner; the previous owner knows it and still has
+    queued bundles of its peers.
     """
     members = {"entry-2": MemberState.ALIVE}
     before = world.create_desk(members)
@@ -249,10 +248,10 @@
 
 
 async def test_inputs_of_a_sole_owner_are_freed_while_its_call_is_made(world):
-    """Symptom: calls wait for room on quiet days, though no instance came or went.
+    """Guard against inputs that occupy makers longer than needed.
 
-    Sequence: an instance has owned a service for long; its call begins at once.
-    Cause: what pieces read lies at its makers until their call has ended.
+    If a long-standing owner kept the inputs until the end of a call that started at
+    once, other calls would wait for room although the membership is stable.
     """
     desk = world.create_desk({"entry-1": MemberState.ALIVE})
     await asyncio.sleep(LONG)
--- a/tests/test_processes/test_crashing_requests.py
+++ b/tests/test_processes/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash the targets which run them, over several instances."""
+"""Process tests of requests that crash their targets, over several instances."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(180)]
 
-#: bound of every wait, in seconds
+#: timeout of every wait, in seconds
 PATIENCE = 60
-#: seconds after the last crash that counts in which all instances know of it
+#: seconds after the last counted crash within which all instances have its report
 KNOWN_WITHIN = 3.0
-#: targets that a request may crash, and times that it may reach one once it has
+#: number of targets that a request may crash, and of targets that it may still reach
+#: after that
 CRASHES = 3
 STRAYS = 3
-#: times that it comes again after that
+#: number of times that the request is sent again after that
 RETURNS = 12
 
 
 class Callers:
-    """Sends requests to the instances in turn, and keeps a service in targets."""
+    """Sends requests to the instances in turn, and replaces crashed targets."""
 
     def __init__(self, fleet, session, service: str, crashed_by: str) -> None:
         self._fleet = fleet
@@ -39,7 +40,7 @@
             target.crashed_by = self._crashed_by
 
     async def ask(self, path: str, instance=None) -> int:
-        """Return the status of one request; 0 if it was cut."""
+        """Return the status of one request; 0 if the connection broke."""
         instance = instance or next(self.instances)
         headers = {
             "Host": HOST,
@@ -107,7 +108,7 @@
 
 
 async def crash_three(callers: Callers, path: str, sound: str) -> None:
-    """Send a request that crashes targets until it has crashed three."""
+    """Send a crashing request until it has crashed three targets."""
     async with asyncio.timeout(PATIENCE):
         while len(callers.list_crashed()) < CRASHES:
             await callers.ask(path)
@@ -115,7 +116,7 @@
 
 
 async def come_again(callers: Callers, path: str, sound: str) -> list[int]:
-    """Return what the request gets that comes again and again."""
+    """Return the statuses of a request that is sent repeatedly."""
     statuses = []
     for _ in range(RETURNS):
         statuses.append(await callers.ask(path))
@@ -129,7 +130,7 @@
 async def test_request_that_crashes_targets_is_kept_from_them(
     fleet, session, service, kind
 ):
-    """Guards against a request that takes down one target after the other."""
+    """Guard against a request that crashes one target after the other."""
     crashing, sound = f"/{kind}/crashing", f"/{kind}/sound"
     callers = Callers(fleet, session, service, crashing)
     await crash_three(callers, crashing, sound)
@@ -137,12 +138,12 @@
     before = callers.count_arrivals(crashing)
     statuses = await come_again(callers, crashing, sound)
     assert callers.count_arrivals(crashing) - before <= STRAYS
-    # what was kept from targets has not run, and says so
+    # a held request has not run, and its status says so
     assert statuses[STRAYS:] == [503] * (RETURNS - STRAYS)
 
 
 async def test_requests_beside_it_are_served_when_they_come_again(fleet, session):
-    """Guards against sound requests that pay for one beside them."""
+    """Guard against holding sound requests that shared targets with a crashing one."""
     crashing, sound = "/look/crashing", "/look/sound"
     beside = [f"/look/beside-{number}" for number in range(3)]
     callers = Callers(fleet, session, "desk", crashing)
@@ -174,7 +175,7 @@
 
 
 async def test_instances_that_start_again_know_of_it(fleet, session):
-    """Guards against what all instances forget as all are killed at once."""
+    """Guard against crash reports that are lost when all instances are killed."""
     crashing, sound = "/look/crashing", "/look/sound"
     callers = Callers(fleet, session, "desk", crashing)
     await crash_three(callers, crashing, sound)
@@ -191,7 +192,7 @@
 
 
 async def test_peers_hear_of_it_while_the_store_takes_nothing(fleet, session):
-    """Guards against one instance after the other that learns it by itself."""
+    """Guard against crash reports that reach no peers during a store outage."""
     crashing, sound = "/look/crashing", "/look/sound"
     callers = Callers(fleet, session, "desk", crashing)
     for number in range(2 * CRASHES):
@@ -214,8 +215,7 @@
 
 
 async def test_request_whose_pieces_crash_makers_is_kept_from_them(fleet, session):
-    """Guards against a request that takes down all makers of a stage, and the calls
-    that it shares with others."""
+    """Guard against a request that crashes makers, and the calls that it shares."""
     crashing, sound = "/draft/crashing", "/draft/sound"
     callers = Callers(fleet, session, "portal", crashing)
     await crash_three(callers, crashing, sound)
