--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -23,7 +23,7 @@
 from greengagelatch_platform.listing import PlatformListingCodec
 from greengagelatch_platform.targets import PlatformTargetCodec
 
-from . import conftest, test_crashes, test_restarts, test_stop
+from . import conftest, test_crash_report_replicator, test_restarts, test_stop
 
 
 def set_fault(world, fault: TargetFault) -> None:
@@ -235,6 +235,6 @@
         return True
 
     monkeypatch.setattr(TargetLinks, "is_closed", believe)
-    await test_crashes.lose_answers(world)
+    await test_crash_report_replicator.lose_answers(world)
     await world.wait_for(lambda: world.describe()["crashes"]["held_count"] == 1)
-    assert (await world.ask(test_crashes.LOST)).status == 503
+    assert (await world.ask(test_crash_report_replicator.LOST)).status == 503
