--- a/tests/test_entry/test_relay/test_crash_report_replicator.py
+++ b/tests/test_entry/test_relay/test_crash_report_replicator.py
@@ -76,7 +76,7 @@
     return world.store.put_bytes(PREFIX + key, encode_reports(reports))
 
 
-async def test_what_others_found_counts(world):
+async def test_reports_of_other_instances_count(world):
     put_report(world, "entry-2/1", "t1", "t2")
     await world.wait_heard(put_report(world, "entry-3/1", "t3"))
     assert list(describe(world)["held"]) == ["aa"]
@@ -95,8 +95,8 @@
     revisions = [put_report(world, f"entry-2/{n}", f"t{n}") for n in range(100)]
     await world.wait_heard(revisions[-1])
     crashes = world.find("crashes")
-    told = crashes.list_newer(revisions[9])
-    assert [row[1] for row in told] == revisions[10 : 10 + MAX_ANSWER_ENTRIES]
+    answered = crashes.list_newer(revisions[9])
+    assert [row[1] for row in answered] == revisions[10 : 10 + MAX_ANSWER_ENTRIES]
     assert crashes.list_newer(crashes.revision) == ()
     crashes.apply_updates([("other", "row"), None, ("k", -1, b"[]")])
     assert crashes.revision >= revisions[-1]
--- a/tests/test_entry/test_relay/test_forwarding_stage_executor.py
+++ b/tests/test_entry/test_relay/test_forwarding_stage_executor.py
@@ -61,7 +61,7 @@
         self.dead: set[str] = set()
         self.leaving: set[str] = set()
         self.suspected: set[str] = set()
-        self.places: dict[str, str] = {}
+        self.data_centres: dict[str, str] = {}
 
     def create_peers(self, name: str) -> SimpleNamespace:
         return SimpleNamespace(
@@ -76,7 +76,7 @@
         return tuple(
             Member(
                 instance_id=name,
-                data_centre=self.places.get(name, "north"),
+                data_centre=self.data_centres.get(name, "north"),
                 address=name,
                 state=self._find_state(name),
             )
@@ -105,7 +105,7 @@
         return True
 
 
-class Local:
+class FakeLocalExecutor:
     """Makes pieces at once and records them."""
 
     def __init__(self, name: str) -> None:
@@ -117,7 +117,7 @@
         self.hold: asyncio.Event | None = None
         self.cancelled = 0
 
-    async def execute_in(self, group, bundle, note_read):
+    async def execute_in(self, group, bundle, on_read):
         self.made.append(bundle.bundle_id)
         self.groups.append(group)
         try:
@@ -126,7 +126,7 @@
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        note_read()
+        on_read()
         return tuple(
             PieceResult(
                 handle=f"{self.name}/{piece.segment}",
@@ -150,14 +150,14 @@
     def __init__(self) -> None:
         self.network = Network()
         self.clock = ManualClock()
-        self.local = {name: Local(name) for name in NAMES}
+        self.local = {name: FakeLocalExecutor(name) for name in NAMES}
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
         self.ownerships: dict[str, Ownership] = {}
-        self.desks = {name: self._create_desk(name) for name in NAMES}
+        self.executors = {name: self._create_executor(name) for name in NAMES}
         self.ranked = rank_owners(WHOLE, self.network.list_members())
 
-    def _create_desk(self, name: str) -> ForwardingStageExecutor:
+    def _create_executor(self, name: str) -> ForwardingStageExecutor:
         peers = self.network.create_peers(name)
         book = SimpleNamespace(list_service=lambda service: MAKERS)
         self.ownerships[name] = Ownership(
@@ -195,23 +195,23 @@
 
 
 async def test_all_instances_ask_the_same_owner(world):
-    for desk in world.desks.values():
-        results = await desk.execute(BUNDLE, do_nothing)
+    for executor in world.executors.values():
+        results = await executor.execute(BUNDLE, do_nothing)
         assert [one.failure for one in results] == [None, None]
     owner = world.ranked[0]
     assert world.count_made() == {name: 3 * (name == owner) for name in NAMES}
 
 
-async def test_next_one_is_asked_where_the_owner_is_lost(world):
+async def test_next_owner_is_asked_if_the_owner_is_lost(world):
     """Guard against stages that stall for seconds after the owner has died.
 
     Until the membership detected the failure, no other owner was tried.
     """
     owner, second, third = world.ranked
     world.network.gone.add(owner)
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[second].made == [BUNDLE.bundle_id]
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert len(world.local[second].made) == 2
 
 
@@ -233,7 +233,7 @@
         return await ask(sender, to, message)
 
     world.network.ask = ask_over_two_links
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert calls == [owner, owner]
     assert len(world.local[owner].made) == 1
 
@@ -264,15 +264,17 @@
         return await ask(sender, to, message)
 
     world.network.ask = ask_in_vain
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert calls == [owner, second]
 
 
 async def test_bundle_that_is_asked_for_twice_is_made_once(world):
     owner, _, third = world.ranked
     world.local[owner].hold = asyncio.Event()
-    desk = world.desks[third]
-    tasks = [asyncio.create_task(desk._send(owner, WHOLE, BUNDLE)) for _ in range(2)]
+    executor = world.executors[third]
+    tasks = [
+        asyncio.create_task(executor._send(owner, WHOLE, BUNDLE)) for _ in range(2)
+    ]
     await asyncio.sleep(0.01)
     world.local[owner].hold.set()
     replies = await asyncio.gather(*tasks)
@@ -280,14 +282,14 @@
     assert replies[0].ok_value == replies[1].ok_value
 
 
-async def test_cut_off_instances_ask_the_owner_of_the_makers_beside_them(world):
+async def test_partitioned_instances_ask_the_owner_of_local_makers(world):
     """Guard against separate calls of each instance in a partitioned data centre."""
     owner, second, third = world.ranked
-    world.network.places[owner] = "south"
+    world.network.data_centres[owner] = "south"
     world.network.gone.add(owner)
     near = rank_owners(MakerGroup(SERVICE, "north"), world.network.list_members())[0]
     for asker in (second, third):
-        await world.desks[asker].execute(BUNDLE, do_nothing)
+        await world.executors[asker].execute(BUNDLE, do_nothing)
     assert world.count_made() == {name: 2 * (name == near) for name in NAMES}
     assert world.local[near].groups == [MakerGroup(SERVICE, "north")] * 2
 
@@ -295,23 +297,23 @@
 async def test_owner_that_is_back_is_asked_again(world):
     owner, _, third = world.ranked
     world.network.gone.add(owner)
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     world.network.gone.clear()
     world.clock.advance(5.0)
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert len(world.local[owner].made) == 1
 
 
-async def test_instance_that_reaches_nobody_makes_its_pieces_itself(world):
+async def test_unreachable_peers_make_an_instance_call_makers_itself(world):
     third = world.ranked[2]
     world.network.gone.update(world.ranked[:2])
-    results = await world.desks[third].execute(BUNDLE, do_nothing)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
     assert results[0].handle == f"{third}/0"
 
 
 async def test_dead_instance_owns_nothing(world):
     world.network.dead.add(world.ranked[0])
-    await world.desks[world.ranked[2]].execute(BUNDLE, do_nothing)
+    await world.executors[world.ranked[2]].execute(BUNDLE, do_nothing)
     assert world.count_made()[world.ranked[1]] == 1
 
 
@@ -323,7 +325,7 @@
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
-    results = await world.desks[owner].execute(BUNDLE, do_nothing)
+    results = await world.executors[owner].execute(BUNDLE, do_nothing)
     assert [one.handle for one in results] == [f"{second}/0", f"{second}/1"]
     assert world.count_made() == {name: int(name == second) for name in NAMES}
 
@@ -331,7 +333,7 @@
 async def test_instance_that_leaves_last_makes_its_pieces_itself(world):
     owner = world.ranked[0]
     world.network.leaving.update(NAMES)
-    results = await world.desks[owner].execute(BUNDLE, do_nothing)
+    results = await world.executors[owner].execute(BUNDLE, do_nothing)
     assert results[0].handle == f"{owner}/0"
     assert world.count_made() == {name: int(name == owner) for name in NAMES}
 
@@ -340,7 +342,7 @@
     owner, _, third = world.ranked
     local = world.local[owner]
     local.hold = asyncio.Event()
-    task = asyncio.create_task(world.desks[third].execute(BUNDLE, do_nothing))
+    task = asyncio.create_task(world.executors[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
@@ -359,47 +361,47 @@
     were cut off, and sent again to the next owner.
     """
     owner, _, third = world.ranked
-    desk, local = world.desks[owner], world.local[owner]
-    assert await desk.wait_idle(0.0)
+    executor, local = world.executors[owner], world.local[owner]
+    assert await executor.wait_idle(0.0)
     local.hold = asyncio.Event()
-    asking = asyncio.create_task(world.desks[third].execute(BUNDLE, do_nothing))
+    asking = asyncio.create_task(world.executors[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
-    assert not await desk.wait_idle(0.0)
-    waiting = asyncio.create_task(desk.wait_idle(60.0))
+    assert not await executor.wait_idle(0.0)
+    waiting = asyncio.create_task(executor.wait_idle(60.0))
     local.hold.set()
     assert await waiting
     assert [one.handle for one in await asking] == [f"{owner}/0", f"{owner}/1"]
 
 
-async def test_owner_is_sole_once_nobody_has_come_or_gone_for_long(world):
+async def test_owner_is_exclusive_once_the_membership_is_stable(world):
     """Guard against inputs freed too early after a change of owner.
 
     The next owner's calls wait at the makers behind the last calls of the previous
     one. It assumed exclusive use at once, and pieces failed as "input gone".
     """
     owner, second, _ = world.ranked
-    desks = world.desks
+    executors = world.executors
     assert not world.ownerships[owner].is_exclusive(WHOLE)
     world.clock.advance(HANDOVER_SECONDS)
-    for desk in desks.values():
-        desk.estimate_wait(SERVICE)
+    for executor in executors.values():
+        executor.estimate_wait(SERVICE)
     world.clock.advance(HANDOVER_SECONDS)
-    soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
-    assert soles == [True, False, False]
+    exclusive = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
+    assert exclusive == [True, False, False]
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
-    soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
-    assert soles == [False, False, False]
+    exclusive = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
+    assert exclusive == [False, False, False]
     world.clock.advance(HANDOVER_SECONDS - 1.0)
     assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
-    soles = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
-    assert soles == [False, True, False]
+    exclusive = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
+    assert exclusive == [False, True, False]
 
 
-async def test_owner_stays_sole_while_others_come_and_go(world):
+async def test_owner_stays_exclusive_while_others_join_and_leave(world):
     """Guard against low batch sizes during a rolling restart.
 
     Each instance that left, a few seconds apart and without owning anything, made the
@@ -407,7 +409,7 @@
     and calls were only two thirds as full.
     """
     owner, second, third = world.ranked
-    world.desks[owner].estimate_wait(SERVICE)
+    world.executors[owner].estimate_wait(SERVICE)
     world.clock.advance(HANDOVER_SECONDS)
     assert world.ownerships[owner].is_exclusive(WHOLE)
     for other in (third, second):
@@ -426,19 +428,19 @@
     instances filled the makers of one service.
     """
     owner, second, third = world.ranked
-    for desk in world.desks.values():
-        desk.estimate_wait(SERVICE)
+    for executor in world.executors.values():
+        executor.estimate_wait(SERVICE)
     world.clock.advance(HANDOVER_SECONDS)
     world.network.suspected.add(owner)
     world.clock.advance(MEMBERS_CACHE_SECONDS)
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[owner].made == [BUNDLE.bundle_id]
     world.clock.advance(SUSPICION_SECONDS)
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[second].made == [BUNDLE.bundle_id]
 
 
-async def test_owner_that_was_not_for_a_moment_is_not_sole(world):
+async def test_owner_that_lost_ownership_briefly_is_not_exclusive(world):
     """Guard against inputs freed too early after a brief change of owner.
 
     An instance that ranks before the owner joins and leaves again, and may have left
@@ -446,7 +448,7 @@
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
-    world.desks[second].estimate_wait(SERVICE)
+    world.executors[second].estimate_wait(SERVICE)
     world.clock.advance(HANDOVER_SECONDS)
     assert world.ownerships[second].is_exclusive(WHOLE)
     world.network.leaving.discard(owner)
@@ -461,7 +463,7 @@
     assert world.ownerships[second].is_exclusive(WHOLE)
 
 
-async def test_instance_that_passed_the_owner_over_is_not_sole(world):
+async def test_instance_that_excluded_the_owner_is_not_exclusive(world):
     """Guard against inputs freed too early where an owner is only unreachable.
 
     An instance that cannot reach the owner uses the next one or calls the makers
@@ -470,20 +472,20 @@
     to log entries "owner-lost".
     """
     owner, second, third = world.ranked
-    for desk in world.desks.values():
-        desk.estimate_wait(SERVICE)
+    for executor in world.executors.values():
+        executor.estimate_wait(SERVICE)
     world.clock.advance(HANDOVER_SECONDS)
     world.network.gone.update((owner, second))
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[third].made == [BUNDLE.bundle_id]
     assert not world.ownerships[third].is_exclusive(WHOLE)
     assert not world.ownerships[second].is_exclusive(WHOLE)
 
 
-async def test_caller_that_leaves_withdraws_its_bundle_at_the_owner(world):
+async def test_cancelled_caller_withdraws_its_bundle_at_the_owner(world):
     owner, _, third = world.ranked
     world.local[owner].hold = asyncio.Event()
-    task = asyncio.create_task(world.desks[third].execute(BUNDLE, do_nothing))
+    task = asyncio.create_task(world.executors[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     task.cancel()
@@ -501,13 +503,13 @@
     owner, _, third = world.ranked
     local = world.local[owner]
     local.hold = asyncio.Event()
-    desk = world.desks[third]
-    first = asyncio.create_task(desk._send(owner, WHOLE, BUNDLE))
+    executor = world.executors[third]
+    first = asyncio.create_task(executor._send(owner, WHOLE, BUNDLE))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
     world.network.send(third, owner, PiecesDropped(BUNDLE.bundle_id))
-    second = asyncio.create_task(desk._send(owner, WHOLE, BUNDLE))
+    second = asyncio.create_task(executor._send(owner, WHOLE, BUNDLE))
     await asyncio.sleep(0.01)
     local.hold.set()
     reply = await second
@@ -518,45 +520,45 @@
 
 async def test_results_are_freed_by_the_owner_that_made_them(world):
     owner, _, third = world.ranked
-    results = await world.desks[third].execute(BUNDLE, do_nothing)
-    world.desks[third].free(SERVICE, results)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
+    world.executors[third].free(SERVICE, results)
     assert world.local[owner].freed == list(results)
 
 
 async def test_results_of_an_owner_that_is_gone_are_freed_directly(world):
     owner, _, third = world.ranked
-    results = await world.desks[third].execute(BUNDLE, do_nothing)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
     world.network.gone.add(owner)
-    world.desks[third].free(SERVICE, results)
+    world.executors[third].free(SERVICE, results)
     assert world.local[third].freed == list(results)
 
 
-async def test_reader_is_told_that_inputs_are_read(world):
+async def test_caller_is_notified_that_inputs_are_read(world):
     read = []
-    await world.desks[world.ranked[2]].execute(BUNDLE, lambda: read.append(True))
+    await world.executors[world.ranked[2]].execute(BUNDLE, lambda: read.append(True))
     assert read == [True]
 
 
-async def test_owner_tells_how_long_its_queue_is(world):
+async def test_owner_reports_its_queue_wait(world):
     owner, _, third = world.ranked
-    await world.desks[third].execute(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     world.local[owner].wait = QueueWait(0.5, 1.5)
-    world.desks[owner]._reports.publish(world.local[owner].list_waits())
-    assert world.desks[third].estimate_wait(SERVICE) == QueueWait(0.5, 1.5)
+    world.executors[owner]._reports.publish(world.local[owner].list_waits())
+    assert world.executors[third].estimate_wait(SERVICE) == QueueWait(0.5, 1.5)
     world.clock.advance(2.0)
-    assert world.desks[third].estimate_wait(SERVICE) == QueueWait()
+    assert world.executors[third].estimate_wait(SERVICE) == QueueWait()
 
 
 async def test_failure_of_pieces_is_passed_on(world):
     owner, _, third = world.ranked
 
     async def fail(sender, message):
-        return await world.desks[owner]._handle_request(sender, message)
+        return await world.executors[owner]._handle_request(sender, message)
 
-    async def make_nothing(group, bundle, note_read):
+    async def make_nothing(group, bundle, on_read):
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
 
     world.local[owner].execute_in = make_nothing
     world.network.handlers[owner][PiecesWanted] = fail
-    results = await world.desks[third].execute(BUNDLE, do_nothing)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
     assert {one.failure for one in results} == {PieceFailure.LATE}
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -26,7 +26,7 @@
 )
 PROFILE = SHAPE.create_profile()
 #: timeout of a call, in seconds
-ALLOWED = 5.0
+CALL_TIMEOUT = 5.0
 
 
 class World:
@@ -35,9 +35,7 @@
     def __init__(self) -> None:
         self.clock = LoopClock()
         self.results = models.Results()
-        self.modelled = models.Maker(
-            SHAPE, "m:1", "north", self.results, random.Random(1)
-        )
+        self.model = models.Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         target = ListedTarget(
             incarnation=Incarnation("m", 1),
             service="ledger",
@@ -47,9 +45,7 @@
         self.maker = Maker(target, PROFILE, MakerRoom(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
-            links=models.ModelLinks(
-                {"m:1": self.modelled}, self.results, lambda _: stage
-            ),
+            links=models.ModelLinks({"m:1": self.model}, self.results, lambda _: stage),
             codec=models.ModelCodec(),
             book=SimpleNamespace(accepts=lambda incarnation: True),
             clock=self.clock,
@@ -67,12 +63,12 @@
             service="ledger",
             pieces=pieces,
             result_bytes=100,
-            aim=now + ALLOWED,
-            latest=now + ALLOWED,
+            aim=now + CALL_TIMEOUT,
+            latest=now + CALL_TIMEOUT,
         )
         call = PlannedCall(Incarnation("m", 1), [(bundle, piece) for piece in pieces])
         self.maker.start_call(len(pieces), now)
-        end = await self.caller.call(self.maker, call, ALLOWED, now)
+        end = await self.caller.call(self.maker, call, CALL_TIMEOUT, now)
         assert end.outcome == MADE
         return {one.failure for one in end.results}
 
@@ -96,13 +92,13 @@
 
 
 async def test_call_without_room_does_not_make_its_maker_seem_fast(world):
-    world.modelled.used = 10_000.0
+    world.model.used = 10_000.0
     assert await world.call() == {PieceFailure.ROOM}
     assert world.find_slowness() == 1.0
 
 
-async def test_call_that_waited_for_nothing_tells_that_its_maker_is_slow(world):
-    async with world.modelled._turn:
+async def test_call_that_waited_in_vain_shows_that_its_maker_is_slow(world):
+    async with world.model._turn:
         task = asyncio.create_task(world.call("nowhere/1"))
         await asyncio.sleep(1.0)
     assert await task == {PieceFailure.GONE}
@@ -110,11 +106,11 @@
     assert world.maker.calls == 0
 
 
-async def test_call_that_is_made_in_half_the_time_tells_that_its_maker_is_fast(world):
+async def test_call_made_in_half_the_time_shows_that_its_maker_is_fast(world):
     for _ in range(3):
         assert await world.call() == {None}
     usual = world.find_slowness()
-    world.modelled.shape = MakerShape(
+    world.model.shape = MakerShape(
         name="ledger",
         count=1,
         batch=10,
--- a/tests/test_entry/test_relay/test_retry_budgets.py
+++ b/tests/test_entry/test_relay/test_retry_budgets.py
@@ -19,13 +19,13 @@
     return sum(target.misdirected for target in world.targets.values())
 
 
-def find_most(first: int) -> float:
+def find_max_arrivals(first: int) -> float:
     """Return the arrivals that the rule allows for so many first attempts."""
     rule = RepeatRule()
     return first + rule.ratio * first + rule.slack / 10
 
 
-async def test_requests_that_meet_another_target_are_repeats(world):
+async def test_requests_that_reach_another_target_count_as_retries(world):
     """Guard against unbounded retries when many targets are replaced at once."""
     for number in (3, 4, 5):
         await world.add(f"desk-{number}", "desk")
@@ -34,10 +34,10 @@
     for _ in range(REQUESTS):
         reply = await world.ask("/book/1", method="POST")
         assert reply.status == 503
-    assert REQUESTS <= count_arrivals(world) <= find_most(REQUESTS)
+    assert REQUESTS <= count_arrivals(world) <= find_max_arrivals(REQUESTS)
 
 
-async def test_calls_that_meet_another_maker_are_repeats(pipeline, monkeypatch):
+async def test_calls_that_reach_another_maker_count_as_retries(pipeline, monkeypatch):
     """Guard against unbounded calls when all makers are replaced at once."""
     ends = []
     make_call = MakerCaller.call
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -14,7 +14,7 @@
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 
 SERVICE = "ledger"
-PLACES = ("east", "north", "west")
+DATA_CENTRES = ("east", "north", "west")
 PROFILE = MakerProfile(
     slots=1,
     queue=2,
@@ -31,8 +31,8 @@
     """Makers in several data centres, and the known instances."""
 
     def __init__(self) -> None:
-        self.makers = self.list_makers(*PLACES * 3)
-        self.members = self.list_members(*PLACES)
+        self.makers = self.list_makers(*DATA_CENTRES * 3)
+        self.members = self.list_members(*DATA_CENTRES)
         self.groups = MakerGroups(
             rule=ByCapacity(),
             book=SimpleNamespace(list_service=lambda service: self.makers),
@@ -40,32 +40,32 @@
             find_profile=lambda service: PROFILE,
         )
 
-    def list_makers(self, *places: str) -> tuple[ListedTarget, ...]:
+    def list_makers(self, *data_centres: str) -> tuple[ListedTarget, ...]:
         return tuple(
             ListedTarget(
                 incarnation=Incarnation(f"m-{number}"),
                 service=SERVICE,
                 address=f"10.0.0.{number}:80",
-                data_centre=place,
+                data_centre=data_centre,
             )
-            for number, place in enumerate(places)
+            for number, data_centre in enumerate(data_centres)
         )
 
     def list_members(
         self,
-        *places: str,
+        *data_centres: str,
         capacity: int = 100,
         state: MemberState = MemberState.ALIVE,
     ) -> tuple[Member, ...]:
         return tuple(
             Member(
-                instance_id=f"entry-{place}",
-                data_centre=place,
+                instance_id=f"entry-{data_centre}",
+                data_centre=data_centre,
                 address="",
                 state=state,
                 capacity=capacity,
             )
-            for place in places
+            for data_centre in data_centres
         )
 
 
@@ -76,7 +76,9 @@
 
 def test_each_data_centre_has_its_makers(world):
     groups = world.groups.list_groups(SERVICE)
-    assert groups == tuple(MakerGroup(SERVICE, place) for place in PLACES)
+    assert groups == tuple(
+        MakerGroup(SERVICE, data_centre) for data_centre in DATA_CENTRES
+    )
     for group in groups:
         makers = world.groups.list_makers(group)
         assert {one.data_centre for one in makers} == {group.data_centre}
@@ -101,7 +103,7 @@
     group = MakerGroup(SERVICE, "north")
     before = world.groups.list_makers(group)
     assert world.groups.list_makers(group) is before
-    world.makers = world.list_makers(*PLACES)
+    world.makers = world.list_makers(*DATA_CENTRES)
     assert len(world.groups.list_makers(group)) == 1
 
 
@@ -110,6 +112,6 @@
     assert world.groups.find_local_group(SERVICE, "north") == near
     assert world.groups.find_local_group(SERVICE, "nowhere") == WHOLE
     assert world.groups.find_group(SERVICE, "north") == near
-    world.members = world.list_members(*PLACES, capacity=900)
+    world.members = world.list_members(*DATA_CENTRES, capacity=900)
     assert world.groups.find_local_group(SERVICE, "north") == near
     assert world.groups.find_group(SERVICE, "north") == WHOLE
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -30,7 +30,7 @@
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
 #: default deadline of the bundles, in seconds
-PATIENCE = 60.0
+DEFAULT_TIMEOUT = 60.0
 
 
 class CountingPolicy(BatchPolicy):
@@ -111,8 +111,8 @@
             decisions=DecisionLog(clock=self.clock, metrics=metrics),
         )
 
-    def ask(
-        self, number: int, patience: float = PATIENCE, pieces: int = 1
+    def submit(
+        self, number: int, timeout: float = DEFAULT_TIMEOUT, pieces: int = 1
     ) -> asyncio.Task:
         now = self.clock.now()
         name = f"r{number}"
@@ -124,8 +124,8 @@
                 for one in range(pieces)
             ),
             result_bytes=100,
-            aim=now + patience,
-            latest=now + patience,
+            aim=now + timeout,
+            latest=now + timeout,
         )
         return asyncio.create_task(self.pool.execute(bundle, lambda: None))
 
@@ -143,17 +143,17 @@
     Each bundle that arrived while all makers were busy had the whole queue sorted,
     although no call could start, so that the work grew with the square of the queue.
     """
-    tasks = [world.ask(0)]
+    tasks = [world.submit(0)]
     await asyncio.sleep(0.01)
     before = world.policy.plans
-    tasks += [world.ask(number) for number in range(1, 200)]
+    tasks += [world.submit(number) for number in range(1, 200)]
     await asyncio.sleep(0.1)
     assert world.policy.plans == before
     await asyncio.gather(*tasks)
 
 
 async def test_next_call_begins_as_soon_as_the_maker_is_idle(world):
-    tasks = [world.ask(number) for number in range(12)]
+    tasks = [world.submit(number) for number in range(12)]
     await asyncio.gather(*tasks)
     # one call with the first piece, one full call and one with the last piece
     shortest = 3 * SHAPE.call_seconds + 12 * SHAPE.item_seconds
@@ -166,29 +166,29 @@
     Bundles that arrived within milliseconds of each other all got the wait that was
     computed before the first of them.
     """
-    tasks = [world.ask(number) for number in range(12)]
+    tasks = [world.submit(number) for number in range(12)]
     await asyncio.sleep(0.01)
     first = world.pool.estimate_wait().whole
-    tasks.append(world.ask(12, pieces=10))
+    tasks.append(world.submit(12, pieces=10))
     await asyncio.sleep(0.001)
     call = PROFILE.estimate_seconds(PROFILE.batch)
     assert world.pool.estimate_wait().whole == pytest.approx(first + call)
     await asyncio.gather(*tasks)
 
 
-async def test_bundle_that_can_not_be_made_in_time_is_given_up_while_makers_work(world):
-    tasks = [world.ask(number) for number in range(40)]
-    hopeless = world.ask(40, patience=0.3)
+async def test_bundle_that_cannot_be_made_in_time_fails_while_makers_are_busy(world):
+    tasks = [world.submit(number) for number in range(40)]
+    expired = world.submit(40, timeout=0.3)
     await asyncio.sleep(3 * RESCHEDULE_SECONDS)
-    assert hopeless.done()
-    assert {one.failure for one in hopeless.result()} == {PieceFailure.LATE}
+    assert expired.done()
+    assert {one.failure for one in expired.result()} == {PieceFailure.LATE}
     await asyncio.gather(*tasks)
 
 
-async def test_bundle_under_which_makers_ended_shares_calls_with_none(world):
+async def test_bundle_that_crashed_makers_shares_no_calls(world):
     """Guard against calls of sound requests that a suspected one crashes."""
     world.quarantine.suspected = {"r3"}
-    await asyncio.gather(*(world.ask(number) for number in range(8)))
+    await asyncio.gather(*(world.submit(number) for number in range(8)))
     shared = [call for call in world.policy.calls if "r3" in call]
     assert shared == [{"r3"}]
     assert set().union(*world.policy.calls) == {f"r{number}" for number in range(8)}
@@ -197,7 +197,7 @@
 async def test_held_bundle_goes_to_no_maker(world):
     """Guard against sending a bundle that is known to crash makers."""
     world.quarantine.held = {"r1"}
-    held, sound = await asyncio.gather(world.ask(1), world.ask(2))
+    held, sound = await asyncio.gather(world.submit(1), world.submit(2))
     assert [one.failure for one in held] == [PieceFailure.HELD]
     assert [one.failure for one in sound] == [None]
     assert world.policy.calls == [{"r2"}]
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -56,23 +56,23 @@
 )
 
 
-class Desk(StageExecutor):
+class FakeExecutor(StageExecutor):
     """Makes each bundle in 0.25 s, unless a failure is injected.
 
     :param failures: outcomes of the successive attempts of a stage
     """
 
     def __init__(self, failures: dict[int, list[PieceFailure | None]]) -> None:
-        self.tries: Counter[int] = Counter()
+        self.attempts: Counter[int] = Counter()
         self.freed: list[str] = []
         #: inputs that were freed before the stage that reads them was done
         self.missed: list[str] = []
         self._failures = failures
 
-    async def execute(self, bundle: Bundle, note_read) -> tuple[PieceResult, ...]:
+    async def execute(self, bundle: Bundle, on_read) -> tuple[PieceResult, ...]:
         stage = bundle.pieces[0].stage
-        self.tries[stage] += 1
-        number = self.tries[stage]
+        self.attempts[stage] += 1
+        number = self.attempts[stage]
         await asyncio.sleep(0.25)
         inputs = {handle for piece in bundle.pieces for handle in piece.inputs}
         self.missed.extend(inputs.intersection(self.freed))
@@ -92,10 +92,12 @@
         return QueueWait()
 
 
-def begin(desk: Desk, counts: tuple[int, ...] = (1, 1, 2, 1)) -> StageRun:
+def create_run(
+    executor: FakeExecutor, counts: tuple[int, ...] = (1, 1, 2, 1)
+) -> StageRun:
     clock = LoopClock()
     runner = StageRunner(
-        executor=desk,
+        executor=executor,
         clock=clock,
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
@@ -132,52 +134,52 @@
     When the last stage of a chain lost its inputs, all stages of the request were
     executed again, including an independent one whose results were still held.
     """
-    desk = Desk({3: [PieceFailure.GONE]})
-    results = await begin(desk).execute()
-    assert desk.tries == {0: 1, 1: 2, 2: 2, 3: 2}
+    executor = FakeExecutor({3: [PieceFailure.GONE]})
+    results = await create_run(executor).execute()
+    assert executor.attempts == {0: 1, 1: 2, 2: 2, 3: 2}
     assert results.inputs == ("0/1/0", "3/2/0")
-    assert not set(results.inputs).intersection(desk.freed)
-    assert desk.missed == []
+    assert not set(results.inputs).intersection(executor.freed)
+    assert executor.missed == []
 
 
 async def test_stages_before_a_lost_result_are_made_again():
-    desk = Desk({2: [PieceFailure.GONE]})
-    results = await begin(desk).execute()
-    assert desk.tries == {0: 1, 1: 2, 2: 2, 3: 1}
+    executor = FakeExecutor({2: [PieceFailure.GONE]})
+    results = await create_run(executor).execute()
+    assert executor.attempts == {0: 1, 1: 2, 2: 2, 3: 1}
     assert results.inputs == ("0/1/0", "3/1/0")
-    assert desk.missed == []
+    assert executor.missed == []
 
 
-async def test_all_results_are_freed_where_some_are_lost_again_and_again():
-    desk = Desk({2: [PieceFailure.GONE] * 5})
-    run = begin(desk)
+async def test_all_results_are_freed_when_some_are_lost_repeatedly():
+    executor = FakeExecutor({2: [PieceFailure.GONE] * 5})
+    run = create_run(executor)
     with pytest.raises(RefusedError, match="lost repeatedly"):
         await run.execute()
-    assert desk.tries == {0: 1, 1: 2, 2: 2}
-    assert sorted(desk.freed) == ["0/1/0", "1/1/0", "1/2/0"]
+    assert executor.attempts == {0: 1, 1: 2, 2: 2}
+    assert sorted(executor.freed) == ["0/1/0", "1/1/0", "1/2/0"]
 
 
 async def test_request_that_needs_none_of_the_stages_waits_for_nothing():
-    desk = Desk({})
-    results = await begin(desk, (0, 0, 0, 0)).execute()
+    executor = FakeExecutor({})
+    results = await create_run(executor, (0, 0, 0, 0)).execute()
     assert results.inputs == ()
-    assert not desk.tries
+    assert not executor.attempts
 
 
-async def test_other_stages_are_given_up_with_one_that_is_late():
-    desk = Desk({1: [PieceFailure.LATE]})
-    run = begin(desk)
+async def test_other_stages_are_cancelled_when_one_is_late():
+    executor = FakeExecutor({1: [PieceFailure.LATE]})
+    run = create_run(executor)
     with pytest.raises(RefusedError, match="stage 1 of a: late"):
         await run.execute()
-    assert desk.tries == {0: 1, 1: 1}
+    assert executor.attempts == {0: 1, 1: 1}
 
 
-async def test_caller_that_leaves_gives_up_all_stages():
-    desk = Desk({})
-    task = asyncio.create_task(begin(desk).execute())
+async def test_cancelled_caller_cancels_all_stages():
+    executor = FakeExecutor({})
+    task = asyncio.create_task(create_run(executor).execute())
     await asyncio.sleep(0.3)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
-    assert desk.tries == {0: 1, 1: 1, 2: 1}
-    assert sorted(desk.freed) == ["0/1/0", "1/1/0"]
+    assert executor.attempts == {0: 1, 1: 1, 2: 1}
+    assert sorted(executor.freed) == ["0/1/0", "1/1/0"]
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -50,10 +50,10 @@
 STAGE = StageShape(service=SERVICE, result_bytes=100)
 #: seconds between the first and the second owner's call, each of which takes about
 #: 0.25 s
-APART = 0.02
+CALL_OFFSET = 0.02
 #: seconds after which the membership counts as stable: longer than a draining instance
 #: continues
-LONG = 30.0
+STABLE_SECONDS = 30.0
 
 
 class World:
@@ -107,7 +107,9 @@
             decisions=self.decisions,
         )
 
-    def create_desk(self, members: dict[str, MemberState]) -> ForwardingStageExecutor:
+    def create_executor(
+        self, members: dict[str, MemberState]
+    ) -> ForwardingStageExecutor:
         """Return the executor of the first of ``members``, with its view of them."""
         peers = SimpleNamespace(
             instance_id=next(iter(members)),
@@ -118,7 +120,7 @@
             handle=lambda kind, handler: None,
         )
         ownership = Ownership(peers=peers, clock=self.clock, decisions=self.decisions)
-        desk = ForwardingStageExecutor(
+        executor = ForwardingStageExecutor(
             local=LocalStageExecutor(
                 create_pool=lambda group: self.create_pool(
                     lambda: ownership.is_exclusive(group)
@@ -140,11 +142,11 @@
             decisions=self.decisions,
         )
         # initialises the membership view
-        desk.estimate_wait(SERVICE)
-        return desk
+        executor.estimate_wait(SERVICE)
+        return executor
 
     def add_input(self, handle: str) -> None:
-        until = self.clock.now() + LONG
+        until = self.clock.now() + STABLE_SECONDS
         self.results.held[handle] = Result(self.maker, 100, until)
         self.maker.used += 100
 
@@ -165,7 +167,7 @@
             latest=self.clock.now() + 5.0,
         )
 
-    async def make_both(self, first, second) -> list[set[PieceFailure | None]]:
+    async def execute_both(self, first, second) -> list[set[PieceFailure | None]]:
         """Let two executors or pools make a bundle each; return the failures of both.
 
         The inputs of the pieces are freed as soon as they are reported as read.
@@ -174,9 +176,9 @@
         for number, maker in enumerate((first, second)):
             bundle = self.create_bundle(f"r-{number}")
             handle = bundle.pieces[0].inputs[0]
-            note_read = self._create_freeing(handle)
-            tasks.append(asyncio.create_task(maker.execute(bundle, note_read)))
-            await asyncio.sleep(APART)
+            on_read = self._create_freeing(handle)
+            tasks.append(asyncio.create_task(maker.execute(bundle, on_read)))
+            await asyncio.sleep(CALL_OFFSET)
         made = await asyncio.gather(*tasks)
         return [{one.failure for one in results} for results in made]
 
@@ -197,7 +199,7 @@
     read and freed 0.1 s after the call was sent. During restarts a tenth of the pieces
     failed as "input gone", and their requests with lost stage results.
     """
-    made = await world.make_both(world.create_pool(), world.create_pool())
+    made = await world.execute_both(world.create_pool(), world.create_pool())
     assert made == [{None}, {None}]
 
 
@@ -208,13 +210,13 @@
     the next owner.
     """
     members = {"entry-1": MemberState.LEAVING, "entry-2": MemberState.ALIVE}
-    leaving = world.create_desk(members)
+    leaving = world.create_executor(members)
     before = {"entry-2": MemberState.ALIVE, "entry-1": MemberState.ALIVE}
-    following = world.create_desk(before)
-    await asyncio.sleep(LONG)
+    following = world.create_executor(before)
+    await asyncio.sleep(STABLE_SECONDS)
     before["entry-1"] = MemberState.LEAVING
     # as a peer's bundle: those it gathers itself
-    made = await world.make_both(leaving._local, following)
+    made = await world.execute_both(leaving._local, following)
     assert made == [{None}, {None}]
 
 
@@ -225,10 +227,10 @@
     maker.
     """
     members = {"entry-2": MemberState.ALIVE}
-    before = world.create_desk(members)
-    await asyncio.sleep(LONG)
-    newcomer = world.create_desk({"entry-1": MemberState.ALIVE})
-    made = await world.make_both(before, newcomer)
+    before = world.create_executor(members)
+    await asyncio.sleep(STABLE_SECONDS)
+    newcomer = world.create_executor({"entry-1": MemberState.ALIVE})
+    made = await world.execute_both(before, newcomer)
     assert made == [{None}, {None}]
 
 
@@ -239,36 +241,38 @@
     queued bundles of its peers.
     """
     members = {"entry-2": MemberState.ALIVE}
-    before = world.create_desk(members)
-    await asyncio.sleep(LONG)
+    before = world.create_executor(members)
+    await asyncio.sleep(STABLE_SECONDS)
     members["entry-1"] = MemberState.ALIVE
-    newcomer = world.create_desk(dict(reversed(members.items())))
-    made = await world.make_both(newcomer._local, before._local)
+    newcomer = world.create_executor(dict(reversed(members.items())))
+    made = await world.execute_both(newcomer._local, before._local)
     assert made == [{None}, {None}]
 
 
-async def test_inputs_of_a_sole_owner_are_freed_while_its_call_is_made(world):
+async def test_inputs_of_an_exclusive_owner_are_freed_during_its_call(world):
     """Guard against inputs that occupy makers longer than needed.
 
     If a long-standing owner kept the inputs until the end of a call that started at
     once, other calls would wait for room although the membership is stable.
     """
-    desk = world.create_desk({"entry-1": MemberState.ALIVE})
-    await asyncio.sleep(LONG)
+    executor = world.create_executor({"entry-1": MemberState.ALIVE})
+    await asyncio.sleep(STABLE_SECONDS)
     bundle = world.create_bundle("r-1")
     read = []
-    task = asyncio.create_task(desk.execute(bundle, lambda: read.append(task.done())))
+    task = asyncio.create_task(
+        executor.execute(bundle, lambda: read.append(task.done()))
+    )
     assert [one.failure for one in await task] == [None] * 4
     assert read == [False]
 
 
 async def test_inputs_of_a_new_owner_are_kept_until_its_call_has_ended(world):
     members = {"entry-1": MemberState.ALIVE, "entry-2": MemberState.ALIVE}
-    desk = world.create_desk(members)
-    await asyncio.sleep(LONG)
+    executor = world.create_executor(members)
+    await asyncio.sleep(STABLE_SECONDS)
     del members["entry-2"]
     bundle = world.create_bundle("r-1")
     read = []
-    results = await desk._local.execute(bundle, lambda: read.append(True))
+    results = await executor._local.execute(bundle, lambda: read.append(True))
     assert [one.failure for one in results] == [None] * 4
     assert read == []
--- a/tests/test_processes/test_crashing_requests.py
+++ b/tests/test_processes/test_crashing_requests.py
@@ -15,15 +15,15 @@
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(180)]
 
 #: timeout of every wait, in seconds
-PATIENCE = 60
+WAIT_TIMEOUT = 60
 #: seconds after the last counted crash within which all instances have its report
-KNOWN_WITHIN = 3.0
+REPLICATION_SECONDS = 3.0
 #: number of targets that a request may crash, and of targets that it may still reach
 #: after that
-CRASHES = 3
-STRAYS = 3
+MAX_CRASHES = 3
+MAX_STRAYS = 3
 #: number of times that the request is sent again after that
-RETURNS = 12
+REPEATS = 12
 
 
 class Callers:
@@ -86,7 +86,7 @@
                 crashed_by=self._crashed_by,
             )
         for instance in self._fleet.instances:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_TIMEOUT):
                 while await self.ask(sound, instance) != 200:  # noqa: ASYNC110
                     await asyncio.sleep(0.05)
 
@@ -107,18 +107,18 @@
         yield created
 
 
-async def crash_three(callers: Callers, path: str, sound: str) -> None:
+async def crash_targets(callers: Callers, path: str, sound: str) -> None:
     """Send a crashing request until it has crashed three targets."""
-    async with asyncio.timeout(PATIENCE):
-        while len(callers.list_crashed()) < CRASHES:
+    async with asyncio.timeout(WAIT_TIMEOUT):
+        while len(callers.list_crashed()) < MAX_CRASHES:
             await callers.ask(path)
             await callers.replace_crashed(sound)
 
 
-async def come_again(callers: Callers, path: str, sound: str) -> list[int]:
+async def send_repeatedly(callers: Callers, path: str, sound: str) -> list[int]:
     """Return the statuses of a request that is sent repeatedly."""
     statuses = []
-    for _ in range(RETURNS):
+    for _ in range(REPEATS):
         statuses.append(await callers.ask(path))
         await callers.replace_crashed(sound)
     return statuses
@@ -133,22 +133,22 @@
     """Guard against a request that crashes one target after the other."""
     crashing, sound = f"/{kind}/crashing", f"/{kind}/sound"
     callers = Callers(fleet, session, service, crashing)
-    await crash_three(callers, crashing, sound)
-    await asyncio.sleep(KNOWN_WITHIN)
+    await crash_targets(callers, crashing, sound)
+    await asyncio.sleep(REPLICATION_SECONDS)
     before = callers.count_arrivals(crashing)
-    statuses = await come_again(callers, crashing, sound)
-    assert callers.count_arrivals(crashing) - before <= STRAYS
+    statuses = await send_repeatedly(callers, crashing, sound)
+    assert callers.count_arrivals(crashing) - before <= MAX_STRAYS
     # a held request has not run, and its status says so
-    assert statuses[STRAYS:] == [503] * (RETURNS - STRAYS)
+    assert statuses[MAX_STRAYS:] == [503] * (REPEATS - MAX_STRAYS)
 
 
-async def test_requests_beside_it_are_served_when_they_come_again(fleet, session):
+async def test_sound_requests_beside_it_are_served_afterwards(fleet, session):
     """Guard against holding sound requests that shared targets with a crashing one."""
     crashing, sound = "/look/crashing", "/look/sound"
-    beside = [f"/look/beside-{number}" for number in range(3)]
+    concurrent = [f"/look/beside-{number}" for number in range(3)]
     callers = Callers(fleet, session, "desk", crashing)
-    async with asyncio.timeout(PATIENCE):
-        while len(callers.list_crashed()) <= CRASHES:
+    async with asyncio.timeout(WAIT_TIMEOUT):
+        while len(callers.list_crashed()) <= MAX_CRASHES:
             before = len(callers.list_crashed())
             gate = asyncio.Event()
             targets = fleet.find_targets("desk")
@@ -156,7 +156,8 @@
                 target.gate = gate
             seen = sum(len(target.seen) for target in targets)
             asking = [
-                asyncio.create_task(callers.ask(path)) for path in (*beside, crashing)
+                asyncio.create_task(callers.ask(path))
+                for path in (*concurrent, crashing)
             ]
             while sum(len(target.seen) for target in targets) < seen + len(asking):  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
@@ -167,19 +168,19 @@
             if len(callers.list_crashed()) == before:
                 break
             await callers.replace_crashed(sound)
-    await asyncio.sleep(KNOWN_WITHIN)
+    await asyncio.sleep(REPLICATION_SECONDS)
     for instance in fleet.instances:
         assert await callers.ask(crashing, instance) == 503
-        for path in beside:
+        for path in concurrent:
             assert await callers.ask(path, instance) == 200
 
 
-async def test_instances_that_start_again_know_of_it(fleet, session):
+async def test_restarted_instances_know_of_it(fleet, session):
     """Guard against crash reports that are lost when all instances are killed."""
     crashing, sound = "/look/crashing", "/look/sound"
     callers = Callers(fleet, session, "desk", crashing)
-    await crash_three(callers, crashing, sound)
-    await asyncio.sleep(KNOWN_WITHIN)
+    await crash_targets(callers, crashing, sound)
+    await asyncio.sleep(REPLICATION_SECONDS)
     for instance in fleet.instances:
         await fleet.kill(instance)
     for instance in fleet.instances:
@@ -191,23 +192,23 @@
     assert callers.count_arrivals(crashing) == before
 
 
-async def test_peers_hear_of_it_while_the_store_takes_nothing(fleet, session):
+async def test_peers_receive_reports_during_a_store_outage(fleet, session):
     """Guard against crash reports that reach no peers during a store outage."""
     crashing, sound = "/look/crashing", "/look/sound"
     callers = Callers(fleet, session, "desk", crashing)
-    for number in range(2 * CRASHES):
+    for number in range(2 * MAX_CRASHES):
         await fleet.add_target(
             f"desk-more-{number}", "desk", crashed_by=frozenset({crashing})
         )
     for instance in fleet.instances:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while await callers.ask(sound, instance) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
     fleet.store.fault = StoreFault.BUSY
-    async with asyncio.timeout(PATIENCE):
-        while len(callers.list_crashed()) < CRASHES:
+    async with asyncio.timeout(WAIT_TIMEOUT):
+        while len(callers.list_crashed()) < MAX_CRASHES:
             await callers.ask(crashing, fleet.instances[0])
-    await asyncio.sleep(KNOWN_WITHIN)
+    await asyncio.sleep(REPLICATION_SECONDS)
     before = callers.count_arrivals(crashing)
     for instance in fleet.instances:
         assert await callers.ask(crashing, instance) == 503
@@ -218,14 +219,14 @@
     """Guard against a request that crashes makers, and the calls that it shares."""
     crashing, sound = "/draft/crashing", "/draft/sound"
     callers = Callers(fleet, session, "portal", crashing)
-    await crash_three(callers, crashing, sound)
-    await asyncio.sleep(KNOWN_WITHIN)
+    await crash_targets(callers, crashing, sound)
+    await asyncio.sleep(REPLICATION_SECONDS)
     before = len(callers.list_crashed())
     statuses = []
-    for number in range(RETURNS):
-        beside = callers.ask(f"/draft/beside-{number}")
-        answers = await asyncio.gather(callers.ask(crashing), beside)
+    for number in range(REPEATS):
+        concurrent = callers.ask(f"/draft/beside-{number}")
+        answers = await asyncio.gather(callers.ask(crashing), concurrent)
         statuses.append(answers)
         await callers.replace_crashed(sound)
-    assert len(callers.list_crashed()) - before <= STRAYS
-    assert statuses[STRAYS:] == [[503, 200]] * (RETURNS - STRAYS)
+    assert len(callers.list_crashed()) - before <= MAX_STRAYS
+    assert statuses[MAX_STRAYS:] == [[503, 200]] * (REPEATS - MAX_STRAYS)
