--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
@@ -164,7 +164,7 @@
     ) -> None:
         """Apply the result of a call.
 
-        :param works: queue entry of each piece, looked up when the call started
+        :param entries: queue entry of each piece, looked up when the call started
         """
         unwanted = []
         for index, (_, piece) in enumerate(call.pieces):
