--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -82,7 +82,7 @@
         listed = self._book.list_service(service)
         fleet, profile = self._find_fleet(), self._find_profile(service)
         cached = self._divisions.get(service)
-        # the book creates a new list whenever an entry changes
+        # the table creates a new list whenever an entry changes
         if (
             cached is None
             or cached.listed is not listed
