--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
@@ -48,7 +48,7 @@
     """Bundles of one service in order of arrival, until they are made or fail.
 
     :param free: frees results that are no longer needed at their makers
-    :param book: knows which makers have restarted and thus lost their results
+    :param target_table: knows which makers have restarted and thus lost their results
     """
 
     def __init__(
@@ -56,13 +56,13 @@
         service: str,
         *,
         free: Callable[[tuple[PieceResult, ...]], None],
-        book: TargetBook,
+        target_table: TargetBook,
         budgets: RetryBudgets,
         metrics: Metrics,
     ) -> None:
         self._service = service
         self._free = free
-        self._book = book
+        self._target_table = target_table
         self._budgets = budgets
         self._metrics = metrics
         #: by the identity of the bundle object, as two peers may send the same id
@@ -208,7 +208,7 @@
             if entry.failure_count >= MAX_PIECE_FAILURES:
                 self.fail(entry, PieceFailure.LOST)
                 return
-        if self._book.has_former(entry.bundle.input_makers):
+        if self._target_table.has_former(entry.bundle.input_makers):
             # a maker of its inputs restarted while the call was in progress
             self.fail(entry, PieceFailure.GONE)
             return
@@ -216,7 +216,7 @@
 
     def _is_lost(self, result: PieceResult) -> bool:
         """Return whether the maker of a result has restarted since."""
-        return result.failure is None and self._book.is_former(result.maker)
+        return result.failure is None and self._target_table.is_former(result.maker)
 
     def _finish(self, entry: QueuedBundle) -> None:
         self._remove(entry)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -189,7 +189,7 @@
         self.crash_watch = CrashDetector(
             replicator=self.crashes,
             quarantine=self.quarantine,
-            book=self.book,
+            target_table=self.book,
             links=self.links,
             clock=self.clock,
             metrics=self.metrics,
@@ -237,7 +237,7 @@
     def _build_request_path(self) -> None:
         self.groups = MakerGroups(
             rule=ByCapacity(),
-            book=self.book,
+            target_table=self.book,
             list_members=self.peers.members,
             find_profile=self._find_maker,
         )
@@ -265,7 +265,7 @@
             decisions=self.decisions,
             data_centre=self.rules.data_centre,
             fleet=self.fleet,
-            book=self.book,
+            target_table=self.book,
         )
         common = {
             "sender": TargetSender(
@@ -355,7 +355,7 @@
                 quarantine=self.quarantine, crashes=self.crash_watch, clock=self.clock
             ),
             policy=SharedCalls(),
-            book=self.book,
+            target_table=self.book,
             links=self.links,
             codec=self.adapters.targets,
             budgets=self.stage_budgets,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -61,7 +61,7 @@
         *,
         replicator: CrashReportReplicator,
         quarantine: Quarantine,
-        book: TargetBook,
+        target_table: TargetBook,
         links: TargetLinks,
         clock: Clock,
         metrics: Metrics,
@@ -70,7 +70,7 @@
         super().__init__()
         self._replicator = replicator
         self._quarantine = quarantine
-        self._book = book
+        self._target_table = target_table
         self._links = links
         self._clock = clock
         self._metrics = metrics
@@ -86,7 +86,7 @@
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
             # a draining target stops as planned, with any requests still on it
-            draining = not self._book.accepts(incarnation)
+            draining = not self._target_table.accepts(incarnation)
             if draining or len(self._suspicions) >= MAX_SUSPICIONS:
                 return
             suspicion = self._suspicions[incarnation] = _Suspicion()
@@ -106,7 +106,7 @@
     def record_removal(self, incarnation: Incarnation) -> None:
         """Record that a target was removed from the listing, or started to drain."""
         suspicion = self._suspicions.get(incarnation)
-        listed = self._book.find_listed(incarnation.target_id)
+        listed = self._target_table.find_listed(incarnation.target_id)
         is_draining = listed is not None and listed.incarnation == incarnation
         if suspicion is not None and not is_draining:
             suspicion.ended.set()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -55,11 +55,16 @@
     """Sends planned calls to makers."""
 
     def __init__(
-        self, *, links: TargetLinks, codec: TargetCodec, book: TargetBook, clock: Clock
+        self,
+        *,
+        links: TargetLinks,
+        codec: TargetCodec,
+        target_table: TargetBook,
+        clock: Clock,
     ) -> None:
         self._links = links
         self._codec = codec
-        self._book = book
+        self._target_table = target_table
         self._clock = clock
 
     async def call(
@@ -117,10 +122,11 @@
 
     def _may_send(self, maker: Maker, call: PlannedCall) -> bool:
         """Return whether the maker accepts calls and no input of this one is lost."""
-        if not self._book.accepts(maker.target.incarnation):
+        if not self._target_table.accepts(maker.target.incarnation):
             return False
         return not any(
-            self._book.has_former(bundle.input_makers) for bundle, _ in call.pieces
+            self._target_table.has_former(bundle.input_makers)
+            for bundle, _ in call.pieces
         )
 
     def _record_link_error(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -47,7 +47,7 @@
         *,
         find_maker: Callable[[Incarnation], Maker | None],
         on_freed: Callable[[], None],
-        book: TargetBook,
+        target_table: TargetBook,
         links: TargetLinks,
         codec: TargetCodec,
         metrics: Metrics,
@@ -56,7 +56,7 @@
         self._service = service
         self._find_maker = find_maker
         self._on_freed = on_freed
-        self._book = book
+        self._target_table = target_table
         self._links = links
         self._codec = codec
         self._metrics = metrics
@@ -98,7 +98,7 @@
         self._timer = None
         pending, self._pending = self._pending, {}
         for (incarnation, address), handles in pending.items():
-            if self._book.is_former(incarnation):
+            if self._target_table.is_former(incarnation):
                 self._metrics.count("stages.lost_by_restart", len(handles))
                 continue
             sending = self._send(incarnation, address, tuple(handles))
@@ -117,10 +117,10 @@
                 fresh=False,
                 timeout=FREE_TIMEOUT,
                 # a draining maker holds its results until it stops
-                may_send=lambda: not self._book.is_former(incarnation),
+                may_send=lambda: not self._target_table.is_former(incarnation),
             )
             await reply.read(MAX_ANSWER_BYTES)
-            if self._book.accepts(incarnation):
+            if self._target_table.accepts(incarnation):
                 reply.release()
             else:
                 reply.abort()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -64,12 +64,12 @@
         self,
         *,
         rule: DivisionRule,
-        book: TargetBook,
+        target_table: TargetBook,
         list_members: Callable[[], tuple[Member, ...]],
         find_profile: Callable[[str], MakerProfile | None],
     ) -> None:
         self._rule = rule
-        self._book = book
+        self._target_table = target_table
         self._list_members = list_members
         self._find_profile = find_profile
         self._members: tuple[Member, ...] = ()
@@ -79,7 +79,7 @@
 
     def list_groups(self, service: str) -> tuple[MakerGroup, ...]:
         """Return the groups of a service."""
-        listed = self._book.list_service(service)
+        listed = self._target_table.list_service(service)
         fleet, profile = self._find_fleet(), self._find_profile(service)
         cached = self._divisions.get(service)
         # the table creates a new list whenever an entry changes
@@ -96,7 +96,7 @@
 
     def list_makers(self, group: MakerGroup) -> tuple[ListedTarget, ...]:
         """Return the makers of a group; the same object until something changes."""
-        listed = self._book.list_service(group.service)
+        listed = self._target_table.list_service(group.service)
         if not group.data_centre:
             return listed
         fleet = self._find_fleet()
@@ -134,7 +134,7 @@
         if profile is None:
             return whole
         fleet = self._find_fleet()
-        listed = self._book.list_service(service)
+        listed = self._target_table.list_service(service)
         makers = Counter(find_home(one.data_centre, fleet.homes) for one in listed)
         view = ServiceView(
             makers=makers,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -67,7 +67,7 @@
         is_exclusive: Callable[[], bool],
         quarantine: BundleQuarantine,
         policy: BatchPolicy,
-        book: TargetBook,
+        target_table: TargetBook,
         links: TargetLinks,
         codec: TargetCodec,
         budgets: RetryBudgets,
@@ -81,11 +81,15 @@
         self._is_exclusive = is_exclusive
         self._quarantine = quarantine
         self._policy = policy
-        self._book = book
+        self._target_table = target_table
         self._clock = clock
         self._decisions = decisions
         self._queue = BundleQueue(
-            group.service, free=self.free, book=book, budgets=budgets, metrics=metrics
+            group.service,
+            free=self.free,
+            target_table=target_table,
+            budgets=budgets,
+            metrics=metrics,
         )
         self._makers: dict[Incarnation, Maker] = {}
         #: cached makers, and the entries and the profile that they were created from
@@ -95,11 +99,13 @@
         self._expiry_checked_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._caller = MakerCaller(links=links, codec=codec, book=book, clock=clock)
+        self._caller = MakerCaller(
+            links=links, codec=codec, target_table=target_table, clock=clock
+        )
         self._freeing = ResultReleaser(
             group.service,
             find_maker=self._makers.get,
-            book=book,
+            target_table=target_table,
             on_freed=self._schedule,
             links=links,
             codec=codec,
@@ -114,7 +120,7 @@
 
         :param on_read: called once makers have read the inputs of all pieces
         """
-        if self._book.has_former(bundle.input_makers):
+        if self._target_table.has_former(bundle.input_makers):
             gone = PieceResult(failure=PieceFailure.GONE)
             return (gone,) * len(bundle.pieces)
         entry = self._queue.add(bundle, on_read)
@@ -142,7 +148,7 @@
         Their pieces are made again: an engine that received the stale handles would
         reject the request, after all its stages were executed.
         """
-        if not self._book.is_former(incarnation):
+        if not self._target_table.is_former(incarnation):
             return
         self._queue.discard_results(incarnation)
         self._schedule()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -70,10 +70,10 @@
         decisions: DecisionLog,
         data_centre: str,
         fleet: Fleet,
-        book: TargetBook,
+        target_table: TargetBook,
     ) -> None:
         self.fleet = fleet
-        self.book = book
+        self.target_table = target_table
         self.executor = executor
         self.clock = clock
         self.decisions = decisions
@@ -103,7 +103,7 @@
         self._executor = runner.executor
         self._clock = runner.clock
         self._decisions = runner.decisions
-        self._book = runner.book
+        self._target_table = runner.target_table
         self._exchange = exchange
         self._plan = StagePlan(exchange.request, exchange.route, exchange.deployment)
         self._bundles = BundleFactory(
@@ -166,13 +166,13 @@
         Sent with these, the request would be rejected by one engine after the other.
         """
         for number in self._plan.final:
-            if self._book.has_former(list_makers(self._held, (number,))):
+            if self._target_table.has_former(list_makers(self._held, (number,))):
                 return _StageFailedError(self._plan.works[number], PieceFailure.GONE)
         return None
 
     def is_lost(self, results: StageResults) -> bool:
         """Return whether a maker of ``results`` has restarted and lost them."""
-        return self._book.has_former(results.makers)
+        return self._target_table.has_former(results.makers)
 
     def free(self) -> None:
         """Free all results that are held."""
@@ -275,7 +275,7 @@
             await asyncio.shield(task)
         work = self._plan.works[number]
         await self._delay_start(work)
-        if self._book.has_former(list_makers(self._held, work.after)):
+        if self._target_table.has_former(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
         queue = self._executor.estimate_wait(work.service)
         seconds = queue.urgent + queue.find_seconds(work.seconds)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -174,7 +174,7 @@
     def _create_groups(self, list_members) -> MakerGroups:
         return MakerGroups(
             rule=self._create_division(),
-            book=self._book,
+            target_table=self._book,
             list_members=list_members,
             find_profile=self._find_profile,
         )
@@ -194,7 +194,7 @@
                 is_exclusive=lambda: is_exclusive(group),
                 quarantine=DisabledBundleQuarantine(),
                 policy=self._create_batches(),
-                book=self._book,
+                target_table=self._book,
                 links=links,
                 codec=ModelCodec(),
                 budgets=self._create_budgets(),
@@ -217,7 +217,7 @@
             decisions=Silent(),
             data_centre=centre,
             fleet=fleet,
-            book=self._book,
+            target_table=self._book,
         )
         return ModelledStreams(
             engines=self._engines,
--- a/tests/test_entry/test_relay/test_forwarding_stage_executor.py
+++ b/tests/test_entry/test_relay/test_forwarding_stage_executor.py
@@ -167,7 +167,7 @@
             local=self.local[name],
             groups=MakerGroups(
                 rule=ByCapacity(),
-                book=book,
+                target_table=book,
                 list_members=peers.members,
                 find_profile=lambda service: None,
             ),
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -47,7 +47,7 @@
         self.caller = MakerCaller(
             links=models.ModelLinks({"m:1": self.model}, self.results, lambda _: stage),
             codec=models.ModelCodec(),
-            book=SimpleNamespace(accepts=lambda incarnation: True),
+            target_table=SimpleNamespace(accepts=lambda incarnation: True),
             clock=self.clock,
         )
 
--- a/tests/test_entry/test_relay/test_result_releaser.py
+++ b/tests/test_entry/test_relay/test_result_releaser.py
@@ -47,7 +47,7 @@
         "ledger",
         find_maker=lambda incarnation: None,
         on_freed=lambda: None,
-        book=TargetBook(),
+        target_table=TargetBook(),
         links=links,
         codec=ModelCodec(),
         metrics=metrics,
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -35,7 +35,7 @@
         self.members = self.list_members(*DATA_CENTRES)
         self.groups = MakerGroups(
             rule=ByCapacity(),
-            book=SimpleNamespace(list_service=lambda service: self.makers),
+            target_table=SimpleNamespace(list_service=lambda service: self.makers),
             list_members=lambda: self.members,
             find_profile=lambda service: PROFILE,
         )
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -91,7 +91,7 @@
             is_exclusive=lambda: False,
             quarantine=self.quarantine,
             policy=self.policy,
-            book=SimpleNamespace(
+            target_table=SimpleNamespace(
                 list_service=lambda service: listed,
                 accepts=lambda incarnation: True,
                 is_former=lambda incarnation: False,
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -102,7 +102,7 @@
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
         fleet=None,
-        book=TargetBook(),
+        target_table=TargetBook(),
     )
     request = OpaqueRequest(
         request_id="r-1",
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -98,7 +98,7 @@
             is_exclusive=is_exclusive,
             quarantine=DisabledBundleQuarantine(),
             policy=SharedCalls(),
-            book=self.book,
+            target_table=self.book,
             links=self.links,
             codec=ModelCodec(),
             budgets=budgets,
@@ -128,7 +128,7 @@
             ),
             groups=MakerGroups(
                 rule=ByCapacity(),
-                book=self.book,
+                target_table=self.book,
                 list_members=peers.members,
                 find_profile=lambda service: PROFILE,
             ),
