--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -62,7 +62,7 @@
         replicator: CrashReportReplicator,
         quarantine: Quarantine,
         target_table: TargetBook,
-        links: TargetLinks,
+        connections: TargetLinks,
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
@@ -71,7 +71,7 @@
         self._replicator = replicator
         self._quarantine = quarantine
         self._target_table = target_table
-        self._links = links
+        self._connections = connections
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
@@ -115,7 +115,7 @@
         incarnation = target.incarnation
         try:
             origin = "refused"
-            if not await self._links.is_closed(target.address):
+            if not await self._connections.is_closed(target.address):
                 origin = "listing"
                 async with asyncio.timeout(CONFIRM_SECONDS):
                     await suspicion.ended.wait()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -57,12 +57,12 @@
     def __init__(
         self,
         *,
-        links: TargetLinks,
+        connections: TargetLinks,
         codec: TargetCodec,
         target_table: TargetBook,
         clock: Clock,
     ) -> None:
-        self._links = links
+        self._connections = connections
         self._codec = codec
         self._target_table = target_table
         self._clock = clock
@@ -105,7 +105,7 @@
         remaining = tuple(
             max(0.0, bundle.latest - started) for bundle, _ in call.pieces
         )
-        reply = await self._links.send(
+        reply = await self._connections.send(
             incarnation=target.incarnation,
             address=target.address,
             outbound=self._codec.encode_pieces(pieces, remaining, target.incarnation),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -48,7 +48,7 @@
         find_maker: Callable[[Incarnation], Maker | None],
         on_freed: Callable[[], None],
         target_table: TargetBook,
-        links: TargetLinks,
+        connections: TargetLinks,
         codec: TargetCodec,
         metrics: Metrics,
         decisions: DecisionLog,
@@ -57,7 +57,7 @@
         self._find_maker = find_maker
         self._on_freed = on_freed
         self._target_table = target_table
-        self._links = links
+        self._connections = connections
         self._codec = codec
         self._metrics = metrics
         self._decisions = decisions
@@ -110,7 +110,7 @@
         self, incarnation: Incarnation, address: str, handles: tuple[str, ...]
     ) -> None:
         try:
-            reply = await self._links.send(
+            reply = await self._connections.send(
                 incarnation=incarnation,
                 address=address,
                 outbound=self._codec.encode_freeing(handles, incarnation),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -68,7 +68,7 @@
         quarantine: BundleQuarantine,
         policy: BatchPolicy,
         target_table: TargetBook,
-        links: TargetLinks,
+        connections: TargetLinks,
         codec: TargetCodec,
         budgets: RetryBudgets,
         clock: Clock,
@@ -100,14 +100,14 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._caller = MakerCaller(
-            links=links, codec=codec, target_table=target_table, clock=clock
+            connections=connections, codec=codec, target_table=target_table, clock=clock
         )
         self._freeing = ResultReleaser(
             group.service,
             find_maker=self._makers.get,
             target_table=target_table,
             on_freed=self._schedule,
-            links=links,
+            connections=connections,
             codec=codec,
             metrics=metrics,
             decisions=decisions,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -195,7 +195,7 @@
                 quarantine=DisabledBundleQuarantine(),
                 policy=self._create_batches(),
                 target_table=self._book,
-                links=links,
+                connections=links,
                 codec=ModelCodec(),
                 budgets=self._create_budgets(),
                 clock=self._clock,
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -45,7 +45,9 @@
         self.maker = Maker(target, PROFILE, MakerRoom(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
-            links=models.ModelLinks({"m:1": self.model}, self.results, lambda _: stage),
+            connections=models.ModelLinks(
+                {"m:1": self.model}, self.results, lambda _: stage
+            ),
             codec=models.ModelCodec(),
             target_table=SimpleNamespace(accepts=lambda incarnation: True),
             clock=self.clock,
--- a/tests/test_entry/test_relay/test_result_releaser.py
+++ b/tests/test_entry/test_relay/test_result_releaser.py
@@ -48,7 +48,7 @@
         find_maker=lambda incarnation: None,
         on_freed=lambda: None,
         target_table=TargetBook(),
-        links=links,
+        connections=links,
         codec=ModelCodec(),
         metrics=metrics,
         decisions=DecisionLog(clock=LoopClock(), metrics=metrics),
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -97,7 +97,7 @@
                 is_former=lambda incarnation: False,
                 has_former=lambda incarnations: False,
             ),
-            links=ModelLinks(
+            connections=ModelLinks(
                 {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
             ),
             codec=ModelCodec(),
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -99,7 +99,7 @@
             quarantine=DisabledBundleQuarantine(),
             policy=SharedCalls(),
             target_table=self.book,
-            links=self.links,
+            connections=self.links,
             codec=ModelCodec(),
             budgets=budgets,
             clock=self.clock,
