--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -264,7 +264,7 @@
             clock=self.clock,
             decisions=self.decisions,
             data_centre=self.rules.data_centre,
-            fleet=self.fleet,
+            load_balancer=self.fleet,
             target_table=self.book,
         )
         common = {
@@ -277,7 +277,7 @@
                 clock=self.clock,
                 decisions=self.decisions,
             ),
-            "fleet": self.fleet,
+            "load_balancer": self.fleet,
             "budgets": self.budgets,
             "quarantine": self.quarantine,
             "clock": self.clock,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -50,7 +50,7 @@
         last: Unanswered | None = None
         failed: _Whole | None = None
         while True:
-            target = self.fleet.choose_plain(
+            target = self.load_balancer.choose_plain(
                 exchange.service, excluded, self.clock.now()
             )
             if target is None:
@@ -89,7 +89,7 @@
         )
         timeout = self._choose_patience(exchange, left)
         end = asyncio.get_running_loop().time() + timeout
-        self.fleet.start(target.incarnation)
+        self.load_balancer.start(target.incarnation)
         try:
             result = await self.sender.send(
                 exchange,
@@ -102,7 +102,7 @@
                 return result
             return await self._read(exchange, target, result, end)
         finally:
-            self.fleet.finish(target.incarnation)
+            self.load_balancer.finish(target.incarnation)
 
     async def _read(
         self,
@@ -128,9 +128,9 @@
         reply.release()
         self.sender.note_survived(exchange, target)
         if answered.head.succeeded:
-            self.fleet.note_success(target.incarnation)
+            self.load_balancer.note_success(target.incarnation)
         else:
-            self.fleet.note_failure(target.incarnation, self.clock.now())
+            self.load_balancer.note_failure(target.incarnation, self.clock.now())
         return _Whole(answered.head, body)
 
     def _choose_patience(self, exchange: RelayExchange, left: float) -> float:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -45,14 +45,14 @@
         self,
         *,
         sender: TargetSender,
-        fleet: Fleet,
+        load_balancer: Fleet,
         budgets: RetryBudgets,
         quarantine: Quarantine,
         clock: Clock,
     ) -> None:
         self._quarantine = quarantine
         self.sender = sender
-        self.fleet = fleet
+        self.load_balancer = load_balancer
         self.budgets = budgets
         self.clock = clock
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -43,7 +43,7 @@
         exchange: RelayExchange,
         plan: StagePlan,
         executor: StageExecutor,
-        fleet: Fleet,
+        load_balancer: Fleet,
         clock: Clock,
         data_centre: str,
         first_seconds: float,
@@ -52,7 +52,7 @@
         self._exchange = exchange
         self._plan = plan
         self._executor = executor
-        self._fleet = fleet
+        self._load_balancer = load_balancer
         self._clock = clock
         self._data_centre = data_centre
         self._first_seconds = first_seconds
@@ -115,7 +115,7 @@
             return max(sizes, key=sizes.get)
         exchange = self._exchange
         if work.number in self._plan.final and exchange.request.prompt is not None:
-            home = self._fleet.find_home(
+            home = self._load_balancer.find_home(
                 exchange.service, exchange.request.prompt, self._clock.now()
             )
             if home is not None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -69,10 +69,10 @@
         clock: Clock,
         decisions: DecisionLog,
         data_centre: str,
-        fleet: Fleet,
+        load_balancer: Fleet,
         target_table: TargetBook,
     ) -> None:
-        self.fleet = fleet
+        self.load_balancer = load_balancer
         self.target_table = target_table
         self.executor = executor
         self.clock = clock
@@ -110,7 +110,7 @@
             exchange=exchange,
             plan=self._plan,
             executor=runner.executor,
-            fleet=runner.fleet,
+            load_balancer=runner.load_balancer,
             clock=runner.clock,
             data_centre=runner.data_centre,
             first_seconds=first_seconds,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -169,7 +169,7 @@
 
     def _choose(self, excluded: frozenset[Incarnation]) -> ListedTarget | None:
         need = EngineNeed(self._prompt, self._results.bytes_by_data_centre)
-        fleet, now = self._runner.fleet, self._runner.clock.now()
+        fleet, now = self._runner.load_balancer, self._runner.clock.now()
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
     async def _try(self, target: ListedTarget) -> Unanswered | None:
@@ -186,10 +186,12 @@
             inputs=self._results.inputs,
         )
         now = runner.clock.now()
-        tokens = runner.fleet.count_tokens(target.incarnation, self._prompt, now)
+        tokens = runner.load_balancer.count_tokens(
+            target.incarnation, self._prompt, now
+        )
         self._sent_at = now
         self._begun_at = None
-        reading = _Reading(runner.fleet, target.incarnation, tokens)
+        reading = _Reading(runner.load_balancer, target.incarnation, tokens)
         fetching = InputFetchTimer(lambda: self._note_fetched(target))
         try:
             result = await runner.sender.send(
@@ -215,7 +217,7 @@
         room that their makers need for others.
         """
         now = self._runner.clock.now()
-        if not self._runner.fleet.takes_in(target, now):
+        if not self._runner.load_balancer.takes_in(target, now):
             return
         self._freed = True
         self._run.free()
@@ -236,7 +238,7 @@
             reply.abort()
             raise
         reply.release()
-        self._runner.fleet.note_success(target.incarnation)
+        self._runner.load_balancer.note_success(target.incarnation)
         self._runner.sender.note_survived(self._exchange, target)
         self._exchange.outcome = "answered"
         return None
@@ -288,7 +290,7 @@
         now = runner.clock.now()
         self._begun_at = now
         runner.times.record_first_part(self._exchange, now - self._sent_at)
-        runner.fleet.note_parts(target.incarnation, self._prompt, now)
+        runner.load_balancer.note_parts(target.incarnation, self._prompt, now)
         self._begun = self._freed = True
         # the target has read the stages' results; their makers need the room
         self._run.free()
@@ -300,7 +302,9 @@
         body = await answered.reply.read(MAX_FAILURE_BYTES)
         answered.reply.release()
         self._runner.sender.note_survived(self._exchange, target)
-        self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
+        self._runner.load_balancer.note_failure(
+            target.incarnation, self._runner.clock.now()
+        )
         exchange = self._exchange
         if exchange.writer.started:
             return Unanswered(SendOutcome.FAILED, f"status {head.status} on resuming")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -70,22 +70,22 @@
         prompt = exchange.request.prompt
         need = EngineNeed(prompt, results.bytes_by_data_centre)
         started = self.clock.now()
-        target = self.fleet.choose_engine(ENGINES, need, frozenset(), started)
-        tokens = self.fleet.count_tokens(target.incarnation, prompt, started)
-        self.fleet.start(target.incarnation, tokens)
+        target = self.load_balancer.choose_engine(ENGINES, need, frozenset(), started)
+        tokens = self.load_balancer.count_tokens(target.incarnation, prompt, started)
+        self.load_balancer.start(target.incarnation, tokens)
         shared, own = prompt.parts
         engine = self._engines[target.target_id]
         read = await engine.read(
             results.inputs or (), shared.part_id, shared.tokens, own.tokens
         )
         now = self.clock.now()
-        self.fleet.begin(target.incarnation, tokens)
+        self.load_balancer.begin(target.incarnation, tokens)
         if read:
             self.times.record_first_part(exchange, now - started)
-            self.fleet.note_parts(target.incarnation, prompt, now)
+            self.load_balancer.note_parts(target.incarnation, prompt, now)
             exchange.outcome = "answered"
         run.free()
-        self.fleet.finish(target.incarnation)
+        self.load_balancer.finish(target.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
@@ -216,7 +216,7 @@
             clock=self._clock,
             decisions=Silent(),
             data_centre=centre,
-            fleet=fleet,
+            load_balancer=fleet,
             target_table=self._book,
         )
         return ModelledStreams(
@@ -227,7 +227,7 @@
             admission=self._create_admission(),
             sender=None,
             quarantine=Quarantine(),
-            fleet=fleet,
+            load_balancer=fleet,
             budgets=self._create_budgets(),
             clock=self._clock,
         )
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -101,7 +101,7 @@
         clock=clock,
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
-        fleet=None,
+        load_balancer=None,
         target_table=TargetBook(),
     )
     request = OpaqueRequest(
