--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
@@ -41,7 +41,7 @@
         """Return whether a bundle must not share calls with others."""
 
     @abstractmethod
-    def is_held(self, bundle: Bundle) -> bool:
+    def is_quarantined(self, bundle: Bundle) -> bool:
         """Return whether a bundle must not be sent to any maker."""
 
 
@@ -60,7 +60,7 @@
     def is_suspect(self, bundle: Bundle) -> bool:
         return False
 
-    def is_held(self, bundle: Bundle) -> bool:
+    def is_quarantined(self, bundle: Bundle) -> bool:
         return False
 
 
@@ -93,7 +93,7 @@
     def is_suspect(self, bundle: Bundle) -> bool:
         return self._quarantine.count_ended(_build_key(bundle)) >= MAX_SHARED_CRASHES
 
-    def is_held(self, bundle: Bundle) -> bool:
+    def is_quarantined(self, bundle: Bundle) -> bool:
         key = _build_key(bundle)
         return self._quarantine.find_hold(key, self._clock.now()) is not None
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
@@ -103,7 +103,7 @@
         self._entries: OrderedDict[str, _StoredEntry] = OrderedDict()
         #: store revision up to which all reports are known
         self._revision = 0
-        self._held_digests: set[str] = set()
+        self._quarantined_digests: set[str] = set()
         peers.handle(CrashesSeen, self._receive_reports)
 
     @property
@@ -123,18 +123,18 @@
             self._quarantine.note_crash(report, now)
         # a further crash may also clear another request of suspicion
         suspected = {digest for report in reports for digest in report.digests}
-        for digest in sorted(suspected | self._held_digests):
-            self._update_hold(digest, self._quarantine.find_hold(digest, now))
+        for digest in sorted(suspected | self._quarantined_digests):
+            self._update_quarantined(digest, self._quarantine.find_hold(digest, now))
 
-    def _update_hold(self, digest: str, seconds: float | None) -> None:
+    def _update_quarantined(self, digest: str, seconds: float | None) -> None:
         held = seconds is not None
-        if held == (digest in self._held_digests):
+        if held == (digest in self._quarantined_digests):
             return
         if not held:
-            self._held_digests.discard(digest)
+            self._quarantined_digests.discard(digest)
             self._decisions.note_belief("request-released", digest=digest)
             return
-        self._held_digests.add(digest)
+        self._quarantined_digests.add(digest)
         self._metrics.count("requests.held")
         ended = self._quarantine.list_ended(digest)
         self._decisions.note_belief(
@@ -273,7 +273,8 @@
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
         holds = {
-            one: self._quarantine.find_hold(one, now) for one in self._held_digests
+            one: self._quarantine.find_hold(one, now)
+            for one in self._quarantined_digests
         }
         held = {one: round(left) for one, left in holds.items() if left is not None}
         return {
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -1,4 +1,4 @@
-"""Local state of a maker: calls in progress, free room and speed.
+"""Local state of a maker: calls in progress, free result memory and speed.
 
 A maker is a target that executes pieces of pipeline stages.
 """
@@ -39,7 +39,7 @@
 
     target: ListedTarget
     profile: MakerProfile
-    room: MakerRoom
+    result_memory: MakerRoom
     calls: int = 0
     #: expected end of the call in progress
     busy_until: float = 0.0
@@ -63,7 +63,7 @@
             incarnation=self.target.incarnation,
             data_centre=self.target.data_centre,
             free_at=free_at,
-            free_bytes=self.room.find_free(now),
+            free_bytes=self.result_memory.find_free(now),
             slowness=self.find_slowness(now),
         )
 
@@ -119,7 +119,7 @@
     def record_rejection(self, now: float) -> None:
         """Record a call that the maker rejected, as it is busy with others' calls."""
         self.calls -= 1
-        self.room.note_refusal(now)
+        self.result_memory.note_refusal(now)
         self.back_off(now)
 
     def back_off(self, now: float) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -75,7 +75,7 @@
 
         Changes of instances that are not owners only count for the shorter
         :data:`CONVERGENCE_SECONDS`. With the longer period, inputs would be kept and
-        fill the makers' room, and calls would be half empty throughout a rolling
+        fill the makers' memory, and calls would be half empty throughout a rolling
         restart.
         """
         if not self.owns(group):
@@ -151,7 +151,7 @@
         """Return whether a member is alive, or suspected only since recently.
 
         Most suspicions are refuted within 0.1 s. If each changed the owner, two owners
-        would fill the makers' room, and the original one would count as new afterwards
+        would fill the makers' memory, and the original one would count as new afterwards
         and keep inputs at the makers for seconds.
         """
         if member.state is not MemberState.SUSPECT:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -82,7 +82,7 @@
         """Flush the queue within :data:`CLOSE_SECONDS` and cancel what remains.
 
         Results that are not freed before a stop occupy their makers' memory until they
-        expire seconds later, and the calls of the next owner find no room there.
+        expire seconds later, and the calls of the next owner find no memory there.
         """
         if self._timer is not None:
             self._timer.cancel()
@@ -134,7 +134,7 @@
         maker = self._find_maker(incarnation)
         if maker is None:
             return
-        # not before the answer: a call sent earlier would still find no room
+        # not before the answer: a call sent earlier would still find the memory in use
         for handle in handles:
-            maker.room.free(handle)
+            maker.result_memory.free(handle)
         self._on_freed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -163,7 +163,7 @@
                 str(incarnation): {
                     "calls": maker.calls,
                     "slowness": round(maker.find_slowness(now), 2),
-                    "free_bytes": round(maker.room.find_free(now)),
+                    "free_bytes": round(maker.result_memory.find_free(now)),
                 }
                 for incarnation, maker in self._makers.items()
             },
@@ -171,7 +171,7 @@
 
     async def close(self) -> None:
         """Flush the results to be freed and cancel the calls in progress."""
-        # before the timer is cancelled, as freed room triggers the scheduler again
+        # before the timer is cancelled, as freed memory triggers the scheduler again
         await self._freeing.close()
         if self._timer is not None:
             self._timer.cancel()
@@ -217,7 +217,7 @@
             # are added in the meantime
             maker = self._makers[call.incarnation]
             call_timeout = maker.start_call(len(call.pieces), now)
-            maker.room.reserve(_sum_sizes(call))
+            maker.result_memory.reserve(_sum_sizes(call))
             task = asyncio.create_task(self._run_call(call, maker, call_timeout, now))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -233,7 +233,7 @@
         views = [maker.view(now) for maker in makers]
         if not self._quarantine.has_suspects():
             return self._policy.plan(self._queue.list_ready(), views, profile, now)
-        self._fail_held()
+        self._fail_quarantined()
         ready = self._queue.list_ready()
         suspected = [row for row in ready if self._quarantine.is_suspect(row[0])]
         for row in suspected:
@@ -256,8 +256,8 @@
         for target in listed:
             maker = self._makers.get(target.incarnation)
             if maker is None or maker.profile != profile:
-                room = MakerRoom(profile.room_bytes, profile.keep_seconds)
-                self._makers[target.incarnation] = Maker(target, profile, room)
+                result_memory = MakerRoom(profile.room_bytes, profile.keep_seconds)
+                self._makers[target.incarnation] = Maker(target, profile, result_memory)
         self._listed = [self._makers[target.incarnation] for target in listed]
         self._listed_from = (listed, profile)
         return self._listed
@@ -271,10 +271,10 @@
         for bundle in find_hopeless(waiting, views, profile, now):
             self._queue.fail(self._queue.find(bundle), PieceFailure.LATE)
 
-    def _fail_held(self) -> None:
+    def _fail_quarantined(self) -> None:
         """Fail the bundles that are held in quarantine."""
         for entry in tuple(self._queue):
-            if entry.pending and self._quarantine.is_held(entry.bundle):
+            if entry.pending and self._quarantine.is_quarantined(entry.bundle):
                 self._queue.fail(entry, PieceFailure.HELD)
 
     # calls
@@ -292,7 +292,7 @@
             call_result = await self._caller.call(maker, call, call_timeout, now)
         finally:
             read_timer.cancel()
-            self._settle_room(maker, call, call_result, now)
+            self._settle_memory(maker, call, call_result, now)
         self._decisions.note(
             "stage-call",
             service=self._group.service,
@@ -319,10 +319,10 @@
         elif call_result.results is not None:
             self._quarantine.record_success(maker.target, bundles)
 
-    def _settle_room(
+    def _settle_memory(
         self, maker: Maker, call: PlannedCall, call_result: CallResult, started: float
     ) -> None:
-        """Replace a call's reserved room by the size of the results it left."""
+        """Replace a call's reserved memory by the size of the results it left."""
         now = self._clock.now()
         size = _sum_sizes(call)
         made = {}
@@ -332,21 +332,21 @@
             if result.failure is None:
                 made[result.handle] = bundle.result_bytes
             elif result.failure is PieceFailure.ROOM:
-                maker.room.note_refusal(now)
-        maker.room.settle(size, made, now)
+                maker.result_memory.note_refusal(now)
+        maker.result_memory.settle(size, made, now)
         if made:
             self._estimator.record_completion(len(made), now - started, now)
         if call_result.outcome not in SETTLED_OUTCOMES:
             # the maker may continue the call and keep its results for a while
-            maker.room.hold_unknown(f"lost at {started}", size, now)
+            maker.result_memory.hold_unknown(f"lost at {started}", size, now)
 
     def _report_inputs_read(
         self, maker: Maker, entries: list[QueuedBundle | None]
     ) -> None:
         """Report the inputs of a call as read, if the maker must have started it.
 
-        Inputs occupy room at the makers of the earlier stage; kept until the call ends,
-        they would do so for a third of a second longer. A maker does not signal that it
+        Inputs occupy memory at the makers of the earlier stage; kept until the call
+        ends, they would do so for a third of a second longer. A maker does not signal that it
         has started a call. It must have if no other call, of this or any other
         instance, is queued ahead. Inputs freed while the call is still queued would be
         gone when it starts, and the stages of the request would be executed again or
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/wait_estimator.py
@@ -98,7 +98,7 @@
         if self._waiting <= profile.batch:
             self._queued_since = now
         elif now - self._queued_since >= RATE_WINDOW_SECONDS:
-            # the makers' room may limit the throughput more than their speed
+            # the makers' memory may limit the throughput more than their speed
             rate = min(rate, max(rate * MIN_RATE_SHARE, self._measure_rate()))
         self._rate = rate
 
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -50,20 +50,20 @@
 
 
 class FakeQuarantine(DisabledBundleQuarantine):
-    """Suspects and holds the requests with the given ids."""
+    """Suspects and quarantines the requests with the given ids."""
 
     def __init__(self) -> None:
         self.suspected: set[str] = set()
-        self.held: set[str] = set()
+        self.quarantined: set[str] = set()
 
     def has_suspects(self) -> bool:
-        return bool(self.suspected or self.held)
+        return bool(self.suspected or self.quarantined)
 
     def is_suspect(self, bundle: Bundle) -> bool:
         return bundle.request_id in self.suspected
 
-    def is_held(self, bundle: Bundle) -> bool:
-        return bundle.request_id in self.held
+    def is_quarantined(self, bundle: Bundle) -> bool:
+        return bundle.request_id in self.quarantined
 
 
 class World:
@@ -194,9 +194,9 @@
     assert set().union(*world.policy.calls) == {f"r{number}" for number in range(8)}
 
 
-async def test_held_bundle_goes_to_no_maker(world):
+async def test_quarantined_bundle_is_sent_to_no_maker(world):
     """Guard against sending a bundle that is known to crash makers."""
-    world.quarantine.held = {"r1"}
+    world.quarantine.quarantined = {"r1"}
     held, sound = await asyncio.gather(world.submit(1), world.submit(2))
     assert [one.failure for one in held] == [PieceFailure.HELD]
     assert [one.failure for one in sound] == [None]
