--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -55,7 +55,7 @@
             )
             if target is None:
                 break
-            self.check_hold(exchange)
+            self.check_quarantine(exchange)
             result = await self._try(exchange, target)
             if isinstance(result, _Whole):
                 if result.head.succeeded:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -67,7 +67,7 @@
         """Return the seconds until the deadline."""
         return exchange.deadline - self.clock.now()
 
-    def check_hold(self, exchange: RelayExchange) -> None:
+    def check_quarantine(self, exchange: RelayExchange) -> None:
         """Check again that the request of ``exchange`` is not in quarantine.
 
         Targets may have crashed under other attempts of the same request while this
@@ -75,9 +75,9 @@
 
         :raises RefusedError: if the request is held
         """
-        hold = self._quarantine.find_hold(exchange.digest, self.clock.now())
-        if hold is not None:
-            raise create_hold_error(exchange, hold)
+        seconds = self._quarantine.find_hold(exchange.digest, self.clock.now())
+        if seconds is not None:
+            raise create_hold_error(exchange, seconds)
 
     def may_retry(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
         """Return whether to send again after ``outcome``; a retry is charged."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -148,7 +148,7 @@
             target = self._choose(excluded)
             if target is None:
                 break
-            runner.check_hold(exchange)
+            runner.check_quarantine(exchange)
             last = await self._try(target)
             if last is None:
                 return
