--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -58,10 +58,10 @@
 
     The fixed cost of a call to a maker is that of several pieces. Instances that batch
     on their own send many calls that are almost empty, and see neither each other's
-    queues nor the memory they have reserved. So one instance, on which all agree, batches
-    the pieces for a group of makers. If it does not answer, a network partition is
-    likely, and the bundle goes to the owner of the local data centre's makers. If that
-    one does not answer either, this instance calls the makers itself. Pieces are
+    queues nor the memory they have reserved. So one instance, on which all agree,
+    batches the pieces for a group of makers. If it does not answer, a network partition
+    is likely, and the bundle goes to the owner of the local data centre's makers. If
+    that one does not answer either, this instance calls the makers itself. Pieces are
     idempotent, so that they may be made more than once.
     """
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/ownership.py
@@ -151,8 +151,8 @@
         """Return whether a member is alive, or suspected only since recently.
 
         Most suspicions are refuted within 0.1 s. If each changed the owner, two owners
-        would fill the makers' memory, and the original one would count as new afterwards
-        and keep inputs at the makers for seconds.
+        would fill the makers' memory, and the original one would count as new
+        afterwards and keep inputs at the makers for seconds.
         """
         if member.state is not MemberState.SUSPECT:
             self._suspected.pop(member.instance_id, None)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -102,7 +102,7 @@
         self._caller = MakerCaller(
             connections=connections, codec=codec, target_table=target_table, clock=clock
         )
-        self._freeing = ResultReleaser(
+        self._releaser = ResultReleaser(
             group.service,
             find_maker=self._makers.get,
             target_table=target_table,
@@ -140,7 +140,7 @@
 
     def free(self, results: tuple[PieceResult, ...]) -> None:
         """Free results at their makers."""
-        self._freeing.free(results)
+        self._releaser.free(results)
 
     def record_removal(self, incarnation: Incarnation) -> None:
         """Record that a maker was removed; if it has restarted, its results are lost.
@@ -172,7 +172,7 @@
     async def close(self) -> None:
         """Flush the results to be freed and cancel the calls in progress."""
         # before the timer is cancelled, as freed memory triggers the scheduler again
-        await self._freeing.close()
+        await self._releaser.close()
         if self._timer is not None:
             self._timer.cancel()
         for task in tuple(self._tasks):
@@ -346,8 +346,8 @@
         """Report the inputs of a call as read, if the maker must have started it.
 
         Inputs occupy memory at the makers of the earlier stage; kept until the call
-        ends, they would do so for a third of a second longer. A maker does not signal that it
-        has started a call. It must have if no other call, of this or any other
+        ends, they would do so for a third of a second longer. A maker does not signal
+        that it has started a call. It must have if no other call, of this or any other
         instance, is queued ahead. Inputs freed while the call is still queued would be
         gone when it starts, and the stages of the request would be executed again or
         fail.
