--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -25,12 +25,11 @@
 from ..controllers.drain import DrainController
 from ..filters import chain
 from ..inflight import InFlight
-from .budgets import RepeatBudgets
+from .bundle_quarantine import SharedBundleQuarantine
 from .configuration import ConfigurationFollower
-from .crash_watch import CrashWatch
-from .crashes import CrashBoard
+from .crash_detector import CrashDetector
+from .crash_report_replicator import CrashReportReplicator
 from .decisions import DecisionLog
-from .desk import LocalDesk
 from .filters import (
     ObserveFilter,
     QuarantineFilter,
@@ -39,18 +38,19 @@
     SplitFilter,
     StopFilter,
 )
+from .forwarding_stage_executor import ForwardingStageExecutor
 from .front import RelayFront
 from .listing import ListingFollower
-from .owned_desk import OwnedDesk
+from .local_stage_executor import LocalStageExecutor
 from .ownership import Ownership
 from .parts import RelayAdapters, RelayParts, RelaySettings
 from .peer_settings import create_peer_settings
 from .peer_sync import PeerSyncController
-from .piece_suspects import WatchedPieces
 from .prometheus import PrometheusMetrics
 from .readiness import ReadinessServer
 from .registry import RegistryController
-from .run_times import RunTimes
+from .retry_budgets import RetryBudgets
+from .route_latencies import RouteLatencies
 from .stage_groups import MakerGroups
 from .stage_pool import StagePool
 from .stages import StageRunner
@@ -66,7 +66,6 @@
     from greengagelatch.relay.groups import MakerGroup
     from greengagelatch.relay.incarnations import Incarnation
 
-
 __all__ = ("compose_relay",)
 
 #: lower bound on the instances assumed to share a retry budget. It exceeds the usual
@@ -147,9 +146,7 @@
             metrics=self.metrics,
         )
         self.configuration = ConfigurationFollower(
-            codec=self.adapters.deployments,
-            clock=self.clock,
-            decisions=self.decisions,
+            codec=self.adapters.deployments, clock=self.clock, decisions=self.decisions
         )
         self.listing = ListingFollower(
             codec=self.adapters.listings,
@@ -179,7 +176,7 @@
             metrics=self.metrics,
             capacity=self.settings.capacity.bundles,
         )
-        self.crash_reports = CrashBoard(
+        self.crash_reports = CrashReportReplicator(
             instance_id=self.settings.instance_id,
             quarantine=self.quarantine,
             store=self.store,
@@ -188,11 +185,11 @@
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        self.crash_detector = CrashWatch(
-            board=self.crash_reports,
+        self.crash_detector = CrashDetector(
+            replicator=self.crash_reports,
             quarantine=self.quarantine,
-            book=self.target_table,
-            links=self.connections,
+            target_table=self.target_table,
+            connections=self.connections,
             clock=self.clock,
             metrics=self.metrics,
             decisions=self.decisions,
@@ -225,12 +222,12 @@
             random_source=self.random,
             metrics=self.metrics,
         )
-        self.retry_budgets = RepeatBudgets(
+        self.retry_budgets = RetryBudgets(
             rule=self.settings.retry_budget,
             clock=self.clock,
             count_instances=self._count_instances,
         )
-        self.stage_retry_budgets = RepeatBudgets(
+        self.stage_retry_budgets = RetryBudgets(
             rule=self.settings.retry_budget,
             clock=self.clock,
             count_instances=self._count_owners,
@@ -239,17 +236,17 @@
     def _build_request_path(self) -> None:
         self.maker_groups = MakerGroups(
             rule=ByCapacity(),
-            book=self.target_table,
+            target_table=self.target_table,
             list_members=self.peers.members,
             find_profile=self._find_maker,
         )
-        self.local_executor = LocalDesk(
+        self.local_executor = LocalStageExecutor(
             create_pool=self._create_pool, find_group=self.maker_groups.find_group
         )
         self.ownership = Ownership(
             peers=self.peers, clock=self.clock, decisions=self.decisions
         )
-        self.stage_executor = OwnedDesk(
+        self.stage_executor = ForwardingStageExecutor(
             local=self.local_executor,
             groups=self.maker_groups,
             ownership=self.ownership,
@@ -262,12 +259,12 @@
             decisions=self.decisions,
         )
         stages = StageRunner(
-            desk=self.stage_executor,
+            executor=self.stage_executor,
             clock=self.clock,
             decisions=self.decisions,
             data_centre=self.settings.data_centre,
-            fleet=self.load_balancer,
-            book=self.target_table,
+            load_balancer=self.load_balancer,
+            target_table=self.target_table,
         )
         common = {
             "sender": TargetSender(
@@ -279,7 +276,7 @@
                 clock=self.clock,
                 decisions=self.decisions,
             ),
-            "fleet": self.load_balancer,
+            "load_balancer": self.load_balancer,
             "budgets": self.retry_budgets,
             "quarantine": self.quarantine,
             "clock": self.clock,
@@ -287,7 +284,7 @@
         streams = StreamRunner(
             stages=stages,
             codec=self.adapters.targets,
-            times=RunTimes(),
+            times=RouteLatencies(),
             admission=EstimateRule(),
             **common,
         )
@@ -355,15 +352,15 @@
             group,
             list_makers=lambda: self.maker_groups.list_makers(group),
             find_profile=lambda: self._find_maker(group.service),
-            is_sole=lambda: self.ownership.is_sole(group),
-            suspects=WatchedPieces(
+            is_exclusive=lambda: self.ownership.is_exclusive(group),
+            quarantine=SharedBundleQuarantine(
                 quarantine=self.quarantine,
                 crashes=self.crash_detector,
                 clock=self.clock,
             ),
             policy=SharedCalls(),
-            book=self.target_table,
-            links=self.connections,
+            target_table=self.target_table,
+            connections=self.connections,
             codec=self.adapters.targets,
             budgets=self.stage_retry_budgets,
             clock=self.clock,
@@ -381,7 +378,7 @@
 
     def _count_owners(self) -> int:
         """Return how many instances share the retry budgets of stage calls."""
-        return max(ASSUMED_OWNERS, self.maker_groups.count_most())
+        return max(ASSUMED_OWNERS, self.maker_groups.count_max_groups())
 
     def _find_idle_limit(self, incarnation: Incarnation) -> int:
         """Return the maximum number of idle connections to a target."""
@@ -460,9 +457,9 @@
 
     def _forget_target(self, incarnation: Incarnation) -> None:
         self.connections.close_idle(incarnation)
-        self.crash_detector.note_gone(incarnation)
+        self.crash_detector.record_removal(incarnation)
         self.load_balancer.forget(incarnation)
-        self.local_executor.note_gone(incarnation)
+        self.local_executor.record_removal(incarnation)
 
     def _describe(self) -> dict[str, Any]:
         parts = {part.name: part.dump() for part in self._list_controllers()}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -1,4 +1,4 @@
-"""Targets that end with requests on them, told from answers that got lost."""
+"""Detection of targets that crash while they process requests."""
 
 from __future__ import annotations
 
@@ -18,39 +18,40 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from ..metrics import Metrics
-    from .crashes import CrashBoard
+    from .crash_report_replicator import CrashReportReplicator
     from .decisions import DecisionLog
     from .target_connections import TargetConnectionPool
 
-__all__ = ("CrashWatch",)
+__all__ = ("CrashDetector",)
 
-#: seconds for which requests are gathered that were on the same target: their
-#: connections break in the same moment
-GATHER_SECONDS = 0.05
-#: seconds in which a target that ended has gone from the listing, or is listed with
-#: another start: its entry lapses after three of its heartbeats
+#: seconds for which the requests of one crash are collected: all connections of a
+#: target that crashes break at nearly the same time
+COLLECT_SECONDS = 0.05
+#: seconds within which a target that ended is removed from the listing, or listed with
+#: a new start time: its entry expires after three missed heartbeats
 CONFIRM_SECONDS = 5.0
-#: targets that are looked after at the same time
+#: maximum number of targets checked at the same time
 MAX_SUSPICIONS = 256
-#: digests and targets that a line of the log or the state shows
-MAX_SHOWN = 16
+#: maximum number of digests or targets in one log entry or in the state dump
+MAX_LOGGED_ITEMS = 16
 
 
 @dataclass(slots=True)
 class _Suspicion:
-    """A target whose connections broke, and the requests that were on it."""
+    """The requests whose connections to one target broke."""
 
     digests: dict[str, None] = field(default_factory=dict)
-    #: set once the listing tells that it has ended
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    #: set once the listing shows that the target has ended
+    ended: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class CrashWatch(Controller):
-    """Finds targets that ended with requests of this instance on them.
+class CrashDetector(Controller):
+    """Detects targets that crashed with requests of this instance in progress.
 
-    A connection that breaks does not show a crash: answers get lost, and connections
-    are reset, at targets that live. It is one if nobody listens at the address any
-    more, or the listing tells soon that the target has ended.
+    A broken connection alone does not prove a crash: answers get lost and connections
+    are reset by targets that are still running. It counts as a crash if no process
+    listens at the address any more, or if the listing shows within
+    :data:`CONFIRM_SECONDS` that the target has ended.
     """
 
     name = "crash-watch"
@@ -58,35 +59,35 @@
     def __init__(
         self,
         *,
-        board: CrashBoard,
+        replicator: CrashReportReplicator,
         quarantine: Quarantine,
-        book: TargetBook,
-        links: TargetConnectionPool,
+        target_table: TargetBook,
+        connections: TargetConnectionPool,
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
     ) -> None:
         super().__init__()
-        self._board = board
+        self._replicator = replicator
         self._quarantine = quarantine
-        self._book = book
-        self._links = links
+        self._target_table = target_table
+        self._connections = connections
         self._clock = clock
         self._metrics = metrics
         self._decisions = decisions
         self._suspicions: dict[Incarnation, _Suspicion] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def note_broken(self, target: ListedTarget, digest: str) -> None:
-        """Take in that a connection broke before its request was answered."""
+    def record_disconnect(self, target: ListedTarget, digest: str) -> None:
+        """Record a connection that broke before its request was answered."""
         incarnation = target.incarnation
         if self._quarantine.is_sound(digest, self._clock.now()):
             return
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
-            # one that leaves ends as planned, with whatever is left on it
-            leaving = not self._book.accepts(incarnation)
-            if leaving or len(self._suspicions) >= MAX_SUSPICIONS:
+            # a draining target stops as planned, with any requests still on it
+            draining = not self._target_table.accepts(incarnation)
+            if draining or len(self._suspicions) >= MAX_SUSPICIONS:
                 return
             suspicion = self._suspicions[incarnation] = _Suspicion()
             task = asyncio.create_task(self._confirm(target, suspicion))
@@ -95,30 +96,30 @@
         if len(suspicion.digests) < MAX_DIGESTS:
             suspicion.digests[digest] = None
 
-    def note_survived(self, target: ListedTarget, digest: str) -> None:
-        """Take in that a target has answered a request."""
+    def record_answer(self, target: ListedTarget, digest: str) -> None:
+        """Record that a target has answered a request."""
         self._quarantine.note_survived(digest, self._clock.now())
         suspicion = self._suspicions.get(target.incarnation)
         if suspicion is not None:
             suspicion.digests.pop(digest, None)
 
-    def note_gone(self, incarnation: Incarnation) -> None:
-        """Take in that the listing tells of a target's end, or that it leaves."""
+    def record_removal(self, incarnation: Incarnation) -> None:
+        """Record that a target was removed from the listing, or started to drain."""
         suspicion = self._suspicions.get(incarnation)
-        listed = self._book.find_listed(incarnation.target_id)
-        leaves = listed is not None and listed.incarnation == incarnation
-        if suspicion is not None and not leaves:
-            suspicion.gone.set()
+        listed = self._target_table.find_listed(incarnation.target_id)
+        is_draining = listed is not None and listed.incarnation == incarnation
+        if suspicion is not None and not is_draining:
+            suspicion.ended.set()
 
     async def _confirm(self, target: ListedTarget, suspicion: _Suspicion) -> None:
         incarnation = target.incarnation
         try:
             origin = "refused"
-            if not await self._links.is_port_closed(target.address):
+            if not await self._connections.is_port_closed(target.address):
                 origin = "listing"
                 async with asyncio.timeout(CONFIRM_SECONDS):
-                    await suspicion.gone.wait()
-            await asyncio.sleep(GATHER_SECONDS)
+                    await suspicion.ended.wait()
+            await asyncio.sleep(COLLECT_SECONDS)
         except TimeoutError:
             self._metrics.count("targets.broke_and_live")
             return
@@ -134,17 +135,19 @@
             service=target.service,
             address=target.address,
             origin=origin,
-            digests=report.digests[:MAX_SHOWN],
+            digests=report.digests[:MAX_LOGGED_ITEMS],
         )
-        self._board.publish(report)
+        self._replicator.publish(report)
 
     async def on_stop(self) -> None:
-        """Give up what is not confirmed yet."""
+        """Cancel the checks that are not finished yet."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
         return {
-            "suspected": [str(one) for one in tuple(self._suspicions)[:MAX_SHOWN]],
+            "suspected": [
+                str(one) for one in tuple(self._suspicions)[:MAX_LOGGED_ITEMS]
+            ]
         }
--- /dev/null
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
@@ -0,0 +1,285 @@
+"""Replication of crash reports between instances."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections import OrderedDict, deque
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, Any
+
+from mode import Service
+from result import Err
+
+from greengagelatch.relay.crash_reports import (
+    MAX_REPORTS,
+    decode_reports,
+    encode_reports,
+)
+from greengagelatch.relay.messages import CrashesSeen
+from greengagelatch.relay.quarantine import HOLD_SECONDS, CrashReport
+from greengagelatch.store import ABSENT, WriteOutcome
+
+from ..controllers import Controller
+from .store_follower import StoreSubscriber
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from greengagelatch.clock import Clock
+    from greengagelatch.peers import PeerNetwork
+    from greengagelatch.relay.quarantine import Quarantine
+    from greengagelatch.store.ranges import Changes, RangeStore, Scan
+
+    from ..metrics import Metrics
+    from .decisions import DecisionLog
+
+__all__ = ("CrashReportReplicator",)
+
+#: prefix of the report keys in the store
+PREFIX = "greengagelatch/crashes/"
+#: seconds for which a lease is reused for further reports. An entry may therefore
+#: expire in the store up to this long before its report stops counting
+LEASE_REUSE_SECONDS = 30.0
+#: seconds between two attempts to write an entry that the store did not accept
+WRITE_RETRY_SECONDS = 1.0
+#: maximum number of entries that wait to be written, and that are kept for peers
+MAX_UNWRITTEN = 64
+MAX_ENTRIES = 2048
+#: maximum number of entries in one answer to a peer
+MAX_ANSWER_ENTRIES = 64
+#: maximum number of digests or targets in one log entry or in the state dump
+MAX_LOGGED_ITEMS = 16
+
+
+@dataclass(frozen=True, slots=True)
+class _StoredEntry:
+    """An entry of the store, kept for peers that ask for it."""
+
+    revision: int
+    value: bytes
+    received_at: float
+
+
+class CrashReportReplicator(Controller, StoreSubscriber):
+    """Publishes this instance's crash reports and applies those of other instances.
+
+    A request that crashes its target may be retried at an instance that has not seen
+    the crash. Reports are written to the store, so that they outlive the instance;
+    while the store does not accept them, they are sent directly to peers.
+    """
+
+    name = "crashes"
+    prefix = PREFIX
+
+    def __init__(
+        self,
+        *,
+        instance_id: str,
+        quarantine: Quarantine,
+        store: RangeStore,
+        peers: PeerNetwork,
+        clock: Clock,
+        metrics: Metrics,
+        decisions: DecisionLog,
+    ) -> None:
+        super().__init__()
+        self._instance_id = instance_id
+        self._quarantine = quarantine
+        self._store = store
+        self._peers = peers
+        self._clock = clock
+        self._metrics = metrics
+        self._decisions = decisions
+        self._pending: list[CrashReport] = []
+        self._wake = asyncio.Event()
+        #: keys and values of entries to be written
+        self._unwritten: deque[tuple[str, bytes]] = deque(maxlen=MAX_UNWRITTEN)
+        self._entry_count = 0
+        #: keys of the unwritten entries that have been sent to peers
+        self._sent_keys: set[str] = set()
+        self._lease_id = ""
+        self._lease_granted_at = float("-inf")
+        self._entries: OrderedDict[str, _StoredEntry] = OrderedDict()
+        #: store revision up to which all reports are known
+        self._revision = 0
+        self._quarantined_digests: set[str] = set()
+        peers.handle(CrashesSeen, self._receive_reports)
+
+    @property
+    def revision(self) -> int:
+        """Store revision up to which all reports are known."""
+        return self._revision
+
+    def publish(self, report: CrashReport) -> None:
+        """Apply a report of this instance and queue it for the other instances."""
+        self._record((report,))
+        self._pending.append(report)
+        self._wake.set()
+
+    def _record(self, reports: Iterable[CrashReport]) -> None:
+        now = self._clock.now()
+        for report in reports:
+            self._quarantine.note_crash(report, now)
+        # a further crash may also clear another request of suspicion
+        suspected = {digest for report in reports for digest in report.digests}
+        for digest in sorted(suspected | self._quarantined_digests):
+            self._update_quarantined(digest, self._quarantine.find_hold(digest, now))
+
+    def _update_quarantined(self, digest: str, seconds: float | None) -> None:
+        held = seconds is not None
+        if held == (digest in self._quarantined_digests):
+            return
+        if not held:
+            self._quarantined_digests.discard(digest)
+            self._decisions.log_state_change("request-released", digest=digest)
+            return
+        self._quarantined_digests.add(digest)
+        self._metrics.count("requests.held")
+        ended = self._quarantine.list_ended(digest)
+        self._decisions.log_state_change(
+            "request-held",
+            digest=digest,
+            seconds=round(seconds),
+            targets=[str(one) for one in ended[:MAX_LOGGED_ITEMS]],
+        )
+
+    # publishing to other instances
+
+    @Service.task
+    async def _write_forever(self) -> None:
+        while not self.should_stop:
+            await self._wake.wait()
+            self._wake.clear()
+            while self._pending:
+                self._enqueue()
+            while self._unwritten:
+                if await self._write(*self._unwritten[0]):
+                    self._unwritten.popleft()
+                    continue
+                with contextlib.suppress(TimeoutError):
+                    async with asyncio.timeout(WRITE_RETRY_SECONDS):
+                        await self._wake.wait()
+                break
+            if self._unwritten:
+                self._wake.set()
+
+    def _enqueue(self) -> None:
+        """Encode the pending reports as one entry and queue it to be written."""
+        found = tuple(self._pending[:MAX_REPORTS])
+        del self._pending[:MAX_REPORTS]
+        self._entry_count += 1
+        key = f"{PREFIX}{self._instance_id}/{self._entry_count}"
+        self._unwritten.append((key, encode_reports(found)))
+
+    async def _write(self, key: str, value: bytes) -> bool:
+        lease_id = await self._ensure_lease()
+        if lease_id:
+            written = await self._store.swap(key, value, ABSENT, lease_id=lease_id)
+            if written.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
+                # keys are unique to this process: a conflict means that an earlier
+                # write was applied and its answer was lost
+                return True
+        self._lease_id = ""
+        self._metrics.count("crashes.unwritten")
+        self._send_to_peers()
+        return False
+
+    def _send_to_peers(self) -> None:
+        """Send the entries that the store did not accept to the overlay neighbours."""
+        unsent = [row for row in self._unwritten if row[0] not in self._sent_keys]
+        if not unsent:
+            return
+        seen = CrashesSeen(tuple(unsent))
+        for peer in self._peers.neighbours():
+            self._peers.send(peer, seen)
+        self._sent_keys = {key for key, _ in self._unwritten}
+
+    async def _ensure_lease(self) -> str:
+        """Return the id of the lease for reports; empty if none could be granted."""
+        now = self._clock.now()
+        if self._lease_id and now - self._lease_granted_at < LEASE_REUSE_SECONDS:
+            return self._lease_id
+        granted = await self._store.grant_lease(HOLD_SECONDS)
+        self._lease_id = "" if isinstance(granted, Err) else granted.ok_value.lease_id
+        self._lease_granted_at = now
+        return self._lease_id
+
+    # receiving from other instances
+
+    def apply_scan(self, scan: Scan) -> None:
+        for entry in scan.entries:
+            self._apply_entry(entry.key, entry.value, entry.revision)
+        self._revision = max(self._revision, scan.revision)
+
+    def apply_changes(self, changes: Changes) -> None:
+        # removed entries have expired, and their reports expire here by themselves
+        for entry in changes.written:
+            self._apply_entry(entry.key, entry.value, entry.revision)
+        self._revision = max(self._revision, changes.revision)
+
+    def list_newer(self, revision: int) -> tuple[tuple[str, int, bytes], ...]:
+        """Return the oldest entries after a revision, as key, revision and value."""
+        rows = sorted(
+            (stored.revision, key, stored.value)
+            for key, stored in self._entries.items()
+            if stored.revision > revision
+        )
+        return tuple(
+            (key, found, value) for found, key, value in rows[:MAX_ANSWER_ENTRIES]
+        )
+
+    def apply_updates(self, rows: Iterable[object]) -> None:
+        """Apply store entries that a peer knows beyond :attr:`revision`."""
+        for row in rows:
+            match row:
+                case (str(key), int(revision), bytes(value)):
+                    self._apply_entry(key, value, revision)
+                    self._revision = max(self._revision, revision)
+
+    def _receive_reports(self, sender: str, message: CrashesSeen) -> None:
+        for row in message.rows:
+            match row:
+                case (str(key), bytes(value)):
+                    self._apply_entry(key, value, 0)
+
+    def _apply_entry(self, key: str, value: bytes, revision: int) -> None:
+        known = self._entries.get(key)
+        if known is not None and known.revision >= revision:
+            return
+        received_at = self._clock.now() if known is None else known.received_at
+        self._entries[key] = _StoredEntry(revision, value, received_at)
+        self._evict_expired()
+        if known is not None:
+            return
+        try:
+            reports = decode_reports(value)
+        except ValueError as error:
+            self._metrics.count("crashes.unreadable")
+            self._decisions.log_state_change(
+                "crash-report-unreadable", key=key, reason=str(error)
+            )
+            return
+        self._record(reports)
+
+    def _evict_expired(self) -> None:
+        cutoff = self._clock.now() - HOLD_SECONDS
+        while self._entries:
+            key, oldest = next(iter(self._entries.items()))
+            if oldest.received_at >= cutoff and len(self._entries) <= MAX_ENTRIES:
+                return
+            del self._entries[key]
+
+    def dump(self) -> dict[str, Any]:
+        now = self._clock.now()
+        holds = {
+            one: self._quarantine.find_hold(one, now)
+            for one in self._quarantined_digests
+        }
+        held = {one: round(left) for one, left in holds.items() if left is not None}
+        return {
+            "held": dict(sorted(held.items())[:MAX_LOGGED_ITEMS]),
+            "held_count": len(held),
+            "values_known": len(self._entries),
+            "values_unwritten": len(self._unwritten),
+        }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/local_stage_executor.py
@@ -1,4 +1,4 @@
-"""Stage work that this instance has made by itself."""
+"""Execution of stages by this instance, without other instances."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from greengagelatch.relay.groups import MakerGroup
 
 from ..controllers import Controller
-from .stage_desk import StageDesk
+from .stage_executor import StageExecutor
 from .stage_pool import StagePool
 
 if TYPE_CHECKING:
@@ -19,13 +19,13 @@
     from greengagelatch.relay.queue_waits import QueueWait
 
 
-__all__ = ("LocalDesk",)
+__all__ = ("LocalStageExecutor",)
 
 
-class LocalDesk(Controller, StageDesk):
-    """One pool for each group of makers, made when its first bundle comes.
+class LocalStageExecutor(Controller, StageExecutor):
+    """Keeps a pool for each group of makers, created on its first use.
 
-    :param create_pool: makes the pool of a group
+    :param create_pool: creates the pool of a group
     :param find_group: returns the group of a service's makers in a data centre
     """
 
@@ -44,16 +44,16 @@
         self._find_group = find_group
         self._pools: dict[MakerGroup, StagePool] = {}
 
-    async def make(
-        self, bundle: Bundle, note_read: Callable[[], None]
+    async def execute(
+        self, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
-        return await self.make_in(MakerGroup(bundle.service), bundle, note_read)
+        return await self.execute_in(MakerGroup(bundle.service), bundle, on_read)
 
-    async def make_in(
-        self, group: MakerGroup, bundle: Bundle, note_read: Callable[[], None]
+    async def execute_in(
+        self, group: MakerGroup, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
-        """Have a bundle made by the makers of a group."""
-        return await self.find_pool(group).make(bundle, note_read)
+        """Execute a bundle on the makers of a group."""
+        return await self.find_pool(group).execute(bundle, on_read)
 
     def free(self, service: str, results: tuple[PieceResult, ...]) -> None:
         by_group: dict[MakerGroup, list[PieceResult]] = {}
@@ -67,27 +67,27 @@
         return self.estimate_wait_in(MakerGroup(service))
 
     def estimate_wait_in(self, group: MakerGroup) -> QueueWait:
-        """Return how long a piece would wait for the makers of a group."""
+        """Return the expected queue wait for the makers of a group."""
         return self.find_pool(group).estimate_wait()
 
-    def note_gone(self, incarnation: Incarnation) -> None:
-        """Take in that a maker is gone, or has started again."""
+    def record_removal(self, incarnation: Incarnation) -> None:
+        """Record that a maker was removed from the listing, or has restarted."""
         for pool in self._pools.values():
-            pool.note_gone(incarnation)
+            pool.record_removal(incarnation)
 
     def list_waits(self) -> list[tuple[MakerGroup, QueueWait]]:
-        """Return how long a piece would wait for the makers of each group."""
+        """Return the expected queue wait for each group of makers."""
         return [(group, pool.estimate_wait()) for group, pool in self._pools.items()]
 
     def find_pool(self, group: MakerGroup) -> StagePool:
-        """Return the pool of a group."""
+        """Return the pool of a group, which is created if there is none yet."""
         pool = self._pools.get(group)
         if pool is None:
             pool = self._pools[group] = self._create_pool(group)
         return pool
 
     async def on_stop(self) -> None:
-        # together: each may wait for a moment, of which a stop has few left
+        # concurrently: each pool may wait, and the time left for a stop is short
         await asyncio.gather(*(pool.close() for pool in self._pools.values()))
 
     def dump(self) -> dict[str, Any]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -1,4 +1,4 @@
-"""One call to a maker, and what its end says about the maker."""
+"""Calls to makers, and the maker statistics that their results update."""
 
 from __future__ import annotations
 
@@ -19,28 +19,35 @@
     from .messages import ResponseHead
     from .target_connections import TargetConnectionPool
 
-__all__ = ("ANSWERED", "MADE", "REJECTED", "UNSENT", "CallEnd", "MakerCaller")
+__all__ = (
+    "MADE",
+    "REJECTED",
+    "SETTLED_OUTCOMES",
+    "UNSENT",
+    "CallResult",
+    "MakerCaller",
+)
 
-#: bytes of an answer to a call
+#: maximum size of an answer to a call, in bytes
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
 STATUS_OK = 200
 MADE = "made"
-#: no byte of the call reached the maker
+#: no byte of the call was sent to the maker
 UNSENT = "unsent"
-#: the maker said that it did not begin
+#: the maker answered that it did not execute the call
 REJECTED = "rejected"
 TIMED_OUT = "timeout"
-#: how calls end of which nothing is left at the maker but what the answer names
-ANSWERED = frozenset({MADE, UNSENT, REJECTED})
+#: outcomes after which the maker holds no results except those in the answer
+SETTLED_OUTCOMES = frozenset({MADE, UNSENT, REJECTED})
 
 
 @dataclass(frozen=True, slots=True)
-class CallEnd:
-    """How a call ended; ``results`` are in the order of its pieces."""
+class CallResult:
+    """Result of a call; ``results`` are in the order of its pieces."""
 
     outcome: str = "cancelled"
     results: tuple[PieceResult, ...] | None = None
-    #: whether the maker broke it off
+    #: whether the connection broke before the answer was complete
     broken: bool = False
 
 
@@ -50,60 +57,61 @@
     def __init__(
         self,
         *,
-        links: TargetConnectionPool,
+        connections: TargetConnectionPool,
         codec: TargetCodec,
-        book: TargetBook,
+        target_table: TargetBook,
         clock: Clock,
     ) -> None:
-        self._links = links
+        self._connections = connections
         self._codec = codec
-        self._book = book
+        self._target_table = target_table
         self._clock = clock
 
     async def call(
-        self, maker: Maker, call: PlannedCall, allowed: float, started: float
-    ) -> CallEnd:
-        """Make a call; the maker learns from how it ends.
+        self, maker: Maker, call: PlannedCall, call_timeout: float, started: float
+    ) -> CallResult:
+        """Make a call and update the statistics of ``maker`` with its result.
 
-        :param allowed: seconds until it is given up
-        :param started: monotonic seconds at which the maker was told of it
+        :param allowed: seconds until the call times out
+        :param started: monotonic seconds at which the call was counted at the maker
         """
         count = len(call.pieces)
         try:
-            async with asyncio.timeout(allowed):
-                head, body = await self._exchange(maker, call, allowed, started)
+            async with asyncio.timeout(call_timeout):
+                head, body = await self._exchange(maker, call, call_timeout, started)
         except NotSentError:
             if self._may_send(maker, call):
-                maker.note_failure(self._clock.now())
+                maker.record_failure(self._clock.now())
             else:
-                # not its doing: what the pieces read was lost meanwhile
+                # not a failure of the maker: it no longer accepts calls, or inputs of
+                # the pieces were lost in the meantime
                 maker.calls -= 1
-            return CallEnd(UNSENT)
+            return CallResult(UNSENT)
         except TimeoutError:
-            maker.note_timeout(count, started, self._clock.now())
-            return CallEnd(TIMED_OUT)
+            maker.record_timeout(count, started, self._clock.now())
+            return CallResult(TIMED_OUT)
         except TargetResponseError as error:
-            return self._note_lost(maker, count, allowed, started, error)
+            return self._record_link_error(maker, count, call_timeout, started, error)
         except asyncio.CancelledError:
             maker.calls -= 1
             raise
-        return self._judge(maker, head, body, count, started)
+        return self._process_answer(maker, head, body, count, started)
 
     async def _exchange(
-        self, maker: Maker, call: PlannedCall, allowed: float, started: float
+        self, maker: Maker, call: PlannedCall, call_timeout: float, started: float
     ) -> tuple[ResponseHead, bytes]:
         target = maker.target
         pieces = tuple(piece for _, piece in call.pieces)
         remaining = tuple(
             max(0.0, bundle.latest - started) for bundle, _ in call.pieces
         )
-        reply = await self._links.send(
+        reply = await self._connections.send(
             incarnation=target.incarnation,
             address=target.address,
             outbound=self._codec.encode_pieces(pieces, remaining, target.incarnation),
-            # a late second answer could be taken for this call's
+            # on a reused connection, a late answer could be taken for this call's
             fresh=True,
-            timeout=allowed,
+            timeout=call_timeout,
             may_send=lambda: self._may_send(maker, call),
         )
         try:
@@ -113,45 +121,47 @@
             reply.abort()
 
     def _may_send(self, maker: Maker, call: PlannedCall) -> bool:
-        """Whether the maker takes calls, and none of what they read is lost."""
-        if not self._book.accepts(maker.target.incarnation):
+        """Return whether the maker accepts calls and no input of this one is lost."""
+        if not self._target_table.accepts(maker.target.incarnation):
             return False
         return not any(
-            self._book.has_former(bundle.input_makers) for bundle, _ in call.pieces
+            self._target_table.has_former(bundle.input_makers)
+            for bundle, _ in call.pieces
         )
 
-    def _note_lost(
+    def _record_link_error(
         self,
         maker: Maker,
         count: int,
-        allowed: float,
+        call_timeout: float,
         started: float,
         error: TargetResponseError,
-    ) -> CallEnd:
+    ) -> CallResult:
         now = self._clock.now()
-        if now - started >= allowed:
-            maker.note_timeout(count, started, now)
+        if now - started >= call_timeout:
+            maker.record_timeout(count, started, now)
         else:
-            maker.note_failure(now)
-        return CallEnd(str(error), broken=error.broken)
+            maker.record_failure(now)
+        return CallResult(str(error), broken=error.broken)
 
-    def _judge(
+    def _process_answer(
         self, maker: Maker, head: ResponseHead, body: bytes, count: int, started: float
-    ) -> CallEnd:
+    ) -> CallResult:
         now = self._clock.now()
         if head.misdirected:
-            # whoever has the address now has had the call: the next one is a repeat
-            maker.note_failure(now)
-            return CallEnd(REJECTED)
+            # the call reached the target that has the address now, so that the next
+            # attempt is charged as a retry
+            maker.record_failure(now)
+            return CallResult(REJECTED)
         if head.not_run:
-            maker.note_rejection(now)
-            return CallEnd(REJECTED)
+            maker.record_rejection(now)
+            return CallResult(REJECTED)
         results = None
         if head.status == STATUS_OK:
             results = self._codec.read_pieces(body, count, maker.target)
         if results is None:
-            maker.note_failure(now)
-            return CallEnd(f"status {head.status}")
+            maker.record_failure(now)
+            return CallResult(f"status {head.status}")
         made = any(result.failure is None for result in results)
-        maker.note_end(count, started, now, made=made)
-        return CallEnd(MADE, results)
+        maker.record_completion(count, started, now, made=made)
+        return CallResult(MADE, results)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -1,4 +1,7 @@
-"""The makers of one service: calls in progress, room, and speed."""
+"""Local state of a maker: calls in progress, free result memory and speed.
+
+A maker is a target that executes pieces of pipeline stages.
+"""
 
 from __future__ import annotations
 
@@ -14,116 +17,118 @@
 
 __all__ = ("Maker",)
 
-#: weight of one call in a maker's slowness
-WEIGHT = 0.5
-#: seconds in which half of what is known of a maker's slowness is forgotten
-HALF_LIFE = 2.0
-#: time allowed for a call, as a multiple of the expected one, and in seconds
-CALL_FACTOR = 2.0
-CALL_EXTRA = 0.35
-#: seconds for which a maker whose answer was lost may lose others
-LOSS_LIFE = 5.0
-#: slowness that is believed at the most
+#: weight of one call in the moving average of a maker's slowness
+EWMA_WEIGHT = 0.5
+#: seconds in which the measured slowness decays half-way towards normal
+SLOWNESS_HALF_LIFE = 2.0
+#: timeout of a call: this multiple of the expected time, plus a margin in seconds
+CALL_TIMEOUT_FACTOR = 2.0
+CALL_MARGIN = 0.35
+#: seconds after a lost answer for which a maker counts as unreliable
+RECENT_FAILURE_SECONDS = 5.0
+#: upper bound of the measured slowness, as a multiple of the expected time
 MAX_SLOWNESS = 10.0
-#: seconds for which a maker that failed gets no call: first, and at the most
-FIRST_PAUSE = 0.25
-LONGEST_PAUSE = 3.0
+#: seconds for which a maker that failed gets no calls: initial and maximum backoff
+INITIAL_BACKOFF = 0.25
+MAX_BACKOFF = 3.0
 
 
 @dataclass(slots=True)
 class Maker:
-    """One maker as this instance sees it; times are monotonic seconds."""
+    """One maker as seen by this instance; times are monotonic seconds."""
 
     target: ListedTarget
     profile: MakerProfile
-    room: MakerRoom
+    result_memory: MakerRoom
     calls: int = 0
     #: expected end of the call in progress
     busy_until: float = 0.0
-    paused_until: float = 0.0
-    _pause: float = FIRST_PAUSE
+    backoff_until: float = 0.0
+    _backoff: float = INITIAL_BACKOFF
     _slowness: float = 1.0
-    _measured: float = 0.0
-    _lost: float = float("-inf")
+    _measured_at: float = 0.0
+    _failed_at: float = float("-inf")
 
     def is_idle(self, now: float) -> bool:
-        """Whether it can begin a call at once."""
-        return self.calls < self.profile.slots and self.paused_until <= now
+        """Return whether the maker can start a call at once."""
+        return self.calls < self.profile.slots and self.backoff_until <= now
 
     def view(self, now: float) -> MakerView:
-        """Return the maker as decisions see it."""
-        free_at = max(self.paused_until, 0.0)
+        """Return the snapshot of the maker that the batch policy uses."""
+        free_at = max(self.backoff_until, 0.0)
         if self.calls >= self.profile.slots:
-            # a call that overruns may end at any moment
+            # a call that overruns its expected time may end at any moment
             free_at = max(free_at, self.busy_until, now + 0.02)
         return MakerView(
             incarnation=self.target.incarnation,
             data_centre=self.target.data_centre,
             free_at=free_at,
-            free_bytes=self.room.find_free(now),
+            free_bytes=self.result_memory.find_free(now),
             slowness=self.find_slowness(now),
         )
 
     def find_slowness(self, now: float) -> float:
-        """Return how much longer than expected its calls take."""
-        faded = 0.5 ** ((now - self._measured) / HALF_LIFE)
-        return 1.0 + (self._slowness - 1.0) * faded
+        """Return the ratio of actual to expected call time, decayed with its age."""
+        decay = 0.5 ** ((now - self._measured_at) / SLOWNESS_HALF_LIFE)
+        return 1.0 + (self._slowness - 1.0) * decay
 
-    def begin(self, items: int, now: float) -> float:
-        """Count a call that begins; return the seconds it is allowed."""
+    def start_call(self, items: int, now: float) -> float:
+        """Record a call that starts; return its timeout in seconds."""
         expected = self.profile.estimate_seconds(items) * self.find_slowness(now)
         self.calls += 1
         self.busy_until = now + expected
-        return expected * CALL_FACTOR + CALL_EXTRA
+        return expected * CALL_TIMEOUT_FACTOR + CALL_MARGIN
 
-    def note_end(
+    def record_completion(
         self, items: int, started: float, now: float, *, made: bool = True
     ) -> None:
-        """Take in a call that was answered.
+        """Record a call that was answered.
 
         :param made: whether the maker made any of its pieces
         """
         self.calls -= 1
-        self._pause = FIRST_PAUSE
+        self._backoff = INITIAL_BACKOFF
         ratio = (now - started) / self.profile.estimate_seconds(items)
         if not made and ratio < self.find_slowness(now):
-            # nothing was to be made: a maker at which pieces fail would seem fast,
-            # and be given more of them
+            # pieces that fail take no time: a maker at which they fail would seem
+            # fast and attract more calls
             return
-        self._note_ratio(ratio, now)
+        self._update_slowness(ratio, now)
 
-    def note_timeout(self, items: int, started: float, now: float) -> None:
-        """Take in a call that was given up: it is slower than it was allowed."""
+    def record_timeout(self, items: int, started: float, now: float) -> None:
+        """Record a call that timed out, which also raises the slowness."""
         self.calls -= 1
-        self._lost = now
-        self._note_ratio((now - started) / self.profile.estimate_seconds(items), now)
-        self._measured = now
+        self._failed_at = now
+        self._update_slowness(
+            (now - started) / self.profile.estimate_seconds(items), now
+        )
+        self._measured_at = now
         self._slowness = max(self._slowness, 3.0)
-        self.pause(now)
+        self.back_off(now)
 
-    def lost_lately(self, now: float) -> bool:
-        """Whether answers of this maker were lost in the last few seconds."""
-        return now - self._lost < LOSS_LIFE
+    def failed_recently(self, now: float) -> bool:
+        """Return whether a call failed within :data:`RECENT_FAILURE_SECONDS`."""
+        return now - self._failed_at < RECENT_FAILURE_SECONDS
 
-    def note_failure(self, now: float) -> None:
-        """Take in a call that broke off or did not reach it."""
+    def record_failure(self, now: float) -> None:
+        """Record a call that broke off or did not reach the maker."""
         self.calls -= 1
-        self._lost = now
-        self.pause(now)
+        self._failed_at = now
+        self.back_off(now)
 
-    def note_rejection(self, now: float) -> None:
-        """Take in that it is busy with the calls of others."""
+    def record_rejection(self, now: float) -> None:
+        """Record a call that the maker rejected, as it is busy with others' calls."""
         self.calls -= 1
-        self.room.note_refusal(now)
-        self.pause(now)
+        self.result_memory.note_refusal(now)
+        self.back_off(now)
 
-    def pause(self, now: float) -> None:
-        """Give it nothing for a while, longer each time in a row."""
-        self.paused_until = now + self._pause
-        self._pause = min(LONGEST_PAUSE, self._pause * 2)
+    def back_off(self, now: float) -> None:
+        """Send the maker no calls for a while, doubled with each failure in a row."""
+        self.backoff_until = now + self._backoff
+        self._backoff = min(MAX_BACKOFF, self._backoff * 2)
 
-    def _note_ratio(self, ratio: float, now: float) -> None:
+    def _update_slowness(self, ratio: float, now: float) -> None:
         current = self.find_slowness(now)
         ratio = min(MAX_SLOWNESS, max(0.5, ratio))
-        self._slowness = current + (ratio - current) * WEIGHT
-        self._measured = now
+        self._slowness = current + (ratio - current) * EWMA_WEIGHT
+        self._measured_at = now
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -25,7 +25,7 @@
 
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
-    from .crashes import CrashBoard
+    from .crash_report_replicator import CrashReportReplicator
     from .listing import ListingFollower
     from .store_follower import StoreFollower
 
@@ -69,7 +69,7 @@
         follower: StoreFollower,
         configuration: ConfigurationFollower,
         listing: ListingFollower,
-        crash_reports: CrashBoard,
+        crash_reports: CrashReportReplicator,
         target_table: TargetBook,
         clock: Clock,
         random_source: random.Random,
@@ -165,7 +165,7 @@
         if update.listed:
             targets = tuple(filter(None, map(decode_target, update.targets)))
             self._listing.apply_peer_listing(targets, update.listing_revision)
-        self._crash_reports.take_news(update.crashes)
+        self._crash_reports.apply_updates(update.crashes)
         if update.heard_seconds is not None:
             self._follower.record_peer_report(update.heard_seconds + elapsed)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -1,4 +1,4 @@
-"""Results that nobody needs any more, given up at their makers."""
+"""Release of stage results that are no longer needed."""
 
 from __future__ import annotations
 
@@ -20,24 +20,25 @@
     from .makers import Maker
     from .target_connections import TargetConnectionPool
 
-__all__ = ("ResultFreeing",)
+__all__ = ("ResultReleaser",)
 
-#: seconds for which results to be freed are gathered
-FREE_DELAY = 0.01
+#: seconds for which results to be freed are batched
+FREE_BATCH_SECONDS = 0.01
+#: seconds until a request to free results times out
 FREE_TIMEOUT = 1.0
-#: seconds for which a stop waits for these; they take a few milliseconds, and a stop
-#: has less than a second left when it comes to them
-CLOSE_SECONDS = 0.2
+#: seconds for which a stop waits for these requests; they take a few milliseconds, and
+#: less than a second of the stop's time is left at this point
+CLOSE_TIMEOUT = 0.2
 MAX_ANSWER_BYTES = 64 * 1024
 
 
-class ResultFreeing:
-    """Tells makers of results that are not needed, those of a moment together.
+class ResultReleaser:
+    """Frees results at their makers, in batches.
 
-    Those of a maker that has started again are gone, and nothing is sent for them.
+    A maker that has restarted has lost its results, so that nothing is sent for them.
 
-    :param find_maker: returns what is known of a maker, if it is one of the service's
-    :param note_freed: called once room has become free
+    :param find_maker: returns the local state of a maker, if it belongs to the service
+    :param on_freed: called after a maker has freed results
     """
 
     def __init__(
@@ -45,60 +46,59 @@
         service: str,
         *,
         find_maker: Callable[[Incarnation], Maker | None],
-        note_freed: Callable[[], None],
-        book: TargetBook,
-        links: TargetConnectionPool,
+        on_freed: Callable[[], None],
+        target_table: TargetBook,
+        connections: TargetConnectionPool,
         codec: TargetCodec,
         metrics: Metrics,
         decisions: DecisionLog,
     ) -> None:
         self._service = service
         self._find_maker = find_maker
-        self._note_freed = note_freed
-        self._book = book
-        self._links = links
+        self._on_freed = on_freed
+        self._target_table = target_table
+        self._connections = connections
         self._codec = codec
         self._metrics = metrics
         self._decisions = decisions
-        #: handles by their maker and its address
-        self._waiting: dict[tuple[Incarnation, str], list[str]] = {}
+        #: handles to be freed, by maker and its address
+        self._pending: dict[tuple[Incarnation, str], list[str]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def free(self, results: tuple[PieceResult, ...]) -> None:
-        """Have makers drop results."""
+        """Queue results to be freed at their makers."""
         for result in results:
             if result.maker is None:
-                # a row of a peer that stands for a piece which was not made
+                # a peer sends such a row for a piece that was not made
                 continue
-            place = (result.maker, self._codec.find_maker_address(result.handle))
-            self._waiting.setdefault(place, []).append(result.handle)
-        if self._timer is None and self._waiting:
+            maker_key = (result.maker, self._codec.find_maker_address(result.handle))
+            self._pending.setdefault(maker_key, []).append(result.handle)
+        if self._timer is None and self._pending:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(FREE_DELAY, self._send_all)
+            self._timer = loop.call_later(FREE_BATCH_SECONDS, self._flush)
 
     async def close(self) -> None:
-        """Send what waits, for a moment at the most, and end the rest.
+        """Flush the queue within :data:`CLOSE_SECONDS` and cancel what remains.
 
-        Results that are not freed at a stop fill their makers' room until they lapse,
-        seconds later: calls of the next owner find no room, without any of its own
-        results there.
+        Results that are not freed before a stop occupy their makers' memory until they
+        expire seconds later, and the calls of the next owner find no memory there.
         """
         if self._timer is not None:
             self._timer.cancel()
-        self._send_all()
+        self._flush()
         tasks = tuple(self._tasks)
         if tasks:
-            await asyncio.wait(tasks, timeout=CLOSE_SECONDS)
+            await asyncio.wait(tasks, timeout=CLOSE_TIMEOUT)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _send_all(self) -> None:
+    def _flush(self) -> None:
         self._timer = None
-        waiting, self._waiting = self._waiting, {}
-        for (incarnation, address), handles in waiting.items():
-            if self._book.is_former(incarnation):
+        pending, self._pending = self._pending, {}
+        for (incarnation, address), handles in pending.items():
+            if self._target_table.is_former(incarnation):
                 self._metrics.count("stages.lost_by_restart", len(handles))
                 continue
             sending = self._send(incarnation, address, tuple(handles))
@@ -110,22 +110,22 @@
         self, incarnation: Incarnation, address: str, handles: tuple[str, ...]
     ) -> None:
         try:
-            reply = await self._links.send(
+            reply = await self._connections.send(
                 incarnation=incarnation,
                 address=address,
                 outbound=self._codec.encode_release(handles, incarnation),
                 fresh=False,
                 timeout=FREE_TIMEOUT,
-                # one that leaves holds its results until it ends
-                may_send=lambda: not self._book.is_former(incarnation),
+                # a draining maker holds its results until it stops
+                may_send=lambda: not self._target_table.is_former(incarnation),
             )
             await reply.read(MAX_ANSWER_BYTES)
-            if self._book.accepts(incarnation):
+            if self._target_table.accepts(incarnation):
                 reply.release()
             else:
                 reply.abort()
         except (NotSentError, TargetResponseError) as error:
-            # its maker drops them by itself after a while
+            # the maker drops them by itself once they expire
             self._metrics.count("stages.unfreed", len(handles))
             self._decisions.log_decision(
                 "unfreed", service=self._service, address=address, reason=str(error)
@@ -134,7 +134,7 @@
         maker = self._find_maker(incarnation)
         if maker is None:
             return
-        # only now: a call that began earlier would still find the room taken
+        # not before the answer: a call sent earlier would still find the memory in use
         for handle in handles:
-            maker.room.free(handle)
-        self._note_freed()
+            maker.result_memory.free(handle)
+        self._on_freed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of repeats, one for each service."""
+"""Retry budgets, one for each service."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     from greengagelatch.clock import Clock
     from greengagelatch.relay.repeats import RepeatRule
 
-__all__ = ("RepeatBudgets",)
+__all__ = ("RetryBudgets",)
 
 
-class RepeatBudgets:
-    """This instance's repeats to all services.
+class RetryBudgets:
+    """Limits the retries that this instance sends to each service.
 
-    :param count_instances: returns how many instances share the budgets
+    :param count_instances: returns the number of instances that share the budgets
     """
 
     def __init__(
@@ -29,20 +29,22 @@
         self._count_instances = count_instances
         self._budgets: dict[str, RepeatBudget] = {}
 
-    def note_request(self, service: str) -> None:
-        """Count a request for ``service``."""
-        self._find(service).note_request(self._clock.now())
+    def record_request(self, service: str) -> None:
+        """Credit the budget of ``service`` with one request."""
+        self._get_budget(service).note_request(self._clock.now())
 
-    def take(self, service: str) -> bool:
-        """Spend one repeat; ``False`` if none is left."""
-        return self._find(service).take(self._clock.now(), self._count_instances())
+    def try_spend(self, service: str) -> bool:
+        """Spend one retry; return ``False`` if the budget is exhausted."""
+        return self._get_budget(service).take(
+            self._clock.now(), self._count_instances()
+        )
 
     def count_left(self, service: str) -> int:
-        """Return how many repeats may be spent now."""
-        budget = self._find(service)
+        """Return the number of retries that the budget allows now."""
+        budget = self._get_budget(service)
         return budget.count_left(self._clock.now(), self._count_instances())
 
-    def _find(self, service: str) -> RepeatBudget:
+    def _get_budget(self, service: str) -> RepeatBudget:
         budget = self._budgets.get(service)
         if budget is None:
             budget = self._budgets[service] = RepeatBudget(self._rule)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -1,4 +1,4 @@
-"""Base of what runs requests, and the sends that all kinds of request share."""
+"""Base class of request runners, with the retry rules that they share."""
 
 from __future__ import annotations
 
@@ -21,20 +21,21 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.requests import RefusedError
 
-    from .budgets import RepeatBudgets
     from .exchange import RelayExchange
+    from .retry_budgets import RetryBudgets
     from .target_sender import FailedSend, TargetSender
 
 __all__ = ("Runner",)
 
-#: seconds without which a send could not be answered any more
-LEAST_SECONDS = 0.01
-#: seconds after which a service without a sound target may have one again
-NO_TARGET_RETRY = 0.5
-#: seconds after which targets that were full may have room again
-REJECTED_RETRY = 0.3
-#: seconds after which a target that could not be reached may have been replaced
-UNSENT_RETRY = 0.5
+#: seconds before the deadline that an attempt needs at the least
+MIN_ATTEMPT_SECONDS = 0.01
+#: seconds after which callers may retry when a service has no healthy target
+NO_TARGET_RETRY_AFTER = 0.5
+#: seconds after which callers may retry when targets were at capacity
+REJECTED_RETRY_AFTER = 0.3
+#: seconds after which callers may retry when a target could not be reached: it may
+#: have been replaced by then
+UNSENT_RETRY_AFTER = 0.5
 
 
 class Runner(ABC):
@@ -44,42 +45,42 @@
         self,
         *,
         sender: TargetSender,
-        fleet: Fleet,
-        budgets: RepeatBudgets,
+        load_balancer: Fleet,
+        budgets: RetryBudgets,
         quarantine: Quarantine,
         clock: Clock,
     ) -> None:
         self._quarantine = quarantine
         self.sender = sender
-        self.fleet = fleet
+        self.load_balancer = load_balancer
         self.budgets = budgets
         self.clock = clock
 
     @abstractmethod
     async def run(self, exchange: RelayExchange) -> None:
-        """Answer ``exchange``.
+        """Run the request of ``exchange`` and write its answer.
 
-        :raises RefusedError: if it is to be refused
+        :raises RefusedError: if the request is refused
         """
 
-    def find_left(self, exchange: RelayExchange) -> float:
+    def find_remaining(self, exchange: RelayExchange) -> float:
         """Return the seconds until the deadline."""
         return exchange.deadline - self.clock.now()
 
-    def check_hold(self, exchange: RelayExchange) -> None:
-        """Look again whether ``exchange`` may be sent.
+    def check_quarantine(self, exchange: RelayExchange) -> None:
+        """Check again that the request of ``exchange`` is not in quarantine.
 
-        Targets may have ended under the same request while this one waited for its
-        stages, or under this one itself.
+        Targets may have crashed under other attempts of the same request while this
+        one waited for its stages, or under this one itself.
 
-        :raises RefusedError: if not
+        :raises RefusedError: if the request is held
         """
-        hold = self._quarantine.find_hold(exchange.digest, self.clock.now())
-        if hold is not None:
-            raise create_quarantine_error(exchange, hold)
+        seconds = self._quarantine.find_hold(exchange.digest, self.clock.now())
+        if seconds is not None:
+            raise create_quarantine_error(exchange, seconds)
 
-    def may_repeat(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
-        """Whether to send again after ``outcome``; a repeat is charged."""
+    def may_retry(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
+        """Return whether to send again after ``outcome``; a retry is charged."""
         route = exchange.route
         facts = RepeatFacts(
             outcome=outcome,
@@ -87,32 +88,32 @@
             arrivals=len(set(exchange.targets)),
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
-            remaining=self.find_left(exchange),
-            least=LEAST_SECONDS,
+            remaining=self.find_remaining(exchange),
+            least=MIN_ATTEMPT_SECONDS,
         )
         match decide_next(facts):
             case NextStep.SEND:
                 return True
             case NextStep.REPEAT:
-                return self.budgets.take(exchange.service)
+                return self.budgets.try_spend(exchange.service)
         return False
 
     def create_refusal(
         self, exchange: RelayExchange, last: FailedSend | None
     ) -> RefusedError:
-        """Return the error that ends ``exchange`` after its last send."""
+        """Return the error that ends ``exchange`` after its last attempt."""
         if last is None:
             return create_error(
                 exchange,
                 RefusalCode.NO_TARGET,
                 f"no target of {exchange.service} is listed",
-                retry_after=NO_TARGET_RETRY,
+                retry_after=NO_TARGET_RETRY_AFTER,
                 field="service",
                 value=exchange.service,
             )
-        code, retry = RefusalCode.STAGE_FAILED, UNSENT_RETRY
+        code, retry_after = RefusalCode.STAGE_FAILED, UNSENT_RETRY_AFTER
         if last.outcome is SendOutcome.REJECTED:
-            code, retry = RefusalCode.OVERLOADED, REJECTED_RETRY
-        elif self.find_left(exchange) <= LEAST_SECONDS:
+            code, retry_after = RefusalCode.OVERLOADED, REJECTED_RETRY_AFTER
+        elif self.find_remaining(exchange) <= MIN_ATTEMPT_SECONDS:
             code = RefusalCode.DEADLINE
-        return create_error(exchange, code, last.reason, retry_after=retry)
+        return create_error(exchange, code, last.reason, retry_after=retry_after)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -1,4 +1,4 @@
-"""What one stage of a request asks of the makers of its service."""
+"""Bundles of pieces that the stages of a request send to makers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from greengagelatch.relay.stage_plan import StagePlan, StageWork
 
     from .exchange import RelayExchange
-    from .stage_desk import StageDesk
+    from .stage_executor import StageExecutor
 
 __all__ = ("BundleFactory", "list_makers")
 
@@ -25,16 +25,16 @@
 def list_makers(
     held: Mapping[int, tuple[PieceResult, ...]], numbers: Collection[int]
 ) -> tuple[Incarnation, ...]:
-    """Return the makers of what some stages have made, each once."""
+    """Return the distinct makers of the results of some stages."""
     makers = (result.maker for one in numbers for result in held[one])
     return tuple(dict.fromkeys(makers))
 
 
 class BundleFactory:
-    """Creates the bundles of one request, with the times by which each is wanted.
+    """Creates the bundles of one request, with the deadline of each.
 
-    :param first_seconds: expected time of the target until its answer begins
-    :param whole_seconds: the same until its answer ends
+    :param first_seconds: expected seconds until the target starts to answer
+    :param whole_seconds: expected seconds until the target's answer is complete
     """
 
     def __init__(
@@ -42,8 +42,8 @@
         *,
         exchange: RelayExchange,
         plan: StagePlan,
-        desk: StageDesk,
-        fleet: Fleet,
+        executor: StageExecutor,
+        load_balancer: Fleet,
         clock: Clock,
         data_centre: str,
         first_seconds: float,
@@ -51,15 +51,15 @@
     ) -> None:
         self._exchange = exchange
         self._plan = plan
-        self._desk = desk
-        self._fleet = fleet
+        self._executor = executor
+        self._load_balancer = load_balancer
         self._clock = clock
         self._data_centre = data_centre
         self._first_seconds = first_seconds
         self._whole_seconds = whole_seconds
 
     def find_bounds(self) -> TargetBounds:
-        """Return when the target has to begin with the request."""
+        """Return the times by which the target has to start on the request."""
         exchange = self._exchange
         objective = exchange.request.received + exchange.route.objective
         return TargetBounds(
@@ -78,7 +78,7 @@
         :param held: results of the stages made so far, by stage
         """
         bounds = self.find_bounds()
-        rest = self._plan.estimate_rest(work, self._desk.estimate_wait)
+        remaining_seconds = self._plan.estimate_rest(work, self._executor.estimate_wait)
         handles = {
             one: tuple(result.handle for result in held[one]) for one in work.after
         }
@@ -87,9 +87,9 @@
             service=work.service,
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
-            aim=bounds.aim - rest,
-            latest=bounds.latest - rest,
-            inputs_until=self._find_lapse(work),
+            aim=bounds.aim - remaining_seconds,
+            latest=bounds.latest - remaining_seconds,
+            inputs_until=self._find_input_expiry(work),
             input_makers=list_makers(held, work.after),
             rank=self._exchange.rank,
             data_centre=self._find_data_centre(work, held),
@@ -101,10 +101,10 @@
     def _find_data_centre(
         self, work: StageWork, held: Mapping[int, tuple[PieceResult, ...]]
     ) -> str:
-        """Return where a stage's results are best made.
+        """Return the data centre in which a stage is best executed.
 
-        Each piece reads all results of the stages before; those of a first stage go
-        to the engine, most likely the one that keeps the prompt's parts.
+        Each piece reads all results of the stages before it. Results of a first stage
+        go to the engine, most likely the one that has the prompt's prefix cached.
         """
         sizes: dict[str, int] = {}
         for one in work.after:
@@ -115,31 +115,31 @@
             return max(sizes, key=sizes.get)
         exchange = self._exchange
         if work.number in self._plan.final and exchange.request.prompt is not None:
-            home = self._fleet.find_home(
+            home = self._load_balancer.find_home(
                 exchange.service, exchange.request.prompt, self._clock.now()
             )
             if home is not None:
                 return home.data_centre
         return self._data_centre
 
-    def _find_lapse(self, work: StageWork) -> float:
-        """Return when the first of the results that a stage reads lapses."""
+    def _find_input_expiry(self, work: StageWork) -> float:
+        """Return when the first input of a stage expires at its maker."""
         now = self._clock.now()
         services = self._exchange.deployment.services
-        lapses = [float("inf")]
+        expiries = [float("inf")]
         for one in work.after:
             found = services.get(self._plan.works[one].service)
             if found is not None and found.maker is not None:
-                lapses.append(now + found.maker.keep_seconds)
-        return min(lapses)
+                expiries.append(now + found.maker.keep_seconds)
+        return min(expiries)
 
     def _count_moved_bytes(
         self, work: StageWork, held: Mapping[int, tuple[PieceResult, ...]]
     ) -> int:
-        """Return the bytes that cross data centres if a far maker is chosen.
+        """Return the bytes that cross data centres if a remote maker is chosen.
 
-        Of first stages it is none: they have the most to wait for, and waiting for a
-        maker near the engine cost more than it saved.
+        First stages count as none: they have the most waiting ahead of them, and
+        waiting for a maker near the engine costs more time than it saves.
         """
         return work.count * sum(
             len(held[one]) * self._plan.works[one].result_bytes for one in work.after
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -1,4 +1,4 @@
-"""How the makers of each service are divided between owners, as this instance sees."""
+"""Groups of makers by service, according to the local membership view."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Fleet:
-    """What is taken from the members: where they are, and how strong the best is."""
+    """Data centres of the members, and the capacity of the strongest one."""
 
     homes: frozenset[str] = frozenset()
     capacity: int = 0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Selection:
-    """Makers of a group, and what they were chosen from."""
+    """Cached makers of a group, and the inputs that they were selected from."""
 
     listed: tuple[ListedTarget, ...]
     fleet: _Fleet
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Division:
-    """Groups of a service, and what they follow from."""
+    """Cached groups of a service, and the inputs that they follow from."""
 
     listed: tuple[ListedTarget, ...]
     fleet: _Fleet
@@ -53,23 +53,23 @@
 
 
 class MakerGroups:
-    """Groups of makers by service; all instances that know the same agree on them.
+    """Groups of makers by service; instances with the same view agree on them.
 
-    :param list_members: returns all instances that are known, the dead ones included:
-        the makers of a data centre that is cut off are not to change their owner
-    :param find_profile: returns what the configuration says of a service's makers
+    :param list_members: returns all known instances, including dead ones, so that the
+        makers of a partitioned data centre do not change their owner
+    :param find_profile: returns the configured profile of a service's makers
     """
 
     def __init__(
         self,
         *,
         rule: DivisionRule,
-        book: TargetBook,
+        target_table: TargetBook,
         list_members: Callable[[], tuple[Member, ...]],
         find_profile: Callable[[str], MakerProfile | None],
     ) -> None:
         self._rule = rule
-        self._book = book
+        self._target_table = target_table
         self._list_members = list_members
         self._find_profile = find_profile
         self._members: tuple[Member, ...] = ()
@@ -79,69 +79,69 @@
 
     def list_groups(self, service: str) -> tuple[MakerGroup, ...]:
         """Return the groups of a service."""
-        listed = self._book.list_service(service)
+        listed = self._target_table.list_service(service)
         fleet, profile = self._find_fleet(), self._find_profile(service)
-        known = self._divisions.get(service)
-        # the book makes a new list when one of its entries changes
+        cached = self._divisions.get(service)
+        # the table creates a new list whenever an entry changes
         if (
-            known is None
-            or known.listed is not listed
-            or known.fleet != fleet
-            or known.profile != profile
+            cached is None
+            or cached.listed is not listed
+            or cached.fleet != fleet
+            or cached.profile != profile
         ):
-            groups = self._divide(service, known)
-            known = _Division(listed, fleet, profile, groups)
-            self._divisions[service] = known
-        return known.groups
+            groups = self._divide(service, cached)
+            cached = _Division(listed, fleet, profile, groups)
+            self._divisions[service] = cached
+        return cached.groups
 
     def list_makers(self, group: MakerGroup) -> tuple[ListedTarget, ...]:
-        """Return the makers of a group; the same object as long as nothing changes."""
-        listed = self._book.list_service(group.service)
+        """Return the makers of a group; the same object until something changes."""
+        listed = self._target_table.list_service(group.service)
         if not group.data_centre:
             return listed
         fleet = self._find_fleet()
-        known = self._selections.get(group)
-        if known is None or known.listed is not listed or known.fleet != fleet:
+        cached = self._selections.get(group)
+        if cached is None or cached.listed is not listed or cached.fleet != fleet:
             chosen = tuple(
                 target
                 for target in listed
                 if find_home(target.data_centre, fleet.homes) == group.data_centre
             )
-            known = self._selections[group] = _Selection(listed, fleet, chosen)
-        return known.chosen
+            cached = self._selections[group] = _Selection(listed, fleet, chosen)
+        return cached.chosen
 
-    def find_near(self, service: str, data_centre: str) -> MakerGroup:
-        """Return the makers beside an instance, whether they are divided or not.
+    def find_local_group(self, service: str, data_centre: str) -> MakerGroup:
+        """Return the group of makers in a data centre, even if they are not divided.
 
-        All of the service, where there are none in its data centre.
+        If the data centre has no makers, the group of the whole service is returned.
         """
         near = MakerGroup(service, data_centre)
         return near if self.list_makers(near) else MakerGroup(service)
 
     def find_group(self, service: str, data_centre: str) -> MakerGroup:
-        """Return the group that the makers of a data centre belong to."""
+        """Return the group that contains the makers of a data centre."""
         home = find_home(data_centre, self._find_fleet().homes)
         group = MakerGroup(service, home)
         return group if group in self.list_groups(service) else MakerGroup(service)
 
-    def count_most(self) -> int:
-        """Return the largest number of groups of a service."""
+    def count_max_groups(self) -> int:
+        """Return the largest number of groups that any service has."""
         return max((len(one.groups) for one in self._divisions.values()), default=1)
 
-    def _divide(self, service: str, known: _Division | None) -> tuple[MakerGroup, ...]:
+    def _divide(self, service: str, cached: _Division | None) -> tuple[MakerGroup, ...]:
         whole = (MakerGroup(service),)
         profile = self._find_profile(service)
         if profile is None:
             return whole
         fleet = self._find_fleet()
-        listed = self._book.list_service(service)
+        listed = self._target_table.list_service(service)
         makers = Counter(find_home(one.data_centre, fleet.homes) for one in listed)
         view = ServiceView(
             makers=makers,
             load=estimate_load(profile, len(listed)),
             capacity=fleet.capacity,
         )
-        before = known is not None and bool(known.groups[0].data_centre)
+        before = cached is not None and bool(cached.groups[0].data_centre)
         if not self._rule.is_divided(view, before):
             return whole
         return tuple(MakerGroup(service, place) for place in sorted(makers))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -1,4 +1,4 @@
-"""Gathers pieces for a group of makers and has these make them."""
+"""Queue and scheduler of the calls to one group of makers."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch.relay.room import MakerRoom
 
-from .freeing import ResultFreeing
-from .maker_calls import ANSWERED, CallEnd, MakerCaller
+from .bundle_queue import BundleQueue
+from .maker_calls import SETTLED_OUTCOMES, CallResult, MakerCaller
 from .makers import Maker
-from .stage_queue import BundleQueue
-from .wait_estimates import WaitEstimate
+from .result_releaser import ResultReleaser
+from .wait_estimator import WaitEstimator
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -28,34 +28,34 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from ..metrics import Metrics
-    from .budgets import RepeatBudgets
+    from .bundle_quarantine import BundleQuarantine
+    from .bundle_queue import QueuedBundle
     from .codecs import TargetCodec
     from .decisions import DecisionLog
-    from .piece_suspects import PieceSuspects
-    from .stage_queue import Work
+    from .retry_budgets import RetryBudgets
     from .target_connections import TargetConnectionPool
 
 __all__ = ("StagePool",)
 
-#: seconds after which pieces that wait are looked at again, and between two searches
-#: for those that can't be made in time
-LOOK_AGAIN = 0.05
-#: seconds after which a call that began at once has fetched its inputs, which takes
-#: a few milliseconds on these links
-READ_SECONDS = 0.1
-#: slowness up to which a maker is taken to begin at once
-STEADY = 1.5
+#: seconds after which queued pieces are scheduled again, and between two searches for
+#: pieces that cannot be made in time
+RESCHEDULE_SECONDS = 0.05
+#: seconds after which a call that started at once has fetched its inputs, which takes a
+#: few milliseconds
+INPUT_READ_SECONDS = 0.1
+#: slowness up to which a maker is assumed to start calls at once
+MAX_PROMPT_SLOWNESS = 1.5
 
 
 class StagePool:
     """Queue and calls of one group of makers.
 
-    Pieces wait here and not at their makers: who is late, dropped, or less urgent
-    than a newcomer can then still be told apart when a maker becomes idle.
+    Pieces wait in this queue and not at their makers. When a maker becomes idle, late
+    and cancelled pieces can still be dropped, and more urgent ones be sent first.
 
-    :param list_makers: returns the makers listed, the same object as long as nothing
+    :param list_makers: returns the listed makers, the same object until something
         changes
-    :param is_sole: tells whether no other instance's calls are at the makers
+    :param is_exclusive: returns whether no other instance has calls at the makers
     """
 
     def __init__(
@@ -64,13 +64,13 @@
         *,
         list_makers: Callable[[], Sequence[ListedTarget]],
         find_profile: Callable[[], MakerProfile | None],
-        is_sole: Callable[[], bool],
-        suspects: PieceSuspects,
+        is_exclusive: Callable[[], bool],
+        quarantine: BundleQuarantine,
         policy: BatchPolicy,
-        book: TargetBook,
-        links: TargetConnectionPool,
+        target_table: TargetBook,
+        connections: TargetConnectionPool,
         codec: TargetCodec,
-        budgets: RepeatBudgets,
+        budgets: RetryBudgets,
         clock: Clock,
         metrics: Metrics,
         decisions: DecisionLog,
@@ -78,74 +78,80 @@
         self._group = group
         self._list_targets = list_makers
         self._find_profile = find_profile
-        self._is_sole = is_sole
-        self._suspects = suspects
+        self._is_exclusive = is_exclusive
+        self._quarantine = quarantine
         self._policy = policy
-        self._book = book
+        self._target_table = target_table
         self._clock = clock
         self._decisions = decisions
         self._queue = BundleQueue(
-            group.service, free=self.free, book=book, budgets=budgets, metrics=metrics
+            group.service,
+            free=self.free,
+            target_table=target_table,
+            budgets=budgets,
+            metrics=metrics,
         )
         self._makers: dict[Incarnation, Maker] = {}
-        #: the makers listed, as of the entries and the profile they were made from
+        #: cached makers, and the entries and the profile that they were created from
         self._listed: list[Maker] = []
         self._listed_from: tuple[object, MakerProfile] | None = None
-        self._estimate = WaitEstimate(clock.now())
-        self._hopeless_sought = 0.0
+        self._estimator = WaitEstimator(clock.now())
+        self._expiry_checked_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._caller = MakerCaller(links=links, codec=codec, book=book, clock=clock)
-        self._freeing = ResultFreeing(
+        self._caller = MakerCaller(
+            connections=connections, codec=codec, target_table=target_table, clock=clock
+        )
+        self._releaser = ResultReleaser(
             group.service,
             find_maker=self._makers.get,
-            book=book,
-            note_freed=self._look,
-            links=links,
+            target_table=target_table,
+            on_freed=self._schedule,
+            connections=connections,
             codec=codec,
             metrics=metrics,
             decisions=decisions,
         )
 
-    async def make(
-        self, bundle: Bundle, note_read: Callable[[], None]
+    async def execute(
+        self, bundle: Bundle, on_read: Callable[[], None]
     ) -> tuple[PieceResult, ...]:
         """Return the results of a bundle's pieces, in order.
 
-        :param note_read: called once makers have read the inputs of all pieces
+        :param on_read: called once makers have read the inputs of all pieces
         """
-        if self._book.has_former(bundle.input_makers):
+        if self._target_table.has_former(bundle.input_makers):
             gone = PieceResult(failure=PieceFailure.GONE)
             return (gone,) * len(bundle.pieces)
-        work = self._queue.add(bundle, note_read)
-        self._look()
-        self._estimate.note_added(len(work.left))
+        entry = self._queue.add(bundle, on_read)
+        self._schedule()
+        self._estimator.record_added(len(entry.pending))
         try:
-            return await work.done
+            return await entry.done
         except asyncio.CancelledError:
-            self._queue.withdraw(work)
+            self._queue.withdraw(entry)
             raise
 
     def estimate_wait(self) -> QueueWait:
-        """Return how long a piece that came now would wait."""
+        """Return the expected queue wait of a piece that is added now."""
         profile = self._find_profile()
         makers = self._list_makers(profile) if profile is not None else []
-        return self._estimate.read(self._queue, makers, profile, self._clock.now())
+        return self._estimator.estimate(self._queue, makers, profile, self._clock.now())
 
     def free(self, results: tuple[PieceResult, ...]) -> None:
-        """Have makers drop results."""
-        self._freeing.free(results)
+        """Free results at their makers."""
+        self._releaser.free(results)
 
-    def note_gone(self, incarnation: Incarnation) -> None:
-        """Take in that a maker is gone; if it has started again, its results are lost.
+    def record_removal(self, incarnation: Incarnation) -> None:
+        """Record that a maker was removed; if it has restarted, its results are lost.
 
-        Their pieces are made again: an engine that was sent their handles would turn
-        the request away, after all stages.
+        Their pieces are made again: an engine that received the stale handles would
+        reject the request, after all its stages were executed.
         """
-        if not self._book.is_former(incarnation):
+        if not self._target_table.is_former(incarnation):
             return
-        self._queue.drop_lost(incarnation)
-        self._look()
+        self._queue.discard_results(incarnation)
+        self._schedule()
 
     def describe(self) -> dict[str, object]:
         """Return the state for the dump."""
@@ -157,29 +163,29 @@
                 str(incarnation): {
                     "calls": maker.calls,
                     "slowness": round(maker.find_slowness(now), 2),
-                    "free_bytes": round(maker.room.find_free(now)),
+                    "free_bytes": round(maker.result_memory.find_free(now)),
                 }
                 for incarnation, maker in self._makers.items()
             },
         }
 
     async def close(self) -> None:
-        """End what is under way."""
-        # before the timer: room that becomes free is looked at once more
-        await self._freeing.close()
+        """Flush the results to be freed and cancel the calls in progress."""
+        # before the timer is cancelled, as freed memory triggers the scheduler again
+        await self._releaser.close()
         if self._timer is not None:
             self._timer.cancel()
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # decisions
+    # scheduling
 
-    def _look(self) -> None:
-        """Begin the calls that are due.
+    def _schedule(self) -> None:
+        """Start the calls that are due.
 
-        It is called for whatever changes, hundreds of times a second in a large
-        deployment, so it takes long only where a maker can begin a call.
+        This runs on every change, hundreds of times a second in a large deployment, so
+        the expensive planning is done only if a maker can start a call.
         """
         if not self._queue:
             return
@@ -189,52 +195,52 @@
         if not makers:
             self._queue.fail_all(PieceFailure.NO_MAKER)
             return
-        if now >= self._hopeless_sought + LOOK_AGAIN:
-            self._hopeless_sought = now
-            self._drop_hopeless(makers, profile, now)
+        if now >= self._expiry_checked_at + RESCHEDULE_SECONDS:
+            self._expiry_checked_at = now
+            self._fail_expired(makers, profile, now)
         if any(maker.is_idle(now) for maker in makers):
             self._begin_calls(makers, profile, now)
         if self._timer is None and self._queue.has_waiting():
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(LOOK_AGAIN, self._look_again)
+            self._timer = loop.call_later(RESCHEDULE_SECONDS, self._on_timer)
 
-    def _look_again(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        self._look()
+        self._schedule()
 
     def _begin_calls(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> None:
         for call in self._plan_calls(makers, profile, now):
-            self._queue.take_out(call)
-            # counted before its task runs: more bundles may come until then, and
-            # the maker would seem idle to each of them
+            self._queue.dequeue(call)
+            # counted before its task runs: the maker would seem idle to bundles that
+            # are added in the meantime
             maker = self._makers[call.incarnation]
-            allowed = maker.begin(len(call.pieces), now)
-            maker.room.reserve(_sum_sizes(call))
-            task = asyncio.create_task(self._run_call(call, maker, allowed, now))
+            call_timeout = maker.start_call(len(call.pieces), now)
+            maker.result_memory.reserve(_sum_sizes(call))
+            task = asyncio.create_task(self._run_call(call, maker, call_timeout, now))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def _plan_calls(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> Sequence[PlannedCall]:
-        """Return the calls to begin; a suspected bundle shares its own with none.
+        """Return the calls to start; a suspected bundle gets calls of its own.
 
-        Left in shared calls, it would end them all, and nothing would tell it from
-        those beside it.
+        In shared calls it would crash them all, and could not be distinguished from the
+        other bundles in them.
         """
         views = [maker.view(now) for maker in makers]
-        if not self._suspects.has_any():
+        if not self._quarantine.has_suspects():
             return self._policy.plan(self._queue.list_ready(), views, profile, now)
-        self._drop_held()
+        self._fail_quarantined()
         ready = self._queue.list_ready()
-        suspected = [row for row in ready if self._suspects.is_suspect(row[0])]
+        suspected = [row for row in ready if self._quarantine.is_suspect(row[0])]
         for row in suspected:
             calls = self._policy.plan([row], views, profile, now)
             if calls:
                 return calls
-        shared = [row for row in ready if not self._suspects.is_suspect(row[0])]
+        shared = [row for row in ready if not self._quarantine.is_suspect(row[0])]
         return self._policy.plan(shared, views, profile, now)
 
     def _list_makers(self, profile: MakerProfile) -> list[Maker]:
@@ -250,41 +256,43 @@
         for target in listed:
             maker = self._makers.get(target.incarnation)
             if maker is None or maker.profile != profile:
-                room = MakerRoom(profile.room_bytes, profile.keep_seconds)
-                self._makers[target.incarnation] = Maker(target, profile, room)
+                result_memory = MakerRoom(profile.room_bytes, profile.keep_seconds)
+                self._makers[target.incarnation] = Maker(target, profile, result_memory)
         self._listed = [self._makers[target.incarnation] for target in listed]
         self._listed_from = (listed, profile)
         return self._listed
 
-    def _drop_hopeless(
+    def _fail_expired(
         self, makers: list[Maker], profile: MakerProfile, now: float
     ) -> None:
-        """Fail the bundles whose request can't be answered in time any more."""
+        """Fail the bundles whose request can no longer meet its deadline."""
         views = [maker.view(now) for maker in makers]
         waiting = self._queue.list_waiting()
         for bundle in find_hopeless(waiting, views, profile, now):
             self._queue.fail(self._queue.find(bundle), PieceFailure.LATE)
 
-    def _drop_held(self) -> None:
-        """Fail the bundles under which makers have ended."""
-        for work in tuple(self._queue):
-            if work.left and self._suspects.is_held(work.bundle):
-                self._queue.fail(work, PieceFailure.HELD)
+    def _fail_quarantined(self) -> None:
+        """Fail the bundles that are held in quarantine."""
+        for entry in tuple(self._queue):
+            if entry.pending and self._quarantine.is_quarantined(entry.bundle):
+                self._queue.fail(entry, PieceFailure.HELD)
 
     # calls
 
     async def _run_call(
-        self, call: PlannedCall, maker: Maker, allowed: float, now: float
+        self, call: PlannedCall, maker: Maker, call_timeout: float, now: float
     ) -> None:
-        works = [self._queue.find(bundle) for bundle, _ in call.pieces]
-        end = CallEnd()
+        entries = [self._queue.find(bundle) for bundle, _ in call.pieces]
+        call_result = CallResult()
         loop = asyncio.get_running_loop()
-        reading = loop.call_later(READ_SECONDS, self._note_read, maker, works)
+        read_timer = loop.call_later(
+            INPUT_READ_SECONDS, self._report_inputs_read, maker, entries
+        )
         try:
-            end = await self._caller.call(maker, call, allowed, now)
+            call_result = await self._caller.call(maker, call, call_timeout, now)
         finally:
-            reading.cancel()
-            self._settle_room(maker, call, end, now)
+            read_timer.cancel()
+            self._settle_memory(maker, call, call_result, now)
         self._decisions.log_decision(
             "stage-call",
             service=self._group.service,
@@ -292,71 +300,78 @@
             target=str(call.incarnation),
             pieces=len(call.pieces),
             requests=len({bundle.request_id for bundle, _ in call.pieces}),
-            outcome=end.outcome,
-            unmade=_count_failures(end.results),
+            outcome=call_result.outcome,
+            unmade=_count_failures(call_result.results),
             ms=round((self._clock.now() - now) * 1000),
             waiting=self._queue.count_waiting(),
             slowness=round(maker.find_slowness(self._clock.now()), 2),
         )
-        self._note_end(maker, call, end)
-        self._queue.take_results(call, works, end)
-        self._look()
+        self._report_to_quarantine(maker, call, call_result)
+        self._queue.apply_result(call, entries, call_result)
+        self._schedule()
 
-    def _note_end(self, maker: Maker, call: PlannedCall, end: CallEnd) -> None:
+    def _report_to_quarantine(
+        self, maker: Maker, call: PlannedCall, call_result: CallResult
+    ) -> None:
         bundles = [bundle for bundle, _ in call.pieces]
-        if end.broken:
-            self._suspects.note_broken(maker.target, bundles)
-        elif end.results is not None:
-            self._suspects.note_made(maker.target, bundles)
+        if call_result.broken:
+            self._quarantine.record_disconnect(maker.target, bundles)
+        elif call_result.results is not None:
+            self._quarantine.record_success(maker.target, bundles)
 
-    def _settle_room(
-        self, maker: Maker, call: PlannedCall, end: CallEnd, started: float
+    def _settle_memory(
+        self, maker: Maker, call: PlannedCall, call_result: CallResult, started: float
     ) -> None:
-        """Turn the room that was reserved for a call into what it left there."""
+        """Replace a call's reserved memory by the size of the results it left."""
         now = self._clock.now()
         size = _sum_sizes(call)
         made = {}
-        for (bundle, _), result in zip(call.pieces, end.results or (), strict=False):
+        for (bundle, _), result in zip(
+            call.pieces, call_result.results or (), strict=False
+        ):
             if result.failure is None:
                 made[result.handle] = bundle.result_bytes
             elif result.failure is PieceFailure.ROOM:
-                maker.room.note_refusal(now)
-        maker.room.settle(size, made, now)
+                maker.result_memory.note_refusal(now)
+        maker.result_memory.settle(size, made, now)
         if made:
-            self._estimate.note_made(len(made), now - started, now)
-        if end.outcome not in ANSWERED:
-            # it may go on with the call, and keep the results for a while
-            maker.room.hold_unknown(f"lost at {started}", size, now)
-
-    def _note_read(self, maker: Maker, works: list[Work | None]) -> None:
-        """Take in that a call has begun and has fetched what its pieces read.
-
-        Inputs fill the room of the makers before; kept until the call ends, they
-        would fill it for a third of a second longer. Nothing tells that a call has
-        begun but that there is none before it, of this instance or of another one:
-        inputs that are freed while it waits are gone at its turn, and the request's
-        stages are made again or fail.
+            self._estimator.record_completion(len(made), now - started, now)
+        if call_result.outcome not in SETTLED_OUTCOMES:
+            # the maker may continue the call and keep its results for a while
+            maker.result_memory.hold_unknown(f"lost at {started}", size, now)
+
+    def _report_inputs_read(
+        self, maker: Maker, entries: list[QueuedBundle | None]
+    ) -> None:
+        """Report the inputs of a call as read, if the maker must have started it.
+
+        Inputs occupy memory at the makers of the earlier stage; kept until the call
+        ends, they would do so for a third of a second longer. A maker does not signal
+        that it has started a call. It must have if no other call, of this or any other
+        instance, is queued ahead. Inputs freed while the call is still queued would be
+        gone when it starts, and the stages of the request would be executed again or
+        fail.
         """
-        if not self._is_sole():
+        if not self._is_exclusive():
             return
         now = self._clock.now()
-        if maker.calls > 1 or maker.find_slowness(now) > STEADY:
-            # its turn may not have come yet
+        if maker.calls > 1 or maker.find_slowness(now) > MAX_PROMPT_SLOWNESS:
+            # the maker may not have started the call yet
             return
-        if maker.lost_lately(now):
-            # what it reads may have to be read again
+        if maker.failed_recently(now):
+            # the call may have to be retried, which reads its inputs again
             return
-        for work in dict.fromkeys(works):
-            if work is not None and not work.left and not work.losses:
-                work.note_read()
+        for entry in dict.fromkeys(entries):
+            if entry is not None and not entry.pending and not entry.failure_count:
+                entry.on_read()
 
 
 def _sum_sizes(call: PlannedCall) -> int:
-    """Return the bytes of the results that a call makes."""
+    """Return the total result size of a call, in bytes."""
     return sum(bundle.result_bytes for bundle, _ in call.pieces)
 
 
 def _count_failures(results: tuple[PieceResult, ...] | None) -> dict[str, int]:
-    """Return how many pieces of an answered call were not made, by the reason."""
+    """Return the number of pieces that failed in an answered call, by reason."""
     failures = [one.failure for one in results or () if one.failure is not None]
     return {one.value: failures.count(one) for one in dict.fromkeys(failures)}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -1,4 +1,4 @@
-"""The stage work of one request: which pieces, when, and when results are freed."""
+"""Execution of the stages of a request, and release of their results."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
     from .decisions import DecisionLog
     from .exchange import RelayExchange
-    from .stage_desk import StageDesk
+    from .stage_executor import StageExecutor
 
 __all__ = ("StageResults", "StageRun", "StageRunner")
 
-#: times that stages are made, because results of earlier ones are gone
-MAX_MAKES = 2
-#: seconds after which makers that are behind may have caught up, at the least
-LEAST_RETRY = 0.3
-#: slack of a stage at which it is begun, in seconds: about as long as a piece waits
-#: for a maker to end the call before
-LEAST_SLACK = 0.1
-#: seconds for which it is not worth waiting
-LEAST_PAUSE = 0.005
+#: maximum number of executions of a stage, when results that it reads are lost
+MAX_EXECUTIONS = 2
+#: minimum seconds after which callers may retry when makers are overloaded
+MIN_RETRY_AFTER = 0.3
+#: slack at which a stage is started, in seconds: about as long as a piece waits for a
+#: maker to finish the call before
+MIN_SLACK = 0.1
+#: pauses shorter than this many seconds are skipped
+MIN_PAUSE = 0.005
 
 
 @dataclass(slots=True)
 class StageResults:
-    """What a request's target needs of its stages."""
+    """Results of the stages that the target of a request reads."""
 
     #: handles for the target; ``None`` where the route has no stages
     inputs: tuple[str, ...] | None = None
-    #: bytes of these by the data centre of their makers
+    #: size of the results in bytes, by the data centre of their makers
     bytes_by_data_centre: dict[str, int] = field(default_factory=dict)
-    #: what holds them
+    #: makers that hold the results
     makers: frozenset[Incarnation] = frozenset()
 
 
@@ -60,38 +60,38 @@
 
 
 class StageRunner:
-    """Makes the stages of requests, each as soon as those it reads are made."""
+    """Executes the stages of requests, each once the stages that it reads are done."""
 
     def __init__(
         self,
         *,
-        desk: StageDesk,
+        executor: StageExecutor,
         clock: Clock,
         decisions: DecisionLog,
         data_centre: str,
-        fleet: Fleet,
-        book: TargetBook,
+        load_balancer: Fleet,
+        target_table: TargetBook,
     ) -> None:
-        self.fleet = fleet
-        self.book = book
-        self.desk = desk
+        self.load_balancer = load_balancer
+        self.target_table = target_table
+        self.executor = executor
         self.clock = clock
         self.decisions = decisions
         self.data_centre = data_centre
 
-    def begin(
+    def create_run(
         self, exchange: RelayExchange, first_seconds: float, whole_seconds: float
     ) -> StageRun:
-        """Return the stage work of one request, not yet started.
+        """Return the run of one request's stages, not yet started.
 
-        :param first_seconds: expected time of the target until its answer begins
-        :param whole_seconds: the same until its answer ends
+        :param first_seconds: expected seconds until the target starts to answer
+        :param whole_seconds: expected seconds until the target's answer is complete
         """
         return StageRun(self, exchange, first_seconds, whole_seconds)
 
 
 class StageRun:
-    """The stages of one request, and the results that it holds."""
+    """Executes the stages of one request and holds their results."""
 
     def __init__(
         self,
@@ -100,17 +100,17 @@
         first_seconds: float,
         whole_seconds: float,
     ) -> None:
-        self._desk = runner.desk
+        self._executor = runner.executor
         self._clock = runner.clock
         self._decisions = runner.decisions
-        self._book = runner.book
+        self._target_table = runner.target_table
         self._exchange = exchange
         self._plan = StagePlan(exchange.request, exchange.route, exchange.deployment)
         self._bundles = BundleFactory(
             exchange=exchange,
             plan=self._plan,
-            desk=runner.desk,
-            fleet=runner.fleet,
+            executor=runner.executor,
+            load_balancer=runner.load_balancer,
             clock=runner.clock,
             data_centre=runner.data_centre,
             first_seconds=first_seconds,
@@ -119,37 +119,37 @@
         self._held: dict[int, tuple[PieceResult, ...]] = {}
         self._tasks: dict[int, asyncio.Task[None]] = {}
         self._readers = self._list_readers()
-        #: expected moments of the ends of stages that have begun
+        #: expected or actual end times of the stages that have started
         self._ends: dict[int, float] = {}
-        self._ended = asyncio.Event()
+        self._stage_ended = asyncio.Event()
 
     def estimate(self) -> ChainEstimate:
-        """Return what is expected of the stages, one after the other."""
-        return self._plan.estimate(self._desk.estimate_wait)
+        """Return the estimated times of the stages along the chain."""
+        return self._plan.estimate(self._executor.estimate_wait)
 
-    async def make(self) -> StageResults:
-        """Make all stages and return what the target needs.
+    async def execute(self) -> StageResults:
+        """Execute all stages and return the results for the target.
 
-        :raises RefusedError: if they can't be made in time
+        :raises RefusedError: if a stage fails or cannot be finished in time
         """
         if not self._exchange.route.stages:
             return StageResults()
         started = self._clock.now()
         try:
-            await self._make_all(started)
+            await self._execute_all(started)
         except _StageFailedError as error:
             if error.failure is not PieceFailure.GONE:
-                raise self._refuse(error) from error
+                raise self._create_refusal(error) from error
             raise create_error(
                 self._exchange,
                 RefusalCode.STAGE_FAILED,
-                "stage results were lost again and again",
-                retry_after=LEAST_RETRY,
+                "stage results were lost repeatedly",
+                retry_after=MIN_RETRY_AFTER,
             ) from error
         self._exchange.stage_seconds += self._clock.now() - started
-        return self._collect()
+        return self._collect_results()
 
-    def _note_again(self, error: _StageFailedError, started: float) -> None:
+    def _log_rerun(self, error: _StageFailedError, started: float) -> None:
         self._decisions.log_decision(
             "stages-again",
             request=self._exchange.request.request_id,
@@ -160,22 +160,22 @@
         )
 
     def _find_lost(self) -> _StageFailedError | None:
-        """Return the error of a stage whose results for the target are lost already.
+        """Return the error of a final stage whose results are already lost.
 
-        They may be named by an owner that has not heard of a restart yet; sent on, the
-        request would be turned away by one engine after the other.
+        An owner that has not learnt of a maker's restart yet may return stale handles.
+        Sent with these, the request would be rejected by one engine after the other.
         """
         for number in self._plan.final:
-            if self._book.has_former(list_makers(self._held, (number,))):
+            if self._target_table.has_former(list_makers(self._held, (number,))):
                 return _StageFailedError(self._plan.works[number], PieceFailure.GONE)
         return None
 
     def is_lost(self, results: StageResults) -> bool:
-        """Whether a maker of results has started again: it holds none of them."""
-        return self._book.has_former(results.makers)
+        """Return whether a maker of ``results`` has restarted and lost them."""
+        return self._target_table.has_former(results.makers)
 
     def free(self) -> None:
-        """Give up every result that is held."""
+        """Free all results that are held."""
         for number in tuple(self._held):
             self._free_stage(number)
 
@@ -186,30 +186,33 @@
             for number in self._plan.works
         }
 
-    async def _make_all(self, started: float) -> None:
-        """Make all stages; those of a part again whose results are gone."""
+    async def _execute_all(self, started: float) -> None:
+        """Execute all stages, and again those of a component that lost results."""
         self._tasks = {}
         self._ends = {}
         self._start_all(tuple(self._plan.works))
         lost: Counter[tuple[int, ...]] = Counter()
         try:
-            while (error := await self._wait_made()) is not None:
-                part = self._find_part(error)
-                lost[part] += 1
+            while (error := await self._wait_finished()) is not None:
+                component = self._find_component(error)
+                lost[component] += 1
                 if error.failure is PieceFailure.GONE:
-                    self._note_again(error, started)
-                if error.failure is not PieceFailure.GONE or lost[part] >= MAX_MAKES:
+                    self._log_rerun(error, started)
+                if (
+                    error.failure is not PieceFailure.GONE
+                    or lost[component] >= MAX_EXECUTIONS
+                ):
                     raise error
-                await self._give_up(part)
-                self._start_all(part)
+                await self._cancel_stages(component)
+                self._start_all(component)
         except BaseException:
-            await self._give_up(tuple(self._tasks))
+            await self._cancel_stages(tuple(self._tasks))
             raise
 
-    async def _wait_made(self) -> _StageFailedError | None:
-        """Wait until all stages are made or one has failed, and return its error."""
+    async def _wait_finished(self) -> _StageFailedError | None:
+        """Wait until all stages are done or one has failed, and return its error."""
         if not self._tasks:
-            # a request may need none of its route's stages
+            # a request may use none of its route's stages
             return None
         done, _ = await asyncio.wait(
             self._tasks.values(), return_when=asyncio.FIRST_EXCEPTION
@@ -221,20 +224,22 @@
                 continue
             if not isinstance(error, _StageFailedError):
                 raise error
-            # one that can't be made again decides
+            # a failure that cannot be retried takes precedence
             if found is None or error.failure is not PieceFailure.GONE:
                 found = error
         return found or self._find_lost()
 
-    def _find_part(self, error: _StageFailedError) -> tuple[int, ...]:
-        """Return the stages that have to be made again with one that failed.
+    def _find_component(self, error: _StageFailedError) -> tuple[int, ...]:
+        """Return the stages to execute again after one has failed.
 
-        A maker doesn't say which input is gone, and what the stages before had read
-        is freed by then. So these are all that are linked to it by what they read;
-        results of others are kept.
+        A maker does not report which input is lost, and the inputs of the earlier
+        stages are freed by then. So the whole connected component of the stage is
+        executed again; results of other stages are kept.
         """
-        parts = self._plan.list_parts()
-        return next(part for part in parts if error.work.number in part)
+        components = self._plan.list_parts()
+        return next(
+            component for component in components if error.work.number in component
+        )
 
     def _start_all(self, numbers: tuple[int, ...]) -> None:
         readers = self._list_readers()
@@ -245,8 +250,8 @@
         for number in numbers:
             self._start(number)
 
-    async def _give_up(self, numbers: tuple[int, ...]) -> None:
-        """End the work on stages, and free their results."""
+    async def _cancel_stages(self, numbers: tuple[int, ...]) -> None:
+        """Cancel stages and free their results."""
         tasks = [self._tasks[number] for number in numbers]
         for task in tasks:
             task.cancel()
@@ -258,60 +263,62 @@
         task = self._tasks.get(number)
         if task is None:
             earlier = [self._start(one) for one in self._plan.works[number].after]
-            task = asyncio.create_task(self._make_stage(number, earlier))
+            task = asyncio.create_task(self._execute_stage(number, earlier))
             self._tasks[number] = task
         return task
 
-    async def _make_stage(self, number: int, earlier: list[asyncio.Task[None]]) -> None:
+    async def _execute_stage(
+        self, number: int, earlier: list[asyncio.Task[None]]
+    ) -> None:
         for task in earlier:
-            # shielded: a stage that is cancelled must not cancel those it reads
+            # shielded: cancelling a stage must not cancel the stages that it reads
             await asyncio.shield(task)
         work = self._plan.works[number]
-        await self._wait_for_others(work)
-        if self._book.has_former(list_makers(self._held, work.after)):
+        await self._delay_start(work)
+        if self._target_table.has_former(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
-        queue = self._desk.estimate_wait(work.service)
+        queue = self._executor.estimate_wait(work.service)
         seconds = queue.urgent + queue.find_seconds(work.seconds)
         self._ends[number] = self._clock.now() + seconds
         bundle = self._bundles.create(work, self._held)
-        results = await self._desk.make(bundle, lambda: self._note_read(work))
+        results = await self._executor.execute(bundle, lambda: self._free_inputs(work))
         failed = next((one.failure for one in results if one.failure), None)
         made = tuple(one for one in results if one.failure is None)
         self._held[number] = made
         self._ends[number] = self._clock.now()
-        self._ended.set()
+        self._stage_ended.set()
         if failed is not None:
             raise _StageFailedError(work, failed)
-        self._note_read(work)
+        self._free_inputs(work)
 
-    async def _wait_for_others(self, work: StageWork) -> None:
-        """Wait as long as a stage's results would only wait for those of others."""
+    async def _delay_start(self, work: StageWork) -> None:
+        """Delay a stage while its results would only wait for those of other stages."""
         while True:
             slack = self._plan.find_slack(
                 work,
                 self._clock.now(),
                 self._ends,
-                self._desk.estimate_wait,
+                self._executor.estimate_wait,
                 self._bundles.find_bounds(),
                 self._held,
             )
-            pause = slack - LEAST_SLACK
-            if pause < LEAST_PAUSE:
+            pause = slack - MIN_SLACK
+            if pause < MIN_PAUSE:
                 return
-            self._ended.clear()
+            self._stage_ended.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
-                    await self._ended.wait()
+                    await self._stage_ended.wait()
 
-    def _note_read(self, work: StageWork) -> None:
-        """Free what a stage has read, once no other stage is to read it."""
+    def _free_inputs(self, work: StageWork) -> None:
+        """Free the inputs of a stage that no other stage has still to read."""
         for one in work.after:
             readers = self._readers[one]
             readers.discard(work.number)
             if not readers and one not in self._plan.final:
                 self._free_stage(one)
 
-    def _collect(self) -> StageResults:
+    def _collect_results(self) -> StageResults:
         results = StageResults(inputs=())
         sizes = results.bytes_by_data_centre
         for number in self._plan.final:
@@ -325,12 +332,12 @@
     def _free_stage(self, number: int) -> None:
         held = self._held.pop(number, ())
         if held:
-            self._desk.free(self._plan.works[number].service, held)
+            self._executor.free(self._plan.works[number].service, held)
 
-    def _refuse(self, error: _StageFailedError) -> RefusedError:
+    def _create_refusal(self, error: _StageFailedError) -> RefusedError:
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
         code = RefusalCode.OVERLOADED if late else RefusalCode.STAGE_FAILED
-        wait = self._desk.estimate_wait(error.work.service).whole
+        wait = self._executor.estimate_wait(error.work.service).whole
         self._decisions.log_decision(
             "stage-failed",
             request=self._exchange.request.request_id,
@@ -344,7 +351,7 @@
             self._exchange,
             code,
             str(error),
-            retry_after=max(LEAST_RETRY, wait),
+            retry_after=max(MIN_RETRY_AFTER, wait),
             field="stage",
             value=str(error.work.number),
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.requests import Prompt
 
 from .event_splitter import EventSplitter
-from .input_fetch import InputFetch
+from .input_fetch_timer import InputFetchTimer
 from .messages import AttemptContext
 from .refusals import create_error
 from .runners import Runner
@@ -30,7 +30,7 @@
     from .codecs import TargetCodec
     from .exchange import RelayExchange
     from .messages import ResponseHead
-    from .run_times import RunTimes
+    from .route_latencies import RouteLatencies
     from .stages import StageResults, StageRun, StageRunner
 
 __all__ = ("StreamRunner",)
@@ -60,7 +60,7 @@
         *,
         stages: StageRunner,
         codec: TargetCodec,
-        times: RunTimes,
+        times: RouteLatencies,
         admission: RouteAdmission,
         **common,
     ) -> None:
@@ -71,12 +71,12 @@
         self.times = times
 
     async def run(self, exchange: RelayExchange) -> None:
-        self.budgets.note_request(exchange.service)
+        self.budgets.record_request(exchange.service)
         first_seconds, total_seconds = self.times.estimate(exchange)
-        run = self._stages.begin(exchange, first_seconds, total_seconds)
+        run = self._stages.create_run(exchange, first_seconds, total_seconds)
         self._check_admission(exchange, run, first_seconds)
         try:
-            results = await run.make()
+            results = await run.execute()
             await self.pass_on(exchange, run, results)
         finally:
             run.free()
@@ -110,8 +110,7 @@
             exchange,
             RefusalCode.OVERLOADED,
             f"{decision.reason}: {estimate.urgent_wait:.1f} of {estimate.wait:.1f} s"
-            f" of queue,"
-            f" {work:.1f} s of work, {estimate.left:.1f} s left",
+            f" of queue, {work:.1f} s of work, {estimate.left:.1f} s left",
             retry_after=decision.retry_after,
         )
 
@@ -150,14 +149,14 @@
             target = self._choose(excluded)
             if target is None:
                 break
-            runner.check_hold(exchange)
+            runner.check_quarantine(exchange)
             last = await self._attempt(target)
             if last is None:
                 return
             lost = self._run.is_lost(self._results)
             if not lost or last.outcome is not SendOutcome.UNSENT:
                 excluded |= {target.incarnation}
-            if not runner.may_repeat(exchange, last.outcome):
+            if not runner.may_retry(exchange, last.outcome):
                 break
             if last.status == STATUS_CONFLICT or self._inputs_released:
                 # another target has to fetch the results again
@@ -167,17 +166,17 @@
     async def _rerun_stages(self) -> None:
         self._run.free()
         self._inputs_released = False
-        self._results = await self._run.make()
+        self._results = await self._run.execute()
 
     def _choose(self, excluded: frozenset[Incarnation]) -> ListedTarget | None:
         need = EngineNeed(self._prompt, self._results.bytes_by_data_centre)
-        fleet, now = self._runner.fleet, self._runner.clock.now()
+        fleet, now = self._runner.load_balancer, self._runner.clock.now()
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
     async def _attempt(self, target: ListedTarget) -> FailedSend | None:
         """Send once and forward events; return ``None`` if the response is complete."""
         runner, exchange = self._runner, self._exchange
-        left = runner.find_left(exchange)
+        left = runner.find_remaining(exchange)
         if left <= 0:
             return FailedSend(SendOutcome.UNSENT, "deadline exceeded")
         call = AttemptContext(
@@ -188,11 +187,13 @@
             inputs=self._results.inputs,
         )
         now = runner.clock.now()
-        tokens = runner.fleet.count_tokens(target.incarnation, self._prompt, now)
+        tokens = runner.load_balancer.count_tokens(
+            target.incarnation, self._prompt, now
+        )
         self._sent_at = now
         self._first_event_at = None
-        prefill = _PrefillTracker(runner.fleet, target.incarnation, tokens)
-        fetch_timer = InputFetch(lambda: self._release_fetched_inputs(target))
+        prefill = _PrefillTracker(runner.load_balancer, target.incarnation, tokens)
+        fetch_timer = InputFetchTimer(lambda: self._release_fetched_inputs(target))
         try:
             result = await runner.sender.send(
                 exchange,
@@ -200,7 +201,7 @@
                 call,
                 timeout=self._choose_first_event_timeout(left),
                 fresh=not exchange.route.repeatable,
-                may_send=lambda: fetch_timer.begin(
+                may_send=lambda: fetch_timer.start(
                     not self._run.is_lost(self._results)
                 ),
             )
@@ -208,7 +209,7 @@
                 return result
             return await self._forward_response(target, result, prefill)
         finally:
-            fetch_timer.end()
+            fetch_timer.cancel()
             prefill.end()
 
     def _release_fetched_inputs(self, target: ListedTarget) -> None:
@@ -219,7 +220,7 @@
         until then would take memory that their makers need for other requests.
         """
         now = self._runner.clock.now()
-        if not self._runner.fleet.takes_in(target, now):
+        if not self._runner.load_balancer.takes_in(target, now):
             return
         self._inputs_released = True
         self._run.free()
@@ -242,7 +243,7 @@
             response.abort()
             raise
         response.release()
-        self._runner.fleet.note_success(target.incarnation)
+        self._runner.load_balancer.note_success(target.incarnation)
         self._runner.sender.record_survival(self._exchange, target)
         self._exchange.outcome = "answered"
         return None
@@ -276,12 +277,12 @@
         if not writer.started:
             await writer.begin(received.head)
         await writer.finish()
-        self._runner.times.note_whole(
+        self._runner.times.record_total(
             self._exchange, self._runner.clock.now() - self._sent_at
         )
 
     async def _read_chunk(self, chunks: AsyncIterator[bytes]) -> bytes | None:
-        left = self._runner.find_left(self._exchange)
+        left = self._runner.find_remaining(self._exchange)
         timeout = min(left, self._choose_event_timeout())
         try:
             async with asyncio.timeout(max(0.0, timeout)):
@@ -297,8 +298,8 @@
         runner = self._runner
         now = runner.clock.now()
         self._first_event_at = now
-        runner.times.note_first(self._exchange, now - self._sent_at)
-        runner.fleet.note_parts(target.incarnation, self._prompt, now)
+        runner.times.record_first_part(self._exchange, now - self._sent_at)
+        runner.load_balancer.note_parts(target.incarnation, self._prompt, now)
         self._first_event_seen = self._inputs_released = True
         # the target has fetched the stage results; release their makers' memory
         self._run.free()
@@ -310,7 +311,9 @@
         body = await received.response.read(MAX_ERROR_BODY_BYTES)
         received.response.release()
         self._runner.sender.record_survival(self._exchange, target)
-        self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
+        self._runner.load_balancer.note_failure(
+            target.incarnation, self._runner.clock.now()
+        )
         exchange = self._exchange
         if exchange.writer.started:
             return FailedSend(SendOutcome.FAILED, f"status {head.status} on resumption")
@@ -332,7 +335,7 @@
         return min(left, max(MIN_FIRST_EVENT_TIMEOUT, timeout))
 
     def _choose_event_timeout(self) -> float:
-        left = self._runner.find_left(self._exchange)
+        left = self._runner.find_remaining(self._exchange)
         if not self._may_fail_over():
             return left
         if not self._first_event_seen:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -19,7 +19,7 @@
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from .codecs import TargetCodec
-    from .crash_watch import CrashWatch
+    from .crash_detector import CrashDetector
     from .decisions import DecisionLog
     from .exchange import RelayExchange
     from .messages import AttemptContext, ResponseHead
@@ -62,7 +62,7 @@
         codec: TargetCodec,
         load_balancer: Fleet,
         target_table: TargetBook,
-        crash_detector: CrashWatch,
+        crash_detector: CrashDetector,
         clock: Clock,
         decisions: DecisionLog,
     ) -> None:
@@ -127,12 +127,12 @@
         :param ran_seconds: time for which the target is known to have been running it
         """
         if error.broken and ran_seconds < CRASH_BLAME_SECONDS:
-            self._crash_detector.note_broken(target, exchange.digest)
+            self._crash_detector.record_disconnect(target, exchange.digest)
         return self._record_failure(exchange, target, SendOutcome.LOST, str(error))
 
     def record_survival(self, exchange: RelayExchange, target: ListedTarget) -> None:
         """Record that a target survived the request, even if it reported a failure."""
-        self._crash_detector.note_survived(target, exchange.digest)
+        self._crash_detector.record_answer(target, exchange.digest)
 
     def _classify(
         self, exchange: RelayExchange, target: ListedTarget, response: TargetResponse
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -46,17 +46,17 @@
     """Sends a request until a target answers or no further retry is allowed."""
 
     async def run(self, exchange: RelayExchange) -> None:
-        self.budgets.note_request(exchange.service)
+        self.budgets.record_request(exchange.service)
         excluded: frozenset[Incarnation] = frozenset()
         last: FailedSend | None = None
         error_response: _FullResponse | None = None
         while True:
-            target = self.fleet.choose_plain(
+            target = self.load_balancer.choose_plain(
                 exchange.service, excluded, self.clock.now()
             )
             if target is None:
                 break
-            self.check_hold(exchange)
+            self.check_quarantine(exchange)
             result = await self._attempt(exchange, target)
             if isinstance(result, _FullResponse):
                 if result.head.succeeded:
@@ -69,7 +69,7 @@
             else:
                 last, outcome = result, result.outcome
             excluded |= {target.incarnation}
-            if not self.may_repeat(exchange, outcome):
+            if not self.may_retry(exchange, outcome):
                 break
         if error_response is not None:
             # the target's own error response tells more than a refusal by this instance
@@ -80,7 +80,7 @@
     async def _attempt(
         self, exchange: RelayExchange, target: ListedTarget
     ) -> _FullResponse | FailedSend:
-        remaining_seconds = self.find_left(exchange)
+        remaining_seconds = self.find_remaining(exchange)
         if remaining_seconds <= 0:
             return FailedSend(SendOutcome.UNSENT, "deadline exceeded")
         call = AttemptContext(
@@ -90,7 +90,7 @@
         )
         timeout = self._choose_timeout(exchange, remaining_seconds)
         end = asyncio.get_running_loop().time() + timeout
-        self.fleet.start(target.incarnation)
+        self.load_balancer.start(target.incarnation)
         try:
             result = await self.sender.send(
                 exchange,
@@ -103,7 +103,7 @@
                 return result
             return await self._read(exchange, target, result, end)
         finally:
-            self.fleet.finish(target.incarnation)
+            self.load_balancer.finish(target.incarnation)
 
     async def _read(
         self,
@@ -129,9 +129,9 @@
         response.release()
         self.sender.record_survival(exchange, target)
         if received.head.succeeded:
-            self.fleet.note_success(target.incarnation)
+            self.load_balancer.note_success(target.incarnation)
         else:
-            self.fleet.note_failure(target.incarnation, self.clock.now())
+            self.load_balancer.note_failure(target.incarnation, self.clock.now())
         return _FullResponse(received.head, body)
 
     def _choose_timeout(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -8,12 +8,12 @@
 from greengagelatch.relay.fleet import EngineNeed, Fleet
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.repeats import RepeatRule
-from greengagelatch_entry.relay.budgets import RepeatBudgets
-from greengagelatch_entry.relay.desk import LocalDesk
-from greengagelatch_entry.relay.owned_desk import OwnedDesk
+from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
+from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
+from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
-from greengagelatch_entry.relay.piece_suspects import NoSuspects
-from greengagelatch_entry.relay.run_times import RunTimes
+from greengagelatch_entry.relay.retry_budgets import RetryBudgets
+from greengagelatch_entry.relay.route_latencies import RouteLatencies
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
 from greengagelatch_entry.relay.stages import StageRunner
@@ -70,22 +70,22 @@
         prompt = exchange.request.prompt
         need = EngineNeed(prompt, results.bytes_by_data_centre)
         started = self.clock.now()
-        target = self.fleet.choose_engine(ENGINES, need, frozenset(), started)
-        tokens = self.fleet.count_tokens(target.incarnation, prompt, started)
-        self.fleet.start(target.incarnation, tokens)
+        target = self.load_balancer.choose_engine(ENGINES, need, frozenset(), started)
+        tokens = self.load_balancer.count_tokens(target.incarnation, prompt, started)
+        self.load_balancer.start(target.incarnation, tokens)
         shared, own = prompt.parts
         engine = self._engines[target.target_id]
         read = await engine.read(
             results.inputs or (), shared.part_id, shared.tokens, own.tokens
         )
         now = self.clock.now()
-        self.fleet.begin(target.incarnation, tokens)
+        self.load_balancer.begin(target.incarnation, tokens)
         if read:
-            self.times.note_first(exchange, now - started)
-            self.fleet.note_parts(target.incarnation, prompt, now)
+            self.times.record_first_part(exchange, now - started)
+            self.load_balancer.note_parts(target.incarnation, prompt, now)
             exchange.outcome = "answered"
         run.free()
-        self.fleet.finish(target.incarnation)
+        self.load_balancer.finish(target.incarnation)
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
 
     streams: ModelledStreams
     #: ``None`` where it does all stage work by itself
-    desk: OwnedDesk | None = None
+    desk: ForwardingStageExecutor | None = None
     machine: Machine | None = None
 
 
@@ -154,9 +154,9 @@
         ownership = Ownership(peers=peers, clock=self._clock, decisions=Silent())
         groups = self._create_groups(peers.members)
         local = self._create_local(
-            self._links.through(machine), groups, ownership.is_sole
+            self._links.through(machine), groups, ownership.is_exclusive
         )
-        desk = OwnedDesk(
+        desk = ForwardingStageExecutor(
             local=local,
             groups=groups,
             ownership=ownership,
@@ -174,7 +174,7 @@
     def _create_groups(self, list_members) -> MakerGroups:
         return MakerGroups(
             rule=self._create_division(),
-            book=self._book,
+            target_table=self._book,
             list_members=list_members,
             find_profile=self._find_profile,
         )
@@ -183,19 +183,19 @@
         return self._deployment.services[service].maker
 
     def _create_local(
-        self, links, groups: MakerGroups, is_sole: Callable[[MakerGroup], bool]
-    ) -> LocalDesk:
-        return LocalDesk(
+        self, links, groups: MakerGroups, is_exclusive: Callable[[MakerGroup], bool]
+    ) -> LocalStageExecutor:
+        return LocalStageExecutor(
             find_group=groups.find_group,
             create_pool=lambda group: StagePool(
                 group,
                 list_makers=lambda: groups.list_makers(group),
                 find_profile=lambda: self._find_profile(group.service),
-                is_sole=lambda: is_sole(group),
-                suspects=NoSuspects(),
+                is_exclusive=lambda: is_exclusive(group),
+                quarantine=DisabledBundleQuarantine(),
                 policy=self._create_batches(),
-                book=self._book,
-                links=links,
+                target_table=self._book,
+                connections=links,
                 codec=ModelCodec(),
                 budgets=self._create_budgets(),
                 clock=self._clock,
@@ -204,30 +204,30 @@
             ),
         )
 
-    def _create_budgets(self) -> RepeatBudgets:
-        return RepeatBudgets(
+    def _create_budgets(self) -> RetryBudgets:
+        return RetryBudgets(
             rule=RepeatRule(slack=1e6), clock=self._clock, count_instances=lambda: 1
         )
 
     def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
         fleet = Fleet(book=self._book, data_centre=near, random_source=self._random)
         stages = StageRunner(
-            desk=desk,
+            executor=desk,
             clock=self._clock,
             decisions=Silent(),
             data_centre=centre,
-            fleet=fleet,
-            book=self._book,
+            load_balancer=fleet,
+            target_table=self._book,
         )
         return ModelledStreams(
             engines=self._engines,
             stages=stages,
             codec=ModelCodec(),
-            times=RunTimes(),
+            times=RouteLatencies(),
             admission=self._create_admission(),
             sender=None,
             quarantine=Quarantine(),
-            fleet=fleet,
+            load_balancer=fleet,
             budgets=self._create_budgets(),
             clock=self._clock,
         )
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_forwarding_stage_executor.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.owned_desk with peers in one process."""
+"""Tests of greengagelatch_entry.relay.forwarding_stage_executor, in one process."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from greengagelatch.relay.queue_waits import QueueWait
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.owned_desk import OwnedDesk
+from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.ownership import (
-    MEETING_SECONDS,
-    MEMBERS_LIFE,
-    SETTLING_SECONDS,
+    CONVERGENCE_SECONDS,
+    HANDOVER_SECONDS,
+    MEMBERS_CACHE_SECONDS,
     SUSPICION_SECONDS,
     Ownership,
 )
@@ -53,7 +53,7 @@
 
 
 class Network:
-    """Links between desks; some instances may be out of reach."""
+    """In-process links between executors; instances may be unreachable."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict] = {name: {} for name in NAMES}
@@ -61,7 +61,7 @@
         self.dead: set[str] = set()
         self.leaving: set[str] = set()
         self.suspected: set[str] = set()
-        self.places: dict[str, str] = {}
+        self.data_centres: dict[str, str] = {}
 
     def create_peers(self, name: str) -> SimpleNamespace:
         return SimpleNamespace(
@@ -76,7 +76,7 @@
         return tuple(
             Member(
                 instance_id=name,
-                data_centre=self.places.get(name, "north"),
+                data_centre=self.data_centres.get(name, "north"),
                 address=name,
                 state=self._find_state(name),
             )
@@ -105,8 +105,8 @@
         return True
 
 
-class Local:
-    """Makes pieces at once and notes which."""
+class FakeLocalExecutor:
+    """Makes pieces at once and records them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -117,7 +117,7 @@
         self.hold: asyncio.Event | None = None
         self.cancelled = 0
 
-    async def make_in(self, group, bundle, note_read):
+    async def execute_in(self, group, bundle, on_read):
         self.made.append(bundle.bundle_id)
         self.groups.append(group)
         try:
@@ -126,7 +126,7 @@
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        note_read()
+        on_read()
         return tuple(
             PieceResult(
                 handle=f"{self.name}/{piece.segment}",
@@ -150,24 +150,24 @@
     def __init__(self) -> None:
         self.network = Network()
         self.clock = ManualClock()
-        self.local = {name: Local(name) for name in NAMES}
+        self.local = {name: FakeLocalExecutor(name) for name in NAMES}
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
         self.ownerships: dict[str, Ownership] = {}
-        self.desks = {name: self._create_desk(name) for name in NAMES}
+        self.executors = {name: self._create_executor(name) for name in NAMES}
         self.ranked = rank_owners(WHOLE, self.network.list_members())
 
-    def _create_desk(self, name: str) -> OwnedDesk:
+    def _create_executor(self, name: str) -> ForwardingStageExecutor:
         peers = self.network.create_peers(name)
         book = SimpleNamespace(list_service=lambda service: MAKERS)
         self.ownerships[name] = Ownership(
             peers=peers, clock=self.clock, decisions=self.decisions
         )
-        return OwnedDesk(
+        return ForwardingStageExecutor(
             local=self.local[name],
             groups=MakerGroups(
                 rule=ByCapacity(),
-                book=book,
+                target_table=book,
                 list_members=peers.members,
                 find_profile=lambda service: None,
             ),
@@ -195,33 +195,32 @@
 
 
 async def test_all_instances_ask_the_same_owner(world):
-    for desk in world.desks.values():
-        results = await desk.make(BUNDLE, do_nothing)
+    for executor in world.executors.values():
+        results = await executor.execute(BUNDLE, do_nothing)
         assert [one.failure for one in results] == [None, None]
     owner = world.ranked[0]
     assert world.count_made() == {name: 3 * (name == owner) for name in NAMES}
 
 
-async def test_next_one_is_asked_where_the_owner_is_lost(world):
-    """Symptom: stages stand still for seconds after one instance has died.
+async def test_next_owner_is_asked_if_the_owner_is_lost(world):
+    """Guard against stages that stall for seconds after the owner has died.
 
-    Sequence: the owner of a service dies; the membership has not noticed yet.
-    Cause: only the membership could name another owner.
+    Until the membership detected the failure, no other owner was tried.
     """
     owner, second, third = world.ranked
     world.network.gone.add(owner)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[second].made == [BUNDLE.bundle_id]
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert len(world.local[second].made) == 2
 
 
 async def test_owner_is_asked_again_where_two_links_crossed(world):
-    """Symptom: after a restart of all, several instances own one service for seconds.
+    """Guard against several owners of one service after a restart of all instances.
 
-    Sequence: two instances open a link to each other at the same time; one of the two
-    links is closed, with a question on it, as by a peer of an earlier release.
-    Cause: the owner was passed over for a link that was not needed.
+    Two instances open links to each other at the same time, and one link is closed with
+    a request on it, as by a peer of an earlier release. The owner was then excluded,
+    although the other link still reached it.
     """
     owner, _, third = world.ranked
     ask = world.network.ask
@@ -234,7 +233,7 @@
         return await ask(sender, to, message)
 
     world.network.ask = ask_over_two_links
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert calls == [owner, owner]
     assert len(world.local[owner].made) == 1
 
@@ -243,17 +242,16 @@
     "error",
     [
         PeerError(PeerErrorKind.NO_ANSWER, "no answer in time"),
-        # a dial of a machine that is lost would take as long again
+        # connecting to a lost instance would take as long again
         PeerError(PeerErrorKind.NO_ANSWER, "the link went silent"),
         PeerError(PeerErrorKind.NOT_SENT, "no link"),
         PeerError(PeerErrorKind.REFUSED, "the peer is busy"),
     ],
 )
 async def test_owner_that_does_not_answer_is_asked_once(world, error):
-    """Symptom: stage work ends late where its owner's machine was lost.
+    """Guard against stages that are late because a lost owner is tried twice.
 
-    Sequence: the owner does not answer, or nothing can be sent to it.
-    Cause: it is asked again, though no other link leads to it.
+    A second request only helps if another link to the owner may exist.
     """
     owner, second, third = world.ranked
     ask = world.network.ask
@@ -266,15 +264,17 @@
         return await ask(sender, to, message)
 
     world.network.ask = ask_in_vain
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert calls == [owner, second]
 
 
 async def test_bundle_that_is_asked_for_twice_is_made_once(world):
     owner, _, third = world.ranked
     world.local[owner].hold = asyncio.Event()
-    desk = world.desks[third]
-    tasks = [asyncio.create_task(desk._send(owner, WHOLE, BUNDLE)) for _ in range(2)]
+    executor = world.executors[third]
+    tasks = [
+        asyncio.create_task(executor._send(owner, WHOLE, BUNDLE)) for _ in range(2)
+    ]
     await asyncio.sleep(0.01)
     world.local[owner].hold.set()
     replies = await asyncio.gather(*tasks)
@@ -282,14 +282,14 @@
     assert replies[0].ok_value == replies[1].ok_value
 
 
-async def test_cut_off_instances_ask_the_owner_of_the_makers_beside_them(world):
-    """Guards against calls of each by itself in a data centre that is cut off."""
+async def test_partitioned_instances_ask_the_owner_of_local_makers(world):
+    """Guard against separate calls of each instance in a partitioned data centre."""
     owner, second, third = world.ranked
-    world.network.places[owner] = "south"
+    world.network.data_centres[owner] = "south"
     world.network.gone.add(owner)
     near = rank_owners(MakerGroup(SERVICE, "north"), world.network.list_members())[0]
     for asker in (second, third):
-        await world.desks[asker].make(BUNDLE, do_nothing)
+        await world.executors[asker].execute(BUNDLE, do_nothing)
     assert world.count_made() == {name: 2 * (name == near) for name in NAMES}
     assert world.local[near].groups == [MakerGroup(SERVICE, "north")] * 2
 
@@ -297,36 +297,35 @@
 async def test_owner_that_is_back_is_asked_again(world):
     owner, _, third = world.ranked
     world.network.gone.add(owner)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     world.network.gone.clear()
     world.clock.advance(5.0)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert len(world.local[owner].made) == 1
 
 
-async def test_instance_that_reaches_nobody_makes_its_pieces_itself(world):
+async def test_unreachable_peers_make_an_instance_call_makers_itself(world):
     third = world.ranked[2]
     world.network.gone.update(world.ranked[:2])
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
     assert results[0].handle == f"{third}/0"
 
 
 async def test_dead_instance_owns_nothing(world):
     world.network.dead.add(world.ranked[0])
-    await world.desks[world.ranked[2]].make(BUNDLE, do_nothing)
+    await world.executors[world.ranked[2]].execute(BUNDLE, do_nothing)
     assert world.count_made()[world.ranked[1]] == 1
 
 
 async def test_instance_that_leaves_asks_the_next_owner(world):
-    """Symptom: while instances restart, two own one service for seconds.
+    """Guard against two owners of one service while instances restart.
 
-    Sequence: the owner of a service begins to leave; its peers ask the next one; it
-    goes on for as long as its own requests do.
-    Cause: it was the first candidate in its own eyes whatever its state.
+    A draining owner, whose peers already used the next owner, still counted itself as
+    the owner for its own requests.
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
-    results = await world.desks[owner].make(BUNDLE, do_nothing)
+    results = await world.executors[owner].execute(BUNDLE, do_nothing)
     assert [one.handle for one in results] == [f"{second}/0", f"{second}/1"]
     assert world.count_made() == {name: int(name == second) for name in NAMES}
 
@@ -334,7 +333,7 @@
 async def test_instance_that_leaves_last_makes_its_pieces_itself(world):
     owner = world.ranked[0]
     world.network.leaving.update(NAMES)
-    results = await world.desks[owner].make(BUNDLE, do_nothing)
+    results = await world.executors[owner].execute(BUNDLE, do_nothing)
     assert results[0].handle == f"{owner}/0"
     assert world.count_made() == {name: int(name == owner) for name in NAMES}
 
@@ -343,7 +342,7 @@
     owner, _, third = world.ranked
     local = world.local[owner]
     local.hold = asyncio.Event()
-    task = asyncio.create_task(world.desks[third].make(BUNDLE, do_nothing))
+    task = asyncio.create_task(world.executors[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
@@ -356,138 +355,137 @@
 
 
 async def test_stop_waits_for_the_bundles_of_peers(world):
-    """Symptom: while instances restart, pieces are made twice and come late.
+    """Guard against pieces that are made twice, and late, while instances restart.
 
-    Sequence: an owner whose own requests are done stops with bundles of its peers in
-    work, which these then ask the next owner for.
-    Cause: the stop waited for its own callers only.
+    An owner waited only for its own callers before it stopped. Bundles of its peers
+    were cut off, and sent again to the next owner.
     """
     owner, _, third = world.ranked
-    desk, local = world.desks[owner], world.local[owner]
-    assert await desk.wait_idle(0.0)
+    executor, local = world.executors[owner], world.local[owner]
+    assert await executor.wait_idle(0.0)
     local.hold = asyncio.Event()
-    asking = asyncio.create_task(world.desks[third].make(BUNDLE, do_nothing))
+    asking = asyncio.create_task(world.executors[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
-    assert not await desk.wait_idle(0.0)
-    waiting = asyncio.create_task(desk.wait_idle(60.0))
+    assert not await executor.wait_idle(0.0)
+    waiting = asyncio.create_task(executor.wait_idle(60.0))
     local.hold.set()
     assert await waiting
     assert [one.handle for one in await asking] == [f"{owner}/0", f"{owner}/1"]
 
 
-async def test_owner_is_sole_once_nobody_has_come_or_gone_for_long(world):
-    """Symptom: pieces fail as "input gone" for seconds after an instance has left.
+async def test_owner_is_exclusive_once_the_membership_is_stable(world):
+    """Guard against inputs freed too early after a change of owner.
 
-    Sequence: the owner leaves, and is gone; the next one's calls wait at makers
-    behind its last ones.
-    Cause: the next one took the makers for its own at once.
+    The next owner's calls wait at the makers behind the last calls of the previous
+    one. It assumed exclusive use at once, and pieces failed as "input gone".
     """
     owner, second, _ = world.ranked
-    desks = world.desks
-    assert not world.ownerships[owner].is_sole(WHOLE)
-    world.clock.advance(SETTLING_SECONDS)
-    for desk in desks.values():
-        desk.estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
-    soles = [world.ownerships[name].is_sole(WHOLE) for name in world.ranked]
-    assert soles == [True, False, False]
+    executors = world.executors
+    assert not world.ownerships[owner].is_exclusive(WHOLE)
+    world.clock.advance(HANDOVER_SECONDS)
+    for executor in executors.values():
+        executor.estimate_wait(SERVICE)
+    world.clock.advance(HANDOVER_SECONDS)
+    exclusive = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
+    assert exclusive == [True, False, False]
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
-    soles = [world.ownerships[name].is_sole(WHOLE) for name in world.ranked]
-    assert soles == [False, False, False]
-    world.clock.advance(SETTLING_SECONDS - 1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    exclusive = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
+    assert exclusive == [False, False, False]
+    world.clock.advance(HANDOVER_SECONDS - 1.0)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
-    soles = [world.ownerships[name].is_sole(WHOLE) for name in world.ranked]
-    assert soles == [False, True, False]
+    exclusive = [world.ownerships[name].is_exclusive(WHOLE) for name in world.ranked]
+    assert exclusive == [False, True, False]
 
 
-async def test_owner_stays_sole_while_others_come_and_go(world):
-    """Symptom: on days on which instances restart in turn, makers' calls are two
-    thirds as full, and their room binds.
+async def test_owner_stays_exclusive_while_others_join_and_leave(world):
+    """Guard against low batch sizes during a rolling restart.
 
-    Sequence: instances that own nothing leave, one after the other, a few seconds
-    apart.
-    Cause: each of them made the owner wait for calls of an owner before.
+    Each instance that left, a few seconds apart and without owning anything, made the
+    owner wait as for the calls of a previous owner. Inputs filled the makers' room,
+    and calls were only two thirds as full.
     """
     owner, second, third = world.ranked
-    world.desks[owner].estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
-    assert world.ownerships[owner].is_sole(WHOLE)
+    world.executors[owner].estimate_wait(SERVICE)
+    world.clock.advance(HANDOVER_SECONDS)
+    assert world.ownerships[owner].is_exclusive(WHOLE)
     for other in (third, second):
         world.network.leaving.add(other)
         world.clock.advance(1.0)
-        assert not world.ownerships[owner].is_sole(WHOLE)
-        world.clock.advance(MEETING_SECONDS)
-        assert world.ownerships[owner].is_sole(WHOLE)
+        assert not world.ownerships[owner].is_exclusive(WHOLE)
+        world.clock.advance(CONVERGENCE_SECONDS)
+        assert world.ownerships[owner].is_exclusive(WHOLE)
 
 
 async def test_owner_that_is_suspected_for_a_moment_stays_the_owner(world):
-    """Symptom: in a large fleet two instances fill one service's makers, a moment each.
+    """Guard against a change of owner for a suspicion that is soon refuted.
 
-    Sequence: one answer to a probe is lost; the owner is suspected by all, and
-    refutes it a tenth of a second later.
-    Cause: a suspicion moved what the suspected one owned to the next.
+    In a large fleet a lost probe answer makes all instances suspect the owner, which
+    refutes it 0.1 s later. Ownership moved to the next instance in between, and two
+    instances filled the makers of one service.
     """
     owner, second, third = world.ranked
-    for desk in world.desks.values():
-        desk.estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    for executor in world.executors.values():
+        executor.estimate_wait(SERVICE)
+    world.clock.advance(HANDOVER_SECONDS)
     world.network.suspected.add(owner)
-    world.clock.advance(MEMBERS_LIFE)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    world.clock.advance(MEMBERS_CACHE_SECONDS)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[owner].made == [BUNDLE.bundle_id]
     world.clock.advance(SUSPICION_SECONDS)
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[second].made == [BUNDLE.bundle_id]
 
 
-async def test_owner_that_was_not_for_a_moment_is_not_sole(world):
-    """Symptom and cause as above for an owner that left.
+async def test_owner_that_lost_ownership_briefly_is_not_exclusive(world):
+    """Guard against inputs freed too early after a brief change of owner.
 
-    Sequence: an instance that goes before the owner comes and leaves again.
+    An instance that ranks before the owner joins and leaves again, and may have left
+    calls at the makers.
     """
     owner, second, _ = world.ranked
     world.network.leaving.add(owner)
-    world.desks[second].estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
-    assert world.ownerships[second].is_sole(WHOLE)
+    world.executors[second].estimate_wait(SERVICE)
+    world.clock.advance(HANDOVER_SECONDS)
+    assert world.ownerships[second].is_exclusive(WHOLE)
     world.network.leaving.discard(owner)
     world.clock.advance(1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.network.leaving.add(owner)
     world.clock.advance(1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
-    world.clock.advance(SETTLING_SECONDS - 1.0)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
+    world.clock.advance(HANDOVER_SECONDS - 1.0)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
     world.clock.advance(1.0)
-    assert world.ownerships[second].is_sole(WHOLE)
+    assert world.ownerships[second].is_exclusive(WHOLE)
 
 
-async def test_instance_that_passed_the_owner_over_is_not_sole(world):
-    """Symptom: pieces fail as "input gone" beside lines "owner-lost".
+async def test_instance_that_excluded_the_owner_is_not_exclusive(world):
+    """Guard against inputs freed too early where an owner is only unreachable.
 
-    Sequence: an instance can't reach the owner and asks the next one, or makes its
-    pieces itself; the owner goes on with those of others.
-    Cause: whoever makes pieces took the makers for its own.
+    An instance that cannot reach the owner uses the next one or calls the makers
+    itself, while the owner continues for other instances. Any instance that made
+    pieces assumed exclusive use of the makers, and pieces failed as "input gone" next
+    to log entries "owner-lost".
     """
     owner, second, third = world.ranked
-    for desk in world.desks.values():
-        desk.estimate_wait(SERVICE)
-    world.clock.advance(SETTLING_SECONDS)
+    for executor in world.executors.values():
+        executor.estimate_wait(SERVICE)
+    world.clock.advance(HANDOVER_SECONDS)
     world.network.gone.update((owner, second))
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     assert world.local[third].made == [BUNDLE.bundle_id]
-    assert not world.ownerships[third].is_sole(WHOLE)
-    assert not world.ownerships[second].is_sole(WHOLE)
+    assert not world.ownerships[third].is_exclusive(WHOLE)
+    assert not world.ownerships[second].is_exclusive(WHOLE)
 
 
-async def test_caller_that_leaves_withdraws_its_bundle_at_the_owner(world):
+async def test_cancelled_caller_withdraws_its_bundle_at_the_owner(world):
     owner, _, third = world.ranked
     world.local[owner].hold = asyncio.Event()
-    task = asyncio.create_task(world.desks[third].make(BUNDLE, do_nothing))
+    task = asyncio.create_task(world.executors[third].execute(BUNDLE, do_nothing))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     task.cancel()
@@ -497,22 +495,21 @@
 
 
 async def test_bundle_that_is_asked_for_right_after_it_was_withdrawn_is_made(world):
-    """Symptom: stages that are made again wait until their last moment for nothing.
+    """Guard against retried stages that wait in vain until their deadline.
 
-    Sequence: a stage is given up and asked for again at once, under the same name;
-    the owner reads both messages together.
-    Cause: it took the work that was being cancelled for that which is asked for.
+    A stage is cancelled and requested again at once under the same id, and the owner
+    reads both messages together. It joined the new request to the cancelled task.
     """
     owner, _, third = world.ranked
     local = world.local[owner]
     local.hold = asyncio.Event()
-    desk = world.desks[third]
-    first = asyncio.create_task(desk._send(owner, WHOLE, BUNDLE))
+    executor = world.executors[third]
+    first = asyncio.create_task(executor._send(owner, WHOLE, BUNDLE))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
     world.network.send(third, owner, PiecesDropped(BUNDLE.bundle_id))
-    second = asyncio.create_task(desk._send(owner, WHOLE, BUNDLE))
+    second = asyncio.create_task(executor._send(owner, WHOLE, BUNDLE))
     await asyncio.sleep(0.01)
     local.hold.set()
     reply = await second
@@ -523,45 +520,45 @@
 
 async def test_results_are_freed_by_the_owner_that_made_them(world):
     owner, _, third = world.ranked
-    results = await world.desks[third].make(BUNDLE, do_nothing)
-    world.desks[third].free(SERVICE, results)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
+    world.executors[third].free(SERVICE, results)
     assert world.local[owner].freed == list(results)
 
 
 async def test_results_of_an_owner_that_is_gone_are_freed_directly(world):
     owner, _, third = world.ranked
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
     world.network.gone.add(owner)
-    world.desks[third].free(SERVICE, results)
+    world.executors[third].free(SERVICE, results)
     assert world.local[third].freed == list(results)
 
 
-async def test_reader_is_told_that_inputs_are_read(world):
+async def test_caller_is_notified_that_inputs_are_read(world):
     read = []
-    await world.desks[world.ranked[2]].make(BUNDLE, lambda: read.append(True))
+    await world.executors[world.ranked[2]].execute(BUNDLE, lambda: read.append(True))
     assert read == [True]
 
 
-async def test_owner_tells_how_long_its_queue_is(world):
+async def test_owner_reports_its_queue_wait(world):
     owner, _, third = world.ranked
-    await world.desks[third].make(BUNDLE, do_nothing)
+    await world.executors[third].execute(BUNDLE, do_nothing)
     world.local[owner].wait = QueueWait(0.5, 1.5)
-    world.desks[owner]._words.tell(world.local[owner].list_waits())
-    assert world.desks[third].estimate_wait(SERVICE) == QueueWait(0.5, 1.5)
+    world.executors[owner]._reports.publish(world.local[owner].list_waits())
+    assert world.executors[third].estimate_wait(SERVICE) == QueueWait(0.5, 1.5)
     world.clock.advance(2.0)
-    assert world.desks[third].estimate_wait(SERVICE) == QueueWait()
+    assert world.executors[third].estimate_wait(SERVICE) == QueueWait()
 
 
 async def test_failure_of_pieces_is_passed_on(world):
     owner, _, third = world.ranked
 
     async def fail(sender, message):
-        return await world.desks[owner]._answer_wanted(sender, message)
+        return await world.executors[owner]._handle_request(sender, message)
 
-    async def make_nothing(group, bundle, note_read):
+    async def make_nothing(group, bundle, on_read):
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
 
-    world.local[owner].make_in = make_nothing
+    world.local[owner].execute_in = make_nothing
     world.network.handlers[owner][PiecesWanted] = fail
-    results = await world.desks[third].make(BUNDLE, do_nothing)
+    results = await world.executors[third].execute(BUNDLE, do_nothing)
     assert {one.failure for one in results} == {PieceFailure.LATE}
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -1,4 +1,4 @@
-"""Tests of what calls tell of a maker, on the lab's makers in virtual time."""
+"""Tests of the maker statistics that calls update, in virtual time."""
 
 from __future__ import annotations
 
@@ -25,19 +25,17 @@
     name="ledger", count=1, batch=10, item_seconds=0.01, room_bytes=10_000
 )
 PROFILE = SHAPE.create_profile()
-#: seconds that one call is allowed
-ALLOWED = 5.0
+#: timeout of a call, in seconds
+CALL_TIMEOUT = 5.0
 
 
 class World:
-    """A maker, and what is known of it."""
+    """A simulated maker, and the local state of it."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
         self.results = models.Results()
-        self.modelled = models.Maker(
-            SHAPE, "m:1", "north", self.results, random.Random(1)
-        )
+        self.model = models.Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         target = ListedTarget(
             incarnation=Incarnation("m", 1),
             service="ledger",
@@ -47,16 +45,16 @@
         self.maker = Maker(target, PROFILE, MakerRoom(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
-            links=models.ModelLinks(
-                {"m:1": self.modelled}, self.results, lambda _: stage
+            connections=models.ModelLinks(
+                {"m:1": self.model}, self.results, lambda _: stage
             ),
             codec=models.ModelCodec(),
-            book=SimpleNamespace(accepts=lambda incarnation: True),
+            target_table=SimpleNamespace(accepts=lambda incarnation: True),
             clock=self.clock,
         )
 
     async def call(self, *inputs: str) -> set[PieceFailure | None]:
-        """Have four pieces made that read ``inputs``; return what failed."""
+        """Make four pieces that read ``inputs`` and return their distinct failures."""
         now = self.clock.now()
         pieces = tuple(
             Piece(request_id="r", stage=1, segment=one, key="k", inputs=inputs)
@@ -67,12 +65,12 @@
             service="ledger",
             pieces=pieces,
             result_bytes=100,
-            aim=now + ALLOWED,
-            latest=now + ALLOWED,
+            aim=now + CALL_TIMEOUT,
+            latest=now + CALL_TIMEOUT,
         )
         call = PlannedCall(Incarnation("m", 1), [(bundle, piece) for piece in pieces])
-        self.maker.begin(len(pieces), now)
-        end = await self.caller.call(self.maker, call, ALLOWED, now)
+        self.maker.start_call(len(pieces), now)
+        end = await self.caller.call(self.maker, call, CALL_TIMEOUT, now)
         assert end.outcome == MADE
         return {one.failure for one in end.results}
 
@@ -86,24 +84,23 @@
 
 
 async def test_call_whose_inputs_are_gone_does_not_make_its_maker_seem_fast(world):
-    """Symptom: makers at which pieces fail as "input gone" get most of the calls.
+    """Guard against makers that attract calls because pieces fail there quickly.
 
-    Sequence: the inputs of all pieces of a call are gone; its maker answers sooner,
-    as there is nothing to make.
-    Cause: the time of that call was compared with that of making the pieces.
+    If the inputs of all pieces of a call are lost, the maker answers early. Measured
+    against the time for making the pieces, it would seem fast.
     """
     assert await world.call("nowhere/1") == {PieceFailure.GONE}
     assert world.find_slowness() == 1.0
 
 
 async def test_call_without_room_does_not_make_its_maker_seem_fast(world):
-    world.modelled.used = 10_000.0
+    world.model.used = 10_000.0
     assert await world.call() == {PieceFailure.ROOM}
     assert world.find_slowness() == 1.0
 
 
-async def test_call_that_waited_for_nothing_tells_that_its_maker_is_slow(world):
-    async with world.modelled._turn:
+async def test_call_that_waited_in_vain_shows_that_its_maker_is_slow(world):
+    async with world.model._turn:
         task = asyncio.create_task(world.call("nowhere/1"))
         await asyncio.sleep(1.0)
     assert await task == {PieceFailure.GONE}
@@ -111,11 +108,11 @@
     assert world.maker.calls == 0
 
 
-async def test_call_that_is_made_in_half_the_time_tells_that_its_maker_is_fast(world):
+async def test_call_made_in_half_the_time_shows_that_its_maker_is_fast(world):
     for _ in range(3):
         assert await world.call() == {None}
     usual = world.find_slowness()
-    world.modelled.shape = MakerShape(
+    world.model.shape = MakerShape(
         name="ledger",
         count=1,
         batch=10,
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -12,7 +12,7 @@
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.store import Entry
 from greengagelatch.store.ranges import Changes
-from greengagelatch_entry.relay.desk import LocalDesk
+from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_lab.platform_standins.targets import TargetFault
 
 
@@ -273,7 +273,7 @@
         latest=1e9,
         input_makers=(former,),
     )
-    results = await pipeline.find("stages").make(bundle, lambda: None)
+    results = await pipeline.find("stages").execute(bundle, lambda: None)
     assert [one.failure for one in results] == [PieceFailure.GONE]
 
 
@@ -284,18 +284,18 @@
     former incarnation of a maker. This instance knows of it and sends nothing. The
     fault is to count these unsent requests as failures of engines.
     """
-    make_in = LocalDesk.make_in
+    execute_in = LocalStageExecutor.execute_in
     former = Incarnation("ledger-1", 1)
     engines = [find_listed(pipeline, one).incarnation for one in ("llm-1", "llm-2")]
 
     async def make_unaware(self, group, bundle, note_read):
-        results = await make_in(self, group, bundle, note_read)
+        results = await execute_in(self, group, bundle, note_read)
         if bundle.service != "ledger":
             return results
         return tuple(replace(one, maker=former) for one in results)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(LocalDesk, "make_in", make_unaware)
+        patch.setattr(LocalStageExecutor, "execute_in", make_unaware)
         reply = await pipeline.stream(X_Attempt_Id="r-1")
     assert reply.status in (502, 503)
     assert not any(one.runs["r-1"] for one in list_targets(pipeline, "llm"))
--- a/tests/test_entry/test_relay/test_freeing.py
+++ b/tests/test_entry/test_relay/test_result_releaser.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.relay.freeing, in virtual time."""
+"""Tests of greengagelatch_entry.relay.result_releaser, in virtual time."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from greengagelatch.relay.pieces import PieceResult
 from greengagelatch.relay.targets import TargetBook
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.freeing import CLOSE_SECONDS, ResultFreeing
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
+from greengagelatch_entry.relay.result_releaser import CLOSE_TIMEOUT, ResultReleaser
 from greengagelatch_lab.stage_load.models import ModelCodec
 from greengagelatch_lab.stage_load.trial import LoopClock
 
@@ -20,7 +20,7 @@
 
 
 class Links:
-    """Takes in which results are freed, some time after they were sent."""
+    """Records results that are freed, some time after the request was sent."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
@@ -41,14 +41,14 @@
     return PieceResult(handle=handle, maker=Incarnation(handle.partition(":")[0], 1))
 
 
-def create_freeing(links: Links) -> ResultFreeing:
+def create_releaser(links: Links) -> ResultReleaser:
     metrics = PrometheusMetrics()
-    return ResultFreeing(
+    return ResultReleaser(
         "ledger",
         find_maker=lambda incarnation: None,
-        note_freed=lambda: None,
-        book=TargetBook(),
-        links=links,
+        on_freed=lambda: None,
+        target_table=TargetBook(),
+        connections=links,
         codec=ModelCodec(),
         metrics=metrics,
         decisions=DecisionLog(clock=LoopClock(), metrics=metrics),
@@ -56,43 +56,42 @@
 
 
 async def test_results_given_up_right_before_a_stop_are_freed():
-    """Symptom: calls find no room at makers for seconds after an instance has left.
+    """Guard against results that occupy makers after an instance has stopped.
 
-    Sequence: the last requests of an instance end, their results are given up; the
-    instance stops within the moment for which these are gathered.
-    Cause: what waited to be sent was dropped.
+    An instance that stopped while results were still being batched dropped the batch.
+    Calls found no room at the makers for seconds, until the results expired.
     """
     links = Links(0.002)
-    freeing = create_freeing(links)
-    freeing.free((create_result("m:1/0"), create_result("n:1/0")))
-    await freeing.close()
+    releaser = create_releaser(links)
+    releaser.free((create_result("m:1/0"), create_result("n:1/0")))
+    await releaser.close()
     assert sorted(links.freed) == ["m:1/0", "n:1/0"]
 
 
 async def test_results_that_are_being_freed_at_a_stop_are_waited_for():
     links = Links(0.05)
-    freeing = create_freeing(links)
-    freeing.free((create_result("m:1/0"),))
+    releaser = create_releaser(links)
+    releaser.free((create_result("m:1/0"),))
     await asyncio.sleep(0.03)
     assert links.sent == ["m:1/0"]
-    await freeing.close()
+    await releaser.close()
     assert links.freed == ["m:1/0"]
 
 
 async def test_stop_does_not_wait_for_makers_that_are_out_of_reach():
     links = Links(60.0)
-    freeing = create_freeing(links)
-    freeing.free((create_result("m:1/0"),))
+    releaser = create_releaser(links)
+    releaser.free((create_result("m:1/0"),))
     began = asyncio.get_running_loop().time()
-    await freeing.close()
+    await releaser.close()
     assert links.sent == ["m:1/0"]
     assert links.freed == []
     waited = asyncio.get_running_loop().time() - began
-    assert waited == pytest.approx(CLOSE_SECONDS, abs=0.01)
+    assert waited == pytest.approx(CLOSE_TIMEOUT, abs=0.01)
 
 
 async def test_stop_with_nothing_to_free_waits_for_nothing():
     links = Links(60.0)
     began = asyncio.get_running_loop().time()
-    await create_freeing(links).close()
+    await create_releaser(links).close()
     assert asyncio.get_running_loop().time() == pytest.approx(began, abs=0.001)
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -13,10 +13,10 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
+from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.piece_suspects import NoSuspects
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_entry.relay.stage_pool import LOOK_AGAIN, StagePool
+from greengagelatch_entry.relay.stage_pool import RESCHEDULE_SECONDS, StagePool
 from greengagelatch_lab.stage_load.models import Maker, ModelCodec, ModelLinks, Results
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -29,12 +29,12 @@
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
-#: seconds of patience of the bundles here
-PATIENCE = 60.0
+#: default deadline of the bundles, in seconds
+DEFAULT_TIMEOUT = 60.0
 
 
 class CountingPolicy(BatchPolicy):
-    """Decides like the policy in use, and counts the decisions."""
+    """Applies the production policy and counts its decisions."""
 
     def __init__(self) -> None:
         self.plans = 0
@@ -49,30 +49,30 @@
         return calls
 
 
-class NamedSuspects(NoSuspects):
-    """Suspects and holds the requests whose names it is given."""
+class FakeQuarantine(DisabledBundleQuarantine):
+    """Suspects and quarantines the requests with the given ids."""
 
     def __init__(self) -> None:
         self.suspected: set[str] = set()
-        self.held: set[str] = set()
+        self.quarantined: set[str] = set()
 
-    def has_any(self) -> bool:
-        return bool(self.suspected or self.held)
+    def has_suspects(self) -> bool:
+        return bool(self.suspected or self.quarantined)
 
     def is_suspect(self, bundle: Bundle) -> bool:
         return bundle.request_id in self.suspected
 
-    def is_held(self, bundle: Bundle) -> bool:
-        return bundle.request_id in self.held
+    def is_quarantined(self, bundle: Bundle) -> bool:
+        return bundle.request_id in self.quarantined
 
 
 class World:
-    """One maker, and the pool of its service."""
+    """A maker and the pool of its service."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
         self.policy = CountingPolicy()
-        self.suspects = NamedSuspects()
+        self.quarantine = FakeQuarantine()
         self.results = Results()
         self.maker = Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         listed = (
@@ -88,31 +88,31 @@
             MakerGroup(SERVICE),
             list_makers=lambda: listed,
             find_profile=lambda: PROFILE,
-            is_sole=lambda: False,
-            suspects=self.suspects,
+            is_exclusive=lambda: False,
+            quarantine=self.quarantine,
             policy=self.policy,
-            book=SimpleNamespace(
+            target_table=SimpleNamespace(
                 list_service=lambda service: listed,
                 accepts=lambda incarnation: True,
                 is_former=lambda incarnation: False,
                 has_former=lambda incarnations: False,
             ),
-            links=ModelLinks(
+            connections=ModelLinks(
                 {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
             ),
             codec=ModelCodec(),
             budgets=SimpleNamespace(
-                note_request=lambda service: None,
+                record_request=lambda service: None,
                 count_left=lambda service: 99,
-                take=lambda service: None,
+                try_spend=lambda service: None,
             ),
             clock=self.clock,
             metrics=metrics,
             decisions=DecisionLog(clock=self.clock, metrics=metrics),
         )
 
-    def ask(
-        self, number: int, patience: float = PATIENCE, pieces: int = 1
+    def submit(
+        self, number: int, timeout: float = DEFAULT_TIMEOUT, pieces: int = 1
     ) -> asyncio.Task:
         now = self.clock.now()
         name = f"r{number}"
@@ -124,10 +124,10 @@
                 for one in range(pieces)
             ),
             result_bytes=100,
-            aim=now + patience,
-            latest=now + patience,
+            aim=now + timeout,
+            latest=now + timeout,
         )
-        return asyncio.create_task(self.pool.make(bundle, lambda: None))
+        return asyncio.create_task(self.pool.execute(bundle, lambda: None))
 
 
 @pytest.fixture
@@ -138,67 +138,66 @@
 
 
 async def test_bundles_that_come_while_no_maker_is_idle_cost_no_decision(world):
-    """Symptom: the instance that gathers a service's pieces is late with all it does.
+    """Guard against an owner that is overloaded by planning calls.
 
-    Sequence: bundles come by the hundred while every maker is at work.
-    Cause: for each, all that wait were put in order, although no call could begin;
-    the work grew with the square of the queue.
+    Each bundle that arrived while all makers were busy had the whole queue sorted,
+    although no call could start, so that the work grew with the square of the queue.
     """
-    tasks = [world.ask(0)]
+    tasks = [world.submit(0)]
     await asyncio.sleep(0.01)
     before = world.policy.plans
-    tasks += [world.ask(number) for number in range(1, 200)]
+    tasks += [world.submit(number) for number in range(1, 200)]
     await asyncio.sleep(0.1)
     assert world.policy.plans == before
     await asyncio.gather(*tasks)
 
 
 async def test_next_call_begins_as_soon_as_the_maker_is_idle(world):
-    tasks = [world.ask(number) for number in range(12)]
+    tasks = [world.submit(number) for number in range(12)]
     await asyncio.gather(*tasks)
-    # the first alone, then a full call and the one that is left
+    # one call with the first piece, one full call and one with the last piece
     shortest = 3 * SHAPE.call_seconds + 12 * SHAPE.item_seconds
     assert world.clock.now() < shortest + 0.05
 
 
 async def test_those_that_come_at_the_same_moment_see_each_other_wait(world):
-    """Symptom: of requests that come together more are begun than can be on time.
+    """Guard against admitting more simultaneous requests than can be on time.
 
-    Sequence: the queue was counted, then several bundles come within milliseconds.
-    Cause: all of them are told the length that was counted before the first.
+    Bundles that arrived within milliseconds of each other all got the wait that was
+    computed before the first of them.
     """
-    tasks = [world.ask(number) for number in range(12)]
+    tasks = [world.submit(number) for number in range(12)]
     await asyncio.sleep(0.01)
     first = world.pool.estimate_wait().whole
-    tasks.append(world.ask(12, pieces=10))
+    tasks.append(world.submit(12, pieces=10))
     await asyncio.sleep(0.001)
     call = PROFILE.estimate_seconds(PROFILE.batch)
     assert world.pool.estimate_wait().whole == pytest.approx(first + call)
     await asyncio.gather(*tasks)
 
 
-async def test_bundle_that_can_not_be_made_in_time_is_given_up_while_makers_work(world):
-    tasks = [world.ask(number) for number in range(40)]
-    hopeless = world.ask(40, patience=0.3)
-    await asyncio.sleep(3 * LOOK_AGAIN)
-    assert hopeless.done()
-    assert {one.failure for one in hopeless.result()} == {PieceFailure.LATE}
+async def test_bundle_that_cannot_be_made_in_time_fails_while_makers_are_busy(world):
+    tasks = [world.submit(number) for number in range(40)]
+    expired = world.submit(40, timeout=0.3)
+    await asyncio.sleep(3 * RESCHEDULE_SECONDS)
+    assert expired.done()
+    assert {one.failure for one in expired.result()} == {PieceFailure.LATE}
     await asyncio.gather(*tasks)
 
 
-async def test_bundle_under_which_makers_ended_shares_calls_with_none(world):
-    """Guards against sound requests whose calls a suspected one ends."""
-    world.suspects.suspected = {"r3"}
-    await asyncio.gather(*(world.ask(number) for number in range(8)))
+async def test_bundle_that_crashed_makers_shares_no_calls(world):
+    """Guard against calls of sound requests that a suspected one crashes."""
+    world.quarantine.suspected = {"r3"}
+    await asyncio.gather(*(world.submit(number) for number in range(8)))
     shared = [call for call in world.policy.calls if "r3" in call]
     assert shared == [{"r3"}]
     assert set().union(*world.policy.calls) == {f"r{number}" for number in range(8)}
 
 
-async def test_held_bundle_goes_to_no_maker(world):
-    """Guards against a maker that ends under a bundle known to end makers."""
-    world.suspects.held = {"r1"}
-    held, sound = await asyncio.gather(world.ask(1), world.ask(2))
+async def test_quarantined_bundle_is_sent_to_no_maker(world):
+    """Guard against sending a bundle that is known to crash makers."""
+    world.quarantine.quarantined = {"r1"}
+    held, sound = await asyncio.gather(world.submit(1), world.submit(2))
     assert [one.failure for one in held] == [PieceFailure.HELD]
     assert [one.failure for one in sound] == [None]
     assert world.policy.calls == [{"r2"}]
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -1,4 +1,4 @@
-"""Tests of the stages of one request, on a desk that fails what it is told to."""
+"""Tests of greengagelatch_entry.relay.stages, with injected stage failures."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.exchange import RelayExchange
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_entry.relay.stage_desk import StageDesk
+from greengagelatch_entry.relay.stage_executor import StageExecutor
 from greengagelatch_entry.relay.stages import StageRun, StageRunner
 from greengagelatch_lab.stage_load.trial import LoopClock
 
@@ -39,7 +39,7 @@
     room_bytes=1_000_000,
     keep_seconds=4.0,
 )
-#: a stage for the target itself, and a chain of three
+#: one independent stage, and a chain of three stages
 ROUTE = Route(
     name="r",
     host="h",
@@ -56,23 +56,23 @@
 )
 
 
-class Desk(StageDesk):
-    """Makes each bundle in a moment of its own, unless it is to fail.
+class FakeExecutor(StageExecutor):
+    """Makes each bundle in 0.25 s, unless a failure is injected.
 
-    :param failures: what fails at the tries of a stage, in turn
+    :param failures: outcomes of the successive attempts of a stage
     """
 
     def __init__(self, failures: dict[int, list[PieceFailure | None]]) -> None:
-        self.tries: Counter[int] = Counter()
+        self.attempts: Counter[int] = Counter()
         self.freed: list[str] = []
-        #: inputs that were freed before a stage that reads them was made
+        #: inputs that were freed before the stage that reads them was done
         self.missed: list[str] = []
         self._failures = failures
 
-    async def make(self, bundle: Bundle, note_read) -> tuple[PieceResult, ...]:
+    async def execute(self, bundle: Bundle, on_read) -> tuple[PieceResult, ...]:
         stage = bundle.pieces[0].stage
-        self.tries[stage] += 1
-        number = self.tries[stage]
+        self.attempts[stage] += 1
+        number = self.attempts[stage]
         await asyncio.sleep(0.25)
         inputs = {handle for piece in bundle.pieces for handle in piece.inputs}
         self.missed.extend(inputs.intersection(self.freed))
@@ -92,15 +92,17 @@
         return QueueWait()
 
 
-def begin(desk: Desk, counts: tuple[int, ...] = (1, 1, 2, 1)) -> StageRun:
+def create_run(
+    executor: FakeExecutor, counts: tuple[int, ...] = (1, 1, 2, 1)
+) -> StageRun:
     clock = LoopClock()
     runner = StageRunner(
-        desk=desk,
+        executor=executor,
         clock=clock,
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
-        fleet=None,
-        book=TargetBook(),
+        load_balancer=None,
+        target_table=TargetBook(),
     )
     request = OpaqueRequest(
         request_id="r-1",
@@ -123,62 +125,61 @@
         service="engines",
         deadline=clock.now() + 6.0,
     )
-    return runner.begin(exchange, 0.1, 0.5)
+    return runner.create_run(exchange, 0.1, 0.5)
 
 
 async def test_stages_that_share_nothing_with_lost_results_are_kept():
-    """Symptom: after results were lost, makers are busy with work that was done.
+    """Guard against repeating stages that do not depend on lost results.
 
-    Sequence: the last stage of a chain finds that what it reads is gone, while the
-    results of another stage lie ready for the target.
-    Cause: all stages of the request were made again.
+    When the last stage of a chain lost its inputs, all stages of the request were
+    executed again, including an independent one whose results were still held.
     """
-    desk = Desk({3: [PieceFailure.GONE]})
-    results = await begin(desk).make()
-    assert desk.tries == {0: 1, 1: 2, 2: 2, 3: 2}
+    executor = FakeExecutor({3: [PieceFailure.GONE]})
+    results = await create_run(executor).execute()
+    assert executor.attempts == {0: 1, 1: 2, 2: 2, 3: 2}
     assert results.inputs == ("0/1/0", "3/2/0")
-    assert not set(results.inputs).intersection(desk.freed)
-    assert desk.missed == []
+    assert not set(results.inputs).intersection(executor.freed)
+    assert executor.missed == []
 
 
 async def test_stages_before_a_lost_result_are_made_again():
-    desk = Desk({2: [PieceFailure.GONE]})
-    results = await begin(desk).make()
-    assert desk.tries == {0: 1, 1: 2, 2: 2, 3: 1}
+    executor = FakeExecutor({2: [PieceFailure.GONE]})
+    results = await create_run(executor).execute()
+    assert executor.attempts == {0: 1, 1: 2, 2: 2, 3: 1}
     assert results.inputs == ("0/1/0", "3/1/0")
-    assert desk.missed == []
+    assert executor.missed == []
 
 
-async def test_all_results_are_freed_where_some_are_lost_again_and_again():
-    desk = Desk({2: [PieceFailure.GONE] * 5})
-    run = begin(desk)
-    with pytest.raises(RefusedError, match="lost again and again"):
-        await run.make()
-    assert desk.tries == {0: 1, 1: 2, 2: 2}
-    assert sorted(desk.freed) == ["0/1/0", "1/1/0", "1/2/0"]
+async def test_all_results_are_freed_when_some_are_lost_repeatedly():
+    executor = FakeExecutor({2: [PieceFailure.GONE] * 5})
+    run = create_run(executor)
+    with pytest.raises(RefusedError, match="lost repeatedly"):
+        await run.execute()
+    assert executor.attempts == {0: 1, 1: 2, 2: 2}
+    assert sorted(executor.freed) == ["0/1/0", "1/1/0", "1/2/0"]
 
 
 async def test_request_that_needs_none_of_the_stages_waits_for_nothing():
-    desk = Desk({})
-    results = await begin(desk, (0, 0, 0, 0)).make()
+    executor = FakeExecutor({})
+    results = await create_run(executor, (0, 0, 0, 0)).execute()
     assert results.inputs == ()
-    assert not desk.tries
+    assert not executor.attempts
 
 
-async def test_other_stages_are_given_up_with_one_that_is_late():
-    desk = Desk({1: [PieceFailure.LATE]})
-    run = begin(desk)
+async def test_other_stages_are_cancelled_when_one_is_late():
+    executor = FakeExecutor({1: [PieceFailure.LATE]})
+    run = create_run(executor)
     with pytest.raises(RefusedError, match="stage 1 of a: late"):
-        await run.make()
-    assert desk.tries == {0: 1, 1: 1}
+        await run.execute()
+    assert executor.attempts == {0: 1, 1: 1}
 
 
-async def test_caller_that_leaves_gives_up_all_stages():
-    desk = Desk({})
-    task = asyncio.create_task(begin(desk).make())
+async def test_cancelled_caller_cancels_all_stages():
+    executor = FakeExecutor({})
+    task = asyncio.create_task(create_run(executor).execute())
     await asyncio.sleep(0.3)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
-    assert desk.tries == {0: 1, 1: 1, 2: 1}
-    assert sorted(desk.freed) == ["0/1/0", "1/1/0"]
+    assert executor.attempts == {0: 1, 1: 1, 2: 1}
+    assert sorted(executor.freed) == ["0/1/0", "1/1/0"]
