--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -1,6 +1,6 @@
-"""Tests of stage work of which two instances believe that they gather it.
+"""Tests of maker groups that two instances own at the same time.
 
-Times are those of a virtual loop, so the order of events is the same in each run.
+They run in virtual time, so that the order of events is the same in each run.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
+from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
 from greengagelatch_entry.relay.decisions import DecisionLog
-from greengagelatch_entry.relay.desk import LocalDesk
-from greengagelatch_entry.relay.owned_desk import OwnedDesk
+from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
+from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
 from greengagelatch_entry.relay.ownership import Ownership
-from greengagelatch_entry.relay.piece_suspects import NoSuspects
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_groups import MakerGroups
 from greengagelatch_entry.relay.stage_pool import StagePool
@@ -48,16 +48,16 @@
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
-#: seconds by which the second owner's call comes after the first one's, of about
-#: 0.25 that each takes
-APART = 0.02
-#: seconds after which what an instance knows of others is believed: longer than an
-#: instance that leaves goes on
-LONG = 30.0
+#: seconds between the first and the second owner's call, each of which takes about
+#: 0.25 s
+CALL_OFFSET = 0.02
+#: seconds after which the membership counts as stable: longer than a draining instance
+#: continues
+STABLE_SECONDS = 30.0
 
 
 class World:
-    """One maker, which works on one call at a time, in the order of arrival."""
+    """A maker that processes one call at a time, in order of arrival."""
 
     def __init__(self) -> None:
         self.clock = LoopClock()
@@ -83,21 +83,23 @@
             has_former=lambda incarnations: False,
         )
 
-    def create_pool(self, is_sole: Callable[[], bool] = lambda: False) -> StagePool:
+    def create_pool(
+        self, is_exclusive: Callable[[], bool] = lambda: False
+    ) -> StagePool:
         budgets = SimpleNamespace(
-            note_request=lambda service: None,
+            record_request=lambda service: None,
             count_left=lambda service: 99,
-            take=lambda service: None,
+            try_spend=lambda service: None,
         )
         return StagePool(
             WHOLE,
             list_makers=lambda: self.makers,
             find_profile=lambda: PROFILE,
-            is_sole=is_sole,
-            suspects=NoSuspects(),
+            is_exclusive=is_exclusive,
+            quarantine=DisabledBundleQuarantine(),
             policy=SharedCalls(),
-            book=self.book,
-            links=self.links,
+            target_table=self.book,
+            connections=self.links,
             codec=ModelCodec(),
             budgets=budgets,
             clock=self.clock,
@@ -105,8 +107,10 @@
             decisions=self.decisions,
         )
 
-    def create_desk(self, members: dict[str, MemberState]) -> OwnedDesk:
-        """Return the desk of the first of ``members``, as that one sees them."""
+    def create_executor(
+        self, members: dict[str, MemberState]
+    ) -> ForwardingStageExecutor:
+        """Return the executor of the first of ``members``, with its view of them."""
         peers = SimpleNamespace(
             instance_id=next(iter(members)),
             members=lambda: tuple(
@@ -116,15 +120,15 @@
             handle=lambda kind, handler: None,
         )
         ownership = Ownership(peers=peers, clock=self.clock, decisions=self.decisions)
-        desk = OwnedDesk(
-            local=LocalDesk(
+        executor = ForwardingStageExecutor(
+            local=LocalStageExecutor(
                 create_pool=lambda group: self.create_pool(
-                    lambda: ownership.is_sole(group)
+                    lambda: ownership.is_exclusive(group)
                 )
             ),
             groups=MakerGroups(
                 rule=ByCapacity(),
-                book=self.book,
+                target_table=self.book,
                 list_members=peers.members,
                 find_profile=lambda service: PROFILE,
             ),
@@ -137,12 +141,12 @@
             metrics=self.metrics,
             decisions=self.decisions,
         )
-        # takes note of who is there
-        desk.estimate_wait(SERVICE)
-        return desk
+        # initialises the membership view
+        executor.estimate_wait(SERVICE)
+        return executor
 
     def add_input(self, handle: str) -> None:
-        until = self.clock.now() + LONG
+        until = self.clock.now() + STABLE_SECONDS
         self.results.held[handle] = Result(self.maker, 100, until)
         self.maker.used += 100
 
@@ -163,18 +167,18 @@
             latest=self.clock.now() + 5.0,
         )
 
-    async def make_both(self, first, second) -> list[set[PieceFailure | None]]:
-        """Have two desks or pools make a bundle each; return what failed of it.
+    async def execute_both(self, first, second) -> list[set[PieceFailure | None]]:
+        """Let two executors or pools make a bundle each; return the failures of both.
 
-        What the pieces read is freed as soon as it is said to be read.
+        The inputs of the pieces are freed as soon as they are reported as read.
         """
         tasks = []
         for number, maker in enumerate((first, second)):
             bundle = self.create_bundle(f"r-{number}")
             handle = bundle.pieces[0].inputs[0]
-            note_read = self._create_freeing(handle)
-            tasks.append(asyncio.create_task(maker.make(bundle, note_read)))
-            await asyncio.sleep(APART)
+            on_read = self._create_freeing(handle)
+            tasks.append(asyncio.create_task(maker.execute(bundle, on_read)))
+            await asyncio.sleep(CALL_OFFSET)
         made = await asyncio.gather(*tasks)
         return [{one.failure for one in results} for results in made]
 
@@ -188,86 +192,87 @@
 
 
 async def test_second_of_two_owners_keeps_the_inputs_of_its_pieces(world):
-    """Symptom: a tenth of the pieces fail as "input gone" while instances restart,
-    and requests end with "stage results were lost again and again".
+    """Guard against inputs that are freed before a queued call has read them.
 
-    Sequence: two instances gather the pieces of one service; the call of the second
-    waits at the maker behind that of the first; 0.1 s after it was sent its inputs
-    are said to be read and are freed; its turn comes.
-    Cause: each counts only its own calls at a maker.
+    With two owners, the second one's call waits at the maker behind the first one's.
+    Each counted only its own calls at the maker, so that the inputs were reported as
+    read and freed 0.1 s after the call was sent. During restarts a tenth of the pieces
+    failed as "input gone", and their requests with lost stage results.
     """
-    made = await world.make_both(world.create_pool(), world.create_pool())
+    made = await world.execute_both(world.create_pool(), world.create_pool())
     assert made == [{None}, {None}]
 
 
 async def test_next_owner_waits_for_the_calls_of_one_that_leaves(world):
-    """Symptom and cause as above.
+    """Guard against inputs freed too early while an owner drains.
 
-    Sequence: the owner of a service begins to leave, with bundles of its peers in
-    work; the next owner is asked for the newer ones.
+    The draining owner still executes bundles of its peers, which send newer bundles to
+    the next owner.
     """
     members = {"entry-1": MemberState.LEAVING, "entry-2": MemberState.ALIVE}
-    leaving = world.create_desk(members)
+    leaving = world.create_executor(members)
     before = {"entry-2": MemberState.ALIVE, "entry-1": MemberState.ALIVE}
-    following = world.create_desk(before)
-    await asyncio.sleep(LONG)
+    following = world.create_executor(before)
+    await asyncio.sleep(STABLE_SECONDS)
     before["entry-1"] = MemberState.LEAVING
     # as a peer's bundle: those it gathers itself
-    made = await world.make_both(leaving._local, following)
+    made = await world.execute_both(leaving._local, following)
     assert made == [{None}, {None}]
 
 
 async def test_newcomer_waits_for_the_calls_of_the_owner_before(world):
-    """Symptom and cause as above.
+    """Guard against inputs freed too early by a new owner.
 
-    Sequence: an instance comes and owns a service; the one that owned it before has
-    a call at the maker.
+    An instance joins and becomes the owner while the previous owner has a call at the
+    maker.
     """
     members = {"entry-2": MemberState.ALIVE}
-    before = world.create_desk(members)
-    await asyncio.sleep(LONG)
-    newcomer = world.create_desk({"entry-1": MemberState.ALIVE})
-    made = await world.make_both(before, newcomer)
+    before = world.create_executor(members)
+    await asyncio.sleep(STABLE_SECONDS)
+    newcomer = world.create_executor({"entry-1": MemberState.ALIVE})
+    made = await world.execute_both(before, newcomer)
     assert made == [{None}, {None}]
 
 
 async def test_owner_before_waits_for_the_calls_of_a_newcomer(world):
-    """Symptom and cause as above.
+    """Guard against inputs freed too early by a previous owner.
 
-    Sequence: an instance comes and owns a service; the one that owned it before
-    knows it, and still has bundles of its peers that wait for a maker.
+    An instance joins and becomes the owner; the previous owner knows it and still has
+    queued bundles of its peers.
     """
     members = {"entry-2": MemberState.ALIVE}
-    before = world.create_desk(members)
-    await asyncio.sleep(LONG)
+    before = world.create_executor(members)
+    await asyncio.sleep(STABLE_SECONDS)
     members["entry-1"] = MemberState.ALIVE
-    newcomer = world.create_desk(dict(reversed(members.items())))
-    made = await world.make_both(newcomer._local, before._local)
+    newcomer = world.create_executor(dict(reversed(members.items())))
+    made = await world.execute_both(newcomer._local, before._local)
     assert made == [{None}, {None}]
 
 
-async def test_inputs_of_a_sole_owner_are_freed_while_its_call_is_made(world):
-    """Symptom: calls wait for room on quiet days, though no instance came or went.
+async def test_inputs_of_an_exclusive_owner_are_freed_during_its_call(world):
+    """Guard against inputs that occupy makers longer than needed.
 
-    Sequence: an instance has owned a service for long; its call begins at once.
-    Cause: what pieces read lies at its makers until their call has ended.
+    If a long-standing owner kept the inputs until the end of a call that started at
+    once, other calls would wait for room although the membership is stable.
     """
-    desk = world.create_desk({"entry-1": MemberState.ALIVE})
-    await asyncio.sleep(LONG)
+    executor = world.create_executor({"entry-1": MemberState.ALIVE})
+    await asyncio.sleep(STABLE_SECONDS)
     bundle = world.create_bundle("r-1")
     read = []
-    task = asyncio.create_task(desk.make(bundle, lambda: read.append(task.done())))
+    task = asyncio.create_task(
+        executor.execute(bundle, lambda: read.append(task.done()))
+    )
     assert [one.failure for one in await task] == [None] * 4
     assert read == [False]
 
 
 async def test_inputs_of_a_new_owner_are_kept_until_its_call_has_ended(world):
     members = {"entry-1": MemberState.ALIVE, "entry-2": MemberState.ALIVE}
-    desk = world.create_desk(members)
-    await asyncio.sleep(LONG)
+    executor = world.create_executor(members)
+    await asyncio.sleep(STABLE_SECONDS)
     del members["entry-2"]
     bundle = world.create_bundle("r-1")
     read = []
-    results = await desk._local.make(bundle, lambda: read.append(True))
+    results = await executor._local.execute(bundle, lambda: read.append(True))
     assert [one.failure for one in results] == [None] * 4
     assert read == []
