--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -8,7 +8,7 @@
 
 from mode import Service
 
-from greengagelatch.leases.contention import Wish, choose_wish
+from greengagelatch.leases.contention import LeaseIntent, choose_wish
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.leases.rules import LeaseRules
 from greengagelatch.leases.tenure import Tenure, TenureStep
@@ -81,7 +81,7 @@
         #: members as last seen, and what follows from them for each group: to work
         #: it out takes a hash for each member, far too many for every tick
         self._ranked: tuple[Member, ...] = ()
-        self._wishes: dict[str, Wish] = {}
+        self._wishes: dict[str, LeaseIntent] = {}
         #: number of leases held, as last reported
         self._held = 0
         #: last failed call by group, for the state dump
@@ -154,7 +154,7 @@
                 tenure = Tenure(instance_id=self._peers.instance_id, rules=self._rules)
             wish = self._choose_wish(group)
             tenure = tenure.plan(now, wish)
-            if wish is Wish.LET_GO and not tenure.lease_id:
+            if wish is LeaseIntent.LET_GO and not tenure.lease_id:
                 self._tenures.pop(group, None)
                 self._errors.pop(group, None)
                 continue
@@ -172,11 +172,11 @@
             self._held = held
             self._metrics.gauge("leases.held", held)
 
-    def _choose_wish(self, group: str) -> Wish:
+    def _choose_wish(self, group: str) -> LeaseIntent:
         if group in self._busy:
-            return Wish.HOLD
+            return LeaseIntent.HOLD
         if group not in self._wanted:
-            return Wish.LET_GO
+            return LeaseIntent.LET_GO
         members = self._peers.members()
         if members is not self._ranked:
             self._ranked = members
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -8,7 +8,7 @@
 
 from result import Err
 
-from greengagelatch.leases.contention import Wish
+from greengagelatch.leases.contention import LeaseIntent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
 from greengagelatch.leases.tenure import Tenure, TenureStep
@@ -102,7 +102,7 @@
         world = OrdersWorld(self._budget, tuple(contenders))
         if self._holding:
             for _ in range(3):
-                world = self._begin(world, 0, Wish.HOLD)
+                world = self._begin(world, 0, LeaseIntent.HOLD)
                 world = self._handle(world, 0)
                 world = self._answer(world, 0, world.contenders[0].call.answer)
             # the former holder's time is not what this run is about
@@ -195,7 +195,7 @@
         self, state: OrdersWorld, number: int
     ) -> Iterator[tuple[str, OrdersWorld]]:
         contender = state.contenders[number]
-        begun = self._begin(state, number, Wish.HOLD)
+        begun = self._begin(state, number, LeaseIntent.HOLD)
         step = begun.contenders[number].tenure.step
         if step is TenureStep.LOOK and state.store.revision != ABSENT:
             # it would find a holder and look again later, as if it had not looked
@@ -209,9 +209,9 @@
         busy = contender.awaited or contender.planned or contender.record.unsettled
         if state.budget.let_go and contender.tenure.held and not busy:
             spent = spend(state, "let_go")
-            yield f"{number} lets go", self._begin(spent, number, Wish.LET_GO)
+            yield f"{number} lets go", self._begin(spent, number, LeaseIntent.LET_GO)
 
-    def _begin(self, state: OrdersWorld, number: int, wish: Wish) -> OrdersWorld:
+    def _begin(self, state: OrdersWorld, number: int, wish: LeaseIntent) -> OrdersWorld:
         contender = state.contenders[number]
         now = self._read_clock(state, number)
         tenure = contender.tenure.plan(now, wish)
@@ -233,7 +233,7 @@
         now = self._read_clock(state, number)
         match tenure.step:
             case TenureStep.LOOK:
-                after = tenure.take_looked(answer, now, Wish.HOLD)
+                after = tenure.take_looked(answer, now, LeaseIntent.HOLD)
             case TenureStep.GRANT:
                 after = tenure.take_granted(answer, now)
             case TenureStep.ACQUIRE:
--- a/packages/greengagelatch/src/greengagelatch/leases/contention.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/contention.py
@@ -13,14 +13,14 @@
 
     from ..peers import Member
 
-__all__ = ("Wish", "choose_wish")
+__all__ = ("LeaseIntent", "choose_wish")
 
 #: states in which a member is taken to be able to hold a lease; one that is only
 #: suspected stays in, or every slow answer would move leases about
 ABLE = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
 
 
-class Wish(Enum):
+class LeaseIntent(Enum):
     """What an instance wants of one lease."""
 
     #: get it, and keep it
@@ -32,12 +32,12 @@
 
 
 #: by the place in line; everyone behind lets go
-_PLACES = (Wish.HOLD, Wish.STAND_BY)
+_PLACES = (LeaseIntent.HOLD, LeaseIntent.STAND_BY)
 
 
 def choose_wish(
     group: str, members: Iterable[Member], *, data_centre: str, instance_id: str
-) -> Wish:
+) -> LeaseIntent:
     """Return what ``instance_id`` wants of the lease of ``group``.
 
     Instances that see the same members agree on the line without a message; those
@@ -55,4 +55,4 @@
     place = line.index(instance_id)
     if place < len(_PLACES):
         return _PLACES[place]
-    return Wish.LET_GO
+    return LeaseIntent.LET_GO
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from ..store import ABSENT, StoreErrorKind, WriteOutcome
-from .contention import Wish
+from .contention import LeaseIntent
 
 if TYPE_CHECKING:
     from ..store import Entry, Lease, StoreError, WriteResult
@@ -110,11 +110,11 @@
         # by then, and not necessarily at any earlier moment
         return now.monotonic - self.acquired >= longest + self.rules.margin
 
-    def plan(self, now: Instant, wish: Wish) -> Tenure:
+    def plan(self, now: Instant, wish: LeaseIntent) -> Tenure:
         """Choose the next call to the store."""
         if self.step is not TenureStep.REST:
             return self
-        if wish is Wish.LET_GO:
+        if wish is LeaseIntent.LET_GO:
             return self.leave()
         if now.monotonic < self.due:
             return self
@@ -133,12 +133,12 @@
         return dataclasses.replace(self, sent=now)
 
     def take_looked(
-        self, answer: Result[Entry | None, StoreError], now: Instant, wish: Wish
+        self, answer: Result[Entry | None, StoreError], now: Instant, wish: LeaseIntent
     ) -> Tenure:
         """Go on after the key was read."""
         if isinstance(answer, Ok) and answer.ok_value is None:
             return self._end_call(TenureStep.GRANT)
-        delay = self.rules.interval if wish is Wish.HOLD else self.rules.stand_by
+        delay = self.rules.interval if wish is LeaseIntent.HOLD else self.rules.stand_by
         return self._rest(now, delay)
 
     def take_granted(self, answer: Result[Lease, StoreError], now: Instant) -> Tenure:
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.leases.contention import Wish, choose_wish
+from greengagelatch.leases.contention import LeaseIntent, choose_wish
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
 from greengagelatch.leases.tenure import Tenure, TenureStep
@@ -27,8 +27,8 @@
 
 
 def hold(*, asked=0.0, answered=0.0, ttl=40.0):
-    tenure = Tenure(instance_id="a", rules=RULES).plan(at(asked), Wish.HOLD)
-    tenure = tenure.begin(at(asked)).take_looked(Ok(None), at(asked), Wish.HOLD)
+    tenure = Tenure(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
+    tenure = tenure.begin(at(asked)).take_looked(Ok(None), at(asked), LeaseIntent.HOLD)
     tenure = tenure.begin(at(asked))
     tenure = tenure.take_granted(Ok(Lease("lease-1", ttl, 1)), at(answered))
     written = WriteResult(WriteOutcome.APPLIED, 9)
@@ -36,7 +36,7 @@
 
 
 def renew(tenure, *, asked, answered, answer):
-    tenure = tenure.plan(at(asked), Wish.HOLD)
+    tenure = tenure.plan(at(asked), LeaseIntent.HOLD)
     assert tenure.step is TenureStep.KEEP
     return tenure.begin(at(asked)).take_kept(answer, at(answered))
 
@@ -98,11 +98,11 @@
     members = [*create_members(9), *create_members(9, "south")]
     for number in range(20):
         wishes = choose_all(f"north/service-{number}", members)
-        assert wishes.count(Wish.HOLD) == 1
-        assert wishes.count(Wish.STAND_BY) == 1
-        assert wishes.count(Wish.LET_GO) == 7
+        assert wishes.count(LeaseIntent.HOLD) == 1
+        assert wishes.count(LeaseIntent.STAND_BY) == 1
+        assert wishes.count(LeaseIntent.LET_GO) == 7
 
 
 def test_a_cut_off_instance_still_tries_by_itself():
     wish = choose_wish("north/writer", [], data_centre="north", instance_id="a")
-    assert wish is Wish.HOLD
+    assert wish is LeaseIntent.HOLD
