--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -154,7 +154,7 @@
                 tenure = Tenure(instance_id=self._peers.instance_id, rules=self._rules)
             wish = self._choose_wish(group)
             tenure = tenure.plan(now, wish)
-            if wish is LeaseIntent.LET_GO and not tenure.lease_id:
+            if wish is LeaseIntent.RELEASE and not tenure.lease_id:
                 self._tenures.pop(group, None)
                 self._errors.pop(group, None)
                 continue
@@ -176,7 +176,7 @@
         if group in self._busy:
             return LeaseIntent.HOLD
         if group not in self._wanted:
-            return LeaseIntent.LET_GO
+            return LeaseIntent.RELEASE
         members = self._peers.members()
         if members is not self._ranked:
             self._ranked = members
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -209,7 +209,7 @@
         busy = contender.awaited or contender.planned or contender.record.unsettled
         if state.budget.let_go and contender.tenure.held and not busy:
             spent = spend(state, "let_go")
-            yield f"{number} lets go", self._begin(spent, number, LeaseIntent.LET_GO)
+            yield f"{number} lets go", self._begin(spent, number, LeaseIntent.RELEASE)
 
     def _begin(self, state: OrdersWorld, number: int, wish: LeaseIntent) -> OrdersWorld:
         contender = state.contenders[number]
--- a/packages/greengagelatch/src/greengagelatch/leases/contention.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/contention.py
@@ -28,7 +28,7 @@
     #: keep it if held; try for it now and then
     STAND_BY = "stand-by"
     #: give it up
-    LET_GO = "let-go"
+    RELEASE = "let-go"
 
 
 #: by the place in line; everyone behind lets go
@@ -55,4 +55,4 @@
     place = line.index(instance_id)
     if place < len(_PLACES):
         return _PLACES[place]
-    return LeaseIntent.LET_GO
+    return LeaseIntent.RELEASE
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -114,7 +114,7 @@
         """Choose the next call to the store."""
         if self.step is not TenureStep.REST:
             return self
-        if wish is LeaseIntent.LET_GO:
+        if wish is LeaseIntent.RELEASE:
             return self.leave()
         if now.monotonic < self.due:
             return self
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -100,7 +100,7 @@
         wishes = choose_all(f"north/service-{number}", members)
         assert wishes.count(LeaseIntent.HOLD) == 1
         assert wishes.count(LeaseIntent.STAND_BY) == 1
-        assert wishes.count(LeaseIntent.LET_GO) == 7
+        assert wishes.count(LeaseIntent.RELEASE) == 7
 
 
 def test_a_cut_off_instance_still_tries_by_itself():
