--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -8,7 +8,7 @@
 
 from mode import Service
 
-from greengagelatch.leases.contention import LeaseIntent, choose_wish
+from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.leases.rules import LeaseRules
 from greengagelatch.leases.tenure import Tenure, TenureStep
@@ -183,7 +183,7 @@
             self._wishes.clear()
         wish = self._wishes.get(group)
         if wish is None:
-            wish = self._wishes[group] = choose_wish(
+            wish = self._wishes[group] = choose_intent(
                 group,
                 members,
                 data_centre=self._data_centre,
--- a/packages/greengagelatch/src/greengagelatch/leases/contention.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/contention.py
@@ -13,7 +13,7 @@
 
     from ..peers import Member
 
-__all__ = ("LeaseIntent", "choose_wish")
+__all__ = ("LeaseIntent", "choose_intent")
 
 #: states in which a member is taken to be able to hold a lease; one that is only
 #: suspected stays in, or every slow answer would move leases about
@@ -35,7 +35,7 @@
 _PLACES = (LeaseIntent.HOLD, LeaseIntent.STAND_BY)
 
 
-def choose_wish(
+def choose_intent(
     group: str, members: Iterable[Member], *, data_centre: str, instance_id: str
 ) -> LeaseIntent:
     """Return what ``instance_id`` wants of the lease of ``group``.
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -4,7 +4,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.leases.contention import LeaseIntent, choose_wish
+from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
 from greengagelatch.leases.tenure import Tenure, TenureStep
@@ -88,7 +88,9 @@
 
 def choose_all(group, members):
     return [
-        choose_wish(group, members, data_centre="north", instance_id=member.instance_id)
+        choose_intent(
+            group, members, data_centre="north", instance_id=member.instance_id
+        )
         for member in members
         if member.data_centre == "north"
     ]
@@ -104,5 +106,5 @@
 
 
 def test_a_cut_off_instance_still_tries_by_itself():
-    wish = choose_wish("north/writer", [], data_centre="north", instance_id="a")
+    wish = choose_intent("north/writer", [], data_centre="north", instance_id="a")
     assert wish is LeaseIntent.HOLD
