--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -11,7 +11,7 @@
 from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.tenure import LeaseState, TenureStep
 from greengagelatch.store import ABSENT
 
 from . import Controller
@@ -76,7 +76,7 @@
         self._timeout: float = settings["platform.timeout"]
         self._wanted: frozenset[str] = frozenset()
         self._busy: frozenset[str] = frozenset()
-        self._tenures: dict[str, Tenure] = {}
+        self._tenures: dict[str, LeaseState] = {}
         self._calls: dict[str, asyncio.Task[None]] = {}
         #: members as last seen, and what follows from them for each group: to work
         #: it out takes a hash for each member, far too many for every tick
@@ -96,7 +96,7 @@
         self._wanted = frozenset(groups)
         self._busy = frozenset(busy)
 
-    def find(self, group: str) -> Tenure | None:
+    def find(self, group: str) -> LeaseState | None:
         """Return what is known of a group's lease at this moment.
 
         The lease may lapse at any later one, so whoever acts under it asks anew
@@ -151,7 +151,9 @@
                 continue
             tenure = self._tenures.get(group)
             if tenure is None:
-                tenure = Tenure(instance_id=self._peers.instance_id, rules=self._rules)
+                tenure = LeaseState(
+                    instance_id=self._peers.instance_id, rules=self._rules
+                )
             wish = self._choose_wish(group)
             tenure = tenure.plan(now, wish)
             if wish is LeaseIntent.RELEASE and not tenure.lease_id:
@@ -205,7 +207,7 @@
             self._note_change(group, tenure, after)
             self._tenures[group] = after
 
-    async def _make_call(self, group: str, tenure: Tenure) -> Tenure:
+    async def _make_call(self, group: str, tenure: LeaseState) -> LeaseState:
         key = f"{PREFIX}/{group}"
         match tenure.step:
             case TenureStep.LOOK:
@@ -241,7 +243,7 @@
         self._errors[group] = f"{error.kind.value}: {error.message}"
         self._metrics.count(f"leases.errors.{error.kind.value}")
 
-    def _note_change(self, group: str, before: Tenure, after: Tenure) -> None:
+    def _note_change(self, group: str, before: LeaseState, after: LeaseState) -> None:
         if after.held and not before.held:
             self._metrics.count("leases.acquired")
             logger.info("lease of %s acquired, number %d", group, after.fence)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -25,7 +25,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.snapshot import Snapshot
     from greengagelatch.events import EventBus
-    from greengagelatch.leases.tenure import Tenure
+    from greengagelatch.leases.tenure import LeaseState
     from greengagelatch.orders import OrderClient
     from greengagelatch.orders.group import EngineStep
     from greengagelatch.settings import Settings
@@ -173,7 +173,7 @@
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
 
-    def _may_order(self, group: Group, tenure: Tenure) -> bool:
+    def _may_order(self, group: Group, tenure: LeaseState) -> bool:
         if self._draining or not group.placed:
             return False
         group.current = group.current or self._is_current(tenure)
@@ -183,7 +183,7 @@
         fencing = self._read_fencing(group)
         return has_turn(tenure, now, rules=self._rules, fencing=fencing)
 
-    def _is_current(self, tenure: Tenure) -> bool:
+    def _is_current(self, tenure: LeaseState) -> bool:
         """Whether the configuration was the newest at some time of this tenure.
 
         The former holder may have acted on a newer one than this instance knows as
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -11,7 +11,7 @@
 from greengagelatch.leases.contention import LeaseIntent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.tenure import LeaseState, TenureStep
 from greengagelatch.orders import EngineReport, EngineState, Order, permission
 from greengagelatch.orders.engine import EngineAction, EngineRecord
 from greengagelatch.orders.rules import Fencing, OrderRules
@@ -97,7 +97,7 @@
         contenders = []
         for number in range(len(self._speeds)):
             contenders.append(
-                Contender(Tenure(instance_id=str(number), rules=LEASE_RULES))
+                Contender(LeaseState(instance_id=str(number), rules=LEASE_RULES))
             )
         world = OrdersWorld(self._budget, tuple(contenders))
         if self._holding:
@@ -251,7 +251,7 @@
         return self._change_tenure(state, number, after, None)
 
     def _change_tenure(
-        self, state: OrdersWorld, number: int, tenure: Tenure, call: Call | None
+        self, state: OrdersWorld, number: int, tenure: LeaseState, call: Call | None
     ) -> OrdersWorld:
         contender = state.contenders[number]
         record = contender.record
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.tenure import LeaseState, TenureStep
 from greengagelatch.orders import EngineState, Order
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.store import ABSENT
@@ -60,7 +60,7 @@
 class Contender:
     """One entry instance."""
 
-    tenure: Tenure
+    tenure: LeaseState
     alive: bool = True
     call: Call | None = None
     record: EngineRecord = UNREAD
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -18,7 +18,7 @@
     from .instants import Instant
     from .rules import LeaseRules
 
-__all__ = ("Tenure", "TenureStep")
+__all__ = ("LeaseState", "TenureStep")
 
 
 class TenureStep(Enum):
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Tenure:
+class LeaseState:
     """What an instance knows of the lease of one group, and what it does next.
 
     The lease is a key of the store that vanishes with a lease of the store. Whoever
@@ -110,7 +110,7 @@
         # by then, and not necessarily at any earlier moment
         return now.monotonic - self.acquired >= longest + self.rules.margin
 
-    def plan(self, now: Instant, wish: LeaseIntent) -> Tenure:
+    def plan(self, now: Instant, wish: LeaseIntent) -> LeaseState:
         """Choose the next call to the store."""
         if self.step is not TenureStep.REST:
             return self
@@ -122,26 +122,28 @@
             return dataclasses.replace(self, step=TenureStep.KEEP)
         return dataclasses.replace(self, step=TenureStep.LOOK)
 
-    def leave(self) -> Tenure:
+    def leave(self) -> LeaseState:
         """Give the lease up; from now on nothing is covered."""
         if not self.lease_id:
             return self
         return dataclasses.replace(self, step=TenureStep.REVOKE)
 
-    def begin(self, now: Instant) -> Tenure:
+    def begin(self, now: Instant) -> LeaseState:
         """Note that the call of this step is about to be made."""
         return dataclasses.replace(self, sent=now)
 
     def take_looked(
         self, answer: Result[Entry | None, StoreError], now: Instant, wish: LeaseIntent
-    ) -> Tenure:
+    ) -> LeaseState:
         """Go on after the key was read."""
         if isinstance(answer, Ok) and answer.ok_value is None:
             return self._end_call(TenureStep.GRANT)
         delay = self.rules.interval if wish is LeaseIntent.HOLD else self.rules.stand_by
         return self._rest(now, delay)
 
-    def take_granted(self, answer: Result[Lease, StoreError], now: Instant) -> Tenure:
+    def take_granted(
+        self, answer: Result[Lease, StoreError], now: Instant
+    ) -> LeaseState:
         """Go on after a lease was asked for; one whose answer is lost lapses."""
         if isinstance(answer, Err):
             return self._rest(now, self.rules.retry)
@@ -154,7 +156,7 @@
             asked=self.sent,
         )
 
-    def take_acquired(self, answer: WriteResult, now: Instant) -> Tenure:
+    def take_acquired(self, answer: WriteResult, now: Instant) -> LeaseState:
         """Go on after the key was written, or not."""
         if answer.outcome is WriteOutcome.APPLIED:
             return self._hold(answer.revision, now)
@@ -164,7 +166,7 @@
 
     def take_settled(
         self, answer: Result[Entry | None, StoreError], now: Instant
-    ) -> Tenure:
+    ) -> LeaseState:
         """Go on after the key was read to settle a lost answer.
 
         Unless the key shows this very lease it is not held. The write may still
@@ -177,7 +179,7 @@
                 return self._hold(entry.revision, now)
         return self._end_call(TenureStep.REVOKE)
 
-    def take_kept(self, answer: Result[Lease, StoreError], now: Instant) -> Tenure:
+    def take_kept(self, answer: Result[Lease, StoreError], now: Instant) -> LeaseState:
         """Go on after a renewal; one whose answer is lost counts as not made."""
         match answer:
             case Ok(lease):
@@ -189,21 +191,21 @@
                 return self._forget(now, self.rules.retry)
         return self._rest(now, self.rules.retry)
 
-    def take_revoked(self, now: Instant) -> Tenure:
+    def take_revoked(self, now: Instant) -> LeaseState:
         """Go on after the lease was given up; without an answer it lapses."""
         return self._forget(now, self.rules.interval)
 
-    def _hold(self, revision: int, now: Instant) -> Tenure:
+    def _hold(self, revision: int, now: Instant) -> LeaseState:
         held = dataclasses.replace(self, fence=revision, acquired=now.monotonic)
         return held._rest(now, self.rules.interval)
 
-    def _forget(self, now: Instant, delay: float) -> Tenure:
-        empty = Tenure(instance_id=self.instance_id, rules=self.rules)
+    def _forget(self, now: Instant, delay: float) -> LeaseState:
+        empty = LeaseState(instance_id=self.instance_id, rules=self.rules)
         return empty._rest(now, delay)
 
-    def _rest(self, now: Instant, delay: float) -> Tenure:
+    def _rest(self, now: Instant, delay: float) -> LeaseState:
         rested = self._end_call(TenureStep.REST)
         return dataclasses.replace(rested, due=now.monotonic + delay)
 
-    def _end_call(self, step: TenureStep) -> Tenure:
+    def _end_call(self, step: TenureStep) -> LeaseState:
         return dataclasses.replace(self, step=step, sent=None)
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from ..leases.instants import Instant
-    from ..leases.tenure import Tenure
+    from ..leases.tenure import LeaseState
     from . import Order
     from .rules import OrderRules
 
@@ -16,7 +16,7 @@
 
 
 def has_turn(
-    tenure: Tenure, now: Instant, *, rules: OrderRules, fencing: Fencing
+    tenure: LeaseState, now: Instant, *, rules: OrderRules, fencing: Fencing
 ) -> bool:
     """Whether the holder of ``tenure`` may give orders.
 
@@ -31,7 +31,7 @@
 
 
 def may_send(
-    tenure: Tenure | None,
+    tenure: LeaseState | None,
     order: Order,
     now: Instant,
     *,
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -7,7 +7,7 @@
 from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.tenure import LeaseState, TenureStep
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.store import (
     Lease,
@@ -27,7 +27,7 @@
 
 
 def hold(*, asked=0.0, answered=0.0, ttl=40.0):
-    tenure = Tenure(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
+    tenure = LeaseState(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
     tenure = tenure.begin(at(asked)).take_looked(Ok(None), at(asked), LeaseIntent.HOLD)
     tenure = tenure.begin(at(asked))
     tenure = tenure.take_granted(Ok(Lease("lease-1", ttl, 1)), at(answered))
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch.leases.tenure import Tenure
+from greengagelatch.leases.tenure import LeaseState
 from greengagelatch.orders import permission
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.orders.rules import Fencing
@@ -126,19 +126,19 @@
     return max(0.0, tenure.ttl - now.longest_since(tenure.asked))
 
 
-def count_from_answer(tenure, answer, now, original=Tenure.take_kept):
+def count_from_answer(tenure, answer, now, original=LeaseState.take_kept):
     kept = original(tenure, answer, now)
     return dataclasses.replace(kept, asked=now) if answer.is_ok() else kept
 
 
-def number_by_lease(tenure, answer, now, original=Tenure.take_acquired):
+def number_by_lease(tenure, answer, now, original=LeaseState.take_acquired):
     after = original(tenure, answer, now)
     if after.fence == ABSENT:
         return after
     return dataclasses.replace(after, fence=int(tenure.lease_id.split("-")[1]))
 
 
-def take_unknown_for_held(tenure, answer, now, original=Tenure.take_acquired):
+def take_unknown_for_held(tenure, answer, now, original=LeaseState.take_acquired):
     if answer.outcome is not WriteOutcome.UNKNOWN:
         return original(tenure, answer, now)
     return dataclasses.replace(tenure._hold(1, now), lease_id=tenure.lease_id)
@@ -150,14 +150,14 @@
 
 #: each guard that is taken out, and the model that has to notice
 MUTATIONS = (
-    (create_renewals, Mutation("no-margin", Tenure, "compute_left", ignore_margin)),
+    (create_renewals, Mutation("no-margin", LeaseState, "compute_left", ignore_margin)),
     (
         create_renewals,
-        Mutation("time-of-answer", Tenure, "take_kept", count_from_answer),
+        Mutation("time-of-answer", LeaseState, "take_kept", count_from_answer),
     ),
     (
         lambda: create_orders(IGNORED),
-        Mutation("no-wait", Tenure, "has_waited", lambda *_: True),
+        Mutation("no-wait", LeaseState, "has_waited", lambda *_: True),
     ),
     (
         lambda: create_orders(IGNORED),
@@ -167,21 +167,24 @@
         lambda: create_orders(IGNORED, lost=0, delivery=2),
         Mutation(
             "call-not-covered",
-            Tenure,
+            LeaseState,
             "covers",
             lambda tenure, now, seconds: tenure.compute_left(now) > 0,
         ),
     ),
-    (create_race, Mutation("lease-number", Tenure, "take_acquired", number_by_lease)),
     (
         create_race,
-        Mutation("lost-is-held", Tenure, "take_acquired", take_unknown_for_held),
+        Mutation("lease-number", LeaseState, "take_acquired", number_by_lease),
+    ),
+    (
+        create_race,
+        Mutation("lost-is-held", LeaseState, "take_acquired", take_unknown_for_held),
     ),
     (
         create_race,
         Mutation(
             "held-while-revoking",
-            Tenure,
+            LeaseState,
             "held",
             property(lambda tenure: tenure.fence != ABSENT),
         ),
