--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -11,7 +11,7 @@
 from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import LeaseState, TenureStep
+from greengagelatch.leases.tenure import LeaseState, LeaseStep
 from greengagelatch.store import ABSENT
 
 from . import Controller
@@ -161,7 +161,7 @@
                 self._errors.pop(group, None)
                 continue
             self._tenures[group] = tenure
-            if tenure.step is TenureStep.REST:
+            if tenure.step is LeaseStep.REST:
                 continue
             call = asyncio.create_task(self._call(group))
             self._calls[group] = call
@@ -197,7 +197,7 @@
         """Make the calls of a group until none is due."""
         while True:
             tenure = self._tenures[group].begin(read_instant(self._clock))
-            if tenure.step is TenureStep.REST:
+            if tenure.step is LeaseStep.REST:
                 return
             self._tenures[group] = tenure
             after = await self._make_call(group, tenure)
@@ -210,25 +210,25 @@
     async def _make_call(self, group: str, tenure: LeaseState) -> LeaseState:
         key = f"{PREFIX}/{group}"
         match tenure.step:
-            case TenureStep.LOOK:
+            case LeaseStep.LOOK:
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 wish = self._choose_wish(group)
                 return tenure.take_looked(found, read_instant(self._clock), wish)
-            case TenureStep.GRANT:
+            case LeaseStep.GRANT:
                 granted = await self._store.grant_lease(self._rules.ttl)
                 self._note_error(group, granted)
                 return tenure.take_granted(granted, read_instant(self._clock))
-            case TenureStep.ACQUIRE:
+            case LeaseStep.ACQUIRE:
                 written = await self._store.swap(
                     key, tenure.value, ABSENT, lease_id=tenure.lease_id
                 )
                 return tenure.take_acquired(written, read_instant(self._clock))
-            case TenureStep.SETTLE:
+            case LeaseStep.SETTLE:
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 return tenure.take_settled(found, read_instant(self._clock))
-            case TenureStep.KEEP:
+            case LeaseStep.KEEP:
                 kept = await self._store.keep_lease(tenure.lease_id)
                 self._note_error(group, kept)
                 return tenure.take_kept(kept, read_instant(self._clock))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -11,7 +11,7 @@
 from greengagelatch.leases.contention import LeaseIntent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import LeaseState, TenureStep
+from greengagelatch.leases.tenure import LeaseState, LeaseStep
 from greengagelatch.orders import EngineReport, EngineState, Order, permission
 from greengagelatch.orders.engine import EngineAction, EngineRecord
 from greengagelatch.orders.rules import Fencing, OrderRules
@@ -47,7 +47,7 @@
 LEASE_RULES = LeaseRules(ttl=TTL, margin=1.0)
 
 #: calls whose number in one run is bounded, by the name of the bound
-BUDGETED = {TenureStep.GRANT: "grants", TenureStep.KEEP: "keeps"}
+BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.KEEP: "keeps"}
 
 LOST = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
@@ -188,7 +188,7 @@
             lost = spend(state, "lost_calls")
             if call.answer is None:
                 lost = lost.change(late=(*lost.late, call))
-            answer = UNKNOWN if call.step is TenureStep.ACQUIRE else LOST
+            answer = UNKNOWN if call.step is LeaseStep.ACQUIRE else LOST
             yield f"{name} gets no answer", self._answer(lost, number, answer)
 
     def _begin_call(
@@ -197,14 +197,14 @@
         contender = state.contenders[number]
         begun = self._begin(state, number, LeaseIntent.HOLD)
         step = begun.contenders[number].tenure.step
-        if step is TenureStep.LOOK and state.store.revision != ABSENT:
+        if step is LeaseStep.LOOK and state.store.revision != ABSENT:
             # it would find a holder and look again later, as if it had not looked
             return
         name = BUDGETED.get(step)
         if name is not None:
             if getattr(state.budget, name):
                 yield f"{number} begins {step.value}", spend(begun, name)
-        elif step is not TenureStep.REST:
+        elif step is not LeaseStep.REST:
             yield f"{number} begins {step.value}", begun
         busy = contender.awaited or contender.planned or contender.record.unsettled
         if state.budget.let_go and contender.tenure.held and not busy:
@@ -216,7 +216,7 @@
         now = self._read_clock(state, number)
         tenure = contender.tenure.plan(now, wish)
         call = None
-        if tenure.step is not TenureStep.REST:
+        if tenure.step is not LeaseStep.REST:
             tenure = tenure.begin(now)
             call = Call(tenure.step, tenure.lease_id, tenure.value)
         return self._change_tenure(state, number, tenure, call)
@@ -232,15 +232,15 @@
         tenure = state.contenders[number].tenure
         now = self._read_clock(state, number)
         match tenure.step:
-            case TenureStep.LOOK:
+            case LeaseStep.LOOK:
                 after = tenure.take_looked(answer, now, LeaseIntent.HOLD)
-            case TenureStep.GRANT:
+            case LeaseStep.GRANT:
                 after = tenure.take_granted(answer, now)
-            case TenureStep.ACQUIRE:
+            case LeaseStep.ACQUIRE:
                 after = tenure.take_acquired(answer, now)
-            case TenureStep.SETTLE:
+            case LeaseStep.SETTLE:
                 after = tenure.take_settled(answer, now)
-            case TenureStep.KEEP:
+            case LeaseStep.KEEP:
                 after = tenure.take_kept(answer, now)
             case _:
                 after = tenure.take_revoked(now)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.leases.tenure import TenureStep
+from greengagelatch.leases.tenure import LeaseStep
 from greengagelatch.store import (
     ABSENT,
     Entry,
@@ -42,19 +42,19 @@
 def apply_call(store: KeyValue, call: Call, time: int) -> tuple[KeyValue, Any]:
     """Handle a call at the store; return the store after it and its answer."""
     match call.step:
-        case TenureStep.LOOK | TenureStep.SETTLE:
+        case LeaseStep.LOOK | LeaseStep.SETTLE:
             entry = None
             if store.revision != ABSENT:
                 entry = Entry(KEY, store.value, store.revision)
             return store, Ok(entry)
-        case TenureStep.GRANT:
+        case LeaseStep.GRANT:
             number = store.granted + 1
             lease = Lease(f"lease-{number}", TTL, number)
             leases = (*store.leases, (lease.lease_id, time + TTL))
             return dataclasses.replace(store, granted=number, leases=leases), Ok(lease)
-        case TenureStep.ACQUIRE:
+        case LeaseStep.ACQUIRE:
             return _apply_write(store, call)
-        case TenureStep.KEEP:
+        case LeaseStep.KEEP:
             return _apply_keep(store, call, time)
     leases = tuple(item for item in store.leases if item[0] != call.lease_id)
     return drop_unbound(dataclasses.replace(store, leases=leases)), Ok(None)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from greengagelatch.leases.tenure import LeaseState, TenureStep
+from greengagelatch.leases.tenure import LeaseState, LeaseStep
 from greengagelatch.orders import EngineState, Order
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.store import ABSENT
@@ -50,7 +50,7 @@
 class Call:
     """A call to the store, and its answer once it was handled."""
 
-    step: TenureStep
+    step: LeaseStep
     lease_id: str
     value: bytes
     answer: Any = None
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -18,10 +18,10 @@
     from .instants import Instant
     from .rules import LeaseRules
 
-__all__ = ("LeaseState", "TenureStep")
+__all__ = ("LeaseState", "LeaseStep")
 
 
-class TenureStep(Enum):
+class LeaseStep(Enum):
     """The call to the store that is due or under way."""
 
     #: none
@@ -57,7 +57,7 @@
 
     instance_id: str
     rules: LeaseRules
-    step: TenureStep = TenureStep.REST
+    step: LeaseStep = LeaseStep.REST
     #: the store's lease; empty: none
     lease_id: str = ""
     #: seconds that lease lasts, by the store's word
@@ -82,7 +82,7 @@
     @property
     def held(self) -> bool:
         """Whether the lease was got and not lost since, as far as is known."""
-        return self.fence != ABSENT and self.step is not TenureStep.REVOKE
+        return self.fence != ABSENT and self.step is not LeaseStep.REVOKE
 
     def compute_left(self, now: Instant) -> float:
         """Return the seconds for which the lease is surely still held."""
@@ -112,21 +112,21 @@
 
     def plan(self, now: Instant, wish: LeaseIntent) -> LeaseState:
         """Choose the next call to the store."""
-        if self.step is not TenureStep.REST:
+        if self.step is not LeaseStep.REST:
             return self
         if wish is LeaseIntent.RELEASE:
             return self.leave()
         if now.monotonic < self.due:
             return self
         if self.lease_id:
-            return dataclasses.replace(self, step=TenureStep.KEEP)
-        return dataclasses.replace(self, step=TenureStep.LOOK)
+            return dataclasses.replace(self, step=LeaseStep.KEEP)
+        return dataclasses.replace(self, step=LeaseStep.LOOK)
 
     def leave(self) -> LeaseState:
         """Give the lease up; from now on nothing is covered."""
         if not self.lease_id:
             return self
-        return dataclasses.replace(self, step=TenureStep.REVOKE)
+        return dataclasses.replace(self, step=LeaseStep.REVOKE)
 
     def begin(self, now: Instant) -> LeaseState:
         """Note that the call of this step is about to be made."""
@@ -137,7 +137,7 @@
     ) -> LeaseState:
         """Go on after the key was read."""
         if isinstance(answer, Ok) and answer.ok_value is None:
-            return self._end_call(TenureStep.GRANT)
+            return self._end_call(LeaseStep.GRANT)
         delay = self.rules.interval if wish is LeaseIntent.HOLD else self.rules.stand_by
         return self._rest(now, delay)
 
@@ -148,7 +148,7 @@
         if isinstance(answer, Err):
             return self._rest(now, self.rules.retry)
         return dataclasses.replace(
-            self._end_call(TenureStep.ACQUIRE),
+            self._end_call(LeaseStep.ACQUIRE),
             lease_id=answer.ok_value.lease_id,
             ttl=min(answer.ok_value.ttl, self.rules.ttl),
             # not the time of the answer: it may have been on its way for long, and
@@ -161,8 +161,8 @@
         if answer.outcome is WriteOutcome.APPLIED:
             return self._hold(answer.revision, now)
         if answer.outcome is WriteOutcome.UNKNOWN:
-            return self._end_call(TenureStep.SETTLE)
-        return self._end_call(TenureStep.REVOKE)
+            return self._end_call(LeaseStep.SETTLE)
+        return self._end_call(LeaseStep.REVOKE)
 
     def take_settled(
         self, answer: Result[Entry | None, StoreError], now: Instant
@@ -177,7 +177,7 @@
         match answer:
             case Ok(entry) if entry is not None and entry.value == self.value:
                 return self._hold(entry.revision, now)
-        return self._end_call(TenureStep.REVOKE)
+        return self._end_call(LeaseStep.REVOKE)
 
     def take_kept(self, answer: Result[Lease, StoreError], now: Instant) -> LeaseState:
         """Go on after a renewal; one whose answer is lost counts as not made."""
@@ -204,8 +204,8 @@
         return empty._rest(now, delay)
 
     def _rest(self, now: Instant, delay: float) -> LeaseState:
-        rested = self._end_call(TenureStep.REST)
+        rested = self._end_call(LeaseStep.REST)
         return dataclasses.replace(rested, due=now.monotonic + delay)
 
-    def _end_call(self, step: TenureStep) -> LeaseState:
+    def _end_call(self, step: LeaseStep) -> LeaseState:
         return dataclasses.replace(self, step=step, sent=None)
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -7,7 +7,7 @@
 from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import LeaseState, TenureStep
+from greengagelatch.leases.tenure import LeaseState, LeaseStep
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.store import (
     Lease,
@@ -37,7 +37,7 @@
 
 def renew(tenure, *, asked, answered, answer):
     tenure = tenure.plan(at(asked), LeaseIntent.HOLD)
-    assert tenure.step is TenureStep.KEEP
+    assert tenure.step is LeaseStep.KEEP
     return tenure.begin(at(asked)).take_kept(answer, at(answered))
 
 
