--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -161,7 +161,7 @@
                 self._errors.pop(group, None)
                 continue
             self._tenures[group] = tenure
-            if tenure.step is LeaseStep.REST:
+            if tenure.step is LeaseStep.IDLE:
                 continue
             call = asyncio.create_task(self._call(group))
             self._calls[group] = call
@@ -197,7 +197,7 @@
         """Make the calls of a group until none is due."""
         while True:
             tenure = self._tenures[group].begin(read_instant(self._clock))
-            if tenure.step is LeaseStep.REST:
+            if tenure.step is LeaseStep.IDLE:
                 return
             self._tenures[group] = tenure
             after = await self._make_call(group, tenure)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -204,7 +204,7 @@
         if name is not None:
             if getattr(state.budget, name):
                 yield f"{number} begins {step.value}", spend(begun, name)
-        elif step is not LeaseStep.REST:
+        elif step is not LeaseStep.IDLE:
             yield f"{number} begins {step.value}", begun
         busy = contender.awaited or contender.planned or contender.record.unsettled
         if state.budget.let_go and contender.tenure.held and not busy:
@@ -216,7 +216,7 @@
         now = self._read_clock(state, number)
         tenure = contender.tenure.plan(now, wish)
         call = None
-        if tenure.step is not LeaseStep.REST:
+        if tenure.step is not LeaseStep.IDLE:
             tenure = tenure.begin(now)
             call = Call(tenure.step, tenure.lease_id, tenure.value)
         return self._change_tenure(state, number, tenure, call)
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -25,7 +25,7 @@
     """The call to the store that is due or under way."""
 
     #: none
-    REST = "rest"
+    IDLE = "rest"
     #: read the key: is it free?
     LOOK = "look"
     #: ask for a lease of the store
@@ -57,7 +57,7 @@
 
     instance_id: str
     rules: LeaseRules
-    step: LeaseStep = LeaseStep.REST
+    step: LeaseStep = LeaseStep.IDLE
     #: the store's lease; empty: none
     lease_id: str = ""
     #: seconds that lease lasts, by the store's word
@@ -112,7 +112,7 @@
 
     def plan(self, now: Instant, wish: LeaseIntent) -> LeaseState:
         """Choose the next call to the store."""
-        if self.step is not LeaseStep.REST:
+        if self.step is not LeaseStep.IDLE:
             return self
         if wish is LeaseIntent.RELEASE:
             return self.leave()
@@ -204,7 +204,7 @@
         return empty._rest(now, delay)
 
     def _rest(self, now: Instant, delay: float) -> LeaseState:
-        rested = self._end_call(LeaseStep.REST)
+        rested = self._end_call(LeaseStep.IDLE)
         return dataclasses.replace(rested, due=now.monotonic + delay)
 
     def _end_call(self, step: LeaseStep) -> LeaseState:
