--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -210,7 +210,7 @@
     async def _make_call(self, group: str, tenure: LeaseState) -> LeaseState:
         key = f"{PREFIX}/{group}"
         match tenure.step:
-            case LeaseStep.LOOK:
+            case LeaseStep.CHECK:
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 wish = self._choose_wish(group)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -197,7 +197,7 @@
         contender = state.contenders[number]
         begun = self._begin(state, number, LeaseIntent.HOLD)
         step = begun.contenders[number].tenure.step
-        if step is LeaseStep.LOOK and state.store.revision != ABSENT:
+        if step is LeaseStep.CHECK and state.store.revision != ABSENT:
             # it would find a holder and look again later, as if it had not looked
             return
         name = BUDGETED.get(step)
@@ -232,7 +232,7 @@
         tenure = state.contenders[number].tenure
         now = self._read_clock(state, number)
         match tenure.step:
-            case LeaseStep.LOOK:
+            case LeaseStep.CHECK:
                 after = tenure.take_looked(answer, now, LeaseIntent.HOLD)
             case LeaseStep.GRANT:
                 after = tenure.take_granted(answer, now)
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -27,7 +27,7 @@
     #: none
     IDLE = "rest"
     #: read the key: is it free?
-    LOOK = "look"
+    CHECK = "look"
     #: ask for a lease of the store
     GRANT = "grant"
     #: write the key, bound to that lease, if it is absent
@@ -120,7 +120,7 @@
             return self
         if self.lease_id:
             return dataclasses.replace(self, step=LeaseStep.KEEP)
-        return dataclasses.replace(self, step=LeaseStep.LOOK)
+        return dataclasses.replace(self, step=LeaseStep.CHECK)
 
     def leave(self) -> LeaseState:
         """Give the lease up; from now on nothing is covered."""
