--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -224,7 +224,7 @@
                     key, tenure.value, ABSENT, lease_id=tenure.lease_id
                 )
                 return tenure.take_acquired(written, read_instant(self._clock))
-            case LeaseStep.SETTLE:
+            case LeaseStep.VERIFY:
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 return tenure.take_settled(found, read_instant(self._clock))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -238,7 +238,7 @@
                 after = tenure.take_granted(answer, now)
             case LeaseStep.ACQUIRE:
                 after = tenure.take_acquired(answer, now)
-            case LeaseStep.SETTLE:
+            case LeaseStep.VERIFY:
                 after = tenure.take_settled(answer, now)
             case LeaseStep.KEEP:
                 after = tenure.take_kept(answer, now)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
@@ -42,7 +42,7 @@
 def apply_call(store: KeyValue, call: Call, time: int) -> tuple[KeyValue, Any]:
     """Handle a call at the store; return the store after it and its answer."""
     match call.step:
-        case LeaseStep.CHECK | LeaseStep.SETTLE:
+        case LeaseStep.CHECK | LeaseStep.VERIFY:
             entry = None
             if store.revision != ABSENT:
                 entry = Entry(KEY, store.value, store.revision)
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -33,7 +33,7 @@
     #: write the key, bound to that lease, if it is absent
     ACQUIRE = "acquire"
     #: read the key, as the answer to the write is lost
-    SETTLE = "settle"
+    VERIFY = "settle"
     #: renew the store's lease
     KEEP = "keep"
     #: end the store's lease, by which the key vanishes
@@ -161,7 +161,7 @@
         if answer.outcome is WriteOutcome.APPLIED:
             return self._hold(answer.revision, now)
         if answer.outcome is WriteOutcome.UNKNOWN:
-            return self._end_call(LeaseStep.SETTLE)
+            return self._end_call(LeaseStep.VERIFY)
         return self._end_call(LeaseStep.REVOKE)
 
     def take_settled(
