--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -228,7 +228,7 @@
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 return tenure.take_settled(found, read_instant(self._clock))
-            case LeaseStep.KEEP:
+            case LeaseStep.RENEW:
                 kept = await self._store.keep_lease(tenure.lease_id)
                 self._note_error(group, kept)
                 return tenure.take_kept(kept, read_instant(self._clock))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -47,7 +47,7 @@
 LEASE_RULES = LeaseRules(ttl=TTL, margin=1.0)
 
 #: calls whose number in one run is bounded, by the name of the bound
-BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.KEEP: "keeps"}
+BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "keeps"}
 
 LOST = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
@@ -240,7 +240,7 @@
                 after = tenure.take_acquired(answer, now)
             case LeaseStep.VERIFY:
                 after = tenure.take_settled(answer, now)
-            case LeaseStep.KEEP:
+            case LeaseStep.RENEW:
                 after = tenure.take_kept(answer, now)
             case _:
                 after = tenure.take_revoked(now)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
@@ -54,7 +54,7 @@
             return dataclasses.replace(store, granted=number, leases=leases), Ok(lease)
         case LeaseStep.ACQUIRE:
             return _apply_write(store, call)
-        case LeaseStep.KEEP:
+        case LeaseStep.RENEW:
             return _apply_keep(store, call, time)
     leases = tuple(item for item in store.leases if item[0] != call.lease_id)
     return drop_unbound(dataclasses.replace(store, leases=leases)), Ok(None)
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -35,7 +35,7 @@
     #: read the key, as the answer to the write is lost
     VERIFY = "settle"
     #: renew the store's lease
-    KEEP = "keep"
+    RENEW = "keep"
     #: end the store's lease, by which the key vanishes
     REVOKE = "revoke"
 
@@ -119,7 +119,7 @@
         if now.monotonic < self.due:
             return self
         if self.lease_id:
-            return dataclasses.replace(self, step=LeaseStep.KEEP)
+            return dataclasses.replace(self, step=LeaseStep.RENEW)
         return dataclasses.replace(self, step=LeaseStep.CHECK)
 
     def leave(self) -> LeaseState:
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -37,7 +37,7 @@
 
 def renew(tenure, *, asked, answered, answer):
     tenure = tenure.plan(at(asked), LeaseIntent.HOLD)
-    assert tenure.step is LeaseStep.KEEP
+    assert tenure.step is LeaseStep.RENEW
     return tenure.begin(at(asked)).take_kept(answer, at(answered))
 
 
