--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -214,7 +214,7 @@
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 wish = self._choose_wish(group)
-                return tenure.take_looked(found, read_instant(self._clock), wish)
+                return tenure.handle_check(found, read_instant(self._clock), wish)
             case LeaseStep.GRANT:
                 granted = await self._store.grant_lease(self._rules.ttl)
                 self._note_error(group, granted)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -233,7 +233,7 @@
         now = self._read_clock(state, number)
         match tenure.step:
             case LeaseStep.CHECK:
-                after = tenure.take_looked(answer, now, LeaseIntent.HOLD)
+                after = tenure.handle_check(answer, now, LeaseIntent.HOLD)
             case LeaseStep.GRANT:
                 after = tenure.take_granted(answer, now)
             case LeaseStep.ACQUIRE:
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -132,7 +132,7 @@
         """Note that the call of this step is about to be made."""
         return dataclasses.replace(self, sent=now)
 
-    def take_looked(
+    def handle_check(
         self, answer: Result[Entry | None, StoreError], now: Instant, wish: LeaseIntent
     ) -> LeaseState:
         """Go on after the key was read."""
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -28,7 +28,7 @@
 
 def hold(*, asked=0.0, answered=0.0, ttl=40.0):
     tenure = LeaseState(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
-    tenure = tenure.begin(at(asked)).take_looked(Ok(None), at(asked), LeaseIntent.HOLD)
+    tenure = tenure.begin(at(asked)).handle_check(Ok(None), at(asked), LeaseIntent.HOLD)
     tenure = tenure.begin(at(asked))
     tenure = tenure.take_granted(Ok(Lease("lease-1", ttl, 1)), at(answered))
     written = WriteResult(WriteOutcome.APPLIED, 9)
