--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -218,7 +218,7 @@
             case LeaseStep.GRANT:
                 granted = await self._store.grant_lease(self._rules.ttl)
                 self._note_error(group, granted)
-                return tenure.take_granted(granted, read_instant(self._clock))
+                return tenure.handle_grant(granted, read_instant(self._clock))
             case LeaseStep.ACQUIRE:
                 written = await self._store.swap(
                     key, tenure.value, ABSENT, lease_id=tenure.lease_id
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -235,7 +235,7 @@
             case LeaseStep.CHECK:
                 after = tenure.handle_check(answer, now, LeaseIntent.HOLD)
             case LeaseStep.GRANT:
-                after = tenure.take_granted(answer, now)
+                after = tenure.handle_grant(answer, now)
             case LeaseStep.ACQUIRE:
                 after = tenure.take_acquired(answer, now)
             case LeaseStep.VERIFY:
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -141,7 +141,7 @@
         delay = self.rules.interval if wish is LeaseIntent.HOLD else self.rules.stand_by
         return self._rest(now, delay)
 
-    def take_granted(
+    def handle_grant(
         self, answer: Result[Lease, StoreError], now: Instant
     ) -> LeaseState:
         """Go on after a lease was asked for; one whose answer is lost lapses."""
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -30,7 +30,7 @@
     tenure = LeaseState(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
     tenure = tenure.begin(at(asked)).handle_check(Ok(None), at(asked), LeaseIntent.HOLD)
     tenure = tenure.begin(at(asked))
-    tenure = tenure.take_granted(Ok(Lease("lease-1", ttl, 1)), at(answered))
+    tenure = tenure.handle_grant(Ok(Lease("lease-1", ttl, 1)), at(answered))
     written = WriteResult(WriteOutcome.APPLIED, 9)
     return tenure.begin(at(answered)).take_acquired(written, at(answered))
 
