--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -223,7 +223,7 @@
                 written = await self._store.swap(
                     key, tenure.value, ABSENT, lease_id=tenure.lease_id
                 )
-                return tenure.take_acquired(written, read_instant(self._clock))
+                return tenure.handle_acquire(written, read_instant(self._clock))
             case LeaseStep.VERIFY:
                 found = await self._store.get(key)
                 self._note_error(group, found)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -237,7 +237,7 @@
             case LeaseStep.GRANT:
                 after = tenure.handle_grant(answer, now)
             case LeaseStep.ACQUIRE:
-                after = tenure.take_acquired(answer, now)
+                after = tenure.handle_acquire(answer, now)
             case LeaseStep.VERIFY:
                 after = tenure.take_settled(answer, now)
             case LeaseStep.RENEW:
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -156,7 +156,7 @@
             asked=self.sent,
         )
 
-    def take_acquired(self, answer: WriteResult, now: Instant) -> LeaseState:
+    def handle_acquire(self, answer: WriteResult, now: Instant) -> LeaseState:
         """Go on after the key was written, or not."""
         if answer.outcome is WriteOutcome.APPLIED:
             return self._hold(answer.revision, now)
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -32,7 +32,7 @@
     tenure = tenure.begin(at(asked))
     tenure = tenure.handle_grant(Ok(Lease("lease-1", ttl, 1)), at(answered))
     written = WriteResult(WriteOutcome.APPLIED, 9)
-    return tenure.begin(at(answered)).take_acquired(written, at(answered))
+    return tenure.begin(at(answered)).handle_acquire(written, at(answered))
 
 
 def renew(tenure, *, asked, answered, answer):
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -131,14 +131,14 @@
     return dataclasses.replace(kept, asked=now) if answer.is_ok() else kept
 
 
-def number_by_lease(tenure, answer, now, original=LeaseState.take_acquired):
+def number_by_lease(tenure, answer, now, original=LeaseState.handle_acquire):
     after = original(tenure, answer, now)
     if after.fence == ABSENT:
         return after
     return dataclasses.replace(after, fence=int(tenure.lease_id.split("-")[1]))
 
 
-def take_unknown_for_held(tenure, answer, now, original=LeaseState.take_acquired):
+def take_unknown_for_held(tenure, answer, now, original=LeaseState.handle_acquire):
     if answer.outcome is not WriteOutcome.UNKNOWN:
         return original(tenure, answer, now)
     return dataclasses.replace(tenure._hold(1, now), lease_id=tenure.lease_id)
@@ -174,11 +174,11 @@
     ),
     (
         create_race,
-        Mutation("lease-number", LeaseState, "take_acquired", number_by_lease),
+        Mutation("lease-number", LeaseState, "handle_acquire", number_by_lease),
     ),
     (
         create_race,
-        Mutation("lost-is-held", LeaseState, "take_acquired", take_unknown_for_held),
+        Mutation("lost-is-held", LeaseState, "handle_acquire", take_unknown_for_held),
     ),
     (
         create_race,
