--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -227,7 +227,7 @@
             case LeaseStep.VERIFY:
                 found = await self._store.get(key)
                 self._note_error(group, found)
-                return tenure.take_settled(found, read_instant(self._clock))
+                return tenure.handle_verify(found, read_instant(self._clock))
             case LeaseStep.RENEW:
                 kept = await self._store.keep_lease(tenure.lease_id)
                 self._note_error(group, kept)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -239,7 +239,7 @@
             case LeaseStep.ACQUIRE:
                 after = tenure.handle_acquire(answer, now)
             case LeaseStep.VERIFY:
-                after = tenure.take_settled(answer, now)
+                after = tenure.handle_verify(answer, now)
             case LeaseStep.RENEW:
                 after = tenure.take_kept(answer, now)
             case _:
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -164,7 +164,7 @@
             return self._end_call(LeaseStep.VERIFY)
         return self._end_call(LeaseStep.REVOKE)
 
-    def take_settled(
+    def handle_verify(
         self, answer: Result[Entry | None, StoreError], now: Instant
     ) -> LeaseState:
         """Go on after the key was read to settle a lost answer.
