--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -231,7 +231,7 @@
             case LeaseStep.RENEW:
                 kept = await self._store.keep_lease(tenure.lease_id)
                 self._note_error(group, kept)
-                return tenure.take_kept(kept, read_instant(self._clock))
+                return tenure.handle_renew(kept, read_instant(self._clock))
         await self._store.revoke_lease(tenure.lease_id)
         return tenure.take_revoked(read_instant(self._clock))
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -241,7 +241,7 @@
             case LeaseStep.VERIFY:
                 after = tenure.handle_verify(answer, now)
             case LeaseStep.RENEW:
-                after = tenure.take_kept(answer, now)
+                after = tenure.handle_renew(answer, now)
             case _:
                 after = tenure.take_revoked(now)
         if after.held and not tenure.held:
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -179,7 +179,9 @@
                 return self._hold(entry.revision, now)
         return self._end_call(LeaseStep.REVOKE)
 
-    def take_kept(self, answer: Result[Lease, StoreError], now: Instant) -> LeaseState:
+    def handle_renew(
+        self, answer: Result[Lease, StoreError], now: Instant
+    ) -> LeaseState:
         """Go on after a renewal; one whose answer is lost counts as not made."""
         match answer:
             case Ok(lease):
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -38,7 +38,7 @@
 def renew(tenure, *, asked, answered, answer):
     tenure = tenure.plan(at(asked), LeaseIntent.HOLD)
     assert tenure.step is LeaseStep.RENEW
-    return tenure.begin(at(asked)).take_kept(answer, at(answered))
+    return tenure.begin(at(asked)).handle_renew(answer, at(answered))
 
 
 def test_time_counts_from_before_the_grant_was_asked_for():
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -126,7 +126,7 @@
     return max(0.0, tenure.ttl - now.longest_since(tenure.asked))
 
 
-def count_from_answer(tenure, answer, now, original=LeaseState.take_kept):
+def count_from_answer(tenure, answer, now, original=LeaseState.handle_renew):
     kept = original(tenure, answer, now)
     return dataclasses.replace(kept, asked=now) if answer.is_ok() else kept
 
@@ -153,7 +153,7 @@
     (create_renewals, Mutation("no-margin", LeaseState, "compute_left", ignore_margin)),
     (
         create_renewals,
-        Mutation("time-of-answer", LeaseState, "take_kept", count_from_answer),
+        Mutation("time-of-answer", LeaseState, "handle_renew", count_from_answer),
     ),
     (
         lambda: create_orders(IGNORED),
