--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -233,7 +233,7 @@
                 self._note_error(group, kept)
                 return tenure.handle_renew(kept, read_instant(self._clock))
         await self._store.revoke_lease(tenure.lease_id)
-        return tenure.take_revoked(read_instant(self._clock))
+        return tenure.handle_revoke(read_instant(self._clock))
 
     def _note_error(self, group: str, answer: Any) -> None:
         if answer.is_ok():
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -243,7 +243,7 @@
             case LeaseStep.RENEW:
                 after = tenure.handle_renew(answer, now)
             case _:
-                after = tenure.take_revoked(now)
+                after = tenure.handle_revoke(now)
         if after.held and not tenure.held:
             if after.fence <= state.fence:
                 state = state.change(fault="a fencing number is not a higher one")
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -193,7 +193,7 @@
                 return self._forget(now, self.rules.retry)
         return self._rest(now, self.rules.retry)
 
-    def take_revoked(self, now: Instant) -> LeaseState:
+    def handle_revoke(self, now: Instant) -> LeaseState:
         """Go on after the lease was given up; without an answer it lapses."""
         return self._forget(now, self.rules.interval)
 
