--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -127,7 +127,7 @@
                 "wish": self._choose_wish(group).value,
                 "step": tenure.step.value,
                 "fence": tenure.fence,
-                "seconds_left": tenure.compute_left(now),
+                "seconds_left": tenure.compute_remaining(now),
                 "last_error": self._errors.get(group, ""),
             }
         return {"ttl": self._rules.ttl, "margin": self._rules.margin, "groups": groups}
@@ -169,7 +169,9 @@
         self._report_held(now)
 
     def _report_held(self, now: Instant) -> None:
-        held = sum(tenure.compute_left(now) > 0 for tenure in self._tenures.values())
+        held = sum(
+            tenure.compute_remaining(now) > 0 for tenure in self._tenures.values()
+        )
         if held != self._held:
             self._held = held
             self._metrics.gauge("leases.held", held)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -138,7 +138,7 @@
         believers = 0
         for number, contender in enumerate(state.contenders):
             now = self._read_clock(state, number)
-            believers += contender.alive and contender.tenure.compute_left(now) > 0
+            believers += contender.alive and contender.tenure.compute_remaining(now) > 0
         if believers > 1:
             return "two contenders believe that they hold the lease"
         return ""
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -84,7 +84,7 @@
         """Whether the lease was got and not lost since, as far as is known."""
         return self.fence != ABSENT and self.step is not LeaseStep.REVOKE
 
-    def compute_left(self, now: Instant) -> float:
+    def compute_remaining(self, now: Instant) -> float:
         """Return the seconds for which the lease is surely still held."""
         if not self.held or self.asked is None:
             return 0.0
@@ -97,7 +97,7 @@
         It must be asked at the moment of acting: whatever was answered before may be
         long out of date, as a process can be paused between any two steps.
         """
-        left = self.compute_left(now)
+        left = self.compute_remaining(now)
         return left > 0 and left >= seconds
 
     def has_waited(self, now: Instant, longest: float) -> bool:
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -44,21 +44,21 @@
 def test_time_counts_from_before_the_grant_was_asked_for():
     tenure = hold(asked=0.0, answered=5.0)
     assert tenure.fence == 9
-    assert tenure.compute_left(at(5.0)) == 40 - 2 - 5
+    assert tenure.compute_remaining(at(5.0)) == 40 - 2 - 5
     assert tenure.acquired == 5.0
 
 
 def test_a_shorter_lease_than_asked_for_counts_as_the_store_says():
-    assert hold(ttl=10.0).compute_left(at(0.0)) == 8
+    assert hold(ttl=10.0).compute_remaining(at(0.0)) == 8
 
 
 def test_a_renewal_without_an_answer_counts_as_not_made():
     tenure = renew(hold(), asked=10.0, answered=12.0, answer=TIMEOUT)
-    assert tenure.compute_left(at(12.0)) == 40 - 2 - 12
+    assert tenure.compute_remaining(at(12.0)) == 40 - 2 - 12
     # the store had it all along: its next answer says that nobody else could get it
     lease = Ok(Lease("lease-1", 40.0, 1))
     tenure = renew(tenure, asked=39.0, answered=41.0, answer=lease)
-    assert tenure.compute_left(at(41.0)) == 40 - 2 - 2
+    assert tenure.compute_remaining(at(41.0)) == 40 - 2 - 2
     assert tenure.fence == 9
 
 
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -150,7 +150,10 @@
 
 #: each guard that is taken out, and the model that has to notice
 MUTATIONS = (
-    (create_renewals, Mutation("no-margin", LeaseState, "compute_left", ignore_margin)),
+    (
+        create_renewals,
+        Mutation("no-margin", LeaseState, "compute_remaining", ignore_margin),
+    ),
     (
         create_renewals,
         Mutation("time-of-answer", LeaseState, "handle_renew", count_from_answer),
@@ -169,7 +172,7 @@
             "call-not-covered",
             LeaseState,
             "covers",
-            lambda tenure, now, seconds: tenure.compute_left(now) > 0,
+            lambda tenure, now, seconds: tenure.compute_remaining(now) > 0,
         ),
     ),
     (
