--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -100,7 +100,7 @@
         left = self.compute_remaining(now)
         return left > 0 and left >= seconds
 
-    def has_waited(self, now: Instant, longest: float) -> bool:
+    def has_outlasted_predecessor(self, now: Instant, longest: float) -> bool:
         """Whether what the former holder began is over.
 
         :param longest: seconds that an action may go on for after its holder's lease
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -27,7 +27,9 @@
     """
     if not tenure.covers(now, rules.timeout):
         return False
-    return fencing is Fencing.CHECKED or tenure.has_waited(now, rules.longest)
+    return fencing is Fencing.CHECKED or tenure.has_outlasted_predecessor(
+        now, rules.longest
+    )
 
 
 def may_send(
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -160,7 +160,7 @@
     ),
     (
         lambda: create_orders(IGNORED),
-        Mutation("no-wait", LeaseState, "has_waited", lambda *_: True),
+        Mutation("no-wait", LeaseState, "has_outlasted_predecessor", lambda *_: True),
     ),
     (
         lambda: create_orders(IGNORED),
