--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -190,18 +190,18 @@
                 )
                 return kept._rest(now, self.rules.interval)
             case Err(error) if error.kind is StoreErrorKind.LEASE_GONE:
-                return self._forget(now, self.rules.retry)
+                return self._reset(now, self.rules.retry)
         return self._rest(now, self.rules.retry)
 
     def handle_revoke(self, now: Instant) -> LeaseState:
         """Go on after the lease was given up; without an answer it lapses."""
-        return self._forget(now, self.rules.interval)
+        return self._reset(now, self.rules.interval)
 
     def _hold(self, revision: int, now: Instant) -> LeaseState:
         held = dataclasses.replace(self, fence=revision, acquired=now.monotonic)
         return held._rest(now, self.rules.interval)
 
-    def _forget(self, now: Instant, delay: float) -> LeaseState:
+    def _reset(self, now: Instant, delay: float) -> LeaseState:
         empty = LeaseState(instance_id=self.instance_id, rules=self.rules)
         return empty._rest(now, delay)
 
