--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -139,14 +139,14 @@
         if isinstance(answer, Ok) and answer.ok_value is None:
             return self._end_call(LeaseStep.GRANT)
         delay = self.rules.interval if wish is LeaseIntent.HOLD else self.rules.stand_by
-        return self._rest(now, delay)
+        return self._schedule(now, delay)
 
     def handle_grant(
         self, answer: Result[Lease, StoreError], now: Instant
     ) -> LeaseState:
         """Go on after a lease was asked for; one whose answer is lost lapses."""
         if isinstance(answer, Err):
-            return self._rest(now, self.rules.retry)
+            return self._schedule(now, self.rules.retry)
         return dataclasses.replace(
             self._end_call(LeaseStep.ACQUIRE),
             lease_id=answer.ok_value.lease_id,
@@ -188,10 +188,10 @@
                 kept = dataclasses.replace(
                     self, asked=self.sent, ttl=min(lease.ttl, self.rules.ttl)
                 )
-                return kept._rest(now, self.rules.interval)
+                return kept._schedule(now, self.rules.interval)
             case Err(error) if error.kind is StoreErrorKind.LEASE_GONE:
                 return self._reset(now, self.rules.retry)
-        return self._rest(now, self.rules.retry)
+        return self._schedule(now, self.rules.retry)
 
     def handle_revoke(self, now: Instant) -> LeaseState:
         """Go on after the lease was given up; without an answer it lapses."""
@@ -199,13 +199,13 @@
 
     def _hold(self, revision: int, now: Instant) -> LeaseState:
         held = dataclasses.replace(self, fence=revision, acquired=now.monotonic)
-        return held._rest(now, self.rules.interval)
+        return held._schedule(now, self.rules.interval)
 
     def _reset(self, now: Instant, delay: float) -> LeaseState:
         empty = LeaseState(instance_id=self.instance_id, rules=self.rules)
-        return empty._rest(now, delay)
+        return empty._schedule(now, delay)
 
-    def _rest(self, now: Instant, delay: float) -> LeaseState:
+    def _schedule(self, now: Instant, delay: float) -> LeaseState:
         rested = self._end_call(LeaseStep.IDLE)
         return dataclasses.replace(rested, due=now.monotonic + delay)
 
