--- a/packages/greengagelatch/src/greengagelatch/leases/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/rules.py
@@ -41,7 +41,7 @@
         return self.interval * STAND_BY_FACTOR
 
     @property
-    def retry(self) -> float:
+    def retry_delay(self) -> float:
         """Time after which a call that failed is made again."""
         return self.interval * RETRY_SHARE
 
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -146,7 +146,7 @@
     ) -> LeaseState:
         """Go on after a lease was asked for; one whose answer is lost lapses."""
         if isinstance(answer, Err):
-            return self._schedule(now, self.rules.retry)
+            return self._schedule(now, self.rules.retry_delay)
         return dataclasses.replace(
             self._end_call(LeaseStep.ACQUIRE),
             lease_id=answer.ok_value.lease_id,
@@ -190,8 +190,8 @@
                 )
                 return kept._schedule(now, self.rules.interval)
             case Err(error) if error.kind is StoreErrorKind.LEASE_GONE:
-                return self._reset(now, self.rules.retry)
-        return self._schedule(now, self.rules.retry)
+                return self._reset(now, self.rules.retry_delay)
+        return self._schedule(now, self.rules.retry_delay)
 
     def handle_revoke(self, now: Instant) -> LeaseState:
         """Go on after the lease was given up; without an answer it lapses."""
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_tenure.py
@@ -71,7 +71,7 @@
 
 def test_a_lease_always_outlasts_the_guarded_action():
     rules = LeaseRules.create(ttl=1.0, margin=2.0, longest_action=10.0)
-    assert rules.ttl - rules.margin - rules.interval - rules.retry > 10.0
+    assert rules.ttl - rules.margin - rules.interval - rules.retry_delay > 10.0
 
 
 def create_members(count, data_centre="north"):
