--- a/packages/greengagelatch/src/greengagelatch/leases/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/rules.py
@@ -36,7 +36,7 @@
         return self.ttl * INTERVAL_SHARE
 
     @property
-    def stand_by(self) -> float:
+    def standby_interval(self) -> float:
         """Time between two looks of an instance that is second in line."""
         return self.interval * STAND_BY_FACTOR
 
--- a/packages/greengagelatch/src/greengagelatch/leases/tenure.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/tenure.py
@@ -138,7 +138,11 @@
         """Go on after the key was read."""
         if isinstance(answer, Ok) and answer.ok_value is None:
             return self._end_call(LeaseStep.GRANT)
-        delay = self.rules.interval if wish is LeaseIntent.HOLD else self.rules.stand_by
+        delay = (
+            self.rules.interval
+            if wish is LeaseIntent.HOLD
+            else self.rules.standby_interval
+        )
         return self._schedule(now, delay)
 
     def handle_grant(
