--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -11,7 +11,7 @@
 from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import LeaseState, LeaseStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.store import ABSENT
 
 from . import Controller
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -25,7 +25,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.snapshot import Snapshot
     from greengagelatch.events import EventBus
-    from greengagelatch.leases.tenure import LeaseState
+    from greengagelatch.leases.state import LeaseState
     from greengagelatch.orders import OrderClient
     from greengagelatch.orders.group import EngineStep
     from greengagelatch.settings import Settings
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -11,7 +11,7 @@
 from greengagelatch.leases.contention import LeaseIntent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import LeaseState, LeaseStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.orders import EngineReport, EngineState, Order, permission
 from greengagelatch.orders.engine import EngineAction, EngineRecord
 from greengagelatch.orders.rules import Fencing, OrderRules
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.leases.tenure import LeaseStep
+from greengagelatch.leases.state import LeaseStep
 from greengagelatch.store import (
     ABSENT,
     Entry,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from greengagelatch.leases.tenure import LeaseState, LeaseStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.orders import EngineState, Order
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.store import ABSENT
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from ..leases.instants import Instant
-    from ..leases.tenure import LeaseState
+    from ..leases.state import LeaseState
     from . import Order
     from .rules import OrderRules
 
--- a/tests/test_core/test_leases/test_tenure.py
+++ b/tests/test_core/test_leases/test_state.py
@@ -7,7 +7,7 @@
 from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import LeaseState, LeaseStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.store import (
     Lease,
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch.leases.tenure import LeaseState
+from greengagelatch.leases.state import LeaseState
 from greengagelatch.orders import permission
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.orders.rules import Fencing
