--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -23,7 +23,7 @@
 from .own import OwnState
 from .probes import PendingProbes
 from .records import Record, Update, decode_update, encode_update
-from .rumours import Rumours
+from .rumours import GossipQueue
 from .steps import DetectorRules, Identity, Send, Step
 from .table import Table, list_updates
 
@@ -46,7 +46,7 @@
         self._rules = rules
         self._random = random_source
         self._table = Table()
-        self._rumours = Rumours(factor=rules.spread)
+        self._rumours = GossipQueue(factor=rules.spread)
         self._probes = PendingProbes()
         self._order: list[str] = []
         self._periods = 0
--- a/packages/greengagelatch/src/greengagelatch/membership/rumours.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/rumours.py
@@ -6,10 +6,10 @@
 
 from .records import Update
 
-__all__ = ("Rumours",)
+__all__ = ("GossipQueue",)
 
 
-class Rumours:
+class GossipQueue:
     """Recent observations, each passed on a bounded number of times.
 
     With ``factor`` times the logarithm of the number of members, an observation
--- a/tests/test_core/test_membership/test_records.py
+++ b/tests/test_core/test_membership/test_records.py
@@ -12,7 +12,7 @@
     decode_update,
     encode_update,
 )
-from greengagelatch.membership.rumours import Rumours
+from greengagelatch.membership.rumours import GossipQueue
 from greengagelatch.membership.table import Table
 from greengagelatch.peers import MemberState
 
@@ -69,7 +69,7 @@
 
 
 def test_rumours_are_passed_on_a_bounded_number_of_times():
-    rumours = Rumours(factor=2)
+    rumours = GossipQueue(factor=2)
     rumours.add(Update(instance_id="a", incarnation=1, state=MemberState.SUSPECT))
     sent = sum(len(rumours.take(8, members=15)) for _ in range(100))
     # twice the logarithm of 16
