--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -18,12 +18,12 @@
 from ..instances import Listing
 from ..peers import MemberState
 from ..peers.codec import Message
+from .gossip import GossipQueue
 from .messages import MembersTable, Probe, ProbeAck, ProbeRequest
 from .overlay import choose_neighbours
 from .own import OwnState
 from .probes import PendingProbes
 from .records import Record, Update, decode_update, encode_update
-from .rumours import GossipQueue
 from .steps import DetectorRules, Identity, Send, Step
 from .table import Table, list_updates
 
--- a/tests/test_core/test_membership/test_records.py
+++ b/tests/test_core/test_membership/test_records.py
@@ -5,6 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from greengagelatch.membership.gossip import GossipQueue
 from greengagelatch.membership.overlay import choose_neighbours
 from greengagelatch.membership.records import (
     Record,
@@ -12,7 +13,6 @@
     decode_update,
     encode_update,
 )
-from greengagelatch.membership.rumours import GossipQueue
 from greengagelatch.membership.table import Table
 from greengagelatch.peers import MemberState
 
