--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -46,7 +46,7 @@
         self._rules = rules
         self._random = random_source
         self._table = Table()
-        self._rumours = GossipQueue(factor=rules.spread)
+        self._gossip = GossipQueue(factor=rules.spread)
         self._probes = PendingProbes()
         self._order: list[str] = []
         self._periods = 0
@@ -56,7 +56,7 @@
         self._neighbours: frozenset[str] | None = None
         self._sends: list[Send] = []
         self._changed = False
-        self._rumours.add(self._own.update)
+        self._gossip.add(self._own.update)
 
     # questions
 
@@ -166,7 +166,7 @@
         before = len(self._table)
         news = self._table.apply_listing(listing, self._own.instance_id, now)
         for update in news:
-            self._rumours.add(update)
+            self._gossip.add(update)
         if news or len(self._table) != before:
             self._note_change()
         return self._finish()
@@ -177,7 +177,7 @@
             return self._finish()
         self._own.leave()
         self._changed = True
-        self._rumours.add(self._own.update)
+        self._gossip.add(self._own.update)
         present = self._list_present()
         for peer in self._pick(present, LEAVING_TOLD, frozenset()):
             self._probe(now, peer)
@@ -202,7 +202,7 @@
         if not self._own.leaving and pause > self._rules.probe_limit:
             # others may suspect this instance by now; this refutes it beforehand
             self._own.raise_incarnation()
-            self._rumours.add(self._own.update)
+            self._gossip.add(self._own.update)
 
     def _judge_probes(self, now: float) -> None:
         for sequence, probe in self._probes.list_unhelped(
@@ -332,14 +332,14 @@
     def _merge(self, now: float, update: Update, *, passed_on: bool = True) -> None:
         if update.instance_id == self._own.instance_id:
             if self._own.hear(update):
-                self._rumours.add(self._own.update)
+                self._gossip.add(self._own.update)
             return
         if not self._table.merge(update, now):
             return
         self._note_change()
         record = self._table.find(update.instance_id)
         if passed_on and record is not None and record.heard:
-            self._rumours.add(record.update)
+            self._gossip.add(record.update)
 
     def _take_updates(self, receiver: str) -> tuple[tuple, ...]:
         record = self._table.find(receiver)
@@ -348,7 +348,7 @@
             # what the receiver must hear to refute it, if it can
             updates.append(record.update)
         room = self._rules.updates - len(updates)
-        updates += self._rumours.take(room, self._count_present())
+        updates += self._gossip.take(room, self._count_present())
         return tuple(encode_update(update) for update in updates)
 
     # members
