--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -230,7 +230,9 @@
 
     def meet(self, identity: Identity, *, leaving: bool) -> None:
         """Take in what a peer says of itself when a link to it is opened."""
-        self._do(self._detector.meet(self._clock.now(), identity, leaving=leaving))
+        self._do(
+            self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
+        )
 
     def note_link_lost(self, instance_id: str) -> None:
         """Take note that a link broke."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -142,9 +142,9 @@
         for other_id, other in self.nodes.items():
             if other is node or other.stopped:
                 continue
-            step = node.detector.meet(self.now, other.identity)
+            step = node.detector.register_peer(self.now, other.identity)
             self.perform(instance_id, step)
-            step = other.detector.meet(self.now, node.identity)
+            step = other.detector.register_peer(self.now, node.identity)
             self.perform(other_id, step)
 
     def run(self, seconds: float) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -143,10 +143,11 @@
     known = fleet.nodes[fleet.random.choice(running)].detector
     fleet.perform(
         node.identity.instance_id,
-        node.detector.meet(fleet.now, fleet.nodes[running[0]].identity),
+        node.detector.register_peer(fleet.now, fleet.nodes[running[0]].identity),
     )
     fleet.perform(
-        running[0], fleet.nodes[running[0]].detector.meet(fleet.now, node.identity)
+        running[0],
+        fleet.nodes[running[0]].detector.register_peer(fleet.now, node.identity),
     )
     fleet.teach(node.identity.instance_id, known.list_all_updates())
 
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -117,7 +117,9 @@
             self._begin_period(now)
         return self._finish()
 
-    def meet(self, now: float, identity: Identity, *, leaving: bool = False) -> Step:
+    def register_peer(
+        self, now: float, identity: Identity, *, leaving: bool = False
+    ) -> Step:
         """Take in what a peer says of itself when a link to it is opened."""
         state = MemberState.LEAVING if leaving else MemberState.ALIVE
         update = Update(
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -190,11 +190,11 @@
     )
     former = (("e-2-former", "10.0.0.2:1"), ("e-1-former", "10.0.0.1:1"))
     for name, address in (*former, ("e-3", "10.0.0.3:1")):
-        detector.meet(0.0, create_identity(name, address))
+        detector.register_peer(0.0, create_identity(name, address))
         update = Update(instance_id=name, incarnation=5, state=MemberState.DEAD)
         detector.receive(0.0, "e-2", MembersTable((encode_update(update),)))
     probed = set()
-    step = detector.meet(0.0, create_identity("e-2", "10.0.0.2:1"))
+    step = detector.register_peer(0.0, create_identity("e-2", "10.0.0.2:1"))
     for tick in range(300):
         now = tick * 0.2
         probed |= {one.instance_id for one in step.sends}
@@ -229,7 +229,7 @@
     fleet = start_fleet(9)
     node = fleet.add(9)
     newcomer = node.identity.instance_id
-    step = node.detector.meet(fleet.now, fleet.nodes[FIRST].identity)
+    step = node.detector.register_peer(fleet.now, fleet.nodes[FIRST].identity)
     fleet.perform(newcomer, step)
     table = fleet.nodes[FIRST].detector.list_all_updates()
     answer = MembersTable(tuple(encode_update(update) for update in table))
