--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -236,7 +236,7 @@
 
     def note_link_lost(self, instance_id: str) -> None:
         """Take note that a link broke."""
-        self._do(self._detector.note_link_lost(self._clock.now(), instance_id))
+        self._do(self._detector.handle_link_loss(self._clock.now(), instance_id))
 
     def _apply_listing(self, listing: Listing) -> None:
         self._do(self._detector.apply_listing(self._clock.now(), listing))
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -156,7 +156,7 @@
                 self._merge_all(now, updates, passed_on=False)
         return self._finish()
 
-    def note_link_lost(self, now: float, instance_id: str) -> Step:
+    def handle_link_loss(self, now: float, instance_id: str) -> Step:
         """Probe an instance at once, as a link to it has broken."""
         state = self._find_state(instance_id)
         if state is MemberState.ALIVE and not self._probes.awaits(instance_id):
