--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -333,7 +333,7 @@
 
     def _merge(self, now: float, update: Update, *, passed_on: bool = True) -> None:
         if update.instance_id == self._own.instance_id:
-            if self._own.hear(update):
+            if self._own.refute(update):
                 self._gossip.add(self._own.update)
             return
         if not self._table.merge(update, now):
--- a/packages/greengagelatch/src/greengagelatch/membership/own.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/own.py
@@ -62,7 +62,7 @@
         """Override whatever others have observed so far."""
         self._incarnation += 1
 
-    def hear(self, update: Update) -> bool:
+    def refute(self, update: Update) -> bool:
         """Take in what others say of this instance; whether it was refuted."""
         own = self.update
         if not update.overrides(own.incarnation, own.state):
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -261,7 +261,7 @@
 
     def hear(state: MemberState) -> int:
         update = Update(instance_id=FIRST, incarnation=own.incarnation, state=state)
-        own.hear(update)
+        own.refute(update)
         return own.incarnation
 
     first = own.incarnation
