--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -197,7 +197,7 @@
         if linked_address and linked_address != hello.address:
             return f"id {hello.instance_id!r} is in use at {linked_address}"
         record = self._detector.table.find(hello.instance_id)
-        if record is None or not record.heard or record.address == hello.address:
+        if record is None or not record.confirmed or record.address == hello.address:
             return ""
         if record.state is not MemberState.ALIVE or not record.address:
             return ""
@@ -313,7 +313,7 @@
 
 
 def _is_shown(record: Record, now: float) -> bool:
-    if not record.heard or record.is_gone(now):
+    if not record.confirmed or record.is_gone(now):
         return False
     if record.state is not MemberState.LEAVING:
         return True
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -96,7 +96,7 @@
         present = {
             record.instance_id: record.incarnation
             for record in self._table.select(MemberState.ALIVE, MemberState.SUSPECT)
-            if record.heard
+            if record.confirmed
         }
         if not self._own.leaving:
             present[self._own.instance_id] = self._own.incarnation
@@ -307,7 +307,7 @@
         if record is None or record.state is not MemberState.ALIVE:
             return
         # nobody has met it: there is nobody to refute a suspicion
-        state = MemberState.SUSPECT if record.heard else MemberState.DEAD
+        state = MemberState.SUSPECT if record.confirmed else MemberState.DEAD
         self._observe(now, record, state)
 
     # observations
@@ -340,7 +340,7 @@
             return
         self._note_change()
         record = self._table.find(update.instance_id)
-        if passed_on and record is not None and record.heard:
+        if passed_on and record is not None and record.confirmed:
             self._gossip.add(record.update)
 
     def _take_updates(self, receiver: str) -> tuple[tuple, ...]:
--- a/packages/greengagelatch/src/greengagelatch/membership/records.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/records.py
@@ -75,7 +75,7 @@
     capacity: int = 0
 
     @property
-    def heard(self) -> bool:
+    def confirmed(self) -> bool:
         """Whether any instance has met it; the list alone does not count."""
         return self.incarnation > 0
 
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -184,4 +184,4 @@
 
 def list_updates(records: Iterable[Record]) -> list[Update]:
     """Return what can be passed on of ``records``."""
-    return [record.update for record in records if record.heard]
+    return [record.update for record in records if record.confirmed]
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -149,7 +149,7 @@
     assert everybody_says(fleet, SECOND, MemberState.ALIVE)
     record = fleet.nodes[FIRST].detector.table.find("entry-ghost")
     assert record.state is MemberState.DEAD
-    assert not record.heard
+    assert not record.confirmed
 
 
 def test_cut_off_data_centre_is_dead_and_comes_back():
