--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -25,7 +25,7 @@
 from .probes import PendingProbes
 from .records import Record, Update, decode_update, encode_update
 from .steps import DetectorRules, Identity, Send, Step
-from .table import Table, list_updates
+from .table import MemberTable, list_updates
 
 __all__ = ("Detector",)
 
@@ -45,7 +45,7 @@
         self._own = OwnState(identity)
         self._rules = rules
         self._random = random_source
-        self._table = Table()
+        self._table = MemberTable()
         self._gossip = GossipQueue(factor=rules.spread)
         self._probes = PendingProbes()
         self._order: list[str] = []
@@ -66,7 +66,7 @@
         return self._own
 
     @property
-    def table(self) -> Table:
+    def table(self) -> MemberTable:
         """What is believed of the other instances."""
         return self._table
 
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -9,7 +9,7 @@
 from ..peers import MemberState
 from .records import Record, Update
 
-__all__ = ("MAX_RECORDS", "Table")
+__all__ = ("MAX_RECORDS", "MemberTable")
 
 #: instances remembered; beyond that those longest gone make room
 MAX_RECORDS = 8192
@@ -24,7 +24,7 @@
 LEFT_RETENTION = 24 * 3600.0
 
 
-class Table:
+class MemberTable:
     """Records of all other instances, by id."""
 
     def __init__(self) -> None:
--- a/tests/test_core/test_membership/test_capacity.py
+++ b/tests/test_core/test_membership/test_capacity.py
@@ -4,7 +4,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.membership.records import Update, decode_update, encode_update
-from greengagelatch.membership.table import Table
+from greengagelatch.membership.table import MemberTable
 from greengagelatch.peers import MemberState
 
 
@@ -33,14 +33,14 @@
 
 
 def test_capacity_that_is_known_is_kept_where_it_is_not_told_again():
-    table = Table()
+    table = MemberTable()
     table.merge(create_update(capacity=206), 0.0)
     table.merge(create_update(incarnation=4), 1.0)
     assert table.find("e1").capacity == 206
 
 
 def test_listing_tells_the_capacity_of_instances_not_met_yet():
-    table = Table()
+    table = MemberTable()
     row = Instance(
         instance_id="e2",
         kind=InstanceKind.ENTRY,
--- a/tests/test_core/test_membership/test_records.py
+++ b/tests/test_core/test_membership/test_records.py
@@ -13,7 +13,7 @@
     decode_update,
     encode_update,
 )
-from greengagelatch.membership.table import Table
+from greengagelatch.membership.table import MemberTable
 from greengagelatch.peers import MemberState
 
 updates = st.builds(
@@ -37,7 +37,7 @@
     source.shuffle(shuffled)
     views = []
     for order in (heard, shuffled):
-        table = Table()
+        table = MemberTable()
         for update in order:
             table.merge(update, 0.0)
         views.append({r.instance_id: (r.incarnation, r.state) for r in table})
--- a/tests/test_core/test_membership/test_table.py
+++ b/tests/test_core/test_membership/test_table.py
@@ -6,7 +6,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.membership.records import Update
-from greengagelatch.membership.table import Table
+from greengagelatch.membership.table import MemberTable
 from greengagelatch.peers import MemberState
 
 SOON, LATER = 1.0, 100.0
@@ -26,7 +26,7 @@
 
 
 def create_table(*, listed):
-    table = Table()
+    table = MemberTable()
     alive = Update(
         instance_id="e2",
         incarnation=1,
