--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -247,7 +247,7 @@
         # so rarely, is what joins the two sides again when it heals
         spread = 0.5 + self._random.random()
         self._next_dead = now + self._rules.dead_interval * spread
-        self._table.forget(now)
+        self._table.expire(now)
         self._neighbours = None
         taken = self._list_taken_addresses()
         dead = [
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -100,7 +100,7 @@
         for record in list(self):
             self._replace(record, since=record.since + seconds)
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop what has long been dead or gone."""
         for record in list(self):
             if now - record.since < _find_retention(record):
