--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -199,7 +199,7 @@
             return
         pause = now - self._last
         self._probes.clear()
-        self._table.delay(pause)
+        self._table.shift_times(pause)
         self._next_period = now
         if not self._own.leaving and pause > self._rules.probe_limit:
             # others may suspect this instance by now; this refutes it beforehand
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -95,7 +95,7 @@
         self._mark_listed(shown, centres)
         return news
 
-    def delay(self, seconds: float) -> None:
+    def shift_times(self, seconds: float) -> None:
         """Move all times forward, after a pause of this process."""
         for record in list(self):
             self._replace(record, since=record.since + seconds)
