--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -211,7 +211,7 @@
             now - self._rules.probe_timeout
         ):
             helpers = self._pick(
-                self._list_present(), self._rules.helpers, {probe.instance_id}
+                self._list_present(), self._rules.indirect_probes, {probe.instance_id}
             )
             for helper in helpers:
                 request = ProbeRequest(
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -20,7 +20,7 @@
     #: time after which a probe has failed, indirect ones included
     probe_limit: float = 1.5
     #: others that are asked to probe
-    helpers: int = 3
+    indirect_probes: int = 3
     #: time from suspicion to death, in periods for each factor of ten in members
     suspicion: float = 4.0
     #: time between two probes of instances believed dead
