--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -46,7 +46,7 @@
         self._rules = rules
         self._random = random_source
         self._table = MemberTable()
-        self._gossip = GossipQueue(factor=rules.spread)
+        self._gossip = GossipQueue(factor=rules.gossip_factor)
         self._probes = PendingProbes()
         self._order: list[str] = []
         self._periods = 0
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -32,7 +32,7 @@
     #: observations passed on with one message
     updates: int = 8
     #: transmissions of one observation, for each doubling in members
-    spread: int = 3
+    gossip_factor: int = 3
     #: a longer time between two calls of ``Detector.advance`` is a pause
     pause: float = 1.0
 
