--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -85,7 +85,7 @@
     def compute_suspicion(self) -> float:
         """Return the seconds that a suspected instance has to refute it."""
         members = max(10, self._count_present())
-        return self._rules.suspicion * self._rules.period * math.log10(members)
+        return self._rules.suspicion_periods * self._rules.period * math.log10(members)
 
     def list_all_updates(self) -> list[Update]:
         """Return all that is known, this instance included."""
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -22,7 +22,7 @@
     #: others that are asked to probe
     indirect_probes: int = 3
     #: time from suspicion to death, in periods for each factor of ten in members
-    suspicion: float = 4.0
+    suspicion_periods: float = 4.0
     #: time between two probes of instances believed dead
     dead_interval: float = 10.0
     #: one probe out of this many goes to any member instead of a neighbour
