--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -195,7 +195,7 @@
         declares everybody dead at once. So the time that passed is not held against
         anybody: open probes are dropped and suspicions last longer by the pause.
         """
-        if self._last is None or now - self._last <= self._rules.pause:
+        if self._last is None or now - self._last <= self._rules.pause_threshold:
             return
         pause = now - self._last
         self._probes.clear()
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -34,7 +34,7 @@
     #: transmissions of one observation, for each doubling in members
     gossip_factor: int = 3
     #: a longer time between two calls of ``Detector.advance`` is a pause
-    pause: float = 1.0
+    pause_threshold: float = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
