--- a/packages/greengagelatch/src/greengagelatch/membership/probes.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/probes.py
@@ -21,7 +21,7 @@
     #: requester and its own sequence number, where this instance is only a helper
     origin: tuple[str, int] | None = None
     #: whether helpers have been asked
-    helped: bool = False
+    indirect_requested: bool = False
 
 
 class PendingProbes:
@@ -55,11 +55,15 @@
         """Return own probes sent before that need helpers now, each only once."""
         found = []
         for sequence, probe in self._probes.items():
-            if probe.origin is not None or probe.helped or probe.sent > before:
+            if (
+                probe.origin is not None
+                or probe.indirect_requested
+                or probe.sent > before
+            ):
                 continue
             found.append((sequence, probe))
         for sequence, probe in found:
-            self._probes[sequence] = dataclasses.replace(probe, helped=True)
+            self._probes[sequence] = dataclasses.replace(probe, indirect_requested=True)
         return found
 
     def take_failed(self, before: float) -> list[PendingProbe]:
