--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -207,7 +207,7 @@
             self._gossip.add(self._own.update)
 
     def _judge_probes(self, now: float) -> None:
-        for sequence, probe in self._probes.list_unhelped(
+        for sequence, probe in self._probes.start_indirect(
             now - self._rules.probe_timeout
         ):
             helpers = self._pick(
--- a/packages/greengagelatch/src/greengagelatch/membership/probes.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/probes.py
@@ -51,7 +51,7 @@
         """Remove an answered probe; ``None`` if it is not pending any more."""
         return self._probes.pop(sequence, None)
 
-    def list_unhelped(self, before: float) -> list[tuple[int, PendingProbe]]:
+    def start_indirect(self, before: float) -> list[tuple[int, PendingProbe]]:
         """Return own probes sent before that need helpers now, each only once."""
         found = []
         for sequence, probe in self._probes.items():
