--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -218,7 +218,7 @@
                     sequence, probe.instance_id, self._take_updates(helper)
                 )
                 self._sends.append(Send(helper, request))
-        for probe in self._probes.take_failed(now - self._rules.probe_limit):
+        for probe in self._probes.pop_failed(now - self._rules.probe_limit):
             if probe.origin is None:
                 self._suspect(now, probe.instance_id)
 
--- a/packages/greengagelatch/src/greengagelatch/membership/probes.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/probes.py
@@ -66,7 +66,7 @@
             self._probes[sequence] = dataclasses.replace(probe, indirect_requested=True)
         return found
 
-    def take_failed(self, before: float) -> list[PendingProbe]:
+    def pop_failed(self, before: float) -> list[PendingProbe]:
         """Remove and return the probes sent before that nobody answered."""
         failed = [
             sequence for sequence, probe in self._probes.items() if probe.sent <= before
