--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -295,7 +295,7 @@
         self._sends.append(Send(instance_id, message))
 
     def _settle(self, sequence: int) -> None:
-        probe = self._probes.take(sequence)
+        probe = self._probes.pop(sequence)
         if probe is None or probe.origin is None:
             return
         requester, requested = probe.origin
--- a/packages/greengagelatch/src/greengagelatch/membership/probes.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/probes.py
@@ -47,7 +47,7 @@
         """Whether a probe of an instance is pending."""
         return any(item.instance_id == instance_id for item in self._probes.values())
 
-    def take(self, sequence: int) -> PendingProbe | None:
+    def pop(self, sequence: int) -> PendingProbe | None:
         """Remove an answered probe; ``None`` if it is not pending any more."""
         return self._probes.pop(sequence, None)
 
