--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -33,7 +33,7 @@
 SUSPECTS_PROBED = 2
 
 #: peers told directly when this instance begins to leave
-LEAVING_TOLD = 16
+LEAVING_FANOUT = 16
 
 
 class Detector:
@@ -181,7 +181,7 @@
         self._changed = True
         self._gossip.add(self._own.update)
         present = self._list_present()
-        for peer in self._pick(present, LEAVING_TOLD, frozenset()):
+        for peer in self._pick(present, LEAVING_FANOUT, frozenset()):
             self._probe(now, peer)
         return self._finish()
 
