--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -141,7 +141,7 @@
         match message:
             case Probe(sequence, updates):
                 self._merge_all(now, updates)
-                ack = ProbeAck(sequence, self._take_updates(sender))
+                ack = ProbeAck(sequence, self._piggyback_updates(sender))
                 self._sends.append(Send(sender, ack))
             case ProbeAck(sequence, updates):
                 self._merge_all(now, updates)
@@ -215,7 +215,7 @@
             )
             for helper in helpers:
                 request = ProbeRequest(
-                    sequence, probe.instance_id, self._take_updates(helper)
+                    sequence, probe.instance_id, self._piggyback_updates(helper)
                 )
                 self._sends.append(Send(helper, request))
         for probe in self._probes.pop_failed(now - self._rules.probe_limit):
@@ -291,7 +291,7 @@
         if record is None or not record.address:
             return
         sequence = self._probes.add(now, instance_id, origin)
-        message = Probe(sequence, self._take_updates(instance_id))
+        message = Probe(sequence, self._piggyback_updates(instance_id))
         self._sends.append(Send(instance_id, message))
 
     def _settle(self, sequence: int) -> None:
@@ -299,7 +299,7 @@
         if probe is None or probe.origin is None:
             return
         requester, requested = probe.origin
-        ack = ProbeAck(requested, self._take_updates(requester))
+        ack = ProbeAck(requested, self._piggyback_updates(requester))
         self._sends.append(Send(requester, ack))
 
     def _suspect(self, now: float, instance_id: str) -> None:
@@ -343,7 +343,7 @@
         if passed_on and record is not None and record.confirmed:
             self._gossip.add(record.update)
 
-    def _take_updates(self, receiver: str) -> tuple[tuple, ...]:
+    def _piggyback_updates(self, receiver: str) -> tuple[tuple, ...]:
         record = self._table.find(receiver)
         updates = []
         if record is not None and record.state is not MemberState.ALIVE:
