--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -109,7 +109,7 @@
 
     def advance(self, now: float) -> Step:
         """Do what is due; to be called several times in each period."""
-        self._notice_pause(now)
+        self._handle_pause(now)
         self._last = now
         self._judge_probes(now)
         self._judge_suspects(now)
@@ -187,7 +187,7 @@
 
     # time
 
-    def _notice_pause(self, now: float) -> None:
+    def _handle_pause(self, now: float) -> None:
         """Restart all timers after this process stood still.
 
         A process that was stopped, or whose loop was blocked, finds all its probes
