--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -111,7 +111,7 @@
         """Do what is due; to be called several times in each period."""
         self._handle_pause(now)
         self._last = now
-        self._judge_probes(now)
+        self._check_probes(now)
         self._judge_suspects(now)
         if self._next_period is None or now >= self._next_period:
             self._begin_period(now)
@@ -206,7 +206,7 @@
             self._own.raise_incarnation()
             self._gossip.add(self._own.update)
 
-    def _judge_probes(self, now: float) -> None:
+    def _check_probes(self, now: float) -> None:
         for sequence, probe in self._probes.start_indirect(
             now - self._rules.probe_timeout
         ):
