--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -112,7 +112,7 @@
         self._handle_pause(now)
         self._last = now
         self._check_probes(now)
-        self._judge_suspects(now)
+        self._expire_suspects(now)
         if self._next_period is None or now >= self._next_period:
             self._begin_period(now)
         return self._finish()
@@ -222,7 +222,7 @@
             if probe.origin is None:
                 self._suspect(now, probe.instance_id)
 
-    def _judge_suspects(self, now: float) -> None:
+    def _expire_suspects(self, now: float) -> None:
         latest = now - self.compute_suspicion()
         for record in self._table.select(MemberState.SUSPECT):
             if record.since <= latest:
