--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -145,7 +145,7 @@
                 self._sends.append(Send(sender, ack))
             case ProbeAck(sequence, updates):
                 self._merge_all(now, updates)
-                self._settle(sequence)
+                self._acknowledge(sequence)
             case ProbeRequest(sequence, instance_id, updates):
                 self._merge_all(now, updates)
                 origin = (sender, sequence)
@@ -294,7 +294,7 @@
         message = Probe(sequence, self._piggyback_updates(instance_id))
         self._sends.append(Send(instance_id, message))
 
-    def _settle(self, sequence: int) -> None:
+    def _acknowledge(self, sequence: int) -> None:
         probe = self._probes.pop(sequence)
         if probe is None or probe.origin is None:
             return
