--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -181,7 +181,7 @@
         self._changed = True
         self._gossip.add(self._own.update)
         present = self._list_present()
-        for peer in self._pick(present, LEAVING_FANOUT, frozenset()):
+        for peer in self._sample(present, LEAVING_FANOUT, frozenset()):
             self._probe(now, peer)
         return self._finish()
 
@@ -210,7 +210,7 @@
         for sequence, probe in self._probes.start_indirect(
             now - self._rules.probe_timeout
         ):
-            helpers = self._pick(
+            helpers = self._sample(
                 self._list_present(), self._rules.indirect_probes, {probe.instance_id}
             )
             for helper in helpers:
@@ -237,7 +237,7 @@
         if chosen is not None:
             self._probe(now, chosen)
         suspects = [r.instance_id for r in self._table.select(MemberState.SUSPECT)]
-        for suspect in self._pick(suspects, SUSPECTS_PROBED, {chosen or ""}):
+        for suspect in self._sample(suspects, SUSPECTS_PROBED, {chosen or ""}):
             self._probe(now, suspect)
         if now >= self._next_dead:
             self._begin_dead_period(now)
@@ -255,7 +255,7 @@
             for record in self._table.select(MemberState.DEAD)
             if record.address and record.address not in taken
         ]
-        for instance_id in self._pick(dead, 1, frozenset()):
+        for instance_id in self._sample(dead, 1, frozenset()):
             self._probe(now, instance_id)
 
     def _list_taken_addresses(self) -> set[str]:
@@ -271,7 +271,7 @@
 
     def _choose_probed(self) -> str | None:
         if self._periods % self._rules.random_share == 0:
-            return next(iter(self._pick(self._list_present(), 1, frozenset())), None)
+            return next(iter(self._sample(self._list_present(), 1, frozenset())), None)
         neighbours = self.list_neighbours()
         while self._order:
             instance_id = self._order.pop()
@@ -366,7 +366,9 @@
         record = self._table.find(instance_id)
         return None if record is None else record.state
 
-    def _pick(self, ids: list[str], number: int, excluded: Iterable[str]) -> list[str]:
+    def _sample(
+        self, ids: list[str], number: int, excluded: Iterable[str]
+    ) -> list[str]:
         chosen = [item for item in ids if item not in excluded]
         return self._random.sample(chosen, min(number, len(chosen)))
 
