--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -170,7 +170,7 @@
         for update in news:
             self._gossip.add(update)
         if news or len(self._table) != before:
-            self._note_change()
+            self._mark_changed()
         return self._finish()
 
     def leave(self, now: float) -> Step:
@@ -338,7 +338,7 @@
             return
         if not self._table.merge(update, now):
             return
-        self._note_change()
+        self._mark_changed()
         record = self._table.find(update.instance_id)
         if passed_on and record is not None and record.confirmed:
             self._gossip.add(record.update)
@@ -372,7 +372,7 @@
         chosen = [item for item in ids if item not in excluded]
         return self._random.sample(chosen, min(number, len(chosen)))
 
-    def _note_change(self) -> None:
+    def _mark_changed(self) -> None:
         self._changed = True
         self._neighbours = None
 
