--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -249,7 +249,7 @@
         self._next_dead = now + self._rules.dead_interval * spread
         self._table.expire(now)
         self._neighbours = None
-        taken = self._list_taken_addresses()
+        taken = self._list_used_addresses()
         dead = [
             record.instance_id
             for record in self._table.select(MemberState.DEAD)
@@ -258,7 +258,7 @@
         for instance_id in self._sample(dead, 1, frozenset()):
             self._probe(now, instance_id)
 
-    def _list_taken_addresses(self) -> set[str]:
+    def _list_used_addresses(self) -> set[str]:
         """Return the addresses at which an instance is that is not dead.
 
         A dead one whose address another process has was a former process there. It
