--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -118,7 +118,7 @@
                 continue
             self._replace(record, listed=listed, delisted=not listed)
 
-    def _make_room(self) -> bool:
+    def _evict_if_full(self) -> bool:
         if len(self._records) < MAX_RECORDS:
             return True
         gone = self.select(MemberState.DEAD, MemberState.LEAVING)
@@ -129,7 +129,7 @@
         return True
 
     def _add(self, update: Update, now: float) -> bool:
-        if not self._make_room():
+        if not self._evict_if_full():
             return False
         self._records[update.instance_id] = Record(
             instance_id=update.instance_id,
