--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from greengagelatch.instances import Instance, InstanceList, Listing
-from greengagelatch.instances.rows import read_row
+from greengagelatch.instances.rows import parse_row
 from greengagelatch.store import StoreError, StoreErrorKind
 
 if TYPE_CHECKING:
@@ -119,7 +119,7 @@
         for number, row in enumerate(rows, start=1):
             if number % ROWS_PER_TURN == 0:
                 await asyncio.sleep(0)
-            instance = self._find_known(row) or read_row(row)
+            instance = self._find_known(row) or parse_row(row)
             if instance is None:
                 bad += 1
                 continue
--- a/packages/greengagelatch/src/greengagelatch/instances/rows.py
+++ b/packages/greengagelatch/src/greengagelatch/instances/rows.py
@@ -8,7 +8,7 @@
 from . import Instance, InstanceKind, InstanceState, Listing
 from .messages import ListingPage
 
-__all__ = ("PAGE_ROWS", "cut_page", "decode_row", "encode_row", "read_row")
+__all__ = ("PAGE_ROWS", "cut_page", "decode_row", "encode_row", "parse_row")
 
 #: rows of one page, about 50 kB, so that no frame holds up heartbeats for long
 PAGE_ROWS = 500
@@ -19,7 +19,7 @@
 HIGHEST_PORT = 65535
 
 
-def read_row(row: Any) -> Instance | None:
+def parse_row(row: Any) -> Instance | None:
     """Read a row as the platform gives it; ``None`` if it makes no sense."""
     try:
         instance = Instance(
@@ -64,7 +64,7 @@
     if not isinstance(row, tuple) or len(row) < len(FIELDS):
         return None
     fields: Mapping[str, Any] = dict(zip(FIELDS, row, strict=False))
-    return read_row(fields)
+    return parse_row(fields)
 
 
 def cut_page(listing: Listing, offset: int) -> ListingPage:
