--- a/packages/greengagelatch-entry/src/greengagelatch_entry/listings.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/listings.py
@@ -8,7 +8,7 @@
 
 from greengagelatch.instances import Instance, Listing
 from greengagelatch.instances.messages import ListingPage, ListingQuery
-from greengagelatch.instances.rows import cut_page, decode_row
+from greengagelatch.instances.rows import build_page, decode_row
 from greengagelatch.peers import MemberState
 
 if TYPE_CHECKING:
@@ -107,7 +107,7 @@
         newest = self._get_newest()
         if newest is None or newest.as_of <= query.as_of or query.offset < 0:
             return ListingPage()
-        return cut_page(newest, query.offset)
+        return build_page(newest, query.offset)
 
     def _list_others(self) -> list[str]:
         own_id = self._peers.instance_id
--- a/packages/greengagelatch/src/greengagelatch/instances/rows.py
+++ b/packages/greengagelatch/src/greengagelatch/instances/rows.py
@@ -8,7 +8,7 @@
 from . import Instance, InstanceKind, InstanceState, Listing
 from .messages import ListingPage
 
-__all__ = ("PAGE_ROWS", "cut_page", "decode_row", "encode_row", "parse_row")
+__all__ = ("PAGE_ROWS", "build_page", "decode_row", "encode_row", "parse_row")
 
 #: rows of one page, about 50 kB, so that no frame holds up heartbeats for long
 PAGE_ROWS = 500
@@ -67,7 +67,7 @@
     return parse_row(fields)
 
 
-def cut_page(listing: Listing, offset: int) -> ListingPage:
+def build_page(listing: Listing, offset: int) -> ListingPage:
     """Return the page of a listing that begins with the row at ``offset``."""
     instances = listing.instances[offset : offset + PAGE_ROWS]
     rows = tuple(encode_row(instance) for instance in instances)
--- a/tests/test_core/test_instances/test_rows.py
+++ b/tests/test_core/test_instances/test_rows.py
@@ -8,7 +8,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.instances.messages import ListingPage
-from greengagelatch.instances.rows import PAGE_ROWS, cut_page, decode_row, encode_row
+from greengagelatch.instances.rows import PAGE_ROWS, build_page, decode_row, encode_row
 from greengagelatch.peers.codec import Envelope, decode, encode
 
 TEXTS = st.text(max_size=20)
@@ -33,7 +33,7 @@
     listing = make_listing(2 * PAGE_ROWS + 1)
     rows = []
     while len(rows) < len(listing.instances):
-        page = cut_page(listing, len(rows))
+        page = build_page(listing, len(rows))
         copy = decode(encode(Envelope(page))).unwrap().message
         assert (copy.as_of, copy.total) == (7, len(listing.instances))
         assert len(copy.rows) <= PAGE_ROWS
