--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -16,7 +16,7 @@
 from greengagelatch.targets.ledger import Ledger, LedgerChange, LedgerRules
 from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
 from greengagelatch.targets.polling import PollSchedule
-from greengagelatch.targets.reports import read_report
+from greengagelatch.targets.reports import parse_report
 
 from . import Controller
 from .listing import LISTING_RECEIVED
@@ -277,7 +277,7 @@
             data = json.loads(body)
         except (ValueError, RecursionError):
             data = None
-        report = read_report(data, asked)
+        report = parse_report(data, asked)
         if report.leaving:
             self.note_leaving(target.target_id)
         self._take(self._ledger.apply_report(target.target_id, report.load))
--- a/packages/greengagelatch/src/greengagelatch/targets/reports.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/reports.py
@@ -7,7 +7,7 @@
 
 from .directory import LoadReport
 
-__all__ = ("MAX_PREFIXES", "TargetReport", "read_report")
+__all__ = ("MAX_PREFIXES", "TargetReport", "parse_report")
 
 #: prefixes kept of one report; they are hints, and memory is bounded
 MAX_PREFIXES = 512
@@ -26,7 +26,7 @@
     load: LoadReport | None
 
 
-def read_report(data: Any, asked: float) -> TargetReport:
+def parse_report(data: Any, asked: float) -> TargetReport:
     """Read the answer to ``GET /load``.
 
     :param asked: monotonic seconds at which the call was begun. The report's age
--- a/tests/test_core/test_targets/test_polling.py
+++ b/tests/test_core/test_targets/test_polling.py
@@ -7,13 +7,13 @@
 import pytest
 
 from greengagelatch.targets.polling import PollSchedule
-from greengagelatch.targets.reports import read_report
+from greengagelatch.targets.reports import parse_report
 
 REPORT = {"in_flight": 2, "queued": 1, "capacity": 4, "state": "live", "age_ms": 500}
 
 
 def test_age_is_subtracted_from_the_time_of_asking():
-    report = read_report(REPORT, asked=100.0)
+    report = parse_report(REPORT, asked=100.0)
     assert report.load.taken == 99.5
     assert not report.leaving
 
@@ -29,7 +29,7 @@
     ],
 )
 def test_unusable_report_still_tells_of_leaving(change):
-    report = read_report({**REPORT, **change, "state": "leaving"}, asked=100.0)
+    report = parse_report({**REPORT, **change, "state": "leaving"}, asked=100.0)
     assert report.load is None
     assert report.leaving
 
@@ -39,7 +39,7 @@
     [(-5, 100.0), ("x", 100.0), (float("nan"), -3500.0), (1e99, -3500.0)],
 )
 def test_odd_ages(age, taken):
-    assert read_report({**REPORT, "age_ms": age}, asked=100.0).load.taken == taken
+    assert parse_report({**REPORT, "age_ms": age}, asked=100.0).load.taken == taken
 
 
 def count_polls(schedule: PollSchedule, seconds: float) -> dict[str, int]:
