--- a/packages/greengagelatch/src/greengagelatch/peers/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/choice.py
@@ -8,7 +8,7 @@
 __all__ = ("choose_peers",)
 
 #: share of the words that go to any member and not to a neighbour
-ANYONE_SHARE = 0.125
+RANDOM_SHARE = 0.125
 
 
 def choose_peers(
@@ -30,7 +30,7 @@
     linked = [name for name in left if name in neighbours]
     chosen: list[str] = []
     while left and len(chosen) < number:
-        near = linked and source.random() >= ANYONE_SHARE
+        near = linked and source.random() >= RANDOM_SHARE
         name = source.choice(linked if near else left)
         chosen.append(name)
         left.remove(name)
