--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -204,7 +204,7 @@
         self._asked[place] = note_read
         try:
             reply = await self._send(owner, group, bundle)
-            if isinstance(reply, Err) and reply.err_value.cut:
+            if isinstance(reply, Err) and reply.err_value.disconnected:
                 # Passed over for a link that broke, it would not be the owner here
                 # while it is elsewhere, and both would overrun the makers. It knows
                 # the bundle, and a dial tells at once if its process is gone.
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -225,7 +225,9 @@
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "no answer in time"))
         except ConnectionError:
-            return Err(PeerError(PeerErrorKind.NO_ANSWER, "the link closed", cut=True))
+            return Err(
+                PeerError(PeerErrorKind.NO_ANSWER, "the link closed", disconnected=True)
+            )
         finally:
             del self._questions[number]
         if isinstance(reply, NotUnderstood):
--- a/packages/greengagelatch/src/greengagelatch/peers/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/__init__.py
@@ -68,7 +68,7 @@
     message: str
     #: the link broke before the answer came, and not for its silence: the peer may
     #: well be reached over another one
-    cut: bool = False
+    disconnected: bool = False
 
 
 class PeerNetwork(ABC):
--- a/tests/test_entry/test_adapters/test_crossed_links.py
+++ b/tests/test_entry/test_adapters/test_crossed_links.py
@@ -271,7 +271,7 @@
         await wait_until(lambda: second.metrics.value("peers.silent_links") == 1)
         # the machine may be gone: nothing says that another link would reach it
         error = (await waiting).err_value
-        assert (error.kind, error.cut) == (PeerErrorKind.NO_ANSWER, False)
+        assert (error.kind, error.disconnected) == (PeerErrorKind.NO_ANSWER, False)
         second.show(("e-1", first.address))
         assert await second.hub.ask("e-1", Echo("x"), TIMEOUT) == Ok(Echo("x"))
         held = first.hub.dump()["links"]["e-2"]
@@ -372,7 +372,7 @@
     match await waiting:
         case Err(error):
             assert error.kind is PeerErrorKind.NO_ANSWER
-            assert error.cut
+            assert error.disconnected
         case answer:
             pytest.fail(f"answered: {answer}")
     await wait_until(lambda: link.ended)
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -230,7 +230,9 @@
     async def ask_over_two_links(sender, to, message):
         calls.append(to)
         if len(calls) == 1:
-            return Err(PeerError(PeerErrorKind.NO_ANSWER, "the link closed", cut=True))
+            return Err(
+                PeerError(PeerErrorKind.NO_ANSWER, "the link closed", disconnected=True)
+            )
         return await ask(sender, to, message)
 
     world.network.ask = ask_over_two_links
