--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -13,7 +13,7 @@
 from greengagelatch.membership.backoff import compute_backoff
 from greengagelatch.peers import MemberState
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import Ledger, LedgerChange, LedgerRules
+from greengagelatch.targets.ledger import LedgerChange, LedgerRules, TargetRegistry
 from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
 from greengagelatch.targets.polling import PollSchedule
 from greengagelatch.targets.reports import parse_report
@@ -113,7 +113,7 @@
         self._interval = settings["targets.load_interval"]
         self._probe_longest = settings["targets.probe_longest"]
         self._timeout = aiohttp.ClientTimeout(total=settings["targets.load_timeout"])
-        self._ledger = Ledger(
+        self._ledger = TargetRegistry(
             instance_id=peers.instance_id, rules=_read_rules(settings)
         )
         self._schedule = PollSchedule(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -19,7 +19,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import Ledger, LedgerRules
+from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
 from greengagelatch.targets.polling import PollSchedule
 
 from .fleet import DATA_CENTRES, DetectorFleet
@@ -91,7 +91,7 @@
 def measure_ledger(replicas: int, seconds: int) -> LedgerCost:
     """Measure the target directory with ``replicas`` in five services."""
     listings = [_make_listing(as_of, replicas) for as_of in (1, 2)]
-    ledger = Ledger(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
+    ledger = TargetRegistry(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
     # entry instances grow with the targets
     ledger.share_with(max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1]))
     ledger.apply_listing(listings[0])
@@ -160,8 +160,8 @@
     return fleet
 
 
-def _build_ledger(listing: Listing) -> Ledger:
-    ledger = Ledger(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
+def _build_ledger(listing: Listing) -> TargetRegistry:
+    ledger = TargetRegistry(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
     ledger.apply_listing(listing)
     for number in range(SERVICES):
         ledger.list_candidates(0.0, f"service-{number}")
@@ -191,7 +191,7 @@
     return Listing(as_of, tuple(rows))
 
 
-def _run_directory(ledger: Ledger, schedule: PollSchedule, seconds: int) -> int:
+def _run_directory(ledger: TargetRegistry, schedule: PollSchedule, seconds: int) -> int:
     polls = 0
     for tick in range(seconds * 10):
         now = tick / 10
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -16,7 +16,7 @@
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport, TargetDirectory
-from greengagelatch.targets.ledger import Ledger, LedgerRules
+from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
 from greengagelatch_entry.adapters.instances import HttpInstanceList
 from greengagelatch_entry.metrics import Metrics
 
@@ -71,7 +71,7 @@
     for count in replicas:
         with measure_memory() as held:
             listing = _create_listing(count, as_of=1)
-            ledger = Ledger(instance_id="entry-1", rules=LedgerRules())
+            ledger = TargetRegistry(instance_id="entry-1", rules=LedgerRules())
             ledger.apply_listing(listing)
         listings = [_create_listing(count, as_of=n) for n in range(2, 5)]
         with measure_cpu() as spent:
@@ -172,7 +172,7 @@
     return Listing(as_of, tuple(rows))
 
 
-def _ask_all(ledger: Ledger) -> None:
+def _ask_all(ledger: TargetRegistry) -> None:
     for number in range(SERVICES):
         ledger.list_candidates(0.0, f"service-{number:02d}")
 
--- a/packages/greengagelatch/src/greengagelatch/targets/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/ledger.py
@@ -29,7 +29,7 @@
 from .records import Group, Record
 from .subset import compute_weight
 
-__all__ = ("Ledger", "LedgerChange", "LedgerRules")
+__all__ = ("TargetRegistry", "LedgerChange", "LedgerRules")
 
 #: ids of leaving targets that are remembered
 MAX_LEAVING = 20_000
@@ -68,7 +68,7 @@
 _NOTHING = LedgerChange()
 
 
-class Ledger:
+class TargetRegistry:
     """The targets as this instance sees them.
 
     :param instance_id: id of this entry instance; each has its own subset.
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import Ledger, LedgerRules
+from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
 
 SERVICE = "greengage-llm"
 CENTRES = ("fukuoka-a", "fukuoka-b", "kumamoto")
@@ -40,11 +40,11 @@
     return Listing(as_of, tuple(rows))
 
 
-def make_ledger(instance_id: str = "entry-1", **rules) -> Ledger:
-    return Ledger(instance_id=instance_id, rules=LedgerRules(**rules))
+def make_ledger(instance_id: str = "entry-1", **rules) -> TargetRegistry:
+    return TargetRegistry(instance_id=instance_id, rules=LedgerRules(**rules))
 
 
-def list_ids(ledger: Ledger) -> list[str]:
+def list_ids(ledger: TargetRegistry) -> list[str]:
     candidates = ledger.list_candidates(0.0, SERVICE)
     return [candidate.target.target_id for candidate in candidates]
 
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.config import replica
 from greengagelatch.stages import ledger, tokens
-from greengagelatch.targets.ledger import Ledger, LedgerChange
+from greengagelatch.targets.ledger import LedgerChange, TargetRegistry
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import attempts
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
@@ -75,7 +75,7 @@
         Promise.DOUBLED,
     ),
     "leaving targets": Loss(
-        Ledger,
+        TargetRegistry,
         "mark_leaving",
         lambda self, target_ids: LedgerChange(),
         "store slow",
