--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -13,7 +13,11 @@
 from greengagelatch.membership.backoff import compute_backoff
 from greengagelatch.peers import MemberState
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import LedgerChange, LedgerRules, TargetRegistry
+from greengagelatch.targets.ledger import (
+    LedgerChange,
+    TargetRegistry,
+    TargetRegistryRules,
+)
 from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
 from greengagelatch.targets.polling import PollSchedule
 from greengagelatch.targets.reports import parse_report
@@ -353,8 +357,8 @@
         return self._random.sample(reachable, min(number, len(reachable)))
 
 
-def _read_rules(settings: Settings) -> LedgerRules:
-    return LedgerRules(
+def _read_rules(settings: Settings) -> TargetRegistryRules:
+    return TargetRegistryRules(
         subset=settings["targets.subset"],
         spread=settings["targets.spread"],
         missing_listings=settings["targets.missing_listings"],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -19,7 +19,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
+from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
 from greengagelatch.targets.polling import PollSchedule
 
 from .fleet import DATA_CENTRES, DetectorFleet
@@ -91,7 +91,9 @@
 def measure_ledger(replicas: int, seconds: int) -> LedgerCost:
     """Measure the target directory with ``replicas`` in five services."""
     listings = [_make_listing(as_of, replicas) for as_of in (1, 2)]
-    ledger = TargetRegistry(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
+    ledger = TargetRegistry(
+        instance_id="entry-1", rules=TargetRegistryRules(subset=SUBSET)
+    )
     # entry instances grow with the targets
     ledger.share_with(max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1]))
     ledger.apply_listing(listings[0])
@@ -161,7 +163,9 @@
 
 
 def _build_ledger(listing: Listing) -> TargetRegistry:
-    ledger = TargetRegistry(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
+    ledger = TargetRegistry(
+        instance_id="entry-1", rules=TargetRegistryRules(subset=SUBSET)
+    )
     ledger.apply_listing(listing)
     for number in range(SERVICES):
         ledger.list_candidates(0.0, f"service-{number}")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -16,7 +16,7 @@
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport, TargetDirectory
-from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
+from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
 from greengagelatch_entry.adapters.instances import HttpInstanceList
 from greengagelatch_entry.metrics import Metrics
 
@@ -71,7 +71,7 @@
     for count in replicas:
         with measure_memory() as held:
             listing = _create_listing(count, as_of=1)
-            ledger = TargetRegistry(instance_id="entry-1", rules=LedgerRules())
+            ledger = TargetRegistry(instance_id="entry-1", rules=TargetRegistryRules())
             ledger.apply_listing(listing)
         listings = [_create_listing(count, as_of=n) for n in range(2, 5)]
         with measure_cpu() as spent:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -10,7 +10,7 @@
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
+from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
 
 from ..fleets import Fleet
 from .events import EventClock
@@ -119,7 +119,9 @@
     ) -> None:
         self._clock = fleet.clock
         self._reports = reports
-        self._ledger = TargetRegistry(instance_id=instance_id, rules=LedgerRules())
+        self._ledger = TargetRegistry(
+            instance_id=instance_id, rules=TargetRegistryRules()
+        )
         self._ledger.apply_listing(fleet.list_instances())
         for model in fleet.models.values():
             delay = random_source.random() * reports.interval
--- a/packages/greengagelatch/src/greengagelatch/targets/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/ledger.py
@@ -29,14 +29,14 @@
 from .records import Group, Record
 from .subset import compute_weight
 
-__all__ = ("TargetRegistry", "LedgerChange", "LedgerRules")
+__all__ = ("TargetRegistry", "LedgerChange", "TargetRegistryRules")
 
 #: ids of leaving targets that are remembered
 MAX_LEAVING = 20_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LedgerRules:
+class TargetRegistryRules:
     """Limits of the ledger."""
 
     #: targets of one service that this instance uses at least
@@ -74,7 +74,7 @@
     :param instance_id: id of this entry instance; each has its own subset.
     """
 
-    def __init__(self, *, instance_id: str, rules: LedgerRules) -> None:
+    def __init__(self, *, instance_id: str, rules: TargetRegistryRules) -> None:
         self._instance_id = instance_id
         self._rules = rules
         self._records: dict[str, Record] = {}
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import LedgerRules, TargetRegistry
+from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
 
 SERVICE = "greengage-llm"
 CENTRES = ("fukuoka-a", "fukuoka-b", "kumamoto")
@@ -41,7 +41,7 @@
 
 
 def make_ledger(instance_id: str = "entry-1", **rules) -> TargetRegistry:
-    return TargetRegistry(instance_id=instance_id, rules=LedgerRules(**rules))
+    return TargetRegistry(instance_id=instance_id, rules=TargetRegistryRules(**rules))
 
 
 def list_ids(ledger: TargetRegistry) -> list[str]:
