--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -14,8 +14,8 @@
 from greengagelatch.peers import MemberState
 from greengagelatch.targets.directory import Candidate, TargetDirectory
 from greengagelatch.targets.ledger import (
-    LedgerChange,
     TargetRegistry,
+    TargetRegistryChange,
     TargetRegistryRules,
 )
 from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
@@ -300,7 +300,7 @@
 
     # peers
 
-    def _take(self, change: LedgerChange, *, heard: bool = False) -> None:
+    def _take(self, change: TargetRegistryChange, *, heard: bool = False) -> None:
         for target_id in change.leaving:
             self._metrics.count("targets.leaving")
             self._untold[heard].append(target_id)
--- a/packages/greengagelatch/src/greengagelatch/targets/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/ledger.py
@@ -29,7 +29,7 @@
 from .records import Group, Record
 from .subset import compute_weight
 
-__all__ = ("TargetRegistry", "LedgerChange", "TargetRegistryRules")
+__all__ = ("TargetRegistry", "TargetRegistryChange", "TargetRegistryRules")
 
 #: ids of leaving targets that are remembered
 MAX_LEAVING = 20_000
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LedgerChange:
+class TargetRegistryChange:
     """What one piece of news has changed."""
 
     #: targets that are now known to be leaving and were not before
@@ -65,7 +65,7 @@
     stale: bool = False
 
 
-_NOTHING = LedgerChange()
+_NOTHING = TargetRegistryChange()
 
 
 class TargetRegistry:
@@ -91,10 +91,10 @@
 
     # news
 
-    def apply_listing(self, listing: Listing) -> LedgerChange:
+    def apply_listing(self, listing: Listing) -> TargetRegistryChange:
         """Take in a listing; one older than an earlier one is ignored."""
         if listing.as_of < self._as_of:
-            return LedgerChange(stale=True)
+            return TargetRegistryChange(stale=True)
         self._as_of = listing.as_of
         leaving: list[str] = []
         changed: set[str] = set()
@@ -104,9 +104,9 @@
         change = self.mark_leaving(leaving)
         changed.update(change.services)
         changed.update(self._count_missing())
-        return LedgerChange(leaving=change.leaving, services=frozenset(changed))
+        return TargetRegistryChange(leaving=change.leaving, services=frozenset(changed))
 
-    def mark_leaving(self, target_ids: Iterable[str]) -> LedgerChange:
+    def mark_leaving(self, target_ids: Iterable[str]) -> TargetRegistryChange:
         """Record that targets are leaving, for good, whether or not known yet."""
         news = []
         changed = set()
@@ -120,9 +120,11 @@
                 self._leaving_targets[target_id] = record.target
                 changed.add(self._remove(record))
         self._forget_oldest()
-        return LedgerChange(leaving=tuple(news), services=frozenset(changed))
+        return TargetRegistryChange(leaving=tuple(news), services=frozenset(changed))
 
-    def apply_report(self, target_id: str, report: LoadReport | None) -> LedgerChange:
+    def apply_report(
+        self, target_id: str, report: LoadReport | None
+    ) -> TargetRegistryChange:
         """Take in a target's answer to a poll; ``None`` if it held no load."""
         record = self._records.get(target_id)
         if record is None:
@@ -135,7 +137,7 @@
         self._groups[record.target.service].candidates = None
         return change
 
-    def note_reached(self, target_id: str) -> LedgerChange:
+    def note_reached(self, target_id: str) -> TargetRegistryChange:
         """Record that a target answered."""
         record = self._records.get(target_id)
         if record is None:
@@ -146,7 +148,7 @@
         record.set_aside = False
         return self._rechoose(record)
 
-    def note_unreached(self, target_id: str) -> LedgerChange:
+    def note_unreached(self, target_id: str) -> TargetRegistryChange:
         """Record that a target could not be reached."""
         record = self._records.get(target_id)
         if record is None:
@@ -154,7 +156,7 @@
         record.failures += 1
         if record.missing:
             # the list no longer shows it and it does not answer either
-            return LedgerChange(services=frozenset({self._remove(record)}))
+            return TargetRegistryChange(services=frozenset({self._remove(record)}))
         if record.set_aside:
             # which of the unreachable ones serve as the last resort may change
             return self._rechoose(record)
@@ -173,7 +175,7 @@
                 record.report = None
                 group.candidates = None
 
-    def share_with(self, instances: int) -> LedgerChange:
+    def share_with(self, instances: int) -> TargetRegistryChange:
         """Set the number of entry instances, this one included.
 
         Subsets of a fixed size leave targets without any user where few instances
@@ -190,7 +192,7 @@
                 continue
             group.chosen = None
             changed.add(service)
-        return LedgerChange(services=frozenset(changed))
+        return TargetRegistryChange(services=frozenset(changed))
 
     # questions
 
@@ -364,10 +366,10 @@
             del self._groups[target.service]
         return target.service
 
-    def _rechoose(self, record: Record) -> LedgerChange:
+    def _rechoose(self, record: Record) -> TargetRegistryChange:
         service = record.target.service
         self._groups[service].chosen = None
-        return LedgerChange(services=frozenset({service}))
+        return TargetRegistryChange(services=frozenset({service}))
 
     def _choose(self, group: Group) -> tuple[Record, ...]:
         return group.choose(self._find_size(group), self._rules.minimum)
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.config import replica
 from greengagelatch.stages import ledger, tokens
-from greengagelatch.targets.ledger import LedgerChange, TargetRegistry
+from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryChange
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import attempts
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
@@ -77,7 +77,7 @@
     "leaving targets": Loss(
         TargetRegistry,
         "mark_leaving",
-        lambda self, target_ids: LedgerChange(),
+        lambda self, target_ids: TargetRegistryChange(),
         "store slow",
         Step.RECEIVED,
         Promise.LEAVING_USED,
