--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -13,13 +13,13 @@
 from greengagelatch.membership.backoff import compute_backoff
 from greengagelatch.peers import MemberState
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import (
+from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
+from greengagelatch.targets.polling import PollSchedule
+from greengagelatch.targets.registry import (
     TargetRegistry,
     TargetRegistryChange,
     TargetRegistryRules,
 )
-from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
-from greengagelatch.targets.polling import PollSchedule
 from greengagelatch.targets.reports import parse_report
 
 from . import Controller
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -19,8 +19,8 @@
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
 from greengagelatch.targets.polling import PollSchedule
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 
 from .fleet import DATA_CENTRES, DetectorFleet
 from .links import measure_links
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -16,7 +16,7 @@
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport, TargetDirectory
-from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 from greengagelatch_entry.adapters.instances import HttpInstanceList
 from greengagelatch_entry.metrics import Metrics
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -10,7 +10,7 @@
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 
 from ..fleets import Fleet
 from .events import EventClock
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryRules
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 
 SERVICE = "greengage-llm"
 CENTRES = ("fukuoka-a", "fukuoka-b", "kumamoto")
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.config import replica
 from greengagelatch.stages import ledger, tokens
-from greengagelatch.targets.ledger import TargetRegistry, TargetRegistryChange
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryChange
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import attempts
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
