--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -152,7 +152,7 @@
 
     def note_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
-            self._take(self._ledger.note_reached(target_id))
+            self._take(self._ledger.record_success(target_id))
             return
         self._metrics.count("targets.unreached_calls")
         self._take(self._ledger.note_unreached(target_id))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -138,7 +138,7 @@
 
     def note_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
-            self._ledger.note_reached(target_id)
+            self._ledger.record_success(target_id)
         else:
             self._ledger.note_unreached(target_id)
 
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -129,7 +129,7 @@
         record = self._records.get(target_id)
         if record is None:
             return _NOTHING
-        change = self.note_reached(target_id)
+        change = self.record_success(target_id)
         held = record.report
         if report is None or (held is not None and report.taken < held.taken):
             return change
@@ -137,7 +137,7 @@
         self._groups[record.target.service].candidates = None
         return change
 
-    def note_reached(self, target_id: str) -> TargetRegistryChange:
+    def record_success(self, target_id: str) -> TargetRegistryChange:
         """Record that a target answered."""
         record = self._records.get(target_id)
         if record is None:
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -124,7 +124,7 @@
             ledger.note_unreached(target_id)
     assert list_ids(ledger) == list(rest)
     for target_id in lost:
-        ledger.note_reached(target_id)
+        ledger.record_success(target_id)
     assert list_ids(ledger) == list(IDS)
 
 
@@ -249,7 +249,7 @@
     @rule(target_id=target_ids, answered=st.booleans())
     def call(self, target_id, answered):
         if answered:
-            self.ledger.note_reached(target_id)
+            self.ledger.record_success(target_id)
         else:
             self.ledger.note_unreached(target_id)
 
