--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -155,7 +155,7 @@
             self._take(self._ledger.record_success(target_id))
             return
         self._metrics.count("targets.unreached_calls")
-        self._take(self._ledger.note_unreached(target_id))
+        self._take(self._ledger.record_failure(target_id))
 
     def estimate_users(self, service: str) -> float:
         """Return how many entry instances use one target of ``service``."""
@@ -256,7 +256,7 @@
             body = await self._fetch_report(target)
         except (TimeoutError, aiohttp.ClientError, OSError):
             self._metrics.count("targets.poll_failures")
-            self._take(self._ledger.note_unreached(target.target_id))
+            self._take(self._ledger.record_failure(target.target_id))
         else:
             self._take_report(target, body, asked)
         finally:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -140,13 +140,13 @@
         if answered:
             self._ledger.record_success(target_id)
         else:
-            self._ledger.note_unreached(target_id)
+            self._ledger.record_failure(target_id)
 
     def _ask(self, model: TargetModel) -> None:
         target_id = model.target.target_id
         self._clock.call_later(self._reports.interval, lambda: self._ask(model))
         if not model.reachable:
-            self._ledger.note_unreached(target_id)
+            self._ledger.record_failure(target_id)
             return
         report = model.report()
         self._clock.call_later(
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -148,7 +148,7 @@
         record.set_aside = False
         return self._rechoose(record)
 
-    def note_unreached(self, target_id: str) -> TargetRegistryChange:
+    def record_failure(self, target_id: str) -> TargetRegistryChange:
         """Record that a target could not be reached."""
         record = self._records.get(target_id)
         if record is None:
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -101,7 +101,7 @@
     ledger = make_ledger()
     ledger.apply_listing(make_listing(1, IDS))
     ledger.apply_listing(make_listing(2, IDS[1:]))
-    ledger.note_unreached("t-0")
+    ledger.record_failure("t-0")
     assert not ledger.accepts("t-0")
 
 
@@ -121,7 +121,7 @@
     for as_of in range(3, 20):
         ledger.apply_listing(make_listing(as_of, rest))
         for target_id in lost:
-            ledger.note_unreached(target_id)
+            ledger.record_failure(target_id)
     assert list_ids(ledger) == list(rest)
     for target_id in lost:
         ledger.record_success(target_id)
@@ -137,13 +137,13 @@
     ledger = make_ledger(minimum=2)
     ledger.apply_listing(make_listing(1, IDS))
     for target_id in IDS * 2:
-        ledger.note_unreached(target_id)
+        ledger.record_failure(target_id)
     kept = list_ids(ledger)
     assert len(kept) == 2
     assert all(ledger.accepts(target_id) for target_id in kept)
     # the ones that fail once more give way to others
     for target_id in kept:
-        ledger.note_unreached(target_id)
+        ledger.record_failure(target_id)
     assert not set(kept) & set(list_ids(ledger))
 
 
@@ -153,7 +153,7 @@
     first = list_ids(ledger)
     assert len(first) == 3
     for target_id in [first[0]] * 2:
-        ledger.note_unreached(target_id)
+        ledger.record_failure(target_id)
     second = list_ids(ledger)
     # one has been replaced, the others stay
     assert len(second) == 3
@@ -251,7 +251,7 @@
         if answered:
             self.ledger.record_success(target_id)
         else:
-            self.ledger.note_unreached(target_id)
+            self.ledger.record_failure(target_id)
 
     @invariant()
     def never_offers_what_left(self):
