--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -345,7 +345,7 @@
         working = (MemberState.ALIVE, MemberState.SUSPECT)
         states = [member.state for member in self._peers.members()]
         number = sum(state in working for state in states)
-        self._take(self._ledger.share_with(number))
+        self._take(self._ledger.set_instance_count(number))
 
     def _pick_peers(self, number: int) -> list[str]:
         reachable = [
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -95,7 +95,9 @@
         instance_id="entry-1", rules=TargetRegistryRules(subset=SUBSET)
     )
     # entry instances grow with the targets
-    ledger.share_with(max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1]))
+    ledger.set_instance_count(
+        max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1])
+    )
     ledger.apply_listing(listings[0])
     begun = time.process_time()
     ledger.apply_listing(listings[1])
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -175,7 +175,7 @@
                 record.report = None
                 group.candidates = None
 
-    def share_with(self, instances: int) -> TargetRegistryChange:
+    def set_instance_count(self, instances: int) -> TargetRegistryChange:
         """Set the number of entry instances, this one included.
 
         Subsets of a fixed size leave targets without any user where few instances
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -174,7 +174,7 @@
         ledger = make_ledger(f"entry-{number}")
         ledger.apply_listing(listing)
         assert len(list_ids(ledger)) == 20
-        change = ledger.share_with(9)
+        change = ledger.set_instance_count(9)
         assert change.services == {SERVICE}
         users.update(list_ids(ledger))
     assert set(users) == set(ids)
@@ -189,7 +189,7 @@
     ledger = make_ledger(subset=20)
     ledger.apply_listing(make_listing(1, tuple(f"t-{n}" for n in range(600))))
     assert ledger.estimate_users(SERVICE) == 1
-    ledger.share_with(300)
+    ledger.set_instance_count(300)
     assert ledger.estimate_users(SERVICE) == 10
     assert ledger.estimate_users("unknown") == 1
 
