--- a/packages/greengagelatch/src/greengagelatch/targets/records.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/records.py
@@ -26,7 +26,7 @@
     #: calls and polls in a row that could not reach it
     failures: int = 0
     #: kept from new work until a probe reaches it
-    set_aside: bool = False
+    ejected: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -58,7 +58,7 @@
         reachable: list[Record] = []
         passed: list[Record] = []
         for record in self._walk(subset):
-            (passed if record.set_aside else reachable).append(record)
+            (passed if record.ejected else reachable).append(record)
         missing = min(minimum, len(reachable) + len(passed)) - len(reachable)
         if missing > 0:
             least = sorted(passed, key=lambda record: (record.failures, record.weight))
@@ -82,6 +82,6 @@
         # twice the subset bounds what is probed when a great part is out of reach
         for record in self.records[: 2 * subset]:
             yield record
-            reachable += not record.set_aside
+            reachable += not record.ejected
             if reachable >= subset:
                 return
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -143,9 +143,9 @@
         if record is None:
             return _NOTHING
         record.failures = 0
-        if not record.set_aside:
+        if not record.ejected:
             return _NOTHING
-        record.set_aside = False
+        record.ejected = False
         return self._rechoose(record)
 
     def record_failure(self, target_id: str) -> TargetRegistryChange:
@@ -157,12 +157,12 @@
         if record.missing:
             # the list no longer shows it and it does not answer either
             return TargetRegistryChange(services=frozenset({self._remove(record)}))
-        if record.set_aside:
+        if record.ejected:
             # which of the unreachable ones serve as the last resort may change
             return self._rechoose(record)
         if record.failures < self._rules.failures:
             return _NOTHING
-        record.set_aside = True
+        record.ejected = True
         return self._rechoose(record)
 
     def expire_reports(self, now: float) -> None:
@@ -209,7 +209,7 @@
         record = self._records.get(target_id)
         if record is None:
             return False
-        if not record.set_aside:
+        if not record.ejected:
             return True
         return record in self._choose(self._groups[record.target.service])
 
@@ -243,7 +243,7 @@
     def count_failures(self, target_id: str) -> int:
         """Return the failures in a row of a target that is set aside, else zero."""
         record = self._records.get(target_id)
-        if record is None or not record.set_aside:
+        if record is None or not record.ejected:
             return 0
         return record.failures
 
@@ -255,7 +255,7 @@
     def list_targets(self) -> tuple[tuple[Target, bool], ...]:
         """Return all targets not leaving, each with whether it is set aside."""
         records = self._records.values()
-        return tuple((record.target, record.set_aside) for record in records)
+        return tuple((record.target, record.ejected) for record in records)
 
     def list_leaving_targets(self) -> tuple[Target, ...]:
         """Return the leaving targets that the list still shows."""
@@ -269,7 +269,7 @@
         """Return the numbers of targets by service, and what is set aside."""
         services = {}
         for name, group in sorted(self._groups.items()):
-            aside = [r.target.target_id for r in group.records if r.set_aside]
+            aside = [r.target.target_id for r in group.records if r.ejected]
             services[name] = {
                 "targets": len(group.records),
                 "used": [r.target.target_id for r in self._choose(group)],
@@ -341,7 +341,7 @@
             if record is None:
                 continue
             record.missing += 1
-            unreachable = record.set_aside or record.failures > 0
+            unreachable = record.ejected or record.failures > 0
             if record.missing < self._rules.missing_listings and not unreachable:
                 continue
             changed.add(self._remove(record))
--- a/tests/test_core/test_targets/test_records.py
+++ b/tests/test_core/test_targets/test_records.py
@@ -21,7 +21,7 @@
     )
     group.records.update((first, second))
     assert len(group.list_candidates(5, 1)) == 2
-    first.set_aside = True
+    first.ejected = True
     group.chosen = None
     group.choose(5, 1)
     candidates = group.list_candidates(5, 1)
