--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -364,5 +364,5 @@
         missing_listings=settings["targets.missing_listings"],
         failures=settings["targets.failures"],
         minimum=settings["targets.minimum"],
-        report_life=settings["targets.report_life"],
+        report_ttl=settings["targets.report_life"],
     )
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -50,7 +50,7 @@
     #: targets of a service that stay candidates even if none can be reached
     minimum: int = 1
     #: seconds after which a load report is forgotten
-    report_life: float = 10.0
+    report_ttl: float = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -167,7 +167,7 @@
 
     def expire_reports(self, now: float) -> None:
         """Forget load reports that are too old to choose by."""
-        oldest = now - self._rules.report_life
+        oldest = now - self._rules.report_ttl
         for group in self._groups.values():
             for record in group.watched:
                 if record.report is None or record.report.taken >= oldest:
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -195,7 +195,7 @@
 
 
 def test_load_report_ages_and_does_not_go_back():
-    ledger = make_ledger(report_life=10)
+    ledger = make_ledger(report_ttl=10)
     ledger.apply_listing(make_listing(1, IDS))
 
     def report(taken: float, queued: int) -> LoadReport:
