--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -360,7 +360,7 @@
 def _read_rules(settings: Settings) -> TargetRegistryRules:
     return TargetRegistryRules(
         subset=settings["targets.subset"],
-        spread=settings["targets.spread"],
+        instances_per_target=settings["targets.spread"],
         missing_listings=settings["targets.missing_listings"],
         failures=settings["targets.failures"],
         minimum=settings["targets.minimum"],
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -42,7 +42,7 @@
     #: targets of one service that this instance uses at least
     subset: int = 20
     #: entry instances that use each target, on average
-    spread: int = 8
+    instances_per_target: int = 8
     #: listings in a row without a target until it is gone
     missing_listings: int = 3
     #: failures in a row until a target is set aside
@@ -377,7 +377,9 @@
     def _find_size(self, group: Group) -> int:
         if self._instances is None:
             return self._rules.subset
-        needed = math.ceil(self._rules.spread * len(group.records) / self._instances)
+        needed = math.ceil(
+            self._rules.instances_per_target * len(group.records) / self._instances
+        )
         return max(self._rules.subset, needed)
 
     def _refresh_leaving(self, target_id: str) -> None:
