--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -362,7 +362,7 @@
         subset=settings["targets.subset"],
         instances_per_target=settings["targets.spread"],
         missing_listings=settings["targets.missing_listings"],
-        failures=settings["targets.failures"],
+        ejection_threshold=settings["targets.failures"],
         minimum=settings["targets.minimum"],
         report_ttl=settings["targets.report_life"],
     )
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -46,7 +46,7 @@
     #: listings in a row without a target until it is gone
     missing_listings: int = 3
     #: failures in a row until a target is set aside
-    failures: int = 2
+    ejection_threshold: int = 2
     #: targets of a service that stay candidates even if none can be reached
     minimum: int = 1
     #: seconds after which a load report is forgotten
@@ -160,7 +160,7 @@
         if record.ejected:
             # which of the unreachable ones serve as the last resort may change
             return self._rechoose(record)
-        if record.failures < self._rules.failures:
+        if record.failures < self._rules.ejection_threshold:
             return _NOTHING
         record.ejected = True
         return self._rechoose(record)
