--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -363,6 +363,6 @@
         instances_per_target=settings["targets.spread"],
         missing_listings=settings["targets.missing_listings"],
         ejection_threshold=settings["targets.failures"],
-        minimum=settings["targets.minimum"],
+        min_candidates=settings["targets.minimum"],
         report_ttl=settings["targets.report_life"],
     )
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -48,7 +48,7 @@
     #: failures in a row until a target is set aside
     ejection_threshold: int = 2
     #: targets of a service that stay candidates even if none can be reached
-    minimum: int = 1
+    min_candidates: int = 1
     #: seconds after which a load report is forgotten
     report_ttl: float = 10.0
 
@@ -202,7 +202,7 @@
         if group is None:
             return ()
         group.used = now
-        return group.list_candidates(self._find_size(group), self._rules.minimum)
+        return group.list_candidates(self._find_size(group), self._rules.min_candidates)
 
     def accepts(self, target_id: str) -> bool:
         """Whether a target may be given new work."""
@@ -372,7 +372,7 @@
         return TargetRegistryChange(services=frozenset({service}))
 
     def _choose(self, group: Group) -> tuple[Record, ...]:
-        return group.choose(self._find_size(group), self._rules.minimum)
+        return group.choose(self._find_size(group), self._rules.min_candidates)
 
     def _find_size(self, group: Group) -> int:
         if self._instances is None:
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -134,7 +134,7 @@
     its own network fails for a moment and every call with it. Cause: each target
     was set aside on this instance's view alone, up to the last.
     """
-    ledger = make_ledger(minimum=2)
+    ledger = make_ledger(min_candidates=2)
     ledger.apply_listing(make_listing(1, IDS))
     for target_id in IDS * 2:
         ledger.record_failure(target_id)
@@ -222,7 +222,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger = make_ledger(subset=4, minimum=1)
+        self.ledger = make_ledger(subset=4, min_candidates=1)
         self.left: set[str] = set()
         self.told: list[str] = []
         self.as_of = 0
