--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -359,7 +359,7 @@
 
 def _read_rules(settings: Settings) -> TargetRegistryRules:
     return TargetRegistryRules(
-        subset=settings["targets.subset"],
+        min_subset=settings["targets.subset"],
         instances_per_target=settings["targets.spread"],
         missing_listings=settings["targets.missing_listings"],
         ejection_threshold=settings["targets.failures"],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -92,7 +92,7 @@
     """Measure the target directory with ``replicas`` in five services."""
     listings = [_make_listing(as_of, replicas) for as_of in (1, 2)]
     ledger = TargetRegistry(
-        instance_id="entry-1", rules=TargetRegistryRules(subset=SUBSET)
+        instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
     )
     # entry instances grow with the targets
     ledger.set_instance_count(
@@ -166,7 +166,7 @@
 
 def _build_ledger(listing: Listing) -> TargetRegistry:
     ledger = TargetRegistry(
-        instance_id="entry-1", rules=TargetRegistryRules(subset=SUBSET)
+        instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
     )
     ledger.apply_listing(listing)
     for number in range(SERVICES):
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -40,7 +40,7 @@
     """Limits of the ledger."""
 
     #: targets of one service that this instance uses at least
-    subset: int = 20
+    min_subset: int = 20
     #: entry instances that use each target, on average
     instances_per_target: int = 8
     #: listings in a row without a target until it is gone
@@ -188,7 +188,7 @@
         self._instances = max(1, instances)
         changed = set()
         for service, group in self._groups.items():
-            if len(group.records) <= self._rules.subset:
+            if len(group.records) <= self._rules.min_subset:
                 continue
             group.chosen = None
             changed.add(service)
@@ -376,11 +376,11 @@
 
     def _find_size(self, group: Group) -> int:
         if self._instances is None:
-            return self._rules.subset
+            return self._rules.min_subset
         needed = math.ceil(
             self._rules.instances_per_target * len(group.records) / self._instances
         )
-        return max(self._rules.subset, needed)
+        return max(self._rules.min_subset, needed)
 
     def _refresh_leaving(self, target_id: str) -> None:
         # moved to the end: what a listing still shows must be forgotten last, or
--- a/tests/test_core/test_targets/test_ledger.py
+++ b/tests/test_core/test_targets/test_ledger.py
@@ -148,7 +148,7 @@
 
 
 def test_large_service_is_used_in_part_and_keeps_its_size():
-    ledger = make_ledger(subset=3)
+    ledger = make_ledger(min_subset=3)
     ledger.apply_listing(make_listing(1, IDS))
     first = list_ids(ledger)
     assert len(first) == 3
@@ -186,7 +186,7 @@
     could. Sequence: 300 instances use 20 of 600 targets each. Cause: all instances
     were taken to share each target, where ten do.
     """
-    ledger = make_ledger(subset=20)
+    ledger = make_ledger(min_subset=20)
     ledger.apply_listing(make_listing(1, tuple(f"t-{n}" for n in range(600))))
     assert ledger.estimate_users(SERVICE) == 1
     ledger.set_instance_count(300)
@@ -222,7 +222,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.ledger = make_ledger(subset=4, min_candidates=1)
+        self.ledger = make_ledger(min_subset=4, min_candidates=1)
         self.left: set[str] = set()
         self.told: list[str] = []
         self.as_of = 0
