--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -146,7 +146,7 @@
         if not record.ejected:
             return _NOTHING
         record.ejected = False
-        return self._rechoose(record)
+        return self._invalidate_choice(record)
 
     def record_failure(self, target_id: str) -> TargetRegistryChange:
         """Record that a target could not be reached."""
@@ -159,11 +159,11 @@
             return TargetRegistryChange(services=frozenset({self._remove(record)}))
         if record.ejected:
             # which of the unreachable ones serve as the last resort may change
-            return self._rechoose(record)
+            return self._invalidate_choice(record)
         if record.failures < self._rules.ejection_threshold:
             return _NOTHING
         record.ejected = True
-        return self._rechoose(record)
+        return self._invalidate_choice(record)
 
     def expire_reports(self, now: float) -> None:
         """Forget load reports that are too old to choose by."""
@@ -366,7 +366,7 @@
             del self._groups[target.service]
         return target.service
 
-    def _rechoose(self, record: Record) -> TargetRegistryChange:
+    def _invalidate_choice(self, record: Record) -> TargetRegistryChange:
         service = record.target.service
         self._groups[service].chosen = None
         return TargetRegistryChange(services=frozenset({service}))
