--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -302,7 +302,7 @@
             if row.state is InstanceState.LEAVING:
                 leaving.append(row.instance_id)
                 continue
-            self._show(row, changed)
+            self._apply_live_row(row, changed)
         self._mark_missing(shown, centres)
         self._forget_left(shown, centres)
         return leaving
@@ -323,7 +323,7 @@
             # its whole data centre is out of the platform's reach
             record.missing = 0
 
-    def _show(self, row: Instance, changed: set[str]) -> None:
+    def _apply_live_row(self, row: Instance, changed: set[str]) -> None:
         record = self._records.get(row.instance_id)
         if record is not None:
             record.missing = 0
