--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -304,10 +304,10 @@
                 continue
             self._apply_live_row(row, changed)
         self._mark_missing(shown, centres)
-        self._forget_left(shown, centres)
+        self._drop_unlisted(shown, centres)
         return leaving
 
-    def _forget_left(self, shown: set[str], centres: set[str]) -> None:
+    def _drop_unlisted(self, shown: set[str], centres: set[str]) -> None:
         for target_id, target in list(self._leaving_targets.items()):
             if target_id not in shown and target.data_centre in centres:
                 del self._leaving_targets[target_id]
