--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -119,7 +119,7 @@
             if record is not None:
                 self._leaving_targets[target_id] = record.target
                 changed.add(self._remove(record))
-        self._forget_oldest()
+        self._evict_oldest()
         return TargetRegistryChange(leaving=tuple(news), services=frozenset(changed))
 
     def apply_report(
@@ -388,7 +388,7 @@
         del self._leaving[target_id]
         self._leaving[target_id] = None
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self._leaving) > MAX_LEAVING:
             oldest = next(iter(self._leaving))
             del self._leaving[oldest]
