--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -202,7 +202,9 @@
         if group is None:
             return ()
         group.used = now
-        return group.list_candidates(self._find_size(group), self._rules.min_candidates)
+        return group.list_candidates(
+            self._compute_subset_size(group), self._rules.min_candidates
+        )
 
     def accepts(self, target_id: str) -> bool:
         """Whether a target may be given new work."""
@@ -227,7 +229,7 @@
         group = self._groups.get(service)
         if group is None or self._instances is None:
             return 1.0
-        used = min(self._find_size(group), len(group.records))
+        used = min(self._compute_subset_size(group), len(group.records))
         return max(1.0, self._instances * used / len(group.records))
 
     def list_watched(self, used_since: float) -> Mapping[str, bool]:
@@ -372,9 +374,11 @@
         return TargetRegistryChange(services=frozenset({service}))
 
     def _choose(self, group: Group) -> tuple[Record, ...]:
-        return group.choose(self._find_size(group), self._rules.min_candidates)
+        return group.choose(
+            self._compute_subset_size(group), self._rules.min_candidates
+        )
 
-    def _find_size(self, group: Group) -> int:
+    def _compute_subset_size(self, group: Group) -> int:
         if self._instances is None:
             return self._rules.min_subset
         needed = math.ceil(
