--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -147,7 +147,7 @@
     def accepts(self, target_id: str) -> bool:
         return self._ledger.accepts(target_id)
 
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         self._take(self._ledger.mark_leaving((target_id,)))
 
     def note_call(self, target_id: str, *, answered: bool) -> None:
@@ -268,7 +268,7 @@
         url = f"http://{target.address}/load"
         async with self._session.get(url, allow_redirects=False) as response:
             if response.headers.get("X-Target-State") == "leaving":
-                self.note_leaving(target.target_id)
+                self.mark_leaving(target.target_id)
             body = bytearray()
             async for chunk in response.content.iter_any():
                 body += chunk
@@ -283,7 +283,7 @@
             data = None
         report = parse_report(data, asked)
         if report.leaving:
-            self.note_leaving(target.target_id)
+            self.mark_leaving(target.target_id)
         self._take(self._ledger.apply_report(target.target_id, report.load))
 
     def _plan_poll(self, target_id: str) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -189,7 +189,7 @@
         target_id = grant.target.target_id
         value = result.ok_value if isinstance(result, Ok) else result.err_value
         if value.leaving:
-            self._directory.note_leaving(target_id)
+            self._directory.mark_leaving(target_id)
         if isinstance(result, Ok):
             self._directory.note_call(target_id, answered=True)
         elif result.err_value.kind is FailureKind.CONNECT:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -195,7 +195,7 @@
     def accepts(self, target_id: str) -> bool:
         return True
 
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         """Do nothing; none leaves here."""
 
     def note_call(self, target_id: str, *, answered: bool) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -133,7 +133,7 @@
     def accepts(self, target_id: str) -> bool:
         return self._ledger.accepts(target_id)
 
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         self._ledger.mark_leaving((target_id,))
 
     def note_call(self, target_id: str, *, answered: bool) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/scripted.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/scripted.py
@@ -47,7 +47,7 @@
     def accepts(self, target_id: str) -> bool:
         return target_id not in self.leaving
 
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         self.leaving.add(target_id)
 
     def note_call(self, target_id: str, *, answered: bool) -> None:
--- a/packages/greengagelatch/src/greengagelatch/targets/directory.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/directory.py
@@ -48,7 +48,7 @@
         """
 
     @abstractmethod
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         """Record a target's own word that it is leaving; it can't be undone."""
 
     @abstractmethod
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -51,7 +51,7 @@
     def accepts(self, target_id):
         return True
 
-    def note_leaving(self, target_id):
+    def mark_leaving(self, target_id):
         pass
 
     def note_call(self, target_id, *, answered):
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -36,7 +36,7 @@
     def accepts(self, target_id):
         return target_id in self.targets
 
-    def note_leaving(self, target_id):
+    def mark_leaving(self, target_id):
         self.targets.pop(target_id)
 
     def note_call(self, target_id, *, answered):
@@ -87,7 +87,7 @@
     (running,) = get_grants(scheduler.poll(0.0))
     scheduler.submit(create_ticket("r2"), 0.0)
     assert scheduler.poll(0.0) == ()
-    directory.note_leaving("t0")
+    directory.mark_leaving("t0")
     directory.targets["t9"] = Target("t9", "llm", "dc-a", "127.0.0.1:9")
     scheduler.touch()
     (moved,) = get_grants(scheduler.poll(0.1))
@@ -177,7 +177,7 @@
     scheduler.poll(0.0)
     scheduler.submit(create_ticket("r2"), 0.0)
     scheduler.poll(0.0)
-    directory.note_leaving("t0")
+    directory.mark_leaving("t0")
     scheduler.touch()
     (decision,) = scheduler.poll(0.1)
     assert isinstance(decision.result, Err)
--- a/tests/test_entry/test_controllers/test_scheduling.py
+++ b/tests/test_entry/test_controllers/test_scheduling.py
@@ -43,7 +43,7 @@
     def accepts(self, target_id):
         return not self.leaving
 
-    def note_leaving(self, target_id):
+    def mark_leaving(self, target_id):
         self.leaving = True
 
     def note_call(self, target_id, *, answered):
@@ -129,7 +129,7 @@
     first = (await world.acquire("r1")).ok_value
     waiting = world.acquire("r2")
     await asyncio.sleep(0)
-    world.directory.note_leaving("t0")
+    world.directory.mark_leaving("t0")
     world.events.emit(TARGET_LEAVING, "t0")
     refusal = (await asyncio.wait_for(waiting, 10)).err_value
     assert refusal.code is RefusalCode.NO_TARGET
--- a/tests/test_entry/test_controllers/test_targets.py
+++ b/tests/test_entry/test_controllers/test_targets.py
@@ -181,7 +181,7 @@
     desks = [Desk(address="127.0.0.1:1"), Desk(address="127.0.0.1:1")]
     for one in fleet:
         one.events.emit(LISTING_RECEIVED, make_listing(1, *desks))
-    fleet[0].directory.note_leaving("t-1")
+    fleet[0].directory.mark_leaving("t-1")
     assert fleet[0].list_ids() == ["t-2"]
     await wait_until(lambda: all(one.left == ["t-1"] for one in fleet))
     for one in fleet:
@@ -200,7 +200,7 @@
     fleet = [await begin(switchboard.join(f"e-{n}"), seed=n) for n in range(3)]
     await wait_until(lambda: switchboard.asked["leaving-query"] == 3)
     switchboard.cut = {("e-0", "e-2"), ("e-1", "e-2")}
-    fleet[0].directory.note_leaving("t-1")
+    fleet[0].directory.mark_leaving("t-1")
     await wait_until(lambda: fleet[1].left == ["t-1"])
     await wait_until(lambda: not any(fleet[1].directory._untold.values()))
     switchboard.cut = set()
@@ -215,7 +215,7 @@
     """
     switchboard = Switchboard()
     old = await begin(switchboard.join("e-1"))
-    old.directory.note_leaving("t-1")
+    old.directory.mark_leaving("t-1")
     await wait_until(lambda: not any(old.directory._untold.values()))
     old.directory._reminders.clear()
     new = await begin(switchboard.join("e-2"), seed=2)
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -204,7 +204,7 @@
 
     def leave(ticket):
         if not bench.directory.leaving:
-            bench.directory.note_leaving("target-0")
+            bench.directory.mark_leaving("target-0")
 
     bench = Bench(answer_all(), before_grant=leave)
     answer = await bench.run(create_pipeline(repeatable=False))
--- a/tests/test_entry/test_status.py
+++ b/tests/test_entry/test_status.py
@@ -51,7 +51,7 @@
         for name in ("t-1", "t-2")
     )
     targets.apply_listing(Listing(1, rows))
-    targets.note_leaving("t-1")
+    targets.mark_leaving("t-1")
     view = StatusView(
         settings=settings,
         configuration=SimpleNamespace(
