--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -150,7 +150,7 @@
     def mark_leaving(self, target_id: str) -> None:
         self._take(self._ledger.mark_leaving((target_id,)))
 
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
             self._take(self._ledger.record_success(target_id))
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -191,9 +191,9 @@
         if value.leaving:
             self._directory.mark_leaving(target_id)
         if isinstance(result, Ok):
-            self._directory.note_call(target_id, answered=True)
+            self._directory.record_call(target_id, answered=True)
         elif result.err_value.kind is FailureKind.CONNECT:
-            self._directory.note_call(target_id, answered=False)
+            self._directory.record_call(target_id, answered=False)
 
     def _start_cancel(self, attempt: _Attempt) -> None:
         if len(self._cancels) >= MAX_CANCELS:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -198,7 +198,7 @@
     def mark_leaving(self, target_id: str) -> None:
         """Do nothing; none leaves here."""
 
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         """Do nothing; all are reached here."""
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -279,7 +279,7 @@
         stage_run.open.remove(attempt)
         attempt.call.answered = True
         seconds = self.clock.now() - attempt.started
-        self.directory.note_call(attempt.grant.target.target_id, answered=True)
+        self.directory.record_call(attempt.grant.target.target_id, answered=True)
         self._close(stage_run)
         stage_run.done = True
         stage_run.run.results.add(stage_run.stage.name)
@@ -298,7 +298,7 @@
         if kind is FailureKind.CONNECT and model.reachable:
             kind = FailureKind.TARGET_REFUSED
         elif kind in (FailureKind.CONNECT, FailureKind.STALLED):
-            self.directory.note_call(target_id, answered=False)
+            self.directory.record_call(target_id, answered=False)
         seconds = self.clock.now() - attempt.started
         outcome = _OUTCOMES.get(kind, OutcomeKind.FAILURE)
         self.release(attempt.grant, Outcome(outcome, seconds))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -136,7 +136,7 @@
     def mark_leaving(self, target_id: str) -> None:
         self._ledger.mark_leaving((target_id,))
 
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
             self._ledger.record_success(target_id)
         else:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/scripted.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/scripted.py
@@ -50,7 +50,7 @@
     def mark_leaving(self, target_id: str) -> None:
         self.leaving.add(target_id)
 
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         self.calls[target_id, answered] += 1
 
 
--- a/packages/greengagelatch/src/greengagelatch/targets/directory.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/directory.py
@@ -52,5 +52,5 @@
         """Record a target's own word that it is leaving; it can't be undone."""
 
     @abstractmethod
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         """Record that a call was answered, or that the target could not be reached."""
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -54,7 +54,7 @@
     def mark_leaving(self, target_id):
         pass
 
-    def note_call(self, target_id, *, answered):
+    def record_call(self, target_id, *, answered):
         pass
 
 
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -39,7 +39,7 @@
     def mark_leaving(self, target_id):
         self.targets.pop(target_id)
 
-    def note_call(self, target_id, *, answered):
+    def record_call(self, target_id, *, answered):
         pass
 
 
--- a/tests/test_entry/test_controllers/test_scheduling.py
+++ b/tests/test_entry/test_controllers/test_scheduling.py
@@ -46,7 +46,7 @@
     def mark_leaving(self, target_id):
         self.leaving = True
 
-    def note_call(self, target_id, *, answered):
+    def record_call(self, target_id, *, answered):
         pass
 
 
