--- a/packages/greengagelatch/src/greengagelatch/targets/polling.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/polling.py
@@ -29,7 +29,7 @@
         self._random = random_source
         self._heap: list[tuple[float, str]] = []
         self._due: dict[str, float] = {}
-        self._allowance = 1.0
+        self._tokens = 1.0
         self._refilled: float | None = None
 
     def watch(self, now: float, intervals: Mapping[str, float]) -> None:
@@ -59,7 +59,7 @@
         """
         self._refill(now)
         taken = []
-        while self._heap and len(taken) < limit and self._allowance >= 1:
+        while self._heap and len(taken) < limit and self._tokens >= 1:
             due, target_id = self._heap[0]
             if due > now:
                 break
@@ -68,7 +68,7 @@
             if self._due.get(target_id) != due:
                 continue
             self._due[target_id] = _ASKED
-            self._allowance -= 1
+            self._tokens -= 1
             taken.append(target_id)
         return tuple(taken)
 
@@ -90,4 +90,4 @@
         # at most one second's worth is saved up: after a pause of this process
         # all targets are due at once and would be asked in one burst
         ceiling = max(1.0, self._rate)
-        self._allowance = min(ceiling, self._allowance + since * self._rate)
+        self._tokens = min(ceiling, self._tokens + since * self._rate)
