--- a/packages/greengagelatch/src/greengagelatch/targets/polling.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/polling.py
@@ -12,7 +12,7 @@
 JITTER = 0.25
 
 #: in place of a time: the target has been asked and has not yet answered
-_ASKED = float("inf")
+_IN_FLIGHT = float("inf")
 
 
 class PollSchedule:
@@ -41,7 +41,7 @@
             # an interval that has become shorter brings the next poll forward
             latest = now + interval * (1 + JITTER)
             due = self._due.get(target_id)
-            if due is not None and (due == _ASKED or due <= latest):
+            if due is not None and (due == _IN_FLIGHT or due <= latest):
                 continue
             self._set(target_id, now + interval * self._random.random())
 
@@ -67,7 +67,7 @@
             # entries of targets no longer watched or set anew are left behind
             if self._due.get(target_id) != due:
                 continue
-            self._due[target_id] = _ASKED
+            self._due[target_id] = _IN_FLIGHT
             self._tokens -= 1
             taken.append(target_id)
         return tuple(taken)
@@ -80,7 +80,9 @@
 
     def _rebuild(self) -> None:
         self._heap = [
-            (due, target_id) for target_id, due in self._due.items() if due != _ASKED
+            (due, target_id)
+            for target_id, due in self._due.items()
+            if due != _IN_FLIGHT
         ]
         heapq.heapify(self._heap)
 
