--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -231,7 +231,7 @@
             self._ledger.expire_reports(now)
             self._watch(now)
         room = MAX_POLLS - len(self._polls)
-        for target_id in self._schedule.take(now, room):
+        for target_id in self._schedule.take_due(now, room):
             target = self._ledger.find_target(target_id)
             if target is None:
                 continue
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -205,7 +205,7 @@
             ledger.expire_reports(now)
             watched = ledger.list_watched(now - 60)
             schedule.watch(now, dict.fromkeys(watched, LOAD_INTERVAL))
-        for target_id in schedule.take(now, 32):
+        for target_id in schedule.take_due(now, 32):
             polls += 1
             report = LoadReport(in_flight=1, queued=0, capacity=4, taken=now)
             ledger.apply_report(target_id, report)
--- a/packages/greengagelatch/src/greengagelatch/targets/polling.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/polling.py
@@ -52,7 +52,7 @@
         spread = 1 - JITTER + 2 * JITTER * self._random.random()
         self._set(target_id, now + delay * spread)
 
-    def take(self, now: float, limit: int) -> tuple[str, ...]:
+    def take_due(self, now: float, limit: int) -> tuple[str, ...]:
         """Return at most ``limit`` targets to ask now.
 
         A taken target is not due again until :meth:`postpone` is called for it.
--- a/tests/test_core/test_targets/test_polling.py
+++ b/tests/test_core/test_targets/test_polling.py
@@ -46,7 +46,7 @@
     polls: dict[str, int] = {}
     for tick in range(int(seconds * 10)):
         now = tick / 10
-        for target_id in schedule.take(now, 100):
+        for target_id in schedule.take_due(now, 100):
             polls[target_id] = polls.get(target_id, 0) + 1
             schedule.postpone(now, target_id, 1.0)
     return polls
@@ -69,15 +69,15 @@
 def test_pause_does_not_end_in_a_burst():
     schedule = PollSchedule(rate=10, random_source=random.Random(1))
     schedule.watch(0.0, {f"t-{number}": 1.0 for number in range(50)})
-    schedule.take(0.0, 100)
-    assert len(schedule.take(600.0, 100)) == 10
+    schedule.take_due(0.0, 100)
+    assert len(schedule.take_due(600.0, 100)) == 10
 
 
 def test_asked_target_is_not_asked_again_before_it_answers():
     schedule = PollSchedule(rate=10, random_source=random.Random(1))
     schedule.watch(0.0, {"t-1": 1.0})
-    assert schedule.take(2.0, 100) == ("t-1",)
+    assert schedule.take_due(2.0, 100) == ("t-1",)
     schedule.watch(3.0, {"t-1": 0.1})
-    assert schedule.take(50.0, 100) == ()
+    assert schedule.take_due(50.0, 100) == ()
     schedule.postpone(50.0, "t-1", 1.0)
-    assert schedule.take(52.0, 100) == ("t-1",)
+    assert schedule.take_due(52.0, 100) == ("t-1",)
