--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -296,7 +296,7 @@
                 longest=self._probe_longest,
                 random_source=self._random,
             )
-        self._schedule.postpone(self._clock.now(), target_id, delay)
+        self._schedule.reschedule(self._clock.now(), target_id, delay)
 
     # peers
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -209,7 +209,7 @@
             polls += 1
             report = LoadReport(in_flight=1, queued=0, capacity=4, taken=now)
             ledger.apply_report(target_id, report)
-            schedule.postpone(now, target_id, LOAD_INTERVAL)
+            schedule.reschedule(now, target_id, LOAD_INTERVAL)
         for number in range(REQUESTS_PER_SECOND // 10):
             ledger.list_candidates(now, f"service-{number % SERVICES}")
     return polls
--- a/packages/greengagelatch/src/greengagelatch/targets/polling.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/polling.py
@@ -45,7 +45,7 @@
                 continue
             self._set(target_id, now + interval * self._random.random())
 
-    def postpone(self, now: float, target_id: str, delay: float) -> None:
+    def reschedule(self, now: float, target_id: str, delay: float) -> None:
         """Set the next poll of a watched target."""
         if target_id not in self._due:
             return
--- a/tests/test_core/test_targets/test_polling.py
+++ b/tests/test_core/test_targets/test_polling.py
@@ -48,7 +48,7 @@
         now = tick / 10
         for target_id in schedule.take_due(now, 100):
             polls[target_id] = polls.get(target_id, 0) + 1
-            schedule.postpone(now, target_id, 1.0)
+            schedule.reschedule(now, target_id, 1.0)
     return polls
 
 
@@ -79,5 +79,5 @@
     assert schedule.take_due(2.0, 100) == ("t-1",)
     schedule.watch(3.0, {"t-1": 0.1})
     assert schedule.take_due(50.0, 100) == ()
-    schedule.postpone(50.0, "t-1", 1.0)
+    schedule.reschedule(50.0, "t-1", 1.0)
     assert schedule.take_due(52.0, 100) == ("t-1",)
