--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
@@ -231,7 +231,7 @@
         """Note that the next step hands bytes to the socket."""
         self._sent = True
         self._sent_at = self._clock.now()
-        self._extend(self._call.patience or self._limits.stall_timeout)
+        self._extend(self._call.first_byte_timeout or self._limits.stall_timeout)
 
     async def _exchange(
         self, session: aiohttp.ClientSession, target: Target, body: bytes
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -159,7 +159,7 @@
             stream=work.streamed,
             resume_at=len(received),
             received=received,
-            patience=patience,
+            first_byte_timeout=patience,
         )
 
     def _settle(self, attempt: _Attempt) -> None:
--- a/packages/greengagelatch/src/greengagelatch/targets/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/__init__.py
@@ -62,7 +62,7 @@
     received: tuple[str, ...] = ()
     #: seconds without a first byte after which the call is given up; ``None``: as
     #: long as the client sees fit
-    patience: float | None = None
+    first_byte_timeout: float | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -440,7 +440,7 @@
         await connection.hold()
 
     limits = replace(LIMITS, stall_timeout=60.0)
-    call = create_stream_call(patience=0.1)
+    call = create_stream_call(first_byte_timeout=0.1)
     result, _ = await run_one(script, call, limits)
     assert result.err_value.kind is FailureKind.STALLED
 
