--- a/packages/greengagelatch/src/greengagelatch/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions, types and interfaces of greengagelatch, free of sockets and clocks."""
+"""Core logic, types and interfaces of greengagelatch, without any I/O."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch/src/greengagelatch/clock.py
+++ b/packages/greengagelatch/src/greengagelatch/clock.py
@@ -1,4 +1,4 @@
-"""Sources of time."""
+"""Monotonic and wall-clock time, with a manual clock for tests."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
     @abstractmethod
     def now(self) -> float:
-        """Return monotonic seconds; only differences have a meaning."""
+        """Return monotonic seconds; only differences between readings are valid."""
 
     @abstractmethod
     def wall(self) -> float:
-        """Return seconds since the Unix epoch; it may jump."""
+        """Return seconds since the Unix epoch, which may jump when the clock is set."""
 
 
 class SystemClock(Clock):
-    """The clocks of the operating system."""
+    """The operating system's clocks."""
 
     def now(self) -> float:
         return time.monotonic()
@@ -31,7 +31,7 @@
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to, for decision-level tests."""
+    """A clock that moves only by :meth:`advance`, for deterministic tests."""
 
     def __init__(self, start: float = 1000.0) -> None:
         self._now = start
@@ -43,5 +43,5 @@
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move both readings forward by ``seconds``."""
+        """Advance both clocks by ``seconds``."""
         self._now += seconds
--- a/packages/greengagelatch/src/greengagelatch/errors.py
+++ b/packages/greengagelatch/src/greengagelatch/errors.py
@@ -1,4 +1,4 @@
-"""Refusals: the typed reasons for which a request or command is turned down."""
+"""Typed refusals of requests and commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RefusalCode(Enum):
-    """Machine-readable reason of a refusal; the value is what callers see."""
+    """Machine-readable reason of a refusal; callers receive the value."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_PIPELINE = "unknown-pipeline"
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refusal:
-    """The final answer to a request that is not answered with a result."""
+    """The final answer to a request that yields no result."""
 
     code: RefusalCode
     message: str
     verdict: Verdict = Verdict.NOT_RUN
-    #: name of the offending field, empty where no single field is to blame
+    #: name of the invalid field, empty if the refusal concerns no single field
     field: str = ""
-    #: offending value as text, shortened by whoever builds the refusal
+    #: invalid value as text, truncated by the code that creates the refusal
     value: str = ""
-    #: milliseconds after which asking again may help; ``None``: asking won't help
+    #: milliseconds after which a retry may succeed; ``None``: do not retry
     retry_after_ms: int | None = None
--- a/packages/greengagelatch/src/greengagelatch/events.py
+++ b/packages/greengagelatch/src/greengagelatch/events.py
@@ -1,4 +1,4 @@
-"""Named events, through which the parts of a process meet."""
+"""In-process event bus that decouples the components of an instance."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 
 class UnknownEventError(LookupError):
-    """An event was used that no part has declared."""
+    """An event was used that no component has declared."""
 
 
 class EventBus:
     """Synchronous publish and subscribe inside one process.
 
-    A listener that raises is logged and skipped: one failing part must not keep
-    the others from hearing of, say, a leaving target.
+    An exception in a listener is logged and the remaining listeners are called: one
+    failing component must not keep the others from receiving an event, such as that
+    a target is leaving.
     """
 
     def __init__(self) -> None:
@@ -30,22 +31,22 @@
         self._listeners: dict[str, list[Listener]] = defaultdict(list)
 
     def declare(self, name: str) -> None:
-        """Make ``name`` known; declaring it twice is harmless."""
+        """Declare the event ``name``; repeated declarations have no effect."""
         self._names.add(name)
 
     def connect(self, name: str, listener: Listener) -> None:
-        """Call ``listener`` on every event ``name``."""
+        """Subscribe ``listener`` to the event ``name``."""
         self._check(name)
         self._listeners[name].append(listener)
 
     def emit(self, name: str, *args: Any) -> None:
-        """Call every listener of ``name`` in the order of connection."""
+        """Call all listeners of ``name``, in the order in which they subscribed."""
         self._check(name)
         for listener in self._listeners[name]:
             try:
                 listener(*args)
             except Exception:
-                logger.exception("listener of event %r failed", name)
+                logger.exception("listener for event %r raised an exception", name)
 
     def _check(self, name: str) -> None:
         if name in self._names:
--- a/packages/greengagelatch/src/greengagelatch/identity.py
+++ b/packages/greengagelatch/src/greengagelatch/identity.py
@@ -1,4 +1,4 @@
-"""Identifiers of requests, attempts and changes."""
+"""Random identifiers for requests, attempts and configuration changes."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 __all__ = ("create_id",)
 
-#: 96 random bits: a collision within a year at 10,000 ids a second is improbable
+#: random bits of an id; at 10,000 ids per second, a collision within a year is
+#: improbable with 96 bits
 ID_BITS = 96
 
 
 def create_id(prefix: str, random_source: random.Random) -> str:
-    """Return ``prefix`` and 24 random hexadecimal digits, joined by a dash."""
+    """Return ``prefix``, a dash and 24 random hexadecimal digits."""
     return f"{prefix}-{random_source.getrandbits(ID_BITS):024x}"
--- a/packages/greengagelatch/src/greengagelatch/instances/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/instances/__init__.py
@@ -1,4 +1,4 @@
-"""Interface of the platform's list of instances."""
+"""Interface to the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class InstanceKind(Enum):
-    """What an instance is for."""
+    """Role of an instance."""
 
     ENTRY = "entry"
     TARGET = "target"
 
 
 class InstanceState(Enum):
-    """Whether an instance may be given new work."""
+    """Whether an instance accepts new work; leaving instances only finish theirs."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -35,31 +35,36 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Instance:
-    """One instance of the platform's list."""
+    """An instance in the platform's list."""
 
     instance_id: str
     kind: InstanceKind
     data_centre: str
-    #: ``host:port`` of targets' calls, or of an entry instance's peer port
+    #: ``host:port``: for targets the port for stage calls, for entry instances the
+    #: port for peer links
     address: str
     state: InstanceState = InstanceState.LIVE
-    #: the service a target provides; empty for entry instances
+    #: service that a target provides; empty for entry instances
     service: str = ""
-    #: stage work that an entry instance can gather; 0: not told
+    #: bundles of stage calls that an entry instance can collect per second; 0: unknown
     capacity: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """The list at one moment; ``as_of`` rises and may lie in the past."""
+    """A snapshot of the list.
+
+    ``as_of`` increases from one version of the list to the next. A snapshot may be
+    out of date when it is received.
+    """
 
     as_of: int
     instances: tuple[Instance, ...]
 
 
 class InstanceList(ABC):
-    """The platform's list of live and leaving instances, which lags."""
+    """The platform's list of live and leaving instances, which may be out of date."""
 
     @abstractmethod
     async def fetch(self) -> Result[Listing, StoreError]:
-        """Return the newest listing that the platform shows."""
+        """Return the newest listing that the platform provides."""
--- a/packages/greengagelatch/src/greengagelatch/instances/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/instances/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry instances pass the platform's list on."""
+"""Messages by which entry instances share the platform's list with each other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 @register("listing-query")
 @dataclass(frozen=True, slots=True)
 class ListingQuery(Message):
-    """Asks for rows from ``offset`` on of a listing newer than ``as_of``."""
+    """Requests rows from ``offset`` on of a listing newer than ``as_of``."""
 
     as_of: int = -1
     offset: int = 0
@@ -26,10 +26,10 @@
 @register("listing-page")
 @dataclass(frozen=True, slots=True)
 class ListingPage(Message):
-    """Rows of the sender's newest listing; none if it has no newer one."""
+    """Rows of the sender's newest listing; empty if it has no newer one."""
 
     as_of: int = -1
-    #: rows of the whole listing
+    #: number of rows in the whole listing
     total: int = 0
     offset: int = 0
     #: see :func:`~greengagelatch.instances.rows.encode_row`
--- a/packages/greengagelatch/src/greengagelatch/instances/rows.py
+++ b/packages/greengagelatch/src/greengagelatch/instances/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a listing as the platform gives them and as peers pass them on."""
+"""Parsing and encoding of listing rows from the platform and from peers."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 __all__ = ("PAGE_ROWS", "build_page", "decode_row", "encode_row", "parse_row")
 
-#: rows of one page, about 50 kB, so that no frame holds up heartbeats for long
+#: rows per page, about 50 kB; larger frames would delay heartbeats on the same link
 PAGE_ROWS = 500
 
-#: fields of a row in the order in which peers pass them on
+#: fields of a row, in their order on the wire between peers
 FIELDS = ("id", "kind", "data_centre", "address", "state", "service")
 
 HIGHEST_PORT = 65535
 
 
 def parse_row(row: Any) -> Instance | None:
-    """Read a row as the platform gives it; ``None`` if it makes no sense."""
+    """Parse a row from the platform; return ``None`` if it is invalid."""
     try:
         instance = Instance(
             instance_id=row["id"],
@@ -48,7 +48,7 @@
 
 
 def encode_row(instance: Instance) -> tuple[str, ...]:
-    """Return a row as peers pass it on."""
+    """Return the row of an instance in the peers' wire format."""
     return (
         instance.instance_id,
         instance.kind.value,
@@ -60,7 +60,7 @@
 
 
 def decode_row(row: Any) -> Instance | None:
-    """Read a row that a peer passed on; ``None`` if it makes no sense."""
+    """Parse a row from a peer; return ``None`` if it is invalid."""
     if not isinstance(row, tuple) or len(row) < len(FIELDS):
         return None
     fields: Mapping[str, Any] = dict(zip(FIELDS, row, strict=False))
@@ -68,7 +68,7 @@
 
 
 def build_page(listing: Listing, offset: int) -> ListingPage:
-    """Return the page of a listing that begins with the row at ``offset``."""
+    """Return the page of a listing that starts at the row ``offset``."""
     instances = listing.instances[offset : offset + PAGE_ROWS]
     rows = tuple(encode_row(instance) for instance in instances)
     return ListingPage(listing.as_of, len(listing.instances), offset, rows)
--- a/packages/greengagelatch/src/greengagelatch/request.py
+++ b/packages/greengagelatch/src/greengagelatch/request.py
@@ -1,4 +1,4 @@
-"""A caller's request and its final answer."""
+"""Pipeline requests and their final answers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """A checked request."""
+    """A validated request to run a pipeline."""
 
     request_id: str
     workspace: str
@@ -22,29 +22,30 @@
     input: Any
     #: monotonic seconds at which the request was received
     received: float
-    #: monotonic seconds after which an answer is worthless
+    #: monotonic seconds after which the caller no longer waits for an answer
     deadline: float
-    #: whether the caller allows stages to be run more than once for it
+    #: whether the caller allows stages to run more than once for this request
     repeatable: bool = True
-    #: ``Idempotency-Key`` of the caller, empty where there is none
+    #: value of the ``Idempotency-Key`` header, empty if the caller sent none
     key: str = ""
-    #: digest of what the caller asked for, to notice a key used for another request
+    #: digest of the request's content, to detect a key reused for another request
     digest: str = ""
-    #: whether the caller declares that it has not sent this key before
+    #: whether the caller declares that this is the first request with its key
     first_attempt: bool = False
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answer:
-    """The final answer to a request: a result or a refusal, never both."""
+    """The final answer to a request: either a result or a refusal."""
 
     request_id: str
     verdict: Verdict
-    #: result of the last stage; meaningful only without a refusal
+    #: result of the last stage; valid only if ``refusal`` is ``None``
     result: Any = None
     refusal: Refusal | None = None
-    #: seconds spent in each stage, by stage name
+    #: duration of each stage in seconds, by stage name
     stage_seconds: Mapping[str, float] | None = None
-    #: whether the answer was found under the request's key and not run now
+    #: whether the answer was stored under the request's idempotency key earlier and is
+    #: returned without running the pipeline again
     replayed: bool = False
--- a/packages/greengagelatch/src/greengagelatch/verdict.py
+++ b/packages/greengagelatch/src/greengagelatch/verdict.py
@@ -1,4 +1,4 @@
-"""Whether a request may have run."""
+"""Knowledge of whether a request's stages have run."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Verdict(IntEnum):
-    """Whether any stage of a request ran; it only ever rises.
+    """Whether any stage of a request has run.
 
-    The order of the values is the order in which a verdict may rise, so ``max`` of
-    two verdicts is the verdict of both together.
+    A verdict never decreases. The values are ordered so that the combined verdict of
+    two attempts is their maximum.
     """
 
-    #: no byte of any stage call was handed to a socket
+    #: no byte of any stage call was written to a socket
     NOT_RUN = 0
-    #: at least one byte was handed over and no answer proves what became of it
+    #: at least one byte was written, but no answer shows whether the stage ran
     MAY_HAVE_RUN = 1
     #: a target has answered at least one stage call
     RAN = 2
--- a/tests/test_core/test_instances/test_rows.py
+++ b/tests/test_core/test_instances/test_rows.py
@@ -1,4 +1,4 @@
-"""Tests of the rows of a listing as peers pass them on."""
+"""Tests of greengagelatch.instances.rows and its messages."""
 
 from __future__ import annotations
 
