--- a/packages/greengagelatch/src/greengagelatch/leases/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on leases: who may act for a group of targets, and until when."""
+"""Leases that give one instance the exclusive right to act for a group of targets."""
--- a/packages/greengagelatch/src/greengagelatch/leases/contention.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/contention.py
@@ -1,4 +1,4 @@
-"""Which instances try to get a lease, so that few calls are made for it."""
+"""Selection of the instances that try to acquire a lease."""
 
 from __future__ import annotations
 
@@ -15,35 +15,37 @@
 
 __all__ = ("LeaseIntent", "choose_intent")
 
-#: states in which a member is taken to be able to hold a lease; one that is only
-#: suspected stays in, or every slow answer would move leases about
+#: states of members that may hold a lease; suspected members are included, as otherwise
+#: every slow answer would move leases between instances
 ABLE = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
 
 
 class LeaseIntent(Enum):
-    """What an instance wants of one lease."""
+    """What an instance intends to do with one lease."""
 
-    #: get it, and keep it
+    #: acquire and renew it
     HOLD = "hold"
-    #: keep it if held; try for it now and then
+    #: renew it if held, otherwise try to acquire it at a lower rate
     STAND_BY = "stand-by"
-    #: give it up
+    #: release it if held, and do not try to acquire it
     RELEASE = "let-go"
 
 
-#: by the place in line; everyone behind lets go
+#: intents of the first instances in rank order; all others intend to release
 _PLACES = (LeaseIntent.HOLD, LeaseIntent.STAND_BY)
 
 
 def choose_intent(
     group: str, members: Iterable[Member], *, data_centre: str, instance_id: str
 ) -> LeaseIntent:
-    """Return what ``instance_id`` wants of the lease of ``group``.
-
-    Instances that see the same members agree on the line without a message; those
-    that don't only cost a few calls, as the store decides who holds the lease. The
-    second in line stands by because the first may reach its peers and not the store.
-    A holder that becomes second stays, since each change of holder costs a wait.
+    """Return what ``instance_id`` intends to do with the lease of ``group``.
+
+    Only the highest-ranked instances contend, which limits the calls to the store.
+    Instances with the same view of the members compute the same ranking without
+    exchanging messages. Different views only cost a few extra calls, as the store
+    decides who holds the lease. The second-ranked instance stands by in case the first
+    can reach its peers but not the store. A holder that becomes second keeps the
+    lease, since each new holder has to wait for the actions of the former one.
     """
     able = {
         member.instance_id
--- a/packages/greengagelatch/src/greengagelatch/leases/instants.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/instants.py
@@ -1,4 +1,4 @@
-"""Moments read from two clocks at once."""
+"""Points in time read from the monotonic and the wall clock together."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Instant:
-    """A moment by the monotonic clock and by the wall clock, both in seconds.
+    """A point in time by the monotonic clock and by the wall clock, both in seconds.
 
-    An instance that is halted as a whole, as when the platform moves it, may find
-    that its monotonic clock stood still meanwhile. Its leases would then seem to
-    have time left that is long over. The wall clock is set right afterwards, so the
-    longer of both durations is the safe one wherever time runs out.
+    While the whole machine is suspended, for instance during a migration by the
+    platform, the monotonic clock may stop. Leases that have expired meanwhile would
+    then seem valid. The wall clock is corrected after the suspension, so the longer of
+    the two durations is the safe one for checking an expiry.
     """
 
     monotonic: float
     wall: float
 
     def longest_since(self, earlier: Instant) -> float:
-        """Return the longer of both durations since ``earlier``."""
+        """Return the longer of the two clocks' durations since ``earlier``."""
         return max(self.monotonic - earlier.monotonic, self.wall - earlier.wall)
 
 
 def read_instant(clock: Clock) -> Instant:
-    """Return the present moment."""
+    """Return the current time of both clocks."""
     return Instant(clock.now(), clock.wall())
--- a/packages/greengagelatch/src/greengagelatch/leases/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/rules.py
@@ -1,4 +1,4 @@
-"""Times that leases go by."""
+"""Durations and intervals of leases."""
 
 from __future__ import annotations
 
@@ -6,47 +6,47 @@
 
 __all__ = ("LeaseRules",)
 
-#: a lease lasts at least this many times as long as one guarded action and the
-#: margin, so that some of it is left for the action at any time between renewals
+#: minimum duration of a lease, as a multiple of the longest guarded action plus the
+#: margin, so that enough time for an action remains at any point between renewals
 MIN_ACTIONS = 3.0
 
-#: share of a lease's duration after which it is renewed, or looked for again
+#: share of a lease's duration after which it is renewed, or checked for being free
 INTERVAL_SHARE = 0.25
 
-#: instances that are second in line look for a free lease this much less often
+#: factor by which a stand-by instance checks for a free lease less often
 STAND_BY_FACTOR = 3.0
 
-#: share of the interval after which a call that failed is made again
+#: share of the interval after which a failed call is retried
 RETRY_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseRules:
-    """Durations in seconds."""
+    """Durations of leases, in seconds."""
 
-    #: time after which the store lets a lease lapse that is not renewed
+    #: time after which the store expires a lease that is not renewed
     ttl: float
-    #: time by which a holder gives up earlier than the store does; it must cover
-    #: what clocks differ in speed over one ``ttl``
+    #: time by which a holder considers its lease expired before the store does; it must
+    #: cover the clock drift between holder and store over one ``ttl``
     margin: float
 
     @property
     def interval(self) -> float:
-        """Time between two renewals."""
+        """Time between renewals, or between checks for a free lease."""
         return self.ttl * INTERVAL_SHARE
 
     @property
     def standby_interval(self) -> float:
-        """Time between two looks of an instance that is second in line."""
+        """Time between checks for a free lease by a stand-by instance."""
         return self.interval * STAND_BY_FACTOR
 
     @property
     def retry_delay(self) -> float:
-        """Time after which a call that failed is made again."""
+        """Time after which a failed call is retried."""
         return self.interval * RETRY_SHARE
 
     @classmethod
     def create(cls, *, ttl: float, margin: float, longest_action: float) -> LeaseRules:
-        """Return rules whose leases last long enough for the guarded action."""
+        """Return rules, raising ``ttl`` if it is too short for the guarded action."""
         needed = MIN_ACTIONS * (longest_action + margin)
         return cls(ttl=max(ttl, needed), margin=margin)
--- a/packages/greengagelatch/src/greengagelatch/leases/state.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/state.py
@@ -1,4 +1,4 @@
-"""One lease as one instance knows it: how to get, keep and leave it."""
+"""State machine of one lease at one instance: acquire, renew and release."""
 
 from __future__ import annotations
 
@@ -22,96 +22,97 @@
 
 
 class LeaseStep(Enum):
-    """The call to the store that is due or under way."""
+    """The call to the store that is due or in flight."""
 
-    #: none
+    #: no call
     IDLE = "rest"
-    #: read the key: is it free?
+    #: read the key to check whether it is free
     CHECK = "look"
-    #: ask for a lease of the store
+    #: request a lease from the store
     GRANT = "grant"
-    #: write the key, bound to that lease, if it is absent
+    #: write the key, bound to the store's lease, if it is absent
     ACQUIRE = "acquire"
-    #: read the key, as the answer to the write is lost
+    #: read the key, as the outcome of the write is unknown
     VERIFY = "settle"
     #: renew the store's lease
     RENEW = "keep"
-    #: end the store's lease, by which the key vanishes
+    #: revoke the store's lease, which deletes the key
     REVOKE = "revoke"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseState:
-    """What an instance knows of the lease of one group, and what it does next.
-
-    The lease is a key of the store that vanishes with a lease of the store. Whoever
-    wrote it while it was absent is the holder; the revision of that write is the
-    fencing number. It rises with every write to the store, so it is higher for each
-    later holder. The number of the store's lease would not do: a lease granted early
-    may win the key late, after a lease with a higher number had it.
-
-    Whoever drives it calls :meth:`plan`; while :attr:`step` is not ``REST``, it calls
-    :meth:`begin`, makes that call to the store and hands the answer to the method
-    named after it. There is one call at a time.
+    """State of the lease of one group at one instance; immutable.
+
+    A group's lease is a key in the store that is bound to a lease of the store and is
+    deleted with it. The instance that writes the key while it is absent is the holder,
+    and the revision of that write is its fencing token. Revisions rise with every
+    write to the store, so each later holder has a higher token. The number of the
+    store's lease cannot serve as the token: a lease granted early may acquire the key
+    late, after a lease with a higher number has held it.
+
+    The caller invokes :meth:`plan`. While :attr:`step` is not ``IDLE``, it invokes
+    :meth:`begin`, makes the call of that step to the store and passes the answer to the
+    ``handle_`` method of the step. Only one call is in flight at a time.
     """
 
     instance_id: str
     rules: LeaseRules
     step: LeaseStep = LeaseStep.IDLE
-    #: the store's lease; empty: none
+    #: id of the store's lease; empty if there is none
     lease_id: str = ""
-    #: seconds that lease lasts, by the store's word
+    #: seconds that the store's lease lasts, as returned by the store
     ttl: float = 0.0
-    #: when the newest grant or renewal that was answered had been asked for
+    #: when the latest successful grant or renewal was requested
     asked: Instant | None = None
-    #: fencing number; ``ABSENT`` while the lease is not held
+    #: fencing token; ``ABSENT`` while the lease is not held
     fence: int = ABSENT
-    #: monotonic seconds at which the lease was known to be held
+    #: monotonic seconds at which this instance learned that it holds the lease
     acquired: float = 0.0
-    #: when the call under way was begun
+    #: when the call in flight was started
     sent: Instant | None = None
     #: monotonic seconds of the next call
     due: float = 0.0
 
     @property
     def value(self) -> bytes:
-        """What the holder writes under the key; lease ids are never used twice."""
+        """Value of the key; unique to this lease, as lease ids are never reused."""
         fields = {"instance": self.instance_id, "lease": self.lease_id}
         return json.dumps(fields).encode()
 
     @property
     def held(self) -> bool:
-        """Whether the lease was got and not lost since, as far as is known."""
+        """Whether the lease was acquired and is not known to be lost."""
         return self.fence != ABSENT and self.step is not LeaseStep.REVOKE
 
     def compute_remaining(self, now: Instant) -> float:
-        """Return the seconds for which the lease is surely still held."""
+        """Return the seconds for which the lease is guaranteed to be held."""
         if not self.held or self.asked is None:
             return 0.0
         left = self.ttl - self.rules.margin - now.longest_since(self.asked)
         return max(0.0, left)
 
     def covers(self, now: Instant, seconds: float) -> bool:
-        """Whether an action that takes up to ``seconds`` ends while this is held.
+        """Whether an action of up to ``seconds`` ends before the lease expires.
 
-        It must be asked at the moment of acting: whatever was answered before may be
-        long out of date, as a process can be paused between any two steps.
+        Check this immediately before the action. An earlier result may be out of date,
+        as the process can be paused between any two steps.
         """
         left = self.compute_remaining(now)
         return left > 0 and left >= seconds
 
     def has_outlasted_predecessor(self, now: Instant, longest: float) -> bool:
-        """Whether what the former holder began is over.
+        """Whether all actions of the previous holder have ended.
 
-        :param longest: seconds that an action may go on for after its holder's lease
-            has lapsed
+        :param longest: seconds for which an action may continue after its holder's
+            lease has expired.
         """
-        # counted from when the lease was known to be held: the former one had lapsed
-        # by then, and not necessarily at any earlier moment
+        # counted from when this instance knew that it held the lease: the previous
+        # lease had certainly expired by then, but not necessarily any earlier
         return now.monotonic - self.acquired >= longest + self.rules.margin
 
     def plan(self, now: Instant, wish: LeaseIntent) -> LeaseState:
-        """Choose the next call to the store."""
+        """Return the state with the next call to the store selected, if one is due."""
         if self.step is not LeaseStep.IDLE:
             return self
         if wish is LeaseIntent.RELEASE:
@@ -123,19 +124,19 @@
         return dataclasses.replace(self, step=LeaseStep.CHECK)
 
     def leave(self) -> LeaseState:
-        """Give the lease up; from now on nothing is covered."""
+        """Begin to release the lease, which is no longer held from now on."""
         if not self.lease_id:
             return self
         return dataclasses.replace(self, step=LeaseStep.REVOKE)
 
     def begin(self, now: Instant) -> LeaseState:
-        """Note that the call of this step is about to be made."""
+        """Record that the call of this step is about to be sent."""
         return dataclasses.replace(self, sent=now)
 
     def handle_check(
         self, answer: Result[Entry | None, StoreError], now: Instant, wish: LeaseIntent
     ) -> LeaseState:
-        """Go on after the key was read."""
+        """Request a grant if the key is free, else check again later."""
         if isinstance(answer, Ok) and answer.ok_value is None:
             return self._end_call(LeaseStep.GRANT)
         delay = (
@@ -148,20 +149,23 @@
     def handle_grant(
         self, answer: Result[Lease, StoreError], now: Instant
     ) -> LeaseState:
-        """Go on after a lease was asked for; one whose answer is lost lapses."""
+        """Go on to write the key if the store granted a lease.
+
+        A lease whose grant was not received is left to expire.
+        """
         if isinstance(answer, Err):
             return self._schedule(now, self.rules.retry_delay)
         return dataclasses.replace(
             self._end_call(LeaseStep.ACQUIRE),
             lease_id=answer.ok_value.lease_id,
             ttl=min(answer.ok_value.ttl, self.rules.ttl),
-            # not the time of the answer: it may have been on its way for long, and
-            # the store counts from when it gave the lease
+            # not the time of the answer, which may have been delayed: the store counts
+            # from when it granted the lease
             asked=self.sent,
         )
 
     def handle_acquire(self, answer: WriteResult, now: Instant) -> LeaseState:
-        """Go on after the key was written, or not."""
+        """Process the outcome of the write of the key."""
         if answer.outcome is WriteOutcome.APPLIED:
             return self._hold(answer.revision, now)
         if answer.outcome is WriteOutcome.UNKNOWN:
@@ -171,12 +175,12 @@
     def handle_verify(
         self, answer: Result[Entry | None, StoreError], now: Instant
     ) -> LeaseState:
-        """Go on after the key was read to settle a lost answer.
+        """Process the read that verifies a write of unknown outcome.
 
-        Unless the key shows this very lease it is not held. The write may still
-        arrive, but the store's lease is revoked next, and a write bound to a lease
-        that is gone is refused; should that call be lost as well, the key is free
-        again once the lease lapses.
+        The lease is held only if the key contains the id of this lease. Otherwise the
+        write may still arrive, but the store's lease is revoked next, and the store
+        refuses a write bound to a revoked lease. If the revocation is lost too, the key
+        is deleted when the lease expires.
         """
         match answer:
             case Ok(entry) if entry is not None and entry.value == self.value:
@@ -186,7 +190,7 @@
     def handle_renew(
         self, answer: Result[Lease, StoreError], now: Instant
     ) -> LeaseState:
-        """Go on after a renewal; one whose answer is lost counts as not made."""
+        """Process a renewal; one without an answer does not extend the lease."""
         match answer:
             case Ok(lease):
                 kept = dataclasses.replace(
@@ -198,7 +202,7 @@
         return self._schedule(now, self.rules.retry_delay)
 
     def handle_revoke(self, now: Instant) -> LeaseState:
-        """Go on after the lease was given up; without an answer it lapses."""
+        """Reset the state; if the revocation was lost, the lease expires by itself."""
         return self._reset(now, self.rules.interval)
 
     def _hold(self, revision: int, now: Instant) -> LeaseState:
--- a/tests/test_core/test_leases/test_state.py
+++ b/tests/test_core/test_leases/test_state.py
@@ -1,4 +1,4 @@
-"""Tests of one lease and of who tries for it."""
+"""Tests of the lease state machine and of the choice of contenders."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 def test_a_renewal_without_an_answer_counts_as_not_made():
     tenure = renew(hold(), asked=10.0, answered=12.0, answer=TIMEOUT)
     assert tenure.compute_remaining(at(12.0)) == 40 - 2 - 12
-    # the store had it all along: its next answer says that nobody else could get it
+    # the store did apply it: its next answer proves that nobody else could acquire it
     lease = Ok(Lease("lease-1", 40.0, 1))
     tenure = renew(tenure, asked=39.0, answered=41.0, answer=lease)
     assert tenure.compute_remaining(at(41.0)) == 40 - 2 - 2
