--- a/packages/greengagelatch/src/greengagelatch/membership/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on which entry instances there are: failure detection and links."""
+"""Membership of entry instances: failure detection, gossip and overlay links."""
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -1,10 +1,11 @@
-"""Failure detection between entry instances, in the manner of SWIM.
-
-Each period an instance probes one of its peers. A peer that does not answer is
-probed through a few others, since only the path between the two may be at fault. If
-that fails too it is suspected, and all are told. Unless it refutes that in time, by
-a higher incarnation, it is taken for dead. What instances observe travels with the
-probes and their answers, so the cost for an instance does not grow with the fleet.
+"""Failure detection between entry instances, based on the SWIM protocol.
+
+In each period an instance probes one of its peers. If the peer does not answer, the
+instance asks a few others to probe it as well, since only the path between the two may
+be broken. If these indirect probes fail too, the peer is suspected and the suspicion
+is gossiped. Unless the peer refutes it in time with a higher incarnation, it is
+declared dead. Updates are piggybacked on probes and acknowledgements, so the cost for
+an instance does not grow with the size of the fleet.
 """
 
 from __future__ import annotations
@@ -29,15 +30,19 @@
 
 __all__ = ("Detector",)
 
-#: suspected instances probed again in each period, so that they hear of it
+#: suspected instances probed in each period, so that they learn of the suspicion
 SUSPECTS_PROBED = 2
 
-#: peers told directly when this instance begins to leave
+#: peers that receive a direct message when this instance begins to leave
 LEAVING_FANOUT = 16
 
 
 class Detector:
-    """The membership as this instance sees it; it neither sends nor waits."""
+    """The membership as seen by this instance.
+
+    The class does no I/O and reads no clock: its methods take the current time in
+    monotonic seconds and return the messages to send.
+    """
 
     def __init__(
         self, *, identity: Identity, rules: DetectorRules, random_source: random.Random
@@ -58,20 +63,20 @@
         self._changed = False
         self._gossip.add(self._own.update)
 
-    # questions
+    # queries
 
     @property
     def own(self) -> OwnState:
-        """What this instance says of itself."""
+        """State of this instance itself."""
         return self._own
 
     @property
     def table(self) -> MemberTable:
-        """What is believed of the other instances."""
+        """Records of all other known instances."""
         return self._table
 
     def list_neighbours(self) -> frozenset[str]:
-        """Return the instances to which a link should be kept."""
+        """Return the instances to which a link should be kept open."""
         if self._neighbours is None:
             up = self._table.select(MemberState.ALIVE, MemberState.SUSPECT)
             self._neighbours = choose_neighbours(
@@ -83,16 +88,16 @@
         return self._neighbours
 
     def compute_suspicion(self) -> float:
-        """Return the seconds that a suspected instance has to refute it."""
+        """Return the seconds that an instance has to refute a suspicion."""
         members = max(10, self._count_present())
         return self._rules.suspicion_periods * self._rules.period * math.log10(members)
 
     def list_all_updates(self) -> list[Update]:
-        """Return all that is known, this instance included."""
+        """Return the updates of all known instances, this one included."""
         return [self._own.update, *list_updates(self._table)]
 
     def compute_digest(self) -> bytes:
-        """Return a digest of who is up, this instance included."""
+        """Return a digest of all live instances, this one included."""
         present = {
             record.instance_id: record.incarnation
             for record in self._table.select(MemberState.ALIVE, MemberState.SUSPECT)
@@ -108,7 +113,7 @@
     # inputs
 
     def advance(self, now: float) -> Step:
-        """Do what is due; to be called several times in each period."""
+        """Process all timers; must be called several times in each period."""
         self._handle_pause(now)
         self._last = now
         self._check_probes(now)
@@ -120,7 +125,7 @@
     def register_peer(
         self, now: float, identity: Identity, *, leaving: bool = False
     ) -> Step:
-        """Take in what a peer says of itself when a link to it is opened."""
+        """Record the identity that a peer sent when a link to it was opened."""
         state = MemberState.LEAVING if leaving else MemberState.ALIVE
         update = Update(
             instance_id=identity.instance_id,
@@ -131,13 +136,14 @@
             capacity=identity.capacity,
         )
         self._merge(now, update)
-        # it may be believed dead by now and has to learn of that to refute it
+        # the peer may have been declared dead meanwhile and can only refute that once
+        # it has received the update, which is piggybacked on this probe
         if self._find_state(identity.instance_id) is not MemberState.LEAVING:
             self._probe(now, identity.instance_id)
         return self._finish()
 
     def receive(self, now: float, sender: str, message: Message) -> Step:
-        """Take in a probe, an answer to one or a request for one."""
+        """Process a message from a peer."""
         match message:
             case Probe(sequence, updates):
                 self._merge_all(now, updates)
@@ -151,20 +157,20 @@
                 origin = (sender, sequence)
                 self._probe(now, instance_id, origin=origin)
             case MembersTable(updates):
-                # Whoever sent this knows it all and so do most others. Passed on
-                # from here, a table of hundreds would fill all probes for minutes.
+                # not gossiped: the sender and most others know these updates already,
+                # and a table of hundreds would fill all probes for minutes
                 self._merge_all(now, updates, passed_on=False)
         return self._finish()
 
     def handle_link_loss(self, now: float, instance_id: str) -> Step:
-        """Probe an instance at once, as a link to it has broken."""
+        """Probe an instance at once, as the link to it was lost."""
         state = self._find_state(instance_id)
         if state is MemberState.ALIVE and not self._probes.awaits(instance_id):
             self._probe(now, instance_id)
         return self._finish()
 
     def apply_listing(self, now: float, listing: Listing) -> Step:
-        """Take in the platform's list."""
+        """Apply a listing of the platform."""
         before = len(self._table)
         news = self._table.apply_listing(listing, self._own.instance_id, now)
         for update in news:
@@ -174,7 +180,7 @@
         return self._finish()
 
     def leave(self, now: float) -> Step:
-        """Announce that this instance is leaving; it can't be undone."""
+        """Announce that this instance is leaving, which cannot be undone."""
         if self._own.leaving:
             return self._finish()
         self._own.leave()
@@ -185,15 +191,15 @@
             self._probe(now, peer)
         return self._finish()
 
-    # time
+    # timers
 
     def _handle_pause(self, now: float) -> None:
-        """Restart all timers after this process stood still.
+        """Restart all timers after a pause of this process.
 
-        A process that was stopped, or whose loop was blocked, finds all its probes
-        unanswered when it runs again. One would notice it by an instance that
-        declares everybody dead at once. So the time that passed is not held against
-        anybody: open probes are dropped and suspicions last longer by the pause.
+        When a process continues after it was stopped, or its event loop was blocked,
+        all its probes are overdue, and it would declare all its peers dead at once. So
+        the time of the pause is not counted: pending probes are dropped and suspicions
+        are extended by the length of the pause.
         """
         if self._last is None or now - self._last <= self._rules.pause_threshold:
             return
@@ -202,7 +208,7 @@
         self._table.shift_times(pause)
         self._next_period = now
         if not self._own.leaving and pause > self._rules.probe_limit:
-            # others may suspect this instance by now; this refutes it beforehand
+            # others may suspect this instance by now: refute it pre-emptively
             self._own.raise_incarnation()
             self._gossip.add(self._own.update)
 
@@ -243,8 +249,8 @@
             self._begin_dead_period(now)
 
     def _begin_dead_period(self, now: float) -> None:
-        # dead instances may be on the other side of a partition; trying them, ever
-        # so rarely, is what joins the two sides again when it heals
+        # dead instances may be on the other side of a partition; only occasional probes
+        # of them rejoin the two sides after the partition has healed
         spread = 0.5 + self._random.random()
         self._next_dead = now + self._rules.dead_interval * spread
         self._table.expire(now)
@@ -259,10 +265,10 @@
             self._probe(now, instance_id)
 
     def _list_used_addresses(self) -> set[str]:
-        """Return the addresses at which an instance is that is not dead.
+        """Return the addresses of all instances that are not dead.
 
-        A dead one whose address another process has was a former process there. It
-        never answers, and each probe of it would have three helpers try it as well.
+        A dead instance with one of these addresses was an earlier process there. It
+        never answers, and each probe of it would cause three indirect probes.
         """
         present = self._table.select(
             MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING
@@ -277,7 +283,8 @@
             instance_id = self._order.pop()
             if instance_id in neighbours:
                 return instance_id
-        # each round visits all neighbours in a new order: none is left out for long
+        # each round probes all neighbours once, in a new random order, which bounds the
+        # time until each of them is probed
         self._order = sorted(neighbours)
         self._random.shuffle(self._order)
         return self._order.pop() if self._order else None
@@ -306,11 +313,11 @@
         record = self._table.find(instance_id)
         if record is None or record.state is not MemberState.ALIVE:
             return
-        # nobody has met it: there is nobody to refute a suspicion
+        # no instance ever had contact with it, so nobody would refute a suspicion
         state = MemberState.SUSPECT if record.confirmed else MemberState.DEAD
         self._observe(now, record, state)
 
-    # observations
+    # updates
 
     def _observe(self, now: float, record: Record, state: MemberState) -> None:
         update = Update(
@@ -347,7 +354,7 @@
         record = self._table.find(receiver)
         updates = []
         if record is not None and record.state is not MemberState.ALIVE:
-            # what the receiver must hear to refute it, if it can
+            # the receiver can refute this state only if it learns of it
             updates.append(record.update)
         room = self._rules.updates - len(updates)
         updates += self._gossip.take(room, self._count_present())
--- a/packages/greengagelatch/src/greengagelatch/membership/gossip.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/gossip.py
@@ -10,26 +10,26 @@
 
 
 class GossipQueue:
-    """Recent observations, each passed on a bounded number of times.
+    """Recent updates, each sent a bounded number of times.
 
-    With ``factor`` times the logarithm of the number of members, an observation
-    reaches all of them with high probability while its cost stays bounded.
+    With a number of transmissions of ``factor`` times the logarithm of the number of
+    members, an update reaches all members with high probability at a bounded cost.
 
     :param factor: transmissions for each doubling of the number of members.
-    :param limit: observations kept; the most often sent are dropped first.
+    :param limit: maximum number of updates; those sent most often are dropped first.
     """
 
     def __init__(self, *, factor: int, limit: int = 256) -> None:
         self._factor = factor
         self._limit = limit
-        #: transmissions so far and the observation, by instance
+        #: number of transmissions and update, by instance id
         self._items: dict[str, tuple[int, Update]] = {}
 
     def __len__(self) -> int:
         return len(self._items)
 
     def add(self, update: Update) -> None:
-        """Pass on ``update``; it takes the place of an older one."""
+        """Queue an update; it replaces an older one of the same instance."""
         self._items[update.instance_id] = (0, update)
         if len(self._items) <= self._limit:
             return
@@ -37,7 +37,7 @@
         del self._items[oldest]
 
     def take(self, number: int, members: int) -> list[Update]:
-        """Return the ``number`` observations sent least often so far."""
+        """Return the ``number`` least often sent updates and count a transmission."""
         if not self._items:
             return []
         most = self._factor * math.ceil(math.log2(members + 1))
--- a/packages/greengagelatch/src/greengagelatch/membership/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/messages.py
@@ -25,7 +25,7 @@
 @register("probe-ack")
 @dataclass(frozen=True, slots=True)
 class ProbeAck(Message):
-    """Answers a probe, or tells that the probed instance answered a helper."""
+    """Answers a probe; after a :class:`ProbeRequest`, says that the probe succeeded."""
 
     sequence: int = 0
     updates: tuple[EncodedUpdate, ...] = ()
@@ -34,7 +34,7 @@
 @register("probe-request")
 @dataclass(frozen=True, slots=True)
 class ProbeRequest(Message):
-    """Asks the receiver to probe another instance on the sender's behalf."""
+    """Requests an indirect probe of ``instance_id`` on behalf of the sender."""
 
     sequence: int = 0
     instance_id: str = ""
@@ -44,7 +44,7 @@
 @register("members-query")
 @dataclass(frozen=True, slots=True)
 class MembersQuery(Message):
-    """Asks for all members; answered by an empty table if digests are equal."""
+    """Requests all members; answered by an empty table if the digests are equal."""
 
     digest: bytes = b""
 
@@ -52,6 +52,6 @@
 @register("members-table")
 @dataclass(frozen=True, slots=True)
 class MembersTable(Message):
-    """All members that the sender knows."""
+    """Updates of all members known to the sender."""
 
     updates: tuple[EncodedUpdate, ...] = ()
--- a/packages/greengagelatch/src/greengagelatch/membership/overlay.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/overlay.py
@@ -17,11 +17,12 @@
 ) -> frozenset[str]:
     """Return the instances to which ``instance_id`` keeps a link.
 
-    In a small fleet these are all others. In a large one it is a random but stable
-    half-and-half choice from its own data centre and from the others: links to its
-    own keep a data centre together when it is cut off, the rest carry news between
-    data centres. Each instance opens as many, so all are watched by at least that
-    many, and the number of links does not grow with the fleet.
+    In a small fleet these are all others. In a large one they are chosen by rendezvous
+    hashing, half from the same data centre and half from the others. Links within a
+    data centre keep it connected when it is partitioned from the rest; the others
+    carry updates between data centres. Each instance opens the same number of links,
+    so each is monitored over at least that many, and the number of links per instance
+    does not grow with the fleet.
 
     :param links: number of links to open.
     """
--- a/packages/greengagelatch/src/greengagelatch/membership/own.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/own.py
@@ -13,8 +13,8 @@
     """Incarnation of this instance, and whether it is leaving.
 
     Only the instance itself raises its incarnation. It does so to refute that it is
-    suspected or dead, and to override what an earlier process of its id has said,
-    which a clock that stepped back would otherwise leave in force.
+    suspected or dead, and to override updates about an earlier process with the same
+    id, which would otherwise stay in force if the clock was set back.
     """
 
     def __init__(self, identity: Identity) -> None:
@@ -34,7 +34,7 @@
 
     @property
     def incarnation(self) -> int:
-        """Present incarnation."""
+        """Current incarnation."""
         return self._incarnation
 
     @property
@@ -44,7 +44,7 @@
 
     @property
     def update(self) -> Update:
-        """The observation of this instance that others are to take over."""
+        """Update that announces the current state of this instance to others."""
         return Update(
             instance_id=self._identity.instance_id,
             incarnation=self._incarnation,
@@ -55,21 +55,24 @@
         )
 
     def leave(self) -> None:
-        """Begin to leave; there is no way back."""
+        """Mark this instance as leaving, which cannot be undone."""
         self._leaving = True
 
     def raise_incarnation(self) -> None:
-        """Override whatever others have observed so far."""
+        """Raise the incarnation to override all earlier updates of this instance."""
         self._incarnation += 1
 
     def refute(self, update: Update) -> bool:
-        """Take in what others say of this instance; whether it was refuted."""
+        """Refute an update about this instance if it is wrong; return whether it was.
+
+        An update is refuted by raising the incarnation above that of the update.
+        """
         own = self.update
         if not update.overrides(own.incarnation, own.state):
             return False
         says_leaving = update.state is MemberState.LEAVING
         if says_leaving and self._owns(update.incarnation):
-            # the platform has begun to take this instance away; that is not refuted
+            # the platform has begun to remove this instance, which must not be refuted
             return False
         self._incarnation = update.incarnation + 1
         return True
--- a/packages/greengagelatch/src/greengagelatch/membership/probes.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/probes.py
@@ -7,20 +7,21 @@
 
 __all__ = ("PendingProbe", "PendingProbes")
 
-#: probes that may wait at the same time; the oldest is dropped beyond that
+#: maximum number of pending probes; the oldest is dropped when it is exceeded
 MAX_PENDING = 1024
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PendingProbe:
-    """A probe sent and not yet answered."""
+    """A probe that was sent and is not yet acknowledged."""
 
     instance_id: str
-    #: monotonic seconds
+    #: monotonic seconds at which the probe was sent
     sent: float
-    #: requester and its own sequence number, where this instance is only a helper
+    #: requester and its sequence number if this is an indirect probe for another
+    #: instance
     origin: tuple[str, int] | None = None
-    #: whether helpers have been asked
+    #: whether indirect probes have been requested
     indirect_requested: bool = False
 
 
@@ -34,7 +35,7 @@
     def add(
         self, now: float, instance_id: str, origin: tuple[str, int] | None = None
     ) -> int:
-        """Note a probe and return its sequence number."""
+        """Register a probe and return its sequence number."""
         self._sequence += 1
         if len(self._probes) >= MAX_PENDING:
             del self._probes[next(iter(self._probes))]
@@ -48,11 +49,14 @@
         return any(item.instance_id == instance_id for item in self._probes.values())
 
     def pop(self, sequence: int) -> PendingProbe | None:
-        """Remove an answered probe; ``None`` if it is not pending any more."""
+        """Remove and return a probe, or ``None`` if it is no longer pending."""
         return self._probes.pop(sequence, None)
 
     def start_indirect(self, before: float) -> list[tuple[int, PendingProbe]]:
-        """Return own probes sent before that need helpers now, each only once."""
+        """Return probes sent up to ``before`` that now need indirect probes.
+
+        Probes on behalf of others are left out, and each probe is returned only once.
+        """
         found = []
         for sequence, probe in self._probes.items():
             if (
@@ -67,12 +71,12 @@
         return found
 
     def pop_failed(self, before: float) -> list[PendingProbe]:
-        """Remove and return the probes sent before that nobody answered."""
+        """Remove and return the unanswered probes sent up to ``before``."""
         failed = [
             sequence for sequence, probe in self._probes.items() if probe.sent <= before
         ]
         return [self._probes.pop(sequence) for sequence in failed]
 
     def clear(self) -> None:
-        """Drop all probes without judging anybody."""
+        """Drop all pending probes without treating them as failed."""
         self._probes.clear()
--- a/packages/greengagelatch/src/greengagelatch/membership/records.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/records.py
@@ -9,8 +9,8 @@
 
 __all__ = ("Record", "Update", "decode_update", "encode_update")
 
-#: Within one incarnation, a later state of this list overrides an earlier one. Leaving
-#: comes last: it is an instance's own decision, which no later silence takes back.
+#: precedence of states within one incarnation, lowest first; leaving is the highest, as
+#: it is the instance's own decision and must not be overridden by a failure to answer
 _ORDER = (
     MemberState.ALIVE,
     MemberState.SUSPECT,
@@ -20,7 +20,7 @@
 
 _RANKS = {state: rank for rank, state in enumerate(_ORDER)}
 
-#: seconds for which an instance must be dead before it can count as gone
+#: seconds for which an instance must be dead before it can be considered gone
 GONE_AFTER = 5.0
 
 MAX_TEXT = 255
@@ -30,69 +30,70 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Update:
-    """An observation of one entry instance, as it is passed on.
+    """State of one entry instance, as gossiped between instances.
 
-    Observations are totally ordered by incarnation, then by state. As each
-    instance keeps the highest, all come to the same view whatever the order in
-    which they hear of things. Only an instance itself raises its incarnation.
+    Updates are totally ordered by incarnation, then by state. Each instance keeps the
+    highest update, so all views converge whatever the order in which updates arrive.
+    Only an instance itself raises its incarnation.
     """
 
     instance_id: str
-    #: zero stands for an instance known from the platform's list only
+    #: 0 for an instance known from the platform's list only
     incarnation: int
     state: MemberState
-    #: empty where the sender does not know or need not say it
+    #: empty if unknown, or omitted because the state makes it unnecessary
     data_centre: str = ""
     address: str = ""
-    #: stage work that it can gather, as :attr:`Capacity.bundles` says; 0: not told
+    #: bundles of stage calls that it can collect per second, as in
+    #: :attr:`Capacity.bundles`; 0: unknown
     capacity: int = 0
 
     def overrides(self, incarnation: int, state: MemberState) -> bool:
-        """Whether this is newer than what an instance believes."""
+        """Whether this update takes precedence over the given state."""
         own = (self.incarnation, _RANKS[self.state])
         return own > (incarnation, _RANKS[state])
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Record:
-    """What this instance believes of another one."""
+    """Local record of another entry instance."""
 
     instance_id: str
     data_centre: str
     address: str
     incarnation: int
     state: MemberState
-    #: monotonic seconds at which it came into this state
+    #: monotonic seconds at which it entered this state
     since: float
-    #: whether the newest listing of the platform shows it
+    #: whether the platform's newest listing contains it
     listed: bool = False
-    #: whether a listing showed it and a later one no longer does
+    #: whether a listing contained it and a later one no longer does
     delisted: bool = False
-    #: whether any listing showed it as leaving: that holds for its id for good, as
-    #: a replacement has a new id, whatever it says itself
+    #: whether any listing showed it as leaving; this is permanent, as a replacement has
+    #: a new id, and overrides what the instance itself announces
     listed_leaving: bool = False
-    #: stage work that it can gather; 0: not told
+    #: bundles of stage calls that it can collect per second; 0: unknown
     capacity: int = 0
 
     @property
     def confirmed(self) -> bool:
-        """Whether any instance has met it; the list alone does not count."""
+        """Whether any instance has had contact with it; being listed is not enough."""
         return self.incarnation > 0
 
     def is_gone(self, now: float) -> bool:
-        """Whether both its peers and the platform have given it up.
+        """Whether it is dead for its peers and removed from the platform's list.
 
-        A killed instance can't say that it leaves. While it is counted as a member
-        out of reach, no change of the configuration is known to be in force
-        everywhere. One that the list still shows, or never did, may be cut off and
-        serving, so neither word is enough by itself.
+        A killed instance cannot announce that it leaves. While it counts as an
+        unreachable member, no configuration change can be confirmed to be in force
+        everywhere. An instance that is still listed, or never was, may be partitioned
+        and still serving, so both conditions are required.
         """
         dead = self.state is MemberState.DEAD
         return dead and self.delisted and now - self.since >= GONE_AFTER
 
     @property
     def update(self) -> Update:
-        """This belief in the form in which it is passed on."""
+        """This record as an update to gossip."""
         return Update(
             instance_id=self.instance_id,
             incarnation=self.incarnation,
@@ -104,10 +105,10 @@
 
 
 def encode_update(update: Update) -> tuple[Any, ...]:
-    """Return an update as a short tuple for the wire.
+    """Return an update in its wire format, a short tuple.
 
-    The address is left out where it is no longer needed, and a capacity that is not
-    told.
+    Data centre, address and capacity are omitted for dead and leaving instances, an
+    unknown capacity always.
     """
     head = (update.instance_id, update.incarnation, _RANKS[update.state])
     if update.state in (MemberState.DEAD, MemberState.LEAVING):
@@ -117,7 +118,7 @@
 
 
 def decode_update(item: Any) -> Update | None:
-    """Read what a peer sent; ``None`` if it makes no sense."""
+    """Parse an update from a peer; return ``None`` if it is invalid."""
     if not isinstance(item, tuple) or len(item) < 3:
         return None
     instance_id, incarnation, rank = item[:3]
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -15,44 +15,46 @@
 
     #: time between two probes
     period: float = 1.0
-    #: time after which others are asked to probe
+    #: time without an answer after which indirect probes are requested
     probe_timeout: float = 0.4
-    #: time after which a probe has failed, indirect ones included
+    #: time after which a probe has failed, its indirect probes included
     probe_limit: float = 1.5
-    #: others that are asked to probe
+    #: number of instances that are asked for an indirect probe
     indirect_probes: int = 3
-    #: time from suspicion to death, in periods for each factor of ten in members
+    #: periods from suspicion to death, for each factor of ten in members
     suspicion_periods: float = 4.0
-    #: time between two probes of instances believed dead
+    #: mean time between two probes of dead instances
     dead_interval: float = 10.0
-    #: one probe out of this many goes to any member instead of a neighbour
+    #: one probe out of this many goes to a random member instead of a neighbour
     random_share: int = 5
-    #: links that this instance opens to neighbours
+    #: number of links that this instance opens to neighbours
     links: int = 8
-    #: observations passed on with one message
+    #: maximum number of updates piggybacked on one message
     updates: int = 8
-    #: transmissions of one observation, for each doubling in members
+    #: transmissions of one update, for each doubling in members
     gossip_factor: int = 3
-    #: a longer time between two calls of ``Detector.advance`` is a pause
+    #: a longer time between two calls of ``Detector.advance`` counts as a pause of the
+    #: process
     pause_threshold: float = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """What an entry instance says of itself."""
+    """Identity of an entry instance, as it announces it when a link opens."""
 
     instance_id: str
     data_centre: str
     address: str
-    #: seconds since the Unix epoch at its start, raised by one for each refutation
+    #: seconds since the Unix epoch at its start; its refutations raise the incarnation
+    #: further
     incarnation: int
-    #: stage work that it can gather; 0: not told
+    #: bundles of stage calls that it can collect per second; 0: unknown
     capacity: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message to be sent."""
+    """A message to send."""
 
     instance_id: str
     message: Message
@@ -60,8 +62,8 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """What is to be done after an input."""
+    """Output of the detector after an input: the actions that its caller performs."""
 
     sends: tuple[Send, ...] = ()
-    #: whether the members, as seen from outside, have changed
+    #: whether the members or the neighbours may have changed
     changed: bool = False
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -1,4 +1,4 @@
-"""What an instance believes of all others."""
+"""Table of all other known entry instances."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 
 __all__ = ("MAX_RECORDS", "MemberTable")
 
-#: instances remembered; beyond that those longest gone make room
+#: maximum number of records; if exceeded, the instance dead or leaving for longest is
+#: evicted
 MAX_RECORDS = 8192
 
-#: seconds for which a dead instance is remembered, so that partitions can heal
+#: seconds for which a dead instance is kept, so that partitions can heal
 DEAD_RETENTION = 24 * 3600.0
 
-#: the same for one that the platform's list no longer shows
+#: seconds for which a dead instance is kept that the platform's list does not contain
 UNLISTED_RETENTION = 600.0
 
-#: seconds for which an instance that left is remembered, so that it can't come back
+#: seconds for which a leaving instance is kept, so that outdated updates cannot make
+#: it live again
 LEFT_RETENTION = 24 * 3600.0
 
 
@@ -39,7 +41,7 @@
         return iter(self._records.values())
 
     def find(self, instance_id: str) -> Record | None:
-        """Return the record of an instance."""
+        """Return the record of an instance, or ``None`` if it is unknown."""
         return self._records.get(instance_id)
 
     def select(self, *states: MemberState) -> list[Record]:
@@ -48,7 +50,7 @@
         return sorted(found, key=lambda record: record.instance_id)
 
     def merge(self, update: Update, now: float) -> bool:
-        """Take in an observation; whether it was newer than what was known."""
+        """Merge an update; return whether it overrode what was known."""
         record = self._records.get(update.instance_id)
         if record is None:
             return self._add(update, now)
@@ -64,7 +66,7 @@
             incarnation=update.incarnation,
             state=update.state,
             since=since,
-            # an instance may have moved when it raised its incarnation
+            # the address may have changed with a new incarnation
             data_centre=update.data_centre or filled.data_centre,
             address=update.address or filled.address,
             capacity=update.capacity or filled.capacity,
@@ -72,10 +74,10 @@
         return True
 
     def apply_listing(self, listing: Listing, own_id: str, now: float) -> list[Update]:
-        """Take in a listing; return what is to be passed on of it.
+        """Apply a listing; return the updates to gossip.
 
-        The list only adds instances to try and tells which are leaving. It is no
-        proof of life, and what it lacks may be there all the same.
+        A listing only adds instances to contact and marks those that are leaving. It
+        does not prove that an instance is alive, nor that one it lacks is dead.
         """
         if listing.as_of < self._as_of or listing is self._applied:
             return []
@@ -96,12 +98,12 @@
         return news
 
     def shift_times(self, seconds: float) -> None:
-        """Move all times forward, after a pause of this process."""
+        """Shift all times forward by the length of a pause of this process."""
         for record in list(self):
             self._replace(record, since=record.since + seconds)
 
     def expire(self, now: float) -> None:
-        """Drop what has long been dead or gone."""
+        """Drop dead and leaving instances whose retention has ended."""
         for record in list(self):
             if now - record.since < _find_retention(record):
                 continue
@@ -112,8 +114,8 @@
             listed = record.instance_id in shown
             if listed == record.listed:
                 continue
-            # a data centre that vanished as a whole is out of the platform's reach:
-            # its instances are to be remembered until it is back
+            # if a whole data centre is missing, the platform has lost contact with it:
+            # keep its instances as listed until it is back
             if not listed and record.data_centre not in centres:
                 continue
             self._replace(record, listed=listed, delisted=not listed)
@@ -183,5 +185,5 @@
 
 
 def list_updates(records: Iterable[Record]) -> list[Update]:
-    """Return what can be passed on of ``records``."""
+    """Return the updates to gossip: those of confirmed instances."""
     return [record.update for record in records if record.confirmed]
--- a/tests/test_core/test_membership/test_capacity.py
+++ b/tests/test_core/test_membership/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of what instances tell each other of their capacity."""
+"""Tests of the capacity in updates and listings."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 def create_update(**fields) -> Update:
-    told = {
+    defaults = {
         "instance_id": "e1",
         "incarnation": 3,
         "state": MemberState.ALIVE,
         "data_centre": "north",
         "address": "10.0.0.1:7",
     }
-    return Update(**{**told, **fields})
+    return Update(**{**defaults, **fields})
 
 
-def test_capacity_travels_with_observations():
+def test_update_keeps_its_capacity_on_the_wire():
     update = create_update(capacity=206)
     assert decode_update(encode_update(update)) == update
 
 
-def test_observation_of_an_earlier_release_tells_no_capacity():
+def test_update_of_an_earlier_release_has_no_capacity():
     row = encode_update(create_update())
     assert len(row) == 5
     assert decode_update(row).capacity == 0
@@ -32,14 +32,14 @@
     assert decode_update((*row, "many")) is None
 
 
-def test_capacity_that_is_known_is_kept_where_it_is_not_told_again():
+def test_known_capacity_is_kept_if_a_later_update_lacks_it():
     table = MemberTable()
     table.merge(create_update(capacity=206), 0.0)
     table.merge(create_update(incarnation=4), 1.0)
     assert table.find("e1").capacity == 206
 
 
-def test_listing_tells_the_capacity_of_instances_not_met_yet():
+def test_listing_sets_the_capacity_of_unconfirmed_instances():
     table = MemberTable()
     row = Instance(
         instance_id="e2",
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -44,9 +44,9 @@
 
 def test_one_way_link_does_not_kill_a_peer():
     """
-    Symptom: an instance that serves well is declared dead by one other. Sequence:
-    what the first sends to the second is lost for good, all other paths work; its
-    probes stay unanswered. Cause: one path was taken for the instance behind it.
+    Guards against declaring a healthy instance dead because one path is broken. All
+    messages from the first instance to the second are lost and all other paths work,
+    so only direct probes fail.
     """
     fleet = start_fleet(9, loses=lambda sender, to: (sender, to) == (FIRST, SECOND))
     fleet.run(60)
@@ -54,12 +54,11 @@
     assert fleet.false_suspicions == 0
 
 
-def test_paused_instance_accuses_nobody():
+def test_paused_instance_suspects_nobody():
     """
-    Symptom: after one process was stopped and continued, instances that ran all the
-    time are called dead. Sequence: a probe and a suspicion were open when it
-    stopped; its clock went on; on its first turn both seem long overdue. Cause: the
-    time in which it could not hear was counted against the others.
+    Guards against a paused process declaring healthy peers dead when it continues. A
+    probe and a suspicion are pending when it stops, and both are overdue when it
+    continues unless the time of the pause is left out.
     """
     fleet = start_fleet(3)
     detector = fleet.nodes[FIRST].detector
@@ -69,7 +68,7 @@
     probe = Probe(1, (encode_update(suspect),))
     detector.receive(fleet.now, SECOND, probe)
     for tick in range(20):
-        # answers never come, so probes of both are open
+        # no answer arrives, so probes of both stay pending
         detector.advance(fleet.now + tick / 20)
     detector.advance(fleet.now + 60)
     assert fleet.view(FIRST, SECOND) is MemberState.ALIVE
@@ -78,9 +77,9 @@
 
 def test_continued_instance_is_alive_again_everywhere():
     """
-    Symptom: an instance that was stopped and continued stays dead for the others.
-    Sequence: it stands still until all have declared it dead, then goes on. Cause:
-    it never hears of that, or its word does not override theirs.
+    Guards against a paused instance staying dead for the others after it continues.
+    This happens if it does not learn that it was declared dead, or if its refutation
+    does not override that.
     """
     fleet = start_fleet(9)
     fleet.nodes[FIRST].paused = True
@@ -94,9 +93,9 @@
 
 def test_leaving_sticks_against_stale_list_and_peers():
     """
-    Symptom: an instance that is about to stop is used again. Sequence: it announces
-    that it leaves; then a listing from before and a peer that was cut off still
-    show it as live. Cause: the latest word was believed instead of the last state.
+    Guards against giving work to an instance that is about to stop. After it has
+    announced that it leaves, an outdated listing and a peer that was partitioned still
+    show it as live. The update received last must not override the leaving state.
     """
     fleet = start_fleet(9)
     stale = fleet.list_instances()
@@ -117,11 +116,10 @@
     assert everybody_says(fleet, FIRST, MemberState.LEAVING)
 
 
-def test_listed_as_leaving_sticks_before_it_was_ever_met():
+def test_listed_as_leaving_sticks_before_first_contact():
     """
-    Symptom: an instance on its way out gets new work from one that has just
-    started. Sequence: the list shows it as leaving, then it connects and says
-    hello. Cause: its own hello overrode what the platform had said before.
+    Guards against a new instance giving work to one that is leaving. The list shows
+    it as leaving, then it connects, and its hello must not override the list.
     """
     fleet = DetectorFleet(2, seed=1)
     fleet.show(fleet.list_instances(leaving=frozenset({SECOND})))
@@ -130,33 +128,32 @@
     assert fleet.view(FIRST, SECOND) is MemberState.LEAVING
 
 
-def test_list_lags_in_both_directions():
+def test_list_may_be_out_of_date_in_both_directions():
     """
-    Symptom: an instance that nobody ever met is taken for a member, or one that
-    works is dropped. Sequence: a listing shows one that is long gone and lacks one
-    that runs. Cause: the list was taken for proof of life or of death.
+    Guards against treating the platform's list as proof that an instance is alive or
+    dead. The listing shows an instance that no longer exists and lacks one that runs.
     """
     fleet = start_fleet(3)
-    ghost = Instance(
-        instance_id="entry-ghost",
+    vanished = Instance(
+        instance_id="entry-vanished",
         kind=InstanceKind.ENTRY,
         data_centre="kumamoto",
         address="10.9.9.9:8082",
         state=InstanceState.LIVE,
     )
-    fleet.show(Listing(10, (ghost,)))
+    fleet.show(Listing(10, (vanished,)))
     fleet.run(30)
     assert everybody_says(fleet, SECOND, MemberState.ALIVE)
-    record = fleet.nodes[FIRST].detector.table.find("entry-ghost")
+    record = fleet.nodes[FIRST].detector.table.find("entry-vanished")
     assert record.state is MemberState.DEAD
     assert not record.confirmed
 
 
-def test_cut_off_data_centre_is_dead_and_comes_back():
+def test_partitioned_data_centre_is_dead_and_comes_back():
     """
-    Symptom: after a partition the two sides stay apart. Sequence: a data centre is
-    cut off until each side believes the other dead; then the network works again,
-    but nobody probes the dead. Cause: dead instances were forgotten.
+    Guards against two sides staying separate after a partition has healed. Each side
+    has declared the other dead by then, and they rejoin only if dead instances are
+    kept and probed.
     """
     fleet = start_fleet(9)
     inside = {
@@ -178,10 +175,9 @@
 
 def test_former_process_at_the_address_of_a_present_one_is_not_probed():
     """
-    Symptom: after all instances were killed at once, each goes on dialling for
-    minutes. Sequence: each starts again at its address under an id of its own; the
-    former ids are dead. Cause: the dead are probed in case that a partition heals,
-    also where another process has their address.
+    Guards against connection attempts that go on for minutes after all instances were
+    killed at once. Each restarts at its address with a new id, and the former ids are
+    dead. They must not be probed while another process uses their address.
     """
     detector = Detector(
         identity=create_identity("e-1", "10.0.0.1:1"),
@@ -214,8 +210,8 @@
 
 def test_lost_messages_rarely_raise_suspicion():
     """
-    Symptom: under some loss, instances that work are taken for dead. Sequence: one
-    message of twenty is lost, at random. Cause: a single unanswered probe counted.
+    Guards against suspicion after a single unanswered probe: one of 20 messages is
+    lost at random, and healthy instances must not be declared dead.
     """
     source = random.Random(3)
     fleet = start_fleet(50, loses=lambda sender, receiver: source.random() < 0.05)
@@ -241,10 +237,9 @@
 
 def test_restart_with_a_clock_that_stepped_back():
     """
-    Symptom: a restarted instance stays dead in the eyes of all others. Sequence: it
-    dies and is started again under the same id, but its clock now shows an earlier
-    time, so its incarnation is lower. Cause: what was said of the earlier process
-    overrides all that the new one says.
+    Guards against a restarted instance staying dead for all others. It restarts with
+    the same id, but its clock was set back, so its incarnation is lower and updates
+    about the earlier process override its own until it raises its incarnation.
     """
     fleet = start_fleet(5)
     fleet.nodes[FIRST].stopped = True
@@ -259,13 +254,13 @@
     fleet = DetectorFleet(1, seed=1)
     own = fleet.nodes[FIRST].detector.own
 
-    def hear(state: MemberState) -> int:
+    def refute(state: MemberState) -> int:
         update = Update(instance_id=FIRST, incarnation=own.incarnation, state=state)
         own.refute(update)
         return own.incarnation
 
     first = own.incarnation
-    assert hear(MemberState.ALIVE) == first
-    assert hear(MemberState.SUSPECT) == first + 1
-    assert hear(MemberState.DEAD) == first + 2
-    assert hear(MemberState.LEAVING) == first + 2
+    assert refute(MemberState.ALIVE) == first
+    assert refute(MemberState.SUSPECT) == first + 1
+    assert refute(MemberState.DEAD) == first + 2
+    assert refute(MemberState.LEAVING) == first + 2
--- a/tests/test_core/test_membership/test_records.py
+++ b/tests/test_core/test_membership/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of observations: their order and their form on the wire."""
+"""Tests of updates, the gossip queue and the overlay."""
 
 from __future__ import annotations
 
@@ -27,16 +27,15 @@
 
 
 @given(st.lists(updates, max_size=8), st.randoms())
-def test_views_agree_whatever_the_order(heard, source):
+def test_views_converge_whatever_the_order(received, source):
     """
-    Symptom: two instances that heard the same things believe different ones.
-    Sequence: the same observations arrive in different orders. Cause: an order of
-    observations that is not total.
+    Guards against instances with different views after the same updates arrived in
+    different orders, which happens if the precedence of updates is not a total order.
     """
-    shuffled = list(heard)
+    shuffled = list(received)
     source.shuffle(shuffled)
     views = []
-    for order in (heard, shuffled):
+    for order in (received, shuffled):
         table = MemberTable()
         for update in order:
             table.merge(update, 0.0)
@@ -45,7 +44,7 @@
 
 
 @given(updates)
-def test_wire_form_keeps_what_counts(update):
+def test_wire_format_keeps_id_incarnation_and_state(update):
     read = decode_update(encode_update(update))
     assert read is not None
     assert (read.instance_id, read.incarnation, read.state) == (
@@ -63,15 +62,15 @@
 
 
 @given(json_like)
-def test_odd_observations_are_dropped(item):
+def test_invalid_updates_are_dropped(item):
     read = decode_update(item)
     assert read is None or 0 < read.incarnation <= 2**53
 
 
-def test_rumours_are_passed_on_a_bounded_number_of_times():
-    rumours = GossipQueue(factor=2)
-    rumours.add(Update(instance_id="a", incarnation=1, state=MemberState.SUSPECT))
-    sent = sum(len(rumours.take(8, members=15)) for _ in range(100))
+def test_updates_are_gossiped_a_bounded_number_of_times():
+    queue = GossipQueue(factor=2)
+    queue.add(Update(instance_id="a", incarnation=1, state=MemberState.SUSPECT))
+    sent = sum(len(queue.take(8, members=15)) for _ in range(100))
     # twice the logarithm of 16
     assert sent == 8
 
@@ -92,9 +91,8 @@
 
 def test_links_join_a_large_fleet_and_each_of_its_data_centres():
     """
-    Symptom: a data centre that is cut off falls apart in two. Sequence: its
-    instances have chosen links to other data centres only. Cause: a choice that
-    does not look at data centres.
+    Guards against a partitioned data centre splitting further, which happens if
+    neighbours are chosen without regard to data centres and too few links stay inside.
     """
     records = make_records(300)
     links = {
--- a/tests/test_core/test_membership/test_table.py
+++ b/tests/test_core/test_membership/test_table.py
@@ -42,11 +42,10 @@
 
 
 def test_killed_instance_is_gone_once_the_list_drops_it():
-    """Symptom: ``change wait`` times out for ten minutes after each crash.
-
-    Sequence: an instance is killed, the platform replaces it and drops it from the
-    list, an operator applies a change and waits until it is in force everywhere.
-    Cause: the killed instance was still counted as a member out of reach.
+    """
+    Guards against ``change wait`` timing out for ten minutes after each crash. The
+    platform has replaced the killed instance and dropped it from the list, so it must
+    not count as an unreachable member on which the change is not yet in force.
     """
     table = create_table(listed=True)
     table.apply_listing(create_listing(2, "e3"), "e1", SOON)
@@ -54,19 +53,18 @@
 
 
 def test_dead_instance_that_is_still_listed_is_not_gone():
-    """Symptom: a change is called in force everywhere, yet half the fleet lacks it.
-
-    Sequence: a data centre is cut off; the list shows its instances all the while.
-    Cause: instances out of reach were taken for gone.
+    """
+    Guards against reporting a change as in force everywhere while a partitioned data
+    centre lacks it. Its instances are unreachable but still listed, so they are not
+    gone.
     """
     assert not create_table(listed=True).find("e2").is_gone(LATER)
 
 
 def test_dead_instance_that_was_never_listed_is_not_gone():
-    """Symptom: as before, while the platform's list is out of order.
-
-    Sequence: no listing was ever received, and a data centre is cut off.
-    Cause: an instance missing from no list was taken for dropped from it.
+    """
+    Guards against the same fault while the platform's list is unavailable: without any
+    listing, an unreachable instance cannot have been dropped from the list.
     """
     assert not create_table(listed=False).find("e2").is_gone(LATER)
 
