--- a/packages/greengagelatch/src/greengagelatch/peers/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Interface to the other entry instances."""
+"""Interface for messages between entry instances."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 M = TypeVar("M", bound=Message)
 
-#: gets the sender's instance id and the message; returns the answer, if any
+#: receives the sender's instance id and the message; returns the answer, if any
 MessageHandler = Callable[[str, M], Awaitable[Message | None] | Message | None]
 
 
 class MemberState(Enum):
-    """What this instance believes of another one."""
+    """State of another instance, as seen by this one."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -38,36 +38,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Member:
-    """An entry instance as this instance sees it."""
+    """An entry instance, as seen by this instance."""
 
     instance_id: str
     data_centre: str
     address: str
     state: MemberState
-    #: stage work that it can gather, as :attr:`Capacity.bundles` says; 0: not told
+    #: bundles of stage calls that it can collect per second, as in
+    #: :attr:`Capacity.bundles`; 0: unknown
     capacity: int = 0
 
 
 class PeerErrorKind(Enum):
-    """Why a peer gave no answer."""
+    """Why a request to a peer has no answer."""
 
-    #: nothing was handed to a socket, or the peer ended the link with its word that it
-    #: took nothing more up
+    #: nothing was written to a socket, or the peer closed the link with the assurance
+    #: that it had not processed the message
     NOT_SENT = "not-sent"
-    #: the peer may have acted on the message
+    #: no answer was received; the peer may have processed the message
     NO_ANSWER = "no-answer"
-    #: the peer's word that it did not act on the message
+    #: the peer answered that it did not process the message
     REFUSED = "refused"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerError:
-    """A question to a peer that has no answer."""
+    """A failed request to a peer."""
 
     kind: PeerErrorKind
     message: str
-    #: the link broke before the answer came, and not for its silence: the peer may
-    #: well be reached over another one
+    #: whether the link was lost before the answer arrived, other than by a heartbeat
+    #: time-out: the peer may be reachable over a new link
     disconnected: bool = False
 
 
@@ -81,31 +82,31 @@
 
     @abstractmethod
     def members(self) -> tuple[Member, ...]:
-        """Return all known entry instances, this one included, by id."""
+        """Return all known entry instances, this one included, sorted by id."""
 
     def neighbours(self) -> tuple[str, ...]:
-        """Return the instances to which a link is kept open, if any are.
+        """Return the instances to which a link is kept open.
 
-        A message to one of them costs no handshake, and what each passes on to its
-        neighbours reaches every instance.
+        A message to a neighbour needs no handshake, and a message that every instance
+        forwards to its neighbours reaches the whole fleet.
         """
         return ()
 
     @abstractmethod
     def send(self, instance_id: str, message: Message) -> bool:
-        """Queue a message without waiting; ``False`` if there is no way to it.
+        """Queue a message without waiting; return whether it was queued.
 
-        Where no link is open, one is opened and the message waits for it; ``False``
-        is returned for unknown instances and those lately out of reach. ``True``
-        does not mean that the message arrives.
+        If no link is open, the message is queued until one has been opened. ``False``
+        is returned for instances that are unknown or were recently unreachable.
+        ``True`` does not guarantee delivery.
         """
 
     @abstractmethod
     async def ask(
         self, instance_id: str, message: Message, timeout: float
     ) -> Result[Message, PeerError]:
-        """Send a message and wait ``timeout`` seconds for its answer."""
+        """Send a request and wait up to ``timeout`` seconds for its answer."""
 
     @abstractmethod
     def handle(self, message_type: type[M], handler: MessageHandler[M]) -> None:
-        """Call ``handler`` for each message of that type from any peer."""
+        """Register ``handler`` for messages of ``message_type`` from any peer."""
--- a/packages/greengagelatch/src/greengagelatch/peers/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/choice.py
@@ -1,4 +1,4 @@
-"""Whom to tell something now and then."""
+"""Selection of peers for periodic messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 __all__ = ("choose_peers",)
 
-#: share of the words that go to any member and not to a neighbour
+#: probability that a peer is chosen from all members instead of from the neighbours
 RANDOM_SHARE = 0.125
 
 
@@ -17,14 +17,14 @@
     number: int,
     source: random.Random,
 ) -> tuple[str, ...]:
-    """Return ``number`` of ``members`` at most, mostly ones with an open link.
+    """Return up to ``number`` of ``members``, preferring those with an open link.
 
-    A word to a member picked anew each time costs a dial, a handshake at both ends
-    and heartbeats until the link is closed as idle: far more than the word itself,
-    seen as instances that are busy though idle. Now and then it is any member all the
-    same: where views differ, neighbours alone may not reach everyone.
+    A message to a random member costs a connection, a handshake at both ends and
+    heartbeats until the idle link is closed. This is far more than the message itself
+    and keeps idle instances busy. A random member is still chosen occasionally: if the
+    views of the membership differ, messages to neighbours may not reach everyone.
 
-    :param neighbours: those to which links are kept; others may be among them.
+    :param neighbours: ids to which links are kept; may contain ids not in ``members``.
     """
     left = list(members)
     linked = [name for name in left if name in neighbours]
--- a/packages/greengagelatch/src/greengagelatch/peers/codec.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/codec.py
@@ -1,4 +1,4 @@
-"""Typed, bounded and versioned messages between entry instances, as CBOR."""
+"""CBOR encoding of the versioned messages between entry instances."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
     "register",
 )
 
-#: version of the envelope; a message type's fields may grow without raising it
+#: version of the envelope; new fields of a message type do not change it
 PROTOCOL_VERSION = 1
 
-#: a larger frame closes the link: a peer's memory is bounded by what it accepts
+#: maximum size of a frame, which bounds the memory per link; a larger frame closes the
+#: link
 MAX_MESSAGE_BYTES = 1_048_576
 
 
@@ -32,12 +33,12 @@
 class Message:
     """Base class of all messages; subclasses are frozen data classes.
 
-    Fields hold what CBOR holds: numbers, texts, bytes, booleans, ``None``, and
+    Field values are CBOR types: numbers, strings, bytes, booleans, ``None``, and
     tuples or maps of these. Each field of a registered message has a default, so
-    that a message from an earlier release, which lacks it, can still be read.
+    that a message from an earlier release without the field can be decoded.
     """
 
-    #: name on the wire, set by :func:`register`
+    #: type name on the wire, set by :func:`register`
     wire_name: ClassVar[str] = ""
 
 
@@ -47,11 +48,11 @@
 
 
 def register(wire_name: str):
-    """Register a message type under its name on the wire."""
+    """Return a decorator that registers a message type as ``wire_name``."""
 
     def decorate(message_type: M) -> M:
         if wire_name in _types:
-            msg = f"message {wire_name!r} is registered twice"
+            msg = f"message type {wire_name!r} is already registered"
             raise ValueError(msg)
         message_type.wire_name = wire_name
         _types[wire_name] = message_type
@@ -61,23 +62,23 @@
 
 
 def check_type(value: Any, kind: type | tuple[type, ...]) -> None:
-    """Check a field of a message when it is made.
+    """Check the type of a field when a message is created.
 
-    The codec checks names, not types; a wrong type would end whatever task uses it
-    later on.
+    The codec checks the names of fields but not their types. A wrong type would only
+    fail later, in the task that uses the field.
 
-    :raises ValueError: which the codec takes for a bad frame.
+    :raises ValueError: if the type is wrong; :func:`decode` reports it as an error.
     """
     if not isinstance(value, kind):
-        raise ValueError(f"unexpected {type(value).__name__}")
+        raise ValueError(f"unexpected type {type(value).__name__}")
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message with what is needed to answer it.
+    """A message with the numbers that correlate requests and answers.
 
-    ``question`` is a number for a message that wants an answer, ``answer`` the
-    number of the question that this message answers; zero means neither.
+    ``question`` is the number of a request that expects an answer, and ``answer`` the
+    number of the request that this message answers. Both are zero for other messages.
     """
 
     message: Message
@@ -87,16 +88,19 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodeError:
-    """A frame that can't be read; ``unknown`` if only its type is unknown."""
+    """A frame that cannot be decoded.
+
+    ``unknown`` says that the frame is valid, but its message type is unknown.
+    """
 
     reason: str
     unknown: bool = False
-    #: question number to answer "not understood" to
+    #: number of the request to answer with :class:`~.messages.NotUnderstood`
     question: int = 0
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the frame of an envelope."""
+    """Encode an envelope as a frame."""
     message = envelope.message
     body = {
         item.name: getattr(message, item.name) for item in dataclasses.fields(message)
@@ -114,10 +118,10 @@
 
 
 def decode(data: bytes) -> Result[Envelope, DecodeError]:
-    """Read a frame.
+    """Decode a frame.
 
-    Fields that this release does not know are ignored, so that the next release
-    may add some; a message type it does not know is reported as ``unknown``.
+    Unknown fields are ignored, so that a later release may add fields. An unknown
+    message type is reported as ``unknown``.
     """
     if len(data) > MAX_MESSAGE_BYTES:
         return Err(DecodeError(f"frame of {len(data)} bytes is too large"))
@@ -131,7 +135,7 @@
     answer = frame.get("a", 0)
     body = frame.get("b")
     if not (isinstance(question, int) and isinstance(answer, int)):
-        return Err(DecodeError("question and answer must be numbers"))
+        return Err(DecodeError("request and answer numbers must be integers"))
     message_type = _types.get(str(frame.get("t")))
     if message_type is None:
         reason = f"unknown message type {frame.get('t')!r}"
--- a/packages/greengagelatch/src/greengagelatch/peers/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/messages.py
@@ -1,4 +1,4 @@
-"""Messages that belong to the links between entry instances themselves."""
+"""Messages that manage the links between entry instances."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @register("hello")
 @dataclass(frozen=True, slots=True)
 class Hello(Message):
-    """First message of each side of a link."""
+    """Handshake: the first message that each side of a link sends."""
 
     instance_id: str = ""
     data_centre: str = ""
@@ -21,17 +21,18 @@
     incarnation: int = 0
     leaving: bool = False
     protocol: int = PROTOCOL_VERSION
-    #: rises with each hello that its sender sends, to whomever, also over restarts;
-    #: zero from releases that do not number them
+    #: increases with each hello of the sender, to any peer and across restarts; 0 from
+    #: earlier releases, which do not number them
     number: int = 0
-    #: stage work that the sender can gather; 0: not told, as by earlier releases
+    #: bundles of stage calls that the sender can collect per second; 0: unknown, as
+    #: from earlier releases
     capacity: int = 0
 
 
 @register("not-understood")
 @dataclass(frozen=True, slots=True)
 class NotUnderstood(Message):
-    """Answer to a question of a type that the receiver does not handle."""
+    """Answer to a request of a type that the receiver does not handle."""
 
     reason: str = ""
 
@@ -39,10 +40,10 @@
 @register("busy")
 @dataclass(frozen=True, slots=True)
 class Busy(Message):
-    """Answer to a question that the receiver had no room for; it did nothing."""
+    """Answer to a request that an overloaded receiver rejected without processing."""
 
 
 @register("unanswered")
 @dataclass(frozen=True, slots=True)
 class Unanswered(Message):
-    """Answer to a question whose handler failed; it may have acted before."""
+    """Answer to a request whose handler failed, possibly after it had effects."""
