--- a/packages/greengagelatch/src/greengagelatch/store/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/store/__init__.py
@@ -1,4 +1,4 @@
-"""Interface of the platform's key-value service."""
+"""Interface to the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     "WriteResult",
 )
 
-#: revision of a key that does not exist
+#: revision of an absent key
 ABSENT = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A key's value; ``revision`` rises with every write to the whole store."""
+    """A key's value; ``revision`` increases with every write to the store."""
 
     key: str
     value: bytes
@@ -34,50 +34,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease the store has granted; ``ttl`` is in seconds."""
+    """A lease that the store has granted; ``ttl`` is in seconds."""
 
     lease_id: str
     ttl: float
-    #: rises with every lease granted by the store: usable as a fencing number
+    #: increases with every lease that the store grants; it cannot serve as a fencing
+    #: token, see :class:`~greengagelatch.leases.state.LeaseState`
     number: int
 
 
 class StoreErrorKind(Enum):
-    """Why a read, watch or lease call has no answer."""
+    """Why a read, watch or lease call failed."""
 
     UNREACHABLE = "unreachable"
     TIMEOUT = "timeout"
     RATE_LIMITED = "rate-limited"
     LEASE_GONE = "lease-gone"
     BAD_ANSWER = "bad-answer"
-    #: the history that a watch asks for is gone
+    #: the store no longer has the history that a watch requires
     COMPACTED = "compacted"
 
 
 @dataclass(frozen=True, slots=True)
 class StoreError:
-    """A read, watch or lease call that has no answer."""
+    """A failed read, watch or lease call."""
 
     kind: StoreErrorKind
     message: str
 
 
 class WriteOutcome(Enum):
-    """What is known of a write."""
+    """What is known about the effect of a write."""
 
     #: the write took effect
     APPLIED = "applied"
-    #: the compare failed; the write did not take effect
+    #: the comparison failed; the write did not take effect
     CONFLICT = "conflict"
     #: the write certainly did not take effect (never sent, or refused)
     NOT_APPLIED = "not-applied"
-    #: the answer is lost; only reading back can settle it
+    #: no answer was received; only a read can show whether the write took effect
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True)
 class WriteResult:
-    """Outcome of a compare-and-swap; ``revision`` is set when applied."""
+    """Outcome of a write; ``revision`` is set if it was applied."""
 
     outcome: WriteOutcome
     revision: int = ABSENT
@@ -85,28 +86,28 @@
 
 
 class Store(ABC):
-    """The platform's key-value service.
+    """The platform's key-value store.
 
-    No implementation repeats a write by itself: the second of two equal
-    compare-and-swaps fails against the first, which would make an applied write
-    look like a conflict. Reads may be repeated within their time-out.
+    Implementations must not retry writes: a retried compare-and-swap fails against the
+    revision of the first one, so an applied write would be reported as a conflict.
+    Reads may be retried within their time-out.
     """
 
     @abstractmethod
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
-        """Return the entry at ``key``, or ``Ok(None)`` where there is none."""
+        """Return the entry at ``key``, or ``Ok(None)`` if it is absent."""
 
     @abstractmethod
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
-        """Return all entries whose keys start with ``prefix``, by key."""
+        """Return all entries whose keys start with ``prefix``, sorted by key."""
 
     @abstractmethod
     async def swap(
         self, key: str, value: bytes, expected: int, *, lease_id: str = ""
     ) -> WriteResult:
-        """Write ``value`` if the key's revision is ``expected``.
+        """Write ``value`` if the key's revision is ``expected`` (compare-and-swap).
 
-        With ``lease_id`` the entry vanishes when that lease lapses.
+        With ``lease_id`` the entry is deleted when that lease expires.
         """
 
     @abstractmethod
@@ -117,19 +118,19 @@
     async def watch(
         self, key: str, after: int, wait: float
     ) -> Result[Entry | None, StoreError]:
-        """Return the entry once its revision is above ``after``.
+        """Wait until the entry's revision is above ``after`` and return the entry.
 
-        After ``wait`` seconds, or if the key is absent, return ``Ok(None)``.
+        Return ``Ok(None)`` after ``wait`` seconds, or if the key is absent.
         """
 
     @abstractmethod
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
-        """Grant a lease that lapses ``ttl`` seconds after its last keep-alive."""
+        """Grant a lease that expires ``ttl`` seconds after its last renewal."""
 
     @abstractmethod
     async def keep_lease(self, lease_id: str) -> Result[Lease, StoreError]:
-        """Renew a lease; ``LEASE_GONE`` if it has lapsed."""
+        """Renew a lease; fails with ``LEASE_GONE`` if it has expired."""
 
     @abstractmethod
     async def revoke_lease(self, lease_id: str) -> WriteResult:
-        """End a lease and delete the entries bound to it."""
+        """Revoke a lease and delete the entries bound to it."""
--- a/packages/greengagelatch/src/greengagelatch/store/ranges.py
+++ b/packages/greengagelatch/src/greengagelatch/store/ranges.py
@@ -1,4 +1,4 @@
-"""Reads and watches of all keys below a prefix."""
+"""Interface for reading and watching all keys with a common prefix."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scan:
-    """The entries below a prefix, read page by page.
+    """The entries under a prefix, read page by page.
 
-    Pages are read at different moments. ``revision`` is the store's at the first
-    one, so that a watch from there on misses nothing.
+    The pages are read at different times. ``revision`` is that of the store at the
+    first page, so a watch that starts from it misses no change.
     """
 
     entries: tuple[Entry, ...]
@@ -26,16 +26,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What has changed below a prefix; ``revision`` is where to go on from."""
+    """The changes under a prefix; the next watch starts from ``revision``."""
 
     written: tuple[Entry, ...]
-    #: keys that were removed, each with the revision of its removal
+    #: keys that were deleted, each with the revision of its deletion
     removed: tuple[tuple[str, int], ...]
     revision: int
 
 
 class RangeStore(Store):
-    """A store whose prefixes can be read and watched as a whole."""
+    """A store that can read and watch all keys under a prefix."""
 
     @abstractmethod
     async def scan(self, prefix: str) -> Result[Scan, StoreError]:
@@ -45,7 +45,8 @@
     async def follow(
         self, prefix: str, after: int, wait: float
     ) -> Result[Changes, StoreError]:
-        """Return what changed after a revision, or nothing after ``wait`` seconds.
+        """Wait up to ``wait`` seconds for changes after a revision and return them.
 
-        ``COMPACTED`` means that the history since then is gone: scan again.
+        The error ``COMPACTED`` means that the store no longer has the history since
+        that revision, and the prefix must be scanned again.
         """
