--- a/packages/greengagelatch/src/greengagelatch/targets/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Targets and the calls made to them."""
+"""Targets and the interface for stage calls to them."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One replica of a service."""
+    """A replica of a service."""
 
     target_id: str
     service: str
@@ -39,8 +39,8 @@
 class StageCall:
     """One attempt at one stage.
 
-    Every attempt has its own id, which the target echoes: a late answer to an
-    earlier attempt can then not be taken for the answer to this one.
+    Every attempt has its own id, which the target echoes, so that a late answer to an
+    earlier attempt is not mistaken for the answer to this one.
     """
 
     attempt_id: str
@@ -50,57 +50,59 @@
     stage: str
     kind: StageKind
     input: Any
-    #: whether this call may be sent again once it may have run
+    #: whether the stage may be called again after this call may have run
     repeatable: bool
-    #: monotonic seconds
+    #: monotonic seconds after which the call is given up
     deadline: float
     priority: int = 0
     stream: bool = False
     #: number of tokens already received from earlier attempts
     resume_at: int = 0
-    #: those tokens, without which the digest of the whole can't be checked
+    #: those tokens, which are needed to check the digest of the whole output
     received: tuple[str, ...] = ()
-    #: seconds without a first byte after which the call is given up; ``None``: as
-    #: long as the client sees fit
+    #: seconds without a first byte after which the call is given up; ``None``: the
+    #: client's own stall time-out
     first_byte_timeout: float | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageAnswer:
-    """A target's answer, already checked against the call's three ids."""
+    """A target's answer, whose ids have been checked against those of the call."""
 
     output: Any
-    #: tokens of a streamed call, all of them from offset zero
+    #: all tokens of a streamed call, from offset zero
     tokens: tuple[str, ...] = ()
-    #: seconds of the target's time, by the target's own word
+    #: seconds of processing time, as reported by the target
     cost: float = 0.0
-    #: whether the target said that it is leaving
+    #: whether the target reported that it is leaving
     leaving: bool = False
 
 
 class FailureKind(Enum):
-    """Why a call has no answer."""
+    """Why a call failed."""
 
     CONNECT = "connect"
-    #: the target's explicit word that nothing ran
+    #: the target answered that the call did not run
     TARGET_REFUSED = "target-refused"
+    #: no data was received within the stall time-out
     STALLED = "stalled"
+    #: the connection was lost before the answer was complete
     CUT = "cut"
     DEADLINE = "deadline"
-    #: an answer that belongs to another attempt, request or stage
+    #: the answer belongs to another attempt, request or stage
     CROSSED = "crossed"
     TARGET_ERROR = "target-error"
-    #: the target can't begin a stream at the wanted offset
+    #: the target cannot resume a stream at the requested offset
     CANNOT_RESUME = "cannot-resume"
     CANCELLED = "cancelled"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallFailure:
-    """A call without an answer."""
+    """A failed call."""
 
     kind: FailureKind
-    #: ``NOT_RUN`` only where the call certainly was not sent or not run
+    #: ``NOT_RUN`` only if the call certainly was not sent or did not run
     verdict: Verdict
     message: str
     #: tokens received before the failure, from offset zero
@@ -109,19 +111,19 @@
     leaving: bool = False
 
 
-#: called with the offset and text of each new token, in order and without gaps
+#: receives the offset and text of each new token, in order and without gaps
 TokenListener = Callable[[int, str], None]
 
 
 class TargetClient(ABC):
-    """Makes calls to targets; an implementation never repeats a call by itself."""
+    """Client for calls to targets; implementations must not retry calls."""
 
     @abstractmethod
     async def call(
         self, target: Target, call: StageCall, on_token: TokenListener | None = None
     ) -> Result[StageAnswer, CallFailure]:
-        """Make one attempt at a stage."""
+        """Send one attempt at a stage and return its answer."""
 
     @abstractmethod
     async def cancel(self, target: Target, attempt_id: str) -> bool:
-        """Ask ``target`` to stop an attempt; whether it confirmed that."""
+        """Request ``target`` to cancel an attempt; return whether it confirmed."""
--- a/packages/greengagelatch/src/greengagelatch/targets/directory.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/directory.py
@@ -1,4 +1,4 @@
-"""Interface to what this instance knows of the targets."""
+"""Interface to the targets known to this instance."""
 
 from __future__ import annotations
 
@@ -12,45 +12,45 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """A target's own word on its load."""
+    """Load of a target, as reported by the target."""
 
     in_flight: int
     queued: int
-    #: calls the target runs side by side
+    #: maximum number of calls that the target runs concurrently
     capacity: int
-    #: monotonic seconds of this instance at which the report was true
+    #: time of the measurement, in monotonic seconds of this instance
     taken: float
-    #: prefixes that the target's cache is said to hold; hints only
+    #: prefixes that the target reports as cached; they are only hints
     cached_prefixes: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A target that may be given new work."""
+    """A target that accepts new work, with its latest load report."""
 
     target: Target
     report: LoadReport | None = None
 
 
 class TargetDirectory(ABC):
-    """Targets by service; leaving and lost ones are never candidates."""
+    """Targets by service; leaving and removed targets are never candidates."""
 
     @abstractmethod
     def candidates(self, service: str) -> tuple[Candidate, ...]:
-        """Return the targets of ``service`` that may be given new work, by id."""
+        """Return the targets of ``service`` that accept new work, sorted by id."""
 
     @abstractmethod
     def accepts(self, target_id: str) -> bool:
-        """Whether ``target_id`` may be given new work at this moment.
+        """Whether ``target_id`` accepts new work now.
 
-        It is asked again right before a call is sent, since a target may have
-        begun to leave after the call was queued.
+        This is checked again immediately before a call is sent, since the target may
+        have begun to leave while the call was queued.
         """
 
     @abstractmethod
     def mark_leaving(self, target_id: str) -> None:
-        """Record a target's own word that it is leaving; it can't be undone."""
+        """Mark a target as leaving, as reported by itself; this is permanent."""
 
     @abstractmethod
     def record_call(self, target_id: str, *, answered: bool) -> None:
-        """Record that a call was answered, or that the target could not be reached."""
+        """Record whether a call was answered or the target was unreachable."""
--- a/packages/greengagelatch/src/greengagelatch/targets/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry instances on targets."""
+"""Messages between entry instances about leaving targets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @register("targets-leaving")
 @dataclass(frozen=True, slots=True)
 class TargetsLeaving(Message):
-    """Targets that have begun to leave, by whatever source said so first."""
+    """Targets that have begun to leave, as reported by any source."""
 
     target_ids: tuple[str, ...] = ()
 
@@ -20,8 +20,8 @@
 @register("leaving-query")
 @dataclass(frozen=True, slots=True)
 class LeavingQuery(Message):
-    """Asks for all targets known to be leaving; answered by ``targets-leaving``.
+    """Requests all targets known to be leaving; answered by ``targets-leaving``.
 
-    A new instance asks: the list it starts from may still show as live what its
-    peers have long been told is leaving.
+    A new instance sends it, as its first listing may show targets as live that its
+    peers already know to be leaving.
     """
--- a/packages/greengagelatch/src/greengagelatch/targets/polling.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/polling.py
@@ -1,4 +1,4 @@
-"""When which target is asked for its load."""
+"""Schedule of the polls for targets' load reports."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 
 __all__ = ("PollSchedule",)
 
-#: delays are spread by this part either way, so that polls don't fall together
+#: share by which delays are randomly shortened or lengthened, so that polls do not
+#: coincide
 JITTER = 0.25
 
-#: in place of a time: the target has been asked and has not yet answered
+#: due time of a target whose poll is in flight
 _IN_FLIGHT = float("inf")
 
 
 class PollSchedule:
-    """Asks each watched target at its own interval, within one common rate.
+    """Polls each target at its own interval, within a common rate limit.
 
-    Where the watched targets need more polls than the rate allows, those overdue
-    longest come first and all intervals stretch alike.
+    If the targets need more polls than the rate allows, those overdue for longest come
+    first, and the intervals of all targets become longer.
 
-    :param rate: polls a second in all.
+    :param rate: maximum number of polls per second for all targets together.
     """
 
     def __init__(self, *, rate: float, random_source: random.Random) -> None:
@@ -33,12 +34,12 @@
         self._refilled: float | None = None
 
     def watch(self, now: float, intervals: Mapping[str, float]) -> None:
-        """Watch exactly these targets; values are seconds between polls."""
+        """Set the targets to poll; the values are seconds between polls."""
         for target_id in list(self._due):
             if target_id not in intervals:
                 del self._due[target_id]
         for target_id, interval in intervals.items():
-            # an interval that has become shorter brings the next poll forward
+            # a shorter interval than before advances the next poll
             latest = now + interval * (1 + JITTER)
             due = self._due.get(target_id)
             if due is not None and (due == _IN_FLIGHT or due <= latest):
@@ -46,16 +47,16 @@
             self._set(target_id, now + interval * self._random.random())
 
     def reschedule(self, now: float, target_id: str, delay: float) -> None:
-        """Set the next poll of a watched target."""
+        """Schedule the next poll of a target after ``delay`` seconds with jitter."""
         if target_id not in self._due:
             return
         spread = 1 - JITTER + 2 * JITTER * self._random.random()
         self._set(target_id, now + delay * spread)
 
     def take_due(self, now: float, limit: int) -> tuple[str, ...]:
-        """Return at most ``limit`` targets to ask now.
+        """Return up to ``limit`` targets to poll now.
 
-        A taken target is not due again until :meth:`postpone` is called for it.
+        A returned target is not due again until :meth:`reschedule` is called for it.
         """
         self._refill(now)
         taken = []
@@ -64,7 +65,7 @@
             if due > now:
                 break
             heapq.heappop(self._heap)
-            # entries of targets no longer watched or set anew are left behind
+            # skip outdated entries of targets that were removed or rescheduled
             if self._due.get(target_id) != due:
                 continue
             self._due[target_id] = _IN_FLIGHT
@@ -89,7 +90,7 @@
     def _refill(self, now: float) -> None:
         since = 0.0 if self._refilled is None else max(0.0, now - self._refilled)
         self._refilled = now
-        # at most one second's worth is saved up: after a pause of this process
-        # all targets are due at once and would be asked in one burst
+        # the bucket holds the tokens of at most one second: after a pause of this
+        # process all targets are due at once and would be polled in one burst
         ceiling = max(1.0, self._rate)
         self._tokens = min(ceiling, self._tokens + since * self._rate)
--- a/packages/greengagelatch/src/greengagelatch/targets/records.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/records.py
@@ -1,4 +1,4 @@
-"""What the ledger keeps of each target and service."""
+"""Records of targets and services in the target registry."""
 
 from __future__ import annotations
 
@@ -18,40 +18,40 @@
     """A target that is neither leaving nor gone."""
 
     target: Target
-    #: place in this instance's own order of targets
+    #: rank in this instance's order of targets, see :func:`.subset.compute_weight`
     weight: int
     report: LoadReport | None = None
-    #: listings in a row that did not show it
+    #: consecutive listings that did not contain it
     missing: int = 0
-    #: calls and polls in a row that could not reach it
+    #: consecutive calls and polls that did not reach it
     failures: int = 0
-    #: kept from new work until a probe reaches it
+    #: whether it gets no new work until a probe or call reaches it
     ejected: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Group:
-    """The targets of one service, in this instance's own order."""
+    """The targets of one service, ordered by weight for this instance."""
 
     records: SortedKeyList = field(
         default_factory=lambda: SortedKeyList(key=lambda record: record.weight)
     )
-    #: monotonic seconds at which candidates were last asked for
+    #: monotonic seconds at which candidates were last queried
     used: float = float("-inf")
-    #: those of ``records`` that are used, ``None`` where they must be chosen anew
+    #: the subset of ``records`` in use; ``None`` if it must be chosen again
     chosen: tuple[Record, ...] | None = None
-    #: the chosen ones and those passed over as out of reach, which are probed
+    #: the chosen records and the ejected ones passed over, all of which are polled
     watched: tuple[Record, ...] = ()
-    #: made from ``chosen`` on demand
+    #: candidates created from ``chosen``; ``None`` if they must be created again
     candidates: tuple[Candidate, ...] | None = None
 
     def choose(self, subset: int, minimum: int) -> tuple[Record, ...]:
-        """Return the records that may be given new work.
+        """Return the records that may receive new work.
 
-        The first ``subset`` reachable ones of the order. If fewer than
-        ``minimum`` can be reached, those that failed least are used all the same:
-        this instance alone may be at fault, and a service without any candidate
-        would refuse everything.
+        These are the first ``subset`` records in order that are not ejected. If they
+        are fewer than ``minimum``, the ejected records with the fewest failures are
+        added: the fault may be on the side of this instance, and a service without
+        candidates would refuse all requests.
         """
         if self.chosen is not None:
             return self.chosen
@@ -65,13 +65,13 @@
             reachable.extend(least[:missing])
         self.watched = (*reachable, *(r for r in passed if r not in reachable))
         self.chosen = tuple(sorted(reachable, key=lambda r: r.target.target_id))
-        # made from the choice before: one that is not accepted any more would be
-        # chosen again and again
+        # created from the previous choice: a target that is no longer accepted would
+        # be offered again and again
         self.candidates = None
         return self.chosen
 
     def list_candidates(self, subset: int, minimum: int) -> tuple[Candidate, ...]:
-        """Return the candidates, by id."""
+        """Return the candidates, sorted by id."""
         chosen = self.choose(subset, minimum)
         if self.candidates is None:
             self.candidates = tuple(Candidate(r.target, r.report) for r in chosen)
@@ -79,7 +79,7 @@
 
     def _walk(self, subset: int) -> Iterator[Record]:
         reachable = 0
-        # twice the subset bounds what is probed when a great part is out of reach
+        # twice the subset limits the number of polls if many targets are unreachable
         for record in self.records[: 2 * subset]:
             yield record
             reachable += not record.ejected
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -1,18 +1,19 @@
-"""Which targets may be given new work, joined from all that is said of them.
-
-Sources disagree and lag. Their precedence, highest first:
-
-1. *leaving*, whoever says so first: the platform's list, a peer, the target's load
-   report or a header on one of its answers. It holds for that target id for good; a
-   replacement has a new id.
-2. *gone*: several listings in a row lack it, or one does and it can't be reached.
-   A later listing may bring it back, since lists lag in both directions.
-3. *set aside*: it could not be reached several times in a row. A probe or an
-   answered call ends this.
-4. *live*: the list shows it.
-
-A data centre of which a listing shows nothing is out of the platform's reach; none
-of its targets counts as missing then.
+"""Registry of targets, which decides which of them may receive new work.
+
+The sources of information disagree and may be out of date. The states of a target, by
+precedence from highest to lowest:
+
+1. *leaving*: reported by any source, that is the platform's list, a peer, the target's
+   load report or a header of one of its answers. This is permanent for the target id;
+   a replacement has a new id.
+2. *gone*: missing from several consecutive listings, or from one and unreachable. A
+   later listing may restore it, since the list may be out of date in both directions.
+3. *ejected*: unreachable several times in a row. A successful probe or call ends the
+   ejection.
+4. *live*: the list contains it.
+
+If a listing contains no target of a data centre, the platform has lost contact with
+the data centre, and none of its targets counts as missing.
 """
 
 from __future__ import annotations
@@ -31,37 +32,37 @@
 
 __all__ = ("TargetRegistry", "TargetRegistryChange", "TargetRegistryRules")
 
-#: ids of leaving targets that are remembered
+#: maximum number of ids of leaving targets that are kept
 MAX_LEAVING = 20_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetRegistryRules:
-    """Limits of the ledger."""
+    """Limits and thresholds of the registry."""
 
-    #: targets of one service that this instance uses at least
+    #: minimum number of targets of one service that this instance uses
     min_subset: int = 20
-    #: entry instances that use each target, on average
+    #: mean number of entry instances that use each target
     instances_per_target: int = 8
-    #: listings in a row without a target until it is gone
+    #: consecutive listings without a target after which it is gone
     missing_listings: int = 3
-    #: failures in a row until a target is set aside
+    #: consecutive failures after which a target is ejected
     ejection_threshold: int = 2
-    #: targets of a service that stay candidates even if none can be reached
+    #: number of targets of a service that stay candidates even if all are ejected
     min_candidates: int = 1
-    #: seconds after which a load report is forgotten
+    #: seconds after which a load report expires
     report_ttl: float = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetRegistryChange:
-    """What one piece of news has changed."""
+    """Changes caused by one update of the registry."""
 
-    #: targets that are now known to be leaving and were not before
+    #: targets that were not known to be leaving before
     leaving: tuple[str, ...] = ()
-    #: services whose candidates may differ from before
+    #: services whose candidates may have changed
     services: frozenset[str] = frozenset()
-    #: the news was older than what is known and was ignored
+    #: whether the update was older than the current state and was ignored
     stale: bool = False
 
 
@@ -69,9 +70,9 @@
 
 
 class TargetRegistry:
-    """The targets as this instance sees them.
+    """The targets as seen by this instance.
 
-    :param instance_id: id of this entry instance; each has its own subset.
+    :param instance_id: id of this entry instance, which determines its subsets.
     """
 
     def __init__(self, *, instance_id: str, rules: TargetRegistryRules) -> None:
@@ -79,20 +80,21 @@
         self._rules = rules
         self._records: dict[str, Record] = {}
         self._groups: dict[str, Group] = {}
-        #: ids in the order in which they were last heard of
+        #: ids of leaving targets, those reported least recently first
         self._leaving: dict[str, None] = {}
-        #: those of them that the newest listings show, for operators
+        #: leaving targets that the newest listings contain, shown to operators
         self._leaving_targets: dict[str, Target] = {}
         self._missing: set[str] = set()
         self._as_of = -1
         self._applied: Listing | None = None
-        #: ``None`` until it is known; subsets have their least size until then
+        #: number of entry instances; ``None`` until it is known, and subsets have their
+        #: minimum size until then
         self._instances: int | None = None
 
-    # news
+    # updates
 
     def apply_listing(self, listing: Listing) -> TargetRegistryChange:
-        """Take in a listing; one older than an earlier one is ignored."""
+        """Apply a listing; one older than the last applied listing is ignored."""
         if listing.as_of < self._as_of:
             return TargetRegistryChange(stale=True)
         self._as_of = listing.as_of
@@ -107,25 +109,25 @@
         return TargetRegistryChange(leaving=change.leaving, services=frozenset(changed))
 
     def mark_leaving(self, target_ids: Iterable[str]) -> TargetRegistryChange:
-        """Record that targets are leaving, for good, whether or not known yet."""
-        news = []
+        """Mark targets as leaving permanently, including ids not listed yet."""
+        added = []
         changed = set()
         for target_id in target_ids:
             if target_id in self._leaving:
                 continue
             self._leaving[target_id] = None
-            news.append(target_id)
+            added.append(target_id)
             record = self._records.get(target_id)
             if record is not None:
                 self._leaving_targets[target_id] = record.target
                 changed.add(self._remove(record))
         self._evict_oldest()
-        return TargetRegistryChange(leaving=tuple(news), services=frozenset(changed))
+        return TargetRegistryChange(leaving=tuple(added), services=frozenset(changed))
 
     def apply_report(
         self, target_id: str, report: LoadReport | None
     ) -> TargetRegistryChange:
-        """Take in a target's answer to a poll; ``None`` if it held no load."""
+        """Apply a target's answer to a poll; ``None`` if it contained no valid load."""
         record = self._records.get(target_id)
         if record is None:
             return _NOTHING
@@ -138,7 +140,7 @@
         return change
 
     def record_success(self, target_id: str) -> TargetRegistryChange:
-        """Record that a target answered."""
+        """Record that a target answered, which ends its ejection."""
         record = self._records.get(target_id)
         if record is None:
             return _NOTHING
@@ -149,16 +151,16 @@
         return self._invalidate_choice(record)
 
     def record_failure(self, target_id: str) -> TargetRegistryChange:
-        """Record that a target could not be reached."""
+        """Record that a target was unreachable, which may eject or remove it."""
         record = self._records.get(target_id)
         if record is None:
             return _NOTHING
         record.failures += 1
         if record.missing:
-            # the list no longer shows it and it does not answer either
+            # missing from the list and unreachable: gone
             return TargetRegistryChange(services=frozenset({self._remove(record)}))
         if record.ejected:
-            # which of the unreachable ones serve as the last resort may change
+            # the choice of ejected targets that stay candidates may change
             return self._invalidate_choice(record)
         if record.failures < self._rules.ejection_threshold:
             return _NOTHING
@@ -166,7 +168,7 @@
         return self._invalidate_choice(record)
 
     def expire_reports(self, now: float) -> None:
-        """Forget load reports that are too old to choose by."""
+        """Drop load reports that are too old for load balancing."""
         oldest = now - self._rules.report_ttl
         for group in self._groups.values():
             for record in group.watched:
@@ -178,10 +180,10 @@
     def set_instance_count(self, instances: int) -> TargetRegistryChange:
         """Set the number of entry instances, this one included.
 
-        Subsets of a fixed size leave targets without any user where few instances
-        share a large service: nine instances with twenty each can't use four hundred
-        targets. One would notice it by targets that stay idle while others queue. So
-        each instance uses more of a service the fewer share it.
+        With subsets of a fixed size, few instances cannot use all targets of a large
+        service: nine instances with 20 targets each leave most of 400 targets idle
+        while calls queue at the others. So the subset of each instance grows as the
+        number of instances falls.
         """
         if max(1, instances) == self._instances:
             return _NOTHING
@@ -194,10 +196,10 @@
             changed.add(service)
         return TargetRegistryChange(services=frozenset(changed))
 
-    # questions
+    # queries
 
     def list_candidates(self, now: float, service: str) -> tuple[Candidate, ...]:
-        """Return the targets of ``service`` that may be given new work, by id."""
+        """Return the targets of ``service`` that accept new work, sorted by id."""
         group = self._groups.get(service)
         if group is None:
             return ()
@@ -207,7 +209,7 @@
         )
 
     def accepts(self, target_id: str) -> bool:
-        """Whether a target may be given new work."""
+        """Whether a target accepts new work."""
         record = self._records.get(target_id)
         if record is None:
             return False
@@ -216,15 +218,16 @@
         return record in self._choose(self._groups[record.target.service])
 
     def find_target(self, target_id: str) -> Target | None:
-        """Return a target that is neither leaving nor gone."""
+        """Return a target, or ``None`` if it is leaving, gone or unknown."""
         record = self._records.get(target_id)
         return None if record is None else record.target
 
     def estimate_users(self, service: str) -> float:
-        """Return how many entry instances use one target of ``service``, at least 1.
+        """Estimate how many entry instances use each target of ``service``.
 
-        Each instance uses a subset of its own, so of many instances only a few
-        share a target; all are taken to use as many targets as this one does.
+        The result is at least 1. Each instance uses its own subset, so only some of
+        many instances share a target. The estimate assumes that all instances have
+        subsets of the same size as this one.
         """
         group = self._groups.get(service)
         if group is None or self._instances is None:
@@ -233,7 +236,11 @@
         return max(1.0, self._instances * used / len(group.records))
 
     def list_watched(self, used_since: float) -> Mapping[str, bool]:
-        """Return the targets to poll; whether their service was used lately."""
+        """Return the targets to poll, each with whether its service is in use.
+
+        :param used_since: monotonic seconds; a service whose candidates were queried
+            since then is in use.
+        """
         watched = {}
         for group in self._groups.values():
             self._choose(group)
@@ -243,24 +250,24 @@
         return watched
 
     def count_failures(self, target_id: str) -> int:
-        """Return the failures in a row of a target that is set aside, else zero."""
+        """Return the consecutive failures of an ejected target; 0 for all others."""
         record = self._records.get(target_id)
         if record is None or not record.ejected:
             return 0
         return record.failures
 
     def list_leaving(self, limit: int) -> tuple[str, ...]:
-        """Return the ids last heard to be leaving, at most ``limit``."""
+        """Return the ids most recently reported as leaving, at most ``limit``."""
         newest = list(islice(reversed(self._leaving), limit))
         return tuple(reversed(newest))
 
     def list_targets(self) -> tuple[tuple[Target, bool], ...]:
-        """Return all targets not leaving, each with whether it is set aside."""
+        """Return all targets not leaving, each with whether it is ejected."""
         records = self._records.values()
         return tuple((record.target, record.ejected) for record in records)
 
     def list_leaving_targets(self) -> tuple[Target, ...]:
-        """Return the leaving targets that the list still shows."""
+        """Return the leaving targets that the list still contains."""
         return tuple(self._leaving_targets.values())
 
     def is_leaving(self, target_id: str) -> bool:
@@ -268,7 +275,7 @@
         return target_id in self._leaving
 
     def dump(self) -> dict[str, Any]:
-        """Return the numbers of targets by service, and what is set aside."""
+        """Return counts, subsets and ejected targets by service, for diagnostics."""
         services = {}
         for name, group in sorted(self._groups.items()):
             aside = [r.target.target_id for r in group.records if r.ejected]
@@ -284,7 +291,7 @@
             "leaving": list(self.list_leaving(100)),
         }
 
-    # inner steps
+    # internals
 
     def _apply_rows(self, listing: Listing, changed: set[str]) -> list[str]:
         leaving = []
@@ -322,7 +329,7 @@
             if record.target.data_centre in centres:
                 self._missing.add(target_id)
                 continue
-            # its whole data centre is out of the platform's reach
+            # the platform has lost contact with the whole data centre
             record.missing = 0
 
     def _apply_live_row(self, row: Instance, changed: set[str]) -> None:
@@ -387,8 +394,8 @@
         return max(self._rules.min_subset, needed)
 
     def _refresh_leaving(self, target_id: str) -> None:
-        # moved to the end: what a listing still shows must be forgotten last, or
-        # that listing could bring it back to life
+        # moved to the end: an id that is still listed must be evicted last, as a later
+        # listing could otherwise make the target live again
         del self._leaving[target_id]
         self._leaving[target_id] = None
 
--- a/packages/greengagelatch/src/greengagelatch/targets/reports.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/reports.py
@@ -1,4 +1,4 @@
-"""Reading of targets' load reports."""
+"""Parsing of targets' load reports."""
 
 from __future__ import annotations
 
@@ -9,29 +9,31 @@
 
 __all__ = ("MAX_PREFIXES", "TargetReport", "parse_report")
 
-#: prefixes kept of one report; they are hints, and memory is bounded
+#: maximum number of prefixes kept per report, to bound memory; they are only hints
 MAX_PREFIXES = 512
 
-#: an age beyond this is as good as no report, in milliseconds
+#: milliseconds; a higher age of a report is reduced to this, at which the report is
+#: unusable
 MAX_AGE_MS = 3_600_000
 
+#: highest valid number of calls in a report
 MAX_CALLS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target says of itself; ``load`` is ``None`` where it can't be read."""
+    """A target's report on itself; ``load`` is ``None`` if its load is invalid."""
 
     leaving: bool
     load: LoadReport | None
 
 
 def parse_report(data: Any, asked: float) -> TargetReport:
-    """Read the answer to ``GET /load``.
+    """Parse the answer to ``GET /load``.
 
-    :param asked: monotonic seconds at which the call was begun. The report's age
-        is subtracted from it and not from the time of the answer: a report that
-        spent a while on the wire must not pass for a fresh one.
+    :param asked: monotonic seconds at which the request was sent. The report's age is
+        subtracted from this and not from the time of the answer, so that a report
+        delayed by the network does not seem newer than it is.
     """
     if not isinstance(data, dict):
         return TargetReport(leaving=False, load=None)
@@ -62,7 +64,7 @@
 def _read_age(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return 0.0
-    # written so that NaN counts as no usable report either
+    # a condition that is also true for NaN, which becomes the maximum age
     if not 0 <= value <= MAX_AGE_MS:
         return 0.0 if value < 0 else MAX_AGE_MS
     return float(value)
--- a/tests/test_core/test_targets/test_polling.py
+++ b/tests/test_core/test_targets/test_polling.py
@@ -1,4 +1,4 @@
-"""Tests of load reports and of when they are asked for."""
+"""Tests of load reports and of the schedule of polls."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         {"in_flight": 1e400},
     ],
 )
-def test_unusable_report_still_tells_of_leaving(change):
+def test_invalid_report_still_marks_leaving(change):
     report = parse_report({**REPORT, **change, "state": "leaving"}, asked=100.0)
     assert report.load is None
     assert report.leaving
@@ -38,7 +38,7 @@
     ("age", "taken"),
     [(-5, 100.0), ("x", 100.0), (float("nan"), -3500.0), (1e99, -3500.0)],
 )
-def test_odd_ages(age, taken):
+def test_invalid_ages(age, taken):
     assert parse_report({**REPORT, "age_ms": age}, asked=100.0).load.taken == taken
 
 
@@ -52,11 +52,11 @@
     return polls
 
 
-def test_common_rate_bounds_polls_and_leaves_nobody_out():
+def test_common_rate_bounds_polls_without_starvation():
     """
-    Symptom: an instance spends its time on load reports, or never asks some
-    targets. Sequence: far more targets are watched than the rate allows. Cause: a
-    bound for each target only, or one that serves whoever comes first.
+    Guards against an instance being overloaded by load reports, or never polling some
+    targets, when there are far more targets than the rate allows. This happens if only
+    the rate per target is limited, or if the limit favours the same targets each time.
     """
     schedule = PollSchedule(rate=10, random_source=random.Random(1))
     schedule.watch(0.0, {f"t-{number}": 1.0 for number in range(50)})
--- a/tests/test_core/test_targets/test_records.py
+++ b/tests/test_core/test_targets/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of the groups that the ledger keeps."""
+"""Tests of greengagelatch.targets.records."""
 
 from __future__ import annotations
 
@@ -6,13 +6,12 @@
 from greengagelatch.targets.records import Group, Record
 
 
-def test_candidates_follow_a_choice_that_others_asked_for():
-    """An instance stood still for good with one core busy.
-
-    Sequence: both targets of a service are candidates; the first is set aside, and
-    somebody asks whether a target accepts work before anybody asks for candidates.
-    Cause: the choice was made anew and the candidates were not, so that the target
-    set aside was still chosen and never accepted.
+def test_candidates_follow_a_choice_made_by_another_caller():
+    """
+    Guards against an instance hanging in a busy loop. The first of two targets is
+    ejected, and a caller checks whether a target accepts work before candidates are
+    listed. The check renews the choice; if the candidates are not renewed with it, the
+    ejected target is offered again and again and never accepted.
     """
     group = Group()
     first, second = (
--- a/tests/test_core/test_targets/test_registry.py
+++ b/tests/test_core/test_targets/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger of targets."""
+"""Tests of greengagelatch.targets.registry."""
 
 from __future__ import annotations
 
@@ -51,9 +51,9 @@
 
 def test_leaving_sticks_against_a_stale_list():
     """
-    Symptom: a target that is shutting down gets new work. Sequence: it says on an
-    answer that it leaves; the list, which lags, goes on showing it as live, also in
-    listings that are new. Cause: the list was given precedence.
+    Guards against giving new work to a target that is shutting down. It reported on an
+    answer that it leaves, while the list, which may be out of date, still shows it as
+    live in new listings.
     """
     ledger = make_ledger()
     ledger.apply_listing(make_listing(1, IDS))
@@ -64,7 +64,7 @@
     assert not ledger.accepts("t-0")
 
 
-def test_leaving_heard_of_before_the_target_is_listed():
+def test_target_marked_leaving_before_it_is_listed():
     ledger = make_ledger()
     ledger.mark_leaving(["t-0"])
     ledger.apply_listing(make_listing(1, IDS))
@@ -81,12 +81,12 @@
 
 def test_one_listing_without_a_target_proves_nothing():
     """
-    Symptom: a service loses a good target for seconds, over and over. Sequence: one
-    listing lacks it, the next shows it again. Cause: absence was taken for a stop.
+    Guards against a healthy target being removed for seconds each time a single
+    listing lacks it, although the next one contains it again.
     """
     ledger = make_ledger(missing_listings=3)
     ledger.apply_listing(make_listing(1, IDS))
-    # t-3 is of the same data centre, which is not missing as a whole
+    # t-3 is in the same data centre, so the data centre is not missing as a whole
     without = make_listing(2, IDS[1:])
     ledger.apply_listing(without)
     ledger.apply_listing(without)
@@ -107,16 +107,15 @@
 
 def test_unreachable_data_centre_is_not_leaving():
     """
-    Symptom: after a partition a data centre's targets get no work any more.
-    Sequence: the listings show nothing of it and no call reaches it; later calls
-    do again, while the list still lags. Cause: out of reach was recorded like
-    leaving or gone.
+    Guards against a data centre's targets getting no work after a partition. During
+    it the listings lack them and calls fail; afterwards calls succeed while the list
+    is still out of date. Unreachable targets must not be recorded as leaving or gone.
     """
     ledger = make_ledger()
     ledger.apply_listing(make_listing(1, IDS))
     lost = [target_id for target_id in IDS if find_centre(target_id) == "kumamoto"]
     rest = tuple(target_id for target_id in IDS if target_id not in lost)
-    # the list loses sight of one first
+    # the list loses one of them first
     ledger.apply_listing(make_listing(2, (*rest, lost[0])))
     for as_of in range(3, 20):
         ledger.apply_listing(make_listing(as_of, rest))
@@ -130,9 +129,9 @@
 
 def test_service_is_never_emptied_by_failed_calls():
     """
-    Symptom: an instance refuses all requests although most targets work. Sequence:
-    its own network fails for a moment and every call with it. Cause: each target
-    was set aside on this instance's view alone, up to the last.
+    Guards against an instance refusing all requests although most targets work. Its
+    own network fails briefly, so all its calls fail, and without a minimum it would
+    eject every target.
     """
     ledger = make_ledger(min_candidates=2)
     ledger.apply_listing(make_listing(1, IDS))
@@ -141,7 +140,7 @@
     kept = list_ids(ledger)
     assert len(kept) == 2
     assert all(ledger.accepts(target_id) for target_id in kept)
-    # the ones that fail once more give way to others
+    # candidates that fail again are replaced by others
     for target_id in kept:
         ledger.record_failure(target_id)
     assert not set(kept) & set(list_ids(ledger))
@@ -163,9 +162,9 @@
 
 def test_few_instances_use_all_of_a_large_service():
     """
-    Symptom: targets of a large service stay idle while the others queue. Sequence:
-    nine instances with a subset of twenty share four hundred targets. Cause: the
-    subsets together are smaller than the service.
+    Guards against idle targets in a large service while calls queue at others. Nine
+    instances with subsets of 20 share 400 targets, so fixed subsets together would be
+    smaller than the service.
     """
     ids = tuple(f"t-{number}" for number in range(400))
     listing = make_listing(1, ids)
@@ -182,9 +181,9 @@
 
 def test_few_of_many_instances_share_a_target_of_a_large_service():
     """
-    Symptom: in a large fleet each instance sends a target a fraction of what it
-    could. Sequence: 300 instances use 20 of 600 targets each. Cause: all instances
-    were taken to share each target, where ten do.
+    Guards against instances of a large fleet using only a fraction of their targets'
+    capacity. With 300 instances that use 20 of 600 targets each, a target is shared by
+    ten instances and not by all.
     """
     ledger = make_ledger(min_subset=20)
     ledger.apply_listing(make_listing(1, tuple(f"t-{n}" for n in range(600))))
@@ -218,13 +217,13 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Any order of news from all sources."""
+    """Updates from all sources in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.ledger = make_ledger(min_subset=4, min_candidates=1)
         self.left: set[str] = set()
-        self.told: list[str] = []
+        self.reported: list[str] = []
         self.as_of = 0
         self.shown: set[str] = set()
 
@@ -233,7 +232,7 @@
         leaving = tuple(target_id for target_id in leaving if target_id not in live)
         as_of = self.as_of - 1 if older else self.as_of + 1
         change = self.ledger.apply_listing(make_listing(as_of, live, leaving))
-        self.told += change.leaving
+        self.reported += change.leaving
         assert change.stale == (older and self.as_of > 0)
         if change.stale:
             return
@@ -243,7 +242,7 @@
 
     @rule(target_id=target_ids)
     def leave(self, target_id):
-        self.told += self.ledger.mark_leaving([target_id]).leaving
+        self.reported += self.ledger.mark_leaving([target_id]).leaving
         self.left.add(target_id)
 
     @rule(target_id=target_ids, answered=st.booleans())
@@ -259,8 +258,8 @@
         assert not any(self.ledger.accepts(target_id) for target_id in self.left)
 
     @invariant()
-    def tells_of_each_leaving_target_once(self):
-        assert sorted(self.told) == sorted(self.left)
+    def reports_each_leaving_target_once(self):
+        assert sorted(self.reported) == sorted(self.left)
 
     @invariant()
     def offers_what_it_accepts(self):
@@ -271,7 +270,7 @@
     @invariant()
     def is_empty_only_without_targets(self):
         if self.shown - self.left and not list_ids(self.ledger):
-            # all that were shown have been missing or refused since
+            # all targets of the last listing have been removed since
             assert not any(self.ledger.find_target(item) for item in self.shown)
 
 
@@ -281,9 +280,9 @@
 
 def test_leaving_targets_are_shown_until_the_list_drops_them():
     """
-    Symptom: an operator drains a target and looks: it is nowhere; draining it again
-    answers that there is no such target. Sequence: the target is marked as leaving,
-    and goes on being listed for minutes. Cause: only its id was kept.
+    Guards against a drained target vanishing from the operator's view while it is
+    still listed, which takes minutes: draining it again then reports an unknown
+    target. This happens if only the id of a leaving target is kept.
     """
     ledger = make_ledger()
 
@@ -296,7 +295,7 @@
     assert list_shown() == ["t-0"]
     ledger.apply_listing(make_listing(2, IDS[:5], leaving=("t-5",)))
     assert list_shown() == ["t-0", "t-5"]
-    # a data centre of which nothing is listed is out of the platform's reach
+    # the platform has lost contact with a data centre that a listing lacks as a whole
     ledger.apply_listing(make_listing(3, IDS[1:2], leaving=("t-4",)))
     assert list_shown() == ["t-0", "t-4", "t-5"]
     ledger.apply_listing(make_listing(4, IDS[1:5]))
