--- a/packages/greengagelatch/src/greengagelatch/leases/contention.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/contention.py
@@ -17,7 +17,7 @@
 
 #: states of members that may hold a lease; suspected members are included, as otherwise
 #: every slow answer would move leases between instances
-ABLE = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
+ELIGIBLE_STATES = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
 
 
 class LeaseIntent(Enum):
@@ -32,7 +32,7 @@
 
 
 #: intents of the first instances in rank order; all others intend to release
-_PLACES = (LeaseIntent.HOLD, LeaseIntent.STAND_BY)
+_INTENTS_BY_RANK = (LeaseIntent.HOLD, LeaseIntent.STAND_BY)
 
 
 def choose_intent(
@@ -47,14 +47,14 @@
     can reach its peers but not the store. A holder that becomes second keeps the
     lease, since each new holder has to wait for the actions of the former one.
     """
-    able = {
+    eligible = {
         member.instance_id
         for member in members
-        if member.data_centre == data_centre and member.state in ABLE
+        if member.data_centre == data_centre and member.state in ELIGIBLE_STATES
     }
-    able.add(instance_id)
-    line = rank_instances(f"lease {group}", able)
-    place = line.index(instance_id)
-    if place < len(_PLACES):
-        return _PLACES[place]
+    eligible.add(instance_id)
+    ranking = rank_instances(f"lease {group}", eligible)
+    rank = ranking.index(instance_id)
+    if rank < len(_INTENTS_BY_RANK):
+        return _INTENTS_BY_RANK[rank]
     return LeaseIntent.RELEASE
--- a/packages/greengagelatch/src/greengagelatch/leases/state.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/state.py
@@ -111,11 +111,11 @@
         # lease had certainly expired by then, but not necessarily any earlier
         return now.monotonic - self.acquired >= longest + self.rules.margin
 
-    def plan(self, now: Instant, wish: LeaseIntent) -> LeaseState:
+    def plan(self, now: Instant, intent: LeaseIntent) -> LeaseState:
         """Return the state with the next call to the store selected, if one is due."""
         if self.step is not LeaseStep.IDLE:
             return self
-        if wish is LeaseIntent.RELEASE:
+        if intent is LeaseIntent.RELEASE:
             return self.leave()
         if now.monotonic < self.due:
             return self
@@ -134,14 +134,17 @@
         return dataclasses.replace(self, sent=now)
 
     def handle_check(
-        self, answer: Result[Entry | None, StoreError], now: Instant, wish: LeaseIntent
+        self,
+        answer: Result[Entry | None, StoreError],
+        now: Instant,
+        intent: LeaseIntent,
     ) -> LeaseState:
         """Request a grant if the key is free, else check again later."""
         if isinstance(answer, Ok) and answer.ok_value is None:
             return self._end_call(LeaseStep.GRANT)
         delay = (
             self.rules.interval
-            if wish is LeaseIntent.HOLD
+            if intent is LeaseIntent.HOLD
             else self.rules.standby_interval
         )
         return self._schedule(now, delay)
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -159,7 +159,7 @@
             case MembersTable(updates):
                 # not gossiped: the sender and most others know these updates already,
                 # and a table of hundreds would fill all probes for minutes
-                self._merge_all(now, updates, passed_on=False)
+                self._merge_all(now, updates, gossiped=False)
         return self._finish()
 
     def handle_link_loss(self, now: float, instance_id: str) -> Step:
@@ -172,10 +172,10 @@
     def apply_listing(self, now: float, listing: Listing) -> Step:
         """Apply a listing of the platform."""
         before = len(self._table)
-        news = self._table.apply_listing(listing, self._own.instance_id, now)
-        for update in news:
+        updates = self._table.apply_listing(listing, self._own.instance_id, now)
+        for update in updates:
             self._gossip.add(update)
-        if news or len(self._table) != before:
+        if updates or len(self._table) != before:
             self._mark_changed()
         return self._finish()
 
@@ -216,14 +216,14 @@
         for sequence, probe in self._probes.start_indirect(
             now - self._rules.probe_timeout
         ):
-            helpers = self._sample(
+            peers = self._sample(
                 self._list_present(), self._rules.indirect_probes, {probe.instance_id}
             )
-            for helper in helpers:
+            for peer in peers:
                 request = ProbeRequest(
-                    sequence, probe.instance_id, self._piggyback_updates(helper)
+                    sequence, probe.instance_id, self._piggyback_updates(peer)
                 )
-                self._sends.append(Send(helper, request))
+                self._sends.append(Send(peer, request))
         for probe in self._probes.pop_failed(now - self._rules.probe_limit):
             if probe.origin is None:
                 self._suspect(now, probe.instance_id)
@@ -331,14 +331,14 @@
         self._merge(now, update)
 
     def _merge_all(
-        self, now: float, updates: Iterable[object], *, passed_on: bool = True
+        self, now: float, updates: Iterable[object], *, gossiped: bool = True
     ) -> None:
         for item in updates:
             update = decode_update(item)
             if update is not None:
-                self._merge(now, update, passed_on=passed_on)
+                self._merge(now, update, gossiped=gossiped)
 
-    def _merge(self, now: float, update: Update, *, passed_on: bool = True) -> None:
+    def _merge(self, now: float, update: Update, *, gossiped: bool = True) -> None:
         if update.instance_id == self._own.instance_id:
             if self._own.refute(update):
                 self._gossip.add(self._own.update)
@@ -347,7 +347,7 @@
             return
         self._mark_changed()
         record = self._table.find(update.instance_id)
-        if passed_on and record is not None and record.confirmed:
+        if gossiped and record is not None and record.confirmed:
             self._gossip.add(record.update)
 
     def _piggyback_updates(self, receiver: str) -> tuple[tuple, ...]:
--- a/packages/greengagelatch/src/greengagelatch/membership/own.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/own.py
@@ -70,12 +70,12 @@
         own = self.update
         if not update.overrides(own.incarnation, own.state):
             return False
-        says_leaving = update.state is MemberState.LEAVING
-        if says_leaving and self._owns(update.incarnation):
+        reports_leaving = update.state is MemberState.LEAVING
+        if reports_leaving and self._is_own_incarnation(update.incarnation):
             # the platform has begun to remove this instance, which must not be refuted
             return False
         self._incarnation = update.incarnation + 1
         return True
 
-    def _owns(self, incarnation: int) -> bool:
+    def _is_own_incarnation(self, incarnation: int) -> bool:
         return self._identity.incarnation <= incarnation <= self._incarnation
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -83,7 +83,7 @@
             return []
         self._as_of = listing.as_of
         self._applied = listing
-        news = []
+        updates = []
         shown = set()
         centres = set()
         for row in listing.instances:
@@ -93,9 +93,9 @@
             centres.add(row.data_centre)
             update = self._apply_row(row, now)
             if update is not None:
-                news.append(update)
+                updates.append(update)
         self._mark_listed(shown, centres)
-        return news
+        return updates
 
     def shift_times(self, seconds: float) -> None:
         """Shift all times forward by the length of a pause of this process."""
--- a/packages/greengagelatch/src/greengagelatch/peers/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/choice.py
@@ -26,14 +26,14 @@
 
     :param neighbours: ids to which links are kept; may contain ids not in ``members``.
     """
-    left = list(members)
-    linked = [name for name in left if name in neighbours]
+    remaining = list(members)
+    linked = [name for name in remaining if name in neighbours]
     chosen: list[str] = []
-    while left and len(chosen) < number:
-        near = linked and source.random() >= RANDOM_SHARE
-        name = source.choice(linked if near else left)
+    while remaining and len(chosen) < number:
+        prefer_linked = linked and source.random() >= RANDOM_SHARE
+        name = source.choice(linked if prefer_linked else remaining)
         chosen.append(name)
-        left.remove(name)
+        remaining.remove(name)
         if name in linked:
             linked.remove(name)
     return tuple(chosen)
--- a/packages/greengagelatch/src/greengagelatch/targets/records.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/records.py
@@ -56,14 +56,16 @@
         if self.chosen is not None:
             return self.chosen
         reachable: list[Record] = []
-        passed: list[Record] = []
+        ejected: list[Record] = []
         for record in self._walk(subset):
-            (passed if record.ejected else reachable).append(record)
-        missing = min(minimum, len(reachable) + len(passed)) - len(reachable)
+            (ejected if record.ejected else reachable).append(record)
+        missing = min(minimum, len(reachable) + len(ejected)) - len(reachable)
         if missing > 0:
-            least = sorted(passed, key=lambda record: (record.failures, record.weight))
-            reachable.extend(least[:missing])
-        self.watched = (*reachable, *(r for r in passed if r not in reachable))
+            fewest_failures = sorted(
+                ejected, key=lambda record: (record.failures, record.weight)
+            )
+            reachable.extend(fewest_failures[:missing])
+        self.watched = (*reachable, *(r for r in ejected if r not in reachable))
         self.chosen = tuple(sorted(reachable, key=lambda r: r.target.target_id))
         # created from the previous choice: a target that is no longer accepted would
         # be offered again and again
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -278,11 +278,11 @@
         """Return counts, subsets and ejected targets by service, for diagnostics."""
         services = {}
         for name, group in sorted(self._groups.items()):
-            aside = [r.target.target_id for r in group.records if r.ejected]
+            ejected = [r.target.target_id for r in group.records if r.ejected]
             services[name] = {
                 "targets": len(group.records),
                 "used": [r.target.target_id for r in self._choose(group)],
-                "set_aside": aside[:100],
+                "set_aside": ejected[:100],
             }
         return {
             "as_of": self._as_of,
@@ -304,7 +304,7 @@
             shown.add(row.instance_id)
             known = row.instance_id in self._leaving
             if known or row.state is InstanceState.LEAVING:
-                self._leaving_targets[row.instance_id] = _read_target(row)
+                self._leaving_targets[row.instance_id] = _create_target(row)
             if known:
                 self._refresh_leaving(row.instance_id)
                 continue
@@ -336,10 +336,10 @@
         record = self._records.get(row.instance_id)
         if record is not None:
             record.missing = 0
-            if _describes(row, record.target):
+            if _matches(row, record.target):
                 return
             changed.add(self._remove(record))
-        target = _read_target(row)
+        target = _create_target(row)
         self._add(target)
         changed.add(target.service)
 
@@ -406,11 +406,11 @@
             self._leaving_targets.pop(oldest, None)
 
 
-def _read_target(row: Instance) -> Target:
+def _create_target(row: Instance) -> Target:
     return Target(row.instance_id, row.service, row.data_centre, row.address)
 
 
-def _describes(row: Instance, target: Target) -> bool:
+def _matches(row: Instance, target: Target) -> bool:
     return (row.service, row.data_centre, row.address) == (
         target.service,
         target.data_centre,
--- a/tests/test_core/test_leases/test_state.py
+++ b/tests/test_core/test_leases/test_state.py
@@ -27,25 +27,25 @@
 
 
 def hold(*, asked=0.0, answered=0.0, ttl=40.0):
-    tenure = LeaseState(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
-    tenure = tenure.begin(at(asked)).handle_check(Ok(None), at(asked), LeaseIntent.HOLD)
-    tenure = tenure.begin(at(asked))
-    tenure = tenure.handle_grant(Ok(Lease("lease-1", ttl, 1)), at(answered))
+    state = LeaseState(instance_id="a", rules=RULES).plan(at(asked), LeaseIntent.HOLD)
+    state = state.begin(at(asked)).handle_check(Ok(None), at(asked), LeaseIntent.HOLD)
+    state = state.begin(at(asked))
+    state = state.handle_grant(Ok(Lease("lease-1", ttl, 1)), at(answered))
     written = WriteResult(WriteOutcome.APPLIED, 9)
-    return tenure.begin(at(answered)).handle_acquire(written, at(answered))
+    return state.begin(at(answered)).handle_acquire(written, at(answered))
 
 
-def renew(tenure, *, asked, answered, answer):
-    tenure = tenure.plan(at(asked), LeaseIntent.HOLD)
-    assert tenure.step is LeaseStep.RENEW
-    return tenure.begin(at(asked)).handle_renew(answer, at(answered))
+def renew(state, *, asked, answered, answer):
+    state = state.plan(at(asked), LeaseIntent.HOLD)
+    assert state.step is LeaseStep.RENEW
+    return state.begin(at(asked)).handle_renew(answer, at(answered))
 
 
 def test_time_counts_from_before_the_grant_was_asked_for():
-    tenure = hold(asked=0.0, answered=5.0)
-    assert tenure.fence == 9
-    assert tenure.compute_remaining(at(5.0)) == 40 - 2 - 5
-    assert tenure.acquired == 5.0
+    state = hold(asked=0.0, answered=5.0)
+    assert state.fence == 9
+    assert state.compute_remaining(at(5.0)) == 40 - 2 - 5
+    assert state.acquired == 5.0
 
 
 def test_a_shorter_lease_than_asked_for_counts_as_the_store_says():
@@ -53,20 +53,20 @@
 
 
 def test_a_renewal_without_an_answer_counts_as_not_made():
-    tenure = renew(hold(), asked=10.0, answered=12.0, answer=TIMEOUT)
-    assert tenure.compute_remaining(at(12.0)) == 40 - 2 - 12
+    state = renew(hold(), asked=10.0, answered=12.0, answer=TIMEOUT)
+    assert state.compute_remaining(at(12.0)) == 40 - 2 - 12
     # the store did apply it: its next answer proves that nobody else could acquire it
     lease = Ok(Lease("lease-1", 40.0, 1))
-    tenure = renew(tenure, asked=39.0, answered=41.0, answer=lease)
-    assert tenure.compute_remaining(at(41.0)) == 40 - 2 - 2
-    assert tenure.fence == 9
+    state = renew(state, asked=39.0, answered=41.0, answer=lease)
+    assert state.compute_remaining(at(41.0)) == 40 - 2 - 2
+    assert state.fence == 9
 
 
 def test_nothing_is_covered_once_the_store_says_that_the_lease_is_gone():
-    tenure = renew(hold(), asked=10.0, answered=11.0, answer=GONE)
-    assert not tenure.held
-    assert not tenure.covers(at(11.0), 0.0)
-    assert not tenure.lease_id
+    state = renew(hold(), asked=10.0, answered=11.0, answer=GONE)
+    assert not state.held
+    assert not state.covers(at(11.0), 0.0)
+    assert not state.lease_id
 
 
 def test_a_lease_always_outlasts_the_guarded_action():
@@ -99,12 +99,12 @@
 def test_one_member_of_the_data_centre_tries_and_one_stands_by():
     members = [*create_members(9), *create_members(9, "south")]
     for number in range(20):
-        wishes = choose_all(f"north/service-{number}", members)
-        assert wishes.count(LeaseIntent.HOLD) == 1
-        assert wishes.count(LeaseIntent.STAND_BY) == 1
-        assert wishes.count(LeaseIntent.RELEASE) == 7
+        intents = choose_all(f"north/service-{number}", members)
+        assert intents.count(LeaseIntent.HOLD) == 1
+        assert intents.count(LeaseIntent.STAND_BY) == 1
+        assert intents.count(LeaseIntent.RELEASE) == 7
 
 
 def test_a_cut_off_instance_still_tries_by_itself():
-    wish = choose_intent("north/writer", [], data_centre="north", instance_id="a")
-    assert wish is LeaseIntent.HOLD
+    intent = choose_intent("north/writer", [], data_centre="north", instance_id="a")
+    assert intent is LeaseIntent.HOLD
