--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
@@ -146,7 +146,7 @@
             raise AnswerError(FailureKind.TARGET_ERROR, "token without text or offset")
         if offset != len(self.tokens):
             message = f"token at offset {offset}, expected {len(self.tokens)}"
-            raise AnswerError(FailureKind.CUT, message)
+            raise AnswerError(FailureKind.DISCONNECTED, message)
         self.tokens.append(text)
         if self._listener is not None:
             self._listener(offset, text)
@@ -155,11 +155,11 @@
         _check_ids(self._call, fields)
         if fields.get("count") != len(self.tokens):
             message = f"{len(self.tokens)} tokens of {fields.get('count')!r:.40}"
-            raise AnswerError(FailureKind.CUT, message)
+            raise AnswerError(FailureKind.DISCONNECTED, message)
         whole = "".join(self.tokens)
         digest = xxhash.xxh64_hexdigest(whole.encode("utf-8", "surrogatepass"))
         if fields.get("digest") != digest:
-            raise AnswerError(FailureKind.CUT, "digest of the tokens differs")
+            raise AnswerError(FailureKind.DISCONNECTED, "digest of the tokens differs")
         return StageAnswer(
             output=whole,
             tokens=tuple(self.tokens),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
@@ -222,7 +222,7 @@
         except EventTooLargeError as error:
             return Err(self._fail(FailureKind.TARGET_ERROR, str(error)))
         except (aiohttp.ClientError, OSError) as error:
-            kind = FailureKind.CUT if self._sent else FailureKind.CONNECT
+            kind = FailureKind.DISCONNECTED if self._sent else FailureKind.CONNECT
             return Err(self._fail(kind, f"{type(error).__name__}: {error}"))
         finally:
             self._guard = None
@@ -294,7 +294,7 @@
             for event in parser.feed(chunk):
                 self._reader.take(event, leaving=self._leaving)
         if self._reader.answer is None:
-            raise AnswerError(FailureKind.CUT, "stream without an end event")
+            raise AnswerError(FailureKind.DISCONNECTED, "stream without an end event")
         return self._reader.answer
 
     def _extend(self, seconds: float) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -217,7 +217,7 @@
             work=run.request.work[name],
             priority=grant.ticket.priority,
             on_done=lambda: self._answer(stage_run, attempt),
-            on_cut=lambda: self._fail(stage_run, attempt, FailureKind.CUT),
+            on_cut=lambda: self._fail(stage_run, attempt, FailureKind.DISCONNECTED),
             on_first_token=lambda: self._note_first_token(stage_run, attempt),
         )
         attempt = Attempt(grant, call, self.clock.now())
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -40,7 +40,7 @@
 _LEFT_RUNNING = frozenset(
     {
         FailureKind.STALLED,
-        FailureKind.CUT,
+        FailureKind.DISCONNECTED,
         FailureKind.DEADLINE,
         FailureKind.CROSSED,
         FailureKind.CANCELLED,
--- a/packages/greengagelatch/src/greengagelatch/targets/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/__init__.py
@@ -87,7 +87,7 @@
     #: no data was received within the stall time-out
     STALLED = "stalled"
     #: the connection was lost before the answer was complete
-    CUT = "cut"
+    DISCONNECTED = "cut"
     DEADLINE = "deadline"
     #: the answer belongs to another attempt, request or stage
     CROSSED = "crossed"
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -102,7 +102,7 @@
         first = await client.call(target, create_call(1))
         assert first.ok_value.output == "attempt-1"
         second = await client.call(target, create_call(2))
-        assert second.err_value.kind is FailureKind.CUT
+        assert second.err_value.kind is FailureKind.DISCONNECTED
         assert second.err_value.verdict is Verdict.MAY_HAVE_RUN
         assert server.accepted == 1
     assert received == ["attempt-1", "attempt-2"]
@@ -374,23 +374,23 @@
     assert given == list(enumerate(TOKENS))[2:]
     wrong = create_stream_call(resume_at=2, received=("spindle ", "three "))
     result, _ = await run_stream(lambda request, events: events, wrong)
-    assert result.err_value.kind is FailureKind.CUT
+    assert result.err_value.kind is FailureKind.DISCONNECTED
 
 
 @pytest.mark.parametrize(
     ("change", "kind"),
     [
-        pytest.param(lambda r, e: e[:-1], FailureKind.CUT, id="no end"),
-        pytest.param(lambda r, e: [e[0], *e[2:]], FailureKind.CUT, id="gap"),
-        pytest.param(lambda r, e: [e[0], *e], FailureKind.CUT, id="repeated"),
+        pytest.param(lambda r, e: e[:-1], FailureKind.DISCONNECTED, id="no end"),
+        pytest.param(lambda r, e: [e[0], *e[2:]], FailureKind.DISCONNECTED, id="gap"),
+        pytest.param(lambda r, e: [e[0], *e], FailureKind.DISCONNECTED, id="repeated"),
         pytest.param(
             lambda r, e: [*e[:4], encode_end(r, (*TOKENS, ""))],
-            FailureKind.CUT,
+            FailureKind.DISCONNECTED,
             id="count",
         ),
         pytest.param(
             lambda r, e: [*e[:4], encode_end(r, ("x",) * 4)],
-            FailureKind.CUT,
+            FailureKind.DISCONNECTED,
             id="digest",
         ),
         pytest.param(
--- a/tests/test_entry/test_racing.py
+++ b/tests/test_entry/test_racing.py
@@ -19,7 +19,7 @@
 
 
 def fail(message):
-    kind, verdict = FailureKind.CUT, Verdict.MAY_HAVE_RUN
+    kind, verdict = FailureKind.DISCONNECTED, Verdict.MAY_HAVE_RUN
     return Err(CallFailure(kind=kind, verdict=verdict, message=message))
 
 
@@ -104,4 +104,4 @@
     task = asyncio.create_task(race(first, backup, PATIENCE))
     await backup.started.wait()
     first.gate.set()
-    assert (await task).err_value.kind is FailureKind.CUT
+    assert (await task).err_value.kind is FailureKind.DISCONNECTED
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -161,7 +161,7 @@
     assert answer.refusal.retry_after_ms == 70
 
 
-@pytest.mark.parametrize("kind", [FailureKind.CONNECT, FailureKind.CUT])
+@pytest.mark.parametrize("kind", [FailureKind.CONNECT, FailureKind.DISCONNECTED])
 async def test_only_what_reached_a_target_is_charged_as_a_repeat(kind):
     """Requests failed for one dead replica of three although two were idle.
 
@@ -171,7 +171,7 @@
     bench = Bench(fail_first(fail(kind, Verdict.NOT_RUN)))
     await bench.run(create_pipeline())
     charged = [ticket.retry for ticket in bench.dispatcher.tickets]
-    assert charged == [False, kind is FailureKind.CUT]
+    assert charged == [False, kind is FailureKind.DISCONNECTED]
 
 
 async def test_verdict_of_an_earlier_stage_stays():
@@ -190,7 +190,7 @@
 
 async def test_single_replica_is_tried_again_on_a_new_connection():
     """A service with one replica failed on its first broken connection."""
-    bench = Bench(fail_first(fail(FailureKind.CUT)), targets=1)
+    bench = Bench(fail_first(fail(FailureKind.DISCONNECTED)), targets=1)
     answer = await bench.run(create_pipeline())
     assert answer.result == "done"
 
@@ -353,7 +353,7 @@
     return script
 
 
-CUT = fail(FailureKind.CUT, Verdict.RAN)
+CUT = fail(FailureKind.DISCONNECTED, Verdict.RAN)
 CANNOT = fail(FailureKind.CANNOT_RESUME)
 DRAFT = Stage(name="write", kind=StageKind.GENERATE, service=SERVICE)
 
