--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
@@ -88,7 +88,7 @@
     attempt = fields.get("attempt", call.attempt_id)
     if attempt != call.attempt_id:
         return CallFailure(
-            kind=FailureKind.CROSSED,
+            kind=FailureKind.MISMATCHED,
             verdict=Verdict.MAY_HAVE_RUN,
             message=f"refusal of another attempt: {str(attempt)[:MAX_SHOWN]}",
         )
@@ -131,7 +131,7 @@
         :raises AnswerError: if it does not continue this call's answer
         """
         if self.answer is not None:
-            raise AnswerError(FailureKind.CROSSED, "event after the end")
+            raise AnswerError(FailureKind.MISMATCHED, "event after the end")
         fields = _parse(event.data)
         if event.name == "token":
             self._take_token(fields)
@@ -140,7 +140,7 @@
 
     def _take_token(self, fields: dict[str, Any]) -> None:
         if fields.get("attempt") != self._call.attempt_id:
-            raise AnswerError(FailureKind.CROSSED, "token of another attempt")
+            raise AnswerError(FailureKind.MISMATCHED, "token of another attempt")
         offset, text = fields.get("offset"), fields.get("text")
         if not isinstance(text, str) or type(offset) is not int:
             raise AnswerError(FailureKind.TARGET_ERROR, "token without text or offset")
@@ -176,7 +176,7 @@
     # a late answer of an earlier call on the same connection looks just like this
     # one's; only the ids tell that the caller would read somebody else's result
     message = f"answer of another call: {str(found)[:MAX_SHOWN]}"
-    raise AnswerError(FailureKind.CROSSED, message)
+    raise AnswerError(FailureKind.MISMATCHED, message)
 
 
 def _parse(body: bytes) -> dict[str, Any]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
@@ -156,7 +156,7 @@
                 # also when cancelled because a backup call has answered instead
                 if attempt.silent_for > SILENCE:
                     self._pool.retire(target.address)
-        if isinstance(result, Err) and result.err_value.kind is FailureKind.CROSSED:
+        if isinstance(result, Err) and result.err_value.kind is FailureKind.MISMATCHED:
             self._pool.retire(target.address)
         return result
 
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -42,7 +42,7 @@
         FailureKind.STALLED,
         FailureKind.DISCONNECTED,
         FailureKind.DEADLINE,
-        FailureKind.CROSSED,
+        FailureKind.MISMATCHED,
         FailureKind.CANCELLED,
     }
 )
--- a/packages/greengagelatch/src/greengagelatch/targets/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/__init__.py
@@ -90,7 +90,7 @@
     DISCONNECTED = "cut"
     DEADLINE = "deadline"
     #: the answer belongs to another attempt, request or stage
-    CROSSED = "crossed"
+    MISMATCHED = "crossed"
     TARGET_ERROR = "target-error"
     #: the target cannot resume a stream at the requested offset
     CANNOT_RESUME = "cannot-resume"
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -176,7 +176,7 @@
         await connection.hold()
 
     result, _ = await run_one(script)
-    assert result.err_value.kind is FailureKind.CROSSED
+    assert result.err_value.kind is FailureKind.MISMATCHED
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
@@ -205,7 +205,7 @@
         await late.wait()
         second = await client.call(target, create_call(2))
         if not isinstance(second, Ok):
-            assert second.err_value.kind is FailureKind.CROSSED
+            assert second.err_value.kind is FailureKind.MISMATCHED
             second = await client.call(target, create_call(2))
         assert second.ok_value.output == "attempt-2"
         assert server.accepted == 2
@@ -215,7 +215,7 @@
     ("fields", "kind", "verdict"),
     [
         ({"attempt": "attempt-1"}, FailureKind.TARGET_REFUSED, Verdict.NOT_RUN),
-        ({"attempt": "attempt-9"}, FailureKind.CROSSED, Verdict.MAY_HAVE_RUN),
+        ({"attempt": "attempt-9"}, FailureKind.MISMATCHED, Verdict.MAY_HAVE_RUN),
         ({}, FailureKind.TARGET_ERROR, Verdict.MAY_HAVE_RUN),
     ],
 )
@@ -320,7 +320,7 @@
         await connection.send(head.encode() + body)
 
     result, _ = await run_one(script)
-    assert result.err_value.kind in (FailureKind.TARGET_ERROR, FailureKind.CROSSED)
+    assert result.err_value.kind in (FailureKind.TARGET_ERROR, FailureKind.MISMATCHED)
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
@@ -395,7 +395,7 @@
         ),
         pytest.param(
             lambda r, e: [*e[:2], encode_token(r | {"attempt": "attempt-9"}, 2, "x")],
-            FailureKind.CROSSED,
+            FailureKind.MISMATCHED,
             id="crossed",
         ),
         pytest.param(lambda r, e: [*e[:2], None], FailureKind.STALLED, id="silent"),
