--- a/packages/greengagelatch/src/greengagelatch/leases/state.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/state.py
@@ -64,7 +64,7 @@
     #: seconds that the store's lease lasts, as returned by the store
     ttl: float = 0.0
     #: when the latest successful grant or renewal was requested
-    asked: Instant | None = None
+    requested: Instant | None = None
     #: fencing token; ``ABSENT`` while the lease is not held
     fence: int = ABSENT
     #: monotonic seconds at which this instance learned that it holds the lease
@@ -87,9 +87,9 @@
 
     def compute_remaining(self, now: Instant) -> float:
         """Return the seconds for which the lease is guaranteed to be held."""
-        if not self.held or self.asked is None:
+        if not self.held or self.requested is None:
             return 0.0
-        left = self.ttl - self.rules.margin - now.longest_since(self.asked)
+        left = self.ttl - self.rules.margin - now.longest_since(self.requested)
         return max(0.0, left)
 
     def covers(self, now: Instant, seconds: float) -> bool:
@@ -164,7 +164,7 @@
             ttl=min(answer.ok_value.ttl, self.rules.ttl),
             # not the time of the answer, which may have been delayed: the store counts
             # from when it granted the lease
-            asked=self.sent,
+            requested=self.sent,
         )
 
     def handle_acquire(self, answer: WriteResult, now: Instant) -> LeaseState:
@@ -197,7 +197,7 @@
         match answer:
             case Ok(lease):
                 kept = dataclasses.replace(
-                    self, asked=self.sent, ttl=min(lease.ttl, self.rules.ttl)
+                    self, requested=self.sent, ttl=min(lease.ttl, self.rules.ttl)
                 )
                 return kept._schedule(now, self.rules.interval)
             case Err(error) if error.kind is StoreErrorKind.LEASE_GONE:
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -121,14 +121,14 @@
 
 
 def ignore_margin(tenure, now):
-    if not tenure.held or tenure.asked is None:
+    if not tenure.held or tenure.requested is None:
         return 0.0
-    return max(0.0, tenure.ttl - now.longest_since(tenure.asked))
+    return max(0.0, tenure.ttl - now.longest_since(tenure.requested))
 
 
 def count_from_answer(tenure, answer, now, original=LeaseState.handle_renew):
     kept = original(tenure, answer, now)
-    return dataclasses.replace(kept, asked=now) if answer.is_ok() else kept
+    return dataclasses.replace(kept, requested=now) if answer.is_ok() else kept
 
 
 def number_by_lease(tenure, answer, now, original=LeaseState.handle_acquire):
