--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
@@ -51,7 +51,7 @@
         """Ask over ``link`` and wait until ``deadline`` of the event loop's clock."""
         self._last += 1
         number = self._last
-        frame = encode(Envelope(message, question=number))
+        frame = encode(Envelope(message, call_id=number))
         outgoing = Outgoing(frame, message.wire_name)
         if not link.offer(outgoing, droppable=False):
             return Err(PeerError(PeerErrorKind.NOT_SENT, "too much waits to be sent"))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -292,7 +292,7 @@
             return
         if not is_probe(message):
             link.note_use()
-        self._calls.take(link, envelope.question, message)
+        self._calls.take(link, envelope.call_id, message)
 
     def _offer(self, link: Link, outgoing: Outgoing, message: Message) -> bool:
         if not is_probe(message):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -218,7 +218,7 @@
         number = next(self._numbers)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._questions[number] = (link, answer)
-        self._exchange.carry(link, self, encode(Envelope(message, question=number)))
+        self._exchange.carry(link, self, encode(Envelope(message, call_id=number)))
         try:
             async with asyncio.timeout(timeout):
                 reply = await answer
@@ -301,13 +301,13 @@
             return
         handler = self._handlers.get(type(envelope.message))
         if handler is None:
-            self._answer(link, envelope.question, NotUnderstood("no handler"))
+            self._answer(link, envelope.call_id, NotUnderstood("no handler"))
             return
         answer = handler(link.get_other(self).instance_id, envelope.message)
         if not inspect.isawaitable(answer):
-            self._answer(link, envelope.question, answer or Unanswered())
+            self._answer(link, envelope.call_id, answer or Unanswered())
             return
-        task = asyncio.create_task(self._finish(link, envelope.question, answer))
+        task = asyncio.create_task(self._finish(link, envelope.call_id, answer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/packages/greengagelatch/src/greengagelatch/peers/codec.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/codec.py
@@ -82,7 +82,7 @@
     """
 
     message: Message
-    question: int = 0
+    call_id: int = 0
     answer: int = 0
 
 
@@ -110,8 +110,8 @@
         "t": message.wire_name,
         "b": body,
     }
-    if envelope.question:
-        frame["q"] = envelope.question
+    if envelope.call_id:
+        frame["q"] = envelope.call_id
     if envelope.answer:
         frame["a"] = envelope.answer
     return cbor2.dumps(frame)
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -258,9 +258,7 @@
             incarnation=1,
         )
         await raw.send(encode(Envelope(hello)))
-        frame = encode(Envelope(Echo(), question=77)).replace(
-            b"test-echo", b"next-echo"
-        )
+        frame = encode(Envelope(Echo(), call_id=77)).replace(b"test-echo", b"next-echo")
         await raw.send(frame)
         async with asyncio.timeout(TIMEOUT):
             while b"not-understood" not in (reply := await raw.recv()):
