--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
@@ -86,9 +86,9 @@
         """Answer a question of that number, if it is one."""
         if not question:
             return
-        frame = encode_bounded(Envelope(message, answer=question), self._metrics)
+        frame = encode_bounded(Envelope(message, reply_to=question), self._metrics)
         if frame is None:
-            frame = encode(Envelope(Unanswered(), answer=question))
+            frame = encode(Envelope(Unanswered(), reply_to=question))
         if not link.offer(Outgoing(frame, message.wire_name), droppable=False):
             # a peer that does not read its answers; it is told nothing more
             self._metrics.count("peers.answers_without_room")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -286,8 +286,8 @@
 
     def _dispatch(self, link: Link, envelope: Envelope) -> None:
         message = envelope.message
-        if envelope.answer:
-            if not self._questions.settle(link, envelope.answer, message):
+        if envelope.reply_to:
+            if not self._questions.settle(link, envelope.reply_to, message):
                 self._metrics.count("peers.late_answers")
             return
         if not is_probe(message):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -294,8 +294,8 @@
     def receive(self, link: _Link, frame: bytes) -> None:
         """Take in a frame."""
         envelope = decode(frame).unwrap()
-        if envelope.answer:
-            used, answer = self._questions.get(envelope.answer, (None, None))
+        if envelope.reply_to:
+            used, answer = self._questions.get(envelope.reply_to, (None, None))
             if used is link and not answer.done():
                 answer.set_result(envelope.message)
             return
@@ -316,7 +316,9 @@
 
     def _answer(self, link: _Link, question: int, message: Message) -> None:
         if question and link.open:
-            self._exchange.carry(link, self, encode(Envelope(message, answer=question)))
+            self._exchange.carry(
+                link, self, encode(Envelope(message, reply_to=question))
+            )
 
     def _find_link(self, instance_id: str) -> _Link | None:
         link = self._exchange.find(self.instance_id, instance_id)
--- a/packages/greengagelatch/src/greengagelatch/peers/codec.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/codec.py
@@ -83,7 +83,7 @@
 
     message: Message
     call_id: int = 0
-    answer: int = 0
+    reply_to: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,8 +112,8 @@
     }
     if envelope.call_id:
         frame["q"] = envelope.call_id
-    if envelope.answer:
-        frame["a"] = envelope.answer
+    if envelope.reply_to:
+        frame["a"] = envelope.reply_to
     return cbor2.dumps(frame)
 
 
--- a/tests/test_entry/test_adapters/test_peer_calls.py
+++ b/tests/test_entry/test_adapters/test_peer_calls.py
@@ -30,7 +30,7 @@
 
     def offer(self, outgoing, *, droppable: bool) -> bool:
         envelope = decode(outgoing.frame).ok_value
-        self.answered.append((envelope.answer, envelope.message))
+        self.answered.append((envelope.reply_to, envelope.message))
         return True
 
 
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -263,7 +263,7 @@
         async with asyncio.timeout(TIMEOUT):
             while b"not-understood" not in (reply := await raw.recv()):
                 continue
-    assert encode(Envelope(Echo(), answer=77))[-4:] == reply[-4:]
+    assert encode(Envelope(Echo(), reply_to=77))[-4:] == reply[-4:]
 
 
 async def test_silent_link_is_noticed_and_replaced(start):
