--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -276,7 +276,7 @@
                 self._dispatch(link, envelope)
             case Err(DecodeError(unknown=True) as error):
                 self._metrics.count("peers.unknown_messages")
-                self._calls.answer(link, error.question, NotUnderstood(error.reason))
+                self._calls.answer(link, error.call_id, NotUnderstood(error.reason))
             case Err(error):
                 self._metrics.count("peers.bad_frames")
                 logger.warning("bad frame from %s: %s", link.instance_id, error.reason)
--- a/packages/greengagelatch/src/greengagelatch/peers/codec.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/codec.py
@@ -96,7 +96,7 @@
     reason: str
     unknown: bool = False
     #: number of the request to answer with :class:`~.messages.NotUnderstood`
-    question: int = 0
+    call_id: int = 0
 
 
 def encode(envelope: Envelope) -> bytes:
@@ -139,7 +139,7 @@
     message_type = _types.get(str(frame.get("t")))
     if message_type is None:
         reason = f"unknown message type {frame.get('t')!r}"
-        return Err(DecodeError(reason, unknown=True, question=question))
+        return Err(DecodeError(reason, unknown=True, call_id=question))
     if not isinstance(body, dict):
         return Err(DecodeError("body is not a map"))
     return _build(message_type, body).map(
