--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
@@ -161,7 +161,7 @@
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
         return await self._call_lease("/leases", {"ttl": ttl})
 
-    async def keep_lease(self, lease_id: str) -> Result[Lease, StoreError]:
+    async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
         return await self._call_lease(_key_path("/leases/", lease_id) + "/keep", {})
 
     async def revoke_lease(self, lease_id: str) -> WriteResult:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -231,7 +231,7 @@
                 self._note_error(group, found)
                 return tenure.handle_verify(found, read_instant(self._clock))
             case LeaseStep.RENEW:
-                kept = await self._store.keep_lease(tenure.lease_id)
+                kept = await self._store.renew_lease(tenure.lease_id)
                 self._note_error(group, kept)
                 return tenure.handle_renew(kept, read_instant(self._clock))
         await self._store.revoke_lease(tenure.lease_id)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -128,7 +128,7 @@
         return False
 
     async def _keep(self) -> bool:
-        kept = await self._store.keep_lease(self._lease_id)
+        kept = await self._store.renew_lease(self._lease_id)
         if not isinstance(kept, Err):
             return True
         if kept.err_value.kind is StoreErrorKind.LEASE_GONE:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/platform.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/platform.py
@@ -159,9 +159,9 @@
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
         return await self._read("grant", "", lambda: self._store.grant_lease(ttl))
 
-    async def keep_lease(self, lease_id: str) -> Result[Lease, StoreError]:
+    async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
         return await self._read(
-            "keep", lease_id, lambda: self._store.keep_lease(lease_id)
+            "keep", lease_id, lambda: self._store.renew_lease(lease_id)
         )
 
     async def revoke_lease(self, lease_id: str) -> WriteResult:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
@@ -169,7 +169,7 @@
         self._leases[lease.lease_id] = _HeldLease(ttl, lease.number, expires)
         return await self._answer_lease("grant", lease)
 
-    async def keep_lease(self, lease_id: str) -> Result[Lease, StoreError]:
+    async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
         error = await self._enter("keep", lease_id)
         if error:
             return Err(error)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/platform.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/platform.py
@@ -159,7 +159,7 @@
         return web.json_response(_encode_lease(result.ok_value))
 
     async def _keep(self, request: web.Request) -> web.Response:
-        result = await self.store.keep_lease(request.match_info["lease"])
+        result = await self.store.renew_lease(request.match_info["lease"])
         if result.is_err():
             return _refuse(request, result.err_value)
         return web.json_response(_encode_lease(result.ok_value))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
@@ -71,10 +71,10 @@
             return Err(OUTAGE)
         return await self._store.grant_lease(ttl)
 
-    async def keep_lease(self, lease_id: str) -> Result[Lease, StoreError]:
+    async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
         if not await self._enter("keep", lease_id):
             return Err(OUTAGE)
-        return await self._store.keep_lease(lease_id)
+        return await self._store.renew_lease(lease_id)
 
     async def revoke_lease(self, lease_id: str) -> WriteResult:
         return await self._write(
--- a/packages/greengagelatch/src/greengagelatch/store/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/store/__init__.py
@@ -128,7 +128,7 @@
         """Grant a lease that expires ``ttl`` seconds after its last renewal."""
 
     @abstractmethod
-    async def keep_lease(self, lease_id: str) -> Result[Lease, StoreError]:
+    async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
         """Renew a lease; fails with ``LEASE_GONE`` if it has expired."""
 
     @abstractmethod
--- a/tests/test_entry/test_store.py
+++ b/tests/test_entry/test_store.py
@@ -147,5 +147,5 @@
     service.mode = "204"
     assert (await store.watch("a/b", 7, 0.1)).unwrap() is None
     service.mode = "404"
-    error = (await store.keep_lease("lease-1")).unwrap_err()
+    error = (await store.renew_lease("lease-1")).unwrap_err()
     assert error.kind is StoreErrorKind.LEASE_GONE
--- a/tests/test_lab/test_memory.py
+++ b/tests/test_lab/test_memory.py
@@ -78,12 +78,12 @@
     lease = (await store.grant_lease(5)).ok_value
     await store.swap("a", b"1", 0, lease_id=lease.lease_id)
     clock.advance(4)
-    assert (await store.keep_lease(lease.lease_id)).is_ok()
+    assert (await store.renew_lease(lease.lease_id)).is_ok()
     clock.advance(4)
     assert (await store.get("a")).ok_value is not None
     clock.advance(1)
     assert (await store.get("a")).ok_value is None
-    late = await store.keep_lease(lease.lease_id)
+    late = await store.renew_lease(lease.lease_id)
     assert late.err_value.kind is StoreErrorKind.LEASE_GONE
     bound = await store.swap("a", b"1", 0, lease_id=lease.lease_id)
     assert bound.outcome is WriteOutcome.NOT_APPLIED
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -99,10 +99,10 @@
 async def test_lease_ends_with_its_entries(store, standin):
     lease = (await store.grant_lease(60.0)).unwrap()
     await store.swap("a", b"1", ABSENT, lease_id=lease.lease_id)
-    assert (await store.keep_lease(lease.lease_id)).is_ok()
+    assert (await store.renew_lease(lease.lease_id)).is_ok()
     await store.revoke_lease(lease.lease_id)
     assert (await store.get("a")).unwrap() is None
-    gone = await store.keep_lease(lease.lease_id)
+    gone = await store.renew_lease(lease.lease_id)
     assert gone.unwrap_err().kind is StoreErrorKind.LEASE_GONE
 
 
