--- a/packages/greengagelatch/src/greengagelatch/peers/codec.py
+++ b/packages/greengagelatch/src/greengagelatch/peers/codec.py
@@ -75,10 +75,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A message with the numbers that correlate requests and answers.
+    """A message with the ids that correlate calls and replies.
 
-    ``question`` is the number of a request that expects an answer, and ``answer`` the
-    number of the request that this message answers. Both are zero for other messages.
+    ``call_id`` is set for a message that expects a reply, and ``reply_to`` is the
+    ``call_id`` of the message that this one answers. Zero means that it is not set.
     """
 
     message: Message
@@ -95,7 +95,7 @@
 
     reason: str
     unknown: bool = False
-    #: number of the request to answer with :class:`~.messages.NotUnderstood`
+    #: call to answer with :class:`~.messages.NotUnderstood`
     call_id: int = 0
 
 
@@ -131,19 +131,19 @@
         return Err(DecodeError(f"not CBOR: {error}"))
     if not isinstance(frame, dict) or frame.get("v") != PROTOCOL_VERSION:
         return Err(DecodeError("not an envelope of this protocol version"))
-    question = frame.get("q", 0)
-    answer = frame.get("a", 0)
+    call_id = frame.get("q", 0)
+    reply_to = frame.get("a", 0)
     body = frame.get("b")
-    if not (isinstance(question, int) and isinstance(answer, int)):
-        return Err(DecodeError("request and answer numbers must be integers"))
+    if not (isinstance(call_id, int) and isinstance(reply_to, int)):
+        return Err(DecodeError("call id and reply id must be integers"))
     message_type = _types.get(str(frame.get("t")))
     if message_type is None:
         reason = f"unknown message type {frame.get('t')!r}"
-        return Err(DecodeError(reason, unknown=True, call_id=question))
+        return Err(DecodeError(reason, unknown=True, call_id=call_id))
     if not isinstance(body, dict):
         return Err(DecodeError("body is not a map"))
     return _build(message_type, body).map(
-        lambda message: Envelope(message, question, answer)
+        lambda message: Envelope(message, call_id, reply_to)
     )
 
 
