--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -18,7 +18,7 @@
     ProbeRequest,
 )
 from greengagelatch.membership.records import MAX_TEXT, encode_update
-from greengagelatch.membership.steps import DetectorRules, Identity, Step
+from greengagelatch.membership.steps import DetectorOutput, DetectorRules, Identity
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.peers.messages import Hello
 
@@ -292,7 +292,7 @@
             identity=self._identity, rules=self._rules, random_source=self._random
         )
 
-    def _do(self, step: Step) -> None:
+    def _do(self, step: DetectorOutput) -> None:
         if step.changed:
             self._shown = None
         for item in step.sends:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -12,7 +12,7 @@
 from greengagelatch.membership.detector import Detector
 from greengagelatch.membership.messages import MembersTable
 from greengagelatch.membership.records import Update, encode_update
-from greengagelatch.membership.steps import DetectorRules, Identity, Step
+from greengagelatch.membership.steps import DetectorOutput, DetectorRules, Identity
 from greengagelatch.peers import MemberState
 from greengagelatch.peers.codec import Envelope, Message, encode
 
@@ -163,7 +163,7 @@
                 self.perform(instance_id, node.detector.advance(self.now))
                 self._count_false(node, before)
 
-    def perform(self, sender: str, step: Step) -> None:
+    def perform(self, sender: str, step: DetectorOutput) -> None:
         """Send what a detector wants sent."""
         node = self.nodes[sender]
         for send in step.sends:
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -25,7 +25,7 @@
 from .own import OwnState
 from .probes import PendingProbes
 from .records import Record, Update, decode_update, encode_update
-from .steps import DetectorRules, Identity, Send, Step
+from .steps import DetectorOutput, DetectorRules, Identity, Send
 from .table import MemberTable, list_updates
 
 __all__ = ("Detector",)
@@ -112,7 +112,7 @@
 
     # inputs
 
-    def advance(self, now: float) -> Step:
+    def advance(self, now: float) -> DetectorOutput:
         """Process all timers; must be called several times in each period."""
         self._handle_pause(now)
         self._last = now
@@ -124,7 +124,7 @@
 
     def register_peer(
         self, now: float, identity: Identity, *, leaving: bool = False
-    ) -> Step:
+    ) -> DetectorOutput:
         """Record the identity that a peer sent when a link to it was opened."""
         state = MemberState.LEAVING if leaving else MemberState.ALIVE
         update = Update(
@@ -142,7 +142,7 @@
             self._probe(now, identity.instance_id)
         return self._finish()
 
-    def receive(self, now: float, sender: str, message: Message) -> Step:
+    def receive(self, now: float, sender: str, message: Message) -> DetectorOutput:
         """Process a message from a peer."""
         match message:
             case Probe(sequence, updates):
@@ -162,14 +162,14 @@
                 self._merge_all(now, updates, gossiped=False)
         return self._finish()
 
-    def handle_link_loss(self, now: float, instance_id: str) -> Step:
+    def handle_link_loss(self, now: float, instance_id: str) -> DetectorOutput:
         """Probe an instance at once, as the link to it was lost."""
         state = self._find_state(instance_id)
         if state is MemberState.ALIVE and not self._probes.awaits(instance_id):
             self._probe(now, instance_id)
         return self._finish()
 
-    def apply_listing(self, now: float, listing: Listing) -> Step:
+    def apply_listing(self, now: float, listing: Listing) -> DetectorOutput:
         """Apply a listing of the platform."""
         before = len(self._table)
         updates = self._table.apply_listing(listing, self._own.instance_id, now)
@@ -179,7 +179,7 @@
             self._mark_changed()
         return self._finish()
 
-    def leave(self, now: float) -> Step:
+    def leave(self, now: float) -> DetectorOutput:
         """Announce that this instance is leaving, which cannot be undone."""
         if self._own.leaving:
             return self._finish()
@@ -383,8 +383,8 @@
         self._changed = True
         self._neighbours = None
 
-    def _finish(self) -> Step:
-        step = Step(sends=tuple(self._sends), changed=self._changed)
+    def _finish(self) -> DetectorOutput:
+        step = DetectorOutput(sends=tuple(self._sends), changed=self._changed)
         self._sends = []
         self._changed = False
         return step
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -6,7 +6,7 @@
 
 from ..peers.codec import Message
 
-__all__ = ("DetectorRules", "Identity", "Send", "Step")
+__all__ = ("DetectorRules", "Identity", "Send", "DetectorOutput")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Step:
+class DetectorOutput:
     """Output of the detector after an input: the actions that its caller performs."""
 
     sends: tuple[Send, ...] = ()
