--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -25,7 +25,7 @@
 from .own import OwnState
 from .probes import PendingProbes
 from .records import Record, Update, decode_update, encode_update
-from .steps import DetectorOutput, DetectorRules, Identity, Send
+from .steps import DetectorOutput, DetectorRules, Identity, OutgoingMessage
 from .table import MemberTable, list_updates
 
 __all__ = ("Detector",)
@@ -59,7 +59,7 @@
         self._next_dead = 0.0
         self._last: float | None = None
         self._neighbours: frozenset[str] | None = None
-        self._sends: list[Send] = []
+        self._sends: list[OutgoingMessage] = []
         self._changed = False
         self._gossip.add(self._own.update)
 
@@ -148,7 +148,7 @@
             case Probe(sequence, updates):
                 self._merge_all(now, updates)
                 ack = ProbeAck(sequence, self._piggyback_updates(sender))
-                self._sends.append(Send(sender, ack))
+                self._sends.append(OutgoingMessage(sender, ack))
             case ProbeAck(sequence, updates):
                 self._merge_all(now, updates)
                 self._acknowledge(sequence)
@@ -223,7 +223,7 @@
                 request = ProbeRequest(
                     sequence, probe.instance_id, self._piggyback_updates(peer)
                 )
-                self._sends.append(Send(peer, request))
+                self._sends.append(OutgoingMessage(peer, request))
         for probe in self._probes.pop_failed(now - self._rules.probe_limit):
             if probe.origin is None:
                 self._suspect(now, probe.instance_id)
@@ -299,7 +299,7 @@
             return
         sequence = self._probes.add(now, instance_id, origin)
         message = Probe(sequence, self._piggyback_updates(instance_id))
-        self._sends.append(Send(instance_id, message))
+        self._sends.append(OutgoingMessage(instance_id, message))
 
     def _acknowledge(self, sequence: int) -> None:
         probe = self._probes.pop(sequence)
@@ -307,7 +307,7 @@
             return
         requester, requested = probe.origin
         ack = ProbeAck(requested, self._piggyback_updates(requester))
-        self._sends.append(Send(requester, ack))
+        self._sends.append(OutgoingMessage(requester, ack))
 
     def _suspect(self, now: float, instance_id: str) -> None:
         record = self._table.find(instance_id)
--- a/packages/greengagelatch/src/greengagelatch/membership/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/steps.py
@@ -6,7 +6,7 @@
 
 from ..peers.codec import Message
 
-__all__ = ("DetectorRules", "Identity", "Send", "DetectorOutput")
+__all__ = ("DetectorRules", "Identity", "OutgoingMessage", "DetectorOutput")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class OutgoingMessage:
     """A message to send."""
 
     instance_id: str
@@ -64,6 +64,6 @@
 class DetectorOutput:
     """Output of the detector after an input: the actions that its caller performs."""
 
-    sends: tuple[Send, ...] = ()
+    sends: tuple[OutgoingMessage, ...] = ()
     #: whether the members or the neighbours may have changed
     changed: bool = False
