--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -32,7 +32,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.events import EventBus
     from greengagelatch.instances import Listing
-    from greengagelatch.membership.records import Record
+    from greengagelatch.membership.records import MemberRecord
     from greengagelatch.peers import PeerNetwork
     from greengagelatch.peers.codec import Message
     from greengagelatch.settings import Settings
@@ -312,7 +312,7 @@
     return type(hello.incarnation) is int and hello.incarnation > 0
 
 
-def _is_shown(record: Record, now: float) -> bool:
+def _is_shown(record: MemberRecord, now: float) -> bool:
     if not record.confirmed or record.is_gone(now):
         return False
     if record.state is not MemberState.LEAVING:
@@ -320,7 +320,7 @@
     return now - record.since < LEAVING_SHOWN
 
 
-def _show(record: Record) -> Member:
+def _show(record: MemberRecord) -> Member:
     return Member(
         instance_id=record.instance_id,
         data_centre=record.data_centre,
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -24,7 +24,7 @@
 from .overlay import choose_neighbours
 from .own import OwnState
 from .probes import PendingProbes
-from .records import Record, Update, decode_update, encode_update
+from .records import MemberRecord, Update, decode_update, encode_update
 from .steps import DetectorOutput, DetectorRules, Identity, OutgoingMessage
 from .table import MemberTable, list_updates
 
@@ -319,7 +319,7 @@
 
     # updates
 
-    def _observe(self, now: float, record: Record, state: MemberState) -> None:
+    def _observe(self, now: float, record: MemberRecord, state: MemberState) -> None:
         update = Update(
             instance_id=record.instance_id,
             incarnation=record.incarnation,
--- a/packages/greengagelatch/src/greengagelatch/membership/overlay.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/overlay.py
@@ -7,13 +7,13 @@
 
 import xxhash
 
-from .records import Record
+from .records import MemberRecord
 
 __all__ = ("choose_neighbours",)
 
 
 def choose_neighbours(
-    instance_id: str, data_centre: str, records: Sequence[Record], links: int
+    instance_id: str, data_centre: str, records: Sequence[MemberRecord], links: int
 ) -> frozenset[str]:
     """Return the instances to which ``instance_id`` keeps a link.
 
@@ -29,7 +29,7 @@
     if len(records) <= 2 * links:
         return frozenset(record.instance_id for record in records)
 
-    def weigh(record: Record) -> int:
+    def weigh(record: MemberRecord) -> int:
         pair = f"{instance_id}\x00{record.instance_id}"
         return xxhash.xxh3_64_intdigest(pair.encode())
 
--- a/packages/greengagelatch/src/greengagelatch/membership/records.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/records.py
@@ -7,7 +7,7 @@
 
 from ..peers import MemberState
 
-__all__ = ("Record", "Update", "decode_update", "encode_update")
+__all__ = ("MemberRecord", "Update", "decode_update", "encode_update")
 
 #: precedence of states within one incarnation, lowest first; leaving is the highest, as
 #: it is the instance's own decision and must not be overridden by a failure to answer
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Record:
+class MemberRecord:
     """Local record of another entry instance."""
 
     instance_id: str
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -7,7 +7,7 @@
 
 from ..instances import Instance, InstanceKind, InstanceState, Listing
 from ..peers import MemberState
-from .records import Record, Update
+from .records import MemberRecord, Update
 
 __all__ = ("MAX_RECORDS", "MemberTable")
 
@@ -30,21 +30,21 @@
     """Records of all other instances, by id."""
 
     def __init__(self) -> None:
-        self._records: dict[str, Record] = {}
+        self._records: dict[str, MemberRecord] = {}
         self._as_of = -1
         self._applied: Listing | None = None
 
     def __len__(self) -> int:
         return len(self._records)
 
-    def __iter__(self) -> Iterator[Record]:
+    def __iter__(self) -> Iterator[MemberRecord]:
         return iter(self._records.values())
 
-    def find(self, instance_id: str) -> Record | None:
+    def find(self, instance_id: str) -> MemberRecord | None:
         """Return the record of an instance, or ``None`` if it is unknown."""
         return self._records.get(instance_id)
 
-    def select(self, *states: MemberState) -> list[Record]:
+    def select(self, *states: MemberState) -> list[MemberRecord]:
         """Return the records in one of ``states``, by id."""
         found = [record for record in self if record.state in states]
         return sorted(found, key=lambda record: record.instance_id)
@@ -133,7 +133,7 @@
     def _add(self, update: Update, now: float) -> bool:
         if not self._evict_if_full():
             return False
-        self._records[update.instance_id] = Record(
+        self._records[update.instance_id] = MemberRecord(
             instance_id=update.instance_id,
             data_centre=update.data_centre,
             address=update.address,
@@ -161,11 +161,11 @@
         self._replace(self._records[row.instance_id], listed_leaving=True)
         return update if changed and update.incarnation > 0 else None
 
-    def _replace(self, record: Record, **changes: object) -> None:
+    def _replace(self, record: MemberRecord, **changes: object) -> None:
         self._records[record.instance_id] = dataclasses.replace(record, **changes)
 
 
-def _fill(record: Record, update: Update) -> Record:
+def _fill(record: MemberRecord, update: Update) -> MemberRecord:
     if record.address and record.data_centre and record.capacity:
         return record
     return dataclasses.replace(
@@ -176,7 +176,7 @@
     )
 
 
-def _find_retention(record: Record) -> float:
+def _find_retention(record: MemberRecord) -> float:
     if record.state is MemberState.LEAVING:
         return LEFT_RETENTION
     if record.state is not MemberState.DEAD:
@@ -184,6 +184,6 @@
     return DEAD_RETENTION if record.listed else UNLISTED_RETENTION
 
 
-def list_updates(records: Iterable[Record]) -> list[Update]:
+def list_updates(records: Iterable[MemberRecord]) -> list[Update]:
     """Return the updates to gossip: those of confirmed instances."""
     return [record.update for record in records if record.confirmed]
--- a/tests/test_core/test_config/test_gossip.py
+++ b/tests/test_core/test_config/test_gossip.py
@@ -4,7 +4,7 @@
 
 from greengagelatch.config.gossip import choose_listeners
 from greengagelatch.membership.overlay import choose_neighbours
-from greengagelatch.membership.records import Record
+from greengagelatch.membership.records import MemberRecord
 from greengagelatch.peers import Member, MemberState
 
 MEMBERS = 570
@@ -31,7 +31,7 @@
     found = {}
     for own in members:
         others = [
-            Record(
+            MemberRecord(
                 instance_id=one.instance_id,
                 data_centre=one.data_centre,
                 address=one.address,
--- a/tests/test_core/test_membership/test_records.py
+++ b/tests/test_core/test_membership/test_records.py
@@ -8,7 +8,7 @@
 from greengagelatch.membership.gossip import GossipQueue
 from greengagelatch.membership.overlay import choose_neighbours
 from greengagelatch.membership.records import (
-    Record,
+    MemberRecord,
     Update,
     decode_update,
     encode_update,
@@ -75,9 +75,9 @@
     assert sent == 8
 
 
-def make_records(size: int) -> list[Record]:
+def make_records(size: int) -> list[MemberRecord]:
     return [
-        Record(
+        MemberRecord(
             instance_id=f"entry-{index:05d}",
             data_centre=("fukuoka-a", "fukuoka-b", "kumamoto")[index % 3],
             address=f"10.0.0.1:{index + 1}",
