--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -11,7 +11,7 @@
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.membership.detector import Detector
 from greengagelatch.membership.messages import MembersTable
-from greengagelatch.membership.records import Update, encode_update
+from greengagelatch.membership.records import MemberUpdate, encode_update
 from greengagelatch.membership.steps import DetectorOutput, DetectorRules, Identity
 from greengagelatch.peers import MemberState
 from greengagelatch.peers.codec import Envelope, Message, encode
@@ -130,7 +130,7 @@
         for instance_id in self.nodes:
             self.teach(instance_id, updates)
 
-    def teach(self, instance_id: str, updates: Iterable[Update]) -> None:
+    def teach(self, instance_id: str, updates: Iterable[MemberUpdate]) -> None:
         """Give one instance a table of members, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
         node = self.nodes[instance_id]
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -24,7 +24,7 @@
 from .overlay import choose_neighbours
 from .own import OwnState
 from .probes import PendingProbes
-from .records import MemberRecord, Update, decode_update, encode_update
+from .records import MemberRecord, MemberUpdate, decode_update, encode_update
 from .steps import DetectorOutput, DetectorRules, Identity, OutgoingMessage
 from .table import MemberTable, list_updates
 
@@ -92,7 +92,7 @@
         members = max(10, self._count_present())
         return self._rules.suspicion_periods * self._rules.period * math.log10(members)
 
-    def list_all_updates(self) -> list[Update]:
+    def list_all_updates(self) -> list[MemberUpdate]:
         """Return the updates of all known instances, this one included."""
         return [self._own.update, *list_updates(self._table)]
 
@@ -127,7 +127,7 @@
     ) -> DetectorOutput:
         """Record the identity that a peer sent when a link to it was opened."""
         state = MemberState.LEAVING if leaving else MemberState.ALIVE
-        update = Update(
+        update = MemberUpdate(
             instance_id=identity.instance_id,
             incarnation=identity.incarnation,
             state=state,
@@ -320,7 +320,7 @@
     # updates
 
     def _observe(self, now: float, record: MemberRecord, state: MemberState) -> None:
-        update = Update(
+        update = MemberUpdate(
             instance_id=record.instance_id,
             incarnation=record.incarnation,
             state=state,
@@ -338,7 +338,9 @@
             if update is not None:
                 self._merge(now, update, gossiped=gossiped)
 
-    def _merge(self, now: float, update: Update, *, gossiped: bool = True) -> None:
+    def _merge(
+        self, now: float, update: MemberUpdate, *, gossiped: bool = True
+    ) -> None:
         if update.instance_id == self._own.instance_id:
             if self._own.refute(update):
                 self._gossip.add(self._own.update)
--- a/packages/greengagelatch/src/greengagelatch/membership/gossip.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/gossip.py
@@ -4,7 +4,7 @@
 
 import math
 
-from .records import Update
+from .records import MemberUpdate
 
 __all__ = ("GossipQueue",)
 
@@ -23,12 +23,12 @@
         self._factor = factor
         self._limit = limit
         #: number of transmissions and update, by instance id
-        self._items: dict[str, tuple[int, Update]] = {}
+        self._items: dict[str, tuple[int, MemberUpdate]] = {}
 
     def __len__(self) -> int:
         return len(self._items)
 
-    def add(self, update: Update) -> None:
+    def add(self, update: MemberUpdate) -> None:
         """Queue an update; it replaces an older one of the same instance."""
         self._items[update.instance_id] = (0, update)
         if len(self._items) <= self._limit:
@@ -36,7 +36,7 @@
         oldest = max(self._items, key=lambda key: self._items[key][0])
         del self._items[oldest]
 
-    def take(self, number: int, members: int) -> list[Update]:
+    def take(self, number: int, members: int) -> list[MemberUpdate]:
         """Return the ``number`` least often sent updates and count a transmission."""
         if not self._items:
             return []
--- a/packages/greengagelatch/src/greengagelatch/membership/own.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/own.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..peers import MemberState
-from .records import Update
+from .records import MemberUpdate
 from .steps import Identity
 
 __all__ = ("OwnState",)
@@ -43,9 +43,9 @@
         return self._leaving
 
     @property
-    def update(self) -> Update:
+    def update(self) -> MemberUpdate:
         """Update that announces the current state of this instance to others."""
-        return Update(
+        return MemberUpdate(
             instance_id=self._identity.instance_id,
             incarnation=self._incarnation,
             state=MemberState.LEAVING if self._leaving else MemberState.ALIVE,
@@ -62,7 +62,7 @@
         """Raise the incarnation to override all earlier updates of this instance."""
         self._incarnation += 1
 
-    def refute(self, update: Update) -> bool:
+    def refute(self, update: MemberUpdate) -> bool:
         """Refute an update about this instance if it is wrong; return whether it was.
 
         An update is refuted by raising the incarnation above that of the update.
--- a/packages/greengagelatch/src/greengagelatch/membership/records.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/records.py
@@ -7,7 +7,7 @@
 
 from ..peers import MemberState
 
-__all__ = ("MemberRecord", "Update", "decode_update", "encode_update")
+__all__ = ("MemberRecord", "MemberUpdate", "decode_update", "encode_update")
 
 #: precedence of states within one incarnation, lowest first; leaving is the highest, as
 #: it is the instance's own decision and must not be overridden by a failure to answer
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Update:
+class MemberUpdate:
     """State of one entry instance, as gossiped between instances.
 
     Updates are totally ordered by incarnation, then by state. Each instance keeps the
@@ -92,9 +92,9 @@
         return dead and self.delisted and now - self.since >= GONE_AFTER
 
     @property
-    def update(self) -> Update:
+    def update(self) -> MemberUpdate:
         """This record as an update to gossip."""
-        return Update(
+        return MemberUpdate(
             instance_id=self.instance_id,
             incarnation=self.incarnation,
             state=self.state,
@@ -104,7 +104,7 @@
         )
 
 
-def encode_update(update: Update) -> tuple[Any, ...]:
+def encode_update(update: MemberUpdate) -> tuple[Any, ...]:
     """Return an update in its wire format, a short tuple.
 
     Data centre, address and capacity are omitted for dead and leaving instances, an
@@ -117,7 +117,7 @@
     return (*row, update.capacity) if update.capacity else row
 
 
-def decode_update(item: Any) -> Update | None:
+def decode_update(item: Any) -> MemberUpdate | None:
     """Parse an update from a peer; return ``None`` if it is invalid."""
     if not isinstance(item, tuple) or len(item) < 3:
         return None
@@ -133,7 +133,7 @@
         return None
     if capacity < 0:
         return None
-    return Update(
+    return MemberUpdate(
         instance_id=instance_id,
         incarnation=incarnation,
         state=_ORDER[rank],
--- a/packages/greengagelatch/src/greengagelatch/membership/table.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/table.py
@@ -7,7 +7,7 @@
 
 from ..instances import Instance, InstanceKind, InstanceState, Listing
 from ..peers import MemberState
-from .records import MemberRecord, Update
+from .records import MemberRecord, MemberUpdate
 
 __all__ = ("MAX_RECORDS", "MemberTable")
 
@@ -49,7 +49,7 @@
         found = [record for record in self if record.state in states]
         return sorted(found, key=lambda record: record.instance_id)
 
-    def merge(self, update: Update, now: float) -> bool:
+    def merge(self, update: MemberUpdate, now: float) -> bool:
         """Merge an update; return whether it overrode what was known."""
         record = self._records.get(update.instance_id)
         if record is None:
@@ -73,7 +73,9 @@
         )
         return True
 
-    def apply_listing(self, listing: Listing, own_id: str, now: float) -> list[Update]:
+    def apply_listing(
+        self, listing: Listing, own_id: str, now: float
+    ) -> list[MemberUpdate]:
         """Apply a listing; return the updates to gossip.
 
         A listing only adds instances to contact and marks those that are leaving. It
@@ -130,7 +132,7 @@
         del self._records[oldest.instance_id]
         return True
 
-    def _add(self, update: Update, now: float) -> bool:
+    def _add(self, update: MemberUpdate, now: float) -> bool:
         if not self._evict_if_full():
             return False
         self._records[update.instance_id] = MemberRecord(
@@ -144,10 +146,10 @@
         )
         return True
 
-    def _apply_row(self, row: Instance, now: float) -> Update | None:
+    def _apply_row(self, row: Instance, now: float) -> MemberUpdate | None:
         record = self._records.get(row.instance_id)
         leaving = row.state is InstanceState.LEAVING
-        update = Update(
+        update = MemberUpdate(
             instance_id=row.instance_id,
             incarnation=0 if record is None else record.incarnation,
             state=MemberState.LEAVING if leaving else MemberState.ALIVE,
@@ -165,7 +167,7 @@
         self._records[record.instance_id] = dataclasses.replace(record, **changes)
 
 
-def _fill(record: MemberRecord, update: Update) -> MemberRecord:
+def _fill(record: MemberRecord, update: MemberUpdate) -> MemberRecord:
     if record.address and record.data_centre and record.capacity:
         return record
     return dataclasses.replace(
@@ -184,6 +186,6 @@
     return DEAD_RETENTION if record.listed else UNLISTED_RETENTION
 
 
-def list_updates(records: Iterable[MemberRecord]) -> list[Update]:
+def list_updates(records: Iterable[MemberRecord]) -> list[MemberUpdate]:
     """Return the updates to gossip: those of confirmed instances."""
     return [record.update for record in records if record.confirmed]
--- a/tests/test_core/test_membership/test_capacity.py
+++ b/tests/test_core/test_membership/test_capacity.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
-from greengagelatch.membership.records import Update, decode_update, encode_update
+from greengagelatch.membership.records import MemberUpdate, decode_update, encode_update
 from greengagelatch.membership.table import MemberTable
 from greengagelatch.peers import MemberState
 
 
-def create_update(**fields) -> Update:
+def create_update(**fields) -> MemberUpdate:
     defaults = {
         "instance_id": "e1",
         "incarnation": 3,
@@ -16,7 +16,7 @@
         "data_centre": "north",
         "address": "10.0.0.1:7",
     }
-    return Update(**{**defaults, **fields})
+    return MemberUpdate(**{**defaults, **fields})
 
 
 def test_update_keeps_its_capacity_on_the_wire():
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -8,7 +8,7 @@
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.membership.detector import Detector
 from greengagelatch.membership.messages import MembersTable, Probe, ProbeAck
-from greengagelatch.membership.records import Update, encode_update
+from greengagelatch.membership.records import MemberUpdate, encode_update
 from greengagelatch.membership.steps import DetectorRules, Identity
 from greengagelatch.peers import MemberState
 from greengagelatch_lab.capacity.fleet import DetectorFleet, Node
@@ -187,7 +187,7 @@
     former = (("e-2-former", "10.0.0.2:1"), ("e-1-former", "10.0.0.1:1"))
     for name, address in (*former, ("e-3", "10.0.0.3:1")):
         detector.register_peer(0.0, create_identity(name, address))
-        update = Update(instance_id=name, incarnation=5, state=MemberState.DEAD)
+        update = MemberUpdate(instance_id=name, incarnation=5, state=MemberState.DEAD)
         detector.receive(0.0, "e-2", MembersTable((encode_update(update),)))
     probed = set()
     step = detector.register_peer(0.0, create_identity("e-2", "10.0.0.2:1"))
@@ -255,7 +255,9 @@
     own = fleet.nodes[FIRST].detector.own
 
     def refute(state: MemberState) -> int:
-        update = Update(instance_id=FIRST, incarnation=own.incarnation, state=state)
+        update = MemberUpdate(
+            instance_id=FIRST, incarnation=own.incarnation, state=state
+        )
         own.refute(update)
         return own.incarnation
 
--- a/tests/test_core/test_membership/test_records.py
+++ b/tests/test_core/test_membership/test_records.py
@@ -9,7 +9,7 @@
 from greengagelatch.membership.overlay import choose_neighbours
 from greengagelatch.membership.records import (
     MemberRecord,
-    Update,
+    MemberUpdate,
     decode_update,
     encode_update,
 )
@@ -17,7 +17,7 @@
 from greengagelatch.peers import MemberState
 
 updates = st.builds(
-    Update,
+    MemberUpdate,
     instance_id=st.sampled_from(["a", "b"]),
     incarnation=st.integers(1, 3),
     state=st.sampled_from(list(MemberState)),
@@ -69,7 +69,7 @@
 
 def test_updates_are_gossiped_a_bounded_number_of_times():
     queue = GossipQueue(factor=2)
-    queue.add(Update(instance_id="a", incarnation=1, state=MemberState.SUSPECT))
+    queue.add(MemberUpdate(instance_id="a", incarnation=1, state=MemberState.SUSPECT))
     sent = sum(len(queue.take(8, members=15)) for _ in range(100))
     # twice the logarithm of 16
     assert sent == 8
--- a/tests/test_core/test_membership/test_table.py
+++ b/tests/test_core/test_membership/test_table.py
@@ -5,7 +5,7 @@
 import dataclasses
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
-from greengagelatch.membership.records import Update
+from greengagelatch.membership.records import MemberUpdate
 from greengagelatch.membership.table import MemberTable
 from greengagelatch.peers import MemberState
 
@@ -27,7 +27,7 @@
 
 def create_table(*, listed):
     table = MemberTable()
-    alive = Update(
+    alive = MemberUpdate(
         instance_id="e2",
         incarnation=1,
         state=MemberState.ALIVE,
@@ -72,6 +72,6 @@
 def test_instance_that_comes_back_is_not_gone():
     table = create_table(listed=True)
     table.apply_listing(create_listing(2, "e3"), "e1", SOON)
-    back = Update(instance_id="e2", incarnation=2, state=MemberState.ALIVE)
+    back = MemberUpdate(instance_id="e2", incarnation=2, state=MemberState.ALIVE)
     table.merge(back, LATER)
     assert not table.find("e2").is_gone(2 * LATER)
