--- a/packages/greengagelatch/src/greengagelatch/targets/records.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/records.py
@@ -10,11 +10,11 @@
 from . import Target
 from .directory import Candidate, LoadReport
 
-__all__ = ("Group", "Record")
+__all__ = ("Group", "TargetRecord")
 
 
 @dataclass(slots=True, eq=False)
-class Record:
+class TargetRecord:
     """A target that is neither leaving nor gone."""
 
     target: Target
@@ -39,13 +39,13 @@
     #: monotonic seconds at which candidates were last queried
     used: float = float("-inf")
     #: the subset of ``records`` in use; ``None`` if it must be chosen again
-    chosen: tuple[Record, ...] | None = None
+    chosen: tuple[TargetRecord, ...] | None = None
     #: the chosen records and the ejected ones passed over, all of which are polled
-    watched: tuple[Record, ...] = ()
+    watched: tuple[TargetRecord, ...] = ()
     #: candidates created from ``chosen``; ``None`` if they must be created again
     candidates: tuple[Candidate, ...] | None = None
 
-    def choose(self, subset: int, minimum: int) -> tuple[Record, ...]:
+    def choose(self, subset: int, minimum: int) -> tuple[TargetRecord, ...]:
         """Return the records that may receive new work.
 
         These are the first ``subset`` records in order that are not ejected. If they
@@ -55,8 +55,8 @@
         """
         if self.chosen is not None:
             return self.chosen
-        reachable: list[Record] = []
-        ejected: list[Record] = []
+        reachable: list[TargetRecord] = []
+        ejected: list[TargetRecord] = []
         for record in self._walk(subset):
             (ejected if record.ejected else reachable).append(record)
         missing = min(minimum, len(reachable) + len(ejected)) - len(reachable)
@@ -79,7 +79,7 @@
             self.candidates = tuple(Candidate(r.target, r.report) for r in chosen)
         return self.candidates
 
-    def _walk(self, subset: int) -> Iterator[Record]:
+    def _walk(self, subset: int) -> Iterator[TargetRecord]:
         reachable = 0
         # twice the subset limits the number of polls if many targets are unreachable
         for record in self.records[: 2 * subset]:
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -27,7 +27,7 @@
 from ..instances import Instance, InstanceKind, InstanceState, Listing
 from . import Target
 from .directory import Candidate, LoadReport
-from .records import Group, Record
+from .records import Group, TargetRecord
 from .subset import compute_weight
 
 __all__ = ("TargetRegistry", "TargetRegistryChange", "TargetRegistryRules")
@@ -78,7 +78,7 @@
     def __init__(self, *, instance_id: str, rules: TargetRegistryRules) -> None:
         self._instance_id = instance_id
         self._rules = rules
-        self._records: dict[str, Record] = {}
+        self._records: dict[str, TargetRecord] = {}
         self._groups: dict[str, Group] = {}
         #: ids of leaving targets, those reported least recently first
         self._leaving: dict[str, None] = {}
@@ -358,13 +358,13 @@
 
     def _add(self, target: Target) -> None:
         weight = compute_weight(self._instance_id, target.target_id)
-        record = Record(target, weight)
+        record = TargetRecord(target, weight)
         self._records[target.target_id] = record
         group = self._groups.setdefault(target.service, Group())
         group.records.add(record)
         group.chosen = None
 
-    def _remove(self, record: Record) -> str:
+    def _remove(self, record: TargetRecord) -> str:
         target = record.target
         del self._records[target.target_id]
         self._missing.discard(target.target_id)
@@ -375,12 +375,12 @@
             del self._groups[target.service]
         return target.service
 
-    def _invalidate_choice(self, record: Record) -> TargetRegistryChange:
+    def _invalidate_choice(self, record: TargetRecord) -> TargetRegistryChange:
         service = record.target.service
         self._groups[service].chosen = None
         return TargetRegistryChange(services=frozenset({service}))
 
-    def _choose(self, group: Group) -> tuple[Record, ...]:
+    def _choose(self, group: Group) -> tuple[TargetRecord, ...]:
         return group.choose(
             self._compute_subset_size(group), self._rules.min_candidates
         )
--- a/tests/test_core/test_targets/test_records.py
+++ b/tests/test_core/test_targets/test_records.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from greengagelatch.targets import Target
-from greengagelatch.targets.records import Group, Record
+from greengagelatch.targets.records import Group, TargetRecord
 
 
 def test_candidates_follow_a_choice_made_by_another_caller():
@@ -15,7 +15,7 @@
     """
     group = Group()
     first, second = (
-        Record(Target(f"t{number}", "desk", "north", "10.0.0.1:1"), number)
+        TargetRecord(Target(f"t{number}", "desk", "north", "10.0.0.1:1"), number)
         for number in range(2)
     )
     group.records.update((first, second))
