--- a/packages/greengagelatch/src/greengagelatch/targets/records.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/records.py
@@ -10,7 +10,7 @@
 from . import Target
 from .directory import Candidate, LoadReport
 
-__all__ = ("Group", "TargetRecord")
+__all__ = ("ServiceGroup", "TargetRecord")
 
 
 @dataclass(slots=True, eq=False)
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Group:
+class ServiceGroup:
     """The targets of one service, ordered by weight for this instance."""
 
     records: SortedKeyList = field(
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -27,7 +27,7 @@
 from ..instances import Instance, InstanceKind, InstanceState, Listing
 from . import Target
 from .directory import Candidate, LoadReport
-from .records import Group, TargetRecord
+from .records import ServiceGroup, TargetRecord
 from .subset import compute_weight
 
 __all__ = ("TargetRegistry", "TargetRegistryChange", "TargetRegistryRules")
@@ -79,7 +79,7 @@
         self._instance_id = instance_id
         self._rules = rules
         self._records: dict[str, TargetRecord] = {}
-        self._groups: dict[str, Group] = {}
+        self._groups: dict[str, ServiceGroup] = {}
         #: ids of leaving targets, those reported least recently first
         self._leaving: dict[str, None] = {}
         #: leaving targets that the newest listings contain, shown to operators
@@ -360,7 +360,7 @@
         weight = compute_weight(self._instance_id, target.target_id)
         record = TargetRecord(target, weight)
         self._records[target.target_id] = record
-        group = self._groups.setdefault(target.service, Group())
+        group = self._groups.setdefault(target.service, ServiceGroup())
         group.records.add(record)
         group.chosen = None
 
@@ -380,12 +380,12 @@
         self._groups[service].chosen = None
         return TargetRegistryChange(services=frozenset({service}))
 
-    def _choose(self, group: Group) -> tuple[TargetRecord, ...]:
+    def _choose(self, group: ServiceGroup) -> tuple[TargetRecord, ...]:
         return group.choose(
             self._compute_subset_size(group), self._rules.min_candidates
         )
 
-    def _compute_subset_size(self, group: Group) -> int:
+    def _compute_subset_size(self, group: ServiceGroup) -> int:
         if self._instances is None:
             return self._rules.min_subset
         needed = math.ceil(
--- a/tests/test_core/test_targets/test_records.py
+++ b/tests/test_core/test_targets/test_records.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from greengagelatch.targets import Target
-from greengagelatch.targets.records import Group, TargetRecord
+from greengagelatch.targets.records import ServiceGroup, TargetRecord
 
 
 def test_candidates_follow_a_choice_made_by_another_caller():
@@ -13,7 +13,7 @@
     listed. The check renews the choice; if the candidates are not renewed with it, the
     ejected target is offered again and again and never accepted.
     """
-    group = Group()
+    group = ServiceGroup()
     first, second = (
         TargetRecord(Target(f"t{number}", "desk", "north", "10.0.0.1:1"), number)
         for number in range(2)
