--- a/packages/greengagelatch/src/greengagelatch/leases/state.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/state.py
@@ -89,8 +89,8 @@
         """Return the seconds for which the lease is guaranteed to be held."""
         if not self.held or self.requested is None:
             return 0.0
-        left = self.ttl - self.rules.margin - now.longest_since(self.requested)
-        return max(0.0, left)
+        remaining = self.ttl - self.rules.margin - now.longest_since(self.requested)
+        return max(0.0, remaining)
 
     def covers(self, now: Instant, seconds: float) -> bool:
         """Whether an action of up to ``seconds`` ends before the lease expires.
@@ -98,8 +98,8 @@
         Check this immediately before the action. An earlier result may be out of date,
         as the process can be paused between any two steps.
         """
-        left = self.compute_remaining(now)
-        return left > 0 and left >= seconds
+        remaining = self.compute_remaining(now)
+        return remaining > 0 and remaining >= seconds
 
     def has_outlasted_predecessor(self, now: Instant, longest: float) -> bool:
         """Whether all actions of the previous holder have ended.
@@ -196,10 +196,10 @@
         """Process a renewal; one without an answer does not extend the lease."""
         match answer:
             case Ok(lease):
-                kept = dataclasses.replace(
+                renewed = dataclasses.replace(
                     self, requested=self.sent, ttl=min(lease.ttl, self.rules.ttl)
                 )
-                return kept._schedule(now, self.rules.interval)
+                return renewed._schedule(now, self.rules.interval)
             case Err(error) if error.kind is StoreErrorKind.LEASE_GONE:
                 return self._reset(now, self.rules.retry_delay)
         return self._schedule(now, self.rules.retry_delay)
@@ -217,8 +217,8 @@
         return empty._schedule(now, delay)
 
     def _schedule(self, now: Instant, delay: float) -> LeaseState:
-        rested = self._end_call(LeaseStep.IDLE)
-        return dataclasses.replace(rested, due=now.monotonic + delay)
+        idle = self._end_call(LeaseStep.IDLE)
+        return dataclasses.replace(idle, due=now.monotonic + delay)
 
     def _end_call(self, step: LeaseStep) -> LeaseState:
         return dataclasses.replace(self, step=step, sent=None)
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -255,11 +255,11 @@
         self._next_dead = now + self._rules.dead_interval * spread
         self._table.expire(now)
         self._neighbours = None
-        taken = self._list_used_addresses()
+        used = self._list_used_addresses()
         dead = [
             record.instance_id
             for record in self._table.select(MemberState.DEAD)
-            if record.address and record.address not in taken
+            if record.address and record.address not in used
         ]
         for instance_id in self._sample(dead, 1, frozenset()):
             self._probe(now, instance_id)
--- a/packages/greengagelatch/src/greengagelatch/membership/gossip.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Which observations are passed on with the next message."""
+"""Queue of updates to piggyback on outgoing messages."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch/src/greengagelatch/membership/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry instances watch each other."""
+"""Messages of failure detection and of membership exchange."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 __all__ = ("MembersQuery", "MembersTable", "Probe", "ProbeAck", "ProbeRequest")
 
-#: an encoded :class:`~greengagelatch.membership.records.Update`
+#: an encoded :class:`~greengagelatch.membership.records.MemberUpdate`
 EncodedUpdate = tuple[Any, ...]
 
 
--- a/packages/greengagelatch/src/greengagelatch/membership/overlay.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/overlay.py
@@ -1,4 +1,4 @@
-"""Which peers an instance keeps a link to."""
+"""Selection of the neighbours to which an instance keeps a link."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch/src/greengagelatch/membership/own.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/own.py
@@ -1,4 +1,4 @@
-"""What an instance says of itself, and how it refutes what others say."""
+"""State of this instance in the membership, and refutation of wrong updates."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch/src/greengagelatch/membership/probes.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes that wait for their answer."""
+"""Probes that are pending until they are acknowledged."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch/src/greengagelatch/membership/records.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/records.py
@@ -1,4 +1,4 @@
-"""Observations of entry instances and the order in which they override each other."""
+"""Member records, and updates with their order of precedence and wire format."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch/src/greengagelatch/targets/polling.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/polling.py
@@ -59,8 +59,8 @@
         A returned target is not due again until :meth:`reschedule` is called for it.
         """
         self._refill(now)
-        taken = []
-        while self._heap and len(taken) < limit and self._tokens >= 1:
+        selected = []
+        while self._heap and len(selected) < limit and self._tokens >= 1:
             due, target_id = self._heap[0]
             if due > now:
                 break
@@ -70,8 +70,8 @@
                 continue
             self._due[target_id] = _IN_FLIGHT
             self._tokens -= 1
-            taken.append(target_id)
-        return tuple(taken)
+            selected.append(target_id)
+        return tuple(selected)
 
     def _set(self, target_id: str, due: float) -> None:
         self._due[target_id] = due
--- a/packages/greengagelatch/src/greengagelatch/targets/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/targets/registry.py
@@ -132,8 +132,8 @@
         if record is None:
             return _NOTHING
         change = self.record_success(target_id)
-        held = record.report
-        if report is None or (held is not None and report.taken < held.taken):
+        previous = record.report
+        if report is None or (previous is not None and report.taken < previous.taken):
             return change
         record.report = report
         self._groups[record.target.service].candidates = None
--- a/tests/test_core/test_instances/test_rows.py
+++ b/tests/test_core/test_instances/test_rows.py
@@ -50,12 +50,12 @@
         st.tuples(*[st.one_of(TEXTS, st.integers(), st.none())] * 6),
     )
 )
-def test_rows_that_make_no_sense_are_not_read(row):
+def test_invalid_rows_are_rejected(row):
     decoded = decode_row(row)
     assert decoded is None or encode_row(decoded) == row
 
 
 @pytest.mark.parametrize("field", ["as_of", "total", "offset"])
-def test_pages_with_odd_types_are_not_read(field):
+def test_pages_with_invalid_types_are_rejected(field):
     with pytest.raises(ValueError):
         ListingPage(**{field: "1"})
--- a/tests/test_core/test_leases/test_state.py
+++ b/tests/test_core/test_leases/test_state.py
@@ -41,18 +41,18 @@
     return state.begin(at(asked)).handle_renew(answer, at(answered))
 
 
-def test_time_counts_from_before_the_grant_was_asked_for():
+def test_lease_time_counts_from_the_request_of_the_grant():
     state = hold(asked=0.0, answered=5.0)
     assert state.fence == 9
     assert state.compute_remaining(at(5.0)) == 40 - 2 - 5
     assert state.acquired == 5.0
 
 
-def test_a_shorter_lease_than_asked_for_counts_as_the_store_says():
+def test_a_shorter_lease_than_requested_is_respected():
     assert hold(ttl=10.0).compute_remaining(at(0.0)) == 8
 
 
-def test_a_renewal_without_an_answer_counts_as_not_made():
+def test_a_renewal_without_an_answer_does_not_extend_the_lease():
     state = renew(hold(), asked=10.0, answered=12.0, answer=TIMEOUT)
     assert state.compute_remaining(at(12.0)) == 40 - 2 - 12
     # the store did apply it: its next answer proves that nobody else could acquire it
@@ -62,7 +62,7 @@
     assert state.fence == 9
 
 
-def test_nothing_is_covered_once_the_store_says_that_the_lease_is_gone():
+def test_an_expired_lease_covers_no_action():
     state = renew(hold(), asked=10.0, answered=11.0, answer=GONE)
     assert not state.held
     assert not state.covers(at(11.0), 0.0)
@@ -96,7 +96,7 @@
     ]
 
 
-def test_one_member_of_the_data_centre_tries_and_one_stands_by():
+def test_one_member_of_the_data_centre_contends_and_one_stands_by():
     members = [*create_members(9), *create_members(9, "south")]
     for number in range(20):
         intents = choose_all(f"north/service-{number}", members)
@@ -105,6 +105,6 @@
         assert intents.count(LeaseIntent.RELEASE) == 7
 
 
-def test_a_cut_off_instance_still_tries_by_itself():
+def test_an_isolated_instance_still_contends():
     intent = choose_intent("north/writer", [], data_centre="north", instance_id="a")
     assert intent is LeaseIntent.HOLD
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -1,4 +1,4 @@
-"""Tests of failure detection, on virtual time and without sockets."""
+"""Tests of failure detection in simulated time, without sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return node
 
 
-def everybody_says(fleet: DetectorFleet, observed: str, state: MemberState) -> bool:
+def all_views_show(fleet: DetectorFleet, observed: str, state: MemberState) -> bool:
     return set(fleet.views(observed)) == {state}
 
 
@@ -38,11 +38,11 @@
     fleet = start_fleet(9)
     fleet.nodes[SECOND].stopped = True
     fleet.run(20)
-    assert everybody_says(fleet, SECOND, MemberState.DEAD)
+    assert all_views_show(fleet, SECOND, MemberState.DEAD)
     assert fleet.false_deaths == 0
 
 
-def test_one_way_link_does_not_kill_a_peer():
+def test_broken_one_way_link_does_not_make_a_peer_dead():
     """
     Guards against declaring a healthy instance dead because one path is broken. All
     messages from the first instance to the second are lost and all other paths work,
@@ -84,10 +84,10 @@
     fleet = start_fleet(9)
     fleet.nodes[FIRST].paused = True
     fleet.run(60)
-    assert everybody_says(fleet, FIRST, MemberState.DEAD)
+    assert all_views_show(fleet, FIRST, MemberState.DEAD)
     fleet.nodes[FIRST].paused = False
     fleet.run(20)
-    assert everybody_says(fleet, FIRST, MemberState.ALIVE)
+    assert all_views_show(fleet, FIRST, MemberState.ALIVE)
     assert fleet.false_suspicions == 0
 
 
@@ -111,9 +111,9 @@
             step = node.detector.receive(fleet.now, SECOND, late)
             fleet.perform(instance_id, step)
     fleet.run(5)
-    assert everybody_says(fleet, FIRST, MemberState.LEAVING)
+    assert all_views_show(fleet, FIRST, MemberState.LEAVING)
     fleet.run(60)
-    assert everybody_says(fleet, FIRST, MemberState.LEAVING)
+    assert all_views_show(fleet, FIRST, MemberState.LEAVING)
 
 
 def test_listed_as_leaving_sticks_before_first_contact():
@@ -143,7 +143,7 @@
     )
     fleet.show(Listing(10, (vanished,)))
     fleet.run(30)
-    assert everybody_says(fleet, SECOND, MemberState.ALIVE)
+    assert all_views_show(fleet, SECOND, MemberState.ALIVE)
     record = fleet.nodes[FIRST].detector.table.find("entry-vanished")
     assert record.state is MemberState.DEAD
     assert not record.confirmed
@@ -168,12 +168,12 @@
     fleet.loses = lambda sender, receiver: False
     fleet.run(60)
     assert all(
-        everybody_says(fleet, instance_id, MemberState.ALIVE)
+        all_views_show(fleet, instance_id, MemberState.ALIVE)
         for instance_id in fleet.nodes
     )
 
 
-def test_former_process_at_the_address_of_a_present_one_is_not_probed():
+def test_former_process_is_not_probed_at_a_reused_address():
     """
     Guards against connection attempts that go on for minutes after all instances were
     killed at once. Each restarts at its address with a new id, and the former ids are
@@ -232,7 +232,7 @@
     fleet.perform(newcomer, node.detector.receive(fleet.now, FIRST, answer))
     fleet.run(10)
     assert len(node.detector.table) == 9
-    assert everybody_says(fleet, newcomer, MemberState.ALIVE)
+    assert all_views_show(fleet, newcomer, MemberState.ALIVE)
 
 
 def test_restart_with_a_clock_that_stepped_back():
@@ -244,13 +244,13 @@
     fleet = start_fleet(5)
     fleet.nodes[FIRST].stopped = True
     fleet.run(20)
-    assert everybody_says(fleet, FIRST, MemberState.DEAD)
+    assert all_views_show(fleet, FIRST, MemberState.DEAD)
     restart_detector(fleet, FIRST, incarnation=5)
     fleet.run(20)
-    assert everybody_says(fleet, FIRST, MemberState.ALIVE)
+    assert all_views_show(fleet, FIRST, MemberState.ALIVE)
 
 
-def test_refutes_being_dead_but_not_that_it_leaves():
+def test_instance_refutes_being_dead_but_not_leaving():
     fleet = DetectorFleet(1, seed=1)
     own = fleet.nodes[FIRST].detector.own
 
--- a/tests/test_core/test_peers/test_choice.py
+++ b/tests/test_core/test_peers/test_choice.py
@@ -1,3 +1,5 @@
+"""Tests of greengagelatch.peers.choice."""
+
 import random
 
 from greengagelatch.peers.choice import choose_peers
--- a/tests/test_core/test_targets/test_polling.py
+++ b/tests/test_core/test_targets/test_polling.py
@@ -12,7 +12,7 @@
 REPORT = {"in_flight": 2, "queued": 1, "capacity": 4, "state": "live", "age_ms": 500}
 
 
-def test_age_is_subtracted_from_the_time_of_asking():
+def test_age_is_subtracted_from_the_time_of_the_request():
     report = parse_report(REPORT, asked=100.0)
     assert report.load.taken == 99.5
     assert not report.leaving
@@ -66,14 +66,14 @@
     assert min(polls.values()) >= 15
 
 
-def test_pause_does_not_end_in_a_burst():
+def test_no_burst_after_a_pause():
     schedule = PollSchedule(rate=10, random_source=random.Random(1))
     schedule.watch(0.0, {f"t-{number}": 1.0 for number in range(50)})
     schedule.take_due(0.0, 100)
     assert len(schedule.take_due(600.0, 100)) == 10
 
 
-def test_asked_target_is_not_asked_again_before_it_answers():
+def test_target_is_not_polled_again_before_it_answers():
     schedule = PollSchedule(rate=10, random_source=random.Random(1))
     schedule.watch(0.0, {"t-1": 1.0})
     assert schedule.take_due(2.0, 100) == ("t-1",)
--- a/tests/test_core/test_targets/test_registry.py
+++ b/tests/test_core/test_targets/test_registry.py
@@ -179,7 +179,7 @@
     assert set(users) == set(ids)
 
 
-def test_few_of_many_instances_share_a_target_of_a_large_service():
+def test_target_of_a_large_service_is_shared_by_few_of_many_instances():
     """
     Guards against instances of a large fleet using only a fraction of their targets'
     capacity. With 300 instances that use 20 of 600 targets each, a target is shared by
@@ -253,7 +253,7 @@
             self.registry.record_failure(target_id)
 
     @invariant()
-    def never_offers_what_left(self):
+    def never_offers_leaving_targets(self):
         assert not self.left & set(list_ids(self.registry))
         assert not any(self.registry.accepts(target_id) for target_id in self.left)
 
@@ -262,7 +262,7 @@
         assert sorted(self.reported) == sorted(self.left)
 
     @invariant()
-    def offers_what_it_accepts(self):
+    def accepts_what_it_offers(self):
         offered = list_ids(self.registry)
         assert len(offered) <= 4
         assert all(self.registry.accepts(target_id) for target_id in offered)
