--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -276,7 +276,7 @@
                 self._dispatch(link, envelope)
             case Err(DecodeError(unknown=True) as error):
                 self._metrics.count("peers.unknown_messages")
-                self._calls.answer(link, error.question, NotUnderstood(error.reason))
+                self._calls.answer(link, error.call_id, NotUnderstood(error.reason))
             case Err(error):
                 self._metrics.count("peers.bad_frames")
                 logger.warning("bad frame from %s: %s", link.instance_id, error.reason)
@@ -286,13 +286,13 @@
 
     def _dispatch(self, link: Link, envelope: Envelope) -> None:
         message = envelope.message
-        if envelope.answer:
-            if not self._questions.settle(link, envelope.answer, message):
+        if envelope.reply_to:
+            if not self._questions.settle(link, envelope.reply_to, message):
                 self._metrics.count("peers.late_answers")
             return
         if not is_probe(message):
             link.note_use()
-        self._calls.take(link, envelope.question, message)
+        self._calls.take(link, envelope.call_id, message)
 
     def _offer(self, link: Link, outgoing: Outgoing, message: Message) -> bool:
         if not is_probe(message):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
@@ -156,7 +156,7 @@
                 # also when cancelled because a backup call has answered instead
                 if attempt.silent_for > SILENCE:
                     self._pool.retire(target.address)
-        if isinstance(result, Err) and result.err_value.kind is FailureKind.CROSSED:
+        if isinstance(result, Err) and result.err_value.kind is FailureKind.MISMATCHED:
             self._pool.retire(target.address)
         return result
 
@@ -222,7 +222,7 @@
         except EventTooLargeError as error:
             return Err(self._fail(FailureKind.TARGET_ERROR, str(error)))
         except (aiohttp.ClientError, OSError) as error:
-            kind = FailureKind.CUT if self._sent else FailureKind.CONNECT
+            kind = FailureKind.DISCONNECTED if self._sent else FailureKind.CONNECT
             return Err(self._fail(kind, f"{type(error).__name__}: {error}"))
         finally:
             self._guard = None
@@ -231,7 +231,7 @@
         """Note that the next step hands bytes to the socket."""
         self._sent = True
         self._sent_at = self._clock.now()
-        self._extend(self._call.patience or self._limits.stall_timeout)
+        self._extend(self._call.first_byte_timeout or self._limits.stall_timeout)
 
     async def _exchange(
         self, session: aiohttp.ClientSession, target: Target, body: bytes
@@ -294,7 +294,7 @@
             for event in parser.feed(chunk):
                 self._reader.take(event, leaving=self._leaving)
         if self._reader.answer is None:
-            raise AnswerError(FailureKind.CUT, "stream without an end event")
+            raise AnswerError(FailureKind.DISCONNECTED, "stream without an end event")
         return self._reader.answer
 
     def _extend(self, seconds: float) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -8,10 +8,10 @@
 
 from mode import Service
 
-from greengagelatch.leases.contention import Wish, choose_wish
+from greengagelatch.leases.contention import LeaseIntent, choose_intent
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.store import ABSENT
 
 from . import Controller
@@ -76,12 +76,12 @@
         self._timeout: float = settings["platform.timeout"]
         self._wanted: frozenset[str] = frozenset()
         self._busy: frozenset[str] = frozenset()
-        self._tenures: dict[str, Tenure] = {}
+        self._tenures: dict[str, LeaseState] = {}
         self._calls: dict[str, asyncio.Task[None]] = {}
         #: members as last seen, and what follows from them for each group: to work
         #: it out takes a hash for each member, far too many for every tick
         self._ranked: tuple[Member, ...] = ()
-        self._wishes: dict[str, Wish] = {}
+        self._wishes: dict[str, LeaseIntent] = {}
         #: number of leases held, as last reported
         self._held = 0
         #: last failed call by group, for the state dump
@@ -96,7 +96,7 @@
         self._wanted = frozenset(groups)
         self._busy = frozenset(busy)
 
-    def find(self, group: str) -> Tenure | None:
+    def find(self, group: str) -> LeaseState | None:
         """Return what is known of a group's lease at this moment.
 
         The lease may lapse at any later one, so whoever acts under it asks anew
@@ -127,7 +127,7 @@
                 "wish": self._choose_wish(group).value,
                 "step": tenure.step.value,
                 "fence": tenure.fence,
-                "seconds_left": tenure.compute_left(now),
+                "seconds_left": tenure.compute_remaining(now),
                 "last_error": self._errors.get(group, ""),
             }
         return {"ttl": self._rules.ttl, "margin": self._rules.margin, "groups": groups}
@@ -151,15 +151,17 @@
                 continue
             tenure = self._tenures.get(group)
             if tenure is None:
-                tenure = Tenure(instance_id=self._peers.instance_id, rules=self._rules)
+                tenure = LeaseState(
+                    instance_id=self._peers.instance_id, rules=self._rules
+                )
             wish = self._choose_wish(group)
             tenure = tenure.plan(now, wish)
-            if wish is Wish.LET_GO and not tenure.lease_id:
+            if wish is LeaseIntent.RELEASE and not tenure.lease_id:
                 self._tenures.pop(group, None)
                 self._errors.pop(group, None)
                 continue
             self._tenures[group] = tenure
-            if tenure.step is TenureStep.REST:
+            if tenure.step is LeaseStep.IDLE:
                 continue
             call = asyncio.create_task(self._call(group))
             self._calls[group] = call
@@ -167,23 +169,25 @@
         self._report_held(now)
 
     def _report_held(self, now: Instant) -> None:
-        held = sum(tenure.compute_left(now) > 0 for tenure in self._tenures.values())
+        held = sum(
+            tenure.compute_remaining(now) > 0 for tenure in self._tenures.values()
+        )
         if held != self._held:
             self._held = held
             self._metrics.gauge("leases.held", held)
 
-    def _choose_wish(self, group: str) -> Wish:
+    def _choose_wish(self, group: str) -> LeaseIntent:
         if group in self._busy:
-            return Wish.HOLD
+            return LeaseIntent.HOLD
         if group not in self._wanted:
-            return Wish.LET_GO
+            return LeaseIntent.RELEASE
         members = self._peers.members()
         if members is not self._ranked:
             self._ranked = members
             self._wishes.clear()
         wish = self._wishes.get(group)
         if wish is None:
-            wish = self._wishes[group] = choose_wish(
+            wish = self._wishes[group] = choose_intent(
                 group,
                 members,
                 data_centre=self._data_centre,
@@ -195,7 +199,7 @@
         """Make the calls of a group until none is due."""
         while True:
             tenure = self._tenures[group].begin(read_instant(self._clock))
-            if tenure.step is TenureStep.REST:
+            if tenure.step is LeaseStep.IDLE:
                 return
             self._tenures[group] = tenure
             after = await self._make_call(group, tenure)
@@ -205,33 +209,33 @@
             self._note_change(group, tenure, after)
             self._tenures[group] = after
 
-    async def _make_call(self, group: str, tenure: Tenure) -> Tenure:
+    async def _make_call(self, group: str, tenure: LeaseState) -> LeaseState:
         key = f"{PREFIX}/{group}"
         match tenure.step:
-            case TenureStep.LOOK:
+            case LeaseStep.CHECK:
                 found = await self._store.get(key)
                 self._note_error(group, found)
                 wish = self._choose_wish(group)
-                return tenure.take_looked(found, read_instant(self._clock), wish)
-            case TenureStep.GRANT:
+                return tenure.handle_check(found, read_instant(self._clock), wish)
+            case LeaseStep.GRANT:
                 granted = await self._store.grant_lease(self._rules.ttl)
                 self._note_error(group, granted)
-                return tenure.take_granted(granted, read_instant(self._clock))
-            case TenureStep.ACQUIRE:
+                return tenure.handle_grant(granted, read_instant(self._clock))
+            case LeaseStep.ACQUIRE:
                 written = await self._store.swap(
                     key, tenure.value, ABSENT, lease_id=tenure.lease_id
                 )
-                return tenure.take_acquired(written, read_instant(self._clock))
-            case TenureStep.SETTLE:
+                return tenure.handle_acquire(written, read_instant(self._clock))
+            case LeaseStep.VERIFY:
                 found = await self._store.get(key)
                 self._note_error(group, found)
-                return tenure.take_settled(found, read_instant(self._clock))
-            case TenureStep.KEEP:
-                kept = await self._store.keep_lease(tenure.lease_id)
+                return tenure.handle_verify(found, read_instant(self._clock))
+            case LeaseStep.RENEW:
+                kept = await self._store.renew_lease(tenure.lease_id)
                 self._note_error(group, kept)
-                return tenure.take_kept(kept, read_instant(self._clock))
+                return tenure.handle_renew(kept, read_instant(self._clock))
         await self._store.revoke_lease(tenure.lease_id)
-        return tenure.take_revoked(read_instant(self._clock))
+        return tenure.handle_revoke(read_instant(self._clock))
 
     def _note_error(self, group: str, answer: Any) -> None:
         if answer.is_ok():
@@ -241,7 +245,7 @@
         self._errors[group] = f"{error.kind.value}: {error.message}"
         self._metrics.count(f"leases.errors.{error.kind.value}")
 
-    def _note_change(self, group: str, before: Tenure, after: Tenure) -> None:
+    def _note_change(self, group: str, before: LeaseState, after: LeaseState) -> None:
         if after.held and not before.held:
             self._metrics.count("leases.acquired")
             logger.info("lease of %s acquired, number %d", group, after.fence)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -18,7 +18,7 @@
     ProbeRequest,
 )
 from greengagelatch.membership.records import MAX_TEXT, encode_update
-from greengagelatch.membership.steps import DetectorRules, Identity, Step
+from greengagelatch.membership.steps import DetectorOutput, DetectorRules, Identity
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.peers.messages import Hello
 
@@ -32,7 +32,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.events import EventBus
     from greengagelatch.instances import Listing
-    from greengagelatch.membership.records import Record
+    from greengagelatch.membership.records import MemberRecord
     from greengagelatch.peers import PeerNetwork
     from greengagelatch.peers.codec import Message
     from greengagelatch.settings import Settings
@@ -197,7 +197,7 @@
         if linked_address and linked_address != hello.address:
             return f"id {hello.instance_id!r} is in use at {linked_address}"
         record = self._detector.table.find(hello.instance_id)
-        if record is None or not record.heard or record.address == hello.address:
+        if record is None or not record.confirmed or record.address == hello.address:
             return ""
         if record.state is not MemberState.ALIVE or not record.address:
             return ""
@@ -230,11 +230,13 @@
 
     def meet(self, identity: Identity, *, leaving: bool) -> None:
         """Take in what a peer says of itself when a link to it is opened."""
-        self._do(self._detector.meet(self._clock.now(), identity, leaving=leaving))
+        self._do(
+            self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
+        )
 
     def note_link_lost(self, instance_id: str) -> None:
         """Take note that a link broke."""
-        self._do(self._detector.note_link_lost(self._clock.now(), instance_id))
+        self._do(self._detector.handle_link_loss(self._clock.now(), instance_id))
 
     def _apply_listing(self, listing: Listing) -> None:
         self._do(self._detector.apply_listing(self._clock.now(), listing))
@@ -290,7 +292,7 @@
             identity=self._identity, rules=self._rules, random_source=self._random
         )
 
-    def _do(self, step: Step) -> None:
+    def _do(self, step: DetectorOutput) -> None:
         if step.changed:
             self._shown = None
         for item in step.sends:
@@ -310,15 +312,15 @@
     return type(hello.incarnation) is int and hello.incarnation > 0
 
 
-def _is_shown(record: Record, now: float) -> bool:
-    if not record.heard or record.is_gone(now):
+def _is_shown(record: MemberRecord, now: float) -> bool:
+    if not record.confirmed or record.is_gone(now):
         return False
     if record.state is not MemberState.LEAVING:
         return True
     return now - record.since < LEAVING_SHOWN
 
 
-def _show(record: Record) -> Member:
+def _show(record: MemberRecord) -> Member:
     return Member(
         instance_id=record.instance_id,
         data_centre=record.data_centre,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -13,10 +13,14 @@
 from greengagelatch.membership.backoff import compute_backoff
 from greengagelatch.peers import MemberState
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import Ledger, LedgerChange, LedgerRules
 from greengagelatch.targets.messages import LeavingQuery, TargetsLeaving
 from greengagelatch.targets.polling import PollSchedule
-from greengagelatch.targets.reports import read_report
+from greengagelatch.targets.registry import (
+    TargetRegistry,
+    TargetRegistryChange,
+    TargetRegistryRules,
+)
+from greengagelatch.targets.reports import parse_report
 
 from . import Controller
 from .listing import LISTING_RECEIVED
@@ -113,7 +117,7 @@
         self._interval = settings["targets.load_interval"]
         self._probe_longest = settings["targets.probe_longest"]
         self._timeout = aiohttp.ClientTimeout(total=settings["targets.load_timeout"])
-        self._ledger = Ledger(
+        self._ledger = TargetRegistry(
             instance_id=peers.instance_id, rules=_read_rules(settings)
         )
         self._schedule = PollSchedule(
@@ -143,15 +147,15 @@
     def accepts(self, target_id: str) -> bool:
         return self._ledger.accepts(target_id)
 
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         self._take(self._ledger.mark_leaving((target_id,)))
 
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
-            self._take(self._ledger.note_reached(target_id))
+            self._take(self._ledger.record_success(target_id))
             return
         self._metrics.count("targets.unreached_calls")
-        self._take(self._ledger.note_unreached(target_id))
+        self._take(self._ledger.record_failure(target_id))
 
     def estimate_users(self, service: str) -> float:
         """Return how many entry instances use one target of ``service``."""
@@ -227,7 +231,7 @@
             self._ledger.expire_reports(now)
             self._watch(now)
         room = MAX_POLLS - len(self._polls)
-        for target_id in self._schedule.take(now, room):
+        for target_id in self._schedule.take_due(now, room):
             target = self._ledger.find_target(target_id)
             if target is None:
                 continue
@@ -252,7 +256,7 @@
             body = await self._fetch_report(target)
         except (TimeoutError, aiohttp.ClientError, OSError):
             self._metrics.count("targets.poll_failures")
-            self._take(self._ledger.note_unreached(target.target_id))
+            self._take(self._ledger.record_failure(target.target_id))
         else:
             self._take_report(target, body, asked)
         finally:
@@ -264,7 +268,7 @@
         url = f"http://{target.address}/load"
         async with self._session.get(url, allow_redirects=False) as response:
             if response.headers.get("X-Target-State") == "leaving":
-                self.note_leaving(target.target_id)
+                self.mark_leaving(target.target_id)
             body = bytearray()
             async for chunk in response.content.iter_any():
                 body += chunk
@@ -277,9 +281,9 @@
             data = json.loads(body)
         except (ValueError, RecursionError):
             data = None
-        report = read_report(data, asked)
+        report = parse_report(data, asked)
         if report.leaving:
-            self.note_leaving(target.target_id)
+            self.mark_leaving(target.target_id)
         self._take(self._ledger.apply_report(target.target_id, report.load))
 
     def _plan_poll(self, target_id: str) -> None:
@@ -292,11 +296,11 @@
                 longest=self._probe_longest,
                 random_source=self._random,
             )
-        self._schedule.postpone(self._clock.now(), target_id, delay)
+        self._schedule.reschedule(self._clock.now(), target_id, delay)
 
     # peers
 
-    def _take(self, change: LedgerChange, *, heard: bool = False) -> None:
+    def _take(self, change: TargetRegistryChange, *, heard: bool = False) -> None:
         for target_id in change.leaving:
             self._metrics.count("targets.leaving")
             self._untold[heard].append(target_id)
@@ -341,7 +345,7 @@
         working = (MemberState.ALIVE, MemberState.SUSPECT)
         states = [member.state for member in self._peers.members()]
         number = sum(state in working for state in states)
-        self._take(self._ledger.share_with(number))
+        self._take(self._ledger.set_instance_count(number))
 
     def _pick_peers(self, number: int) -> list[str]:
         reachable = [
@@ -353,12 +357,12 @@
         return self._random.sample(reachable, min(number, len(reachable)))
 
 
-def _read_rules(settings: Settings) -> LedgerRules:
-    return LedgerRules(
-        subset=settings["targets.subset"],
-        spread=settings["targets.spread"],
+def _read_rules(settings: Settings) -> TargetRegistryRules:
+    return TargetRegistryRules(
+        min_subset=settings["targets.subset"],
+        instances_per_target=settings["targets.spread"],
         missing_listings=settings["targets.missing_listings"],
-        failures=settings["targets.failures"],
-        minimum=settings["targets.minimum"],
-        report_life=settings["targets.report_life"],
+        ejection_threshold=settings["targets.failures"],
+        min_candidates=settings["targets.minimum"],
+        report_ttl=settings["targets.report_life"],
     )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -209,7 +209,7 @@
         self._read_callbacks[bundle_key] = on_read
         try:
             reply = await self._send(owner, group, bundle)
-            if isinstance(reply, Err) and reply.err_value.cut:
+            if isinstance(reply, Err) and reply.err_value.disconnected:
                 # An owner excluded for a broken link would not be the owner here while
                 # it is for the other instances, and two owners would overload the
                 # makers. It recognises the bundle, and a new connection fails at once
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/registry.py
@@ -129,7 +129,7 @@
         return False
 
     async def _renew(self) -> bool:
-        renewed = await self._store.keep_lease(self._lease_id)
+        renewed = await self._store.renew_lease(self._lease_id)
         if not isinstance(renewed, Err):
             return True
         if renewed.err_value.kind is StoreErrorKind.LEASE_GONE:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -159,7 +159,7 @@
             stream=work.streamed,
             resume_at=len(received),
             received=received,
-            patience=patience,
+            first_byte_timeout=patience,
         )
 
     def _settle(self, attempt: _Attempt) -> None:
@@ -189,11 +189,11 @@
         target_id = grant.target.target_id
         value = result.ok_value if isinstance(result, Ok) else result.err_value
         if value.leaving:
-            self._directory.note_leaving(target_id)
+            self._directory.mark_leaving(target_id)
         if isinstance(result, Ok):
-            self._directory.note_call(target_id, answered=True)
+            self._directory.record_call(target_id, answered=True)
         elif result.err_value.kind is FailureKind.CONNECT:
-            self._directory.note_call(target_id, answered=False)
+            self._directory.record_call(target_id, answered=False)
 
     def _start_cancel(self, attempt: _Attempt) -> None:
         if len(self._cancels) >= MAX_CANCELS:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -11,8 +11,8 @@
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.membership.detector import Detector
 from greengagelatch.membership.messages import MembersTable
-from greengagelatch.membership.records import Update, encode_update
-from greengagelatch.membership.steps import DetectorRules, Identity, Step
+from greengagelatch.membership.records import MemberUpdate, encode_update
+from greengagelatch.membership.steps import DetectorOutput, DetectorRules, Identity
 from greengagelatch.peers import MemberState
 from greengagelatch.peers.codec import Envelope, Message, encode
 
@@ -130,7 +130,7 @@
         for instance_id in self.nodes:
             self.teach(instance_id, updates)
 
-    def teach(self, instance_id: str, updates: Iterable[Update]) -> None:
+    def teach(self, instance_id: str, updates: Iterable[MemberUpdate]) -> None:
         """Give one instance a table of members, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
         node = self.nodes[instance_id]
@@ -142,9 +142,9 @@
         for other_id, other in self.nodes.items():
             if other is node or other.stopped:
                 continue
-            step = node.detector.meet(self.now, other.identity)
+            step = node.detector.register_peer(self.now, other.identity)
             self.perform(instance_id, step)
-            step = other.detector.meet(self.now, node.identity)
+            step = other.detector.register_peer(self.now, node.identity)
             self.perform(other_id, step)
 
     def run(self, seconds: float) -> None:
@@ -163,7 +163,7 @@
                 self.perform(instance_id, node.detector.advance(self.now))
                 self._count_false(node, before)
 
-    def perform(self, sender: str, step: Step) -> None:
+    def perform(self, sender: str, step: DetectorOutput) -> None:
         """Send what a detector wants sent."""
         node = self.nodes[sender]
         for send in step.sends:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -19,8 +19,8 @@
 
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets.directory import LoadReport
-from greengagelatch.targets.ledger import Ledger, LedgerRules
 from greengagelatch.targets.polling import PollSchedule
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 
 from .fleet import DATA_CENTRES, DetectorFleet
 from .links import measure_links
@@ -91,9 +91,13 @@
 def measure_ledger(replicas: int, seconds: int) -> LedgerCost:
     """Measure the target directory with ``replicas`` in five services."""
     listings = [_make_listing(as_of, replicas) for as_of in (1, 2)]
-    ledger = Ledger(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
+    ledger = TargetRegistry(
+        instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
+    )
     # entry instances grow with the targets
-    ledger.share_with(max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1]))
+    ledger.set_instance_count(
+        max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1])
+    )
     ledger.apply_listing(listings[0])
     begun = time.process_time()
     ledger.apply_listing(listings[1])
@@ -143,10 +147,11 @@
     known = fleet.nodes[fleet.random.choice(running)].detector
     fleet.perform(
         node.identity.instance_id,
-        node.detector.meet(fleet.now, fleet.nodes[running[0]].identity),
+        node.detector.register_peer(fleet.now, fleet.nodes[running[0]].identity),
     )
     fleet.perform(
-        running[0], fleet.nodes[running[0]].detector.meet(fleet.now, node.identity)
+        running[0],
+        fleet.nodes[running[0]].detector.register_peer(fleet.now, node.identity),
     )
     fleet.teach(node.identity.instance_id, known.list_all_updates())
 
@@ -159,8 +164,10 @@
     return fleet
 
 
-def _build_ledger(listing: Listing) -> Ledger:
-    ledger = Ledger(instance_id="entry-1", rules=LedgerRules(subset=SUBSET))
+def _build_ledger(listing: Listing) -> TargetRegistry:
+    ledger = TargetRegistry(
+        instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
+    )
     ledger.apply_listing(listing)
     for number in range(SERVICES):
         ledger.list_candidates(0.0, f"service-{number}")
@@ -190,7 +197,7 @@
     return Listing(as_of, tuple(rows))
 
 
-def _run_directory(ledger: Ledger, schedule: PollSchedule, seconds: int) -> int:
+def _run_directory(ledger: TargetRegistry, schedule: PollSchedule, seconds: int) -> int:
     polls = 0
     for tick in range(seconds * 10):
         now = tick / 10
@@ -198,11 +205,11 @@
             ledger.expire_reports(now)
             watched = ledger.list_watched(now - 60)
             schedule.watch(now, dict.fromkeys(watched, LOAD_INTERVAL))
-        for target_id in schedule.take(now, 32):
+        for target_id in schedule.take_due(now, 32):
             polls += 1
             report = LoadReport(in_flight=1, queued=0, capacity=4, taken=now)
             ledger.apply_report(target_id, report)
-            schedule.postpone(now, target_id, LOAD_INTERVAL)
+            schedule.reschedule(now, target_id, LOAD_INTERVAL)
         for number in range(REQUESTS_PER_SECOND // 10):
             ledger.list_candidates(now, f"service-{number % SERVICES}")
     return polls
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -10,7 +10,7 @@
 from greengagelatch.instances import Instance, InstanceKind, Listing
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, TargetDirectory
-from greengagelatch.targets.ledger import Ledger, LedgerRules
+from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 
 from ..fleets import Fleet
 from .events import EventClock
@@ -119,7 +119,9 @@
     ) -> None:
         self._clock = fleet.clock
         self._reports = reports
-        self._ledger = Ledger(instance_id=instance_id, rules=LedgerRules())
+        self._ledger = TargetRegistry(
+            instance_id=instance_id, rules=TargetRegistryRules()
+        )
         self._ledger.apply_listing(fleet.list_instances())
         for model in fleet.models.values():
             delay = random_source.random() * reports.interval
@@ -131,20 +133,20 @@
     def accepts(self, target_id: str) -> bool:
         return self._ledger.accepts(target_id)
 
-    def note_leaving(self, target_id: str) -> None:
+    def mark_leaving(self, target_id: str) -> None:
         self._ledger.mark_leaving((target_id,))
 
-    def note_call(self, target_id: str, *, answered: bool) -> None:
+    def record_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
-            self._ledger.note_reached(target_id)
+            self._ledger.record_success(target_id)
         else:
-            self._ledger.note_unreached(target_id)
+            self._ledger.record_failure(target_id)
 
     def _ask(self, model: TargetModel) -> None:
         target_id = model.target.target_id
         self._clock.call_later(self._reports.interval, lambda: self._ask(model))
         if not model.reachable:
-            self._ledger.note_unreached(target_id)
+            self._ledger.record_failure(target_id)
             return
         report = model.report()
         self._clock.call_later(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -218,14 +218,16 @@
         number = next(self._numbers)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._questions[number] = (link, answer)
-        self._exchange.carry(link, self, encode(Envelope(message, question=number)))
+        self._exchange.carry(link, self, encode(Envelope(message, call_id=number)))
         try:
             async with asyncio.timeout(timeout):
                 reply = await answer
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "no answer in time"))
         except ConnectionError:
-            return Err(PeerError(PeerErrorKind.NO_ANSWER, "the link closed", cut=True))
+            return Err(
+                PeerError(PeerErrorKind.NO_ANSWER, "the link closed", disconnected=True)
+            )
         finally:
             del self._questions[number]
         if isinstance(reply, NotUnderstood):
@@ -292,20 +294,20 @@
     def receive(self, link: _Link, frame: bytes) -> None:
         """Take in a frame."""
         envelope = decode(frame).unwrap()
-        if envelope.answer:
-            used, answer = self._questions.get(envelope.answer, (None, None))
+        if envelope.reply_to:
+            used, answer = self._questions.get(envelope.reply_to, (None, None))
             if used is link and not answer.done():
                 answer.set_result(envelope.message)
             return
         handler = self._handlers.get(type(envelope.message))
         if handler is None:
-            self._answer(link, envelope.question, NotUnderstood("no handler"))
+            self._answer(link, envelope.call_id, NotUnderstood("no handler"))
             return
         answer = handler(link.get_other(self).instance_id, envelope.message)
         if not inspect.isawaitable(answer):
-            self._answer(link, envelope.question, answer or Unanswered())
+            self._answer(link, envelope.call_id, answer or Unanswered())
             return
-        task = asyncio.create_task(self._finish(link, envelope.question, answer))
+        task = asyncio.create_task(self._finish(link, envelope.call_id, answer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -314,7 +316,9 @@
 
     def _answer(self, link: _Link, question: int, message: Message) -> None:
         if question and link.open:
-            self._exchange.carry(link, self, encode(Envelope(message, answer=question)))
+            self._exchange.carry(
+                link, self, encode(Envelope(message, reply_to=question))
+            )
 
     def _find_link(self, instance_id: str) -> _Link | None:
         link = self._exchange.find(self.instance_id, instance_id)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -8,10 +8,10 @@
 
 from result import Err
 
-from greengagelatch.leases.contention import Wish
+from greengagelatch.leases.contention import LeaseIntent
 from greengagelatch.leases.instants import Instant
 from greengagelatch.leases.rules import LeaseRules
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.orders import EngineReport, EngineState, Order, permission
 from greengagelatch.orders.engine import EngineAction, EngineRecord
 from greengagelatch.orders.rules import Fencing, OrderRules
@@ -47,7 +47,7 @@
 LEASE_RULES = LeaseRules(ttl=TTL, margin=1.0)
 
 #: calls whose number in one run is bounded, by the name of the bound
-BUDGETED = {TenureStep.GRANT: "grants", TenureStep.KEEP: "keeps"}
+BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "keeps"}
 
 LOST = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
@@ -97,12 +97,12 @@
         contenders = []
         for number in range(len(self._speeds)):
             contenders.append(
-                Contender(Tenure(instance_id=str(number), rules=LEASE_RULES))
+                Contender(LeaseState(instance_id=str(number), rules=LEASE_RULES))
             )
         world = OrdersWorld(self._budget, tuple(contenders))
         if self._holding:
             for _ in range(3):
-                world = self._begin(world, 0, Wish.HOLD)
+                world = self._begin(world, 0, LeaseIntent.HOLD)
                 world = self._handle(world, 0)
                 world = self._answer(world, 0, world.contenders[0].call.answer)
             # the former holder's time is not what this run is about
@@ -138,7 +138,7 @@
         believers = 0
         for number, contender in enumerate(state.contenders):
             now = self._read_clock(state, number)
-            believers += contender.alive and contender.tenure.compute_left(now) > 0
+            believers += contender.alive and contender.tenure.compute_remaining(now) > 0
         if believers > 1:
             return "two contenders believe that they hold the lease"
         return ""
@@ -188,35 +188,35 @@
             lost = spend(state, "lost_calls")
             if call.answer is None:
                 lost = lost.change(late=(*lost.late, call))
-            answer = UNKNOWN if call.step is TenureStep.ACQUIRE else LOST
+            answer = UNKNOWN if call.step is LeaseStep.ACQUIRE else LOST
             yield f"{name} gets no answer", self._answer(lost, number, answer)
 
     def _begin_call(
         self, state: OrdersWorld, number: int
     ) -> Iterator[tuple[str, OrdersWorld]]:
         contender = state.contenders[number]
-        begun = self._begin(state, number, Wish.HOLD)
+        begun = self._begin(state, number, LeaseIntent.HOLD)
         step = begun.contenders[number].tenure.step
-        if step is TenureStep.LOOK and state.store.revision != ABSENT:
+        if step is LeaseStep.CHECK and state.store.revision != ABSENT:
             # it would find a holder and look again later, as if it had not looked
             return
         name = BUDGETED.get(step)
         if name is not None:
             if getattr(state.budget, name):
                 yield f"{number} begins {step.value}", spend(begun, name)
-        elif step is not TenureStep.REST:
+        elif step is not LeaseStep.IDLE:
             yield f"{number} begins {step.value}", begun
         busy = contender.awaited or contender.planned or contender.record.unsettled
         if state.budget.let_go and contender.tenure.held and not busy:
             spent = spend(state, "let_go")
-            yield f"{number} lets go", self._begin(spent, number, Wish.LET_GO)
+            yield f"{number} lets go", self._begin(spent, number, LeaseIntent.RELEASE)
 
-    def _begin(self, state: OrdersWorld, number: int, wish: Wish) -> OrdersWorld:
+    def _begin(self, state: OrdersWorld, number: int, wish: LeaseIntent) -> OrdersWorld:
         contender = state.contenders[number]
         now = self._read_clock(state, number)
         tenure = contender.tenure.plan(now, wish)
         call = None
-        if tenure.step is not TenureStep.REST:
+        if tenure.step is not LeaseStep.IDLE:
             tenure = tenure.begin(now)
             call = Call(tenure.step, tenure.lease_id, tenure.value)
         return self._change_tenure(state, number, tenure, call)
@@ -232,18 +232,18 @@
         tenure = state.contenders[number].tenure
         now = self._read_clock(state, number)
         match tenure.step:
-            case TenureStep.LOOK:
-                after = tenure.take_looked(answer, now, Wish.HOLD)
-            case TenureStep.GRANT:
-                after = tenure.take_granted(answer, now)
-            case TenureStep.ACQUIRE:
-                after = tenure.take_acquired(answer, now)
-            case TenureStep.SETTLE:
-                after = tenure.take_settled(answer, now)
-            case TenureStep.KEEP:
-                after = tenure.take_kept(answer, now)
+            case LeaseStep.CHECK:
+                after = tenure.handle_check(answer, now, LeaseIntent.HOLD)
+            case LeaseStep.GRANT:
+                after = tenure.handle_grant(answer, now)
+            case LeaseStep.ACQUIRE:
+                after = tenure.handle_acquire(answer, now)
+            case LeaseStep.VERIFY:
+                after = tenure.handle_verify(answer, now)
+            case LeaseStep.RENEW:
+                after = tenure.handle_renew(answer, now)
             case _:
-                after = tenure.take_revoked(now)
+                after = tenure.handle_revoke(now)
         if after.held and not tenure.held:
             if after.fence <= state.fence:
                 state = state.change(fault="a fencing number is not a higher one")
@@ -251,7 +251,7 @@
         return self._change_tenure(state, number, after, None)
 
     def _change_tenure(
-        self, state: OrdersWorld, number: int, tenure: Tenure, call: Call | None
+        self, state: OrdersWorld, number: int, tenure: LeaseState, call: Call | None
     ) -> OrdersWorld:
         contender = state.contenders[number]
         record = contender.record
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from greengagelatch.leases.tenure import Tenure, TenureStep
+from greengagelatch.leases.state import LeaseState, LeaseStep
 from greengagelatch.orders import EngineState, Order
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.store import ABSENT
@@ -50,7 +50,7 @@
 class Call:
     """A call to the store, and its answer once it was handled."""
 
-    step: TenureStep
+    step: LeaseStep
     lease_id: str
     value: bytes
     answer: Any = None
@@ -60,7 +60,7 @@
 class Contender:
     """One entry instance."""
 
-    tenure: Tenure
+    tenure: LeaseState
     alive: bool = True
     call: Call | None = None
     record: EngineRecord = UNREAD
--- a/packages/greengagelatch/src/greengagelatch/membership/detector.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/detector.py
@@ -1,10 +1,11 @@
-"""Failure detection between entry instances, in the manner of SWIM.
-
-Each period an instance probes one of its peers. A peer that does not answer is
-probed through a few others, since only the path between the two may be at fault. If
-that fails too it is suspected, and all are told. Unless it refutes that in time, by
-a higher incarnation, it is taken for dead. What instances observe travels with the
-probes and their answers, so the cost for an instance does not grow with the fleet.
+"""Failure detection between entry instances, based on the SWIM protocol.
+
+In each period an instance probes one of its peers. If the peer does not answer, the
+instance asks a few others to probe it as well, since only the path between the two may
+be broken. If these indirect probes fail too, the peer is suspected and the suspicion
+is gossiped. Unless the peer refutes it in time with a higher incarnation, it is
+declared dead. Updates are piggybacked on probes and acknowledgements, so the cost for
+an instance does not grow with the size of the fleet.
 """
 
 from __future__ import annotations
@@ -18,26 +19,30 @@
 from ..instances import Listing
 from ..peers import MemberState
 from ..peers.codec import Message
+from .gossip import GossipQueue
 from .messages import MembersTable, Probe, ProbeAck, ProbeRequest
 from .overlay import choose_neighbours
 from .own import OwnState
 from .probes import PendingProbes
-from .records import Record, Update, decode_update, encode_update
-from .rumours import Rumours
-from .steps import DetectorRules, Identity, Send, Step
-from .table import Table, list_updates
+from .records import MemberRecord, MemberUpdate, decode_update, encode_update
+from .steps import DetectorOutput, DetectorRules, Identity, OutgoingMessage
+from .table import MemberTable, list_updates
 
 __all__ = ("Detector",)
 
-#: suspected instances probed again in each period, so that they hear of it
+#: suspected instances probed in each period, so that they learn of the suspicion
 SUSPECTS_PROBED = 2
 
-#: peers told directly when this instance begins to leave
-LEAVING_TOLD = 16
+#: peers that receive a direct message when this instance begins to leave
+LEAVING_FANOUT = 16
 
 
 class Detector:
-    """The membership as this instance sees it; it neither sends nor waits."""
+    """The membership as seen by this instance.
+
+    The class does no I/O and reads no clock: its methods take the current time in
+    monotonic seconds and return the messages to send.
+    """
 
     def __init__(
         self, *, identity: Identity, rules: DetectorRules, random_source: random.Random
@@ -45,8 +50,8 @@
         self._own = OwnState(identity)
         self._rules = rules
         self._random = random_source
-        self._table = Table()
-        self._rumours = Rumours(factor=rules.spread)
+        self._table = MemberTable()
+        self._gossip = GossipQueue(factor=rules.gossip_factor)
         self._probes = PendingProbes()
         self._order: list[str] = []
         self._periods = 0
@@ -54,24 +59,24 @@
         self._next_dead = 0.0
         self._last: float | None = None
         self._neighbours: frozenset[str] | None = None
-        self._sends: list[Send] = []
+        self._sends: list[OutgoingMessage] = []
         self._changed = False
-        self._rumours.add(self._own.update)
+        self._gossip.add(self._own.update)
 
-    # questions
+    # queries
 
     @property
     def own(self) -> OwnState:
-        """What this instance says of itself."""
+        """State of this instance itself."""
         return self._own
 
     @property
-    def table(self) -> Table:
-        """What is believed of the other instances."""
+    def table(self) -> MemberTable:
+        """Records of all other known instances."""
         return self._table
 
     def list_neighbours(self) -> frozenset[str]:
-        """Return the instances to which a link should be kept."""
+        """Return the instances to which a link should be kept open."""
         if self._neighbours is None:
             up = self._table.select(MemberState.ALIVE, MemberState.SUSPECT)
             self._neighbours = choose_neighbours(
@@ -83,20 +88,20 @@
         return self._neighbours
 
     def compute_suspicion(self) -> float:
-        """Return the seconds that a suspected instance has to refute it."""
+        """Return the seconds that an instance has to refute a suspicion."""
         members = max(10, self._count_present())
-        return self._rules.suspicion * self._rules.period * math.log10(members)
+        return self._rules.suspicion_periods * self._rules.period * math.log10(members)
 
-    def list_all_updates(self) -> list[Update]:
-        """Return all that is known, this instance included."""
+    def list_all_updates(self) -> list[MemberUpdate]:
+        """Return the updates of all known instances, this one included."""
         return [self._own.update, *list_updates(self._table)]
 
     def compute_digest(self) -> bytes:
-        """Return a digest of who is up, this instance included."""
+        """Return a digest of all live instances, this one included."""
         present = {
             record.instance_id: record.incarnation
             for record in self._table.select(MemberState.ALIVE, MemberState.SUSPECT)
-            if record.heard
+            if record.confirmed
         }
         if not self._own.leaving:
             present[self._own.instance_id] = self._own.incarnation
@@ -107,20 +112,22 @@
 
     # inputs
 
-    def advance(self, now: float) -> Step:
-        """Do what is due; to be called several times in each period."""
-        self._notice_pause(now)
+    def advance(self, now: float) -> DetectorOutput:
+        """Process all timers; must be called several times in each period."""
+        self._handle_pause(now)
         self._last = now
-        self._judge_probes(now)
-        self._judge_suspects(now)
+        self._check_probes(now)
+        self._expire_suspects(now)
         if self._next_period is None or now >= self._next_period:
             self._begin_period(now)
         return self._finish()
 
-    def meet(self, now: float, identity: Identity, *, leaving: bool = False) -> Step:
-        """Take in what a peer says of itself when a link to it is opened."""
+    def register_peer(
+        self, now: float, identity: Identity, *, leaving: bool = False
+    ) -> DetectorOutput:
+        """Record the identity that a peer sent when a link to it was opened."""
         state = MemberState.LEAVING if leaving else MemberState.ALIVE
-        update = Update(
+        update = MemberUpdate(
             instance_id=identity.instance_id,
             incarnation=identity.incarnation,
             state=state,
@@ -129,98 +136,99 @@
             capacity=identity.capacity,
         )
         self._merge(now, update)
-        # it may be believed dead by now and has to learn of that to refute it
+        # the peer may have been declared dead meanwhile and can only refute that once
+        # it has received the update, which is piggybacked on this probe
         if self._find_state(identity.instance_id) is not MemberState.LEAVING:
             self._probe(now, identity.instance_id)
         return self._finish()
 
-    def receive(self, now: float, sender: str, message: Message) -> Step:
-        """Take in a probe, an answer to one or a request for one."""
+    def receive(self, now: float, sender: str, message: Message) -> DetectorOutput:
+        """Process a message from a peer."""
         match message:
             case Probe(sequence, updates):
                 self._merge_all(now, updates)
-                ack = ProbeAck(sequence, self._take_updates(sender))
-                self._sends.append(Send(sender, ack))
+                ack = ProbeAck(sequence, self._piggyback_updates(sender))
+                self._sends.append(OutgoingMessage(sender, ack))
             case ProbeAck(sequence, updates):
                 self._merge_all(now, updates)
-                self._settle(sequence)
+                self._acknowledge(sequence)
             case ProbeRequest(sequence, instance_id, updates):
                 self._merge_all(now, updates)
                 origin = (sender, sequence)
                 self._probe(now, instance_id, origin=origin)
             case MembersTable(updates):
-                # Whoever sent this knows it all and so do most others. Passed on
-                # from here, a table of hundreds would fill all probes for minutes.
-                self._merge_all(now, updates, passed_on=False)
+                # not gossiped: the sender and most others know these updates already,
+                # and a table of hundreds would fill all probes for minutes
+                self._merge_all(now, updates, gossiped=False)
         return self._finish()
 
-    def note_link_lost(self, now: float, instance_id: str) -> Step:
-        """Probe an instance at once, as a link to it has broken."""
+    def handle_link_loss(self, now: float, instance_id: str) -> DetectorOutput:
+        """Probe an instance at once, as the link to it was lost."""
         state = self._find_state(instance_id)
         if state is MemberState.ALIVE and not self._probes.awaits(instance_id):
             self._probe(now, instance_id)
         return self._finish()
 
-    def apply_listing(self, now: float, listing: Listing) -> Step:
-        """Take in the platform's list."""
+    def apply_listing(self, now: float, listing: Listing) -> DetectorOutput:
+        """Apply a listing of the platform."""
         before = len(self._table)
-        news = self._table.apply_listing(listing, self._own.instance_id, now)
-        for update in news:
-            self._rumours.add(update)
-        if news or len(self._table) != before:
-            self._note_change()
+        updates = self._table.apply_listing(listing, self._own.instance_id, now)
+        for update in updates:
+            self._gossip.add(update)
+        if updates or len(self._table) != before:
+            self._mark_changed()
         return self._finish()
 
-    def leave(self, now: float) -> Step:
-        """Announce that this instance is leaving; it can't be undone."""
+    def leave(self, now: float) -> DetectorOutput:
+        """Announce that this instance is leaving, which cannot be undone."""
         if self._own.leaving:
             return self._finish()
         self._own.leave()
         self._changed = True
-        self._rumours.add(self._own.update)
+        self._gossip.add(self._own.update)
         present = self._list_present()
-        for peer in self._pick(present, LEAVING_TOLD, frozenset()):
+        for peer in self._sample(present, LEAVING_FANOUT, frozenset()):
             self._probe(now, peer)
         return self._finish()
 
-    # time
+    # timers
 
-    def _notice_pause(self, now: float) -> None:
-        """Restart all timers after this process stood still.
+    def _handle_pause(self, now: float) -> None:
+        """Restart all timers after a pause of this process.
 
-        A process that was stopped, or whose loop was blocked, finds all its probes
-        unanswered when it runs again. One would notice it by an instance that
-        declares everybody dead at once. So the time that passed is not held against
-        anybody: open probes are dropped and suspicions last longer by the pause.
+        When a process continues after it was stopped, or its event loop was blocked,
+        all its probes are overdue, and it would declare all its peers dead at once. So
+        the time of the pause is not counted: pending probes are dropped and suspicions
+        are extended by the length of the pause.
         """
-        if self._last is None or now - self._last <= self._rules.pause:
+        if self._last is None or now - self._last <= self._rules.pause_threshold:
             return
         pause = now - self._last
         self._probes.clear()
-        self._table.delay(pause)
+        self._table.shift_times(pause)
         self._next_period = now
         if not self._own.leaving and pause > self._rules.probe_limit:
-            # others may suspect this instance by now; this refutes it beforehand
+            # others may suspect this instance by now: refute it pre-emptively
             self._own.raise_incarnation()
-            self._rumours.add(self._own.update)
+            self._gossip.add(self._own.update)
 
-    def _judge_probes(self, now: float) -> None:
-        for sequence, probe in self._probes.list_unhelped(
+    def _check_probes(self, now: float) -> None:
+        for sequence, probe in self._probes.start_indirect(
             now - self._rules.probe_timeout
         ):
-            helpers = self._pick(
-                self._list_present(), self._rules.helpers, {probe.instance_id}
+            peers = self._sample(
+                self._list_present(), self._rules.indirect_probes, {probe.instance_id}
             )
-            for helper in helpers:
+            for peer in peers:
                 request = ProbeRequest(
-                    sequence, probe.instance_id, self._take_updates(helper)
+                    sequence, probe.instance_id, self._piggyback_updates(peer)
                 )
-                self._sends.append(Send(helper, request))
-        for probe in self._probes.take_failed(now - self._rules.probe_limit):
+                self._sends.append(OutgoingMessage(peer, request))
+        for probe in self._probes.pop_failed(now - self._rules.probe_limit):
             if probe.origin is None:
                 self._suspect(now, probe.instance_id)
 
-    def _judge_suspects(self, now: float) -> None:
+    def _expire_suspects(self, now: float) -> None:
         latest = now - self.compute_suspicion()
         for record in self._table.select(MemberState.SUSPECT):
             if record.since <= latest:
@@ -235,32 +243,32 @@
         if chosen is not None:
             self._probe(now, chosen)
         suspects = [r.instance_id for r in self._table.select(MemberState.SUSPECT)]
-        for suspect in self._pick(suspects, SUSPECTS_PROBED, {chosen or ""}):
+        for suspect in self._sample(suspects, SUSPECTS_PROBED, {chosen or ""}):
             self._probe(now, suspect)
         if now >= self._next_dead:
             self._begin_dead_period(now)
 
     def _begin_dead_period(self, now: float) -> None:
-        # dead instances may be on the other side of a partition; trying them, ever
-        # so rarely, is what joins the two sides again when it heals
+        # dead instances may be on the other side of a partition; only occasional probes
+        # of them rejoin the two sides after the partition has healed
         spread = 0.5 + self._random.random()
         self._next_dead = now + self._rules.dead_interval * spread
-        self._table.forget(now)
+        self._table.expire(now)
         self._neighbours = None
-        taken = self._list_taken_addresses()
+        used = self._list_used_addresses()
         dead = [
             record.instance_id
             for record in self._table.select(MemberState.DEAD)
-            if record.address and record.address not in taken
+            if record.address and record.address not in used
         ]
-        for instance_id in self._pick(dead, 1, frozenset()):
+        for instance_id in self._sample(dead, 1, frozenset()):
             self._probe(now, instance_id)
 
-    def _list_taken_addresses(self) -> set[str]:
-        """Return the addresses at which an instance is that is not dead.
+    def _list_used_addresses(self) -> set[str]:
+        """Return the addresses of all instances that are not dead.
 
-        A dead one whose address another process has was a former process there. It
-        never answers, and each probe of it would have three helpers try it as well.
+        A dead instance with one of these addresses was an earlier process there. It
+        never answers, and each probe of it would cause three indirect probes.
         """
         present = self._table.select(
             MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING
@@ -269,13 +277,14 @@
 
     def _choose_probed(self) -> str | None:
         if self._periods % self._rules.random_share == 0:
-            return next(iter(self._pick(self._list_present(), 1, frozenset())), None)
+            return next(iter(self._sample(self._list_present(), 1, frozenset())), None)
         neighbours = self.list_neighbours()
         while self._order:
             instance_id = self._order.pop()
             if instance_id in neighbours:
                 return instance_id
-        # each round visits all neighbours in a new order: none is left out for long
+        # each round probes all neighbours once, in a new random order, which bounds the
+        # time until each of them is probed
         self._order = sorted(neighbours)
         self._random.shuffle(self._order)
         return self._order.pop() if self._order else None
@@ -289,29 +298,29 @@
         if record is None or not record.address:
             return
         sequence = self._probes.add(now, instance_id, origin)
-        message = Probe(sequence, self._take_updates(instance_id))
-        self._sends.append(Send(instance_id, message))
+        message = Probe(sequence, self._piggyback_updates(instance_id))
+        self._sends.append(OutgoingMessage(instance_id, message))
 
-    def _settle(self, sequence: int) -> None:
-        probe = self._probes.take(sequence)
+    def _acknowledge(self, sequence: int) -> None:
+        probe = self._probes.pop(sequence)
         if probe is None or probe.origin is None:
             return
         requester, requested = probe.origin
-        ack = ProbeAck(requested, self._take_updates(requester))
-        self._sends.append(Send(requester, ack))
+        ack = ProbeAck(requested, self._piggyback_updates(requester))
+        self._sends.append(OutgoingMessage(requester, ack))
 
     def _suspect(self, now: float, instance_id: str) -> None:
         record = self._table.find(instance_id)
         if record is None or record.state is not MemberState.ALIVE:
             return
-        # nobody has met it: there is nobody to refute a suspicion
-        state = MemberState.SUSPECT if record.heard else MemberState.DEAD
+        # no instance ever had contact with it, so nobody would refute a suspicion
+        state = MemberState.SUSPECT if record.confirmed else MemberState.DEAD
         self._observe(now, record, state)
 
-    # observations
+    # updates
 
-    def _observe(self, now: float, record: Record, state: MemberState) -> None:
-        update = Update(
+    def _observe(self, now: float, record: MemberRecord, state: MemberState) -> None:
+        update = MemberUpdate(
             instance_id=record.instance_id,
             incarnation=record.incarnation,
             state=state,
@@ -322,33 +331,35 @@
         self._merge(now, update)
 
     def _merge_all(
-        self, now: float, updates: Iterable[object], *, passed_on: bool = True
+        self, now: float, updates: Iterable[object], *, gossiped: bool = True
     ) -> None:
         for item in updates:
             update = decode_update(item)
             if update is not None:
-                self._merge(now, update, passed_on=passed_on)
+                self._merge(now, update, gossiped=gossiped)
 
-    def _merge(self, now: float, update: Update, *, passed_on: bool = True) -> None:
+    def _merge(
+        self, now: float, update: MemberUpdate, *, gossiped: bool = True
+    ) -> None:
         if update.instance_id == self._own.instance_id:
-            if self._own.hear(update):
-                self._rumours.add(self._own.update)
+            if self._own.refute(update):
+                self._gossip.add(self._own.update)
             return
         if not self._table.merge(update, now):
             return
-        self._note_change()
+        self._mark_changed()
         record = self._table.find(update.instance_id)
-        if passed_on and record is not None and record.heard:
-            self._rumours.add(record.update)
+        if gossiped and record is not None and record.confirmed:
+            self._gossip.add(record.update)
 
-    def _take_updates(self, receiver: str) -> tuple[tuple, ...]:
+    def _piggyback_updates(self, receiver: str) -> tuple[tuple, ...]:
         record = self._table.find(receiver)
         updates = []
         if record is not None and record.state is not MemberState.ALIVE:
-            # what the receiver must hear to refute it, if it can
+            # the receiver can refute this state only if it learns of it
             updates.append(record.update)
         room = self._rules.updates - len(updates)
-        updates += self._rumours.take(room, self._count_present())
+        updates += self._gossip.take(room, self._count_present())
         return tuple(encode_update(update) for update in updates)
 
     # members
@@ -364,16 +375,18 @@
         record = self._table.find(instance_id)
         return None if record is None else record.state
 
-    def _pick(self, ids: list[str], number: int, excluded: Iterable[str]) -> list[str]:
+    def _sample(
+        self, ids: list[str], number: int, excluded: Iterable[str]
+    ) -> list[str]:
         chosen = [item for item in ids if item not in excluded]
         return self._random.sample(chosen, min(number, len(chosen)))
 
-    def _note_change(self) -> None:
+    def _mark_changed(self) -> None:
         self._changed = True
         self._neighbours = None
 
-    def _finish(self) -> Step:
-        step = Step(sends=tuple(self._sends), changed=self._changed)
+    def _finish(self) -> DetectorOutput:
+        step = DetectorOutput(sends=tuple(self._sends), changed=self._changed)
         self._sends = []
         self._changed = False
         return step
--- a/packages/greengagelatch/src/greengagelatch/membership/overlay.py
+++ b/packages/greengagelatch/src/greengagelatch/membership/overlay.py
@@ -1,4 +1,4 @@
-"""Which peers an instance keeps a link to."""
+"""Selection of the neighbours to which an instance keeps a link."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 
 import xxhash
 
-from .records import Record
+from .records import MemberRecord
 
 __all__ = ("choose_neighbours",)
 
 
 def choose_neighbours(
-    instance_id: str, data_centre: str, records: Sequence[Record], links: int
+    instance_id: str, data_centre: str, records: Sequence[MemberRecord], links: int
 ) -> frozenset[str]:
     """Return the instances to which ``instance_id`` keeps a link.
 
-    In a small fleet these are all others. In a large one it is a random but stable
-    half-and-half choice from its own data centre and from the others: links to its
-    own keep a data centre together when it is cut off, the rest carry news between
-    data centres. Each instance opens as many, so all are watched by at least that
-    many, and the number of links does not grow with the fleet.
+    In a small fleet these are all others. In a large one they are chosen by rendezvous
+    hashing, half from the same data centre and half from the others. Links within a
+    data centre keep it connected when it is partitioned from the rest; the others
+    carry updates between data centres. Each instance opens the same number of links,
+    so each is monitored over at least that many, and the number of links per instance
+    does not grow with the fleet.
 
     :param links: number of links to open.
     """
     if len(records) <= 2 * links:
         return frozenset(record.instance_id for record in records)
 
-    def weigh(record: Record) -> int:
+    def weigh(record: MemberRecord) -> int:
         pair = f"{instance_id}\x00{record.instance_id}"
         return xxhash.xxh3_64_intdigest(pair.encode())
 
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from ..leases.instants import Instant
-    from ..leases.tenure import Tenure
+    from ..leases.state import LeaseState
     from . import Order
     from .rules import OrderRules
 
@@ -16,7 +16,7 @@
 
 
 def has_turn(
-    tenure: Tenure, now: Instant, *, rules: OrderRules, fencing: Fencing
+    tenure: LeaseState, now: Instant, *, rules: OrderRules, fencing: Fencing
 ) -> bool:
     """Whether the holder of ``tenure`` may give orders.
 
@@ -27,11 +27,13 @@
     """
     if not tenure.covers(now, rules.timeout):
         return False
-    return fencing is Fencing.CHECKED or tenure.has_waited(now, rules.longest)
+    return fencing is Fencing.CHECKED or tenure.has_outlasted_predecessor(
+        now, rules.longest
+    )
 
 
 def may_send(
-    tenure: Tenure | None,
+    tenure: LeaseState | None,
     order: Order,
     now: Instant,
     *,
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -40,9 +40,9 @@
 _LEFT_RUNNING = frozenset(
     {
         FailureKind.STALLED,
-        FailureKind.CUT,
+        FailureKind.DISCONNECTED,
         FailureKind.DEADLINE,
-        FailureKind.CROSSED,
+        FailureKind.MISMATCHED,
         FailureKind.CANCELLED,
     }
 )
--- a/tests/test_core/test_instances/test_rows.py
+++ b/tests/test_core/test_instances/test_rows.py
@@ -1,4 +1,4 @@
-"""Tests of the rows of a listing as peers pass them on."""
+"""Tests of greengagelatch.instances.rows and its messages."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.instances.messages import ListingPage
-from greengagelatch.instances.rows import PAGE_ROWS, cut_page, decode_row, encode_row
+from greengagelatch.instances.rows import PAGE_ROWS, build_page, decode_row, encode_row
 from greengagelatch.peers.codec import Envelope, decode, encode
 
 TEXTS = st.text(max_size=20)
@@ -33,7 +33,7 @@
     listing = make_listing(2 * PAGE_ROWS + 1)
     rows = []
     while len(rows) < len(listing.instances):
-        page = cut_page(listing, len(rows))
+        page = build_page(listing, len(rows))
         copy = decode(encode(Envelope(page))).unwrap().message
         assert (copy.as_of, copy.total) == (7, len(listing.instances))
         assert len(copy.rows) <= PAGE_ROWS
@@ -50,12 +50,12 @@
         st.tuples(*[st.one_of(TEXTS, st.integers(), st.none())] * 6),
     )
 )
-def test_rows_that_make_no_sense_are_not_read(row):
+def test_invalid_rows_are_rejected(row):
     decoded = decode_row(row)
     assert decoded is None or encode_row(decoded) == row
 
 
 @pytest.mark.parametrize("field", ["as_of", "total", "offset"])
-def test_pages_with_odd_types_are_not_read(field):
+def test_pages_with_invalid_types_are_rejected(field):
     with pytest.raises(ValueError):
         ListingPage(**{field: "1"})
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -1,4 +1,4 @@
-"""Tests of failure detection, on virtual time and without sockets."""
+"""Tests of failure detection in simulated time, without sockets."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from greengagelatch.instances import Instance, InstanceKind, InstanceState, Listing
 from greengagelatch.membership.detector import Detector
 from greengagelatch.membership.messages import MembersTable, Probe, ProbeAck
-from greengagelatch.membership.records import Update, encode_update
+from greengagelatch.membership.records import MemberUpdate, encode_update
 from greengagelatch.membership.steps import DetectorRules, Identity
 from greengagelatch.peers import MemberState
 from greengagelatch_lab.capacity.fleet import DetectorFleet, Node
@@ -30,7 +30,7 @@
     return node
 
 
-def everybody_says(fleet: DetectorFleet, observed: str, state: MemberState) -> bool:
+def all_views_show(fleet: DetectorFleet, observed: str, state: MemberState) -> bool:
     return set(fleet.views(observed)) == {state}
 
 
@@ -38,15 +38,15 @@
     fleet = start_fleet(9)
     fleet.nodes[SECOND].stopped = True
     fleet.run(20)
-    assert everybody_says(fleet, SECOND, MemberState.DEAD)
+    assert all_views_show(fleet, SECOND, MemberState.DEAD)
     assert fleet.false_deaths == 0
 
 
-def test_one_way_link_does_not_kill_a_peer():
+def test_broken_one_way_link_does_not_make_a_peer_dead():
     """
-    Symptom: an instance that serves well is declared dead by one other. Sequence:
-    what the first sends to the second is lost for good, all other paths work; its
-    probes stay unanswered. Cause: one path was taken for the instance behind it.
+    Guards against declaring a healthy instance dead because one path is broken. All
+    messages from the first instance to the second are lost and all other paths work,
+    so only direct probes fail.
     """
     fleet = start_fleet(9, loses=lambda sender, to: (sender, to) == (FIRST, SECOND))
     fleet.run(60)
@@ -54,12 +54,11 @@
     assert fleet.false_suspicions == 0
 
 
-def test_paused_instance_accuses_nobody():
+def test_paused_instance_suspects_nobody():
     """
-    Symptom: after one process was stopped and continued, instances that ran all the
-    time are called dead. Sequence: a probe and a suspicion were open when it
-    stopped; its clock went on; on its first turn both seem long overdue. Cause: the
-    time in which it could not hear was counted against the others.
+    Guards against a paused process declaring healthy peers dead when it continues. A
+    probe and a suspicion are pending when it stops, and both are overdue when it
+    continues unless the time of the pause is left out.
     """
     fleet = start_fleet(3)
     detector = fleet.nodes[FIRST].detector
@@ -69,7 +68,7 @@
     probe = Probe(1, (encode_update(suspect),))
     detector.receive(fleet.now, SECOND, probe)
     for tick in range(20):
-        # answers never come, so probes of both are open
+        # no answer arrives, so probes of both stay pending
         detector.advance(fleet.now + tick / 20)
     detector.advance(fleet.now + 60)
     assert fleet.view(FIRST, SECOND) is MemberState.ALIVE
@@ -78,25 +77,25 @@
 
 def test_continued_instance_is_alive_again_everywhere():
     """
-    Symptom: an instance that was stopped and continued stays dead for the others.
-    Sequence: it stands still until all have declared it dead, then goes on. Cause:
-    it never hears of that, or its word does not override theirs.
+    Guards against a paused instance staying dead for the others after it continues.
+    This happens if it does not learn that it was declared dead, or if its refutation
+    does not override that.
     """
     fleet = start_fleet(9)
     fleet.nodes[FIRST].paused = True
     fleet.run(60)
-    assert everybody_says(fleet, FIRST, MemberState.DEAD)
+    assert all_views_show(fleet, FIRST, MemberState.DEAD)
     fleet.nodes[FIRST].paused = False
     fleet.run(20)
-    assert everybody_says(fleet, FIRST, MemberState.ALIVE)
+    assert all_views_show(fleet, FIRST, MemberState.ALIVE)
     assert fleet.false_suspicions == 0
 
 
 def test_leaving_sticks_against_stale_list_and_peers():
     """
-    Symptom: an instance that is about to stop is used again. Sequence: it announces
-    that it leaves; then a listing from before and a peer that was cut off still
-    show it as live. Cause: the latest word was believed instead of the last state.
+    Guards against giving work to an instance that is about to stop. After it has
+    announced that it leaves, an outdated listing and a peer that was partitioned still
+    show it as live. The update received last must not override the leaving state.
     """
     fleet = start_fleet(9)
     stale = fleet.list_instances()
@@ -112,16 +111,15 @@
             step = node.detector.receive(fleet.now, SECOND, late)
             fleet.perform(instance_id, step)
     fleet.run(5)
-    assert everybody_says(fleet, FIRST, MemberState.LEAVING)
+    assert all_views_show(fleet, FIRST, MemberState.LEAVING)
     fleet.run(60)
-    assert everybody_says(fleet, FIRST, MemberState.LEAVING)
+    assert all_views_show(fleet, FIRST, MemberState.LEAVING)
 
 
-def test_listed_as_leaving_sticks_before_it_was_ever_met():
+def test_listed_as_leaving_sticks_before_first_contact():
     """
-    Symptom: an instance on its way out gets new work from one that has just
-    started. Sequence: the list shows it as leaving, then it connects and says
-    hello. Cause: its own hello overrode what the platform had said before.
+    Guards against a new instance giving work to one that is leaving. The list shows
+    it as leaving, then it connects, and its hello must not override the list.
     """
     fleet = DetectorFleet(2, seed=1)
     fleet.show(fleet.list_instances(leaving=frozenset({SECOND})))
@@ -130,33 +128,32 @@
     assert fleet.view(FIRST, SECOND) is MemberState.LEAVING
 
 
-def test_list_lags_in_both_directions():
+def test_list_may_be_out_of_date_in_both_directions():
     """
-    Symptom: an instance that nobody ever met is taken for a member, or one that
-    works is dropped. Sequence: a listing shows one that is long gone and lacks one
-    that runs. Cause: the list was taken for proof of life or of death.
+    Guards against treating the platform's list as proof that an instance is alive or
+    dead. The listing shows an instance that no longer exists and lacks one that runs.
     """
     fleet = start_fleet(3)
-    ghost = Instance(
-        instance_id="entry-ghost",
+    vanished = Instance(
+        instance_id="entry-vanished",
         kind=InstanceKind.ENTRY,
         data_centre="kumamoto",
         address="10.9.9.9:8082",
         state=InstanceState.LIVE,
     )
-    fleet.show(Listing(10, (ghost,)))
+    fleet.show(Listing(10, (vanished,)))
     fleet.run(30)
-    assert everybody_says(fleet, SECOND, MemberState.ALIVE)
-    record = fleet.nodes[FIRST].detector.table.find("entry-ghost")
+    assert all_views_show(fleet, SECOND, MemberState.ALIVE)
+    record = fleet.nodes[FIRST].detector.table.find("entry-vanished")
     assert record.state is MemberState.DEAD
-    assert not record.heard
+    assert not record.confirmed
 
 
-def test_cut_off_data_centre_is_dead_and_comes_back():
+def test_partitioned_data_centre_is_dead_and_comes_back():
     """
-    Symptom: after a partition the two sides stay apart. Sequence: a data centre is
-    cut off until each side believes the other dead; then the network works again,
-    but nobody probes the dead. Cause: dead instances were forgotten.
+    Guards against two sides staying separate after a partition has healed. Each side
+    has declared the other dead by then, and they rejoin only if dead instances are
+    kept and probed.
     """
     fleet = start_fleet(9)
     inside = {
@@ -171,17 +168,16 @@
     fleet.loses = lambda sender, receiver: False
     fleet.run(60)
     assert all(
-        everybody_says(fleet, instance_id, MemberState.ALIVE)
+        all_views_show(fleet, instance_id, MemberState.ALIVE)
         for instance_id in fleet.nodes
     )
 
 
-def test_former_process_at_the_address_of_a_present_one_is_not_probed():
+def test_former_process_is_not_probed_at_a_reused_address():
     """
-    Symptom: after all instances were killed at once, each goes on dialling for
-    minutes. Sequence: each starts again at its address under an id of its own; the
-    former ids are dead. Cause: the dead are probed in case that a partition heals,
-    also where another process has their address.
+    Guards against connection attempts that go on for minutes after all instances were
+    killed at once. Each restarts at its address with a new id, and the former ids are
+    dead. They must not be probed while another process uses their address.
     """
     detector = Detector(
         identity=create_identity("e-1", "10.0.0.1:1"),
@@ -190,11 +186,11 @@
     )
     former = (("e-2-former", "10.0.0.2:1"), ("e-1-former", "10.0.0.1:1"))
     for name, address in (*former, ("e-3", "10.0.0.3:1")):
-        detector.meet(0.0, create_identity(name, address))
-        update = Update(instance_id=name, incarnation=5, state=MemberState.DEAD)
+        detector.register_peer(0.0, create_identity(name, address))
+        update = MemberUpdate(instance_id=name, incarnation=5, state=MemberState.DEAD)
         detector.receive(0.0, "e-2", MembersTable((encode_update(update),)))
     probed = set()
-    step = detector.meet(0.0, create_identity("e-2", "10.0.0.2:1"))
+    step = detector.register_peer(0.0, create_identity("e-2", "10.0.0.2:1"))
     for tick in range(300):
         now = tick * 0.2
         probed |= {one.instance_id for one in step.sends}
@@ -214,8 +210,8 @@
 
 def test_lost_messages_rarely_raise_suspicion():
     """
-    Symptom: under some loss, instances that work are taken for dead. Sequence: one
-    message of twenty is lost, at random. Cause: a single unanswered probe counted.
+    Guards against suspicion after a single unanswered probe: one of 20 messages is
+    lost at random, and healthy instances must not be declared dead.
     """
     source = random.Random(3)
     fleet = start_fleet(50, loses=lambda sender, receiver: source.random() < 0.05)
@@ -229,43 +225,44 @@
     fleet = start_fleet(9)
     node = fleet.add(9)
     newcomer = node.identity.instance_id
-    step = node.detector.meet(fleet.now, fleet.nodes[FIRST].identity)
+    step = node.detector.register_peer(fleet.now, fleet.nodes[FIRST].identity)
     fleet.perform(newcomer, step)
     table = fleet.nodes[FIRST].detector.list_all_updates()
     answer = MembersTable(tuple(encode_update(update) for update in table))
     fleet.perform(newcomer, node.detector.receive(fleet.now, FIRST, answer))
     fleet.run(10)
     assert len(node.detector.table) == 9
-    assert everybody_says(fleet, newcomer, MemberState.ALIVE)
+    assert all_views_show(fleet, newcomer, MemberState.ALIVE)
 
 
 def test_restart_with_a_clock_that_stepped_back():
     """
-    Symptom: a restarted instance stays dead in the eyes of all others. Sequence: it
-    dies and is started again under the same id, but its clock now shows an earlier
-    time, so its incarnation is lower. Cause: what was said of the earlier process
-    overrides all that the new one says.
+    Guards against a restarted instance staying dead for all others. It restarts with
+    the same id, but its clock was set back, so its incarnation is lower and updates
+    about the earlier process override its own until it raises its incarnation.
     """
     fleet = start_fleet(5)
     fleet.nodes[FIRST].stopped = True
     fleet.run(20)
-    assert everybody_says(fleet, FIRST, MemberState.DEAD)
+    assert all_views_show(fleet, FIRST, MemberState.DEAD)
     restart_detector(fleet, FIRST, incarnation=5)
     fleet.run(20)
-    assert everybody_says(fleet, FIRST, MemberState.ALIVE)
+    assert all_views_show(fleet, FIRST, MemberState.ALIVE)
 
 
-def test_refutes_being_dead_but_not_that_it_leaves():
+def test_instance_refutes_being_dead_but_not_leaving():
     fleet = DetectorFleet(1, seed=1)
     own = fleet.nodes[FIRST].detector.own
 
-    def hear(state: MemberState) -> int:
-        update = Update(instance_id=FIRST, incarnation=own.incarnation, state=state)
-        own.hear(update)
+    def refute(state: MemberState) -> int:
+        update = MemberUpdate(
+            instance_id=FIRST, incarnation=own.incarnation, state=state
+        )
+        own.refute(update)
         return own.incarnation
 
     first = own.incarnation
-    assert hear(MemberState.ALIVE) == first
-    assert hear(MemberState.SUSPECT) == first + 1
-    assert hear(MemberState.DEAD) == first + 2
-    assert hear(MemberState.LEAVING) == first + 2
+    assert refute(MemberState.ALIVE) == first
+    assert refute(MemberState.SUSPECT) == first + 1
+    assert refute(MemberState.DEAD) == first + 2
+    assert refute(MemberState.LEAVING) == first + 2
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch.leases.tenure import Tenure
+from greengagelatch.leases.state import LeaseState
 from greengagelatch.orders import permission
 from greengagelatch.orders.engine import EngineRecord
 from greengagelatch.orders.rules import Fencing
@@ -121,24 +121,24 @@
 
 
 def ignore_margin(tenure, now):
-    if not tenure.held or tenure.asked is None:
+    if not tenure.held or tenure.requested is None:
         return 0.0
-    return max(0.0, tenure.ttl - now.longest_since(tenure.asked))
+    return max(0.0, tenure.ttl - now.longest_since(tenure.requested))
 
 
-def count_from_answer(tenure, answer, now, original=Tenure.take_kept):
+def count_from_answer(tenure, answer, now, original=LeaseState.handle_renew):
     kept = original(tenure, answer, now)
-    return dataclasses.replace(kept, asked=now) if answer.is_ok() else kept
+    return dataclasses.replace(kept, requested=now) if answer.is_ok() else kept
 
 
-def number_by_lease(tenure, answer, now, original=Tenure.take_acquired):
+def number_by_lease(tenure, answer, now, original=LeaseState.handle_acquire):
     after = original(tenure, answer, now)
     if after.fence == ABSENT:
         return after
     return dataclasses.replace(after, fence=int(tenure.lease_id.split("-")[1]))
 
 
-def take_unknown_for_held(tenure, answer, now, original=Tenure.take_acquired):
+def take_unknown_for_held(tenure, answer, now, original=LeaseState.handle_acquire):
     if answer.outcome is not WriteOutcome.UNKNOWN:
         return original(tenure, answer, now)
     return dataclasses.replace(tenure._hold(1, now), lease_id=tenure.lease_id)
@@ -150,14 +150,17 @@
 
 #: each guard that is taken out, and the model that has to notice
 MUTATIONS = (
-    (create_renewals, Mutation("no-margin", Tenure, "compute_left", ignore_margin)),
     (
         create_renewals,
-        Mutation("time-of-answer", Tenure, "take_kept", count_from_answer),
+        Mutation("no-margin", LeaseState, "compute_remaining", ignore_margin),
+    ),
+    (
+        create_renewals,
+        Mutation("time-of-answer", LeaseState, "handle_renew", count_from_answer),
     ),
     (
         lambda: create_orders(IGNORED),
-        Mutation("no-wait", Tenure, "has_waited", lambda *_: True),
+        Mutation("no-wait", LeaseState, "has_outlasted_predecessor", lambda *_: True),
     ),
     (
         lambda: create_orders(IGNORED),
@@ -167,21 +170,24 @@
         lambda: create_orders(IGNORED, lost=0, delivery=2),
         Mutation(
             "call-not-covered",
-            Tenure,
+            LeaseState,
             "covers",
-            lambda tenure, now, seconds: tenure.compute_left(now) > 0,
+            lambda tenure, now, seconds: tenure.compute_remaining(now) > 0,
         ),
     ),
-    (create_race, Mutation("lease-number", Tenure, "take_acquired", number_by_lease)),
     (
         create_race,
-        Mutation("lost-is-held", Tenure, "take_acquired", take_unknown_for_held),
+        Mutation("lease-number", LeaseState, "handle_acquire", number_by_lease),
+    ),
+    (
+        create_race,
+        Mutation("lost-is-held", LeaseState, "handle_acquire", take_unknown_for_held),
     ),
     (
         create_race,
         Mutation(
             "held-while-revoking",
-            Tenure,
+            LeaseState,
             "held",
             property(lambda tenure: tenure.fence != ABSENT),
         ),
--- a/tests/test_core/test_targets/test_records.py
+++ b/tests/test_core/test_targets/test_records.py
@@ -1,27 +1,26 @@
-"""Tests of the groups that the ledger keeps."""
+"""Tests of greengagelatch.targets.records."""
 
 from __future__ import annotations
 
 from greengagelatch.targets import Target
-from greengagelatch.targets.records import Group, Record
+from greengagelatch.targets.records import ServiceGroup, TargetRecord
 
 
-def test_candidates_follow_a_choice_that_others_asked_for():
-    """An instance stood still for good with one core busy.
-
-    Sequence: both targets of a service are candidates; the first is set aside, and
-    somebody asks whether a target accepts work before anybody asks for candidates.
-    Cause: the choice was made anew and the candidates were not, so that the target
-    set aside was still chosen and never accepted.
+def test_candidates_follow_a_choice_made_by_another_caller():
+    """
+    Guards against an instance hanging in a busy loop. The first of two targets is
+    ejected, and a caller checks whether a target accepts work before candidates are
+    listed. The check renews the choice; if the candidates are not renewed with it, the
+    ejected target is offered again and again and never accepted.
     """
-    group = Group()
+    group = ServiceGroup()
     first, second = (
-        Record(Target(f"t{number}", "desk", "north", "10.0.0.1:1"), number)
+        TargetRecord(Target(f"t{number}", "desk", "north", "10.0.0.1:1"), number)
         for number in range(2)
     )
     group.records.update((first, second))
     assert len(group.list_candidates(5, 1)) == 2
-    first.set_aside = True
+    first.ejected = True
     group.chosen = None
     group.choose(5, 1)
     candidates = group.list_candidates(5, 1)
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -102,7 +102,7 @@
         first = await client.call(target, create_call(1))
         assert first.ok_value.output == "attempt-1"
         second = await client.call(target, create_call(2))
-        assert second.err_value.kind is FailureKind.CUT
+        assert second.err_value.kind is FailureKind.DISCONNECTED
         assert second.err_value.verdict is Verdict.MAY_HAVE_RUN
         assert server.accepted == 1
     assert received == ["attempt-1", "attempt-2"]
@@ -176,7 +176,7 @@
         await connection.hold()
 
     result, _ = await run_one(script)
-    assert result.err_value.kind is FailureKind.CROSSED
+    assert result.err_value.kind is FailureKind.MISMATCHED
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
@@ -205,7 +205,7 @@
         await late.wait()
         second = await client.call(target, create_call(2))
         if not isinstance(second, Ok):
-            assert second.err_value.kind is FailureKind.CROSSED
+            assert second.err_value.kind is FailureKind.MISMATCHED
             second = await client.call(target, create_call(2))
         assert second.ok_value.output == "attempt-2"
         assert server.accepted == 2
@@ -215,7 +215,7 @@
     ("fields", "kind", "verdict"),
     [
         ({"attempt": "attempt-1"}, FailureKind.TARGET_REFUSED, Verdict.NOT_RUN),
-        ({"attempt": "attempt-9"}, FailureKind.CROSSED, Verdict.MAY_HAVE_RUN),
+        ({"attempt": "attempt-9"}, FailureKind.MISMATCHED, Verdict.MAY_HAVE_RUN),
         ({}, FailureKind.TARGET_ERROR, Verdict.MAY_HAVE_RUN),
     ],
 )
@@ -320,7 +320,7 @@
         await connection.send(head.encode() + body)
 
     result, _ = await run_one(script)
-    assert result.err_value.kind in (FailureKind.TARGET_ERROR, FailureKind.CROSSED)
+    assert result.err_value.kind in (FailureKind.TARGET_ERROR, FailureKind.MISMATCHED)
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
@@ -374,28 +374,28 @@
     assert given == list(enumerate(TOKENS))[2:]
     wrong = create_stream_call(resume_at=2, received=("spindle ", "three "))
     result, _ = await run_stream(lambda request, events: events, wrong)
-    assert result.err_value.kind is FailureKind.CUT
+    assert result.err_value.kind is FailureKind.DISCONNECTED
 
 
 @pytest.mark.parametrize(
     ("change", "kind"),
     [
-        pytest.param(lambda r, e: e[:-1], FailureKind.CUT, id="no end"),
-        pytest.param(lambda r, e: [e[0], *e[2:]], FailureKind.CUT, id="gap"),
-        pytest.param(lambda r, e: [e[0], *e], FailureKind.CUT, id="repeated"),
+        pytest.param(lambda r, e: e[:-1], FailureKind.DISCONNECTED, id="no end"),
+        pytest.param(lambda r, e: [e[0], *e[2:]], FailureKind.DISCONNECTED, id="gap"),
+        pytest.param(lambda r, e: [e[0], *e], FailureKind.DISCONNECTED, id="repeated"),
         pytest.param(
             lambda r, e: [*e[:4], encode_end(r, (*TOKENS, ""))],
-            FailureKind.CUT,
+            FailureKind.DISCONNECTED,
             id="count",
         ),
         pytest.param(
             lambda r, e: [*e[:4], encode_end(r, ("x",) * 4)],
-            FailureKind.CUT,
+            FailureKind.DISCONNECTED,
             id="digest",
         ),
         pytest.param(
             lambda r, e: [*e[:2], encode_token(r | {"attempt": "attempt-9"}, 2, "x")],
-            FailureKind.CROSSED,
+            FailureKind.MISMATCHED,
             id="crossed",
         ),
         pytest.param(lambda r, e: [*e[:2], None], FailureKind.STALLED, id="silent"),
@@ -440,7 +440,7 @@
         await connection.hold()
 
     limits = replace(LIMITS, stall_timeout=60.0)
-    call = create_stream_call(patience=0.1)
+    call = create_stream_call(first_byte_timeout=0.1)
     result, _ = await run_one(script, call, limits)
     assert result.err_value.kind is FailureKind.STALLED
 
