--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.repeats import RepeatBudget
+from greengagelatch.relay.repeats import RetryBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -27,7 +27,7 @@
         self._rule = rule
         self._clock = clock
         self._count_instances = count_instances
-        self._budgets: dict[str, RepeatBudget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
 
     def note_request(self, service: str) -> None:
         """Count a request for ``service``."""
@@ -42,8 +42,8 @@
         budget = self._find(service)
         return budget.count_left(self._clock.now(), self._count_instances())
 
-    def _find(self, service: str) -> RepeatBudget:
+    def _find(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RepeatBudget(self._rule)
+            budget = self._budgets[service] = RetryBudget(self._rule)
         return budget
--- a/packages/greengagelatch/src/greengagelatch/relay/repeats.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/repeats.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ("RepeatBudget", "RepeatRule")
+__all__ = ("RetryBudget", "RepeatRule")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -28,7 +28,7 @@
 USED_SLACK = 0.6
 
 
-class RepeatBudget:
+class RetryBudget:
     """Counts requests and repeats of one service over a sliding window.
 
     Each instance keeps to its own share without asking the others, so that the
--- a/tests/test_core/test_relay/test_repeats.py
+++ b/tests/test_core/test_relay/test_repeats.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.repeats import RepeatBudget, RepeatRule
+from greengagelatch.relay.repeats import RepeatRule, RetryBudget
 
 RULE = RepeatRule(ratio=0.2, slack=58.0, window=10.0)
 
 
-def spend(budget: RepeatBudget, now: float, instances: int) -> int:
+def spend(budget: RetryBudget, now: float, instances: int) -> int:
     count = 0
     while budget.take(now, instances):
         count += 1
@@ -24,7 +24,7 @@
     for instances in (1, 9, 60, 77):
         total = 0
         for _ in range(instances):
-            budget = RepeatBudget(RULE)
+            budget = RetryBudget(RULE)
             for _ in range(20):
                 budget.note_request(0.0)
             total += spend(budget, 0.0, instances)
@@ -32,18 +32,18 @@
 
 
 def test_quiet_instance_may_repeat_one():
-    assert spend(RepeatBudget(RULE), 0.0, 77) == 1
+    assert spend(RetryBudget(RULE), 0.0, 77) == 1
 
 
 def test_budget_comes_back_after_the_window():
-    budget = RepeatBudget(RULE)
+    budget = RetryBudget(RULE)
     assert spend(budget, 0.0, 9) > 0
     assert not budget.take(9.9, 9)
     assert budget.take(10.1, 9)
 
 
 def test_requests_of_an_earlier_window_earn_nothing():
-    budget = RepeatBudget(RULE)
+    budget = RetryBudget(RULE)
     for _ in range(100):
         budget.note_request(0.0)
     assert budget.count_left(0.0, 77) > budget.count_left(10.1, 77)
