--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.repeats import RepeatRule
+    from greengagelatch.relay.repeats import RetryBudgetRule
 
 __all__ = ("RepeatBudgets",)
 
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, *, rule: RepeatRule, clock: Clock, count_instances: Callable[[], int]
+        self, *, rule: RetryBudgetRule, clock: Clock, count_instances: Callable[[], int]
     ) -> None:
         self._rule = rule
         self._clock = clock
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.capacity import Capacity
 
 if TYPE_CHECKING:
-    from greengagelatch.relay.repeats import RepeatRule
+    from greengagelatch.relay.repeats import RetryBudgetRule
     from greengagelatch.store.ranges import RangeStore
 
     from ..controllers import Controller
@@ -41,7 +41,7 @@
     balancer_lag: float
     #: time that requests in flight get after that
     longest_drain: float
-    repeats: RepeatRule
+    repeats: RetryBudgetRule
     capacity: Capacity = field(default_factory=Capacity)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.relay.fleet import EngineNeed, Fleet
 from greengagelatch.relay.quarantine import Quarantine
-from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch.relay.repeats import RetryBudgetRule
 from greengagelatch_entry.relay.budgets import RepeatBudgets
 from greengagelatch_entry.relay.desk import LocalDesk
 from greengagelatch_entry.relay.owned_desk import OwnedDesk
@@ -206,7 +206,9 @@
 
     def _create_budgets(self) -> RepeatBudgets:
         return RepeatBudgets(
-            rule=RepeatRule(slack=1e6), clock=self._clock, count_instances=lambda: 1
+            rule=RetryBudgetRule(slack=1e6),
+            clock=self._clock,
+            count_instances=lambda: 1,
         )
 
     def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
--- a/packages/greengagelatch/src/greengagelatch/relay/repeats.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/repeats.py
@@ -5,11 +5,11 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ("RetryBudget", "RepeatRule")
+__all__ = ("RetryBudget", "RetryBudgetRule")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RepeatRule:
+class RetryBudgetRule:
     """Repeats that all instances together may send to one service.
 
     :param ratio: repeats for each request
@@ -36,7 +36,7 @@
     storm is most likely just then.
     """
 
-    def __init__(self, rule: RepeatRule) -> None:
+    def __init__(self, rule: RetryBudgetRule) -> None:
         self._rule = rule
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
--- a/tests/test_core/test_relay/test_repeats.py
+++ b/tests/test_core/test_relay/test_repeats.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.repeats import RepeatRule, RetryBudget
+from greengagelatch.relay.repeats import RetryBudget, RetryBudgetRule
 
-RULE = RepeatRule(ratio=0.2, slack=58.0, window=10.0)
+RULE = RetryBudgetRule(ratio=0.2, slack=58.0, window=10.0)
 
 
 def spend(budget: RetryBudget, now: float, instances: int) -> int:
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from yarl import URL
 
-from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch.relay.repeats import RetryBudgetRule
 from greengagelatch_entry.relay.composition import compose_relay
 from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelayRules
 from greengagelatch_lab.platform_standins.deployment import (
@@ -176,7 +176,7 @@
             metrics_path="",
             balancer_lag=0.0,
             longest_drain=0.2,
-            repeats=RepeatRule(),
+            repeats=RetryBudgetRule(),
         )
 
     def _create_adapters(self) -> RelayAdapters:
--- a/tests/test_entry/test_relay/test_repeat_budgets.py
+++ b/tests/test_entry/test_relay/test_repeat_budgets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch.relay.repeats import RetryBudgetRule
 from greengagelatch_entry.relay.maker_calls import REJECTED, MakerCaller
 
 REQUESTS = 20
@@ -21,7 +21,7 @@
 
 def find_most(first: int) -> float:
     """Return the arrivals that the rule allows beside so many first ones."""
-    rule = RepeatRule()
+    rule = RetryBudgetRule()
     return first + rule.ratio * first + rule.slack / 10
 
 
