--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -31,7 +31,7 @@
 
     def note_request(self, service: str) -> None:
         """Count a request for ``service``."""
-        self._find(service).note_request(self._clock.now())
+        self._find(service).record_request(self._clock.now())
 
     def take(self, service: str) -> bool:
         """Spend one repeat; ``False`` if none is left."""
--- a/packages/greengagelatch/src/greengagelatch/relay/repeats.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/repeats.py
@@ -41,7 +41,7 @@
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a caller's request for the service."""
         self._requests.append(now)
         self._drop_old(now)
--- a/tests/test_core/test_relay/test_repeats.py
+++ b/tests/test_core/test_relay/test_repeats.py
@@ -26,7 +26,7 @@
         for _ in range(instances):
             budget = RetryBudget(RULE)
             for _ in range(20):
-                budget.note_request(0.0)
+                budget.record_request(0.0)
             total += spend(budget, 0.0, instances)
         assert total <= RULE.ratio * 20 * instances + RULE.slack + instances
 
@@ -45,5 +45,5 @@
 def test_requests_of_an_earlier_window_earn_nothing():
     budget = RetryBudget(RULE)
     for _ in range(100):
-        budget.note_request(0.0)
+        budget.record_request(0.0)
     assert budget.count_left(0.0, 77) > budget.count_left(10.1, 77)
