--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/budgets.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.repeats import RetryBudget
+from greengagelatch.relay.retry_budget import RetryBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.repeats import RetryBudgetRule
+    from greengagelatch.relay.retry_budget import RetryBudgetRule
 
 __all__ = ("RepeatBudgets",)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.capacity import Capacity
 
 if TYPE_CHECKING:
-    from greengagelatch.relay.repeats import RetryBudgetRule
+    from greengagelatch.relay.retry_budget import RetryBudgetRule
     from greengagelatch.store.ranges import RangeStore
 
     from ..controllers import Controller
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.relay.fleet import EngineNeed, Fleet
 from greengagelatch.relay.quarantine import Quarantine
-from greengagelatch.relay.repeats import RetryBudgetRule
+from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.budgets import RepeatBudgets
 from greengagelatch_entry.relay.desk import LocalDesk
 from greengagelatch_entry.relay.owned_desk import OwnedDesk
--- a/tests/test_core/test_relay/test_repeats.py
+++ b/tests/test_core/test_relay/test_retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.repeats import RetryBudget, RetryBudgetRule
+from greengagelatch.relay.retry_budget import RetryBudget, RetryBudgetRule
 
 RULE = RetryBudgetRule(ratio=0.2, slack=58.0, window=10.0)
 
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from yarl import URL
 
-from greengagelatch.relay.repeats import RetryBudgetRule
+from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.composition import compose_relay
 from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelayRules
 from greengagelatch_lab.platform_standins.deployment import (
--- a/tests/test_entry/test_relay/test_repeat_budgets.py
+++ b/tests/test_entry/test_relay/test_repeat_budgets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.repeats import RetryBudgetRule
+from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.maker_calls import REJECTED, MakerCaller
 
 REQUESTS = 20
