--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -8,7 +8,7 @@
 from greengagelatch.errors import RefusalCode
 from greengagelatch.relay.outcomes import (
     NextStep,
-    RepeatFacts,
+    RetryContext,
     SendOutcome,
     decide_next,
 )
@@ -81,7 +81,7 @@
     def may_repeat(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
         """Whether to send again after ``outcome``; a repeat is charged."""
         route = exchange.route
-        facts = RepeatFacts(
+        facts = RetryContext(
             outcome=outcome,
             repeatable=route.repeatable,
             arrivals=len(set(exchange.targets)),
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ("NextStep", "RepeatFacts", "SendOutcome", "decide_next")
+__all__ = ("NextStep", "RetryContext", "SendOutcome", "decide_next")
 
 
 class SendOutcome(Enum):
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RepeatFacts:
+class RetryContext:
     """What a repeat depends on."""
 
     outcome: SendOutcome
@@ -66,7 +66,7 @@
 MAX_UNSENT = 4
 
 
-def decide_next(facts: RepeatFacts) -> NextStep:
+def decide_next(facts: RetryContext) -> NextStep:
     """Say what follows a send that was not answered.
 
     A request that may run only once is sent again only where it certainly did not
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -8,12 +8,12 @@
 
 from greengagelatch.relay.outcomes import (
     NextStep,
-    RepeatFacts,
+    RetryContext,
     SendOutcome,
     decide_next,
 )
 
-FACTS = RepeatFacts(
+FACTS = RetryContext(
     outcome=SendOutcome.LOST,
     repeatable=True,
     arrivals=1,
