--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -93,7 +93,7 @@
         match decide_next(facts):
             case NextStep.SEND:
                 return True
-            case NextStep.REPEAT:
+            case NextStep.RETRY:
                 return self.budgets.take(exchange.service)
         return False
 
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -37,7 +37,7 @@
     """What follows a send that was not answered."""
 
     #: send it to another target, charged to the budget of repeats
-    REPEAT = "repeat"
+    RETRY = "repeat"
     #: send it to another target; no target has had it yet
     SEND = "send"
     #: tell the caller what is known
@@ -79,9 +79,9 @@
             return NextStep.GIVE_UP
         # another target than the one that was meant has had it, and turned it away
         misdirected = facts.outcome is SendOutcome.MISDIRECTED
-        return NextStep.REPEAT if misdirected else NextStep.SEND
+        return NextStep.RETRY if misdirected else NextStep.SEND
     if not facts.repeatable and not facts.outcome.proves_not_run:
         return NextStep.GIVE_UP
     if facts.arrivals >= facts.max_attempts:
         return NextStep.GIVE_UP
-    return NextStep.REPEAT
+    return NextStep.RETRY
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -25,7 +25,7 @@
 
 
 def test_idempotent_request_is_repeated():
-    assert decide_next(FACTS) is NextStep.REPEAT
+    assert decide_next(FACTS) is NextStep.RETRY
 
 
 @pytest.mark.parametrize("outcome", [SendOutcome.LOST, SendOutcome.FAILED])
@@ -41,7 +41,7 @@
 
 def test_request_that_was_rejected_may_go_elsewhere():
     facts = replace(FACTS, repeatable=False, outcome=SendOutcome.REJECTED)
-    assert decide_next(facts) is NextStep.REPEAT
+    assert decide_next(facts) is NextStep.RETRY
 
 
 def test_attempts_are_bounded():
@@ -53,7 +53,7 @@
     [
         (SendOutcome.UNSENT, NextStep.SEND),
         # it has arrived somewhere
-        (SendOutcome.MISDIRECTED, NextStep.REPEAT),
+        (SendOutcome.MISDIRECTED, NextStep.RETRY),
     ],
 )
 def test_request_that_did_not_run_goes_elsewhere_whatever_its_kind(outcome, step):
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -32,7 +32,7 @@
 
 
 async def test_kind_of_a_request_decides_on_repeats(world, monkeypatch):
-    steps = iter([NextStep.REPEAT, NextStep.GIVE_UP])
+    steps = iter([NextStep.RETRY, NextStep.GIVE_UP])
     monkeypatch.setattr(runners, "decide_next", lambda facts: next(steps))
     set_fault(world, TargetFault.LOSE_ANSWER)
     await world.ask("/book/1", method="POST", request_id="b-1")
@@ -221,7 +221,7 @@
 
 
 async def test_kind_of_a_request_decides_on_repeats_to_a_new_start(world, monkeypatch):
-    steps = iter([NextStep.REPEAT, NextStep.GIVE_UP])
+    steps = iter([NextStep.RETRY, NextStep.GIVE_UP])
     monkeypatch.setattr(runners, "decide_next", lambda facts: next(steps))
     with pytest.raises(AssertionError):
         await test_restarts.test_booking_that_may_have_run_before_is_not_sent_again(
