--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -89,7 +89,7 @@
         )
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request that may have run may be sent again."""
         return self.kind is RouteKind.SAFE or (
             self.kind is RouteKind.STREAMING and self.resumable
