--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -120,7 +120,7 @@
     def _note(self, reports: Iterable[CrashReport]) -> None:
         now = self._clock.now()
         for report in reports:
-            self._quarantine.note_crash(report, now)
+            self._quarantine.record_crash(report, now)
         # an end may also show that another request was not to blame
         suspected = {digest for report in reports for digest in report.digests}
         for digest in sorted(suspected | self._held):
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -67,7 +67,7 @@
         self._order: deque[tuple[float, Incarnation, str]] = deque()
         self._sound: OrderedDict[str, float] = OrderedDict()
 
-    def note_crash(self, report: CrashReport, now: float) -> None:
+    def record_crash(self, report: CrashReport, now: float) -> None:
         """Take in that a target ended; a report that is known changes nothing."""
         self._drop_old(now)
         for digest in report.digests:
--- a/tests/test_core/test_relay/test_crash_storms.py
+++ b/tests/test_core/test_relay/test_crash_storms.py
@@ -145,7 +145,7 @@
             self.send_again(sent)
 
     def quarantine_end(self, report: CrashReport) -> None:
-        self.quarantine.note_crash(report, self.now)
+        self.quarantine.record_crash(report, self.now)
         for digest in report.digests:
             # as each instance does, to tell of it
             self.quarantine.find_hold(digest, self.now)
--- a/tests/test_core/test_relay/test_quarantine.py
+++ b/tests/test_core/test_relay/test_quarantine.py
@@ -20,7 +20,7 @@
 def create(*reports: CrashReport, now: float = 0.0) -> Quarantine:
     quarantine = Quarantine()
     for one in reports:
-        quarantine.note_crash(one, now)
+        quarantine.record_crash(one, now)
     return quarantine
 
 
@@ -31,7 +31,7 @@
 def test_three_targets_that_ended_are_enough():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
     assert not holds(quarantine, "bad")
-    quarantine.note_crash(report("t3", "bad"), 0.0)
+    quarantine.record_crash(report("t3", "bad"), 0.0)
     assert holds(quarantine, "bad")
 
 
@@ -64,7 +64,7 @@
     quarantine = create(*(report(one, "bad", "a") for one in ("t1", "t2", "t3")))
     assert not holds(quarantine, "bad")
     assert not holds(quarantine, "a")
-    quarantine.note_crash(report("t4", "bad"), 0.0)
+    quarantine.record_crash(report("t4", "bad"), 0.0)
     assert holds(quarantine, "bad")
     assert not holds(quarantine, "a")
 
@@ -87,7 +87,7 @@
     for number in range(30):
         for copy in range(3):
             beside = [f"r{number - sends}-{copy}" for sends in range(4)]
-            quarantine.note_crash(report(f"t{number}-{copy}", *beside), float(number))
+            quarantine.record_crash(report(f"t{number}-{copy}", *beside), float(number))
         suspected = tuple(quarantine._ended)
         assert not any(holds(quarantine, one, float(number)) for one in suspected)
 
@@ -96,8 +96,8 @@
     """Guards against chance where few targets end, and each takes many requests."""
     quarantine = Quarantine()
     for number in range(3):
-        quarantine.note_crash(report(f"t{number}", "a"), number)
-        quarantine.note_crash(report(f"u{number}", f"b{number}"), number)
+        quarantine.record_crash(report(f"t{number}", "a"), number)
+        quarantine.record_crash(report(f"u{number}", f"b{number}"), number)
     assert not holds(quarantine, "a", 3)
 
 
@@ -106,8 +106,8 @@
     quarantine = Quarantine()
     for number in range(5):
         for copy in range(3):
-            quarantine.note_crash(report(f"t{number}-{copy}", f"a{number}"), number)
-        quarantine.note_crash(report(f"u{number}", "bad"), number)
+            quarantine.record_crash(report(f"t{number}-{copy}", f"a{number}"), number)
+        quarantine.record_crash(report(f"u{number}", "bad"), number)
         assert holds(quarantine, "bad", number) == (number == 4)
 
 
@@ -116,7 +116,7 @@
     quarantine = create(report("t1", "bad"), report("t2", "bad"), report("t3", "bad"))
     assert holds(quarantine, "bad")
     for number in range(20):
-        quarantine.note_crash(report(f"u{number}", f"a{number}"), 1.0)
+        quarantine.record_crash(report(f"u{number}", f"a{number}"), 1.0)
     assert holds(quarantine, "bad", 1.0)
 
 
@@ -124,8 +124,8 @@
     """Guards against a sound request that alone is left of those on ended targets."""
     quarantine = Quarantine()
     for number in range(3):
-        quarantine.note_crash(report(f"t{number}", "a"), number)
-        quarantine.note_crash(report(f"u{number}", f"b{number}"), number)
+        quarantine.record_crash(report(f"t{number}", "a"), number)
+        quarantine.record_crash(report(f"u{number}", f"b{number}"), number)
         quarantine.note_survived(f"b{number}", number)
     assert not holds(quarantine, "a", 3)
 
@@ -134,9 +134,9 @@
     """Guards against one that hides behind the ends of another that is held."""
     quarantine = Quarantine()
     for number in range(3):
-        quarantine.note_crash(report(f"t{number}", "bad", f"a{number}"), number)
-        quarantine.note_crash(report(f"u{number}", "worse", f"b{number}"), number)
-    quarantine.note_crash(report("t3", "bad"), 3)
+        quarantine.record_crash(report(f"t{number}", "bad", f"a{number}"), number)
+        quarantine.record_crash(report(f"u{number}", "worse", f"b{number}"), number)
+    quarantine.record_crash(report("t3", "bad"), 3)
     assert holds(quarantine, "bad", 3)
     assert holds(quarantine, "worse", 3)
 
@@ -145,7 +145,7 @@
     quarantine = create(report("t1", "bad"), report("t2", "bad"), report("t3", "bad"))
     for number in range(9):
         end = CrashReport(Incarnation(f"m{number}"), "portal", (f"a{number}",))
-        quarantine.note_crash(end, 0.0)
+        quarantine.record_crash(end, 0.0)
     assert holds(quarantine, "bad")
 
 
@@ -154,20 +154,20 @@
     quarantine = Quarantine()
     quarantine.note_survived("status", 95.0)
     for number in range(20):
-        quarantine.note_crash(report(f"t{number}", "status", "rare"), 100.0)
+        quarantine.record_crash(report(f"t{number}", "status", "rare"), 100.0)
     assert not holds(quarantine, "status", 100.0)
 
 
 def test_answer_clears_a_request():
     quarantine = create(report("t1", "a"), report("t2", "a"))
     quarantine.note_survived("a", 1.0)
-    quarantine.note_crash(report("t3", "a"), 2.0)
+    quarantine.record_crash(report("t3", "a"), 2.0)
     assert not holds(quarantine, "a", 100.0)
 
 
 def test_hold_lapses():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
-    quarantine.note_crash(report("t3", "bad"), 50.0)
+    quarantine.record_crash(report("t3", "bad"), 50.0)
     assert quarantine.find_hold("bad", 100.0) == HOLD_SECONDS - 100.0
     assert not holds(quarantine, "bad", HOLD_SECONDS + 1.0)
 
@@ -175,7 +175,7 @@
 def test_memory_is_bounded():
     quarantine = Quarantine()
     for number in range(40_000):
-        quarantine.note_crash(report(f"t{number}", f"d{number % 7}", "x"), 0.0)
+        quarantine.record_crash(report(f"t{number}", f"d{number % 7}", "x"), 0.0)
     assert len(quarantine._order) <= 16_386
     assert sum(map(len, quarantine._ended.values())) <= 16_386
     assert len(quarantine._ends) <= 16_386
@@ -221,7 +221,7 @@
             for one in beside:
                 left[one] -= 1
             end = report(f"t{next(names)}", "bad", *beside)
-            quarantine.note_crash(end, 0.0)
+            quarantine.record_crash(end, 0.0)
             left = {one: sends for one, sends in left.items() if sends}
             assert not any(holds(quarantine, one) for one in left)
     assert reached <= 3
