--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -79,7 +79,7 @@
             self._ends.setdefault(report.target, (report.service, now))
             self._order.append((now, report.target, digest))
 
-    def note_survived(self, digest: str, now: float) -> None:
+    def record_survival(self, digest: str, now: float) -> None:
         """Take in that a target has answered a request, and lives."""
         self._sound.pop(digest, None)
         self._sound[digest] = now
--- a/tests/test_core/test_relay/test_crash_storms.py
+++ b/tests/test_core/test_relay/test_crash_storms.py
@@ -121,7 +121,7 @@
         sent = engine.on_it.pop(number, None)
         if sent is not None:
             self.answered += 1
-            self.quarantine.note_survived(sent.digest, self.now)
+            self.quarantine.record_survival(sent.digest, self.now)
 
     def end_by_bad(self, engine: Engine, number: int) -> None:
         if number in engine.on_it:
--- a/tests/test_core/test_relay/test_quarantine.py
+++ b/tests/test_core/test_relay/test_quarantine.py
@@ -126,7 +126,7 @@
     for number in range(3):
         quarantine.record_crash(report(f"t{number}", "a"), number)
         quarantine.record_crash(report(f"u{number}", f"b{number}"), number)
-        quarantine.note_survived(f"b{number}", number)
+        quarantine.record_survival(f"b{number}", number)
     assert not holds(quarantine, "a", 3)
 
 
@@ -152,7 +152,7 @@
 def test_loss_of_a_data_centre_holds_nothing_that_is_answered():
     """Guards against a refusal of what many callers send, as many targets end."""
     quarantine = Quarantine()
-    quarantine.note_survived("status", 95.0)
+    quarantine.record_survival("status", 95.0)
     for number in range(20):
         quarantine.record_crash(report(f"t{number}", "status", "rare"), 100.0)
     assert not holds(quarantine, "status", 100.0)
@@ -160,7 +160,7 @@
 
 def test_answer_clears_a_request():
     quarantine = create(report("t1", "a"), report("t2", "a"))
-    quarantine.note_survived("a", 1.0)
+    quarantine.record_survival("a", 1.0)
     quarantine.record_crash(report("t3", "a"), 2.0)
     assert not holds(quarantine, "a", 100.0)
 
