--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -124,7 +124,9 @@
         # an end may also show that another request was not to blame
         suspected = {digest for report in reports for digest in report.digests}
         for digest in sorted(suspected | self._held):
-            self._note_hold(digest, self._quarantine.find_hold(digest, now))
+            self._note_hold(
+                digest, self._quarantine.find_quarantine_seconds(digest, now)
+            )
 
     def _note_hold(self, digest: str, seconds: float | None) -> None:
         held = seconds is not None
@@ -269,7 +271,10 @@
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
-        holds = {one: self._quarantine.find_hold(one, now) for one in self._held}
+        holds = {
+            one: self._quarantine.find_quarantine_seconds(one, now)
+            for one in self._held
+        }
         held = {one: round(left) for one, left in holds.items() if left is not None}
         return {
             "held": dict(sorted(held.items())[:MAX_SHOWN]),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -240,7 +240,9 @@
         self._clock = clock
 
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
-        hold = self._quarantine.find_hold(exchange.digest, self._clock.now())
+        hold = self._quarantine.find_quarantine_seconds(
+            exchange.digest, self._clock.now()
+        )
         if hold is not None:
             raise create_hold_error(exchange, hold)
         await proceed(exchange)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -95,7 +95,10 @@
 
     def is_held(self, bundle: Bundle) -> bool:
         subject = _name(bundle)
-        return self._quarantine.find_hold(subject, self._clock.now()) is not None
+        return (
+            self._quarantine.find_quarantine_seconds(subject, self._clock.now())
+            is not None
+        )
 
 
 def _list_subjects(bundles: Iterable[Bundle]) -> set[str]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -74,7 +74,9 @@
 
         :raises RefusedError: if not
         """
-        hold = self._quarantine.find_hold(exchange.digest, self.clock.now())
+        hold = self._quarantine.find_quarantine_seconds(
+            exchange.digest, self.clock.now()
+        )
         if hold is not None:
             raise create_hold_error(exchange, hold)
 
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -93,7 +93,7 @@
         """Whether a request was answered lately."""
         return now - self._sound.get(digest, float("-inf")) < SOUND_SECONDS
 
-    def find_hold(self, digest: str, now: float) -> float | None:
+    def find_quarantine_seconds(self, digest: str, now: float) -> float | None:
         """Return for how many seconds a request is kept from targets.
 
         ``None``: it may be sent.
--- a/tests/test_core/test_relay/test_crash_storms.py
+++ b/tests/test_core/test_relay/test_crash_storms.py
@@ -99,7 +99,7 @@
         self.send(Sent(f"s{next(self.numbers)}", 1, 1))
 
     def send(self, sent: Sent) -> None:
-        if self.quarantine.find_hold(sent.digest, self.now) is not None:
+        if self.quarantine.find_quarantine_seconds(sent.digest, self.now) is not None:
             self.refused_sound += sent.digest != BAD
             return
         living = [engine for engine in self.engines if engine.lives]
@@ -148,7 +148,7 @@
         self.quarantine.record_crash(report, self.now)
         for digest in report.digests:
             # as each instance does, to tell of it
-            self.quarantine.find_hold(digest, self.now)
+            self.quarantine.find_quarantine_seconds(digest, self.now)
 
     def send_again(self, sent: Sent) -> None:
         if sent.sends < SENDS:
--- a/tests/test_core/test_relay/test_quarantine.py
+++ b/tests/test_core/test_relay/test_quarantine.py
@@ -25,7 +25,7 @@
 
 
 def holds(quarantine: Quarantine, digest: str, now: float = 0.0) -> bool:
-    return quarantine.find_hold(digest, now) is not None
+    return quarantine.find_quarantine_seconds(digest, now) is not None
 
 
 def test_three_targets_that_ended_are_enough():
@@ -168,7 +168,7 @@
 def test_hold_lapses():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
     quarantine.record_crash(report("t3", "bad"), 50.0)
-    assert quarantine.find_hold("bad", 100.0) == HOLD_SECONDS - 100.0
+    assert quarantine.find_quarantine_seconds("bad", 100.0) == HOLD_SECONDS - 100.0
     assert not holds(quarantine, "bad", HOLD_SECONDS + 1.0)
 
 
@@ -197,7 +197,9 @@
     rng.shuffle(shuffled)
     one, other = create(*reports), create(*shuffled)
     for digest in "abcde":
-        assert one.find_hold(digest, 1.0) == other.find_hold(digest, 1.0)
+        assert one.find_quarantine_seconds(
+            digest, 1.0
+        ) == other.find_quarantine_seconds(digest, 1.0)
 
 
 @pytest.mark.parametrize("seed", range(20))
