--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -17,7 +17,7 @@
     encode_reports,
 )
 from greengagelatch.relay.messages import CrashesSeen
-from greengagelatch.relay.quarantine import HOLD_SECONDS, CrashReport
+from greengagelatch.relay.quarantine import QUARANTINE_SECONDS, CrashReport
 from greengagelatch.store import ABSENT, WriteOutcome
 
 from ..controllers import Controller
@@ -201,7 +201,7 @@
         now = self._clock.now()
         if self._lease_id and now - self._lease_granted < LEASE_REUSE:
             return self._lease_id
-        granted = await self._store.grant_lease(HOLD_SECONDS)
+        granted = await self._store.grant_lease(QUARANTINE_SECONDS)
         self._lease_id = "" if isinstance(granted, Err) else granted.ok_value.lease_id
         self._lease_granted = now
         return self._lease_id
@@ -262,7 +262,7 @@
         self._note(reports)
 
     def _drop_old(self) -> None:
-        horizon = self._clock.now() - HOLD_SECONDS
+        horizon = self._clock.now() - QUARANTINE_SECONDS
         while self._kept:
             key, oldest = next(iter(self._kept.items()))
             if oldest.heard >= horizon and len(self._kept) <= MAX_KEPT:
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .incarnations import Incarnation
 
-__all__ = ("HOLD_SECONDS", "CrashReport", "Quarantine")
+__all__ = ("QUARANTINE_SECONDS", "CrashReport", "Quarantine")
 
 #: targets that may end under a request before it is kept from all others
 MAX_ENDED = 3
@@ -20,7 +20,7 @@
 #: it
 AROUND_SECONDS = 10.0
 #: seconds for which a target's end counts against the requests that were on it
-HOLD_SECONDS = 600.0
+QUARANTINE_SECONDS = 600.0
 #: seconds for which a request that was answered is taken to be sound: one that many
 #: callers send is on every target when a data centre loses power
 SOUND_SECONDS = 60.0
@@ -110,7 +110,7 @@
         self._limits[digest] = limit
         # held until so many of these have lapsed that fewer than the limit are left
         learnt = sorted(targets[target] for target in blamed)
-        return learnt[-limit] + HOLD_SECONDS - now
+        return learnt[-limit] + QUARANTINE_SECONDS - now
 
     def has_ends(self) -> bool:
         """Whether any target ended with a request on it."""
@@ -179,7 +179,7 @@
         return len(shared - {digest}) > 0
 
     def _drop_old(self, now: float) -> None:
-        horizon = now - HOLD_SECONDS
+        horizon = now - QUARANTINE_SECONDS
         while self._ends:
             target, (_, moment) = next(iter(self._ends.items()))
             if moment > horizon and len(self._ends) <= MAX_ENDS:
@@ -187,7 +187,7 @@
             del self._ends[target]
         while self._order:
             learnt, target, digest = self._order[0]
-            if now - learnt < HOLD_SECONDS and len(self._order) <= MAX_ENDS:
+            if now - learnt < QUARANTINE_SECONDS and len(self._order) <= MAX_ENDS:
                 return
             self._order.popleft()
             targets = self._ended.get(digest, {})
--- a/tests/test_core/test_relay/test_quarantine.py
+++ b/tests/test_core/test_relay/test_quarantine.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.quarantine import HOLD_SECONDS, CrashReport, Quarantine
+from greengagelatch.relay.quarantine import QUARANTINE_SECONDS, CrashReport, Quarantine
 
 
 def report(target: str, *digests: str) -> CrashReport:
@@ -168,8 +168,10 @@
 def test_hold_lapses():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
     quarantine.record_crash(report("t3", "bad"), 50.0)
-    assert quarantine.find_quarantine_seconds("bad", 100.0) == HOLD_SECONDS - 100.0
-    assert not holds(quarantine, "bad", HOLD_SECONDS + 1.0)
+    assert (
+        quarantine.find_quarantine_seconds("bad", 100.0) == QUARANTINE_SECONDS - 100.0
+    )
+    assert not holds(quarantine, "bad", QUARANTINE_SECONDS + 1.0)
 
 
 def test_memory_is_bounded():
