--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -88,7 +88,7 @@
                 self._crashes.note_survived(maker, subject)
 
     def has_any(self) -> bool:
-        return self._quarantine.has_ends()
+        return self._quarantine.has_crashes()
 
     def is_suspect(self, bundle: Bundle) -> bool:
         return self._quarantine.count_ended(_name(bundle)) >= MAX_ENDED_SHARED
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -112,7 +112,7 @@
         learnt = sorted(targets[target] for target in blamed)
         return learnt[-limit] + QUARANTINE_SECONDS - now
 
-    def has_ends(self) -> bool:
+    def has_crashes(self) -> bool:
         """Whether any target ended with a request on it."""
         return bool(self._ended)
 
