--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/piece_suspects.py
@@ -84,14 +84,14 @@
 
     def note_made(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         for subject in _list_subjects(bundles):
-            if self._quarantine.count_ended(subject):
+            if self._quarantine.count_crashed(subject):
                 self._crashes.note_survived(maker, subject)
 
     def has_any(self) -> bool:
         return self._quarantine.has_crashes()
 
     def is_suspect(self, bundle: Bundle) -> bool:
-        return self._quarantine.count_ended(_name(bundle)) >= MAX_ENDED_SHARED
+        return self._quarantine.count_crashed(_name(bundle)) >= MAX_ENDED_SHARED
 
     def is_held(self, bundle: Bundle) -> bool:
         subject = _name(bundle)
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -116,7 +116,7 @@
         """Whether any target ended with a request on it."""
         return bool(self._ended)
 
-    def count_ended(self, digest: str) -> int:
+    def count_crashed(self, digest: str) -> int:
         """Return how many targets ended with a request on them."""
         return len(self._ended.get(digest, ()))
 
