--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -138,7 +138,7 @@
             return
         self._held.add(digest)
         self._metrics.count("requests.held")
-        ended = self._quarantine.list_ended(digest)
+        ended = self._quarantine.list_crashed(digest)
         self._decisions.note_belief(
             "request-held",
             digest=digest,
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -120,7 +120,7 @@
         """Return how many targets ended with a request on them."""
         return len(self._ended.get(digest, ()))
 
-    def list_ended(self, digest: str) -> tuple[Incarnation, ...]:
+    def list_crashed(self, digest: str) -> tuple[Incarnation, ...]:
         """Return the targets that ended with a request on them."""
         return tuple(self._ended.get(digest, ()))
 
