--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -80,7 +80,7 @@
     def note_broken(self, target: ListedTarget, digest: str) -> None:
         """Take in that a connection broke before its request was answered."""
         incarnation = target.incarnation
-        if self._quarantine.is_sound(digest, self._clock.now()):
+        if self._quarantine.is_cleared(digest, self._clock.now()):
             return
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -89,7 +89,7 @@
         for target in self._ended.pop(digest, {}):
             self._forget_suspect(target, digest)
 
-    def is_sound(self, digest: str, now: float) -> bool:
+    def is_cleared(self, digest: str, now: float) -> bool:
         """Whether a request was answered lately."""
         return now - self._sound.get(digest, float("-inf")) < SOUND_SECONDS
 
@@ -104,7 +104,7 @@
         self._drop_old(now)
         blamed = self._find_blamed(digest)
         limit = self._limits.get(digest) or self._find_limit(digest, blamed)
-        if len(blamed) < limit or self.is_sound(digest, now):
+        if len(blamed) < limit or self.is_cleared(digest, now):
             self._limits.pop(digest, None)
             return None
         self._limits[digest] = limit
