--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.batches import SharedCalls
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
-from greengagelatch.relay.fleet import Fleet
+from greengagelatch.relay.fleet import LoadBalancer
 from greengagelatch.relay.groups import ByCapacity
 from greengagelatch.relay.listeners import choose_listeners
 from greengagelatch.relay.quarantine import Quarantine
@@ -136,7 +136,7 @@
     def _build_state(self) -> None:
         self.book = TargetBook()
         self.quarantine = Quarantine()
-        self.fleet = Fleet(
+        self.fleet = LoadBalancer(
             book=self.book,
             data_centre=self.rules.data_centre,
             random_source=self.random,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
+    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.requests import RefusedError
 
@@ -44,7 +44,7 @@
         self,
         *,
         sender: TargetSender,
-        fleet: Fleet,
+        fleet: LoadBalancer,
         budgets: RepeatBudgets,
         quarantine: Quarantine,
         clock: Clock,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
+    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from .codecs import TargetCodec
@@ -60,7 +60,7 @@
         *,
         links: TargetLinks,
         codec: TargetCodec,
-        fleet: Fleet,
+        fleet: LoadBalancer,
         book: TargetBook,
         crashes: CrashWatch,
         clock: Clock,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -11,7 +11,7 @@
     from collections.abc import Collection, Mapping
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
+    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import PieceResult
     from greengagelatch.relay.stage_plan import StagePlan, StageWork
@@ -43,7 +43,7 @@
         exchange: RelayExchange,
         plan: StagePlan,
         desk: StageDesk,
-        fleet: Fleet,
+        fleet: LoadBalancer,
         clock: Clock,
         data_centre: str,
         first_seconds: float,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
+    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.requests import RefusedError
     from greengagelatch.relay.stage_plan import ChainEstimate, StageWork
@@ -69,7 +69,7 @@
         clock: Clock,
         decisions: DecisionLog,
         data_centre: str,
-        fleet: Fleet,
+        fleet: LoadBalancer,
         book: TargetBook,
     ) -> None:
         self.fleet = fleet
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -23,7 +23,7 @@
     from collections.abc import AsyncIterator
 
     from greengagelatch.relay.admission import RouteAdmission
-    from greengagelatch.relay.fleet import Fleet
+    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.targets import ListedTarget
 
@@ -338,7 +338,9 @@
 class _Reading:
     """Counts a request at its engine: first as a prompt to read, then as running."""
 
-    def __init__(self, fleet: Fleet, incarnation: Incarnation, tokens: float) -> None:
+    def __init__(
+        self, fleet: LoadBalancer, incarnation: Incarnation, tokens: float
+    ) -> None:
         self.fleet = fleet
         self._incarnation = incarnation
         self._tokens = tokens
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.fleet import EngineNeed, Fleet
+from greengagelatch.relay.fleet import EngineNeed, LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.budgets import RepeatBudgets
@@ -212,7 +212,9 @@
         )
 
     def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
-        fleet = Fleet(book=self._book, data_centre=near, random_source=self._random)
+        fleet = LoadBalancer(
+            book=self._book, data_centre=near, random_source=self._random
+        )
         stages = StageRunner(
             desk=desk,
             clock=self._clock,
--- a/packages/greengagelatch/src/greengagelatch/relay/fleet.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/fleet.py
@@ -17,7 +17,7 @@
     from .requests import Prompt
     from .targets import ListedTarget, TargetBook
 
-__all__ = ("EngineNeed", "Fleet", "LoadReport")
+__all__ = ("EngineNeed", "LoadBalancer", "LoadReport")
 
 #: a target is out after two failures in a row: with three targets, a third of all
 #: requests find out about one that is lost, so each further sample is dear
@@ -71,7 +71,7 @@
     parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
 
-class Fleet:
+class LoadBalancer:
     """Chooses among the targets that are listed, and learns from outcomes."""
 
     def __init__(
--- a/tests/test_core/test_relay/test_fleet.py
+++ b/tests/test_core/test_relay/test_fleet.py
@@ -4,7 +4,7 @@
 
 import random
 
-from greengagelatch.relay.fleet import EngineNeed, Fleet, LoadReport
+from greengagelatch.relay.fleet import EngineNeed, LoadBalancer, LoadReport
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.requests import Prompt, PromptPart
 from greengagelatch.relay.targets import ListedTarget, TargetBook
@@ -13,7 +13,7 @@
 NOBODY: frozenset[Incarnation] = frozenset()
 
 
-def create_fleet(count: int = 5, *, slots: int = 6) -> Fleet:
+def create_fleet(count: int = 5, *, slots: int = 6) -> LoadBalancer:
     book = TargetBook()
     for number in range(count):
         book.put(
@@ -26,7 +26,7 @@
                 revision=number + 1,
             )
         )
-    return Fleet(book=book, data_centre="north", random_source=random.Random(4))
+    return LoadBalancer(book=book, data_centre="north", random_source=random.Random(4))
 
 
 def create_need(
@@ -39,7 +39,7 @@
     return EngineNeed(Prompt(tokens_in=tokens, parts=parts), sizes)
 
 
-def choose(fleet: Fleet, need: EngineNeed, excluded=NOBODY) -> str:
+def choose(fleet: LoadBalancer, need: EngineNeed, excluded=NOBODY) -> str:
     return fleet.choose_engine("s", need, excluded, NOW).target_id
 
 
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from greengagelatch.peers.codec import Envelope, decode, encode
-from greengagelatch.relay.fleet import EngineNeed, Fleet, LoadReport
+from greengagelatch.relay.fleet import EngineNeed, LoadBalancer, LoadReport
 from greengagelatch.relay.incarnations import Incarnation, Succession
 from greengagelatch.relay.messages import News
 from greengagelatch.relay.news import decode_target, encode_target
@@ -41,12 +41,12 @@
     )
 
 
-def create_fleet(*targets: ListedTarget) -> tuple[TargetBook, Fleet]:
+def create_fleet(*targets: ListedTarget) -> tuple[TargetBook, LoadBalancer]:
     book = TargetBook()
     for target in targets:
         book.put(target)
     source = random.Random(4)
-    return book, Fleet(book=book, data_centre="north", random_source=source)
+    return book, LoadBalancer(book=book, data_centre="north", random_source=source)
 
 
 def test_incarnation_is_shown_with_its_start():
