--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -14,9 +14,9 @@
 from greengagelatch.relay.batches import SharedCalls
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
-from greengagelatch.relay.fleet import LoadBalancer
 from greengagelatch.relay.groups import ByCapacity
 from greengagelatch.relay.listeners import choose_listeners
+from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.targets import TargetBook
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/messages.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from greengagelatch.relay.fleet import LoadReport
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadReport
     from greengagelatch.relay.requests import HeaderLine
 
 __all__ = ("AnswerHead", "Outbound", "RelayCall")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import LoadBalancer
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.requests import RefusedError
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import LoadBalancer
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.targets import ListedTarget, TargetBook
 
     from .codecs import TargetCodec
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -11,8 +11,8 @@
     from collections.abc import Collection, Mapping
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.pieces import PieceResult
     from greengagelatch.relay.stage_plan import StagePlan, StageWork
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -17,8 +17,8 @@
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.requests import RefusedError
     from greengagelatch.relay.stage_plan import ChainEstimate, StageWork
     from greengagelatch.relay.targets import TargetBook
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.errors import RefusalCode
 from greengagelatch.relay.admission import Estimate
-from greengagelatch.relay.fleet import EngineNeed
+from greengagelatch.relay.load_balancer import EngineNeed
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.relay.requests import Prompt
 
@@ -23,8 +23,8 @@
     from collections.abc import AsyncIterator
 
     from greengagelatch.relay.admission import RouteAdmission
-    from greengagelatch.relay.fleet import LoadBalancer
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.targets import ListedTarget
 
     from .codecs import TargetCodec
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.fleet import EngineNeed, LoadBalancer
+from greengagelatch.relay.load_balancer import EngineNeed, LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.budgets import RepeatBudgets
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from greengagelatch.peers.codec import Envelope, decode, encode
-from greengagelatch.relay.fleet import EngineNeed, LoadBalancer, LoadReport
 from greengagelatch.relay.incarnations import Incarnation, Succession
+from greengagelatch.relay.load_balancer import EngineNeed, LoadBalancer, LoadReport
 from greengagelatch.relay.messages import News
 from greengagelatch.relay.news import decode_target, encode_target
 from greengagelatch.relay.requests import Prompt, PromptPart
--- a/tests/test_core/test_relay/test_fleet.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -4,8 +4,8 @@
 
 import random
 
-from greengagelatch.relay.fleet import EngineNeed, LoadBalancer, LoadReport
 from greengagelatch.relay.incarnations import Incarnation
+from greengagelatch.relay.load_balancer import EngineNeed, LoadBalancer, LoadReport
 from greengagelatch.relay.requests import Prompt, PromptPart
 from greengagelatch.relay.targets import ListedTarget, TargetBook
 
