--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -215,7 +215,7 @@
         room that their makers need for others.
         """
         now = self._runner.clock.now()
-        if not self._runner.fleet.takes_in(target, now):
+        if not self._runner.fleet.has_free_slots(target, now):
             return
         self._freed = True
         self._run.free()
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -118,7 +118,7 @@
         """Return the engine that a prompt's shared parts should be sent to."""
         return _find_home(prompt, self._list_candidates(service, frozenset(), now))
 
-    def takes_in(self, target: ListedTarget, now: float) -> bool:
+    def has_free_slots(self, target: ListedTarget, now: float) -> bool:
         """Whether an engine has places for what it is sent, rather than a queue.
 
         One that is full takes a request in when another one ends. Told by itself of
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -156,8 +156,8 @@
     first, second = fleet._book.list_service("s")
     fleet.note_report(first.incarnation, LoadReport(2, 0, 6), NOW)
     fleet.note_report(second.incarnation, LoadReport(6, 3, 6), NOW)
-    assert fleet.takes_in(first, NOW)
-    assert not fleet.takes_in(second, NOW)
+    assert fleet.has_free_slots(first, NOW)
+    assert not fleet.has_free_slots(second, NOW)
 
 
 def test_engine_of_which_nothing_was_heard_is_taken_for_the_others():
@@ -168,9 +168,9 @@
     """
     fleet = create_fleet(3)
     unheard, second, third = fleet._book.list_service("s")
-    assert not fleet.takes_in(unheard, NOW)
+    assert not fleet.has_free_slots(unheard, NOW)
     fleet.note_report(second.incarnation, LoadReport(1, 0, 6), NOW)
-    assert fleet.takes_in(unheard, NOW)
+    assert fleet.has_free_slots(unheard, NOW)
     fleet.note_report(third.incarnation, LoadReport(5, 0, 6), NOW)
-    assert not fleet.takes_in(unheard, NOW)
-    assert not fleet.takes_in(unheard, NOW + 60.0)
+    assert not fleet.has_free_slots(unheard, NOW)
+    assert not fleet.has_free_slots(unheard, NOW + 60.0)
