--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -288,7 +288,7 @@
         now = runner.clock.now()
         self._begun_at = now
         runner.times.note_first(self._exchange, now - self._sent_at)
-        runner.fleet.note_parts(target.incarnation, self._prompt, now)
+        runner.fleet.record_cached_parts(target.incarnation, self._prompt, now)
         self._begun = self._freed = True
         # the target has read the stages' results; their makers need the room
         self._run.free()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -82,7 +82,7 @@
         self.fleet.begin(target.incarnation, tokens)
         if read:
             self.times.note_first(exchange, now - started)
-            self.fleet.note_parts(target.incarnation, prompt, now)
+            self.fleet.record_cached_parts(target.incarnation, prompt, now)
             exchange.outcome = "answered"
         run.free()
         self.fleet.finish(target.incarnation)
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -156,7 +156,9 @@
             # restart would use more memory
             self.forget(incarnation)
 
-    def note_parts(self, incarnation: Incarnation, prompt: Prompt, now: float) -> None:
+    def record_cached_parts(
+        self, incarnation: Incarnation, prompt: Prompt, now: float
+    ) -> None:
         """Remember what an engine has read for a request."""
         parts = self._find(incarnation).parts
         for part in prompt.shared:
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -140,7 +140,7 @@
     need = create_need("part")
     home = choose(fleet, need)
     other = choose(fleet, need, frozenset({Incarnation(home)}))
-    fleet.note_parts(Incarnation(other), need.prompt, NOW)
+    fleet.record_cached_parts(Incarnation(other), need.prompt, NOW)
     assert fleet.count_tokens(Incarnation(other), need.prompt, NOW) == 9000 - 2500
     assert fleet.count_tokens(Incarnation(other), need.prompt, NOW + 60) == 9000
 
