--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -167,7 +167,7 @@
         while len(parts) > MAX_PARTS:
             parts.popitem(last=False)
 
-    def note_success(self, incarnation: Incarnation) -> None:
+    def record_success(self, incarnation: Incarnation) -> None:
         """Take in an answer."""
         self._find(incarnation).breaker.note_success()
 
