--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -171,7 +171,7 @@
         """Take in an answer."""
         self._find(incarnation).breaker.note_success()
 
-    def note_failure(self, incarnation: Incarnation, now: float) -> None:
+    def record_failure(self, incarnation: Incarnation, now: float) -> None:
         """Take in a failure that is the target's doing."""
         self._find(incarnation).breaker.note_failure(now)
 
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -171,7 +171,7 @@
     """
     book, fleet = create_fleet(create(FORMER, 1), create(Incarnation("t-2", 5), 2))
     for _ in range(3):
-        fleet.note_failure(FORMER, NOW)
+        fleet.record_failure(FORMER, NOW)
     fleet.start(Incarnation("t-2", 5))
     assert fleet.choose_plain("desk", NOBODY, NOW).target_id == "t-2"
     book.put(create(LATER, 3))
@@ -206,7 +206,7 @@
     fleet.start(FORMER, 100.0)
     book.put(create(LATER, 2))
     fleet.forget(FORMER)
-    fleet.note_failure(FORMER, NOW)
+    fleet.record_failure(FORMER, NOW)
     fleet.finish(FORMER)
     assert fleet.describe(NOW) == {}
 
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -70,8 +70,8 @@
     Cause: outcomes were not remembered.
     """
     fleet = create_fleet(3)
-    fleet.note_failure(Incarnation("t-0"), NOW)
-    fleet.note_failure(Incarnation("t-0"), NOW)
+    fleet.record_failure(Incarnation("t-0"), NOW)
+    fleet.record_failure(Incarnation("t-0"), NOW)
     for _ in range(20):
         assert fleet.choose_plain("s", NOBODY, NOW + 0.2).target_id != "t-0"
 
@@ -86,7 +86,7 @@
     fleet = create_fleet(3)
     for number in range(3):
         for _ in range(3):
-            fleet.note_failure(Incarnation(f"t-{number}"), NOW)
+            fleet.record_failure(Incarnation(f"t-{number}"), NOW)
     assert fleet.choose_plain("s", NOBODY, NOW + 0.1) is not None
 
 
