--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -139,7 +139,9 @@
     ) -> Answered | Unanswered:
         head = self._codec.read_head(reply)
         if head.load is not None:
-            self._fleet.note_report(target.incarnation, head.load, self._clock.now())
+            self._fleet.record_load_report(
+                target.incarnation, head.load, self._clock.now()
+            )
         if head.request_id != exchange.request.request_id and not head.misdirected:
             # an answer to somebody else's request, or one that nobody can place
             reply.abort()
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -175,7 +175,7 @@
         """Take in a failure that is the target's doing."""
         self._find(incarnation).breaker.note_failure(now)
 
-    def note_report(
+    def record_load_report(
         self, incarnation: Incarnation, report: LoadReport, now: float
     ) -> None:
         """Take in a target's own word about its load."""
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -187,7 +187,7 @@
     """
     book, fleet = create_fleet(create(FORMER, 1), create(Incarnation("t-2", 5), 2))
     fleet.record_cached_parts(FORMER, PROMPT, NOW)
-    fleet.note_report(FORMER, LoadReport(4, 2, 1), NOW)
+    fleet.record_load_report(FORMER, LoadReport(4, 2, 1), NOW)
     assert fleet.count_tokens(FORMER, PROMPT, NOW) == 1000
     book.put(create(LATER, 3))
     fleet.forget(FORMER)
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -58,7 +58,7 @@
 
 def test_targets_word_on_its_load_counts_for_a_while():
     fleet = create_fleet(1 + 1)
-    fleet.note_report(Incarnation("t-0"), LoadReport(6, 3, 6), NOW)
+    fleet.record_load_report(Incarnation("t-0"), LoadReport(6, 3, 6), NOW)
     assert fleet.choose_plain("s", NOBODY, NOW).target_id == "t-1"
     assert fleet.choose_plain("s", NOBODY, NOW + 5).target_id == "t-0"
 
@@ -154,8 +154,8 @@
 def test_engine_that_told_of_free_places_takes_requests_in():
     fleet = create_fleet(2)
     first, second = fleet._book.list_service("s")
-    fleet.note_report(first.incarnation, LoadReport(2, 0, 6), NOW)
-    fleet.note_report(second.incarnation, LoadReport(6, 3, 6), NOW)
+    fleet.record_load_report(first.incarnation, LoadReport(2, 0, 6), NOW)
+    fleet.record_load_report(second.incarnation, LoadReport(6, 3, 6), NOW)
     assert fleet.has_free_slots(first, NOW)
     assert not fleet.has_free_slots(second, NOW)
 
@@ -169,8 +169,8 @@
     fleet = create_fleet(3)
     unheard, second, third = fleet._book.list_service("s")
     assert not fleet.has_free_slots(unheard, NOW)
-    fleet.note_report(second.incarnation, LoadReport(1, 0, 6), NOW)
+    fleet.record_load_report(second.incarnation, LoadReport(1, 0, 6), NOW)
     assert fleet.has_free_slots(unheard, NOW)
-    fleet.note_report(third.incarnation, LoadReport(5, 0, 6), NOW)
+    fleet.record_load_report(third.incarnation, LoadReport(5, 0, 6), NOW)
     assert not fleet.has_free_slots(unheard, NOW)
     assert not fleet.has_free_slots(unheard, NOW + 60.0)
