--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -142,7 +142,7 @@
         state.in_flight += 1
         state.pending_tokens += tokens
 
-    def begin(self, incarnation: Incarnation, tokens: float) -> None:
+    def finish_prefill(self, incarnation: Incarnation, tokens: float) -> None:
         """Take in that an engine has read a request's prompt."""
         state = self._find(incarnation)
         state.pending_tokens = max(0.0, state.pending_tokens - tokens)
