--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -112,7 +112,7 @@
         home = _find_home(need.prompt, candidates)
         return min(candidates, key=lambda one: self._rate_engine(one, need, home, now))
 
-    def find_home(
+    def find_affinity_target(
         self, service: str, prompt: Prompt, now: float
     ) -> ListedTarget | None:
         """Return the engine that a prompt's shared parts should be sent to."""
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -223,9 +223,9 @@
         for n in range(40)
     ]
     book, fleet = create_fleet(create(FORMER, 1), *others)
-    before = [fleet.find_home("desk", one, NOW).target_id for one in prompts]
+    before = [fleet.find_affinity_target("desk", one, NOW).target_id for one in prompts]
     book.put(create(LATER, 9))
-    after = [fleet.find_home("desk", one, NOW).target_id for one in prompts]
+    after = [fleet.find_affinity_target("desk", one, NOW).target_id for one in prompts]
     assert before == after
     need = EngineNeed(prompts[before.index("t-1")])
     assert fleet.choose_engine("desk", need, NOBODY, NOW).incarnation == LATER
