--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.errors import RefusalCode
 from greengagelatch.relay.admission import Estimate
-from greengagelatch.relay.load_balancer import EngineNeed
+from greengagelatch.relay.load_balancer import EngineDemand
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.relay.requests import Prompt
 
@@ -168,7 +168,7 @@
         self._results = await self._run.make()
 
     def _choose(self, excluded: frozenset[Incarnation]) -> ListedTarget | None:
-        need = EngineNeed(self._prompt, self._results.bytes_by_data_centre)
+        need = EngineDemand(self._prompt, self._results.bytes_by_data_centre)
         fleet, now = self._runner.fleet, self._runner.clock.now()
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.load_balancer import EngineNeed, LoadBalancer
+from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.budgets import RepeatBudgets
@@ -68,7 +68,7 @@
         self, exchange: RelayExchange, run: StageRun, results: StageResults
     ) -> None:
         prompt = exchange.request.prompt
-        need = EngineNeed(prompt, results.bytes_by_data_centre)
+        need = EngineDemand(prompt, results.bytes_by_data_centre)
         started = self.clock.now()
         target = self.fleet.choose_engine(ENGINES, need, frozenset(), started)
         tokens = self.fleet.count_tokens(target.incarnation, prompt, started)
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -17,7 +17,7 @@
     from .requests import Prompt
     from .targets import ListedTarget, TargetBook
 
-__all__ = ("EngineNeed", "LoadBalancer", "LoadReport")
+__all__ = ("EngineDemand", "LoadBalancer", "LoadReport")
 
 #: a target is out after two failures in a row: with three targets, a third of all
 #: requests find out about one that is lost, so each further sample is dear
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineNeed:
+class EngineDemand:
     """What a request needs of its engine."""
 
     prompt: Prompt
@@ -94,7 +94,7 @@
     def choose_engine(
         self,
         service: str,
-        need: EngineNeed,
+        need: EngineDemand,
         excluded: frozenset[Incarnation],
         now: float,
     ) -> ListedTarget | None:
@@ -237,7 +237,7 @@
     def _rate_engine(
         self,
         target: ListedTarget,
-        need: EngineNeed,
+        need: EngineDemand,
         home: ListedTarget | None,
         now: float,
     ) -> tuple[float, float]:
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.peers.codec import Envelope, decode, encode
 from greengagelatch.relay.incarnations import Incarnation, Succession
-from greengagelatch.relay.load_balancer import EngineNeed, LoadBalancer, LoadReport
+from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
 from greengagelatch.relay.messages import News
 from greengagelatch.relay.news import decode_target, encode_target
 from greengagelatch.relay.requests import Prompt, PromptPart
@@ -227,7 +227,7 @@
     book.put(create(LATER, 9))
     after = [fleet.find_affinity_target("desk", one, NOW).target_id for one in prompts]
     assert before == after
-    need = EngineNeed(prompts[before.index("t-1")])
+    need = EngineDemand(prompts[before.index("t-1")])
     assert fleet.choose_engine("desk", need, NOBODY, NOW).incarnation == LATER
 
 
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -5,7 +5,7 @@
 import random
 
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.load_balancer import EngineNeed, LoadBalancer, LoadReport
+from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
 from greengagelatch.relay.requests import Prompt, PromptPart
 from greengagelatch.relay.targets import ListedTarget, TargetBook
 
@@ -31,15 +31,15 @@
 
 def create_need(
     part: str, tokens: int = 9000, first: str = "", **sizes: int
-) -> EngineNeed:
+) -> EngineDemand:
     parts = (PromptPart(part, 2500), PromptPart(f"own-{part}", tokens - 2500))
     if first:
         parts = (PromptPart(first, 2500), *parts)
         tokens += 2500
-    return EngineNeed(Prompt(tokens_in=tokens, parts=parts), sizes)
+    return EngineDemand(Prompt(tokens_in=tokens, parts=parts), sizes)
 
 
-def choose(fleet: LoadBalancer, need: EngineNeed, excluded=NOBODY) -> str:
+def choose(fleet: LoadBalancer, need: EngineDemand, excluded=NOBODY) -> str:
     return fleet.choose_engine("s", need, excluded, NOW).target_id
 
 
