--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -18,7 +18,7 @@
 from greengagelatch.relay.listeners import choose_listeners
 from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.targets import TargetTable
 
 from ..adapters.peers import PeerHub
 from ..controllers import Controller
@@ -134,7 +134,7 @@
         )
 
     def _build_state(self) -> None:
-        self.book = TargetBook()
+        self.book = TargetTable()
         self.quarantine = Quarantine()
         self.fleet = LoadBalancer(
             book=self.book,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -15,7 +15,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.quarantine import Quarantine
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
     from ..metrics import Metrics
     from .crashes import CrashBoard
@@ -60,7 +60,7 @@
         *,
         board: CrashBoard,
         quarantine: Quarantine,
-        book: TargetBook,
+        book: TargetTable,
         links: TargetLinks,
         clock: Clock,
         metrics: Metrics,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -12,7 +12,7 @@
 
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import PieceResult
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from ..metrics import Metrics
     from .codecs import TargetCodec
@@ -46,7 +46,7 @@
         *,
         find_maker: Callable[[Incarnation], Maker | None],
         note_freed: Callable[[], None],
-        book: TargetBook,
+        book: TargetTable,
         links: TargetLinks,
         codec: TargetCodec,
         metrics: Metrics,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -18,7 +18,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.relay.incarnations import Incarnation
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
     from greengagelatch.store import Entry
     from greengagelatch.store.ranges import Changes, Scan
 
@@ -44,7 +44,7 @@
         self,
         *,
         codec: ListingCodec,
-        book: TargetBook,
+        book: TargetTable,
         note_gone: Callable[[Incarnation], None],
         find_services: Callable[[], Collection[str] | None],
         clock: Clock,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -12,7 +12,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.relay.batches import PlannedCall
     from greengagelatch.relay.pieces import PieceResult
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from .codecs import TargetCodec
     from .links import TargetLinks
@@ -48,7 +48,7 @@
     """Sends planned calls to makers."""
 
     def __init__(
-        self, *, links: TargetLinks, codec: TargetCodec, book: TargetBook, clock: Clock
+        self, *, links: TargetLinks, codec: TargetCodec, book: TargetTable, clock: Clock
     ) -> None:
         self._links = links
         self._codec = codec
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -21,7 +21,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.peers import Member, PeerNetwork
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
@@ -69,7 +69,7 @@
         configuration: ConfigurationFollower,
         listing: ListingFollower,
         crashes: CrashBoard,
-        book: TargetBook,
+        book: TargetTable,
         clock: Clock,
         random_source: random.Random,
         metrics: Metrics,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -16,7 +16,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.relay.load_balancer import LoadBalancer
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
     from .codecs import TargetCodec
     from .crash_watch import CrashWatch
@@ -61,7 +61,7 @@
         links: TargetLinks,
         codec: TargetCodec,
         fleet: LoadBalancer,
-        book: TargetBook,
+        book: TargetTable,
         crashes: CrashWatch,
         clock: Clock,
         decisions: DecisionLog,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -20,7 +20,7 @@
     from greengagelatch.peers import Member
     from greengagelatch.relay.deployment import MakerProfile
     from greengagelatch.relay.groups import DivisionRule
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 __all__ = ("MakerGroups",)
 
@@ -64,7 +64,7 @@
         self,
         *,
         rule: DivisionRule,
-        book: TargetBook,
+        book: TargetTable,
         list_members: Callable[[], tuple[Member, ...]],
         find_profile: Callable[[str], MakerProfile | None],
     ) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -25,7 +25,7 @@
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import Bundle
     from greengagelatch.relay.queue_waits import QueueWait
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
     from ..metrics import Metrics
     from .budgets import RepeatBudgets
@@ -67,7 +67,7 @@
         is_sole: Callable[[], bool],
         suspects: PieceSuspects,
         policy: BatchPolicy,
-        book: TargetBook,
+        book: TargetTable,
         links: TargetLinks,
         codec: TargetCodec,
         budgets: RepeatBudgets,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -16,7 +16,7 @@
     from greengagelatch.relay.batches import PlannedCall
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import Bundle, Piece
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from ..metrics import Metrics
     from .budgets import RepeatBudgets
@@ -56,7 +56,7 @@
         service: str,
         *,
         free: Callable[[tuple[PieceResult, ...]], None],
-        book: TargetBook,
+        book: TargetTable,
         budgets: RepeatBudgets,
         metrics: Metrics,
     ) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -21,7 +21,7 @@
     from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.requests import RefusedError
     from greengagelatch.relay.stage_plan import ChainEstimate, StageWork
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from .decisions import DecisionLog
     from .exchange import RelayExchange
@@ -70,7 +70,7 @@
         decisions: DecisionLog,
         data_centre: str,
         fleet: LoadBalancer,
-        book: TargetBook,
+        book: TargetTable,
     ) -> None:
         self.fleet = fleet
         self.book = book
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -31,7 +31,7 @@
     from greengagelatch.relay.batches import BatchPolicy
     from greengagelatch.relay.deployment import Deployment, MakerProfile
     from greengagelatch.relay.groups import DivisionRule, MakerGroup
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
     from greengagelatch_entry.relay.exchange import RelayExchange
     from greengagelatch_entry.relay.stages import StageResults, StageRun
 
@@ -105,7 +105,7 @@
         self,
         *,
         clock: Clock,
-        book: TargetBook,
+        book: TargetTable,
         deployment: Deployment,
         engines: dict[str, Engine],
         links: ModelLinks,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -22,7 +22,7 @@
 from greengagelatch.relay.groups import ByCapacity, DivisionRule
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.requests import OpaqueRequest, RefusedError
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 from greengagelatch.relay.urgency import compute_rank
 from greengagelatch_entry.relay.exchange import RelayExchange
 
@@ -83,7 +83,7 @@
         self.clock = LoopClock()
         self.results = Results()
         self.outcome = Outcome()
-        self.book = TargetBook()
+        self.book = TargetTable()
         self.makers: dict[str, Maker] = {}
         self.engines: dict[str, Engine] = {}
         self.centres = [f"dc-{number}" for number in range(shape.data_centres)]
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -15,7 +15,7 @@
 
     from .incarnations import Incarnation
     from .requests import Prompt
-    from .targets import ListedTarget, TargetBook
+    from .targets import ListedTarget, TargetTable
 
 __all__ = ("EngineDemand", "LoadBalancer", "LoadReport")
 
@@ -75,7 +75,7 @@
     """Chooses among the targets that are listed, and learns from outcomes."""
 
     def __init__(
-        self, *, book: TargetBook, data_centre: str, random_source: random.Random
+        self, *, book: TargetTable, data_centre: str, random_source: random.Random
     ) -> None:
         self._book = book
         self._data_centre = data_centre
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ("ListedTarget", "TargetBook")
+__all__ = ("ListedTarget", "TargetTable")
 
 #: seconds after the platform's store is back within which entries that lapsed while
 #: it was away are written again by targets that live
@@ -39,7 +39,7 @@
         return self.incarnation.target_id
 
 
-class TargetBook:
+class TargetTable:
     """All targets that are listed, by service.
 
     A target that has begun to leave stays out for good, also if an older entry of
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.messages import News
 from greengagelatch.relay.news import decode_target, encode_target
 from greengagelatch.relay.requests import Prompt, PromptPart
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 FORMER = Incarnation("t-1", 1000)
 LATER = Incarnation("t-1", 2000)
@@ -41,8 +41,8 @@
     )
 
 
-def create_fleet(*targets: ListedTarget) -> tuple[TargetBook, LoadBalancer]:
-    book = TargetBook()
+def create_fleet(*targets: ListedTarget) -> tuple[TargetTable, LoadBalancer]:
+    book = TargetTable()
     for target in targets:
         book.put(target)
     source = random.Random(4)
@@ -54,7 +54,7 @@
 
 
 def test_target_that_starts_again_replaces_the_former_one():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(FORMER, 5))
     assert book.compare(create(LATER, 6)) is Succession.NEWER
     assert book.put(create(LATER, 6))
@@ -71,7 +71,7 @@
     Sequence: a target leaves as planned and starts again under the id that it had.
     Cause: that it had left was remembered under its id.
     """
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(FORMER, 5, leaving=True))
     book.remove(FORMER, 6)
     assert book.put(create(LATER, 7))
@@ -86,7 +86,7 @@
     is behind, with whatever revision it may claim, also once the new one has gone.
     Cause: the entry read last was believed.
     """
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(LATER, 5))
     old = create(FORMER, 9)
     assert book.compare(old) is Succession.OUTDATED
@@ -98,14 +98,14 @@
 
 
 def test_removal_concerns_the_incarnation_that_was_listed():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(LATER, 5))
     assert not book.remove(FORMER, 9)
     assert book.accepts(LATER)
 
 
 def test_entry_without_a_start_is_of_the_one_known_at_its_address():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(LATER, 5))
     assert book.put(create(UNTOLD, 6, leaving=True))
     assert not book.accepts(LATER)
@@ -113,7 +113,7 @@
 
 
 def test_entry_without_a_start_elsewhere_is_nobodys():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(LATER, 5))
     elsewhere = create(UNTOLD, 6, address="10.0.0.2:80")
     assert book.compare(elsewhere) is Succession.UNTOLD
@@ -122,7 +122,7 @@
 
 
 def test_ids_without_a_start_are_as_before():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create(UNTOLD, 5))
     assert book.compare(create(UNTOLD, 6, address="10.0.0.2:80")) is Succession.SAME
     assert book.compare(create(LATER, 6)) is Succession.NEWER
@@ -140,7 +140,7 @@
 
 @given(st.lists(_entries, max_size=30))
 def test_of_each_id_one_incarnation_gets_work_and_never_an_older_one(steps):
-    book = TargetBook()
+    book = TargetTable()
     newest = {"t-1": -1, "t-2": -1}
     for step, target_id, born, revision, leaving, address in steps:
         incarnation = Incarnation(target_id, born)
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -7,14 +7,14 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
 from greengagelatch.relay.requests import Prompt, PromptPart
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 NOW = 50.0
 NOBODY: frozenset[Incarnation] = frozenset()
 
 
 def create_fleet(count: int = 5, *, slots: int = 6) -> LoadBalancer:
-    book = TargetBook()
+    book = TargetTable()
     for number in range(count):
         book.put(
             ListedTarget(
--- a/tests/test_core/test_relay/test_targets.py
+++ b/tests/test_core/test_relay/test_targets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 
 def create(target_id: str, revision: int, *, leaving: bool = False) -> ListedTarget:
@@ -18,7 +18,7 @@
 
 
 def test_listed_targets_are_given_by_service():
-    book = TargetBook()
+    book = TargetTable()
     assert book.put(create("t-2", 1))
     assert book.put(create("t-1", 2))
     assert [one.target_id for one in book.list_service("desk")] == ["t-1", "t-2"]
@@ -26,7 +26,7 @@
 
 
 def test_leaving_target_gets_nothing():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create("t-1", 1))
     assert book.put(create("t-1", 2, leaving=True))
     assert not book.accepts(Incarnation("t-1"))
@@ -40,7 +40,7 @@
     store that lags or from a peer that is behind, with any revision it may claim.
     Cause: the entry read last was believed.
     """
-    book = TargetBook()
+    book = TargetTable()
     book.put(create("t-1", 5))
     book.put(create("t-1", 7, leaving=True))
     assert not book.put(create("t-1", 6))
@@ -56,7 +56,7 @@
     Sequence: entries lapse while targets can't renew them, and are written again.
     Cause: a target whose entry had lapsed was taken to have left.
     """
-    book = TargetBook()
+    book = TargetTable()
     book.put(create("t-1", 5))
     assert book.remove(Incarnation("t-1"), 6, lapsed=True)
     assert not book.accepts(Incarnation("t-1"))
@@ -65,7 +65,7 @@
 
 
 def test_removal_that_is_older_than_the_entry_is_ignored():
-    book = TargetBook()
+    book = TargetTable()
     book.put(create("t-1", 5))
     assert not book.remove(Incarnation("t-1"), 4)
     assert book.accepts(Incarnation("t-1"))
--- a/tests/test_entry/test_relay/test_freeing.py
+++ b/tests/test_entry/test_relay/test_freeing.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import PieceResult
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.targets import TargetTable
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.freeing import CLOSE_SECONDS, ResultFreeing
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
@@ -47,7 +47,7 @@
         "ledger",
         find_maker=lambda incarnation: None,
         note_freed=lambda: None,
-        book=TargetBook(),
+        book=TargetTable(),
         links=links,
         codec=ModelCodec(),
         metrics=metrics,
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -12,7 +12,7 @@
 
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.outcomes import NextStep
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 from greengagelatch_entry.adapters.caller_connections import _Connection
 from greengagelatch_entry.relay import runners
 from greengagelatch_entry.relay.event_split import EventSplitter
@@ -99,8 +99,8 @@
 
 
 def test_targets_that_left_are_remembered(monkeypatch):
-    monkeypatch.setattr(TargetBook, "_remember_left", lambda self, target_id: None)
-    book = TargetBook()
+    monkeypatch.setattr(TargetTable, "_remember_left", lambda self, target_id: None)
+    book = TargetTable()
     target = ListedTarget(
         incarnation=Incarnation("t-1"),
         service="desk",
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -13,7 +13,7 @@
 from greengagelatch.peers.codec import Envelope, decode, encode
 from greengagelatch.relay.messages import News
 from greengagelatch.relay.news import decode_target, encode_target
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.targets import TargetTable
 from greengagelatch.store import Entry
 from greengagelatch.store.ranges import Changes, Scan
 from greengagelatch_entry.relay.decisions import DecisionLog
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         clock = ManualClock()
         self.metrics = PrometheusMetrics()
-        self.book = TargetBook()
+        self.book = TargetTable()
         self.gone: list[str] = []
         self.services = {"desk"}
         self.follower = ListingFollower(
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -19,7 +19,7 @@
 from greengagelatch.relay.pieces import Bundle, PieceFailure, PieceResult
 from greengagelatch.relay.queue_waits import QueueWait
 from greengagelatch.relay.requests import OpaqueRequest, RefusedError
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.targets import TargetTable
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.exchange import RelayExchange
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
@@ -100,7 +100,7 @@
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
         fleet=None,
-        book=TargetBook(),
+        book=TargetTable(),
     )
     request = OpaqueRequest(
         request_id="r-1",
