--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -98,7 +98,7 @@
         self._timer = None
         waiting, self._waiting = self._waiting, {}
         for (incarnation, address), handles in waiting.items():
-            if self._book.is_former(incarnation):
+            if self._book.is_superseded(incarnation):
                 self._metrics.count("stages.lost_by_restart", len(handles))
                 continue
             sending = self._send(incarnation, address, tuple(handles))
@@ -117,7 +117,7 @@
                 fresh=False,
                 timeout=FREE_TIMEOUT,
                 # one that leaves holds its results until it ends
-                may_send=lambda: not self._book.is_former(incarnation),
+                may_send=lambda: not self._book.is_superseded(incarnation),
             )
             await reply.read(MAX_ANSWER_BYTES)
             if self._book.accepts(incarnation):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -142,7 +142,7 @@
         Their pieces are made again: an engine that was sent their handles would turn
         the request away, after all stages.
         """
-        if not self._book.is_former(incarnation):
+        if not self._book.is_superseded(incarnation):
             return
         self._queue.drop_lost(incarnation)
         self._look()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -212,7 +212,7 @@
 
     def _is_lost(self, result: PieceResult) -> bool:
         """Whether a result was made by a maker that has started again since."""
-        return result.failure is None and self._book.is_former(result.maker)
+        return result.failure is None and self._book.is_superseded(result.maker)
 
     def _finish(self, work: Work) -> None:
         self._take_off(work)
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -66,14 +66,14 @@
             return False
         return not target.leaving
 
-    def is_former(self, incarnation: Incarnation) -> bool:
+    def is_superseded(self, incarnation: Incarnation) -> bool:
         """Whether the target has started again since: all that it held is lost."""
         newest = self._newest.get(incarnation.target_id)
         return newest is not None and newest.incarnation > incarnation
 
     def has_former(self, incarnations: Iterable[Incarnation]) -> bool:
         """Whether any of several targets has started again since."""
-        return any(map(self.is_former, incarnations))
+        return any(map(self.is_superseded, incarnations))
 
     def find_newest(self, target_id: str) -> Incarnation | None:
         """Return the newest incarnation known of an id, listed or not."""
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -60,8 +60,8 @@
     assert book.put(create(LATER, 6))
     assert book.accepts(LATER)
     assert not book.accepts(FORMER)
-    assert book.is_former(FORMER)
-    assert not book.is_former(LATER)
+    assert book.is_superseded(FORMER)
+    assert not book.is_superseded(LATER)
     assert [one.incarnation for one in book.list_service("desk")] == [LATER]
 
 
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -94,7 +94,7 @@
             book=SimpleNamespace(
                 list_service=lambda service: listed,
                 accepts=lambda incarnation: True,
-                is_former=lambda incarnation: False,
+                is_superseded=lambda incarnation: False,
                 has_former=lambda incarnations: False,
             ),
             links=ModelLinks(
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -79,7 +79,7 @@
         self.book = SimpleNamespace(
             list_service=lambda service: self.makers,
             accepts=lambda incarnation: True,
-            is_former=lambda incarnation: False,
+            is_superseded=lambda incarnation: False,
             has_former=lambda incarnations: False,
         )
 
