--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -112,7 +112,7 @@
         if not self._book.accepts(maker.target.incarnation):
             return False
         return not any(
-            self._book.has_former(bundle.input_makers) for bundle, _ in call.pieces
+            self._book.has_superseded(bundle.input_makers) for bundle, _ in call.pieces
         )
 
     def _note_lost(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -114,7 +114,7 @@
 
         :param note_read: called once makers have read the inputs of all pieces
         """
-        if self._book.has_former(bundle.input_makers):
+        if self._book.has_superseded(bundle.input_makers):
             gone = PieceResult(failure=PieceFailure.GONE)
             return (gone,) * len(bundle.pieces)
         work = self._queue.add(bundle, note_read)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_queue.py
@@ -204,7 +204,7 @@
             if work.losses >= MAX_LOSSES:
                 self.fail(work, PieceFailure.LOST)
                 return
-        if self._book.has_former(work.bundle.input_makers):
+        if self._book.has_superseded(work.bundle.input_makers):
             # one of them started again while the piece was at a maker
             self.fail(work, PieceFailure.GONE)
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -166,13 +166,13 @@
         request would be turned away by one engine after the other.
         """
         for number in self._plan.final:
-            if self._book.has_former(list_makers(self._held, (number,))):
+            if self._book.has_superseded(list_makers(self._held, (number,))):
                 return _StageFailedError(self._plan.works[number], PieceFailure.GONE)
         return None
 
     def is_lost(self, results: StageResults) -> bool:
         """Whether a maker of results has started again: it holds none of them."""
-        return self._book.has_former(results.makers)
+        return self._book.has_superseded(results.makers)
 
     def free(self) -> None:
         """Give up every result that is held."""
@@ -268,7 +268,7 @@
             await asyncio.shield(task)
         work = self._plan.works[number]
         await self._wait_for_others(work)
-        if self._book.has_former(list_makers(self._held, work.after)):
+        if self._book.has_superseded(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
         queue = self._desk.estimate_wait(work.service)
         seconds = queue.urgent + queue.find_seconds(work.seconds)
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -71,7 +71,7 @@
         newest = self._newest.get(incarnation.target_id)
         return newest is not None and newest.incarnation > incarnation
 
-    def has_former(self, incarnations: Iterable[Incarnation]) -> bool:
+    def has_superseded(self, incarnations: Iterable[Incarnation]) -> bool:
         """Whether any of several targets has started again since."""
         return any(map(self.is_superseded, incarnations))
 
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -95,7 +95,7 @@
                 list_service=lambda service: listed,
                 accepts=lambda incarnation: True,
                 is_superseded=lambda incarnation: False,
-                has_former=lambda incarnations: False,
+                has_superseded=lambda incarnations: False,
             ),
             links=ModelLinks(
                 {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -80,7 +80,7 @@
             list_service=lambda service: self.makers,
             accepts=lambda incarnation: True,
             is_superseded=lambda incarnation: False,
-            has_former=lambda incarnations: False,
+            has_superseded=lambda incarnations: False,
         )
 
     def create_pool(self, is_sole: Callable[[], bool] = lambda: False) -> StagePool:
