--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.relay.incarnations import Succession
+from greengagelatch.relay.incarnations import IncarnationOrder
 from greengagelatch.relay.targets import RETURN_SECONDS
 
 from .bad_entries import BadEntries
@@ -123,15 +123,15 @@
     def _put(self, target: ListedTarget) -> None:
         former = None
         match self._book.compare(target):
-            case Succession.OUTDATED:
+            case IncarnationOrder.OUTDATED:
                 self._note_outdated(target)
                 return
-            case Succession.UNTOLD:
+            case IncarnationOrder.UNTOLD:
                 # told by a peer that does not know the newest; the store's own
                 # entries of this kind are set aside before
                 self._metrics.count("targets.untold")
                 return
-            case Succession.NEWER:
+            case IncarnationOrder.NEWER:
                 former = self._book.find_newest(target.target_id)
         changed = self._book.put(target)
         if former is not None:
@@ -264,7 +264,7 @@
 
     def _find_fault(self, target: ListedTarget) -> str:
         """Return why an entry that can be read names no target to use."""
-        if self._book.compare(target) is Succession.UNTOLD:
+        if self._book.compare(target) is IncarnationOrder.UNTOLD:
             known = self._book.find_newest(target.target_id)
             return f"tells no start, and {known} was at another address"
         return ""
--- a/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ("Incarnation", "Succession")
+__all__ = ("Incarnation", "IncarnationOrder")
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -25,7 +25,7 @@
         return f"{self.target_id}@{self.born}" if self.born else self.target_id
 
 
-class Succession(Enum):
+class IncarnationOrder(Enum):
     """How what an entry says stands to the newest incarnation known of its id."""
 
     #: nothing was known of the id
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from .incarnations import Incarnation, Succession
+from .incarnations import Incarnation, IncarnationOrder
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -105,7 +105,7 @@
         """Return every target listed, also those that leave."""
         return tuple(self._targets.values())
 
-    def compare(self, target: ListedTarget) -> Succession:
+    def compare(self, target: ListedTarget) -> IncarnationOrder:
         """Say how an entry stands to the newest incarnation known of its id.
 
         An entry that tells no start can't prove a new one. It is of the incarnation
@@ -114,23 +114,23 @@
         """
         newest = self._newest.get(target.target_id)
         if newest is None:
-            return Succession.FIRST
+            return IncarnationOrder.FIRST
         born, known = target.incarnation.born, newest.incarnation.born
         if born == known:
-            return Succession.SAME
+            return IncarnationOrder.SAME
         if not born:
             same = target.address == newest.address
-            return Succession.SAME if same else Succession.UNTOLD
-        return Succession.NEWER if born > known else Succession.OUTDATED
+            return IncarnationOrder.SAME if same else IncarnationOrder.UNTOLD
+        return IncarnationOrder.NEWER if born > known else IncarnationOrder.OUTDATED
 
     def put(self, target: ListedTarget) -> bool:
         """Take in an entry; whether it changed what may be sent work."""
         match self.compare(target):
-            case Succession.OUTDATED | Succession.UNTOLD:
+            case IncarnationOrder.OUTDATED | IncarnationOrder.UNTOLD:
                 return False
-            case Succession.NEWER:
+            case IncarnationOrder.NEWER:
                 self._targets.pop(target.target_id, None)
-            case Succession.SAME:
+            case IncarnationOrder.SAME:
                 newest = self._newest[target.target_id].incarnation
                 target = replace(target, incarnation=newest)
         known = self._targets.get(target.target_id)
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from greengagelatch.peers.codec import Envelope, decode, encode
-from greengagelatch.relay.incarnations import Incarnation, Succession
+from greengagelatch.relay.incarnations import Incarnation, IncarnationOrder
 from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
 from greengagelatch.relay.messages import News
 from greengagelatch.relay.news import decode_target, encode_target
@@ -56,7 +56,7 @@
 def test_target_that_starts_again_replaces_the_former_one():
     book = TargetTable()
     book.put(create(FORMER, 5))
-    assert book.compare(create(LATER, 6)) is Succession.NEWER
+    assert book.compare(create(LATER, 6)) is IncarnationOrder.NEWER
     assert book.put(create(LATER, 6))
     assert book.accepts(LATER)
     assert not book.accepts(FORMER)
@@ -89,7 +89,7 @@
     book = TargetTable()
     book.put(create(LATER, 5))
     old = create(FORMER, 9)
-    assert book.compare(old) is Succession.OUTDATED
+    assert book.compare(old) is IncarnationOrder.OUTDATED
     assert not book.put(old)
     assert book.accepts(LATER)
     book.remove(LATER, 10)
@@ -116,7 +116,7 @@
     book = TargetTable()
     book.put(create(LATER, 5))
     elsewhere = create(UNTOLD, 6, address="10.0.0.2:80")
-    assert book.compare(elsewhere) is Succession.UNTOLD
+    assert book.compare(elsewhere) is IncarnationOrder.UNTOLD
     assert not book.put(elsewhere)
     assert not book.accepts(UNTOLD)
 
@@ -124,8 +124,10 @@
 def test_ids_without_a_start_are_as_before():
     book = TargetTable()
     book.put(create(UNTOLD, 5))
-    assert book.compare(create(UNTOLD, 6, address="10.0.0.2:80")) is Succession.SAME
-    assert book.compare(create(LATER, 6)) is Succession.NEWER
+    assert (
+        book.compare(create(UNTOLD, 6, address="10.0.0.2:80")) is IncarnationOrder.SAME
+    )
+    assert book.compare(create(LATER, 6)) is IncarnationOrder.NEWER
 
 
 _entries = st.tuples(
