--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -126,7 +126,7 @@
             case IncarnationOrder.OUTDATED:
                 self._note_outdated(target)
                 return
-            case IncarnationOrder.UNTOLD:
+            case IncarnationOrder.UNKNOWN:
                 # told by a peer that does not know the newest; the store's own
                 # entries of this kind are set aside before
                 self._metrics.count("targets.untold")
@@ -264,7 +264,7 @@
 
     def _find_fault(self, target: ListedTarget) -> str:
         """Return why an entry that can be read names no target to use."""
-        if self._book.compare(target) is IncarnationOrder.UNTOLD:
+        if self._book.compare(target) is IncarnationOrder.UNKNOWN:
             known = self._book.find_newest(target.target_id)
             return f"tells no start, and {known} was at another address"
         return ""
--- a/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
@@ -36,4 +36,4 @@
     #: an old answer
     OUTDATED = "outdated"
     #: it does not say which incarnation it is of, and is at another address
-    UNTOLD = "untold"
+    UNKNOWN = "untold"
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -120,13 +120,13 @@
             return IncarnationOrder.SAME
         if not born:
             same = target.address == newest.address
-            return IncarnationOrder.SAME if same else IncarnationOrder.UNTOLD
+            return IncarnationOrder.SAME if same else IncarnationOrder.UNKNOWN
         return IncarnationOrder.NEWER if born > known else IncarnationOrder.OUTDATED
 
     def put(self, target: ListedTarget) -> bool:
         """Take in an entry; whether it changed what may be sent work."""
         match self.compare(target):
-            case IncarnationOrder.OUTDATED | IncarnationOrder.UNTOLD:
+            case IncarnationOrder.OUTDATED | IncarnationOrder.UNKNOWN:
                 return False
             case IncarnationOrder.NEWER:
                 self._targets.pop(target.target_id, None)
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -116,7 +116,7 @@
     book = TargetTable()
     book.put(create(LATER, 5))
     elsewhere = create(UNTOLD, 6, address="10.0.0.2:80")
-    assert book.compare(elsewhere) is IncarnationOrder.UNTOLD
+    assert book.compare(elsewhere) is IncarnationOrder.UNKNOWN
     assert not book.put(elsewhere)
     assert not book.accepts(UNTOLD)
 
