--- a/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
@@ -19,10 +19,12 @@
 
     target_id: str
     #: Unix milliseconds of its start, by its own clock; 0: not told
-    born: int = 0
+    started_ms: int = 0
 
     def __str__(self) -> str:
-        return f"{self.target_id}@{self.born}" if self.born else self.target_id
+        return (
+            f"{self.target_id}@{self.started_ms}" if self.started_ms else self.target_id
+        )
 
 
 class IncarnationOrder(Enum):
