--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.batches import find_hopeless
+from greengagelatch.relay.batches import find_infeasible
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
 from greengagelatch.relay.room import MakerRoom
 
@@ -262,7 +262,7 @@
         """Fail the bundles whose request can't be answered in time any more."""
         views = [maker.view(now) for maker in makers]
         waiting = self._queue.list_waiting()
-        for bundle in find_hopeless(waiting, views, profile, now):
+        for bundle in find_infeasible(waiting, views, profile, now):
             self._queue.fail(self._queue.find(bundle), PieceFailure.LATE)
 
     def _drop_held(self) -> None:
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -18,7 +18,7 @@
     "PlannedCall",
     "SeparateCalls",
     "SharedCalls",
-    "find_hopeless",
+    "find_infeasible",
     "is_late",
 )
 
@@ -228,7 +228,7 @@
     return now + max(alone, call) > bundle.aim
 
 
-def find_hopeless(
+def find_infeasible(
     bundles: list[tuple[Bundle, list[Piece]]],
     makers: list[MakerView],
     profile: MakerProfile,
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -8,7 +8,7 @@
     MakerView,
     SeparateCalls,
     SharedCalls,
-    find_hopeless,
+    find_infeasible,
 )
 from greengagelatch.relay.deployment import MakerProfile
 from greengagelatch.relay.incarnations import Incarnation
@@ -216,7 +216,7 @@
 
 
 def find_names(bundles, makers) -> list[str]:
-    return [one.bundle_id for one in find_hopeless(bundles, makers, PROFILE, NOW)]
+    return [one.bundle_id for one in find_infeasible(bundles, makers, PROFILE, NOW)]
 
 
 def test_bundles_behind_too_much_are_given_up_at_once():
