--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -11,7 +11,7 @@
 from greengagelatch.events import EventBus
 from greengagelatch.peers import MemberState
 from greengagelatch.relay.admission import EstimateRule
-from greengagelatch.relay.batches import SharedCalls
+from greengagelatch.relay.batches import CrossRequestBatching
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
 from greengagelatch.relay.groups import ByCapacity
@@ -354,7 +354,7 @@
             suspects=WatchedPieces(
                 quarantine=self.quarantine, crashes=self.crash_watch, clock=self.clock
             ),
-            policy=SharedCalls(),
+            policy=CrossRequestBatching(),
             book=self.book,
             links=self.links,
             codec=self.adapters.targets,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.clock import Clock
 from greengagelatch.relay.admission import EstimateRule, RouteAdmission
-from greengagelatch.relay.batches import BatchPolicy, SharedCalls
+from greengagelatch.relay.batches import BatchPolicy, CrossRequestBatching
 from greengagelatch.relay.deployment import (
     Deployment,
     Route,
@@ -65,7 +65,7 @@
 class Policies:
     """The decisions that a trial is run with."""
 
-    create_batches: Callable[[], BatchPolicy] = SharedCalls
+    create_batches: Callable[[], BatchPolicy] = CrossRequestBatching
     create_admission: Callable[[], RouteAdmission] = EstimateRule
     create_division: Callable[[], DivisionRule] = ByCapacity
     #: whether the instance knows that no other one calls the makers
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -17,7 +17,7 @@
     "MakerView",
     "PlannedCall",
     "SeparateCalls",
-    "SharedCalls",
+    "CrossRequestBatching",
     "find_infeasible",
     "is_late",
 )
@@ -88,7 +88,7 @@
         """
 
 
-class SharedCalls(BatchPolicy):
+class CrossRequestBatching(BatchPolicy):
     """Lets requests share calls, the most urgent ones first.
 
     A call has a high fixed cost and a low one for each piece, so full calls make
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -5,9 +5,9 @@
 from greengagelatch.relay.batches import (
     LAPSE_CHANCE,
     LAST_CHANCE,
+    CrossRequestBatching,
     MakerView,
     SeparateCalls,
-    SharedCalls,
     find_infeasible,
 )
 from greengagelatch.relay.deployment import MakerProfile
@@ -75,7 +75,7 @@
 
 
 def plan(bundles, makers, policy=None):
-    calls = (policy or SharedCalls()).plan(bundles, makers, PROFILE, NOW)
+    calls = (policy or CrossRequestBatching()).plan(bundles, makers, PROFILE, NOW)
     return {
         call.incarnation.target_id: [bundle.bundle_id for bundle, _ in call.pieces]
         for call in calls
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from greengagelatch.relay.batches import BatchPolicy, SharedCalls
+from greengagelatch.relay.batches import BatchPolicy, CrossRequestBatching
 from greengagelatch.relay.groups import MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.plans = 0
-        self._policy = SharedCalls()
+        self._policy = CrossRequestBatching()
         #: the requests of each call
         self.calls: list[set[str]] = []
 
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -13,7 +13,7 @@
 import pytest
 
 from greengagelatch.peers import Member, MemberState
-from greengagelatch.relay.batches import SharedCalls
+from greengagelatch.relay.batches import CrossRequestBatching
 from greengagelatch.relay.groups import ByCapacity, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
@@ -95,7 +95,7 @@
             find_profile=lambda: PROFILE,
             is_sole=is_sole,
             suspects=NoSuspects(),
-            policy=SharedCalls(),
+            policy=CrossRequestBatching(),
             book=self.book,
             links=self.links,
             codec=ModelCodec(),
