--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.admission import AdmitAll
-from greengagelatch.relay.batches import SeparateCalls
+from greengagelatch.relay.batches import PerRequestBatching
 from greengagelatch.relay.groups import Divided, Undivided
 
 from .shapes import SCENARIOS, SHAPES
@@ -28,7 +28,7 @@
     "undivided": Policies(create_division=Undivided),
     "divided": Policies(create_division=Divided),
     "admit-all": Policies(create_admission=AdmitAll),
-    "naive": Policies(create_batches=SeparateCalls, create_admission=AdmitAll),
+    "naive": Policies(create_batches=PerRequestBatching, create_admission=AdmitAll),
 }
 
 
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -16,7 +16,7 @@
     "BatchPolicy",
     "MakerView",
     "PlannedCall",
-    "SeparateCalls",
+    "PerRequestBatching",
     "CrossRequestBatching",
     "find_infeasible",
     "is_late",
@@ -121,7 +121,7 @@
         return calls
 
 
-class SeparateCalls(BatchPolicy):
+class PerRequestBatching(BatchPolicy):
     """One bundle a call, in the order of arrival; the baseline to compare with."""
 
     def plan(
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -7,7 +7,7 @@
     LAST_CHANCE,
     CrossRequestBatching,
     MakerView,
-    SeparateCalls,
+    PerRequestBatching,
     find_infeasible,
 )
 from greengagelatch.relay.deployment import MakerProfile
@@ -91,7 +91,7 @@
     """The load that sharing answers: three requests, two makers, one call each."""
     bundles = [create_bundle(name, 6) for name in "abc"]
     makers = [create_maker("m-1"), create_maker("m-2")]
-    assert plan(bundles, makers, SeparateCalls()) == {
+    assert plan(bundles, makers, PerRequestBatching()) == {
         "m-1": ["a"] * 6,
         "m-2": ["b"] * 6,
     }
--- a/tests/test_lab/test_stage_load/test_trial.py
+++ b/tests/test_lab/test_stage_load/test_trial.py
@@ -7,14 +7,14 @@
 import pytest
 
 from greengagelatch.relay.admission import AdmitAll
-from greengagelatch.relay.batches import SeparateCalls
+from greengagelatch.relay.batches import PerRequestBatching
 from greengagelatch.relay.capacity import BUSY_SHARE
 from greengagelatch_lab.stage_load.outcomes import Outcome
 from greengagelatch_lab.stage_load.shapes import SCENARIOS, SHAPES, Burst, Scenario
 from greengagelatch_lab.stage_load.trial import Policies, run_trial
 
 CALM = dataclasses.replace(SCENARIOS["calm"], seconds=6.0)
-NAIVE = Policies(create_batches=SeparateCalls, create_admission=AdmitAll)
+NAIVE = Policies(create_batches=PerRequestBatching, create_admission=AdmitAll)
 
 
 def run(scenario: Scenario, policies: Policies, seed: int = 1) -> Outcome:
