--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -87,7 +87,7 @@
             service=work.service,
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
-            aim=bounds.aim - rest,
+            soft_deadline=bounds.aim - rest,
             latest=bounds.latest - rest,
             inputs_until=self._find_lapse(work),
             input_makers=list_makers(held, work.after),
--- a/packages/greengagelatch/src/greengagelatch/relay/pieces.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/pieces.py
@@ -35,7 +35,7 @@
     #: approximate size of one result
     result_bytes: int
     #: end of the stage up to which the request can still meet its objective
-    aim: float
+    soft_deadline: float
     #: end of the stage after which the request can't be answered in time
     latest: float
     #: when what the pieces read lapses at its makers
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -47,7 +47,7 @@
         service="s",
         pieces=pieces,
         result_bytes=size,
-        aim=aim,
+        soft_deadline=aim,
         latest=latest,
         moved_bytes=moved_bytes,
         data_centre=data_centre,
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -45,7 +45,7 @@
         service=SERVICE,
         pieces=(Piece(request_id="r-1", stage=1, segment=0),),
         result_bytes=6000,
-        aim=aim,
+        soft_deadline=aim,
         latest=aim + 5,
         data_centre="north",
         moved_bytes=moved_bytes,
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -29,7 +29,7 @@
         for number in range(3)
     ),
     result_bytes=6000,
-    aim=101.5,
+    soft_deadline=101.5,
     latest=104.0,
     inputs_until=103.0,
     input_makers=(Incarnation("m-1", 5), Incarnation("m-2")),
@@ -55,7 +55,7 @@
     message = pass_on(encode_bundle(BUNDLE, MakerGroup("ledger", "north"), now=100.0))
     bundle = decode_bundle(message, now=500.0)
     assert bundle.pieces == BUNDLE.pieces
-    assert bundle.aim == pytest.approx(501.5)
+    assert bundle.soft_deadline == pytest.approx(501.5)
     assert bundle.latest == pytest.approx(504.0)
     assert bundle.inputs_until == pytest.approx(503.0)
     assert (bundle.moved_bytes, bundle.begun) == (18000, True)
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -67,7 +67,7 @@
             service="ledger",
             pieces=pieces,
             result_bytes=100,
-            aim=now + ALLOWED,
+            soft_deadline=now + ALLOWED,
             latest=now + ALLOWED,
         )
         call = PlannedCall(Incarnation("m", 1), [(bundle, piece) for piece in pieces])
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -47,7 +47,7 @@
         Piece(request_id="r-1", stage=0, segment=1, key="k"),
     ),
     result_bytes=100,
-    aim=1001.0,
+    soft_deadline=1001.0,
     latest=1004.0,
 )
 
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -124,7 +124,7 @@
                 for one in range(pieces)
             ),
             result_bytes=100,
-            aim=now + patience,
+            soft_deadline=now + patience,
             latest=now + patience,
         )
         return asyncio.create_task(self.pool.make(bundle, lambda: None))
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -159,7 +159,7 @@
             service=SERVICE,
             pieces=pieces,
             result_bytes=100,
-            aim=self.clock.now() + 3.0,
+            soft_deadline=self.clock.now() + 3.0,
             latest=self.clock.now() + 5.0,
         )
 
