--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -88,7 +88,7 @@
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
             soft_deadline=bounds.aim - rest,
-            latest=bounds.latest - rest,
+            hard_deadline=bounds.latest - rest,
             inputs_until=self._find_lapse(work),
             input_makers=list_makers(held, work.after),
             rank=self._exchange.rank,
--- a/packages/greengagelatch/src/greengagelatch/relay/pieces.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/pieces.py
@@ -37,7 +37,7 @@
     #: end of the stage up to which the request can still meet its objective
     soft_deadline: float
     #: end of the stage after which the request can't be answered in time
-    latest: float
+    hard_deadline: float
     #: when what the pieces read lapses at its makers
     inputs_until: float = float("inf")
     #: makers of what the pieces read; once one has started again, it is lost
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -48,7 +48,7 @@
         pieces=pieces,
         result_bytes=size,
         soft_deadline=aim,
-        latest=latest,
+        hard_deadline=latest,
         moved_bytes=moved_bytes,
         data_centre=data_centre,
         rank=rank,
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -46,7 +46,7 @@
         pieces=(Piece(request_id="r-1", stage=1, segment=0),),
         result_bytes=6000,
         soft_deadline=aim,
-        latest=aim + 5,
+        hard_deadline=aim + 5,
         data_centre="north",
         moved_bytes=moved_bytes,
     )
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -68,7 +68,7 @@
             pieces=pieces,
             result_bytes=100,
             soft_deadline=now + ALLOWED,
-            latest=now + ALLOWED,
+            hard_deadline=now + ALLOWED,
         )
         call = PlannedCall(Incarnation("m", 1), [(bundle, piece) for piece in pieces])
         self.maker.begin(len(pieces), now)
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -48,7 +48,7 @@
     ),
     result_bytes=100,
     soft_deadline=1001.0,
-    latest=1004.0,
+    hard_deadline=1004.0,
 )
 
 
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -274,7 +274,7 @@
         pieces=(Piece(request_id="r-1", stage=1, segment=0, inputs=("h",)),),
         result_bytes=1000,
         soft_deadline=1e9,
-        latest=1e9,
+        hard_deadline=1e9,
         input_makers=(former,),
     )
     results = await pipeline.find("stages").make(bundle, lambda: None)
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -125,7 +125,7 @@
             ),
             result_bytes=100,
             soft_deadline=now + patience,
-            latest=now + patience,
+            hard_deadline=now + patience,
         )
         return asyncio.create_task(self.pool.make(bundle, lambda: None))
 
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -160,7 +160,7 @@
             pieces=pieces,
             result_bytes=100,
             soft_deadline=self.clock.now() + 3.0,
-            latest=self.clock.now() + 5.0,
+            hard_deadline=self.clock.now() + 5.0,
         )
 
     async def make_both(self, first, second) -> list[set[PieceFailure | None]]:
