--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -89,7 +89,7 @@
             result_bytes=work.result_bytes,
             soft_deadline=bounds.aim - rest,
             hard_deadline=bounds.latest - rest,
-            inputs_until=self._find_lapse(work),
+            inputs_expire_at=self._find_lapse(work),
             input_makers=list_makers(held, work.after),
             rank=self._exchange.rank,
             data_centre=self._find_data_centre(work, held),
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -241,7 +241,7 @@
         result_bytes=message.result_bytes,
         soft_deadline=now + message.aim_seconds,
         hard_deadline=now + message.latest_seconds,
-        inputs_until=_find_moment(message.inputs_seconds, now),
+        inputs_expire_at=_find_moment(message.inputs_seconds, now),
         input_makers=tuple(Incarnation(*row) for row in message.input_makers),
         rank=message.rank,
         data_centre=message.data_centre,
--- a/packages/greengagelatch/src/greengagelatch/relay/pieces.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/pieces.py
@@ -39,7 +39,7 @@
     #: end of the stage after which the request can't be answered in time
     hard_deadline: float
     #: when what the pieces read lapses at its makers
-    inputs_until: float = float("inf")
+    inputs_expire_at: float = float("inf")
     #: makers of what the pieces read; once one has started again, it is lost
     input_makers: tuple[Incarnation, ...] = ()
     #: 0 is the most urgent
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -52,7 +52,7 @@
         moved_bytes=moved_bytes,
         data_centre=data_centre,
         rank=rank,
-        inputs_until=inputs_until,
+        inputs_expire_at=inputs_until,
     )
     return bundle, list(pieces)
 
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -31,7 +31,7 @@
     result_bytes=6000,
     soft_deadline=101.5,
     hard_deadline=104.0,
-    inputs_until=103.0,
+    inputs_expire_at=103.0,
     input_makers=(Incarnation("m-1", 5), Incarnation("m-2")),
     rank=1.45,
     data_centre="north",
@@ -57,7 +57,7 @@
     assert bundle.pieces == BUNDLE.pieces
     assert bundle.soft_deadline == pytest.approx(501.5)
     assert bundle.hard_deadline == pytest.approx(504.0)
-    assert bundle.inputs_until == pytest.approx(503.0)
+    assert bundle.inputs_expire_at == pytest.approx(503.0)
     assert (bundle.moved_bytes, bundle.begun) == (18000, True)
     assert bundle.input_makers == BUNDLE.input_makers
     assert message.group == "north"
