--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.pieces import Bundle
-from greengagelatch.relay.stage_plan import TargetBounds
+from greengagelatch.relay.stage_plan import TargetDeadlines
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping
@@ -58,11 +58,11 @@
         self._first_seconds = first_seconds
         self._whole_seconds = whole_seconds
 
-    def find_bounds(self) -> TargetBounds:
+    def find_bounds(self) -> TargetDeadlines:
         """Return when the target has to begin with the request."""
         exchange = self._exchange
         objective = exchange.request.received + exchange.route.objective
-        return TargetBounds(
+        return TargetDeadlines(
             aim=objective - exchange.waited - self._first_seconds,
             latest=min(
                 exchange.first_deadline - self._first_seconds,
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -14,7 +14,7 @@
     from .queue_waits import QueueWait
     from .requests import OpaqueRequest
 
-__all__ = ("ChainEstimate", "StagePlan", "StageWork", "TargetBounds")
+__all__ = ("ChainEstimate", "StagePlan", "StageWork", "TargetDeadlines")
 
 #: share of a maker's room from which a stage's results should not wait for others:
 #: those of 1.5 MB fill a seventh each, those of 8 kB hardly any
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetBounds:
+class TargetDeadlines:
     """When a target has to begin with a request; monotonic seconds."""
 
     #: up to which the answer can meet its objective
@@ -152,7 +152,7 @@
         now: float,
         ends: Mapping[int, float],
         find_queue: Callable[[str], QueueWait],
-        bounds: TargetBounds,
+        bounds: TargetDeadlines,
         made: Container[int] = (),
     ) -> float:
         """Return the seconds for which a stage can wait without harm to the request.
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -16,7 +16,7 @@
 )
 from greengagelatch.relay.queue_waits import QueueWait
 from greengagelatch.relay.requests import OpaqueRequest
-from greengagelatch.relay.stage_plan import StagePlan, TargetBounds
+from greengagelatch.relay.stage_plan import StagePlan, TargetDeadlines
 
 MAKER = MakerProfile(
     slots=1,
@@ -149,14 +149,14 @@
 
 
 #: of a request that has all the time
-FAR_BOUNDS = TargetBounds(aim=100.0, latest=200.0)
+FAR_BOUNDS = TargetDeadlines(aim=100.0, latest=200.0)
 
 
 def find_slack(
     plan: StagePlan,
     now: float,
     ends: dict[int, float],
-    bounds: TargetBounds = FAR_BOUNDS,
+    bounds: TargetDeadlines = FAR_BOUNDS,
     made: tuple[int, ...] = (),
     **waits: float,
 ):
@@ -203,7 +203,7 @@
     Cause: the large results were made when the chain was expected to end.
     """
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
-    bounds = TargetBounds(aim=6.0, latest=9.0)
+    bounds = TargetDeadlines(aim=6.0, latest=9.0)
     own = plan.works[0].seconds
     overrun = {1: 5.2, 2: 5.5, 3: 5.9}
     assert find_slack(plan, 6.5, overrun, bounds) == pytest.approx(9.0 - 6.5 - own)
