--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -63,7 +63,7 @@
         exchange = self._exchange
         objective = exchange.request.received + exchange.route.objective
         return TargetDeadlines(
-            aim=objective - exchange.waited - self._first_seconds,
+            soft_deadline=objective - exchange.waited - self._first_seconds,
             latest=min(
                 exchange.first_deadline - self._first_seconds,
                 exchange.deadline - self._whole_seconds,
@@ -87,7 +87,7 @@
             service=work.service,
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
-            soft_deadline=bounds.aim - rest,
+            soft_deadline=bounds.soft_deadline - rest,
             hard_deadline=bounds.latest - rest,
             inputs_expire_at=self._find_lapse(work),
             input_makers=list_makers(held, work.after),
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -42,7 +42,7 @@
     """When a target has to begin with a request; monotonic seconds."""
 
     #: up to which the answer can meet its objective
-    aim: float
+    soft_deadline: float
     #: after which the answer can't be whole in time
     latest: float
 
