--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -64,7 +64,7 @@
         objective = exchange.request.received + exchange.route.objective
         return TargetDeadlines(
             soft_deadline=objective - exchange.waited - self._first_seconds,
-            latest=min(
+            hard_deadline=min(
                 exchange.first_deadline - self._first_seconds,
                 exchange.deadline - self._whole_seconds,
             ),
@@ -88,7 +88,7 @@
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
             soft_deadline=bounds.soft_deadline - rest,
-            hard_deadline=bounds.latest - rest,
+            hard_deadline=bounds.hard_deadline - rest,
             inputs_expire_at=self._find_lapse(work),
             input_makers=list_makers(held, work.after),
             rank=self._exchange.rank,
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -44,7 +44,7 @@
     #: up to which the answer can meet its objective
     soft_deadline: float
     #: after which the answer can't be whole in time
-    latest: float
+    hard_deadline: float
 
 
 @dataclass(frozen=True, slots=True, order=True)
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -149,7 +149,7 @@
 
 
 #: of a request that has all the time
-FAR_BOUNDS = TargetDeadlines(soft_deadline=100.0, latest=200.0)
+FAR_BOUNDS = TargetDeadlines(soft_deadline=100.0, hard_deadline=200.0)
 
 
 def find_slack(
@@ -203,7 +203,7 @@
     Cause: the large results were made when the chain was expected to end.
     """
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
-    bounds = TargetDeadlines(soft_deadline=6.0, latest=9.0)
+    bounds = TargetDeadlines(soft_deadline=6.0, hard_deadline=9.0)
     own = plan.works[0].seconds
     overrun = {1: 5.2, 2: 5.5, 3: 5.9}
     assert find_slack(plan, 6.5, overrun, bounds) == pytest.approx(9.0 - 6.5 - own)
