--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.batches import MakerView
-from greengagelatch.relay.room import MakerRoom
+from greengagelatch.relay.room import ResultMemory
 
 if TYPE_CHECKING:
     from greengagelatch.relay.deployment import MakerProfile
@@ -36,7 +36,7 @@
 
     target: ListedTarget
     profile: MakerProfile
-    room: MakerRoom
+    room: ResultMemory
     calls: int = 0
     #: expected end of the call in progress
     busy_until: float = 0.0
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.relay.batches import find_infeasible
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
-from greengagelatch.relay.room import MakerRoom
+from greengagelatch.relay.room import ResultMemory
 
 from .freeing import ResultFreeing
 from .maker_calls import ANSWERED, CallEnd, MakerCaller
@@ -250,7 +250,7 @@
         for target in listed:
             maker = self._makers.get(target.incarnation)
             if maker is None or maker.profile != profile:
-                room = MakerRoom(profile.room_bytes, profile.keep_seconds)
+                room = ResultMemory(profile.room_bytes, profile.keep_seconds)
                 self._makers[target.incarnation] = Maker(target, profile, room)
         self._listed = [self._makers[target.incarnation] for target in listed]
         self._listed_from = (listed, profile)
--- a/packages/greengagelatch/src/greengagelatch/relay/room.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/room.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-__all__ = ("MakerRoom",)
+__all__ = ("ResultMemory",)
 
 #: share of the room that is used: sizes of results are approximate
 USED_SHARE = 0.97
@@ -10,7 +10,7 @@
 FOREIGN_SECONDS = 0.5
 
 
-class MakerRoom:
+class ResultMemory:
     """Counts the bytes of results that a maker keeps for this instance.
 
     A result takes up room from the start of its call until it is freed, or until
--- a/tests/test_core/test_relay/test_room.py
+++ b/tests/test_core/test_relay/test_room.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.room import FOREIGN_SECONDS, USED_SHARE, MakerRoom
+from greengagelatch.relay.room import FOREIGN_SECONDS, USED_SHARE, ResultMemory
 
 
 def test_results_take_room_from_the_call_until_they_are_freed():
-    room = MakerRoom(1000, keep_seconds=4.0)
+    room = ResultMemory(1000, keep_seconds=4.0)
     whole = 1000 * USED_SHARE
     room.reserve(300)
     assert room.find_free(0.0) == whole - 300
@@ -17,7 +17,7 @@
 
 
 def test_results_that_nobody_frees_lapse():
-    room = MakerRoom(1000, keep_seconds=4.0)
+    room = ResultMemory(1000, keep_seconds=4.0)
     room.settle(0, {"h-1": 500}, now=1.0)
     room.hold_unknown("lost", 100, until=1.0)
     assert room.find_free(4.9) == 1000 * USED_SHARE - 600
@@ -31,7 +31,7 @@
     fill the makers when the next one begins with empty books.
     Cause: what a refusal says about the room was not taken in.
     """
-    room = MakerRoom(1000, keep_seconds=4.0)
+    room = ResultMemory(1000, keep_seconds=4.0)
     room.note_refusal(now=1.0)
     assert room.find_free(1.0) <= 0
     assert room.find_free(1.0 + FOREIGN_SECONDS) == 1000 * USED_SHARE
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -11,7 +11,7 @@
 from greengagelatch.relay.batches import PlannedCall
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
-from greengagelatch.relay.room import MakerRoom
+from greengagelatch.relay.room import ResultMemory
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.maker_calls import MADE, MakerCaller
 from greengagelatch_entry.relay.makers import Maker
@@ -44,7 +44,7 @@
             address="m:1",
             data_centre="north",
         )
-        self.maker = Maker(target, PROFILE, MakerRoom(10_000, 4.0))
+        self.maker = Maker(target, PROFILE, ResultMemory(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
             links=models.ModelLinks(
