--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -114,7 +114,7 @@
     def note_rejection(self, now: float) -> None:
         """Take in that it is busy with the calls of others."""
         self.calls -= 1
-        self.room.note_refusal(now)
+        self.room.record_refusal(now)
         self.pause(now)
 
     def pause(self, now: float) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -320,7 +320,7 @@
             if result.failure is None:
                 made[result.handle] = bundle.result_bytes
             elif result.failure is PieceFailure.ROOM:
-                maker.room.note_refusal(now)
+                maker.room.record_refusal(now)
         maker.room.settle(size, made, now)
         if made:
             self._estimate.note_made(len(made), now - started, now)
--- a/packages/greengagelatch/src/greengagelatch/relay/room.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/room.py
@@ -45,7 +45,7 @@
         for handle, result_size in results.items():
             self._hold(handle, result_size, now + self._keep_seconds)
 
-    def note_refusal(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Take in that there was no room: results of others fill it.
 
         They are those of an owner that is gone, or of one that does not know of this
--- a/tests/test_core/test_relay/test_room.py
+++ b/tests/test_core/test_relay/test_room.py
@@ -32,6 +32,6 @@
     Cause: what a refusal says about the room was not taken in.
     """
     room = ResultMemory(1000, keep_seconds=4.0)
-    room.note_refusal(now=1.0)
+    room.record_refusal(now=1.0)
     assert room.find_free(1.0) <= 0
     assert room.find_free(1.0 + FOREIGN_SECONDS) == 1000 * USED_SHARE
