--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.batches import MakerView
-from greengagelatch.relay.room import ResultMemory
+from greengagelatch.relay.result_memory import ResultMemory
 
 if TYPE_CHECKING:
     from greengagelatch.relay.deployment import MakerProfile
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.relay.batches import find_infeasible
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
-from greengagelatch.relay.room import ResultMemory
+from greengagelatch.relay.result_memory import ResultMemory
 
 from .freeing import ResultFreeing
 from .maker_calls import ANSWERED, CallEnd, MakerCaller
--- a/tests/test_core/test_relay/test_room.py
+++ b/tests/test_core/test_relay/test_result_memory.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from greengagelatch.relay.room import FOREIGN_SECONDS, USED_SHARE, ResultMemory
+from greengagelatch.relay.result_memory import FOREIGN_SECONDS, USED_SHARE, ResultMemory
 
 
 def test_results_take_room_from_the_call_until_they_are_freed():
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -11,7 +11,7 @@
 from greengagelatch.relay.batches import PlannedCall
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
-from greengagelatch.relay.room import ResultMemory
+from greengagelatch.relay.result_memory import ResultMemory
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.maker_calls import MADE, MakerCaller
 from greengagelatch_entry.relay.makers import Maker
