--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -19,7 +19,7 @@
 
     from greengagelatch.peers import Member
     from greengagelatch.relay.deployment import MakerProfile
-    from greengagelatch.relay.groups import DivisionRule
+    from greengagelatch.relay.groups import OwnershipPolicy
     from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 __all__ = ("MakerGroups",)
@@ -63,7 +63,7 @@
     def __init__(
         self,
         *,
-        rule: DivisionRule,
+        rule: OwnershipPolicy,
         book: TargetTable,
         list_members: Callable[[], tuple[Member, ...]],
         find_profile: Callable[[str], MakerProfile | None],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -30,7 +30,7 @@
     from greengagelatch.relay.admission import RouteAdmission
     from greengagelatch.relay.batches import BatchPolicy
     from greengagelatch.relay.deployment import Deployment, MakerProfile
-    from greengagelatch.relay.groups import DivisionRule, MakerGroup
+    from greengagelatch.relay.groups import MakerGroup, OwnershipPolicy
     from greengagelatch.relay.targets import TargetTable
     from greengagelatch_entry.relay.exchange import RelayExchange
     from greengagelatch_entry.relay.stages import StageResults, StageRun
@@ -113,7 +113,7 @@
         random_source: random.Random,
         create_batches: Callable[[], BatchPolicy],
         create_admission: Callable[[], RouteAdmission],
-        create_division: Callable[[], DivisionRule],
+        create_division: Callable[[], OwnershipPolicy],
     ) -> None:
         self._clock = clock
         self._book = book
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -20,7 +20,7 @@
 __all__ = (
     "ByCapacity",
     "Divided",
-    "DivisionRule",
+    "OwnershipPolicy",
     "GroupView",
     "MakerGroup",
     "ServiceView",
@@ -83,7 +83,7 @@
     capacity: int
 
 
-class DivisionRule(ABC):
+class OwnershipPolicy(ABC):
     """Says whether the makers of a service have one owner, or one in each place."""
 
     @abstractmethod
@@ -94,7 +94,7 @@
         """
 
 
-class ByCapacity(DivisionRule):
+class ByCapacity(OwnershipPolicy):
     """Divides makers that could take more work than any instance could gather.
 
     One owner for all fills calls best and has the next idle maker sooner: bundles of
@@ -113,14 +113,14 @@
         return view.load > view.capacity and share >= DIVIDED_FROM
 
 
-class Undivided(DivisionRule):
+class Undivided(OwnershipPolicy):
     """One owner for all makers of a service; a baseline to compare with."""
 
     def is_divided(self, view: ServiceView, before: bool) -> bool:
         return False
 
 
-class Divided(DivisionRule):
+class Divided(OwnershipPolicy):
     """An owner in each data centre that has makers; a baseline to compare with."""
 
     def is_divided(self, view: ServiceView, before: bool) -> bool:
