--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.batches import CrossRequestBatching
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
-from greengagelatch.relay.groups import ByCapacity
+from greengagelatch.relay.groups import CapacityBasedOwnership
 from greengagelatch.relay.listeners import choose_listeners
 from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
@@ -236,7 +236,7 @@
 
     def _build_request_path(self) -> None:
         self.groups = MakerGroups(
-            rule=ByCapacity(),
+            rule=CapacityBasedOwnership(),
             book=self.book,
             list_members=self.peers.members,
             find_profile=self._find_maker,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -19,7 +19,7 @@
     RouteKind,
     RouteStage,
 )
-from greengagelatch.relay.groups import ByCapacity, OwnershipPolicy
+from greengagelatch.relay.groups import CapacityBasedOwnership, OwnershipPolicy
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.requests import OpaqueRequest, RefusedError
 from greengagelatch.relay.targets import ListedTarget, TargetTable
@@ -67,7 +67,7 @@
 
     create_batches: Callable[[], BatchPolicy] = CrossRequestBatching
     create_admission: Callable[[], RouteAdmission] = EstimateRule
-    create_division: Callable[[], OwnershipPolicy] = ByCapacity
+    create_division: Callable[[], OwnershipPolicy] = CapacityBasedOwnership
     #: whether the instance knows that no other one calls the makers
     sole: bool = True
 
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -18,7 +18,7 @@
     from .queue_waits import QueueWait
 
 __all__ = (
-    "ByCapacity",
+    "CapacityBasedOwnership",
     "Divided",
     "OwnershipPolicy",
     "GroupView",
@@ -94,7 +94,7 @@
         """
 
 
-class ByCapacity(OwnershipPolicy):
+class CapacityBasedOwnership(OwnershipPolicy):
     """Divides makers that could take more work than any instance could gather.
 
     One owner for all fills calls best and has the next idle maker sooner: bundles of
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.clock import ManualClock
 from greengagelatch.peers import Member, MemberState, PeerError, PeerErrorKind
-from greengagelatch.relay.groups import ByCapacity, MakerGroup
+from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.messages import PiecesDropped, PiecesWanted
 from greengagelatch.relay.owners import rank_owners
@@ -166,7 +166,7 @@
         return OwnedDesk(
             local=self.local[name],
             groups=MakerGroups(
-                rule=ByCapacity(),
+                rule=CapacityBasedOwnership(),
                 book=book,
                 list_members=peers.members,
                 find_profile=lambda service: None,
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -8,7 +8,7 @@
 
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.relay.deployment import MakerProfile
-from greengagelatch.relay.groups import ByCapacity, MakerGroup
+from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.stage_groups import MakerGroups
@@ -34,7 +34,7 @@
         self.makers = self.list_makers(*PLACES * 3)
         self.members = self.list_members(*PLACES)
         self.groups = MakerGroups(
-            rule=ByCapacity(),
+            rule=CapacityBasedOwnership(),
             book=SimpleNamespace(list_service=lambda service: self.makers),
             list_members=lambda: self.members,
             find_profile=lambda service: PROFILE,
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -14,7 +14,7 @@
 
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.relay.batches import CrossRequestBatching
-from greengagelatch.relay.groups import ByCapacity, MakerGroup
+from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
@@ -123,7 +123,7 @@
                 )
             ),
             groups=MakerGroups(
-                rule=ByCapacity(),
+                rule=CapacityBasedOwnership(),
                 book=self.book,
                 list_members=peers.members,
                 find_profile=lambda service: PROFILE,
