--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.relay.admission import AdmitAll
 from greengagelatch.relay.batches import PerRequestBatching
-from greengagelatch.relay.groups import Divided, Undivided
+from greengagelatch.relay.groups import PerDataCentreOwnership, Undivided
 
 from .shapes import SCENARIOS, SHAPES
 from .trial import Policies, run_trial
@@ -26,7 +26,7 @@
     "ours": Policies(),
     "unsettled": Policies(sole=False),
     "undivided": Policies(create_division=Undivided),
-    "divided": Policies(create_division=Divided),
+    "divided": Policies(create_division=PerDataCentreOwnership),
     "admit-all": Policies(create_admission=AdmitAll),
     "naive": Policies(create_batches=PerRequestBatching, create_admission=AdmitAll),
 }
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -19,7 +19,7 @@
 
 __all__ = (
     "CapacityBasedOwnership",
-    "Divided",
+    "PerDataCentreOwnership",
     "OwnershipPolicy",
     "GroupView",
     "MakerGroup",
@@ -120,7 +120,7 @@
         return False
 
 
-class Divided(OwnershipPolicy):
+class PerDataCentreOwnership(OwnershipPolicy):
     """An owner in each data centre that has makers; a baseline to compare with."""
 
     def is_divided(self, view: ServiceView, before: bool) -> bool:
