--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.relay.admission import AdmitAll
 from greengagelatch.relay.batches import PerRequestBatching
-from greengagelatch.relay.groups import PerDataCentreOwnership, Undivided
+from greengagelatch.relay.groups import PerDataCentreOwnership, SingleOwnership
 
 from .shapes import SCENARIOS, SHAPES
 from .trial import Policies, run_trial
@@ -25,7 +25,7 @@
 VARIANTS = {
     "ours": Policies(),
     "unsettled": Policies(sole=False),
-    "undivided": Policies(create_division=Undivided),
+    "undivided": Policies(create_division=SingleOwnership),
     "divided": Policies(create_division=PerDataCentreOwnership),
     "admit-all": Policies(create_admission=AdmitAll),
     "naive": Policies(create_batches=PerRequestBatching, create_admission=AdmitAll),
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -24,7 +24,7 @@
     "GroupView",
     "MakerGroup",
     "ServiceView",
-    "Undivided",
+    "SingleOwnership",
     "choose_group",
     "estimate_load",
     "find_home",
@@ -113,7 +113,7 @@
         return view.load > view.capacity and share >= DIVIDED_FROM
 
 
-class Undivided(OwnershipPolicy):
+class SingleOwnership(OwnershipPolicy):
     """One owner for all makers of a service; a baseline to compare with."""
 
     def is_divided(self, view: ServiceView, before: bool) -> bool:
