--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -87,7 +87,7 @@
     """Says whether the makers of a service have one owner, or one in each place."""
 
     @abstractmethod
-    def is_divided(self, view: ServiceView, before: bool) -> bool:
+    def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         """Return whether makers are divided by data centre.
 
         :param before: whether they were
