--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -11,7 +11,7 @@
     MakerGroup,
     ServiceView,
     estimate_load,
-    find_home,
+    find_owning_data_centre,
 )
 
 if TYPE_CHECKING:
@@ -105,7 +105,8 @@
             chosen = tuple(
                 target
                 for target in listed
-                if find_home(target.data_centre, fleet.homes) == group.data_centre
+                if find_owning_data_centre(target.data_centre, fleet.homes)
+                == group.data_centre
             )
             known = self._selections[group] = _Selection(listed, fleet, chosen)
         return known.chosen
@@ -120,7 +121,7 @@
 
     def find_group(self, service: str, data_centre: str) -> MakerGroup:
         """Return the group that the makers of a data centre belong to."""
-        home = find_home(data_centre, self._find_fleet().homes)
+        home = find_owning_data_centre(data_centre, self._find_fleet().homes)
         group = MakerGroup(service, home)
         return group if group in self.list_groups(service) else MakerGroup(service)
 
@@ -135,7 +136,9 @@
             return whole
         fleet = self._find_fleet()
         listed = self._book.list_service(service)
-        makers = Counter(find_home(one.data_centre, fleet.homes) for one in listed)
+        makers = Counter(
+            find_owning_data_centre(one.data_centre, fleet.homes) for one in listed
+        )
         view = ServiceView(
             makers=makers,
             load=estimate_load(profile, len(listed)),
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -27,7 +27,7 @@
     "SingleOwnership",
     "choose_group",
     "estimate_load",
-    "find_home",
+    "find_owning_data_centre",
 )
 
 #: makers for each data centre, on average, from which a service's makers are divided,
@@ -133,7 +133,7 @@
     return makers * rate / BUNDLE_PIECES
 
 
-def find_home(place: str, homes: Collection[str]) -> str:
+def find_owning_data_centre(place: str, homes: Collection[str]) -> str:
     """Return the data centre whose instances own the makers of ``place``.
 
     Makers in a data centre without instances are owned from another one.
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -15,7 +15,7 @@
     ServiceView,
     choose_group,
     estimate_load,
-    find_home,
+    find_owning_data_centre,
 )
 from greengagelatch.relay.pieces import Bundle, Piece
 from greengagelatch.relay.queue_waits import QueueWait
@@ -101,8 +101,8 @@
 
 def test_makers_of_a_place_without_instances_have_an_owner_elsewhere():
     """Guards against makers that nobody calls."""
-    assert find_home("north", PLACES) == "north"
-    homes = {find_home(f"place-{number}", PLACES) for number in range(50)}
+    assert find_owning_data_centre("north", PLACES) == "north"
+    homes = {find_owning_data_centre(f"place-{number}", PLACES) for number in range(50)}
     assert homes == set(PLACES)
 
 
