--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -15,7 +15,7 @@
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
 from greengagelatch.relay.groups import CapacityBasedOwnership
-from greengagelatch.relay.listeners import choose_listeners
+from greengagelatch.relay.listeners import choose_followers
 from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.targets import TargetTable
@@ -395,7 +395,7 @@
         if members is not self.listening_members:
             # asked for several times a second, and changes rarely
             self.listening_members = members
-            self.listeners = choose_listeners(
+            self.listeners = choose_followers(
                 {
                     member.instance_id: member.data_centre
                     for member in members
--- a/packages/greengagelatch/src/greengagelatch/relay/listeners.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/listeners.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("SMALL_FLEET", "choose_listeners")
+__all__ = ("SMALL_FLEET", "choose_followers")
 
 #: instances up to which all of them follow the store
 SMALL_FLEET = 12
@@ -20,7 +20,7 @@
 DUTY = "store"
 
 
-def choose_listeners(instances: Mapping[str, str]) -> frozenset[str]:
+def choose_followers(instances: Mapping[str, str]) -> frozenset[str]:
     """Return the instances that follow the store.
 
     The platform counts each call and wakes every watch at each change, so that with
