--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -15,9 +15,9 @@
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
 from greengagelatch.relay.groups import CapacityBasedOwnership
-from greengagelatch.relay.listeners import choose_followers
 from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
+from greengagelatch.relay.store_followers import choose_followers
 from greengagelatch.relay.targets import TargetTable
 
 from ..adapters.peers import PeerHub
