--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -10,7 +10,7 @@
 from greengagelatch.clock import SystemClock
 from greengagelatch.events import EventBus
 from greengagelatch.peers import MemberState
-from greengagelatch.relay.admission import EstimateRule
+from greengagelatch.relay.admission import DeadlineAdmission
 from greengagelatch.relay.batches import CrossRequestBatching
 from greengagelatch.relay.connections import count_kept
 from greengagelatch.relay.deployment import CallerBounds
@@ -286,7 +286,7 @@
             stages=stages,
             codec=self.adapters.targets,
             times=RunTimes(),
-            admission=EstimateRule(),
+            admission=DeadlineAdmission(),
             **common,
         )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -10,7 +10,7 @@
 from looptime import LoopTimeEventLoop
 
 from greengagelatch.clock import Clock
-from greengagelatch.relay.admission import EstimateRule, RouteAdmission
+from greengagelatch.relay.admission import DeadlineAdmission, RouteAdmission
 from greengagelatch.relay.batches import BatchPolicy, CrossRequestBatching
 from greengagelatch.relay.deployment import (
     Deployment,
@@ -66,7 +66,7 @@
     """The decisions that a trial is run with."""
 
     create_batches: Callable[[], BatchPolicy] = CrossRequestBatching
-    create_admission: Callable[[], RouteAdmission] = EstimateRule
+    create_admission: Callable[[], RouteAdmission] = DeadlineAdmission
     create_division: Callable[[], OwnershipPolicy] = CapacityBasedOwnership
     #: whether the instance knows that no other one calls the makers
     sole: bool = True
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -5,7 +5,7 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-__all__ = ("AdmitAll", "Decision", "Estimate", "EstimateRule", "RouteAdmission")
+__all__ = ("AdmitAll", "Decision", "Estimate", "DeadlineAdmission", "RouteAdmission")
 
 #: share of a route's timeout that must have passed before a caller's attempt for it to
 #: count as one that came back; clocks and headers round a little
@@ -63,7 +63,7 @@
         """Return whether to begin a request."""
 
 
-class EstimateRule(RouteAdmission):
+class DeadlineAdmission(RouteAdmission):
     """Begins what can be on time, and what came back as long as it is of use.
 
     Load pattern: a burst of one kind of request for some seconds, of twice what the
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from greengagelatch.relay.admission import AdmitAll, Estimate, EstimateRule
+from greengagelatch.relay.admission import AdmitAll, DeadlineAdmission, Estimate
 
 CALM = Estimate(
     wait=0.0,
@@ -14,7 +14,7 @@
     objective_left=1.9,
     waited_share=0.0,
 )
-RULE = EstimateRule()
+RULE = DeadlineAdmission()
 
 
 def test_request_that_can_be_on_time_is_begun():
