--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.errors import RefusalCode
-from greengagelatch.relay.admission import Estimate
+from greengagelatch.relay.admission import RequestEstimate
 from greengagelatch.relay.load_balancer import EngineDemand
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.relay.requests import Prompt
@@ -93,7 +93,7 @@
         work = chain.work + first
         route = exchange.route
         elapsed = self.clock.now() - exchange.request.received
-        estimate = Estimate(
+        estimate = RequestEstimate(
             wait=chain.whole_wait,
             urgent_wait=chain.urgent_wait,
             work=work,
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -5,7 +5,13 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-__all__ = ("AdmitAll", "Decision", "Estimate", "DeadlineAdmission", "RouteAdmission")
+__all__ = (
+    "AdmitAll",
+    "Decision",
+    "RequestEstimate",
+    "DeadlineAdmission",
+    "RouteAdmission",
+)
 
 #: share of a route's timeout that must have passed before a caller's attempt for it to
 #: count as one that came back; clocks and headers round a little
@@ -28,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Estimate:
+class RequestEstimate:
     """What is expected of a request; times in seconds from now on."""
 
     #: until the stages' queues reach one that goes behind all
@@ -59,7 +65,7 @@
     """Decides on requests before anything is done for them."""
 
     @abstractmethod
-    def decide(self, estimate: Estimate) -> Decision:
+    def decide(self, estimate: RequestEstimate) -> Decision:
         """Return whether to begin a request."""
 
 
@@ -74,7 +80,7 @@
     worth little by then, yet a caller that is sent away twice gets nothing.
     """
 
-    def decide(self, estimate: Estimate) -> Decision:
+    def decide(self, estimate: RequestEstimate) -> Decision:
         expected = estimate.urgent_wait + estimate.work
         if expected + SPREAD <= estimate.objective_left:
             return Decision(True)
@@ -92,11 +98,11 @@
 class AdmitAll(RouteAdmission):
     """Begins everything; the baseline to compare with."""
 
-    def decide(self, estimate: Estimate) -> Decision:
+    def decide(self, estimate: RequestEstimate) -> Decision:
         return Decision(True)
 
 
-def _refuse(estimate: Estimate, reason: str) -> Decision:
+def _refuse(estimate: RequestEstimate, reason: str) -> Decision:
     latest = min(MOST_RETRY, estimate.left * RETRY_SHARE)
     seconds = max(LEAST_RETRY, min(estimate.wait, latest))
     return Decision(False, seconds, reason)
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -4,9 +4,9 @@
 
 from dataclasses import replace
 
-from greengagelatch.relay.admission import AdmitAll, DeadlineAdmission, Estimate
+from greengagelatch.relay.admission import AdmitAll, DeadlineAdmission, RequestEstimate
 
-CALM = Estimate(
+CALM = RequestEstimate(
     wait=0.0,
     urgent_wait=0.0,
     work=0.9,
