--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -7,7 +7,7 @@
 
 __all__ = (
     "AdmitAll",
-    "Decision",
+    "AdmissionDecision",
     "RequestEstimate",
     "DeadlineAdmission",
     "RouteAdmission",
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
+class AdmissionDecision:
     """Whether to begin, and if not, when to come back."""
 
     admitted: bool
@@ -65,7 +65,7 @@
     """Decides on requests before anything is done for them."""
 
     @abstractmethod
-    def decide(self, estimate: RequestEstimate) -> Decision:
+    def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
         """Return whether to begin a request."""
 
 
@@ -80,29 +80,29 @@
     worth little by then, yet a caller that is sent away twice gets nothing.
     """
 
-    def decide(self, estimate: RequestEstimate) -> Decision:
+    def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
         expected = estimate.urgent_wait + estimate.work
         if expected + SPREAD <= estimate.objective_left:
-            return Decision(True)
+            return AdmissionDecision(True)
         if estimate.wait + estimate.work > estimate.left:
             return _refuse(estimate, "can't be answered in time")
         if estimate.wait <= SHORT_QUEUE:
-            return Decision(True)
+            return AdmissionDecision(True)
         if estimate.waited_share <= RETURNED_SHARE:
             return _refuse(estimate, "would be late behind the queue")
         if estimate.wait - estimate.urgent_wait > LATE_QUEUE:
             return _refuse(estimate, "too many that will be late wait")
-        return Decision(True)
+        return AdmissionDecision(True)
 
 
 class AdmitAll(RouteAdmission):
     """Begins everything; the baseline to compare with."""
 
-    def decide(self, estimate: RequestEstimate) -> Decision:
-        return Decision(True)
+    def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
+        return AdmissionDecision(True)
 
 
-def _refuse(estimate: RequestEstimate, reason: str) -> Decision:
+def _refuse(estimate: RequestEstimate, reason: str) -> AdmissionDecision:
     latest = min(MOST_RETRY, estimate.left * RETRY_SHARE)
     seconds = max(LEAST_RETRY, min(estimate.wait, latest))
-    return Decision(False, seconds, reason)
+    return AdmissionDecision(False, seconds, reason)
