--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -12,7 +12,7 @@
 from greengagelatch.peers import MemberState
 from greengagelatch.relay.admission import DeadlineAdmission
 from greengagelatch.relay.batches import CrossRequestBatching
-from greengagelatch.relay.connections import count_kept
+from greengagelatch.relay.connections import count_idle_connections
 from greengagelatch.relay.deployment import CallerBounds
 from greengagelatch.relay.groups import CapacityBasedOwnership
 from greengagelatch.relay.load_balancer import LoadBalancer
@@ -383,7 +383,7 @@
         service = None
         if target is not None and deployment is not None:
             service = deployment.services.get(target.service)
-        return count_kept(
+        return count_idle_connections(
             service.max_connections if service else 0,
             self._count_instances(),
             self.rules.instance_id,
--- a/packages/greengagelatch/src/greengagelatch/relay/connections.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/connections.py
@@ -4,7 +4,7 @@
 
 from ..targets.subset import compute_weight
 
-__all__ = ("count_kept",)
+__all__ = ("count_idle_connections",)
 
 #: share of the connections that a target accepts which idle ones may take: it accepts
 #: fewer while its queue is long, and those in use need the rest
@@ -15,7 +15,7 @@
 WEIGHTS = 2**64
 
 
-def count_kept(
+def count_idle_connections(
     max_connections: int, instances: int, instance_id: str, target_id: str
 ) -> int:
     """Return the idle connections that one instance may keep to one target.
--- a/tests/test_core/test_relay/test_connections.py
+++ b/tests/test_core/test_relay/test_connections.py
@@ -4,13 +4,17 @@
 
 import pytest
 
-from greengagelatch.relay.connections import IDLE_SHARE, MOST_KEPT, count_kept
+from greengagelatch.relay.connections import (
+    IDLE_SHARE,
+    MOST_KEPT,
+    count_idle_connections,
+)
 
 
 def count_all(max_connections: int, instances: int) -> int:
     """Return the idle connections of all instances to one target."""
     return sum(
-        count_kept(max_connections, instances, f"entry-{number}", "t-1")
+        count_idle_connections(max_connections, instances, f"entry-{number}", "t-1")
         for number in range(instances)
     )
 
@@ -29,11 +33,11 @@
 
 
 def test_few_instances_keep_what_is_of_use():
-    assert count_kept(500, 9, "entry-1", "t-1") == MOST_KEPT
+    assert count_idle_connections(500, 9, "entry-1", "t-1") == MOST_KEPT
 
 
 def test_unknown_bound_leaves_the_usual_number():
-    assert count_kept(0, 195, "entry-1", "t-1") == MOST_KEPT
+    assert count_idle_connections(0, 195, "entry-1", "t-1") == MOST_KEPT
 
 
 def test_some_instances_keep_one_where_the_share_is_below_one():
