--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -12,9 +12,9 @@
 from greengagelatch.peers import MemberState
 from greengagelatch.relay.admission import DeadlineAdmission
 from greengagelatch.relay.batches import CrossRequestBatching
-from greengagelatch.relay.connections import count_idle_connections
 from greengagelatch.relay.deployment import CallerBounds
 from greengagelatch.relay.groups import CapacityBasedOwnership
+from greengagelatch.relay.idle_connections import count_idle_connections
 from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
 from greengagelatch.relay.store_followers import choose_followers
--- a/tests/test_core/test_relay/test_connections.py
+++ b/tests/test_core/test_relay/test_idle_connections.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from greengagelatch.relay.connections import (
+from greengagelatch.relay.idle_connections import (
     IDLE_SHARE,
     MOST_KEPT,
     count_idle_connections,
