--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -146,7 +146,7 @@
         A caller that comes back after a refusal has less time left than its route
         would give it.
         """
-        return max(0.0, self.route.timeout - self.request.patience)
+        return max(0.0, self.route.timeout - self.request.timeout)
 
     @property
     def first_deadline(self) -> float:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -223,7 +223,7 @@
             headers=(),
             body=b"",
             received=now,
-            patience=left,
+            timeout=left,
             prompt=arrival.prompt,
             piece_counts=arrival.piece_counts,
             piece_key="key",
--- a/packages/greengagelatch/src/greengagelatch/relay/requests.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/requests.py
@@ -60,7 +60,7 @@
     body: bytes = field(repr=False)
     received: float
     #: seconds that the caller waits from ``received``
-    patience: float
+    timeout: float
     key: str = field(default="", repr=False)
     #: id of the last event that the caller already has
     resume_after: int | None = None
--- a/tests/test_core/test_relay/test_digests.py
+++ b/tests/test_core/test_relay/test_digests.py
@@ -17,7 +17,7 @@
     headers=(),
     body=b"hello",
     received=3.0,
-    patience=2.0,
+    timeout=2.0,
 )
 
 
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -56,7 +56,7 @@
         headers=(),
         body=b"",
         received=0.0,
-        patience=6.0,
+        timeout=6.0,
         piece_counts=counts,
         piece_key="key",
     )
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -110,7 +110,7 @@
         headers=(),
         body=b"",
         received=clock.now(),
-        patience=6.0,
+        timeout=6.0,
         piece_counts=counts,
         piece_key="key",
     )
--- a/tests/test_platform/test_callers.py
+++ b/tests/test_platform/test_callers.py
@@ -39,7 +39,7 @@
         "a.example",
         "secret",
     )
-    assert (request.patience, request.resume_after) == (1.5, 12)
+    assert (request.timeout, request.resume_after) == (1.5, 12)
     assert (request.piece_counts, request.piece_key) == ((2, 0, 6), "7c1e")
     prompt = request.prompt
     assert (prompt.model, prompt.tokens_in, prompt.most_tokens_out) == ("m", 1460, 80)
@@ -94,4 +94,4 @@
 
 
 def test_caller_without_a_deadline_waits_for_a_while():
-    assert decode(headers=HEADERS[:2]).patience > 0
+    assert decode(headers=HEADERS[:2]).timeout > 0
--- a/tests/test_platform/test_targets.py
+++ b/tests/test_platform/test_targets.py
@@ -26,7 +26,7 @@
     headers=((b"X-Attempt-Id", b"r-1"),),
     body=b"body",
     received=0.0,
-    patience=1.0,
+    timeout=1.0,
 )
 
 
