--- a/packages/greengagelatch/src/greengagelatch/relay/requests.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/requests.py
@@ -36,7 +36,7 @@
 
     model: str = ""
     tokens_in: int = 0
-    most_tokens_out: int = 0
+    max_tokens_out: int = 0
     #: in order; the last one belongs to the request or its session alone
     parts: tuple[PromptPart, ...] = ()
 
--- a/tests/test_platform/test_callers.py
+++ b/tests/test_platform/test_callers.py
@@ -42,7 +42,7 @@
     assert (request.timeout, request.resume_after) == (1.5, 12)
     assert (request.piece_counts, request.piece_key) == ((2, 0, 6), "7c1e")
     prompt = request.prompt
-    assert (prompt.model, prompt.tokens_in, prompt.most_tokens_out) == ("m", 1460, 80)
+    assert (prompt.model, prompt.tokens_in, prompt.max_tokens_out) == ("m", 1460, 80)
     assert prompt.shared == (PromptPart("5c1e", 800), PromptPart("91bd", 410))
 
 
