--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -44,7 +44,7 @@
             call_seconds=self.call_seconds,
             item_seconds=self.item_seconds,
             room_bytes=round(self.room_bytes),
-            keep_seconds=self.keep_seconds,
+            retention_seconds=self.keep_seconds,
         )
 
 
--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -123,7 +123,7 @@
     #: bytes of results that it keeps
     room_bytes: int
     #: time for which it keeps a result that nobody frees
-    keep_seconds: float
+    retention_seconds: float
 
     def estimate_seconds(self, items: int) -> float:
         """Return how long a call for ``items`` results takes, by expectation."""
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -29,7 +29,7 @@
     call_seconds=0.2,
     item_seconds=0.01,
     room_bytes=8_000_000,
-    keep_seconds=4.0,
+    retention_seconds=4.0,
 )
 NOW = 100.0
 
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -25,7 +25,7 @@
     call_seconds=0.2,
     item_seconds=0.01,
     room_bytes=1000,
-    keep_seconds=4.0,
+    retention_seconds=4.0,
 )
 DEPLOYMENT = Deployment(
     version=1,
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -22,7 +22,7 @@
     call_seconds=0.2,
     item_seconds=0.003,
     room_bytes=8_000_000,
-    keep_seconds=4.0,
+    retention_seconds=4.0,
 )
 WHOLE = MakerGroup(SERVICE)
 
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -37,7 +37,7 @@
     call_seconds=0.2,
     item_seconds=0.01,
     room_bytes=1_000_000,
-    keep_seconds=4.0,
+    retention_seconds=4.0,
 )
 #: a stage for the target itself, and a chain of three
 ROUTE = Route(
