--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -43,7 +43,7 @@
             batch=self.batch,
             call_seconds=self.call_seconds,
             item_seconds=self.item_seconds,
-            room_bytes=round(self.room_bytes),
+            result_memory_bytes=round(self.room_bytes),
             retention_seconds=self.keep_seconds,
         )
 
--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -121,7 +121,7 @@
     #: approximate cost of each result
     item_seconds: float
     #: bytes of results that it keeps
-    room_bytes: int
+    result_memory_bytes: int
     #: time for which it keeps a result that nobody frees
     retention_seconds: float
 
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -20,7 +20,7 @@
     batch=17,
     call_seconds=0.2,
     item_seconds=0.01,
-    room_bytes=2_295_000,
+    result_memory_bytes=2_295_000,
     retention_seconds=4.0,
 )
 NOW = 100.0
--- a/tests/test_core/test_relay/test_deployment.py
+++ b/tests/test_core/test_relay/test_deployment.py
@@ -55,7 +55,7 @@
         batch=5,
         call_seconds=0.2,
         item_seconds=0.03,
-        room_bytes=0,
+        result_memory_bytes=0,
         retention_seconds=0.0,
     )
     assert maker.estimate_seconds(4) == pytest.approx(0.32)
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -28,7 +28,7 @@
     batch=20,
     call_seconds=0.2,
     item_seconds=0.01,
-    room_bytes=8_000_000,
+    result_memory_bytes=8_000_000,
     retention_seconds=4.0,
 )
 NOW = 100.0
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -24,7 +24,7 @@
     batch=10,
     call_seconds=0.2,
     item_seconds=0.01,
-    room_bytes=1000,
+    result_memory_bytes=1000,
     retention_seconds=4.0,
 )
 DEPLOYMENT = Deployment(
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -21,7 +21,7 @@
     batch=60,
     call_seconds=0.2,
     item_seconds=0.003,
-    room_bytes=8_000_000,
+    result_memory_bytes=8_000_000,
     retention_seconds=4.0,
 )
 WHOLE = MakerGroup(SERVICE)
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -36,7 +36,7 @@
     batch=10,
     call_seconds=0.2,
     item_seconds=0.01,
-    room_bytes=1_000_000,
+    result_memory_bytes=1_000_000,
     retention_seconds=4.0,
 )
 #: a stage for the target itself, and a chain of three
