--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -12,7 +12,7 @@
 from greengagelatch.peers import MemberState
 from greengagelatch.relay.admission import DeadlineAdmission
 from greengagelatch.relay.batches import CrossRequestBatching
-from greengagelatch.relay.deployment import CallerBounds
+from greengagelatch.relay.deployment import CallerLimits
 from greengagelatch.relay.groups import CapacityBasedOwnership
 from greengagelatch.relay.idle_connections import count_idle_connections
 from greengagelatch.relay.load_balancer import LoadBalancer
@@ -436,9 +436,9 @@
         found = deployment.services.get(service) if deployment else None
         return found.maker if found else None
 
-    def _find_bounds(self) -> CallerBounds:
+    def _find_bounds(self) -> CallerLimits:
         deployment = self.configuration.deployment
-        return deployment.bounds if deployment else CallerBounds()
+        return deployment.bounds if deployment else CallerLimits()
 
     def _is_ready(self) -> bool:
         informed = self.configuration.table is not None and self.listing.informed
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -21,7 +21,7 @@
     from aiohttp import web
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.deployment import CallerBounds
+    from greengagelatch.relay.deployment import CallerLimits
 
     from ..metrics import Metrics
     from .codecs import CallerCodec
@@ -52,7 +52,7 @@
         listen: str,
         codec: CallerCodec,
         handler: Callable[[RelayExchange], Awaitable[None]],
-        bounds: Callable[[], CallerBounds],
+        bounds: Callable[[], CallerLimits],
         draining: Callable[[], bool],
         clock: Clock,
         metrics: Metrics,
--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 __all__ = (
-    "CallerBounds",
+    "CallerLimits",
     "Deployment",
     "EngineProfile",
     "MakerProfile",
@@ -153,7 +153,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallerBounds:
+class CallerLimits:
     """What callers may send, and how long they may take; times in seconds."""
 
     max_header_bytes: int = 16_384
@@ -172,6 +172,6 @@
     routes: tuple[Route, ...] = ()
     services: dict[str, RoutedService] = field(default_factory=dict)
     workspaces: tuple[RoutedWorkspace, ...] = ()
-    bounds: CallerBounds = field(default_factory=CallerBounds)
+    bounds: CallerLimits = field(default_factory=CallerLimits)
     #: whether requests need a key at all
     keyed: bool = False
