--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.peers import MemberState
 from greengagelatch.relay.messages import News, NewsQuery
-from greengagelatch.relay.news import decode_target, encode_target
+from greengagelatch.relay.target_rows import decode_target, encode_target
 
 from ..controllers import Controller
 
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -12,8 +12,8 @@
 from greengagelatch.relay.incarnations import Incarnation, IncarnationOrder
 from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
 from greengagelatch.relay.messages import News
-from greengagelatch.relay.news import decode_target, encode_target
 from greengagelatch.relay.requests import Prompt, PromptPart
+from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 FORMER = Incarnation("t-1", 1000)
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -17,8 +17,8 @@
     encode_bundle,
     encode_results,
 )
-from greengagelatch.relay.news import decode_target, encode_target
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure, PieceResult
+from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import ListedTarget
 
 BUNDLE = Bundle(
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -12,7 +12,7 @@
 from greengagelatch.clock import ManualClock
 from greengagelatch.peers.codec import Envelope, decode, encode
 from greengagelatch.relay.messages import News
-from greengagelatch.relay.news import decode_target, encode_target
+from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import TargetTable
 from greengagelatch.store import Entry
 from greengagelatch.store.ranges import Changes, Scan
