--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -11,10 +11,10 @@
 
 from greengagelatch.relay.groups import GroupView, MakerGroup, choose_group
 from greengagelatch.relay.messages import (
+    BundleRequest,
     PiecesDropped,
     PiecesMade,
     PiecesRead,
-    PiecesWanted,
     ResultsFreed,
     StageWaits,
     decode_bundle,
@@ -98,7 +98,7 @@
         self._asked: dict[tuple[str, str], Callable[[], None]] = {}
         #: bundles of peers in work, by peer and bundle id
         self._in_work: dict[tuple[str, str], asyncio.Task[Any]] = {}
-        peers.handle(PiecesWanted, self._answer_wanted)
+        peers.handle(BundleRequest, self._answer_wanted)
         peers.handle(PiecesDropped, self._take_dropped)
         peers.handle(PiecesRead, self._take_read)
         peers.handle(ResultsFreed, self._take_freed)
@@ -252,7 +252,7 @@
 
     # as an owner
 
-    async def _answer_wanted(self, sender: str, message: PiecesWanted) -> PiecesMade:
+    async def _answer_wanted(self, sender: str, message: BundleRequest) -> PiecesMade:
         bundle = decode_bundle(message, self._clock.now())
         self._words.note_asker(sender)
         place = (sender, bundle.bundle_id)
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -19,7 +19,7 @@
     "PiecesDropped",
     "PiecesMade",
     "PiecesRead",
-    "PiecesWanted",
+    "BundleRequest",
     "ResultsFreed",
     "StageWaits",
     "decode_bundle",
@@ -34,7 +34,7 @@
 
 @register("pieces-wanted")
 @dataclass(frozen=True, slots=True)
-class PiecesWanted(Message):
+class BundleRequest(Message):
     """Asks the owner of a service to have a bundle made; times from now on.
 
     The clocks of two instances have nothing in common, so that times are told as
@@ -197,10 +197,10 @@
         check_type(self.rows, (tuple, list))
 
 
-def encode_bundle(bundle: Bundle, group: MakerGroup, now: float) -> PiecesWanted:
+def encode_bundle(bundle: Bundle, group: MakerGroup, now: float) -> BundleRequest:
     """Return the message that asks for a bundle of the makers of a group."""
     first = bundle.pieces[0]
-    return PiecesWanted(
+    return BundleRequest(
         bundle_id=bundle.bundle_id,
         service=bundle.service,
         request_id=first.request_id,
@@ -222,7 +222,7 @@
     )
 
 
-def decode_bundle(message: PiecesWanted, now: float) -> Bundle:
+def decode_bundle(message: BundleRequest, now: float) -> Bundle:
     """Return the bundle that a message asks for."""
     pieces = tuple(
         Piece(
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -9,8 +9,8 @@
 from greengagelatch.relay.groups import MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.messages import (
+    BundleRequest,
     News,
-    PiecesWanted,
     StageWaits,
     decode_bundle,
     decode_results,
@@ -110,7 +110,7 @@
 )
 def test_request_for_pieces_is_checked(fields):
     with pytest.raises(ValueError):
-        PiecesWanted(**fields)
+        BundleRequest(**fields)
 
 
 def test_waits_are_checked():
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -13,7 +13,7 @@
 from greengagelatch.peers import Member, MemberState, PeerError, PeerErrorKind
 from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.messages import PiecesDropped, PiecesWanted
+from greengagelatch.relay.messages import BundleRequest, PiecesDropped
 from greengagelatch.relay.owners import rank_owners
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure, PieceResult
 from greengagelatch.relay.queue_waits import QueueWait
@@ -562,6 +562,6 @@
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
 
     world.local[owner].make_in = make_nothing
-    world.network.handlers[owner][PiecesWanted] = fail
+    world.network.handlers[owner][BundleRequest] = fail
     results = await world.desks[third].make(BUNDLE, do_nothing)
     assert {one.failure for one in results} == {PieceFailure.LATE}
