--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -12,8 +12,8 @@
 from greengagelatch.relay.groups import GroupView, MakerGroup, choose_group
 from greengagelatch.relay.messages import (
     BundleRequest,
+    BundleResults,
     PiecesDropped,
-    PiecesMade,
     PiecesRead,
     ResultsFreed,
     StageWaits,
@@ -219,7 +219,7 @@
             return None
         answer = reply.ok_value
         results = None
-        if isinstance(answer, PiecesMade):
+        if isinstance(answer, BundleResults):
             results = decode_results(answer.results, len(bundle.pieces))
         if results is None:
             self._note_lost(owner, group, bundle, "answer can't be read")
@@ -252,7 +252,9 @@
 
     # as an owner
 
-    async def _answer_wanted(self, sender: str, message: BundleRequest) -> PiecesMade:
+    async def _answer_wanted(
+        self, sender: str, message: BundleRequest
+    ) -> BundleResults:
         bundle = decode_bundle(message, self._clock.now())
         self._words.note_asker(sender)
         place = (sender, bundle.bundle_id)
@@ -266,7 +268,7 @@
             task.add_done_callback(partial(self._forget, place))
         # shielded: the same bundle may be asked for again over another link
         results = await asyncio.shield(task)
-        return PiecesMade(encode_results(results))
+        return BundleResults(encode_results(results))
 
     def _find_wanted(self, service: str, data_centre: str) -> MakerGroup:
         """Return the group that a peer means.
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -17,7 +17,7 @@
     "News",
     "NewsQuery",
     "PiecesDropped",
-    "PiecesMade",
+    "BundleResults",
     "PiecesRead",
     "BundleRequest",
     "ResultsFreed",
@@ -85,7 +85,7 @@
 
 @register("pieces-made")
 @dataclass(frozen=True, slots=True)
-class PiecesMade(Message):
+class BundleResults(Message):
     """Answers with the results, in the order of the segments."""
 
     #: see :func:`encode_results`
