--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -11,10 +11,10 @@
 
 from greengagelatch.relay.groups import GroupView, MakerGroup, choose_group
 from greengagelatch.relay.messages import (
+    BundleInputsRead,
     BundleRequest,
     BundleResults,
     PiecesDropped,
-    PiecesRead,
     ResultsFreed,
     StageWaits,
     decode_bundle,
@@ -100,7 +100,7 @@
         self._in_work: dict[tuple[str, str], asyncio.Task[Any]] = {}
         peers.handle(BundleRequest, self._answer_wanted)
         peers.handle(PiecesDropped, self._take_dropped)
-        peers.handle(PiecesRead, self._take_read)
+        peers.handle(BundleInputsRead, self._take_read)
         peers.handle(ResultsFreed, self._take_freed)
         peers.handle(StageWaits, self._take_waits)
 
@@ -260,7 +260,9 @@
         place = (sender, bundle.bundle_id)
         task = self._in_work.get(place)
         if task is None:
-            note_read = partial(self._peers.send, sender, PiecesRead(bundle.bundle_id))
+            note_read = partial(
+                self._peers.send, sender, BundleInputsRead(bundle.bundle_id)
+            )
             group = self._find_wanted(bundle.service, message.group)
             making = self._local.make_in(group, bundle, note_read)
             task = asyncio.ensure_future(making)
@@ -307,7 +309,7 @@
         if task is not None:
             task.cancel()
 
-    def _take_read(self, sender: str, message: PiecesRead) -> None:
+    def _take_read(self, sender: str, message: BundleInputsRead) -> None:
         note_read = self._asked.get((sender, message.bundle_id))
         if note_read is not None:
             note_read()
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -18,7 +18,7 @@
     "NewsQuery",
     "PiecesDropped",
     "BundleResults",
-    "PiecesRead",
+    "BundleInputsRead",
     "BundleRequest",
     "ResultsFreed",
     "StageWaits",
@@ -114,7 +114,7 @@
 
 @register("pieces-read")
 @dataclass(frozen=True, slots=True)
-class PiecesRead(Message):
+class BundleInputsRead(Message):
     """Tells who asked for a bundle that its inputs are not needed any more."""
 
     bundle_id: str = ""
