--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -11,10 +11,10 @@
 
 from greengagelatch.relay.groups import GroupView, MakerGroup, choose_group
 from greengagelatch.relay.messages import (
+    BundleCancelled,
     BundleInputsRead,
     BundleRequest,
     BundleResults,
-    PiecesDropped,
     ResultsFreed,
     StageWaits,
     decode_bundle,
@@ -99,7 +99,7 @@
         #: bundles of peers in work, by peer and bundle id
         self._in_work: dict[tuple[str, str], asyncio.Task[Any]] = {}
         peers.handle(BundleRequest, self._answer_wanted)
-        peers.handle(PiecesDropped, self._take_dropped)
+        peers.handle(BundleCancelled, self._take_dropped)
         peers.handle(BundleInputsRead, self._take_read)
         peers.handle(ResultsFreed, self._take_freed)
         peers.handle(StageWaits, self._take_waits)
@@ -210,7 +210,7 @@
                 # the bundle, and a dial tells at once if its process is gone.
                 reply = await self._send(owner, group, bundle)
         except asyncio.CancelledError:
-            self._peers.send(owner, PiecesDropped(bundle.bundle_id))
+            self._peers.send(owner, BundleCancelled(bundle.bundle_id))
             raise
         finally:
             del self._asked[place]
@@ -302,7 +302,7 @@
             if self._ownership.rank(group)[:1] == (sender,):
                 self._words.keep(group, wait)
 
-    def _take_dropped(self, sender: str, message: PiecesDropped) -> None:
+    def _take_dropped(self, sender: str, message: BundleCancelled) -> None:
         # taken out at once: the stage may be asked for again in the same moment, and
         # would wait for what is being cancelled
         task = self._in_work.pop((sender, message.bundle_id), None)
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -16,7 +16,7 @@
     "CrashesSeen",
     "News",
     "NewsQuery",
-    "PiecesDropped",
+    "BundleCancelled",
     "BundleResults",
     "BundleInputsRead",
     "BundleRequest",
@@ -122,7 +122,7 @@
 
 @register("pieces-dropped")
 @dataclass(frozen=True, slots=True)
-class PiecesDropped(Message):
+class BundleCancelled(Message):
     """Tells an owner that nobody wants a bundle any more."""
 
     bundle_id: str = ""
--- a/tests/test_entry/test_relay/test_owned_desk.py
+++ b/tests/test_entry/test_relay/test_owned_desk.py
@@ -13,7 +13,7 @@
 from greengagelatch.peers import Member, MemberState, PeerError, PeerErrorKind
 from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.messages import BundleRequest, PiecesDropped
+from greengagelatch.relay.messages import BundleCancelled, BundleRequest
 from greengagelatch.relay.owners import rank_owners
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure, PieceResult
 from greengagelatch.relay.queue_waits import QueueWait
@@ -511,7 +511,7 @@
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
-    world.network.send(third, owner, PiecesDropped(BUNDLE.bundle_id))
+    world.network.send(third, owner, BundleCancelled(BUNDLE.bundle_id))
     second = asyncio.create_task(desk._send(owner, WHOLE, BUNDLE))
     await asyncio.sleep(0.01)
     local.hold.set()
