--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -15,7 +15,7 @@
     BundleInputsRead,
     BundleRequest,
     BundleResults,
-    ResultsFreed,
+    ResultsReleased,
     StageWaits,
     decode_bundle,
     decode_results,
@@ -101,7 +101,7 @@
         peers.handle(BundleRequest, self._answer_wanted)
         peers.handle(BundleCancelled, self._take_dropped)
         peers.handle(BundleInputsRead, self._take_read)
-        peers.handle(ResultsFreed, self._take_freed)
+        peers.handle(ResultsReleased, self._take_freed)
         peers.handle(StageWaits, self._take_waits)
 
     async def make(
@@ -121,7 +121,7 @@
             owner = self._makers_owner.pop(result.handle, "")
             by_owner.setdefault(owner, []).append(result)
         for owner, freed in by_owner.items():
-            message = ResultsFreed(service, encode_results(tuple(freed)))
+            message = ResultsReleased(service, encode_results(tuple(freed)))
             if not owner or not self._peers.send(owner, message):
                 self._local.free(service, tuple(freed))
 
@@ -314,7 +314,7 @@
         if note_read is not None:
             note_read()
 
-    def _take_freed(self, sender: str, message: ResultsFreed) -> None:
+    def _take_freed(self, sender: str, message: ResultsReleased) -> None:
         results = decode_results(message.results, len(message.results))
         if results is not None:
             self._local.free(message.service, results)
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -20,7 +20,7 @@
     "BundleResults",
     "BundleInputsRead",
     "BundleRequest",
-    "ResultsFreed",
+    "ResultsReleased",
     "StageWaits",
     "decode_bundle",
     "decode_results",
@@ -130,7 +130,7 @@
 
 @register("results-freed")
 @dataclass(frozen=True, slots=True)
-class ResultsFreed(Message):
+class ResultsReleased(Message):
     """Tells an owner that results are not needed any more."""
 
     service: str = ""
