--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from greengagelatch.peers import MemberState
-from greengagelatch.relay.messages import News, NewsQuery
+from greengagelatch.relay.messages import News, PeerSyncQuery
 from greengagelatch.relay.target_rows import decode_target, encode_target
 
 from ..controllers import Controller
@@ -91,7 +91,7 @@
         self._answered = True
         #: the configuration in force, compressed, and its revision
         self._packed = (0, b"")
-        peers.handle(NewsQuery, self._answer)
+        peers.handle(PeerSyncQuery, self._answer)
 
     def dump(self) -> dict[str, Any]:
         return {"learnt_from_peers": self._learnt}
@@ -108,7 +108,7 @@
         peer = self._choose_peer()
         if peer is None:
             return
-        question = NewsQuery(
+        question = PeerSyncQuery(
             self._configuration.revision,
             self._listing.revision,
             self._crashes.revision,
@@ -160,7 +160,7 @@
         if news.heard_seconds is not None:
             self._follower.note_news(news.heard_seconds + seconds)
 
-    def _answer(self, sender: str, query: NewsQuery) -> News:
+    def _answer(self, sender: str, query: PeerSyncQuery) -> News:
         configuration = self._configuration
         newer = configuration.revision > query.configuration_revision
         listed = (
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -15,7 +15,7 @@
 __all__ = (
     "CrashesSeen",
     "News",
-    "NewsQuery",
+    "PeerSyncQuery",
     "BundleCancelled",
     "BundleResults",
     "BundleInputsRead",
@@ -144,7 +144,7 @@
 
 @register("news-query")
 @dataclass(frozen=True, slots=True)
-class NewsQuery(Message):
+class PeerSyncQuery(Message):
     """Asks a peer for what it has heard of the store since these revisions."""
 
     configuration_revision: int = 0
