--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/news.py
@@ -10,7 +10,7 @@
 from result import Err
 
 from greengagelatch.peers import MemberState
-from greengagelatch.relay.messages import News, PeerSyncQuery
+from greengagelatch.relay.messages import PeerSyncAnswer, PeerSyncQuery
 from greengagelatch.relay.target_rows import decode_target, encode_target
 
 from ..controllers import Controller
@@ -116,7 +116,7 @@
         asked = self._clock.now()
         reply = await self._peers.ask(peer, question, TIMEOUT)
         self._answered = not isinstance(reply, Err)
-        if isinstance(reply, Err) or not isinstance(reply.ok_value, News):
+        if isinstance(reply, Err) or not isinstance(reply.ok_value, PeerSyncAnswer):
             self._metrics.count("news.unanswered")
             return
         self._take(reply.ok_value, self._clock.now() - asked)
@@ -144,7 +144,7 @@
             return []
         return [one for one in members if one.data_centre == self._data_centre]
 
-    def _take(self, news: News, seconds: float) -> None:
+    def _take(self, news: PeerSyncAnswer, seconds: float) -> None:
         """Take in news that were asked for so many seconds ago."""
         if news.configuration:
             self._learnt += 1
@@ -160,13 +160,13 @@
         if news.heard_seconds is not None:
             self._follower.note_news(news.heard_seconds + seconds)
 
-    def _answer(self, sender: str, query: PeerSyncQuery) -> News:
+    def _answer(self, sender: str, query: PeerSyncQuery) -> PeerSyncAnswer:
         configuration = self._configuration
         newer = configuration.revision > query.configuration_revision
         listed = (
             self._listing.informed and self._listing.revision > query.listing_revision
         )
-        return News(
+        return PeerSyncAnswer(
             heard_seconds=self._follower.silence,
             configuration_revision=configuration.revision,
             configuration=self._pack() if newer else b"",
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -14,7 +14,7 @@
 
 __all__ = (
     "CrashesSeen",
-    "News",
+    "PeerSyncAnswer",
     "PeerSyncQuery",
     "BundleCancelled",
     "BundleResults",
@@ -159,7 +159,7 @@
 
 @register("news")
 @dataclass(frozen=True, slots=True)
-class News(Message):
+class PeerSyncAnswer(Message):
     """What the sender knows beyond the question's revisions."""
 
     #: seconds since the store was last known to have said nothing newer; ``None``
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -11,7 +11,7 @@
 from greengagelatch.peers.codec import Envelope, decode, encode
 from greengagelatch.relay.incarnations import Incarnation, IncarnationOrder
 from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
-from greengagelatch.relay.messages import News
+from greengagelatch.relay.messages import PeerSyncAnswer
 from greengagelatch.relay.requests import Prompt, PromptPart
 from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import ListedTarget, TargetTable
@@ -236,7 +236,7 @@
 def test_news_tell_the_start():
     target = create(LATER, 9)
     message = decode(
-        encode(Envelope(News(listed=True, targets=(encode_target(target),))))
+        encode(Envelope(PeerSyncAnswer(listed=True, targets=(encode_target(target),))))
     )
     row = message.unwrap().message.targets[0]
     assert decode_target(row) == target
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -10,7 +10,7 @@
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.messages import (
     BundleRequest,
-    News,
+    PeerSyncAnswer,
     StageWaits,
     decode_bundle,
     decode_results,
@@ -128,7 +128,7 @@
         leaving=True,
         revision=9,
     )
-    news = pass_on(News(listed=True, targets=(encode_target(target),)))
+    news = pass_on(PeerSyncAnswer(listed=True, targets=(encode_target(target),)))
     assert decode_target(news.targets[0]) == target
     assert decode_target(("t-1", "s")) is None
     assert decode_target(("t-1", 5, "s", "a", "d", "3", True, 9)) is None
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.clock import ManualClock
 from greengagelatch.peers.codec import Envelope, decode, encode
-from greengagelatch.relay.messages import News
+from greengagelatch.relay.messages import PeerSyncAnswer
 from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import TargetTable
 from greengagelatch.store import Entry
@@ -222,7 +222,9 @@
     listed = listing.book.list_all()
     # what is listed can be told to peers and written into a request
     rows = tuple(map(encode_target, listed))
-    message = decode(encode(Envelope(News(listed=True, targets=rows)))).unwrap()
+    message = decode(
+        encode(Envelope(PeerSyncAnswer(listed=True, targets=rows)))
+    ).unwrap()
     assert tuple(map(decode_target, message.message.targets)) == listed
     for target in listed:
         assert target.target_id.isascii()
