--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crashes.py
@@ -16,7 +16,7 @@
     decode_reports,
     encode_reports,
 )
-from greengagelatch.relay.messages import CrashesSeen
+from greengagelatch.relay.messages import CrashReportsUpdate
 from greengagelatch.relay.quarantine import QUARANTINE_SECONDS, CrashReport
 from greengagelatch.store import ABSENT, WriteOutcome
 
@@ -104,7 +104,7 @@
         #: revision up to which all reports in the store are known
         self._revision = 0
         self._held: set[str] = set()
-        peers.handle(CrashesSeen, self._take_seen)
+        peers.handle(CrashReportsUpdate, self._take_seen)
 
     @property
     def revision(self) -> int:
@@ -191,7 +191,7 @@
         untold = [row for row in self._unwritten if row[0] not in self._told]
         if not untold:
             return
-        seen = CrashesSeen(tuple(untold))
+        seen = CrashReportsUpdate(tuple(untold))
         for peer in self._peers.neighbours():
             self._peers.send(peer, seen)
         self._told = {key for key, _ in self._unwritten}
@@ -236,7 +236,7 @@
                     self._take(key, value, revision)
                     self._revision = max(self._revision, revision)
 
-    def _take_seen(self, sender: str, message: CrashesSeen) -> None:
+    def _take_seen(self, sender: str, message: CrashReportsUpdate) -> None:
         for row in message.rows:
             match row:
                 case (str(key), bytes(value)):
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -13,7 +13,7 @@
     from .groups import MakerGroup
 
 __all__ = (
-    "CrashesSeen",
+    "CrashReportsUpdate",
     "PeerSyncAnswer",
     "PeerSyncQuery",
     "BundleCancelled",
@@ -187,7 +187,7 @@
 
 @register("crashes-seen")
 @dataclass(frozen=True, slots=True)
-class CrashesSeen(Message):
+class CrashReportsUpdate(Message):
     """Reports on targets that ended, which the store has not taken yet."""
 
     #: key and value of each, as they are to stand in the store
--- a/tests/test_entry/test_relay/test_crashes.py
+++ b/tests/test_entry/test_relay/test_crashes.py
@@ -4,7 +4,7 @@
 
 from greengagelatch.relay.crash_reports import decode_reports, encode_reports
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.messages import CrashesSeen
+from greengagelatch.relay.messages import CrashReportsUpdate
 from greengagelatch.relay.quarantine import CrashReport
 from greengagelatch_entry.relay.crashes import MAX_TOLD, PREFIX
 from greengagelatch_lab.platform_standins.store import StoreFault
@@ -103,12 +103,12 @@
     """Takes what is sent to the peers beside an instance."""
 
     def __init__(self) -> None:
-        self.sent: list[CrashesSeen] = []
+        self.sent: list[CrashReportsUpdate] = []
 
     def neighbours(self) -> tuple[str, ...]:
         return ("e-2",)
 
-    def send(self, instance_id: str, message: CrashesSeen) -> bool:
+    def send(self, instance_id: str, message: CrashReportsUpdate) -> bool:
         self.sent.append(message)
         return True
 
