--- a/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
@@ -59,13 +59,13 @@
         """Count results whose handles were lost on the way, until they lapse."""
         self._hold(name, size, until + self._keep_seconds)
 
-    def free(self, handle: str) -> None:
+    def release(self, handle: str) -> None:
         """Give back a result's room."""
         size, _ = self._held.pop(handle, (0, 0.0))
         self._held_bytes -= size
 
     def _hold(self, name: str, size: int, until: float) -> None:
-        self.free(name)
+        self.release(name)
         self._held[name] = (size, until)
         self._held_bytes += size
 
@@ -74,4 +74,4 @@
             handle, (_, until) = next(iter(self._held.items()))
             if until > now:
                 return
-            self.free(handle)
+            self.release(handle)
--- a/tests/test_core/test_relay/test_result_memory.py
+++ b/tests/test_core/test_relay/test_result_memory.py
@@ -12,7 +12,7 @@
     assert room.find_free(0.0) == whole - 300
     room.settle(300, {"h-1": 100, "h-2": 100}, now=1.0)
     assert room.find_free(1.0) == whole - 200
-    room.free("h-1")
+    room.release("h-1")
     assert room.find_free(1.0) == whole - 100
 
 
