--- a/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
@@ -39,7 +39,7 @@
         """Take room for a call that begins."""
         self._reserved += size
 
-    def settle(self, size: int, results: dict[str, int], now: float) -> None:
+    def commit(self, size: int, results: dict[str, int], now: float) -> None:
         """Turn a call's reservation into the results that it made."""
         self._reserved = max(0.0, self._reserved - size)
         for handle, result_size in results.items():
