--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -326,7 +326,7 @@
             self._estimate.note_made(len(made), now - started, now)
         if end.outcome not in ANSWERED:
             # it may go on with the call, and keep the results for a while
-            maker.room.hold_unknown(f"lost at {started}", size, now)
+            maker.room.hold_unidentified(f"lost at {started}", size, now)
 
     def _note_read(self, maker: Maker, works: list[Work | None]) -> None:
         """Take in that a call has begun and has fetched what its pieces read.
--- a/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
@@ -55,7 +55,7 @@
         self._foreign += max(0.0, self.find_free(now))
         self._foreign_until = now + FOREIGN_SECONDS
 
-    def hold_unknown(self, name: str, size: int, until: float) -> None:
+    def hold_unidentified(self, name: str, size: int, until: float) -> None:
         """Count results whose handles were lost on the way, until they lapse."""
         self._hold(name, size, until + self._keep_seconds)
 
--- a/tests/test_core/test_relay/test_result_memory.py
+++ b/tests/test_core/test_relay/test_result_memory.py
@@ -19,7 +19,7 @@
 def test_results_that_nobody_frees_lapse():
     room = ResultMemory(1000, keep_seconds=4.0)
     room.commit(0, {"h-1": 500}, now=1.0)
-    room.hold_unknown("lost", 100, until=1.0)
+    room.hold_unidentified("lost", 100, until=1.0)
     assert room.find_free(4.9) == 1000 * USED_SHARE - 600
     assert room.find_free(5.1) == 1000 * USED_SHARE
 
