--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -167,7 +167,7 @@
         """
         for number in self._plan.final:
             if self._book.has_superseded(list_makers(self._held, (number,))):
-                return _StageFailedError(self._plan.works[number], PieceFailure.GONE)
+                return _StageFailedError(self._plan.stages[number], PieceFailure.GONE)
         return None
 
     def is_lost(self, results: StageResults) -> bool:
@@ -180,17 +180,17 @@
             self._free_stage(number)
 
     def _list_readers(self) -> dict[int, set[int]]:
-        works = self._plan.works.values()
+        works = self._plan.stages.values()
         return {
             number: {work.number for work in works if number in work.after}
-            for number in self._plan.works
+            for number in self._plan.stages
         }
 
     async def _make_all(self, started: float) -> None:
         """Make all stages; those of a part again whose results are gone."""
         self._tasks = {}
         self._ends = {}
-        self._start_all(tuple(self._plan.works))
+        self._start_all(tuple(self._plan.stages))
         lost: Counter[tuple[int, ...]] = Counter()
         try:
             while (error := await self._wait_made()) is not None:
@@ -257,7 +257,7 @@
     def _start(self, number: int) -> asyncio.Task[None]:
         task = self._tasks.get(number)
         if task is None:
-            earlier = [self._start(one) for one in self._plan.works[number].after]
+            earlier = [self._start(one) for one in self._plan.stages[number].after]
             task = asyncio.create_task(self._make_stage(number, earlier))
             self._tasks[number] = task
         return task
@@ -266,7 +266,7 @@
         for task in earlier:
             # shielded: a stage that is cancelled must not cancel those it reads
             await asyncio.shield(task)
-        work = self._plan.works[number]
+        work = self._plan.stages[number]
         await self._wait_for_others(work)
         if self._book.has_superseded(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
@@ -318,14 +318,14 @@
             results.makers |= {result.maker for result in self._held[number]}
             for result in self._held[number]:
                 results.inputs += (result.handle,)
-                size = self._plan.works[number].result_bytes
+                size = self._plan.stages[number].result_bytes
                 sizes[result.data_centre] = sizes.get(result.data_centre, 0) + size
         return results
 
     def _free_stage(self, number: int) -> None:
         held = self._held.pop(number, ())
         if held:
-            self._desk.free(self._plan.works[number].service, held)
+            self._desk.free(self._plan.stages[number].service, held)
 
     def _refuse(self, error: _StageFailedError) -> RefusedError:
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -75,10 +75,10 @@
             number: _estimate(route.stages[number].service, counts[number], deployment)
             for number in numbers
         }
-        self.works: dict[int, StageWork] = {}
+        self.stages: dict[int, StageWork] = {}
         for number in reversed(numbers):
             stage = route.stages[number]
-            self.works[number] = StageWork(
+            self.stages[number] = StageWork(
                 number=number,
                 service=stage.service,
                 count=counts[number],
@@ -87,9 +87,9 @@
                 seconds=seconds[number],
                 room_share=_find_room_share(stage, counts[number], deployment),
             )
-        read = {one for work in self.works.values() for one in work.after}
+        read = {one for work in self.stages.values() for one in work.after}
         #: stages whose results the target itself reads, in order
-        self.final = tuple(sorted(set(self.works) - read))
+        self.final = tuple(sorted(set(self.stages) - read))
 
     def estimate(self, find_queue: Callable[[str], QueueWait]) -> ChainEstimate:
         """Return what is expected of the longest chain of stages.
@@ -101,7 +101,7 @@
                 self._estimate_stage(work, find_queue),
                 self._estimate_rest(work, find_queue),
             )
-            for work in self.works.values()
+            for work in self.stages.values()
             if not work.after
         ]
         return max(chains, default=ChainEstimate())
@@ -127,7 +127,7 @@
                 self._estimate_stage(one, find_queue),
                 self._estimate_rest(one, find_queue),
             )
-            for one in self.works.values()
+            for one in self.stages.values()
             if work.number in one.after
         ]
         return max(chains, default=ChainEstimate())
@@ -135,7 +135,7 @@
     def list_parts(self) -> list[tuple[int, ...]]:
         """Return the stages in groups of which none reads another one's results."""
         parts: list[set[int]] = []
-        for number, work in self.works.items():
+        for number, work in self.stages.items():
             joined = {number, *work.after}
             apart = []
             for part in parts:
@@ -144,7 +144,7 @@
                     continue
                 apart.append(part)
             parts = [*apart, joined]
-        return [tuple(one for one in self.works if one in part) for part in parts]
+        return [tuple(one for one in self.stages if one in part) for part in parts]
 
     def find_slack(
         self,
@@ -193,7 +193,7 @@
     ) -> float:
         if number in ends:
             return max(now, ends[number])
-        work = self.works[number]
+        work = self.stages[number]
         begin = now
         for one in work.after:
             begin = max(begin, self._estimate_end(one, now, ends, find_queue))
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -96,13 +96,13 @@
 
 def test_stage_without_pieces_is_left_out():
     plan = create_plan(0, 1, 6, 10)
-    assert sorted(plan.works) == [1, 2, 3]
+    assert sorted(plan.stages) == [1, 2, 3]
     assert plan.final == (3,)
 
 
 def test_pieces_read_all_results_before_them():
     plan = create_plan(2, 1, 2, 10)
-    pieces = plan.create_pieces(plan.works[3], {2: ("h-1", "h-2")})
+    pieces = plan.create_pieces(plan.stages[3], {2: ("h-1", "h-2")})
     assert len(pieces) == 10
     assert {piece.inputs for piece in pieces} == {("h-1", "h-2")}
     assert {piece.key for piece in pieces} == {""}
@@ -110,7 +110,7 @@
 
 def test_first_stages_get_the_requests_key():
     plan = create_plan(2, 1, 6, 10)
-    pieces = plan.create_pieces(plan.works[0], {})
+    pieces = plan.create_pieces(plan.stages[0], {})
     assert [(piece.segment, piece.key) for piece in pieces] == [(0, "key"), (1, "key")]
 
 
@@ -121,7 +121,7 @@
     assert (chain.urgent_wait, chain.whole_wait) == (0.0, 0.0)
     rests = {
         number: plan.estimate_rest(work, lambda service: QueueWait())
-        for number, work in plan.works.items()
+        for number, work in plan.stages.items()
     }
     assert rests[1] == pytest.approx(0.26 + 0.3)
     assert rests[3] == 0.0
@@ -178,11 +178,11 @@
     Cause: all stages that read nothing were begun at once.
     """
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
-    chain = sum(plan.works[number].seconds for number in (1, 2, 3))
-    own = plan.works[0].seconds
+    chain = sum(plan.stages[number].seconds for number in (1, 2, 3))
+    own = plan.stages[0].seconds
     assert find_slack(plan, 5.0, {}) == pytest.approx(chain - own)
     ends = {1: 5.2, 2: 5.5}
-    left = plan.works[3].seconds
+    left = plan.stages[3].seconds
     assert find_slack(plan, 5.5, ends) == pytest.approx(left - own)
 
 
@@ -204,7 +204,7 @@
     """
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
     bounds = TargetDeadlines(soft_deadline=6.0, hard_deadline=9.0)
-    own = plan.works[0].seconds
+    own = plan.stages[0].seconds
     overrun = {1: 5.2, 2: 5.5, 3: 5.9}
     assert find_slack(plan, 6.5, overrun, bounds) == pytest.approx(9.0 - 6.5 - own)
     assert find_slack(plan, 6.5, overrun, bounds, made=(1, 2, 3)) == 0.0
