--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -233,7 +233,7 @@
         is freed by then. So these are all that are linked to it by what they read;
         results of others are kept.
         """
-        parts = self._plan.list_parts()
+        parts = self._plan.list_components()
         return next(part for part in parts if error.work.number in part)
 
     def _start_all(self, numbers: tuple[int, ...]) -> None:
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -132,7 +132,7 @@
         ]
         return max(chains, default=ChainEstimate())
 
-    def list_parts(self) -> list[tuple[int, ...]]:
+    def list_components(self) -> list[tuple[int, ...]]:
         """Return the stages in groups of which none reads another one's results."""
         parts: list[set[int]] = []
         for number, work in self.stages.items():
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -68,7 +68,7 @@
 
 
 def test_stages_that_read_each_other_are_of_one_part():
-    assert sorted(map(sorted, create_plan(2, 1, 6, 10).list_parts())) == [
+    assert sorted(map(sorted, create_plan(2, 1, 6, 10).list_components())) == [
         [0],
         [1, 2, 3],
     ]
@@ -83,10 +83,10 @@
         RouteStage(service="c", after=(1,)),
     )
     route = dataclasses.replace(ROUTE, stages=stages)
-    parts = create_plan(1, 1, 1, 1, 1, route=route).list_parts()
+    parts = create_plan(1, 1, 1, 1, 1, route=route).list_components()
     assert sorted(map(sorted, parts)) == [[0, 2, 3], [1, 4]]
     assert sorted(
-        map(sorted, create_plan(1, 1, 1, 0, 1, route=route).list_parts())
+        map(sorted, create_plan(1, 1, 1, 0, 1, route=route).list_components())
     ) == [
         [0],
         [1, 4],
