--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -57,7 +57,7 @@
     work: float = 0.0
     #: in queues, behind those that can still be on time, and behind all
     urgent_wait: float = 0.0
-    whole_wait: float = 0.0
+    total_wait: float = 0.0
 
 
 class StagePlan:
