--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -34,7 +34,7 @@
     #: expected time from its start to its end, where no other request shares its call
     seconds: float
     #: share of one maker's room that its results fill
-    room_share: float = 0.0
+    memory_share: float = 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -85,7 +85,7 @@
                 result_bytes=stage.result_bytes,
                 after=tuple(one for one in stage.after if one in seconds),
                 seconds=seconds[number],
-                room_share=_find_room_share(stage, counts[number], deployment),
+                memory_share=_find_room_share(stage, counts[number], deployment),
             )
         read = {one for work in self.stages.values() for one in work.after}
         #: stages whose results the target itself reads, in order
