--- a/packages/greengagelatch/src/greengagelatch/relay/queue_waits.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/queue_waits.py
@@ -14,7 +14,7 @@
     #: behind those whose requests can still be on time
     urgent: float = 0.0
     #: behind all
-    whole: float = 0.0
+    total: float = 0.0
     #: that a call takes of late, with the pieces of all requests that share it; 0: not
     #: told
     call: float = 0.0
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -132,7 +132,7 @@
 
     A call for six pieces takes 0.26 s alone, and a full one that it shares 0.4 s.
     """
-    queues = {"b": QueueWait(urgent=0.1, whole=0.5, call=0.4)}
+    queues = {"b": QueueWait(urgent=0.1, total=0.5, call=0.4)}
     plan = create_plan(0, 1, 6, 10)
     alone = plan.estimate(lambda service: QueueWait())
     shared = plan.estimate(lambda service: queues.get(service, QueueWait()))
