--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -271,7 +271,7 @@
         if self._book.has_superseded(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
         queue = self._desk.estimate_wait(work.service)
-        seconds = queue.urgent + queue.find_seconds(work.seconds)
+        seconds = queue.urgent + queue.estimate_stage(work.seconds)
         self._ends[number] = self._clock.now() + seconds
         bundle = self._bundles.create(work, self._held)
         results = await self._desk.make(bundle, lambda: self._note_read(work))
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -187,5 +187,5 @@
     if profile is None:
         return True
     count = min(len(bundle.pieces), profile.batch)
-    seconds = view.wait.find_seconds(profile.estimate_seconds(count))
+    seconds = view.wait.estimate_stage(profile.estimate_seconds(count))
     return now + view.wait.urgent + seconds <= bundle.aim
--- a/packages/greengagelatch/src/greengagelatch/relay/queue_waits.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/queue_waits.py
@@ -19,7 +19,7 @@
     #: told
     call: float = 0.0
 
-    def find_seconds(self, alone: float) -> float:
+    def estimate_stage(self, alone: float) -> float:
         """Return the seconds that a stage takes once it is begun.
 
         :param alone: the same where no other request shares its call
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -116,7 +116,7 @@
         self, work: StageWork, find_queue: Callable[[str], QueueWait]
     ) -> ChainEstimate:
         queue = find_queue(work.service)
-        seconds = queue.find_seconds(work.seconds)
+        seconds = queue.estimate_stage(work.seconds)
         return ChainEstimate(queue.urgent + seconds, seconds, queue.urgent, queue.whole)
 
     def _estimate_rest(
