--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -94,7 +94,7 @@
         route = exchange.route
         elapsed = self.clock.now() - exchange.request.received
         estimate = RequestEstimate(
-            wait=chain.whole_wait,
+            total_wait=chain.whole_wait,
             urgent_wait=chain.urgent_wait,
             work=work,
             left=exchange.first_deadline - self.clock.now(),
@@ -107,7 +107,7 @@
         raise create_error(
             exchange,
             RefusalCode.OVERLOADED,
-            f"{decision.reason}: {estimate.urgent_wait:.1f} of {estimate.wait:.1f} s"
+            f"{decision.reason}: {estimate.urgent_wait:.1f} of {estimate.total_wait:.1f} s"
             f" of queue,"
             f" {work:.1f} s of work, {estimate.left:.1f} s left",
             retry_after=decision.retry_after,
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -38,7 +38,7 @@
     """What is expected of a request; times in seconds from now on."""
 
     #: until the stages' queues reach one that goes behind all
-    wait: float
+    total_wait: float
     #: the same for one that goes before those that will be late anyway
     urgent_wait: float
     #: its own stages, and its target until the answer begins
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -7,7 +7,7 @@
 from greengagelatch.relay.admission import AdmitAll, DeadlineAdmission, RequestEstimate
 
 CALM = RequestEstimate(
-    wait=0.0,
+    total_wait=0.0,
     urgent_wait=0.0,
     work=0.9,
     left=6.0,
