--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -97,7 +97,7 @@
             total_wait=chain.whole_wait,
             urgent_wait=chain.urgent_wait,
             work=work,
-            left=exchange.first_deadline - self.clock.now(),
+            remaining=exchange.first_deadline - self.clock.now(),
             objective_left=route.objective - exchange.waited - elapsed,
             waited_share=exchange.waited / route.timeout if route.timeout else 0.0,
         )
@@ -109,7 +109,7 @@
             RefusalCode.OVERLOADED,
             f"{decision.reason}: {estimate.urgent_wait:.1f} of {estimate.total_wait:.1f} s"
             f" of queue,"
-            f" {work:.1f} s of work, {estimate.left:.1f} s left",
+            f" {work:.1f} s of work, {estimate.remaining:.1f} s left",
             retry_after=decision.retry_after,
         )
 
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -44,7 +44,7 @@
     #: its own stages, and its target until the answer begins
     work: float
     #: until the answer stops being of use
-    left: float
+    remaining: float
     #: until its objective is over
     objective_left: float
     #: share of the route's timeout that had passed before this attempt was sent
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -10,7 +10,7 @@
     total_wait=0.0,
     urgent_wait=0.0,
     work=0.9,
-    left=6.0,
+    remaining=6.0,
     objective_left=1.9,
     waited_share=0.0,
 )
@@ -30,7 +30,7 @@
 def test_newcomer_that_would_be_late_comes_back():
     decision = RULE.decide(replace(CALM, wait=1.5, urgent_wait=1.5))
     assert not decision.admitted
-    assert 0 < decision.retry_after <= CALM.left / 3
+    assert 0 < decision.retry_after <= CALM.remaining / 3
 
 
 def test_caller_that_came_back_is_begun_though_late():
