--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -98,7 +98,7 @@
             urgent_wait=chain.urgent_wait,
             work=work,
             remaining=exchange.first_deadline - self.clock.now(),
-            objective_left=route.objective - exchange.waited - elapsed,
+            objective_remaining=route.objective - exchange.waited - elapsed,
             waited_share=exchange.waited / route.timeout if route.timeout else 0.0,
         )
         decision = self._admission.decide(estimate)
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -46,7 +46,7 @@
     #: until the answer stops being of use
     remaining: float
     #: until its objective is over
-    objective_left: float
+    objective_remaining: float
     #: share of the route's timeout that had passed before this attempt was sent
     waited_share: float
 
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -11,7 +11,7 @@
     urgent_wait=0.0,
     work=0.9,
     remaining=6.0,
-    objective_left=1.9,
+    objective_remaining=1.9,
     waited_share=0.0,
 )
 RULE = DeadlineAdmission()
