--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -96,7 +96,7 @@
         estimate = RequestEstimate(
             total_wait=chain.whole_wait,
             urgent_wait=chain.urgent_wait,
-            work=work,
+            service_time=work,
             remaining=exchange.first_deadline - self.clock.now(),
             objective_remaining=route.objective - exchange.waited - elapsed,
             waited_share=exchange.waited / route.timeout if route.timeout else 0.0,
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -42,7 +42,7 @@
     #: the same for one that goes before those that will be late anyway
     urgent_wait: float
     #: its own stages, and its target until the answer begins
-    work: float
+    service_time: float
     #: until the answer stops being of use
     remaining: float
     #: until its objective is over
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -9,7 +9,7 @@
 CALM = RequestEstimate(
     total_wait=0.0,
     urgent_wait=0.0,
-    work=0.9,
+    service_time=0.9,
     remaining=6.0,
     objective_remaining=1.9,
     waited_share=0.0,
