--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -99,7 +99,7 @@
             service_time=work,
             remaining=exchange.first_deadline - self.clock.now(),
             objective_remaining=route.objective - exchange.waited - elapsed,
-            waited_share=exchange.waited / route.timeout if route.timeout else 0.0,
+            elapsed_share=exchange.waited / route.timeout if route.timeout else 0.0,
         )
         decision = self._admission.decide(estimate)
         if decision.admitted:
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -48,7 +48,7 @@
     #: until its objective is over
     objective_remaining: float
     #: share of the route's timeout that had passed before this attempt was sent
-    waited_share: float
+    elapsed_share: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -12,7 +12,7 @@
     service_time=0.9,
     remaining=6.0,
     objective_remaining=1.9,
-    waited_share=0.0,
+    elapsed_share=0.0,
 )
 RULE = DeadlineAdmission()
 
