--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -86,7 +86,7 @@
         facts = RetryContext(
             outcome=outcome,
             repeatable=route.repeatable,
-            arrivals=len(set(exchange.targets)),
+            deliveries=len(set(exchange.targets)),
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
             remaining=self.find_left(exchange),
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -52,7 +52,7 @@
     #: whether a request that may have run may be sent again
     repeatable: bool
     #: targets that have had it so far
-    arrivals: int
+    deliveries: int
     max_attempts: int
     #: sends that reached no target so far
     unsent: int
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -16,7 +16,7 @@
 FACTS = RetryContext(
     outcome=SendOutcome.LOST,
     repeatable=True,
-    arrivals=1,
+    deliveries=1,
     max_attempts=2,
     unsent=0,
     remaining=1.0,
