--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -90,7 +90,7 @@
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
             remaining=self.find_left(exchange),
-            least=LEAST_SECONDS,
+            min_seconds=LEAST_SECONDS,
         )
         match decide_next(facts):
             case NextStep.SEND:
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -59,7 +59,7 @@
     #: seconds that are left
     remaining: float
     #: seconds that a send needs at the least to be of use
-    least: float
+    min_seconds: float
 
 
 #: sends of one request that reach nobody, after which the way is taken to be broken
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -20,7 +20,7 @@
     max_attempts=2,
     unsent=0,
     remaining=1.0,
-    least=0.01,
+    min_seconds=0.01,
 )
 
 
