--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -50,7 +50,7 @@
         last: Unanswered | None = None
         failed: _Whole | None = None
         while True:
-            target = self.fleet.choose_plain(
+            target = self.fleet.choose_least_loaded(
                 exchange.service, excluded, self.clock.now()
             )
             if target is None:
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -82,7 +82,7 @@
         self._random = random_source
         self._states: dict[Incarnation, _TargetState] = {}
 
-    def choose_plain(
+    def choose_least_loaded(
         self, service: str, excluded: frozenset[Incarnation], now: float
     ) -> ListedTarget | None:
         """Return the least loaded sound target, near ones first."""
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -175,9 +175,9 @@
     for _ in range(3):
         fleet.record_failure(FORMER, NOW)
     fleet.start(Incarnation("t-2", 5))
-    assert fleet.choose_plain("desk", NOBODY, NOW).target_id == "t-2"
+    assert fleet.choose_least_loaded("desk", NOBODY, NOW).target_id == "t-2"
     book.put(create(LATER, 3))
-    assert fleet.choose_plain("desk", NOBODY, NOW).incarnation == LATER
+    assert fleet.choose_least_loaded("desk", NOBODY, NOW).incarnation == LATER
 
 
 def test_prompt_parts_and_load_of_the_former_one_do_not_count():
@@ -194,7 +194,7 @@
     book.put(create(LATER, 3))
     fleet.forget(FORMER)
     assert fleet.count_tokens(LATER, PROMPT, NOW) == 9000
-    assert fleet.choose_plain("desk", NOBODY, NOW) is not None
+    assert fleet.choose_least_loaded("desk", NOBODY, NOW) is not None
     assert "t-1@1000" not in fleet.describe(NOW)
 
 
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -45,7 +45,7 @@
 
 def test_near_target_is_preferred():
     fleet = create_fleet()
-    chosen = fleet.choose_plain("s", NOBODY, NOW)
+    chosen = fleet.choose_least_loaded("s", NOBODY, NOW)
     assert chosen.data_centre == "north"
 
 
@@ -53,14 +53,14 @@
     fleet = create_fleet(3)
     fleet.start(Incarnation("t-0"))
     fleet.start(Incarnation("t-0"))
-    assert fleet.choose_plain("s", NOBODY, NOW).target_id != "t-0"
+    assert fleet.choose_least_loaded("s", NOBODY, NOW).target_id != "t-0"
 
 
 def test_targets_word_on_its_load_counts_for_a_while():
     fleet = create_fleet(1 + 1)
     fleet.record_load_report(Incarnation("t-0"), LoadReport(6, 3, 6), NOW)
-    assert fleet.choose_plain("s", NOBODY, NOW).target_id == "t-1"
-    assert fleet.choose_plain("s", NOBODY, NOW + 5).target_id == "t-0"
+    assert fleet.choose_least_loaded("s", NOBODY, NOW).target_id == "t-1"
+    assert fleet.choose_least_loaded("s", NOBODY, NOW + 5).target_id == "t-0"
 
 
 def test_failing_target_is_out_for_a_while():
@@ -73,7 +73,7 @@
     fleet.record_failure(Incarnation("t-0"), NOW)
     fleet.record_failure(Incarnation("t-0"), NOW)
     for _ in range(20):
-        assert fleet.choose_plain("s", NOBODY, NOW + 0.2).target_id != "t-0"
+        assert fleet.choose_least_loaded("s", NOBODY, NOW + 0.2).target_id != "t-0"
 
 
 def test_service_is_never_emptied_by_failures():
@@ -87,13 +87,13 @@
     for number in range(3):
         for _ in range(3):
             fleet.record_failure(Incarnation(f"t-{number}"), NOW)
-    assert fleet.choose_plain("s", NOBODY, NOW + 0.1) is not None
+    assert fleet.choose_least_loaded("s", NOBODY, NOW + 0.1) is not None
 
 
 def test_excluded_targets_are_not_chosen():
     fleet = create_fleet(2)
     assert (
-        fleet.choose_plain(
+        fleet.choose_least_loaded(
             "s", frozenset({Incarnation("t-0"), Incarnation("t-1")}), NOW
         )
         is None
