--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -59,7 +59,7 @@
     def __len__(self) -> int:
         return len(self._targets)
 
-    def accepts(self, incarnation: Incarnation) -> bool:
+    def is_available(self, incarnation: Incarnation) -> bool:
         """Whether a target may still be sent work."""
         target = self._targets.get(incarnation.target_id)
         if target is None or target.incarnation != incarnation:
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -58,8 +58,8 @@
     book.put(create(FORMER, 5))
     assert book.compare(create(LATER, 6)) is IncarnationOrder.NEWER
     assert book.put(create(LATER, 6))
-    assert book.accepts(LATER)
-    assert not book.accepts(FORMER)
+    assert book.is_available(LATER)
+    assert not book.is_available(FORMER)
     assert book.is_superseded(FORMER)
     assert not book.is_superseded(LATER)
     assert [one.incarnation for one in book.list_service("desk")] == [LATER]
@@ -75,7 +75,7 @@
     book.put(create(FORMER, 5, leaving=True))
     book.remove(FORMER, 6)
     assert book.put(create(LATER, 7))
-    assert book.accepts(LATER)
+    assert book.is_available(LATER)
 
 
 def test_old_answer_does_not_bring_the_former_one_back():
@@ -91,24 +91,24 @@
     old = create(FORMER, 9)
     assert book.compare(old) is IncarnationOrder.OUTDATED
     assert not book.put(old)
-    assert book.accepts(LATER)
+    assert book.is_available(LATER)
     book.remove(LATER, 10)
     assert not book.put(old)
-    assert not book.accepts(FORMER)
+    assert not book.is_available(FORMER)
 
 
 def test_removal_concerns_the_incarnation_that_was_listed():
     book = TargetTable()
     book.put(create(LATER, 5))
     assert not book.remove(FORMER, 9)
-    assert book.accepts(LATER)
+    assert book.is_available(LATER)
 
 
 def test_entry_without_a_start_is_of_the_one_known_at_its_address():
     book = TargetTable()
     book.put(create(LATER, 5))
     assert book.put(create(UNTOLD, 6, leaving=True))
-    assert not book.accepts(LATER)
+    assert not book.is_available(LATER)
     assert [one.incarnation for one in book.list_all()] == [LATER]
 
 
@@ -118,7 +118,7 @@
     elsewhere = create(UNTOLD, 6, address="10.0.0.2:80")
     assert book.compare(elsewhere) is IncarnationOrder.UNKNOWN
     assert not book.put(elsewhere)
-    assert not book.accepts(UNTOLD)
+    assert not book.is_available(UNTOLD)
 
 
 def test_ids_without_a_start_are_as_before():
@@ -155,7 +155,7 @@
             accepted = [
                 number
                 for number in range(4)
-                if book.accepts(Incarnation(known_id, number))
+                if book.is_available(Incarnation(known_id, number))
             ]
             assert len(accepted) <= 1
             assert all(number >= before for number in accepted)
--- a/tests/test_core/test_relay/test_targets.py
+++ b/tests/test_core/test_relay/test_targets.py
@@ -29,7 +29,7 @@
     book = TargetTable()
     book.put(create("t-1", 1))
     assert book.put(create("t-1", 2, leaving=True))
-    assert not book.accepts(Incarnation("t-1"))
+    assert not book.is_available(Incarnation("t-1"))
     assert book.list_service("desk") == ()
 
 
@@ -47,7 +47,7 @@
     assert not book.put(create("t-1", 8))
     book.remove(Incarnation("t-1"), 9)
     assert not book.put(create("t-1", 10))
-    assert not book.accepts(Incarnation("t-1"))
+    assert not book.is_available(Incarnation("t-1"))
 
 
 def test_lapsed_entry_may_come_back():
@@ -59,13 +59,13 @@
     book = TargetTable()
     book.put(create("t-1", 5))
     assert book.remove(Incarnation("t-1"), 6, lapsed=True)
-    assert not book.accepts(Incarnation("t-1"))
+    assert not book.is_available(Incarnation("t-1"))
     assert book.put(create("t-1", 7))
-    assert book.accepts(Incarnation("t-1"))
+    assert book.is_available(Incarnation("t-1"))
 
 
 def test_removal_that_is_older_than_the_entry_is_ignored():
     book = TargetTable()
     book.put(create("t-1", 5))
     assert not book.remove(Incarnation("t-1"), 4)
-    assert book.accepts(Incarnation("t-1"))
+    assert book.is_available(Incarnation("t-1"))
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -110,7 +110,7 @@
     )
     book.put(replace(target, leaving=True, revision=2))
     book.put(replace(target, revision=3))
-    assert book.accepts(Incarnation("t-1"))
+    assert book.is_available(Incarnation("t-1"))
 
 
 async def test_revision_keeps_the_configuration_from_going_back(world, monkeypatch):
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -63,7 +63,7 @@
 
     def accepts(self, target_id: str) -> bool:
         listed = self.book.find_listed(target_id)
-        return listed is not None and self.book.accepts(listed.incarnation)
+        return listed is not None and self.book.is_available(listed.incarnation)
 
 
 def write_fields(**changes: object) -> bytes:
