--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from greengagelatch.relay.incarnations import IncarnationOrder
-from greengagelatch.relay.targets import RETURN_SECONDS
+from greengagelatch.relay.targets import REREGISTRATION_SECONDS
 
 from .bad_entries import BadEntries
 from .following import StoreSubscriber
@@ -118,7 +118,7 @@
     def note_regained(self) -> None:
         # entries lapse while targets can't renew them; those that live write them
         # again within this time
-        self._returning_until = self._clock.now() + RETURN_SECONDS
+        self._returning_until = self._clock.now() + REREGISTRATION_SECONDS
 
     def _put(self, target: ListedTarget) -> None:
         former = None
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -14,7 +14,7 @@
 
 #: seconds after the platform's store is back within which entries that lapsed while
 #: it was away are written again by targets that live
-RETURN_SECONDS = 2.0
+REREGISTRATION_SECONDS = 2.0
 #: targets that left, and ids whose newest incarnation is known, that are remembered
 MAX_LEFT = 4096
 
