--- a/packages/greengagelatch/src/greengagelatch/relay/requests.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/requests.py
@@ -41,7 +41,7 @@
     parts: tuple[PromptPart, ...] = ()
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
+    def shared_parts(self) -> tuple[PromptPart, ...]:
         """The parts that other requests share."""
         return self.parts[:-1]
 
--- a/tests/test_platform/test_callers.py
+++ b/tests/test_platform/test_callers.py
@@ -43,7 +43,7 @@
     assert (request.piece_counts, request.piece_key) == ((2, 0, 6), "7c1e")
     prompt = request.prompt
     assert (prompt.model, prompt.tokens_in, prompt.max_tokens_out) == ("m", 1460, 80)
-    assert prompt.shared == (PromptPart("5c1e", 800), PromptPart("91bd", 410))
+    assert prompt.shared_parts == (PromptPart("5c1e", 800), PromptPart("91bd", 410))
 
 
 def test_plain_request_has_no_prompt():
