--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -174,4 +174,4 @@
     workspaces: tuple[RoutedWorkspace, ...] = ()
     bounds: CallerLimits = field(default_factory=CallerLimits)
     #: whether requests need a key at all
-    keyed: bool = False
+    requires_key: bool = False
