--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -172,6 +172,6 @@
     routes: tuple[Route, ...] = ()
     services: dict[str, RoutedService] = field(default_factory=dict)
     workspaces: tuple[RoutedWorkspace, ...] = ()
-    bounds: CallerLimits = field(default_factory=CallerLimits)
+    limits: CallerLimits = field(default_factory=CallerLimits)
     #: whether requests need a key at all
     requires_key: bool = False
