--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -438,7 +438,7 @@
 
     def _find_bounds(self) -> CallerLimits:
         deployment = self.configuration.deployment
-        return deployment.bounds if deployment else CallerLimits()
+        return deployment.limits if deployment else CallerLimits()
 
     def _is_ready(self) -> bool:
         informed = self.configuration.table is not None and self.listing.informed
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_watch.py
@@ -85,7 +85,7 @@
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
             # one that leaves ends as planned, with whatever is left on it
-            leaving = not self._book.accepts(incarnation)
+            leaving = not self._book.is_available(incarnation)
             if leaving or len(self._suspicions) >= MAX_SUSPICIONS:
                 return
             suspicion = self._suspicions[incarnation] = _Suspicion()
@@ -97,7 +97,7 @@
 
     def note_survived(self, target: ListedTarget, digest: str) -> None:
         """Take in that a target has answered a request."""
-        self._quarantine.note_survived(digest, self._clock.now())
+        self._quarantine.record_survival(digest, self._clock.now())
         suspicion = self._suspicions.get(target.incarnation)
         if suspicion is not None:
             suspicion.digests.pop(digest, None)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -208,10 +208,10 @@
             )
         exchange.route = route
         exchange.deadline = min(
-            request.received + min(request.patience, route.timeout), self._find_end()
+            request.received + min(request.timeout, route.timeout), self._find_end()
         )
         workspace = None
-        if table.deployment.keyed and not route.public:
+        if table.deployment.requires_key and not route.public:
             workspace = self._authorize(exchange, table)
             exchange.workspace = workspace.name
         exchange.rank = compute_rank(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/freeing.py
@@ -120,7 +120,7 @@
                 may_send=lambda: not self._book.is_superseded(incarnation),
             )
             await reply.read(MAX_ANSWER_BYTES)
-            if self._book.accepts(incarnation):
+            if self._book.is_available(incarnation):
                 reply.release()
             else:
                 reply.abort()
@@ -136,5 +136,5 @@
             return
         # only now: a call that began earlier would still find the room taken
         for handle in handles:
-            maker.room.free(handle)
+            maker.room.release(handle)
         self._note_freed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -90,7 +90,7 @@
         target = maker.target
         pieces = tuple(piece for _, piece in call.pieces)
         remaining = tuple(
-            max(0.0, bundle.latest - started) for bundle, _ in call.pieces
+            max(0.0, bundle.hard_deadline - started) for bundle, _ in call.pieces
         )
         reply = await self._links.send(
             incarnation=target.incarnation,
@@ -109,7 +109,7 @@
 
     def _may_send(self, maker: Maker, call: PlannedCall) -> bool:
         """Whether the maker takes calls, and none of what they read is lost."""
-        if not self._book.accepts(maker.target.incarnation):
+        if not self._book.is_available(maker.target.incarnation):
             return False
         return not any(
             self._book.has_superseded(bundle.input_makers) for bundle, _ in call.pieces
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/owned_desk.py
@@ -233,7 +233,7 @@
         self, owner: str, group: MakerGroup, bundle: Bundle
     ) -> Result[Message, PeerError]:
         now = self._clock.now()
-        timeout = max(0.0, bundle.latest - now) + ANSWER_MARGIN
+        timeout = max(0.0, bundle.hard_deadline - now) + ANSWER_MARGIN
         return await self._peers.ask(owner, encode_bundle(bundle, group, now), timeout)
 
     def _note_lost(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/plain.py
@@ -96,7 +96,7 @@
                 target,
                 call,
                 timeout=timeout,
-                fresh=not exchange.route.repeatable,
+                fresh=not exchange.route.retryable,
             )
             if isinstance(result, Unanswered):
                 return result
@@ -128,9 +128,9 @@
         reply.release()
         self.sender.note_survived(exchange, target)
         if answered.head.succeeded:
-            self.fleet.note_success(target.incarnation)
+            self.fleet.record_success(target.incarnation)
         else:
-            self.fleet.note_failure(target.incarnation, self.clock.now())
+            self.fleet.record_failure(target.incarnation, self.clock.now())
         return _Whole(answered.head, body)
 
     def _choose_patience(self, exchange: RelayExchange, left: float) -> float:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_words.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_words.py
@@ -58,9 +58,9 @@
         rows = [
             (group, wait)
             for group, wait in waits
-            if wait.whole >= LEAST_TOLD or group in self._told
+            if wait.total >= LEAST_TOLD or group in self._told
         ]
-        self._told = {group for group, wait in rows if wait.whole >= LEAST_TOLD}
+        self._told = {group for group, wait in rows if wait.total >= LEAST_TOLD}
         if not rows:
             return
         message = _encode(rows)
@@ -98,7 +98,7 @@
                 group.service,
                 group.data_centre,
                 round(wait.urgent, 3),
-                round(wait.whole, 3),
+                round(wait.total, 3),
                 round(wait.call, 3),
             )
             for group, wait in rows
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/sending.py
@@ -99,7 +99,7 @@
                 outbound=outbound,
                 fresh=fresh,
                 timeout=timeout,
-                may_send=lambda: self._book.accepts(incarnation) and may_send(),
+                may_send=lambda: self._book.is_available(incarnation) and may_send(),
             )
         except NotSentError as error:
             exchange.unsent += 1
@@ -182,7 +182,7 @@
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
         now = self._clock.now()
         if blamed and outcome is not SendOutcome.REJECTED:
-            self._fleet.note_failure(target.incarnation, now)
+            self._fleet.record_failure(target.incarnation, now)
             # what is kept open to it may be as dead as this one
             self._links.drop(target.incarnation)
         self._decisions.note(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -108,7 +108,7 @@
         """
         sizes: dict[str, int] = {}
         for one in work.after:
-            size = self._plan.works[one].result_bytes
+            size = self._plan.stages[one].result_bytes
             for result in held[one]:
                 sizes[result.data_centre] = sizes.get(result.data_centre, 0) + size
         if sizes:
@@ -128,9 +128,9 @@
         services = self._exchange.deployment.services
         lapses = [float("inf")]
         for one in work.after:
-            found = services.get(self._plan.works[one].service)
+            found = services.get(self._plan.stages[one].service)
             if found is not None and found.maker is not None:
-                lapses.append(now + found.maker.keep_seconds)
+                lapses.append(now + found.maker.retention_seconds)
         return min(lapses)
 
     def _count_moved_bytes(
@@ -142,5 +142,5 @@
         maker near the engine cost more than it saved.
         """
         return work.count * sum(
-            len(held[one]) * self._plan.works[one].result_bytes for one in work.after
+            len(held[one]) * self._plan.stages[one].result_bytes for one in work.after
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -145,7 +145,7 @@
             capacity=fleet.capacity,
         )
         before = known is not None and bool(known.groups[0].data_centre)
-        if not self._rule.is_divided(view, before):
+        if not self._rule.is_partitioned(view, before):
             return whole
         return tuple(MakerGroup(service, place) for place in sorted(makers))
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -250,7 +250,9 @@
         for target in listed:
             maker = self._makers.get(target.incarnation)
             if maker is None or maker.profile != profile:
-                room = ResultMemory(profile.room_bytes, profile.keep_seconds)
+                room = ResultMemory(
+                    profile.result_memory_bytes, profile.retention_seconds
+                )
                 self._makers[target.incarnation] = Maker(target, profile, room)
         self._listed = [self._makers[target.incarnation] for target in listed]
         self._listed_from = (listed, profile)
@@ -321,7 +323,7 @@
                 made[result.handle] = bundle.result_bytes
             elif result.failure is PieceFailure.ROOM:
                 maker.room.record_refusal(now)
-        maker.room.settle(size, made, now)
+        maker.room.commit(size, made, now)
         if made:
             self._estimate.note_made(len(made), now - started, now)
         if end.outcome not in ANSWERED:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -330,7 +330,7 @@
     def _refuse(self, error: _StageFailedError) -> RefusedError:
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
         code = RefusalCode.OVERLOADED if late else RefusalCode.STAGE_FAILED
-        wait = self._desk.estimate_wait(error.work.service).whole
+        wait = self._desk.estimate_wait(error.work.service).total
         self._decisions.note(
             "stage-failed",
             request=self._exchange.request.request_id,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -94,7 +94,7 @@
         route = exchange.route
         elapsed = self.clock.now() - exchange.request.received
         estimate = RequestEstimate(
-            total_wait=chain.whole_wait,
+            total_wait=chain.total_wait,
             urgent_wait=chain.urgent_wait,
             service_time=work,
             remaining=exchange.first_deadline - self.clock.now(),
@@ -107,7 +107,8 @@
         raise create_error(
             exchange,
             RefusalCode.OVERLOADED,
-            f"{decision.reason}: {estimate.urgent_wait:.1f} of {estimate.total_wait:.1f} s"
+            f"{decision.reason}: {estimate.urgent_wait:.1f} of"
+            f" {estimate.total_wait:.1f} s"
             f" of queue,"
             f" {work:.1f} s of work, {estimate.remaining:.1f} s left",
             retry_after=decision.retry_after,
@@ -197,7 +198,7 @@
                 target,
                 call,
                 timeout=self._choose_first_patience(left),
-                fresh=not exchange.route.repeatable,
+                fresh=not exchange.route.retryable,
                 may_send=lambda: fetching.begin(not self._run.is_lost(self._results)),
             )
             if isinstance(result, Unanswered):
@@ -236,7 +237,7 @@
             reply.abort()
             raise
         reply.release()
-        self._runner.fleet.note_success(target.incarnation)
+        self._runner.fleet.record_success(target.incarnation)
         self._runner.sender.note_survived(self._exchange, target)
         self._exchange.outcome = "answered"
         return None
@@ -300,7 +301,7 @@
         body = await answered.reply.read(MAX_FAILURE_BYTES)
         answered.reply.release()
         self._runner.sender.note_survived(self._exchange, target)
-        self._runner.fleet.note_failure(target.incarnation, self._runner.clock.now())
+        self._runner.fleet.record_failure(target.incarnation, self._runner.clock.now())
         exchange = self._exchange
         if exchange.writer.started:
             return Unanswered(SendOutcome.FAILED, f"status {head.status} on resuming")
@@ -352,7 +353,7 @@
         if not self._reading:
             return False
         self._reading = False
-        self.fleet.begin(self._incarnation, self._tokens)
+        self.fleet.finish_prefill(self._incarnation, self._tokens)
         return True
 
     def end(self) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -79,7 +79,7 @@
             results.inputs or (), shared.part_id, shared.tokens, own.tokens
         )
         now = self.clock.now()
-        self.fleet.begin(target.incarnation, tokens)
+        self.fleet.finish_prefill(target.incarnation, tokens)
         if read:
             self.times.note_first(exchange, now - started)
             self.fleet.record_cached_parts(target.incarnation, prompt, now)
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -81,16 +81,16 @@
     """
 
     def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
-        expected = estimate.urgent_wait + estimate.work
-        if expected + SPREAD <= estimate.objective_left:
+        expected = estimate.urgent_wait + estimate.service_time
+        if expected + SPREAD <= estimate.objective_remaining:
             return AdmissionDecision(True)
-        if estimate.wait + estimate.work > estimate.left:
+        if estimate.total_wait + estimate.service_time > estimate.remaining:
             return _refuse(estimate, "can't be answered in time")
-        if estimate.wait <= SHORT_QUEUE:
+        if estimate.total_wait <= SHORT_QUEUE:
             return AdmissionDecision(True)
-        if estimate.waited_share <= RETURNED_SHARE:
+        if estimate.elapsed_share <= RETURNED_SHARE:
             return _refuse(estimate, "would be late behind the queue")
-        if estimate.wait - estimate.urgent_wait > LATE_QUEUE:
+        if estimate.total_wait - estimate.urgent_wait > LATE_QUEUE:
             return _refuse(estimate, "too many that will be late wait")
         return AdmissionDecision(True)
 
@@ -103,6 +103,6 @@
 
 
 def _refuse(estimate: RequestEstimate, reason: str) -> AdmissionDecision:
-    latest = min(MOST_RETRY, estimate.left * RETRY_SHARE)
-    seconds = max(LEAST_RETRY, min(estimate.wait, latest))
+    latest = min(MOST_RETRY, estimate.remaining * RETRY_SHARE)
+    seconds = max(LEAST_RETRY, min(estimate.total_wait, latest))
     return AdmissionDecision(False, seconds, reason)
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -189,7 +189,7 @@
         if not left:
             continue
         late = is_late(bundle, len(left), profile, now, call)
-        urgency = bundle.aim + bundle.rank * RANK_SECONDS
+        urgency = bundle.soft_deadline + bundle.rank * RANK_SECONDS
         if late and now > _find_last_chance(bundle):
             late, urgency = False, now
         waiting.append(_Waiting(bundle, left, late, urgency))
@@ -198,7 +198,9 @@
 
 
 def _find_last_chance(bundle: Bundle) -> float:
-    return min(bundle.latest - LAST_CHANCE, bundle.inputs_until - LAPSE_CHANCE)
+    return min(
+        bundle.hard_deadline - LAST_CHANCE, bundle.inputs_expire_at - LAPSE_CHANCE
+    )
 
 
 def _order_for(maker: MakerView, waiting: list[_Waiting]) -> list[_Waiting]:
@@ -225,7 +227,7 @@
     :param call: seconds that a call takes that other requests share
     """
     alone = profile.estimate_seconds(min(count, profile.batch))
-    return now + max(alone, call) > bundle.aim
+    return now + max(alone, call) > bundle.soft_deadline
 
 
 def find_infeasible(
@@ -250,7 +252,7 @@
     for one in _order(bundles, profile, now):
         count = len(one.left)
         call = profile.estimate_seconds(min(count, profile.batch))
-        latest = one.bundle.latest
+        latest = one.bundle.hard_deadline
         if least > latest or now + before / rate + call > latest:
             hopeless.append(one.bundle)
             continue
@@ -302,7 +304,7 @@
     if maker.free_at > now + LONGEST_HOLD or maker.slowness > STEADY:
         return False
     end = maker.free_at + profile.estimate_seconds(min(count, profile.batch))
-    return end <= bundle.aim
+    return end <= bundle.soft_deadline
 
 
 def _list_useful(
@@ -380,6 +382,6 @@
 ) -> bool:
     if len(left) > profile.batch:
         return True
-    if len(left) * bundle.result_bytes > profile.room_bytes:
+    if len(left) * bundle.result_bytes > profile.result_memory_bytes:
         return not call.pieces
     return free >= ROOMY * len(left) * bundle.result_bytes
--- a/packages/greengagelatch/src/greengagelatch/relay/crash_reports.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/crash_reports.py
@@ -20,7 +20,7 @@
     rows = [
         {
             "target": one.target.target_id,
-            "born": one.target.born,
+            "born": one.target.started_ms,
             "service": one.service,
             "requests": one.digests,
         }
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -103,7 +103,7 @@
     all makers, each data centre has an owner.
     """
 
-    def is_divided(self, view: ServiceView, before: bool) -> bool:
+    def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         if not view.capacity or len(view.makers) < 2:
             return False
         share = sum(view.makers.values()) / len(view.makers)
@@ -116,14 +116,14 @@
 class SingleOwnership(OwnershipPolicy):
     """One owner for all makers of a service; a baseline to compare with."""
 
-    def is_divided(self, view: ServiceView, before: bool) -> bool:
+    def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         return False
 
 
 class PerDataCentreOwnership(OwnershipPolicy):
     """An owner in each data centre that has makers; a baseline to compare with."""
 
-    def is_divided(self, view: ServiceView, before: bool) -> bool:
+    def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         return len(view.makers) > 1
 
 
@@ -178,7 +178,7 @@
 
 
 def _find_wait(view: GroupView, late: bool) -> float:
-    return view.wait.whole if late else view.wait.urgent
+    return view.wait.total if late else view.wait.urgent
 
 
 def _is_on_time(
@@ -188,4 +188,4 @@
         return True
     count = min(len(bundle.pieces), profile.batch)
     seconds = view.wait.estimate_stage(profile.estimate_seconds(count))
-    return now + view.wait.urgent + seconds <= bundle.aim
+    return now + view.wait.urgent + seconds <= bundle.soft_deadline
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -151,7 +151,7 @@
         """Count out a request."""
         state = self._find(incarnation)
         state.in_flight = max(0, state.in_flight - 1)
-        if not state.in_flight and not self._book.accepts(incarnation):
+        if not state.in_flight and not self._book.is_available(incarnation):
             # the last word of one that is gone must not bring its state back: each
             # restart would use more memory
             self.forget(incarnation)
@@ -161,7 +161,7 @@
     ) -> None:
         """Remember what an engine has read for a request."""
         parts = self._find(incarnation).parts
-        for part in prompt.shared:
+        for part in prompt.shared_parts:
             parts.pop(part.part_id, None)
             parts[part.part_id] = now
         while len(parts) > MAX_PARTS:
@@ -245,7 +245,7 @@
         tokens = _count_tokens(state.parts, need.prompt, now)
         if target is home:
             # others will have sent the parts there, whatever this instance saw
-            shared = sum(part.tokens for part in need.prompt.shared)
+            shared = sum(part.tokens for part in need.prompt.shared_parts)
             tokens = min(tokens, need.prompt.tokens_in - shared)
         running = state.in_flight + self._count_others(state, now)
         far = sum(
@@ -273,7 +273,7 @@
 
 def _count_tokens(parts: Mapping[str, float], prompt: Prompt, now: float) -> float:
     kept = 0
-    for part in prompt.shared:
+    for part in prompt.shared_parts:
         if now - parts.get(part.part_id, -PART_LIFE) >= PART_LIFE:
             break
         kept += part.tokens
@@ -281,9 +281,9 @@
 
 
 def _find_home(prompt: Prompt, candidates: list[ListedTarget]) -> ListedTarget | None:
-    if not prompt.shared or not candidates:
+    if not prompt.shared_parts or not candidates:
         return None
-    last = prompt.shared[-1].part_id
+    last = prompt.shared_parts[-1].part_id
     # by the id: this says where parts are to go and not where they are. By the
     # incarnation, a restart would move other engines' parts as well
     return min(
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -211,8 +211,10 @@
         result_bytes=bundle.result_bytes,
         aim_seconds=bundle.soft_deadline - now,
         latest_seconds=bundle.hard_deadline - now,
-        inputs_seconds=_find_seconds(bundle.inputs_until, now),
-        input_makers=tuple((one.target_id, one.born) for one in bundle.input_makers),
+        inputs_seconds=_find_seconds(bundle.inputs_expire_at, now),
+        input_makers=tuple(
+            (one.target_id, one.started_ms) for one in bundle.input_makers
+        ),
         rank=bundle.rank,
         data_centre=bundle.data_centre,
         moved_bytes=bundle.moved_bytes,
@@ -266,7 +268,7 @@
     of a piece that was not made has an empty text and the reason.
     """
     return tuple(
-        (one.handle, one.data_centre, one.maker.target_id, one.maker.born)
+        (one.handle, one.data_centre, one.maker.target_id, one.maker.started_ms)
         if one.failure is None
         else ("", one.failure.value)
         for one in results
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -72,7 +72,7 @@
     A request that may run only once is sent again only where it certainly did not
     run: a booking whose answer was lost may have been made.
     """
-    if facts.remaining <= facts.least:
+    if facts.remaining <= facts.min_seconds:
         return NextStep.GIVE_UP
     if facts.outcome in (SendOutcome.UNSENT, SendOutcome.MISDIRECTED):
         if facts.unsent >= MAX_UNSENT:
@@ -82,6 +82,6 @@
         return NextStep.RETRY if misdirected else NextStep.SEND
     if not facts.repeatable and not facts.outcome.proves_not_run:
         return NextStep.GIVE_UP
-    if facts.arrivals >= facts.max_attempts:
+    if facts.deliveries >= facts.max_attempts:
         return NextStep.GIVE_UP
     return NextStep.RETRY
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -117,7 +117,7 @@
     ) -> ChainEstimate:
         queue = find_queue(work.service)
         seconds = queue.estimate_stage(work.seconds)
-        return ChainEstimate(queue.urgent + seconds, seconds, queue.urgent, queue.whole)
+        return ChainEstimate(queue.urgent + seconds, seconds, queue.urgent, queue.total)
 
     def _estimate_rest(
         self, work: StageWork, find_queue: Callable[[str], QueueWait]
@@ -170,7 +170,7 @@
         """
         if work.after or work.number not in self.final:
             return 0.0
-        if work.room_share < LARGE_SHARE:
+        if work.memory_share < LARGE_SHARE:
             return 0.0
         others = [
             self._estimate_end(one, now, ends, find_queue)
@@ -180,8 +180,8 @@
         if not others:
             return 0.0
         own = now + self._estimate_stage(work, find_queue).urgent_end
-        if max(own, *others) > bounds.aim:
-            return bounds.latest - own
+        if max(own, *others) > bounds.soft_deadline:
+            return bounds.hard_deadline - own
         return max(others) - own
 
     def _estimate_end(
@@ -228,9 +228,9 @@
 
 def _find_room_share(stage: RouteStage, count: int, deployment: Deployment) -> float:
     found = deployment.services.get(stage.service)
-    if found is None or found.maker is None or found.maker.room_bytes <= 0:
+    if found is None or found.maker is None or found.maker.result_memory_bytes <= 0:
         return 0.0
-    return count * stage.result_bytes / found.maker.room_bytes
+    return count * stage.result_bytes / found.maker.result_memory_bytes
 
 
 def _add(first: ChainEstimate, second: ChainEstimate) -> ChainEstimate:
@@ -238,5 +238,5 @@
         first.urgent_end + second.urgent_end,
         first.work + second.work,
         first.urgent_wait + second.urgent_wait,
-        first.whole_wait + second.whole_wait,
+        first.total_wait + second.total_wait,
     )
--- a/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
@@ -14,7 +14,7 @@
     """Return a target as a message holds it."""
     return (
         target.target_id,
-        target.incarnation.born,
+        target.incarnation.started_ms,
         target.service,
         target.address,
         target.data_centre,
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -115,7 +115,7 @@
         newest = self._newest.get(target.target_id)
         if newest is None:
             return IncarnationOrder.FIRST
-        born, known = target.incarnation.born, newest.incarnation.born
+        born, known = target.incarnation.started_ms, newest.incarnation.started_ms
         if born == known:
             return IncarnationOrder.SAME
         if not born:
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -19,16 +19,16 @@
 
 def test_request_that_can_be_on_time_is_begun():
     assert RULE.decide(CALM).admitted
-    assert RULE.decide(replace(CALM, wait=3.0, urgent_wait=0.85)).admitted
+    assert RULE.decide(replace(CALM, total_wait=3.0, urgent_wait=0.85)).admitted
 
 
 def test_newcomer_that_would_be_on_time_by_a_hair_comes_back():
     """Guards against queues in which half of all are late by a tenth of a second."""
-    assert not RULE.decide(replace(CALM, wait=0.95, urgent_wait=0.95)).admitted
+    assert not RULE.decide(replace(CALM, total_wait=0.95, urgent_wait=0.95)).admitted
 
 
 def test_newcomer_that_would_be_late_comes_back():
-    decision = RULE.decide(replace(CALM, wait=1.5, urgent_wait=1.5))
+    decision = RULE.decide(replace(CALM, total_wait=1.5, urgent_wait=1.5))
     assert not decision.admitted
     assert 0 < decision.retry_after <= CALM.remaining / 3
 
@@ -41,7 +41,12 @@
     Cause: nobody asked whether it had been sent away before.
     """
     returned = replace(
-        CALM, wait=1.5, urgent_wait=1.2, left=4.0, objective_left=0.1, waited_share=0.3
+        CALM,
+        total_wait=1.5,
+        urgent_wait=1.2,
+        remaining=4.0,
+        objective_remaining=0.1,
+        elapsed_share=0.3,
     )
     assert RULE.decide(returned).admitted
 
@@ -54,20 +59,25 @@
     Cause: what is worth little by now took the place of what is worth all.
     """
     returned = replace(
-        CALM, wait=2.5, urgent_wait=1.2, left=4.0, objective_left=0.1, waited_share=0.3
+        CALM,
+        total_wait=2.5,
+        urgent_wait=1.2,
+        remaining=4.0,
+        objective_remaining=0.1,
+        elapsed_share=0.3,
     )
     assert not RULE.decide(returned).admitted
-    assert RULE.decide(replace(CALM, wait=2.5, urgent_wait=0.85)).admitted
+    assert RULE.decide(replace(CALM, total_wait=2.5, urgent_wait=0.85)).admitted
 
 
 def test_what_can_not_be_answered_in_time_is_refused_at_once():
-    decision = RULE.decide(replace(CALM, wait=5.5, urgent_wait=5.5))
+    decision = RULE.decide(replace(CALM, total_wait=5.5, urgent_wait=5.5))
     assert not decision.admitted
 
 
 def test_late_request_is_begun_where_hardly_anything_waits():
-    assert RULE.decide(replace(CALM, objective_left=0.1, wait=0.2)).admitted
+    assert RULE.decide(replace(CALM, objective_remaining=0.1, total_wait=0.2)).admitted
 
 
 def test_baseline_begins_everything():
-    assert AdmitAll().decide(replace(CALM, wait=60.0)).admitted
+    assert AdmitAll().decide(replace(CALM, total_wait=60.0)).admitted
--- a/tests/test_core/test_relay/test_deployment.py
+++ b/tests/test_core/test_relay/test_deployment.py
@@ -45,7 +45,7 @@
 )
 def test_kind_says_what_may_be_repeated(kind, resumable, repeatable):
     route = replace(ROUTE, kind=kind, resumable=resumable)
-    assert route.repeatable is repeatable
+    assert route.retryable is repeatable
 
 
 def test_call_has_a_fixed_cost_and_one_for_each_piece():
--- a/tests/test_core/test_relay/test_digests.py
+++ b/tests/test_core/test_relay/test_digests.py
@@ -27,7 +27,7 @@
         request_id="a-2",
         host="CHAT.example",
         received=9.0,
-        patience=1.0,
+        timeout=1.0,
         resume_after=4,
         headers=((b"X-Attempt-Id", b"a-2"),),
     )
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -73,26 +73,28 @@
 
 def test_makers_are_divided_where_nobody_could_gather_for_all():
     rule = CapacityBasedOwnership()
-    assert rule.is_divided(view(400, 200, 3, 3, 3), before=False)
-    assert not rule.is_divided(view(400, 800, 3, 3, 3), before=False)
+    assert rule.is_partitioned(view(400, 200, 3, 3, 3), before=False)
+    assert not rule.is_partitioned(view(400, 800, 3, 3, 3), before=False)
 
 
 @pytest.mark.parametrize("makers", [(1, 1, 1), (3,)])
 def test_few_makers_keep_one_owner(makers):
-    assert not CapacityBasedOwnership().is_divided(
+    assert not CapacityBasedOwnership().is_partitioned(
         view(400, 200, *makers), before=False
     )
 
 
 def test_capacity_that_nobody_tells_divides_nothing():
-    assert not CapacityBasedOwnership().is_divided(view(400, 0, 3, 3, 3), before=False)
+    assert not CapacityBasedOwnership().is_partitioned(
+        view(400, 0, 3, 3, 3), before=False
+    )
 
 
 def test_maker_that_comes_and_goes_changes_no_division():
     """Guards against owners that change with each maker that is lost for a moment."""
     rule = CapacityBasedOwnership()
-    assert rule.is_divided(view(400, 200, 2, 1, 1), before=True)
-    assert not rule.is_divided(view(400, 200, 2, 1, 1), before=False)
+    assert rule.is_partitioned(view(400, 200, 2, 1, 1), before=True)
+    assert not rule.is_partitioned(view(400, 200, 2, 1, 1), before=False)
 
 
 def test_load_grows_with_the_makers():
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -161,8 +161,8 @@
             assert all(number >= before for number in accepted)
             known = book.find_newest(known_id)
             if known is not None:
-                assert known.born >= before
-                newest[known_id] = known.born
+                assert known.started_ms >= before
+                newest[known_id] = known.started_ms
 
 
 def test_failures_of_the_former_one_do_not_count():
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -45,7 +45,7 @@
 
 
 def test_attempts_are_bounded():
-    assert decide_next(replace(FACTS, arrivals=2)) is NextStep.GIVE_UP
+    assert decide_next(replace(FACTS, deliveries=2)) is NextStep.GIVE_UP
 
 
 @pytest.mark.parametrize(
@@ -58,13 +58,13 @@
 )
 def test_request_that_did_not_run_goes_elsewhere_whatever_its_kind(outcome, step):
     facts = replace(
-        FACTS, repeatable=False, outcome=outcome, arrivals=0, max_attempts=1
+        FACTS, repeatable=False, outcome=outcome, deliveries=0, max_attempts=1
     )
     assert decide_next(facts) is step
 
 
 def test_request_that_reaches_nobody_is_given_up_in_the_end():
-    facts = replace(FACTS, outcome=SendOutcome.UNSENT, arrivals=0, unsent=4)
+    facts = replace(FACTS, outcome=SendOutcome.UNSENT, deliveries=0, unsent=4)
     assert decide_next(facts) is NextStep.GIVE_UP
 
 
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -118,7 +118,7 @@
     plan = create_plan(2, 1, 6, 10)
     chain = plan.estimate(lambda service: QueueWait())
     assert chain.work == pytest.approx(0.21 + 0.26 + 0.3)
-    assert (chain.urgent_wait, chain.whole_wait) == (0.0, 0.0)
+    assert (chain.urgent_wait, chain.total_wait) == (0.0, 0.0)
     rests = {
         number: plan.estimate_rest(work, lambda service: QueueWait())
         for number, work in plan.stages.items()
@@ -138,7 +138,7 @@
     shared = plan.estimate(lambda service: queues.get(service, QueueWait()))
     assert shared.work == pytest.approx(alone.work - 0.26 + 0.4)
     assert shared.urgent_wait == pytest.approx(0.1)
-    assert shared.whole_wait == pytest.approx(0.5)
+    assert shared.total_wait == pytest.approx(0.5)
     assert shared.urgent_end == pytest.approx(shared.work + 0.1)
 
 
@@ -161,7 +161,7 @@
     **waits: float,
 ):
     return plan.find_slack(
-        plan.works[0],
+        plan.stages[0],
         now,
         ends,
         lambda name: QueueWait(urgent=waits.get(name, 0.0)),
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -90,7 +90,7 @@
         """Whether the target listed under an id may be sent work."""
         book = self.find("news")._book
         listed = book.find_listed(target_id)
-        return listed is not None and book.accepts(listed.incarnation)
+        return listed is not None and book.is_available(listed.incarnation)
 
     async def wait_for(self, condition) -> None:
         """Wait until ``condition`` holds."""
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -156,7 +156,7 @@
     ahead.follower.take_news(behind.book.list_all(), 9)
     behind.follower.take_news(ahead.book.list_all(), 9)
     for listing in (ahead, behind):
-        assert listing.book.find_newest("one").born == later
+        assert listing.book.find_newest("one").started_ms == later
         assert listing.accepts("one")
         assert listing.gone == [f"one@{GOOD['born']}"]
     assert ahead.metrics.value("targets.outdated") == 1
@@ -229,7 +229,7 @@
     for target in listed:
         assert target.target_id.isascii()
         assert target.address.rpartition(":")[2].isdecimal()
-        assert target.incarnation.born >= 0
+        assert target.incarnation.started_ms >= 0
 
 
 # on a whole instance
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -22,7 +22,7 @@
 
 def is_known(world, target) -> bool:
     """Whether the instance knows the start that a target tells."""
-    return find_listed(world, target.target_id).incarnation.born == target.born
+    return find_listed(world, target.target_id).incarnation.started_ms == target.born
 
 
 async def restart(world, target_id: str, *, cut: bool = True) -> None:
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -169,11 +169,11 @@
     """
     tasks = [world.ask(number) for number in range(12)]
     await asyncio.sleep(0.01)
-    first = world.pool.estimate_wait().whole
+    first = world.pool.estimate_wait().total
     tasks.append(world.ask(12, pieces=10))
     await asyncio.sleep(0.001)
     call = PROFILE.estimate_seconds(PROFILE.batch)
-    assert world.pool.estimate_wait().whole == pytest.approx(first + call)
+    assert world.pool.estimate_wait().total == pytest.approx(first + call)
     await asyncio.gather(*tasks)
 
 
--- a/tests/test_platform/test_configuration.py
+++ b/tests/test_platform/test_configuration.py
@@ -19,14 +19,22 @@
 def test_configuration_is_decoded_into_the_products_words():
     deployment, problems = decode(create_configuration()).unwrap()
     assert problems == ()
-    assert (deployment.version, deployment.revision, deployment.keyed) == (3, 17, True)
+    assert (deployment.version, deployment.revision, deployment.requires_key) == (
+        3,
+        17,
+        True,
+    )
     draft = next(route for route in deployment.routes if route.name == "draft")
     assert draft.kind is RouteKind.STREAMING
     assert (draft.timeout, draft.objective, draft.longest_pause) == (3.0, 0.5, 0.25)
     assert [stage.after for stage in draft.stages] == [(), (0,)]
     assert draft.split == (("llm", 1.0),)
     maker = deployment.services["portal"].maker
-    assert (maker.batch, maker.call_seconds, maker.room_bytes) == (8, 0.03, 10_000_000)
+    assert (maker.batch, maker.call_seconds, maker.result_memory_bytes) == (
+        8,
+        0.03,
+        10_000_000,
+    )
     assert deployment.services["llm"].engine.token_capacity == 100_000
     assert deployment.workspaces[0].keys == ("key-of-north",)
 
@@ -47,7 +55,7 @@
     fields = create_configuration()
     del fields["tenants"]
     deployment, _ = decode(fields).unwrap()
-    assert not deployment.keyed
+    assert not deployment.requires_key
 
 
 @pytest.mark.parametrize(
