--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -15,22 +15,22 @@
 
 #: share of a route's timeout that must have passed before a caller's attempt for it to
 #: count as one that came back; clocks and headers round a little
-RETURNED_SHARE = 0.04
+RETRY_ELAPSED_SHARE = 0.04
 #: seconds by which an answer may well come later than expected: begun without them,
 #: half of all that wait for long are late by a little
-SPREAD = 0.1
+ESTIMATE_MARGIN_SECONDS = 0.1
 #: seconds of queue up to which a request that will be late is begun all the same: the
 #: queue is gone before another one could be refused for it
-SHORT_QUEUE = 0.35
+SHORT_QUEUE_SECONDS = 0.35
 #: seconds of queue that those may fill that will be late. They end in the four seconds
 #: or so that a caller which came back has left, so this gives them a third of the
 #: makers' time while newcomers could use it all
-LATE_QUEUE = 1.2
+LATE_QUEUE_SECONDS = 1.2
 #: bounds of the time to come back, in seconds
-LEAST_RETRY = 0.3
-MOST_RETRY = 3.0
+MIN_RETRY_AFTER = 0.3
+MAX_RETRY_AFTER = 3.0
 #: share of the time left within which a caller can come back
-RETRY_SHARE = 0.3
+RETRY_AFTER_SHARE = 0.3
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -82,15 +82,15 @@
 
     def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
         expected = estimate.urgent_wait + estimate.service_time
-        if expected + SPREAD <= estimate.objective_remaining:
+        if expected + ESTIMATE_MARGIN_SECONDS <= estimate.objective_remaining:
             return AdmissionDecision(True)
         if estimate.total_wait + estimate.service_time > estimate.remaining:
             return _refuse(estimate, "can't be answered in time")
-        if estimate.total_wait <= SHORT_QUEUE:
+        if estimate.total_wait <= SHORT_QUEUE_SECONDS:
             return AdmissionDecision(True)
-        if estimate.elapsed_share <= RETURNED_SHARE:
+        if estimate.elapsed_share <= RETRY_ELAPSED_SHARE:
             return _refuse(estimate, "would be late behind the queue")
-        if estimate.total_wait - estimate.urgent_wait > LATE_QUEUE:
+        if estimate.total_wait - estimate.urgent_wait > LATE_QUEUE_SECONDS:
             return _refuse(estimate, "too many that will be late wait")
         return AdmissionDecision(True)
 
@@ -103,6 +103,6 @@
 
 
 def _refuse(estimate: RequestEstimate, reason: str) -> AdmissionDecision:
-    latest = min(MOST_RETRY, estimate.remaining * RETRY_SHARE)
-    seconds = max(LEAST_RETRY, min(estimate.total_wait, latest))
+    latest = min(MAX_RETRY_AFTER, estimate.remaining * RETRY_AFTER_SHARE)
+    seconds = max(MIN_RETRY_AFTER, min(estimate.total_wait, latest))
     return AdmissionDecision(False, seconds, reason)
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -24,27 +24,27 @@
 
 #: seconds by which a bundle seems less urgent for each rank: enough to order bundles
 #: that came together, too little to starve any
-RANK_SECONDS = 0.8
+RANK_PENALTY_SECONDS = 0.8
 
 #: bytes that a bundle moves from which it waits for a maker in the right place
-MUCH_MOVED = 500_000
+LARGE_INPUT_BYTES = 500_000
 #: seconds that it waits at the most; a full call takes about as long
-LONGEST_HOLD = 0.45
+MAX_LOCAL_WAIT_SECONDS = 0.45
 #: slowness up to which a maker is waited for
-STEADY = 1.5
+MAX_LOCAL_SLOWNESS = 1.5
 #: seconds by which a bundle seems less urgent to a maker far from its inputs
-FAR_SECONDS = 0.3
+REMOTE_PENALTY_SECONDS = 0.3
 #: seconds before a bundle's last moment at which it goes first: about a call. With
 #: more, late bundles take the place of others that could still be on time
-LAST_CHANCE = 0.3
+DEADLINE_MARGIN_SECONDS = 0.3
 #: the same before what it reads lapses, which would be made again: a call and some
-LAPSE_CHANCE = 0.4
+EXPIRY_MARGIN_SECONDS = 0.4
 #: share of makers' full speed that is counted on: calls are not always full
-COUNTED_SPEED = 0.8
+ASSUMED_UTILISATION = 0.8
 #: slowness of a maker that is counted at the least
-LEAST_SLOWNESS = 0.5
+MIN_SLOWNESS = 0.5
 #: times a bundle's results that a maker must have room for before it is split
-ROOMY = 2.0
+SPLIT_MEMORY_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -104,17 +104,17 @@
         profile: MakerProfile,
         now: float,
     ) -> list[PlannedCall]:
-        idle = _list_useful(makers, profile, now)
+        idle = _list_eligible(makers, profile, now)
         calls = []
         call = _estimate_call(bundles, len(idle), profile)
-        waiting = _leave_for_near(
-            _order(bundles, profile, now, call), idle, makers, profile, now
+        waiting = _defer_to_local(
+            _sort_bundles(bundles, profile, now, call), idle, makers, profile, now
         )
         while waiting and idle:
             share = _count_share(waiting, len(idle), profile)
             maker = _choose_maker(idle, waiting[0].bundle)
             idle.remove(maker)
-            call = _fill(maker, _order_for(maker, waiting), share, profile)
+            call = _fill(maker, _sort_for_maker(maker, waiting), share, profile)
             waiting = [one for one in waiting if one.left]
             if call.pieces:
                 calls.append(call)
@@ -138,7 +138,7 @@
                 break
             if not left:
                 continue
-            waiting = [_Waiting(bundle, left)]
+            waiting = [_WaitingBundle(bundle, left)]
             call = _fill(idle.pop(0), waiting, profile.batch, profile)
             if call.pieces:
                 calls.append(call)
@@ -146,7 +146,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _WaitingBundle:
     """A bundle that waits, and its place in the order."""
 
     bundle: Bundle
@@ -156,9 +156,9 @@
     urgency: float = 0.0
 
     @property
-    def moves_much(self) -> bool:
+    def has_large_inputs(self) -> bool:
         """Whether it is best made in one place."""
-        return self.bundle.moved_bytes >= MUCH_MOVED
+        return self.bundle.moved_bytes >= LARGE_INPUT_BYTES
 
 
 def _estimate_call(
@@ -170,12 +170,12 @@
     return profile.estimate_seconds(min(share, profile.batch))
 
 
-def _order(
+def _sort_bundles(
     bundles: list[tuple[Bundle, list[Piece]]],
     profile: MakerProfile,
     now: float,
     call: float = 0.0,
-) -> list[_Waiting]:
+) -> list[_WaitingBundle]:
     """Order bundles: those that can still meet their aim, then by urgency.
 
     One that can't meet its aim any more has lost most of its worth; let it wait
@@ -189,33 +189,36 @@
         if not left:
             continue
         late = is_late(bundle, len(left), profile, now, call)
-        urgency = bundle.soft_deadline + bundle.rank * RANK_SECONDS
-        if late and now > _find_last_chance(bundle):
+        urgency = bundle.soft_deadline + bundle.rank * RANK_PENALTY_SECONDS
+        if late and now > _find_promotion_time(bundle):
             late, urgency = False, now
-        waiting.append(_Waiting(bundle, left, late, urgency))
+        waiting.append(_WaitingBundle(bundle, left, late, urgency))
     waiting.sort(key=lambda one: (one.late, one.urgency))
     return waiting
 
 
-def _find_last_chance(bundle: Bundle) -> float:
+def _find_promotion_time(bundle: Bundle) -> float:
     return min(
-        bundle.hard_deadline - LAST_CHANCE, bundle.inputs_expire_at - LAPSE_CHANCE
+        bundle.hard_deadline - DEADLINE_MARGIN_SECONDS,
+        bundle.inputs_expire_at - EXPIRY_MARGIN_SECONDS,
     )
 
 
-def _order_for(maker: MakerView, waiting: list[_Waiting]) -> list[_Waiting]:
+def _sort_for_maker(
+    maker: MakerView, waiting: list[_WaitingBundle]
+) -> list[_WaitingBundle]:
     """Put bundles that move much first at a maker in the right place.
 
     What crosses data centres is paid for.
     """
-    if not any(one.moves_much for one in waiting):
+    if not any(one.has_large_inputs for one in waiting):
         return waiting
     return sorted(waiting, key=lambda one: (one.late, _find_urgency(one, maker)))
 
 
-def _find_urgency(one: _Waiting, maker: MakerView) -> float:
-    if one.moves_much and one.bundle.data_centre != maker.data_centre:
-        return one.urgency + FAR_SECONDS
+def _find_urgency(one: _WaitingBundle, maker: MakerView) -> float:
+    if one.has_large_inputs and one.bundle.data_centre != maker.data_centre:
+        return one.urgency + REMOTE_PENALTY_SECONDS
     return one.urgency
 
 
@@ -243,71 +246,75 @@
     callers would hear of it when there is no time left to come back, and until then
     they would make the queue seem longer to newcomers.
     """
-    speed = sum(1 / max(one.slowness, LEAST_SLOWNESS) for one in makers)
+    speed = sum(1 / max(one.slowness, MIN_SLOWNESS) for one in makers)
     rate = speed * profile.batch / profile.estimate_seconds(profile.batch)
-    rate *= COUNTED_SPEED
+    rate *= ASSUMED_UTILISATION
     least = now + profile.estimate_seconds(1)
-    hopeless = []
+    infeasible = []
     before = 0
-    for one in _order(bundles, profile, now):
+    for one in _sort_bundles(bundles, profile, now):
         count = len(one.left)
         call = profile.estimate_seconds(min(count, profile.batch))
         latest = one.bundle.hard_deadline
         if least > latest or now + before / rate + call > latest:
-            hopeless.append(one.bundle)
+            infeasible.append(one.bundle)
             continue
         before += count
-    return hopeless
+    return infeasible
 
 
-def _leave_for_near(
-    waiting: list[_Waiting],
+def _defer_to_local(
+    waiting: list[_WaitingBundle],
     idle: list[MakerView],
     makers: list[MakerView],
     profile: MakerProfile,
     now: float,
-) -> list[_Waiting]:
+) -> list[_WaitingBundle]:
     """Return the bundles to place now, without those that wait for a near maker.
 
     What crosses data centres is paid for, and every piece reads all of its bundle's
     inputs. A bundle that reads much waits for a maker beside them as long as that
     one can take it with its next call, in time for the request's objective.
     """
-    idle_places = {one.data_centre for one in idle}
-    near: dict[str, list[MakerView]] = {}
+    idle_data_centres = {one.data_centre for one in idle}
+    makers_by_data_centre: dict[str, list[MakerView]] = {}
     for maker in makers:
-        near.setdefault(maker.data_centre, []).append(maker)
-    held: dict[str, int] = {}
-    placed = []
+        makers_by_data_centre.setdefault(maker.data_centre, []).append(maker)
+    deferred: dict[str, int] = {}
+    ready = []
     for one in waiting:
-        place = one.bundle.data_centre
-        beside = near.get(place, [])
-        count = held.get(place, 0) + len(one.left)
+        data_centre = one.bundle.data_centre
+        local_makers = makers_by_data_centre.get(data_centre, [])
+        count = deferred.get(data_centre, 0) + len(one.left)
         if (
-            not one.moves_much
-            or place in idle_places
-            or count > profile.batch * len(beside)
+            not one.has_large_inputs
+            or data_centre in idle_data_centres
+            or count > profile.batch * len(local_makers)
             or not any(
-                _is_soon(maker, one.bundle, count, profile, now) for maker in beside
+                _is_available_soon(maker, one.bundle, count, profile, now)
+                for maker in local_makers
             )
         ):
-            placed.append(one)
+            ready.append(one)
             continue
-        held[place] = count
-    return placed
+        deferred[data_centre] = count
+    return ready
 
 
-def _is_soon(
+def _is_available_soon(
     maker: MakerView, bundle: Bundle, count: int, profile: MakerProfile, now: float
 ) -> bool:
     """Whether a busy maker will be done with ``count`` pieces in time."""
-    if maker.free_at > now + LONGEST_HOLD or maker.slowness > STEADY:
+    if (
+        maker.free_at > now + MAX_LOCAL_WAIT_SECONDS
+        or maker.slowness > MAX_LOCAL_SLOWNESS
+    ):
         return False
     end = maker.free_at + profile.estimate_seconds(min(count, profile.batch))
     return end <= bundle.soft_deadline
 
 
-def _list_useful(
+def _list_eligible(
     makers: list[MakerView], profile: MakerProfile, now: float
 ) -> list[MakerView]:
     """Return the idle makers that end a call before any other one could.
@@ -316,21 +323,24 @@
     eye of a late binding; work sent to it would be late, though another maker could
     have begun a moment later and still ended sooner.
     """
-    usual = profile.estimate_seconds(max(1, profile.batch // 2))
-    soonest = min(
-        (max(now, one.free_at) + usual * one.slowness for one in makers), default=0.0
+    typical_call = profile.estimate_seconds(max(1, profile.batch // 2))
+    earliest_end = min(
+        (max(now, one.free_at) + typical_call * one.slowness for one in makers),
+        default=0.0,
     )
-    useful = []
+    eligible = []
     for one in makers:
         if one.free_at > now:
             continue
-        if now + usual * one.slowness > soonest + usual:
+        if now + typical_call * one.slowness > earliest_end + typical_call:
             continue
-        useful.append(one)
-    return useful
+        eligible.append(one)
+    return eligible
 
 
-def _count_share(waiting: list[_Waiting], idle: int, profile: MakerProfile) -> int:
+def _count_share(
+    waiting: list[_WaitingBundle], idle: int, profile: MakerProfile
+) -> int:
     pieces = sum(len(one.left) for one in waiting)
     return max(1, min(profile.batch, ceil(pieces / idle)))
 
@@ -348,7 +358,7 @@
 
 
 def _fill(
-    maker: MakerView, waiting: list[_Waiting], share: int, profile: MakerProfile
+    maker: MakerView, waiting: list[_WaitingBundle], share: int, profile: MakerProfile
 ) -> PlannedCall:
     """Take pieces off ``waiting`` for one call, whole bundles if possible.
 
@@ -384,4 +394,4 @@
         return True
     if len(left) * bundle.result_bytes > profile.result_memory_bytes:
         return not call.pieces
-    return free >= ROOMY * len(left) * bundle.result_bytes
+    return free >= SPLIT_MEMORY_FACTOR * len(left) * bundle.result_bytes
--- a/packages/greengagelatch/src/greengagelatch/relay/crash_reports.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/crash_reports.py
@@ -43,15 +43,23 @@
 def _decode(row: object) -> CrashReport:
     if not isinstance(row, dict):
         raise ValueError(f"a report is a {type(row).__name__}")
-    target, born, digests = row.get("target"), row.get("born"), row.get("requests")
+    target, started_ms, digests = (
+        row.get("target"),
+        row.get("born"),
+        row.get("requests"),
+    )
     service = row.get("service")
     if not isinstance(service, str):
         raise ValueError(f"service: {str(service)[:64]!r}")
     if not isinstance(target, str) or not target:
         raise ValueError(f"target: {str(target)[:64]!r}")
-    if not isinstance(born, int) or isinstance(born, bool) or born < 0:
-        raise ValueError(f"born: {str(born)[:64]!r}")
-    sound = isinstance(digests, list) and len(digests) <= MAX_DIGESTS
-    if not sound or not all(isinstance(one, str) for one in digests):
+    if (
+        not isinstance(started_ms, int)
+        or isinstance(started_ms, bool)
+        or started_ms < 0
+    ):
+        raise ValueError(f"born: {str(started_ms)[:64]!r}")
+    valid = isinstance(digests, list) and len(digests) <= MAX_DIGESTS
+    if not valid or not all(isinstance(one, str) for one in digests):
         raise ValueError(f"requests: {str(digests)[:64]!r}")
-    return CrashReport(Incarnation(target, born), service, tuple(digests))
+    return CrashReport(Incarnation(target, started_ms), service, tuple(digests))
--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -21,9 +21,9 @@
 MEGABYTE = 1_000_000
 #: silence after which callers give up a stream, as their pages say: the longest of so
 #: many seconds, objectives and pauses
-LEAST_SILENCE = 2.0
-OBJECTIVES_OF_SILENCE = 4.0
-PAUSES_OF_SILENCE = 8.0
+MIN_SILENCE_SECONDS = 2.0
+SILENCE_OBJECTIVES = 4.0
+SILENCE_PAUSES = 8.0
 
 
 class RouteKind(Enum):
@@ -83,9 +83,9 @@
         route's timeout: what begins later is made for nobody.
         """
         return max(
-            LEAST_SILENCE,
-            OBJECTIVES_OF_SILENCE * self.objective,
-            PAUSES_OF_SILENCE * self.longest_pause,
+            MIN_SILENCE_SECONDS,
+            SILENCE_OBJECTIVES * self.objective,
+            SILENCE_PAUSES * self.longest_pause,
         )
 
     @property
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ..targets.subset import compute_weight
-from .batches import MUCH_MOVED, is_late
+from .batches import LARGE_INPUT_BYTES, is_late
 
 if TYPE_CHECKING:
     import random
@@ -33,20 +33,20 @@
 #: makers for each data centre, on average, from which a service's makers are divided,
 #: and below which they are put together again; apart, so that one maker that comes and
 #: goes does not change all owners
-DIVIDED_FROM = 1.5
-UNDIVIDED_BELOW = 1.0
+PARTITION_FROM = 1.5
+MERGE_BELOW = 1.0
 #: share of the strongest instance's capacity below which they are put together again
-UNDIVIDED_SHARE = 0.5
+MERGE_CAPACITY_SHARE = 0.5
 #: pieces of a bundle, about
 BUNDLE_PIECES = 5
 #: seconds by which makers in another data centre must be sooner
-FAR_SECONDS = 0.05
+REMOTE_PENALTY_SECONDS = 0.05
 #: the same for a bundle whose inputs would cross data centres, which is paid for
-FAR_SECONDS_MOVED = 0.3
+LARGE_INPUT_PENALTY_SECONDS = 0.3
 #: seconds by which a near queue must be longer than a far one for every bundle to go
 #: there. All instances hear of the same queues, a moment late: were each to choose the
 #: shorter one, it would be the longer one by then
-CERTAIN_GAP = 0.4
+CERTAIN_MOVE_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -106,11 +106,11 @@
     def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         if not view.capacity or len(view.makers) < 2:
             return False
-        share = sum(view.makers.values()) / len(view.makers)
+        mean_makers = sum(view.makers.values()) / len(view.makers)
         if before:
-            weak = view.load > view.capacity * UNDIVIDED_SHARE
-            return weak and share >= UNDIVIDED_BELOW
-        return view.load > view.capacity and share >= DIVIDED_FROM
+            exceeds_capacity = view.load > view.capacity * MERGE_CAPACITY_SHARE
+            return exceeds_capacity and mean_makers >= MERGE_BELOW
+        return view.load > view.capacity and mean_makers >= PARTITION_FROM
 
 
 class SingleOwnership(OwnershipPolicy):
@@ -133,14 +133,14 @@
     return makers * rate / BUNDLE_PIECES
 
 
-def find_owning_data_centre(place: str, homes: Collection[str]) -> str:
+def find_owning_data_centre(data_centre: str, homes: Collection[str]) -> str:
     """Return the data centre whose instances own the makers of ``place``.
 
     Makers in a data centre without instances are owned from another one.
     """
-    if place in homes or not homes:
-        return place
-    return min(homes, key=lambda one: (compute_weight(one, place), one))
+    if data_centre in homes or not homes:
+        return data_centre
+    return min(homes, key=lambda one: (compute_weight(one, data_centre), one))
 
 
 def choose_group(
@@ -158,23 +158,23 @@
     :param views: at least one
     """
     late = profile is not None and is_late(bundle, len(bundle.pieces), profile, now)
-    near = next(
+    local = next(
         (one for one in views if one.group.data_centre == bundle.data_centre), None
     )
-    others = [one for one in views if one is not near]
-    if near is None:
+    others = [one for one in views if one is not local]
+    if local is None:
         return min(others, key=lambda one: _find_wait(one, late)).group
     if not others:
-        return near.group
-    moved = bundle.moved_bytes >= MUCH_MOVED
-    if moved and not late and _is_on_time(near, bundle, profile, now):
-        return near.group
+        return local.group
+    moved = bundle.moved_bytes >= LARGE_INPUT_BYTES
+    if moved and not late and _is_on_time(local, bundle, profile, now):
+        return local.group
     best = min(others, key=lambda one: _find_wait(one, late))
-    gap = _find_wait(near, late) - _find_wait(best, late)
-    gap -= FAR_SECONDS_MOVED if moved else FAR_SECONDS
-    if random_source.random() * CERTAIN_GAP < gap:
+    gap = _find_wait(local, late) - _find_wait(best, late)
+    gap -= LARGE_INPUT_PENALTY_SECONDS if moved else REMOTE_PENALTY_SECONDS
+    if random_source.random() * CERTAIN_MOVE_SECONDS < gap:
         return best.group
-    return near.group
+    return local.group
 
 
 def _find_wait(view: GroupView, late: bool) -> float:
--- a/packages/greengagelatch/src/greengagelatch/relay/idle_connections.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/idle_connections.py
@@ -10,9 +10,9 @@
 #: fewer while its queue is long, and those in use need the rest
 IDLE_SHARE = 0.4
 #: idle connections that are of use to one instance at the most
-MOST_KEPT = 4
+MAX_IDLE = 4
 #: number of different weights
-WEIGHTS = 2**64
+WEIGHT_RANGE = 2**64
 
 
 def count_idle_connections(
@@ -29,8 +29,8 @@
     :param instances: instances that may have connections to it
     """
     if max_connections <= 0:
-        return MOST_KEPT
+        return MAX_IDLE
     share = max_connections * IDLE_SHARE / max(1, instances)
     if share >= 1.0:
-        return min(MOST_KEPT, int(share))
-    return int(compute_weight(instance_id, target_id) < share * WEIGHTS)
+        return min(MAX_IDLE, int(share))
+    return int(compute_weight(instance_id, target_id) < share * WEIGHT_RANGE)
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -21,22 +21,22 @@
 
 #: a target is out after two failures in a row: with three targets, a third of all
 #: requests find out about one that is lost, so each further sample is dear
-BREAKER = BreakerRule(failures=2, first_pause=1.0, longest_pause=4.0)
+BREAKER_RULE = BreakerRule(failures=2, first_pause=1.0, longest_pause=4.0)
 #: seconds after which a target's own word about its load counts for nothing
-REPORT_LIFE = 1.0
+REPORT_TTL_SECONDS = 1.0
 #: the same where it matters only whether it was nearly full
-PLACES_LIFE = 3.0
+SLOTS_REPORT_TTL_SECONDS = 3.0
 #: share of an engine's places up to which it is taken to have free ones
-FREE_SHARE = 0.5
+FREE_SLOTS_SHARE = 0.5
 #: share of a slot by which a target in another data centre seems fuller
-FAR_PENALTY = 0.05
+REMOTE_PENALTY = 0.05
 #: tokens whose prefill a running request delays about as much
-RUNNING_TOKENS = 60.0
+RUNNING_REQUEST_TOKENS = 60.0
 #: tokens whose reading is as dear as moving one byte of results to another data
 #: centre, by the prices of both on the sheets, and a little more for the delay
-TOKENS_PER_FAR_BYTE = 0.0005
+TOKENS_PER_REMOTE_BYTE = 0.0005
 #: seconds for which a prompt part is expected to stay in an engine's memory
-PART_LIFE = 20.0
+PART_TTL_SECONDS = 20.0
 #: prompt parts remembered for one engine
 MAX_PARTS = 2048
 
@@ -75,9 +75,9 @@
     """Chooses among the targets that are listed, and learns from outcomes."""
 
     def __init__(
-        self, *, book: TargetTable, data_centre: str, random_source: random.Random
+        self, *, table: TargetTable, data_centre: str, random_source: random.Random
     ) -> None:
-        self._book = book
+        self._table = table
         self._data_centre = data_centre
         self._random = random_source
         self._states: dict[Incarnation, _TargetState] = {}
@@ -89,7 +89,7 @@
         candidates = self._list_candidates(service, excluded, now)
         if not candidates:
             return None
-        return min(candidates, key=lambda one: self._rate_plain(one, now))
+        return min(candidates, key=lambda one: self._score_target(one, now))
 
     def choose_engine(
         self,
@@ -109,14 +109,19 @@
         candidates = self._list_candidates(service, excluded, now)
         if not candidates:
             return None
-        home = _find_home(need.prompt, candidates)
-        return min(candidates, key=lambda one: self._rate_engine(one, need, home, now))
+        affinity_target = _find_affinity_target(need.prompt, candidates)
+        return min(
+            candidates,
+            key=lambda one: self._score_engine(one, need, affinity_target, now),
+        )
 
     def find_affinity_target(
         self, service: str, prompt: Prompt, now: float
     ) -> ListedTarget | None:
         """Return the engine that a prompt's shared parts should be sent to."""
-        return _find_home(prompt, self._list_candidates(service, frozenset(), now))
+        return _find_affinity_target(
+            prompt, self._list_candidates(service, frozenset(), now)
+        )
 
     def has_free_slots(self, target: ListedTarget, now: float) -> bool:
         """Whether an engine has places for what it is sent, rather than a queue.
@@ -126,32 +131,32 @@
         fleet most have told this instance nothing for seconds; then the others of its
         service must be half as full on average.
         """
-        state = self._find(target.incarnation)
-        own = _find_taken_share(state, now)
-        if own is not None:
-            return own <= FREE_SHARE
-        listed = self._book.list_service(target.service)
-        states = [self._find(one.incarnation) for one in listed]
-        shares = [_find_taken_share(one, now) for one in states]
-        told = [share for share in shares if share is not None]
-        return bool(told) and sum(told) / len(told) <= FREE_SHARE / 2
+        state = self._find_state(target.incarnation)
+        own_share = _find_occupancy(state, now)
+        if own_share is not None:
+            return own_share <= FREE_SLOTS_SHARE
+        listed = self._table.list_service(target.service)
+        states = [self._find_state(one.incarnation) for one in listed]
+        shares = [_find_occupancy(one, now) for one in states]
+        reported = [share for share in shares if share is not None]
+        return bool(reported) and sum(reported) / len(reported) <= FREE_SLOTS_SHARE / 2
 
     def start(self, incarnation: Incarnation, tokens: float = 0.0) -> None:
         """Count a request that is being sent."""
-        state = self._find(incarnation)
+        state = self._find_state(incarnation)
         state.in_flight += 1
         state.pending_tokens += tokens
 
     def finish_prefill(self, incarnation: Incarnation, tokens: float) -> None:
         """Take in that an engine has read a request's prompt."""
-        state = self._find(incarnation)
+        state = self._find_state(incarnation)
         state.pending_tokens = max(0.0, state.pending_tokens - tokens)
 
     def finish(self, incarnation: Incarnation) -> None:
         """Count out a request."""
-        state = self._find(incarnation)
+        state = self._find_state(incarnation)
         state.in_flight = max(0, state.in_flight - 1)
-        if not state.in_flight and not self._book.is_available(incarnation):
+        if not state.in_flight and not self._table.is_available(incarnation):
             # the last word of one that is gone must not bring its state back: each
             # restart would use more memory
             self.forget(incarnation)
@@ -160,7 +165,7 @@
         self, incarnation: Incarnation, prompt: Prompt, now: float
     ) -> None:
         """Remember what an engine has read for a request."""
-        parts = self._find(incarnation).parts
+        parts = self._find_state(incarnation).parts
         for part in prompt.shared_parts:
             parts.pop(part.part_id, None)
             parts[part.part_id] = now
@@ -169,17 +174,17 @@
 
     def record_success(self, incarnation: Incarnation) -> None:
         """Take in an answer."""
-        self._find(incarnation).breaker.note_success()
+        self._find_state(incarnation).breaker.note_success()
 
     def record_failure(self, incarnation: Incarnation, now: float) -> None:
         """Take in a failure that is the target's doing."""
-        self._find(incarnation).breaker.note_failure(now)
+        self._find_state(incarnation).breaker.note_failure(now)
 
     def record_load_report(
         self, incarnation: Incarnation, report: LoadReport, now: float
     ) -> None:
         """Take in a target's own word about its load."""
-        state = self._find(incarnation)
+        state = self._find_state(incarnation)
         state.report = report
         state.reported = now
 
@@ -187,7 +192,7 @@
         self, incarnation: Incarnation, prompt: Prompt, now: float
     ) -> float:
         """Return the prompt tokens that an engine does not seem to keep."""
-        return _count_tokens(self._find(incarnation).parts, prompt, now)
+        return _count_tokens(self._find_state(incarnation).parts, prompt, now)
 
     def forget(self, incarnation: Incarnation) -> None:
         """Drop what is known of a target that is gone."""
@@ -205,82 +210,89 @@
             for incarnation, state in self._states.items()
         }
 
-    def _find(self, incarnation: Incarnation) -> _TargetState:
+    def _find_state(self, incarnation: Incarnation) -> _TargetState:
         state = self._states.get(incarnation)
         if state is None:
-            state = _TargetState(Breaker(BREAKER, self._random))
+            state = _TargetState(Breaker(BREAKER_RULE, self._random))
             self._states[incarnation] = state
         return state
 
     def _list_candidates(
         self, service: str, excluded: frozenset[Incarnation], now: float
     ) -> list[ListedTarget]:
-        listed = self._book.list_service(service)
+        listed = self._table.list_service(service)
         breakers = [
-            (one.incarnation, self._find(one.incarnation).breaker) for one in listed
+            (one.incarnation, self._find_state(one.incarnation).breaker)
+            for one in listed
         ]
-        ejected = find_ejected(breakers, BREAKER, now)
+        ejected = find_ejected(breakers, BREAKER_RULE, now)
         left = list(listed)
         if excluded:
             left = [one for one in left if one.incarnation not in excluded]
         if not ejected:
             return left
-        sound = [one for one in left if one.incarnation not in ejected]
-        return sound or left
+        healthy = [one for one in left if one.incarnation not in ejected]
+        return healthy or left
 
-    def _rate_plain(self, target: ListedTarget, now: float) -> tuple[float, float]:
-        state = self._find(target.incarnation)
-        held = state.in_flight + self._count_others(state, now)
-        far = 0.0 if target.data_centre == self._data_centre else FAR_PENALTY
-        return held / max(1, target.slots) + far, self._random.random()
+    def _score_target(self, target: ListedTarget, now: float) -> tuple[float, float]:
+        state = self._find_state(target.incarnation)
+        requests = state.in_flight + self._count_other_requests(state, now)
+        remote = 0.0 if target.data_centre == self._data_centre else REMOTE_PENALTY
+        return requests / max(1, target.slots) + remote, self._random.random()
 
-    def _rate_engine(
+    def _score_engine(
         self,
         target: ListedTarget,
         need: EngineDemand,
-        home: ListedTarget | None,
+        affinity_target: ListedTarget | None,
         now: float,
     ) -> tuple[float, float]:
-        state = self._find(target.incarnation)
+        state = self._find_state(target.incarnation)
         tokens = _count_tokens(state.parts, need.prompt, now)
-        if target is home:
+        if target is affinity_target:
             # others will have sent the parts there, whatever this instance saw
             shared = sum(part.tokens for part in need.prompt.shared_parts)
             tokens = min(tokens, need.prompt.tokens_in - shared)
-        running = state.in_flight + self._count_others(state, now)
-        far = sum(
+        running = state.in_flight + self._count_other_requests(state, now)
+        remote = sum(
             size
             for data_centre, size in need.result_bytes.items()
             if data_centre != target.data_centre
         )
-        cost = tokens + state.pending_tokens + running * RUNNING_TOKENS
-        return cost + far * TOKENS_PER_FAR_BYTE, self._random.random()
+        cost = tokens + state.pending_tokens + running * RUNNING_REQUEST_TOKENS
+        return cost + remote * TOKENS_PER_REMOTE_BYTE, self._random.random()
 
-    def _count_others(self, state: _TargetState, now: float) -> float:
-        if state.report is None or now - state.reported > REPORT_LIFE:
+    def _count_other_requests(self, state: _TargetState, now: float) -> float:
+        if state.report is None or now - state.reported > REPORT_TTL_SECONDS:
             return 0.0
-        told = state.report.running + state.report.waiting
-        return max(0.0, float(told - state.in_flight))
+        reported = state.report.running + state.report.waiting
+        return max(0.0, float(reported - state.in_flight))
 
 
-def _find_taken_share(state: _TargetState, now: float) -> float | None:
+def _find_occupancy(state: _TargetState, now: float) -> float | None:
     """Return the share of an engine's places that are taken; ``None`` if not told."""
     report = state.report
-    if report is None or now - state.reported > PLACES_LIFE or report.slots <= 0:
+    if (
+        report is None
+        or now - state.reported > SLOTS_REPORT_TTL_SECONDS
+        or report.slots <= 0
+    ):
         return None
     return max(report.running + report.waiting, state.in_flight) / report.slots
 
 
 def _count_tokens(parts: Mapping[str, float], prompt: Prompt, now: float) -> float:
-    kept = 0
+    cached = 0
     for part in prompt.shared_parts:
-        if now - parts.get(part.part_id, -PART_LIFE) >= PART_LIFE:
+        if now - parts.get(part.part_id, -PART_TTL_SECONDS) >= PART_TTL_SECONDS:
             break
-        kept += part.tokens
-    return max(0.0, prompt.tokens_in - kept)
+        cached += part.tokens
+    return max(0.0, prompt.tokens_in - cached)
 
 
-def _find_home(prompt: Prompt, candidates: list[ListedTarget]) -> ListedTarget | None:
+def _find_affinity_target(
+    prompt: Prompt, candidates: list[ListedTarget]
+) -> ListedTarget | None:
     if not prompt.shared_parts or not candidates:
         return None
     last = prompt.shared_parts[-1].part_id
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -309,10 +309,10 @@
     :raises ValueError: if they can't be used
     """
     check_type(row, (tuple, list))
-    target_id, born = row
+    target_id, started_ms = row
     check_type(target_id, str)
-    check_type(born, int)
-    if isinstance(born, bool) or born < 0:
+    check_type(started_ms, int)
+    if isinstance(started_ms, bool) or started_ms < 0:
         raise ValueError("a start is a whole number from 0 on")
 
 
--- a/packages/greengagelatch/src/greengagelatch/relay/owners.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/owners.py
@@ -15,7 +15,7 @@
 __all__ = ("rank_owners",)
 
 #: share of the greatest capacity of all from which an instance is as good as any
-STRONG_SHARE = 0.5
+LARGE_CAPACITY_SHARE = 0.5
 
 
 def rank_owners(group: MakerGroup, members: Collection[Member]) -> tuple[str, ...]:
@@ -31,12 +31,14 @@
     All instances that know the same others agree without a word, and one that
     comes or goes moves only the groups that it owns.
     """
-    near = [one for one in members if one.data_centre == group.data_centre]
-    chosen = near or members
-    strong = max((one.capacity for one in chosen), default=0) * STRONG_SHARE
+    local = [one for one in members if one.data_centre == group.data_centre]
+    candidates = local or members
+    min_capacity = (
+        max((one.capacity for one in candidates), default=0) * LARGE_CAPACITY_SHARE
+    )
 
-    def rate(one: Member) -> tuple[bool, int, str]:
-        weak = one.capacity < strong
-        return weak, compute_weight(one.instance_id, group.service), one.instance_id
+    def compute_sort_key(one: Member) -> tuple[bool, int, str]:
+        is_small = one.capacity < min_capacity
+        return is_small, compute_weight(one.instance_id, group.service), one.instance_id
 
-    return tuple(one.instance_id for one in sorted(chosen, key=rate))
+    return tuple(one.instance_id for one in sorted(candidates, key=compute_sort_key))
--- a/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
@@ -7,7 +7,7 @@
 #: share of the room that is used: sizes of results are approximate
 USED_SHARE = 0.97
 #: seconds for which a maker's room is taken to be filled by others
-FOREIGN_SECONDS = 0.5
+REFUSAL_SECONDS = 0.5
 
 
 class ResultMemory:
@@ -18,22 +18,22 @@
     fixed cost is lost.
     """
 
-    def __init__(self, size: int, keep_seconds: float) -> None:
+    def __init__(self, size: int, retention_seconds: float) -> None:
         self._size = size * USED_SHARE
-        self._keep_seconds = keep_seconds
+        self._retention_seconds = retention_seconds
         self._reserved = 0.0
         #: bytes that others must hold, and until when that is believed
-        self._foreign = 0.0
-        self._foreign_until = 0.0
+        self._occupied_by_others = 0.0
+        self._occupied_until = 0.0
         #: bytes of each result and when it lapses, those that lapse first in front
-        self._held: dict[str, tuple[int, float]] = {}
-        self._held_bytes = 0
+        self._results: dict[str, tuple[int, float]] = {}
+        self._result_bytes = 0
 
     def find_free(self, now: float) -> float:
         """Return the bytes that are free."""
-        self._drop_lapsed(now)
-        foreign = self._foreign if now < self._foreign_until else 0.0
-        return self._size - self._reserved - self._held_bytes - foreign
+        self._expire(now)
+        occupied = self._occupied_by_others if now < self._occupied_until else 0.0
+        return self._size - self._reserved - self._result_bytes - occupied
 
     def reserve(self, size: int) -> None:
         """Take room for a call that begins."""
@@ -43,7 +43,7 @@
         """Turn a call's reservation into the results that it made."""
         self._reserved = max(0.0, self._reserved - size)
         for handle, result_size in results.items():
-            self._hold(handle, result_size, now + self._keep_seconds)
+            self._hold(handle, result_size, now + self._retention_seconds)
 
     def record_refusal(self, now: float) -> None:
         """Take in that there was no room: results of others fill it.
@@ -52,26 +52,26 @@
         one. Going on with calls that are refused would cost more than waiting until
         some of these have lapsed.
         """
-        self._foreign += max(0.0, self.find_free(now))
-        self._foreign_until = now + FOREIGN_SECONDS
+        self._occupied_by_others += max(0.0, self.find_free(now))
+        self._occupied_until = now + REFUSAL_SECONDS
 
     def hold_unidentified(self, name: str, size: int, until: float) -> None:
         """Count results whose handles were lost on the way, until they lapse."""
-        self._hold(name, size, until + self._keep_seconds)
+        self._hold(name, size, until + self._retention_seconds)
 
     def release(self, handle: str) -> None:
         """Give back a result's room."""
-        size, _ = self._held.pop(handle, (0, 0.0))
-        self._held_bytes -= size
+        size, _ = self._results.pop(handle, (0, 0.0))
+        self._result_bytes -= size
 
     def _hold(self, name: str, size: int, until: float) -> None:
         self.release(name)
-        self._held[name] = (size, until)
-        self._held_bytes += size
+        self._results[name] = (size, until)
+        self._result_bytes += size
 
-    def _drop_lapsed(self, now: float) -> None:
-        while self._held:
-            handle, (_, until) = next(iter(self._held.items()))
+    def _expire(self, now: float) -> None:
+        while self._results:
+            handle, (_, until) = next(iter(self._results.items()))
             if until > now:
                 return
             self.release(handle)
--- a/packages/greengagelatch/src/greengagelatch/relay/store_followers.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/store_followers.py
@@ -9,15 +9,15 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("SMALL_FLEET", "choose_followers")
+__all__ = ("ALL_FOLLOW_LIMIT", "choose_followers")
 
 #: instances up to which all of them follow the store
-SMALL_FLEET = 12
+ALL_FOLLOW_LIMIT = 12
 #: instances of one data centre that follow it in a larger fleet: one may be lost or
 #: stand still, and the other goes on
-PER_DATA_CENTRE = 2
+FOLLOWERS_PER_DATA_CENTRE = 2
 #: what the choice is about; each duty falls to other instances
-DUTY = "store"
+ROLE = "store"
 
 
 def choose_followers(instances: Mapping[str, str]) -> frozenset[str]:
@@ -30,13 +30,13 @@
 
     :param instances: data centre by instance id
     """
-    if len(instances) <= SMALL_FLEET:
+    if len(instances) <= ALL_FOLLOW_LIMIT:
         return frozenset(instances)
-    by_place: dict[str, list[str]] = {}
-    for instance_id, place in instances.items():
-        by_place.setdefault(place, []).append(instance_id)
+    by_data_centre: dict[str, list[str]] = {}
+    for instance_id, data_centre in instances.items():
+        by_data_centre.setdefault(data_centre, []).append(instance_id)
     chosen: set[str] = set()
-    for ids in by_place.values():
-        ids.sort(key=lambda one: (compute_weight(one, DUTY), one))
-        chosen.update(ids[:PER_DATA_CENTRE])
+    for ids in by_data_centre.values():
+        ids.sort(key=lambda one: (compute_weight(one, ROLE), one))
+        chosen.update(ids[:FOLLOWERS_PER_DATA_CENTRE])
     return frozenset(chosen)
--- a/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
@@ -31,11 +31,11 @@
         return None
     if not all(isinstance(one, kind) for one, kind in zip(row, kinds, strict=True)):
         return None
-    target_id, born, service, address, data_centre, slots, leaving, revision = row
-    if isinstance(born, bool) or born < 0:
+    target_id, started_ms, service, address, data_centre, slots, leaving, revision = row
+    if isinstance(started_ms, bool) or started_ms < 0:
         return None
     return ListedTarget(
-        incarnation=Incarnation(target_id, born),
+        incarnation=Incarnation(target_id, started_ms),
         service=service,
         address=address,
         data_centre=data_centre,
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -16,7 +16,7 @@
 #: it was away are written again by targets that live
 REREGISTRATION_SECONDS = 2.0
 #: targets that left, and ids whose newest incarnation is known, that are remembered
-MAX_LEFT = 4096
+MAX_REMEMBERED = 4096
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -53,7 +53,7 @@
         self._targets: dict[str, ListedTarget] = {}
         #: what was last read of each id, also of those that are not listed any more
         self._newest: dict[str, ListedTarget] = {}
-        self._left: dict[Incarnation, None] = {}
+        self._departed: dict[Incarnation, None] = {}
         self._services: dict[str, tuple[ListedTarget, ...]] = {}
 
     def __len__(self) -> int:
@@ -136,10 +136,10 @@
         known = self._targets.get(target.target_id)
         if known is not None and known.revision > target.revision:
             return False
-        if target.incarnation in self._left and not target.leaving:
+        if target.incarnation in self._departed and not target.leaving:
             return False
         if target.leaving:
-            self._remember_left(target.incarnation)
+            self._remember_departed(target.incarnation)
         self._targets[target.target_id] = target
         self._remember_newest(target)
         self._services.clear()
@@ -160,20 +160,20 @@
             return False
         del self._targets[incarnation.target_id]
         if not lapsed:
-            self._remember_left(incarnation)
+            self._remember_departed(incarnation)
         self._services.clear()
         return True
 
-    def _remember_left(self, incarnation: Incarnation) -> None:
-        self._left[incarnation] = None
-        if len(self._left) > MAX_LEFT:
-            del self._left[next(iter(self._left))]
+    def _remember_departed(self, incarnation: Incarnation) -> None:
+        self._departed[incarnation] = None
+        if len(self._departed) > MAX_REMEMBERED:
+            del self._departed[next(iter(self._departed))]
 
     def _remember_newest(self, target: ListedTarget) -> None:
         # to the end, so that those unheard of for the longest time are dropped first
         self._newest.pop(target.target_id, None)
         self._newest[target.target_id] = target
-        if len(self._newest) <= MAX_LEFT:
+        if len(self._newest) <= MAX_REMEMBERED:
             return
         for target_id in self._newest:
             if target_id not in self._targets:
--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -6,7 +6,7 @@
 
 from greengagelatch.relay.admission import AdmitAll, DeadlineAdmission, RequestEstimate
 
-CALM = RequestEstimate(
+ESTIMATE = RequestEstimate(
     total_wait=0.0,
     urgent_wait=0.0,
     service_time=0.9,
@@ -14,23 +14,25 @@
     objective_remaining=1.9,
     elapsed_share=0.0,
 )
-RULE = DeadlineAdmission()
+POLICY = DeadlineAdmission()
 
 
 def test_request_that_can_be_on_time_is_begun():
-    assert RULE.decide(CALM).admitted
-    assert RULE.decide(replace(CALM, total_wait=3.0, urgent_wait=0.85)).admitted
+    assert POLICY.decide(ESTIMATE).admitted
+    assert POLICY.decide(replace(ESTIMATE, total_wait=3.0, urgent_wait=0.85)).admitted
 
 
 def test_newcomer_that_would_be_on_time_by_a_hair_comes_back():
     """Guards against queues in which half of all are late by a tenth of a second."""
-    assert not RULE.decide(replace(CALM, total_wait=0.95, urgent_wait=0.95)).admitted
+    assert not POLICY.decide(
+        replace(ESTIMATE, total_wait=0.95, urgent_wait=0.95)
+    ).admitted
 
 
 def test_newcomer_that_would_be_late_comes_back():
-    decision = RULE.decide(replace(CALM, total_wait=1.5, urgent_wait=1.5))
+    decision = POLICY.decide(replace(ESTIMATE, total_wait=1.5, urgent_wait=1.5))
     assert not decision.admitted
-    assert 0 < decision.retry_after <= CALM.remaining / 3
+    assert 0 < decision.retry_after <= ESTIMATE.remaining / 3
 
 
 def test_caller_that_came_back_is_begun_though_late():
@@ -41,14 +43,14 @@
     Cause: nobody asked whether it had been sent away before.
     """
     returned = replace(
-        CALM,
+        ESTIMATE,
         total_wait=1.5,
         urgent_wait=1.2,
         remaining=4.0,
         objective_remaining=0.1,
         elapsed_share=0.3,
     )
-    assert RULE.decide(returned).admitted
+    assert POLICY.decide(returned).admitted
 
 
 def test_those_that_will_be_late_fill_a_part_of_the_queue_only():
@@ -59,25 +61,27 @@
     Cause: what is worth little by now took the place of what is worth all.
     """
     returned = replace(
-        CALM,
+        ESTIMATE,
         total_wait=2.5,
         urgent_wait=1.2,
         remaining=4.0,
         objective_remaining=0.1,
         elapsed_share=0.3,
     )
-    assert not RULE.decide(returned).admitted
-    assert RULE.decide(replace(CALM, total_wait=2.5, urgent_wait=0.85)).admitted
+    assert not POLICY.decide(returned).admitted
+    assert POLICY.decide(replace(ESTIMATE, total_wait=2.5, urgent_wait=0.85)).admitted
 
 
 def test_what_can_not_be_answered_in_time_is_refused_at_once():
-    decision = RULE.decide(replace(CALM, total_wait=5.5, urgent_wait=5.5))
+    decision = POLICY.decide(replace(ESTIMATE, total_wait=5.5, urgent_wait=5.5))
     assert not decision.admitted
 
 
 def test_late_request_is_begun_where_hardly_anything_waits():
-    assert RULE.decide(replace(CALM, objective_remaining=0.1, total_wait=0.2)).admitted
+    assert POLICY.decide(
+        replace(ESTIMATE, objective_remaining=0.1, total_wait=0.2)
+    ).admitted
 
 
 def test_baseline_begins_everything():
-    assert AdmitAll().decide(replace(CALM, total_wait=60.0)).admitted
+    assert AdmitAll().decide(replace(ESTIMATE, total_wait=60.0)).admitted
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from greengagelatch.relay.batches import (
-    LAPSE_CHANCE,
-    LAST_CHANCE,
+    DEADLINE_MARGIN_SECONDS,
+    EXPIRY_MARGIN_SECONDS,
     CrossRequestBatching,
     MakerView,
     PerRequestBatching,
@@ -97,8 +97,8 @@
     }
     bundles = [create_bundle(name, 6) for name in "abc"]
     served = plan(bundles, makers)
-    placed = [name for names in served.values() for name in names]
-    assert sorted(placed) == ["a"] * 6 + ["b"] * 6 + ["c"] * 6
+    ready = [name for names in served.values() for name in names]
+    assert sorted(ready) == ["a"] * 6 + ["b"] * 6 + ["c"] * 6
 
 
 def test_each_bundle_has_its_own_call_where_makers_are_idle():
@@ -140,8 +140,8 @@
     Cause: the oldest went first, although nothing was to be won by it any more.
     """
     late = create_bundle("late", 10, aim=NOW + 0.1)
-    fresh = create_bundle("fresh", 10, aim=NOW + 0.6)
-    calls = plan([late, fresh], [create_maker()])
+    on_time = create_bundle("fresh", 10, aim=NOW + 0.6)
+    calls = plan([late, on_time], [create_maker()])
     assert calls["m-1"][:10] == ["fresh"] * 10
 
 
@@ -151,10 +151,10 @@
     Sequence: newcomers that can be on time go first, one after the other.
     Cause: what is late waited without a bound.
     """
-    latest = NOW + LAST_CHANCE - 0.01
+    latest = NOW + DEADLINE_MARGIN_SECONDS - 0.01
     late = create_bundle("late", 10, aim=NOW - 1.0, latest=latest)
-    fresh = create_bundle("fresh", 10, aim=NOW + 0.6)
-    calls = plan([fresh, late], [create_maker()])
+    on_time = create_bundle("fresh", 10, aim=NOW + 0.6)
+    calls = plan([on_time, late], [create_maker()])
     assert calls["m-1"][:10] == ["late"] * 10
 
 
@@ -170,10 +170,10 @@
         10,
         aim=NOW - 1.0,
         latest=NOW + 9.0,
-        inputs_until=NOW + LAPSE_CHANCE - 0.01,
+        inputs_until=NOW + EXPIRY_MARGIN_SECONDS - 0.01,
     )
-    fresh = create_bundle("fresh", 10, aim=NOW + 0.6)
-    calls = plan([fresh, late], [create_maker()])
+    on_time = create_bundle("fresh", 10, aim=NOW + 0.6)
+    calls = plan([on_time, late], [create_maker()])
     assert calls["m-1"][:10] == ["late"] * 10
 
 
@@ -194,24 +194,26 @@
 
 
 def test_bundle_that_reads_much_waits_for_a_near_maker():
-    near = create_maker("near", free_at=NOW + 0.2)
+    makers_by_data_centre = create_maker("near", free_at=NOW + 0.2)
     far = create_maker("far", data_centre="south")
     bundle = create_bundle("a", 6, moved_bytes=2_000_000)
-    assert plan([bundle], [near, far]) == {}
+    assert plan([bundle], [makers_by_data_centre, far]) == {}
 
 
 def test_bundle_that_reads_much_does_not_wait_beyond_its_aim():
-    near = create_maker("near", free_at=NOW + 0.2)
+    makers_by_data_centre = create_maker("near", free_at=NOW + 0.2)
     far = create_maker("far", data_centre="south")
     bundle = create_bundle("a", 6, moved_bytes=2_000_000, aim=NOW + 0.3)
-    assert plan([bundle], [near, far]) == {"far": ["a"] * 6}
+    assert plan([bundle], [makers_by_data_centre, far]) == {"far": ["a"] * 6}
 
 
 def test_near_bundle_goes_first_at_a_maker():
-    much = 2_000_000
-    far = create_bundle("far", 16, data_centre="south", aim=NOW + 5.0, moved_bytes=much)
-    near = create_bundle("near", 16, aim=NOW + 5.1, moved_bytes=much)
-    calls = plan([far, near], [create_maker()])
+    large = 2_000_000
+    far = create_bundle(
+        "far", 16, data_centre="south", aim=NOW + 5.0, moved_bytes=large
+    )
+    makers_by_data_centre = create_bundle("near", 16, aim=NOW + 5.1, moved_bytes=large)
+    calls = plan([far, makers_by_data_centre], [create_maker()])
     assert calls["m-1"][0] == "near"
 
 
@@ -230,8 +232,8 @@
         create_bundle(f"r-{number:03}", 17, aim=NOW + number / 100, latest=NOW + 2.0)
         for number in range(12)
     ]
-    hopeless = find_names(bundles, [create_maker()])
-    assert hopeless == [f"r-{number:03}" for number in range(4, 12)]
+    infeasible = find_names(bundles, [create_maker()])
+    assert infeasible == [f"r-{number:03}" for number in range(4, 12)]
     assert find_names(bundles, [create_maker(f"m-{n}") for n in range(4)]) == []
 
 
--- a/tests/test_core/test_relay/test_crash_storms.py
+++ b/tests/test_core/test_relay/test_crash_storms.py
@@ -17,30 +17,30 @@
 #: seconds of a day
 LENGTH = 60.0
 #: seconds after which an engine that ended is back
-BACK = 3.0
+RESTART_SECONDS = 3.0
 #: seconds from the end of an engine until all instances know of it
-HEARD = 0.3
+REPORT_SECONDS = 0.3
 #: seconds for which a sound request waits on an engine, and then runs
-WAITS, RUNS = 0.4, 0.3
+MAX_WAIT, MAX_RUN = 0.4, 0.3
 #: seconds after it began in which the request that ends engines does so
-BEGINS = (0.02, 0.12)
-SOUND_PER_SECOND = 25.0
+CRASH_DELAY = (0.02, 0.12)
+HARMLESS_PER_SECOND = 25.0
 BAD_PER_SECOND = 2.0
 #: engines that an attempt goes to, and attempts of a caller
 SENDS, ATTEMPTS = 2, 2
 #: seconds after the third end in which all must know, and arrivals after that
-KNOWN_WITHIN, STRAYS = 3.0, 3
+DETECTION_SECONDS, MAX_LATE_ARRIVALS = 3.0, 3
 
 
 @dataclass
 class Engine:
     incarnation: Incarnation
-    on_it: dict[int, Sent] = field(default_factory=dict)
-    lives: bool = True
+    running: dict[int, SentRequest] = field(default_factory=dict)
+    is_alive: bool = True
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request on an engine."""
 
     digest: str
@@ -60,18 +60,18 @@
         self.events: list[tuple[float, int, tuple]] = []
         self.engines: list[Engine] = []
         self.now = 0.0
-        self.refused_sound = 0
+        self.refused_harmless = 0
         self.answered = 0
-        self.ended_by_bad: list[float] = []
+        self.crash_times: list[float] = []
         self.bad_arrivals: list[float] = []
 
     def run(self) -> None:
         for _ in range(ENGINES):
             self.start_engine()
-        self.come(BAD_PER_SECOND, self.come_bad)
-        self.come(SOUND_PER_SECOND, self.come_sound)
+        self.schedule_arrivals(BAD_PER_SECOND, self.send_bad)
+        self.schedule_arrivals(HARMLESS_PER_SECOND, self.send_harmless)
         if self.crashes:
-            self.come(self.crashes, self.crash_one)
+            self.schedule_arrivals(self.crashes, self.crash_random)
         while self.events:
             self.now, _, (action, *arguments) = heapq.heappop(self.events)
             if self.now > LENGTH:
@@ -81,103 +81,103 @@
     def after(self, seconds: float, *event) -> None:
         heapq.heappush(self.events, (self.now + seconds, next(self.numbers), event))
 
-    def come(self, rate: float, action) -> None:
-        self.after(self.random.expovariate(rate), self.come_once, rate, action)
+    def schedule_arrivals(self, rate: float, action) -> None:
+        self.after(self.random.expovariate(rate), self.arrive, rate, action)
 
-    def come_once(self, rate: float, action) -> None:
+    def arrive(self, rate: float, action) -> None:
         action()
-        self.come(rate, action)
+        self.schedule_arrivals(rate, action)
 
     def start_engine(self) -> None:
         name = Incarnation(f"e{next(self.numbers)}")
         self.engines.append(Engine(name))
 
-    def come_bad(self) -> None:
-        self.send(Sent(BAD, 1, ATTEMPTS))
+    def send_bad(self) -> None:
+        self.send(SentRequest(BAD, 1, ATTEMPTS))
 
-    def come_sound(self) -> None:
-        self.send(Sent(f"s{next(self.numbers)}", 1, 1))
+    def send_harmless(self) -> None:
+        self.send(SentRequest(f"s{next(self.numbers)}", 1, 1))
 
-    def send(self, sent: Sent) -> None:
+    def send(self, sent: SentRequest) -> None:
         if self.quarantine.find_quarantine_seconds(sent.digest, self.now) is not None:
-            self.refused_sound += sent.digest != BAD
+            self.refused_harmless += sent.digest != BAD
             return
-        living = [engine for engine in self.engines if engine.lives]
-        if not living:
+        alive = [engine for engine in self.engines if engine.is_alive]
+        if not alive:
             return
-        engine = self.random.choice(living)
+        engine = self.random.choice(alive)
         number = next(self.numbers)
-        engine.on_it[number] = sent
-        waits = self.random.uniform(0, WAITS)
+        engine.running[number] = sent
+        waits = self.random.uniform(0, MAX_WAIT)
         if sent.digest == BAD:
             self.bad_arrivals.append(self.now)
-            begins = self.random.uniform(*BEGINS)
-            self.after(waits + begins, self.end_by_bad, engine, number)
+            begins = self.random.uniform(*CRASH_DELAY)
+            self.after(waits + begins, self.crash_by_bad, engine, number)
         else:
-            runs = self.random.uniform(0, RUNS)
+            runs = self.random.uniform(0, MAX_RUN)
             self.after(waits + runs, self.answer, engine, number)
 
     def answer(self, engine: Engine, number: int) -> None:
-        sent = engine.on_it.pop(number, None)
+        sent = engine.running.pop(number, None)
         if sent is not None:
             self.answered += 1
             self.quarantine.record_survival(sent.digest, self.now)
 
-    def end_by_bad(self, engine: Engine, number: int) -> None:
-        if number in engine.on_it:
-            self.ended_by_bad.append(self.now)
-            self.end(engine)
+    def crash_by_bad(self, engine: Engine, number: int) -> None:
+        if number in engine.running:
+            self.crash_times.append(self.now)
+            self.crash(engine)
 
-    def crash_one(self) -> None:
-        living = [engine for engine in self.engines if engine.lives]
-        if living:
-            self.end(self.random.choice(living))
+    def crash_random(self) -> None:
+        alive = [engine for engine in self.engines if engine.is_alive]
+        if alive:
+            self.crash(self.random.choice(alive))
 
-    def end(self, engine: Engine) -> None:
-        engine.lives = False
+    def crash(self, engine: Engine) -> None:
+        engine.is_alive = False
         self.engines.remove(engine)
-        self.after(BACK, self.start_engine)
-        cut, engine.on_it = list(engine.on_it.values()), {}
-        digests = tuple(sorted({sent.digest for sent in cut}))
+        self.after(RESTART_SECONDS, self.start_engine)
+        interrupted, engine.running = list(engine.running.values()), {}
+        digests = tuple(sorted({sent.digest for sent in interrupted}))
         report = CrashReport(engine.incarnation, "llm", digests)
-        self.after(HEARD, self.quarantine_end, report)
-        for sent in cut:
-            self.send_again(sent)
+        self.after(REPORT_SECONDS, self.report_crash, report)
+        for sent in interrupted:
+            self.retry(sent)
 
-    def quarantine_end(self, report: CrashReport) -> None:
+    def report_crash(self, report: CrashReport) -> None:
         self.quarantine.record_crash(report, self.now)
         for digest in report.digests:
             # as each instance does, to tell of it
             self.quarantine.find_quarantine_seconds(digest, self.now)
 
-    def send_again(self, sent: Sent) -> None:
+    def retry(self, sent: SentRequest) -> None:
         if sent.sends < SENDS:
-            self.send(Sent(sent.digest, sent.sends + 1, sent.attempts))
+            self.send(SentRequest(sent.digest, sent.sends + 1, sent.attempts))
         elif sent.attempts < ATTEMPTS:
-            self.after(0.1, self.send, Sent(sent.digest, 1, sent.attempts + 1))
+            self.after(0.1, self.send, SentRequest(sent.digest, 1, sent.attempts + 1))
 
-    def count_strays(self) -> int:
+    def count_late_arrivals(self) -> int:
         """Return how often the request came to an engine once all had to know."""
-        if len(self.ended_by_bad) < 3:
+        if len(self.crash_times) < 3:
             return 0
-        known = self.ended_by_bad[2] + KNOWN_WITHIN
+        known = self.crash_times[2] + DETECTION_SECONDS
         return sum(moment > known for moment in self.bad_arrivals)
 
 
 @pytest.mark.parametrize("seed", range(50))
-def test_only_the_request_that_ends_engines_is_held(seed):
+def test_only_the_crashing_request_is_quarantined(seed):
     """Guards against all engines down for long, and sound requests that pay for it."""
     storm = Storm(seed)
     storm.run()
-    assert storm.count_strays() <= STRAYS
-    assert storm.refused_sound == 0
-    assert storm.answered > 0.9 * SOUND_PER_SECOND * (LENGTH - BACK) * 0.9
+    assert storm.count_late_arrivals() <= MAX_LATE_ARRIVALS
+    assert storm.refused_harmless == 0
+    assert storm.answered > 0.9 * HARMLESS_PER_SECOND * (LENGTH - RESTART_SECONDS) * 0.9
 
 
 @pytest.mark.parametrize("seed", [*range(50), 104, 380])
-def test_sound_requests_pay_for_no_end_while_engines_end_by_themselves(seed):
+def test_independent_crashes_quarantine_no_harmless_request(seed):
     """Guards against a hold by chance beside one that is due."""
     storm = Storm(seed, crashes=0.7)
     storm.run()
-    assert storm.refused_sound == 0
-    assert storm.count_strays() <= STRAYS
+    assert storm.refused_harmless == 0
+    assert storm.count_late_arrivals() <= MAX_LATE_ARRIVALS
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -21,7 +21,7 @@
 from greengagelatch.relay.queue_waits import QueueWait
 
 SERVICE = "ledger"
-PLACES = ("east", "north", "west")
+DATA_CENTRES = ("east", "north", "west")
 PROFILE = MakerProfile(
     slots=1,
     queue=2,
@@ -35,7 +35,7 @@
 
 
 def view(load: float, capacity: int, *makers: int) -> ServiceView:
-    counts = dict(zip(PLACES, makers, strict=False))
+    counts = dict(zip(DATA_CENTRES, makers, strict=False))
     return ServiceView(makers=counts, load=load, capacity=capacity)
 
 
@@ -55,10 +55,10 @@
 def create_views(**waits: float) -> list[GroupView]:
     return [
         GroupView(
-            MakerGroup(SERVICE, place),
-            QueueWait(waits.get(place, 0.0), waits.get(place, 0.0)),
+            MakerGroup(SERVICE, data_centre),
+            QueueWait(waits.get(data_centre, 0.0), waits.get(data_centre, 0.0)),
         )
-        for place in PLACES
+        for data_centre in DATA_CENTRES
     ]
 
 
@@ -103,9 +103,11 @@
 
 def test_makers_of_a_place_without_instances_have_an_owner_elsewhere():
     """Guards against makers that nobody calls."""
-    assert find_owning_data_centre("north", PLACES) == "north"
-    homes = {find_owning_data_centre(f"place-{number}", PLACES) for number in range(50)}
-    assert homes == set(PLACES)
+    assert find_owning_data_centre("north", DATA_CENTRES) == "north"
+    homes = {
+        find_owning_data_centre(f"place-{number}", DATA_CENTRES) for number in range(50)
+    }
+    assert homes == set(DATA_CENTRES)
 
 
 def test_bundle_goes_to_the_near_makers_unless_they_are_behind():
@@ -120,7 +122,7 @@
 
 
 def test_inputs_cross_data_centres_only_where_the_near_makers_are_too_late():
-    much = create_bundle(moved_bytes=4_000_000, aim=NOW + 2.0)
-    assert choose(much, create_views(north=1.0)) == {"north": 200}
-    chosen = choose(much, create_views(north=1.9))
+    large = create_bundle(moved_bytes=4_000_000, aim=NOW + 2.0)
+    assert choose(large, create_views(north=1.0)) == {"north": 200}
+    chosen = choose(large, create_views(north=1.9))
     assert chosen["north"] == 0
--- a/tests/test_core/test_relay/test_idle_connections.py
+++ b/tests/test_core/test_relay/test_idle_connections.py
@@ -6,7 +6,7 @@
 
 from greengagelatch.relay.idle_connections import (
     IDLE_SHARE,
-    MOST_KEPT,
+    MAX_IDLE,
     count_idle_connections,
 )
 
@@ -33,11 +33,11 @@
 
 
 def test_few_instances_keep_what_is_of_use():
-    assert count_idle_connections(500, 9, "entry-1", "t-1") == MOST_KEPT
+    assert count_idle_connections(500, 9, "entry-1", "t-1") == MAX_IDLE
 
 
 def test_unknown_bound_leaves_the_usual_number():
-    assert count_idle_connections(0, 195, "entry-1", "t-1") == MOST_KEPT
+    assert count_idle_connections(0, 195, "entry-1", "t-1") == MAX_IDLE
 
 
 def test_some_instances_keep_one_where_the_share_is_below_one():
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -16,11 +16,11 @@
 from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import ListedTarget, TargetTable
 
-FORMER = Incarnation("t-1", 1000)
-LATER = Incarnation("t-1", 2000)
-UNTOLD = Incarnation("t-1")
+PREVIOUS = Incarnation("t-1", 1000)
+CURRENT = Incarnation("t-1", 2000)
+WITHOUT_START = Incarnation("t-1")
 NOW = 50.0
-NOBODY: frozenset[Incarnation] = frozenset()
+NO_TARGETS: frozenset[Incarnation] = frozenset()
 PROMPT = Prompt(tokens_in=9000, parts=(PromptPart("a", 8000), PromptPart("own", 1000)))
 
 
@@ -41,28 +41,28 @@
     )
 
 
-def create_fleet(*targets: ListedTarget) -> tuple[TargetTable, LoadBalancer]:
-    book = TargetTable()
+def create_balancer(*targets: ListedTarget) -> tuple[TargetTable, LoadBalancer]:
+    table = TargetTable()
     for target in targets:
-        book.put(target)
+        table.put(target)
     source = random.Random(4)
-    return book, LoadBalancer(book=book, data_centre="north", random_source=source)
+    return table, LoadBalancer(table=table, data_centre="north", random_source=source)
 
 
 def test_incarnation_is_shown_with_its_start():
-    assert (str(FORMER), str(UNTOLD)) == ("t-1@1000", "t-1")
+    assert (str(PREVIOUS), str(WITHOUT_START)) == ("t-1@1000", "t-1")
 
 
 def test_target_that_starts_again_replaces_the_former_one():
-    book = TargetTable()
-    book.put(create(FORMER, 5))
-    assert book.compare(create(LATER, 6)) is IncarnationOrder.NEWER
-    assert book.put(create(LATER, 6))
-    assert book.is_available(LATER)
-    assert not book.is_available(FORMER)
-    assert book.is_superseded(FORMER)
-    assert not book.is_superseded(LATER)
-    assert [one.incarnation for one in book.list_service("desk")] == [LATER]
+    table = TargetTable()
+    table.put(create(PREVIOUS, 5))
+    assert table.compare(create(CURRENT, 6)) is IncarnationOrder.NEWER
+    assert table.put(create(CURRENT, 6))
+    assert table.is_available(CURRENT)
+    assert not table.is_available(PREVIOUS)
+    assert table.is_superseded(PREVIOUS)
+    assert not table.is_superseded(CURRENT)
+    assert [one.incarnation for one in table.list_service("desk")] == [CURRENT]
 
 
 def test_target_that_left_may_start_again():
@@ -71,11 +71,11 @@
     Sequence: a target leaves as planned and starts again under the id that it had.
     Cause: that it had left was remembered under its id.
     """
-    book = TargetTable()
-    book.put(create(FORMER, 5, leaving=True))
-    book.remove(FORMER, 6)
-    assert book.put(create(LATER, 7))
-    assert book.is_available(LATER)
+    table = TargetTable()
+    table.put(create(PREVIOUS, 5, leaving=True))
+    table.remove(PREVIOUS, 6)
+    assert table.put(create(CURRENT, 7))
+    assert table.is_available(CURRENT)
 
 
 def test_old_answer_does_not_bring_the_former_one_back():
@@ -86,48 +86,49 @@
     is behind, with whatever revision it may claim, also once the new one has gone.
     Cause: the entry read last was believed.
     """
-    book = TargetTable()
-    book.put(create(LATER, 5))
-    old = create(FORMER, 9)
-    assert book.compare(old) is IncarnationOrder.OUTDATED
-    assert not book.put(old)
-    assert book.is_available(LATER)
-    book.remove(LATER, 10)
-    assert not book.put(old)
-    assert not book.is_available(FORMER)
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    old = create(PREVIOUS, 9)
+    assert table.compare(old) is IncarnationOrder.OUTDATED
+    assert not table.put(old)
+    assert table.is_available(CURRENT)
+    table.remove(CURRENT, 10)
+    assert not table.put(old)
+    assert not table.is_available(PREVIOUS)
 
 
 def test_removal_concerns_the_incarnation_that_was_listed():
-    book = TargetTable()
-    book.put(create(LATER, 5))
-    assert not book.remove(FORMER, 9)
-    assert book.is_available(LATER)
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    assert not table.remove(PREVIOUS, 9)
+    assert table.is_available(CURRENT)
 
 
 def test_entry_without_a_start_is_of_the_one_known_at_its_address():
-    book = TargetTable()
-    book.put(create(LATER, 5))
-    assert book.put(create(UNTOLD, 6, leaving=True))
-    assert not book.is_available(LATER)
-    assert [one.incarnation for one in book.list_all()] == [LATER]
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    assert table.put(create(WITHOUT_START, 6, leaving=True))
+    assert not table.is_available(CURRENT)
+    assert [one.incarnation for one in table.list_all()] == [CURRENT]
 
 
 def test_entry_without_a_start_elsewhere_is_nobodys():
-    book = TargetTable()
-    book.put(create(LATER, 5))
-    elsewhere = create(UNTOLD, 6, address="10.0.0.2:80")
-    assert book.compare(elsewhere) is IncarnationOrder.UNKNOWN
-    assert not book.put(elsewhere)
-    assert not book.is_available(UNTOLD)
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    elsewhere = create(WITHOUT_START, 6, address="10.0.0.2:80")
+    assert table.compare(elsewhere) is IncarnationOrder.UNKNOWN
+    assert not table.put(elsewhere)
+    assert not table.is_available(WITHOUT_START)
 
 
 def test_ids_without_a_start_are_as_before():
-    book = TargetTable()
-    book.put(create(UNTOLD, 5))
+    table = TargetTable()
+    table.put(create(WITHOUT_START, 5))
     assert (
-        book.compare(create(UNTOLD, 6, address="10.0.0.2:80")) is IncarnationOrder.SAME
+        table.compare(create(WITHOUT_START, 6, address="10.0.0.2:80"))
+        is IncarnationOrder.SAME
     )
-    assert book.compare(create(LATER, 6)) is IncarnationOrder.NEWER
+    assert table.compare(create(CURRENT, 6)) is IncarnationOrder.NEWER
 
 
 _entries = st.tuples(
@@ -142,24 +143,24 @@
 
 @given(st.lists(_entries, max_size=30))
 def test_of_each_id_one_incarnation_gets_work_and_never_an_older_one(steps):
-    book = TargetTable()
+    table = TargetTable()
     newest = {"t-1": -1, "t-2": -1}
-    for step, target_id, born, revision, leaving, address in steps:
-        incarnation = Incarnation(target_id, born)
+    for step, target_id, started_ms, revision, leaving, address in steps:
+        incarnation = Incarnation(target_id, started_ms)
         if step == "put":
             entry = create(incarnation, revision, leaving=leaving, address=address)
-            book.put(entry)
+            table.put(entry)
         else:
-            book.remove(incarnation, revision, lapsed=step == "lapse")
+            table.remove(incarnation, revision, lapsed=step == "lapse")
         for known_id, before in newest.items():
             accepted = [
                 number
                 for number in range(4)
-                if book.is_available(Incarnation(known_id, number))
+                if table.is_available(Incarnation(known_id, number))
             ]
             assert len(accepted) <= 1
             assert all(number >= before for number in accepted)
-            known = book.find_newest(known_id)
+            known = table.find_newest(known_id)
             if known is not None:
                 assert known.started_ms >= before
                 newest[known_id] = known.started_ms
@@ -171,13 +172,15 @@
     Sequence: a target fails, is ended and starts again under its id.
     Cause: its breaker was kept under the id.
     """
-    book, fleet = create_fleet(create(FORMER, 1), create(Incarnation("t-2", 5), 2))
+    table, balancer = create_balancer(
+        create(PREVIOUS, 1), create(Incarnation("t-2", 5), 2)
+    )
     for _ in range(3):
-        fleet.record_failure(FORMER, NOW)
-    fleet.start(Incarnation("t-2", 5))
-    assert fleet.choose_least_loaded("desk", NOBODY, NOW).target_id == "t-2"
-    book.put(create(LATER, 3))
-    assert fleet.choose_least_loaded("desk", NOBODY, NOW).incarnation == LATER
+        balancer.record_failure(PREVIOUS, NOW)
+    balancer.start(Incarnation("t-2", 5))
+    assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW).target_id == "t-2"
+    table.put(create(CURRENT, 3))
+    assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW).incarnation == CURRENT
 
 
 def test_prompt_parts_and_load_of_the_former_one_do_not_count():
@@ -187,15 +190,17 @@
     Sequence: an engine that kept the parts of many prompts starts again.
     Cause: its memory was remembered under the id.
     """
-    book, fleet = create_fleet(create(FORMER, 1), create(Incarnation("t-2", 5), 2))
-    fleet.record_cached_parts(FORMER, PROMPT, NOW)
-    fleet.record_load_report(FORMER, LoadReport(4, 2, 1), NOW)
-    assert fleet.count_tokens(FORMER, PROMPT, NOW) == 1000
-    book.put(create(LATER, 3))
-    fleet.forget(FORMER)
-    assert fleet.count_tokens(LATER, PROMPT, NOW) == 9000
-    assert fleet.choose_least_loaded("desk", NOBODY, NOW) is not None
-    assert "t-1@1000" not in fleet.describe(NOW)
+    table, balancer = create_balancer(
+        create(PREVIOUS, 1), create(Incarnation("t-2", 5), 2)
+    )
+    balancer.record_cached_parts(PREVIOUS, PROMPT, NOW)
+    balancer.record_load_report(PREVIOUS, LoadReport(4, 2, 1), NOW)
+    assert balancer.count_tokens(PREVIOUS, PROMPT, NOW) == 1000
+    table.put(create(CURRENT, 3))
+    balancer.forget(PREVIOUS)
+    assert balancer.count_tokens(CURRENT, PROMPT, NOW) == 9000
+    assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW) is not None
+    assert "t-1@1000" not in balancer.describe(NOW)
 
 
 def test_last_word_of_a_former_one_leaves_nothing_behind():
@@ -204,13 +209,13 @@
     Sequence: a request is at a target that starts again; it ends afterwards.
     Cause: the state of what had been forgotten was made anew for it.
     """
-    book, fleet = create_fleet(create(FORMER, 1))
-    fleet.start(FORMER, 100.0)
-    book.put(create(LATER, 2))
-    fleet.forget(FORMER)
-    fleet.record_failure(FORMER, NOW)
-    fleet.finish(FORMER)
-    assert fleet.describe(NOW) == {}
+    table, balancer = create_balancer(create(PREVIOUS, 1))
+    balancer.start(PREVIOUS, 100.0)
+    table.put(create(CURRENT, 2))
+    balancer.forget(PREVIOUS)
+    balancer.record_failure(PREVIOUS, NOW)
+    balancer.finish(PREVIOUS)
+    assert balancer.describe(NOW) == {}
 
 
 def test_home_of_prompt_parts_stays_with_the_id():
@@ -224,17 +229,21 @@
         Prompt(tokens_in=9000, parts=(PromptPart(f"p-{n}", 8000), PromptPart("o", 1)))
         for n in range(40)
     ]
-    book, fleet = create_fleet(create(FORMER, 1), *others)
-    before = [fleet.find_affinity_target("desk", one, NOW).target_id for one in prompts]
-    book.put(create(LATER, 9))
-    after = [fleet.find_affinity_target("desk", one, NOW).target_id for one in prompts]
+    table, balancer = create_balancer(create(PREVIOUS, 1), *others)
+    before = [
+        balancer.find_affinity_target("desk", one, NOW).target_id for one in prompts
+    ]
+    table.put(create(CURRENT, 9))
+    after = [
+        balancer.find_affinity_target("desk", one, NOW).target_id for one in prompts
+    ]
     assert before == after
     need = EngineDemand(prompts[before.index("t-1")])
-    assert fleet.choose_engine("desk", need, NOBODY, NOW).incarnation == LATER
+    assert balancer.choose_engine("desk", need, NO_TARGETS, NOW).incarnation == CURRENT
 
 
 def test_news_tell_the_start():
-    target = create(LATER, 9)
+    target = create(CURRENT, 9)
     message = decode(
         encode(Envelope(PeerSyncAnswer(listed=True, targets=(encode_target(target),))))
     )
@@ -245,10 +254,10 @@
 ROW = ("t-1", 2000, "desk", "10.0.0.1:80", "north", 3, False, 9)
 
 
-@pytest.mark.parametrize("born", [-1, True, "2000", 2000.0, None])
-def test_wrong_start_in_news_is_not_used(born):
+@pytest.mark.parametrize("started_ms", [-1, True, "2000", 2000.0, None])
+def test_wrong_start_in_news_is_not_used(started_ms):
     assert decode_target(ROW) is not None
-    assert decode_target((ROW[0], born, *ROW[2:])) is None
+    assert decode_target((ROW[0], started_ms, *ROW[2:])) is None
 
 
 _values = st.one_of(
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -10,13 +10,13 @@
 from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 NOW = 50.0
-NOBODY: frozenset[Incarnation] = frozenset()
+NO_TARGETS: frozenset[Incarnation] = frozenset()
 
 
-def create_fleet(count: int = 5, *, slots: int = 6) -> LoadBalancer:
-    book = TargetTable()
+def create_balancer(count: int = 5, *, slots: int = 6) -> LoadBalancer:
+    table = TargetTable()
     for number in range(count):
-        book.put(
+        table.put(
             ListedTarget(
                 incarnation=Incarnation(f"t-{number}"),
                 service="s",
@@ -26,7 +26,9 @@
                 revision=number + 1,
             )
         )
-    return LoadBalancer(book=book, data_centre="north", random_source=random.Random(4))
+    return LoadBalancer(
+        table=table, data_centre="north", random_source=random.Random(4)
+    )
 
 
 def create_need(
@@ -39,28 +41,28 @@
     return EngineDemand(Prompt(tokens_in=tokens, parts=parts), sizes)
 
 
-def choose(fleet: LoadBalancer, need: EngineDemand, excluded=NOBODY) -> str:
-    return fleet.choose_engine("s", need, excluded, NOW).target_id
+def choose(balancer: LoadBalancer, need: EngineDemand, excluded=NO_TARGETS) -> str:
+    return balancer.choose_engine("s", need, excluded, NOW).target_id
 
 
 def test_near_target_is_preferred():
-    fleet = create_fleet()
-    chosen = fleet.choose_least_loaded("s", NOBODY, NOW)
+    balancer = create_balancer()
+    chosen = balancer.choose_least_loaded("s", NO_TARGETS, NOW)
     assert chosen.data_centre == "north"
 
 
 def test_least_loaded_target_is_chosen():
-    fleet = create_fleet(3)
-    fleet.start(Incarnation("t-0"))
-    fleet.start(Incarnation("t-0"))
-    assert fleet.choose_least_loaded("s", NOBODY, NOW).target_id != "t-0"
+    balancer = create_balancer(3)
+    balancer.start(Incarnation("t-0"))
+    balancer.start(Incarnation("t-0"))
+    assert balancer.choose_least_loaded("s", NO_TARGETS, NOW).target_id != "t-0"
 
 
 def test_targets_word_on_its_load_counts_for_a_while():
-    fleet = create_fleet(1 + 1)
-    fleet.record_load_report(Incarnation("t-0"), LoadReport(6, 3, 6), NOW)
-    assert fleet.choose_least_loaded("s", NOBODY, NOW).target_id == "t-1"
-    assert fleet.choose_least_loaded("s", NOBODY, NOW + 5).target_id == "t-0"
+    balancer = create_balancer(1 + 1)
+    balancer.record_load_report(Incarnation("t-0"), LoadReport(6, 3, 6), NOW)
+    assert balancer.choose_least_loaded("s", NO_TARGETS, NOW).target_id == "t-1"
+    assert balancer.choose_least_loaded("s", NO_TARGETS, NOW + 5).target_id == "t-0"
 
 
 def test_failing_target_is_out_for_a_while():
@@ -69,11 +71,13 @@
     Sequence: a target crashes and stays listed; each request finds out anew.
     Cause: outcomes were not remembered.
     """
-    fleet = create_fleet(3)
-    fleet.record_failure(Incarnation("t-0"), NOW)
-    fleet.record_failure(Incarnation("t-0"), NOW)
+    balancer = create_balancer(3)
+    balancer.record_failure(Incarnation("t-0"), NOW)
+    balancer.record_failure(Incarnation("t-0"), NOW)
     for _ in range(20):
-        assert fleet.choose_least_loaded("s", NOBODY, NOW + 0.2).target_id != "t-0"
+        assert (
+            balancer.choose_least_loaded("s", NO_TARGETS, NOW + 0.2).target_id != "t-0"
+        )
 
 
 def test_service_is_never_emptied_by_failures():
@@ -83,17 +87,17 @@
     seems to fail.
     Cause: all of them were taken out.
     """
-    fleet = create_fleet(3)
+    balancer = create_balancer(3)
     for number in range(3):
         for _ in range(3):
-            fleet.record_failure(Incarnation(f"t-{number}"), NOW)
-    assert fleet.choose_least_loaded("s", NOBODY, NOW + 0.1) is not None
+            balancer.record_failure(Incarnation(f"t-{number}"), NOW)
+    assert balancer.choose_least_loaded("s", NO_TARGETS, NOW + 0.1) is not None
 
 
 def test_excluded_targets_are_not_chosen():
-    fleet = create_fleet(2)
+    balancer = create_balancer(2)
     assert (
-        fleet.choose_least_loaded(
+        balancer.choose_least_loaded(
             "s", frozenset({Incarnation("t-0"), Incarnation("t-1")}), NOW
         )
         is None
@@ -101,7 +105,7 @@
 
 
 def test_instances_agree_on_the_home_of_a_prompt_part():
-    first, second = create_fleet(), create_fleet()
+    first, second = create_balancer(), create_balancer()
     for number in range(20):
         need = create_need(f"part-{number}")
         assert choose(first, need) == choose(second, need)
@@ -114,9 +118,9 @@
     shared; each sends a few, so that none sees what waits at the engines.
     Cause: the first shared part alone named the home of a prompt.
     """
-    fleet = create_fleet(45)
+    balancer = create_balancer(45)
     needs = [create_need(f"part-{number}", first="common") for number in range(90)]
-    homes = [choose(fleet, need) for need in needs]
+    homes = [choose(balancer, need) for need in needs]
     assert len(set(homes)) > 30
     assert max(homes.count(one) for one in homes) <= 8
 
@@ -127,37 +131,37 @@
     Sequence: half of the requests share one prompt part, and its home gets them all.
     Cause: what the home has still to read did not count.
     """
-    fleet = create_fleet()
+    balancer = create_balancer()
     need = create_need("hot")
-    home = choose(fleet, need)
+    home = choose(balancer, need)
     for _ in range(3):
-        fleet.start(Incarnation(home), 9000)
-    assert choose(fleet, need) != home
+        balancer.start(Incarnation(home), 9000)
+    assert choose(balancer, need) != home
 
 
 def test_engine_that_has_read_a_part_is_preferred():
-    fleet = create_fleet()
+    balancer = create_balancer()
     need = create_need("part")
-    home = choose(fleet, need)
-    other = choose(fleet, need, frozenset({Incarnation(home)}))
-    fleet.record_cached_parts(Incarnation(other), need.prompt, NOW)
-    assert fleet.count_tokens(Incarnation(other), need.prompt, NOW) == 9000 - 2500
-    assert fleet.count_tokens(Incarnation(other), need.prompt, NOW + 60) == 9000
+    home = choose(balancer, need)
+    other = choose(balancer, need, frozenset({Incarnation(home)}))
+    balancer.record_cached_parts(Incarnation(other), need.prompt, NOW)
+    assert balancer.count_tokens(Incarnation(other), need.prompt, NOW) == 9000 - 2500
+    assert balancer.count_tokens(Incarnation(other), need.prompt, NOW + 60) == 9000
 
 
 def test_engine_near_large_results_is_preferred():
-    fleet = create_fleet()
+    balancer = create_balancer()
     need = create_need("part", east=6_000_000)
-    assert choose(fleet, need) in ("t-2",)
+    assert choose(balancer, need) in ("t-2",)
 
 
 def test_engine_that_told_of_free_places_takes_requests_in():
-    fleet = create_fleet(2)
-    first, second = fleet._book.list_service("s")
-    fleet.record_load_report(first.incarnation, LoadReport(2, 0, 6), NOW)
-    fleet.record_load_report(second.incarnation, LoadReport(6, 3, 6), NOW)
-    assert fleet.has_free_slots(first, NOW)
-    assert not fleet.has_free_slots(second, NOW)
+    balancer = create_balancer(2)
+    first, second = balancer._table.list_service("s")
+    balancer.record_load_report(first.incarnation, LoadReport(2, 0, 6), NOW)
+    balancer.record_load_report(second.incarnation, LoadReport(6, 3, 6), NOW)
+    assert balancer.has_free_slots(first, NOW)
+    assert not balancer.has_free_slots(second, NOW)
 
 
 def test_engine_of_which_nothing_was_heard_is_taken_for_the_others():
@@ -166,11 +170,11 @@
     Sequence: an instance sends to an engine that it has not heard of for long.
     Cause: what is not known was taken for free places.
     """
-    fleet = create_fleet(3)
-    unheard, second, third = fleet._book.list_service("s")
-    assert not fleet.has_free_slots(unheard, NOW)
-    fleet.record_load_report(second.incarnation, LoadReport(1, 0, 6), NOW)
-    assert fleet.has_free_slots(unheard, NOW)
-    fleet.record_load_report(third.incarnation, LoadReport(5, 0, 6), NOW)
-    assert not fleet.has_free_slots(unheard, NOW)
-    assert not fleet.has_free_slots(unheard, NOW + 60.0)
+    balancer = create_balancer(3)
+    unheard, second, third = balancer._table.list_service("s")
+    assert not balancer.has_free_slots(unheard, NOW)
+    balancer.record_load_report(second.incarnation, LoadReport(1, 0, 6), NOW)
+    assert balancer.has_free_slots(unheard, NOW)
+    balancer.record_load_report(third.incarnation, LoadReport(5, 0, 6), NOW)
+    assert not balancer.has_free_slots(unheard, NOW)
+    assert not balancer.has_free_slots(unheard, NOW + 60.0)
--- a/tests/test_core/test_relay/test_quarantine.py
+++ b/tests/test_core/test_relay/test_quarantine.py
@@ -24,27 +24,27 @@
     return quarantine
 
 
-def holds(quarantine: Quarantine, digest: str, now: float = 0.0) -> bool:
+def is_quarantined(quarantine: Quarantine, digest: str, now: float = 0.0) -> bool:
     return quarantine.find_quarantine_seconds(digest, now) is not None
 
 
 def test_three_targets_that_ended_are_enough():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
-    assert not holds(quarantine, "bad")
+    assert not is_quarantined(quarantine, "bad")
     quarantine.record_crash(report("t3", "bad"), 0.0)
-    assert holds(quarantine, "bad")
+    assert is_quarantined(quarantine, "bad")
 
 
 def test_one_target_told_of_by_several_instances_counts_once():
     quarantine = create(*[report("t1", "bad")] * 3, report("t2", "bad"))
-    assert not holds(quarantine, "bad")
+    assert not is_quarantined(quarantine, "bad")
 
 
 def test_restarted_target_counts_again():
     lives = [
         CrashReport(Incarnation("t1", born), "llm", ("bad",)) for born in (1, 2, 3)
     ]
-    assert holds(create(*lives), "bad")
+    assert is_quarantined(create(*lives), "bad")
 
 
 def test_requests_beside_it_are_not_held():
@@ -55,26 +55,26 @@
         report("t3", "bad", "a", "c"),
         report("t4", "bad"),
     )
-    assert holds(quarantine, "bad")
-    assert not any(holds(quarantine, one) for one in "abc")
+    assert is_quarantined(quarantine, "bad")
+    assert not any(is_quarantined(quarantine, one) for one in "abc")
 
 
 def test_requests_that_nothing_tells_apart_wait_for_more_ends():
     """Guards against chance: one of two that were on the same targets is sound."""
     quarantine = create(*(report(one, "bad", "a") for one in ("t1", "t2", "t3")))
-    assert not holds(quarantine, "bad")
-    assert not holds(quarantine, "a")
+    assert not is_quarantined(quarantine, "bad")
+    assert not is_quarantined(quarantine, "a")
     quarantine.record_crash(report("t4", "bad"), 0.0)
-    assert holds(quarantine, "bad")
-    assert not holds(quarantine, "a")
+    assert is_quarantined(quarantine, "bad")
+    assert not is_quarantined(quarantine, "a")
 
 
 def test_both_are_held_once_five_targets_have_ended_under_both():
     """Guards against two such requests that hide behind each other."""
-    ends = [report(f"t{number}", "bad", "worse") for number in range(5)]
-    quarantine = create(*ends)
-    assert holds(quarantine, "bad")
-    assert holds(quarantine, "worse")
+    crashes = [report(f"t{number}", "bad", "worse") for number in range(5)]
+    quarantine = create(*crashes)
+    assert is_quarantined(quarantine, "bad")
+    assert is_quarantined(quarantine, "worse")
 
 
 def test_targets_that_end_by_themselves_hold_no_request_that_met_three():
@@ -86,10 +86,14 @@
     quarantine = Quarantine()
     for number in range(30):
         for copy in range(3):
-            beside = [f"r{number - sends}-{copy}" for sends in range(4)]
-            quarantine.record_crash(report(f"t{number}-{copy}", *beside), float(number))
-        suspected = tuple(quarantine._ended)
-        assert not any(holds(quarantine, one, float(number)) for one in suspected)
+            concurrent = [f"r{number - sends}-{copy}" for sends in range(4)]
+            quarantine.record_crash(
+                report(f"t{number}-{copy}", *concurrent), float(number)
+            )
+        suspected = tuple(quarantine._crashed_targets)
+        assert not any(
+            is_quarantined(quarantine, one, float(number)) for one in suspected
+        )
 
 
 def test_request_that_met_half_of_the_ends_is_not_held():
@@ -98,7 +102,7 @@
     for number in range(3):
         quarantine.record_crash(report(f"t{number}", "a"), number)
         quarantine.record_crash(report(f"u{number}", f"b{number}"), number)
-    assert not holds(quarantine, "a", 3)
+    assert not is_quarantined(quarantine, "a", 3)
 
 
 def test_request_that_ends_targets_while_others_end_by_themselves():
@@ -108,16 +112,16 @@
         for copy in range(3):
             quarantine.record_crash(report(f"t{number}-{copy}", f"a{number}"), number)
         quarantine.record_crash(report(f"u{number}", "bad"), number)
-        assert holds(quarantine, "bad", number) == (number == 4)
+        assert is_quarantined(quarantine, "bad", number) == (number == 4)
 
 
 def test_held_request_is_not_released_by_targets_that_end_by_themselves():
     """Guards against one that goes on as soon as a data centre loses power."""
     quarantine = create(report("t1", "bad"), report("t2", "bad"), report("t3", "bad"))
-    assert holds(quarantine, "bad")
+    assert is_quarantined(quarantine, "bad")
     for number in range(20):
         quarantine.record_crash(report(f"u{number}", f"a{number}"), 1.0)
-    assert holds(quarantine, "bad", 1.0)
+    assert is_quarantined(quarantine, "bad", 1.0)
 
 
 def test_ends_count_though_what_was_on_them_is_answered_since():
@@ -127,7 +131,7 @@
         quarantine.record_crash(report(f"t{number}", "a"), number)
         quarantine.record_crash(report(f"u{number}", f"b{number}"), number)
         quarantine.record_survival(f"b{number}", number)
-    assert not holds(quarantine, "a", 3)
+    assert not is_quarantined(quarantine, "a", 3)
 
 
 def test_two_that_end_targets_at_the_same_time_are_both_held():
@@ -137,8 +141,8 @@
         quarantine.record_crash(report(f"t{number}", "bad", f"a{number}"), number)
         quarantine.record_crash(report(f"u{number}", "worse", f"b{number}"), number)
     quarantine.record_crash(report("t3", "bad"), 3)
-    assert holds(quarantine, "bad", 3)
-    assert holds(quarantine, "worse", 3)
+    assert is_quarantined(quarantine, "bad", 3)
+    assert is_quarantined(quarantine, "worse", 3)
 
 
 def test_ends_of_another_service_speak_for_no_request():
@@ -146,7 +150,7 @@
     for number in range(9):
         end = CrashReport(Incarnation(f"m{number}"), "portal", (f"a{number}",))
         quarantine.record_crash(end, 0.0)
-    assert holds(quarantine, "bad")
+    assert is_quarantined(quarantine, "bad")
 
 
 def test_loss_of_a_data_centre_holds_nothing_that_is_answered():
@@ -155,14 +159,14 @@
     quarantine.record_survival("status", 95.0)
     for number in range(20):
         quarantine.record_crash(report(f"t{number}", "status", "rare"), 100.0)
-    assert not holds(quarantine, "status", 100.0)
+    assert not is_quarantined(quarantine, "status", 100.0)
 
 
 def test_answer_clears_a_request():
     quarantine = create(report("t1", "a"), report("t2", "a"))
     quarantine.record_survival("a", 1.0)
     quarantine.record_crash(report("t3", "a"), 2.0)
-    assert not holds(quarantine, "a", 100.0)
+    assert not is_quarantined(quarantine, "a", 100.0)
 
 
 def test_hold_lapses():
@@ -171,16 +175,16 @@
     assert (
         quarantine.find_quarantine_seconds("bad", 100.0) == QUARANTINE_SECONDS - 100.0
     )
-    assert not holds(quarantine, "bad", QUARANTINE_SECONDS + 1.0)
+    assert not is_quarantined(quarantine, "bad", QUARANTINE_SECONDS + 1.0)
 
 
 def test_memory_is_bounded():
     quarantine = Quarantine()
     for number in range(40_000):
         quarantine.record_crash(report(f"t{number}", f"d{number % 7}", "x"), 0.0)
-    assert len(quarantine._order) <= 16_386
-    assert sum(map(len, quarantine._ended.values())) <= 16_386
-    assert len(quarantine._ends) <= 16_386
+    assert len(quarantine._suspicions) <= 16_386
+    assert sum(map(len, quarantine._crashed_targets.values())) <= 16_386
+    assert len(quarantine._crashes) <= 16_386
 
 
 REPORTS = st.lists(
@@ -217,17 +221,17 @@
     #: sends that each sound request has left
     left: dict[str, int] = {}
     reached = 0
-    while not holds(quarantine, "bad"):
+    while not is_quarantined(quarantine, "bad"):
         reached += 1
         for _ in range(2):
             left |= {f"sound-{next(names)}": 4 for _ in range(rng.randrange(0, 6))}
-            beside = [one for one in left if rng.random() < 0.7]
-            for one in beside:
+            concurrent = [one for one in left if rng.random() < 0.7]
+            for one in concurrent:
                 left[one] -= 1
-            end = report(f"t{next(names)}", "bad", *beside)
+            end = report(f"t{next(names)}", "bad", *concurrent)
             quarantine.record_crash(end, 0.0)
             left = {one: sends for one, sends in left.items() if sends}
-            assert not any(holds(quarantine, one) for one in left)
+            assert not any(is_quarantined(quarantine, one) for one in left)
     assert reached <= 3
-    sound = set(quarantine._ended) - {"bad"}
-    assert not any(holds(quarantine, one) for one in sound)
+    sound = set(quarantine._crashed_targets) - {"bad"}
+    assert not any(is_quarantined(quarantine, one) for one in sound)
--- a/tests/test_core/test_relay/test_targets.py
+++ b/tests/test_core/test_relay/test_targets.py
@@ -18,19 +18,19 @@
 
 
 def test_listed_targets_are_given_by_service():
-    book = TargetTable()
-    assert book.put(create("t-2", 1))
-    assert book.put(create("t-1", 2))
-    assert [one.target_id for one in book.list_service("desk")] == ["t-1", "t-2"]
-    assert book.list_service("other") == ()
+    table = TargetTable()
+    assert table.put(create("t-2", 1))
+    assert table.put(create("t-1", 2))
+    assert [one.target_id for one in table.list_service("desk")] == ["t-1", "t-2"]
+    assert table.list_service("other") == ()
 
 
 def test_leaving_target_gets_nothing():
-    book = TargetTable()
-    book.put(create("t-1", 1))
-    assert book.put(create("t-1", 2, leaving=True))
-    assert not book.is_available(Incarnation("t-1"))
-    assert book.list_service("desk") == ()
+    table = TargetTable()
+    table.put(create("t-1", 1))
+    assert table.put(create("t-1", 2, leaving=True))
+    assert not table.is_available(Incarnation("t-1"))
+    assert table.list_service("desk") == ()
 
 
 def test_older_entry_does_not_bring_a_leaving_target_back():
@@ -40,14 +40,14 @@
     store that lags or from a peer that is behind, with any revision it may claim.
     Cause: the entry read last was believed.
     """
-    book = TargetTable()
-    book.put(create("t-1", 5))
-    book.put(create("t-1", 7, leaving=True))
-    assert not book.put(create("t-1", 6))
-    assert not book.put(create("t-1", 8))
-    book.remove(Incarnation("t-1"), 9)
-    assert not book.put(create("t-1", 10))
-    assert not book.is_available(Incarnation("t-1"))
+    table = TargetTable()
+    table.put(create("t-1", 5))
+    table.put(create("t-1", 7, leaving=True))
+    assert not table.put(create("t-1", 6))
+    assert not table.put(create("t-1", 8))
+    table.remove(Incarnation("t-1"), 9)
+    assert not table.put(create("t-1", 10))
+    assert not table.is_available(Incarnation("t-1"))
 
 
 def test_lapsed_entry_may_come_back():
@@ -56,16 +56,16 @@
     Sequence: entries lapse while targets can't renew them, and are written again.
     Cause: a target whose entry had lapsed was taken to have left.
     """
-    book = TargetTable()
-    book.put(create("t-1", 5))
-    assert book.remove(Incarnation("t-1"), 6, lapsed=True)
-    assert not book.is_available(Incarnation("t-1"))
-    assert book.put(create("t-1", 7))
-    assert book.is_available(Incarnation("t-1"))
+    table = TargetTable()
+    table.put(create("t-1", 5))
+    assert table.remove(Incarnation("t-1"), 6, lapsed=True)
+    assert not table.is_available(Incarnation("t-1"))
+    assert table.put(create("t-1", 7))
+    assert table.is_available(Incarnation("t-1"))
 
 
 def test_removal_that_is_older_than_the_entry_is_ignored():
-    book = TargetTable()
-    book.put(create("t-1", 5))
-    assert not book.remove(Incarnation("t-1"), 4)
-    assert book.is_available(Incarnation("t-1"))
+    table = TargetTable()
+    table.put(create("t-1", 5))
+    assert not table.remove(Incarnation("t-1"), 4)
+    assert table.is_available(Incarnation("t-1"))
