--- a/packages/greengagelatch/src/greengagelatch/relay/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque requests: passed to a target and answered byte for byte."""
+"""Decisions on opaque requests, which are proxied to a target byte for byte."""
--- a/packages/greengagelatch/src/greengagelatch/relay/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is begun now, or refused with a time to come back."""
+"""Admission control: admits a request or refuses it with a time to retry after."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
     "RouteAdmission",
 )
 
-#: share of a route's timeout that must have passed before a caller's attempt for it to
-#: count as one that came back; clocks and headers round a little
+#: share of a route's timeout beyond which a caller's attempt counts as a retry; the
+#: margin absorbs rounding of clocks and headers
 RETRY_ELAPSED_SHARE = 0.04
-#: seconds by which an answer may well come later than expected: begun without them,
-#: half of all that wait for long are late by a little
+#: seconds of safety margin on the estimate: without it, half of the requests that
+#: queue for long miss their objective by a little
 ESTIMATE_MARGIN_SECONDS = 0.1
-#: seconds of queue up to which a request that will be late is begun all the same: the
-#: queue is gone before another one could be refused for it
+#: seconds of queue up to which a request is admitted although it will be late: the
+#: queue drains before another request would have to be refused for it
 SHORT_QUEUE_SECONDS = 0.35
-#: seconds of queue that those may fill that will be late. They end in the four seconds
-#: or so that a caller which came back has left, so this gives them a third of the
-#: makers' time while newcomers could use it all
+#: seconds of queue that late requests may fill. A retrying caller has about four
+#: seconds left, so this limits late requests to a third of the makers' time while
+#: first attempts could use all of it
 LATE_QUEUE_SECONDS = 1.2
-#: bounds of the time to come back, in seconds
+#: bounds of the time to retry after, in seconds
 MIN_RETRY_AFTER = 0.3
 MAX_RETRY_AFTER = 3.0
-#: share of the time left within which a caller can come back
+#: share of the remaining time that a caller may be told to wait before it retries
 RETRY_AFTER_SHARE = 0.3
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestEstimate:
-    """What is expected of a request; times in seconds from now on."""
+    """Estimates for one request; times in seconds from now."""
 
-    #: until the stages' queues reach one that goes behind all
+    #: queueing time behind everything that waits
     total_wait: float
-    #: the same for one that goes before those that will be late anyway
+    #: queueing time behind those requests only that can still meet their objective
     urgent_wait: float
-    #: its own stages, and its target until the answer begins
+    #: service time of its stages, and of its target until the answer begins
     service_time: float
-    #: until the answer stops being of use
+    #: until the caller's deadline
     remaining: float
-    #: until its objective is over
+    #: until the latency objective is missed
     objective_remaining: float
     #: share of the route's timeout that had passed before this attempt was sent
     elapsed_share: float
@@ -53,31 +53,32 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """Whether to begin, and if not, when to come back."""
+    """Whether a request is admitted, and if not, when to retry."""
 
     admitted: bool
-    #: seconds
+    #: seconds; 0 for an admitted request
     retry_after: float = 0.0
     reason: str = ""
 
 
 class RouteAdmission(ABC):
-    """Decides on requests before anything is done for them."""
+    """Admits or refuses a request before any work is done for it."""
 
     @abstractmethod
     def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
-        """Return whether to begin a request."""
+        """Return whether to admit a request."""
 
 
 class DeadlineAdmission(RouteAdmission):
-    """Begins what can be on time, and what came back as long as it is of use.
-
-    Load pattern: a burst of one kind of request for some seconds, of twice what the
-    makers can do. Were all begun, everything in the queue would end late and hold
-    makers' room meanwhile, which slows those ahead of it. So newcomers that can't be
-    on time are sent away until the burst has passed, at once, while they have time to
-    come back. Those that came back are begun as long as few of them wait: each is
-    worth little by then, yet a caller that is sent away twice gets nothing.
+    """Admits requests that can meet their objective, and a bounded share of retries.
+
+    It is made for bursts of one kind of request that last for some seconds and ask
+    for twice the capacity of the makers. If all requests were admitted, the whole
+    queue would finish late and occupy result memory meanwhile, which slows down the
+    requests ahead of it. First attempts that can't meet their objective are therefore
+    refused at once, while the caller still has time to retry after the burst. Retries
+    are admitted even if late, as long as few of them wait: a late answer is worth
+    little, but a caller that is refused twice gets none.
     """
 
     def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
@@ -85,18 +86,18 @@
         if expected + ESTIMATE_MARGIN_SECONDS <= estimate.objective_remaining:
             return AdmissionDecision(True)
         if estimate.total_wait + estimate.service_time > estimate.remaining:
-            return _refuse(estimate, "can't be answered in time")
+            return _refuse(estimate, "can't be answered before the deadline")
         if estimate.total_wait <= SHORT_QUEUE_SECONDS:
             return AdmissionDecision(True)
         if estimate.elapsed_share <= RETRY_ELAPSED_SHARE:
-            return _refuse(estimate, "would be late behind the queue")
+            return _refuse(estimate, "queue too long to meet the latency objective")
         if estimate.total_wait - estimate.urgent_wait > LATE_QUEUE_SECONDS:
-            return _refuse(estimate, "too many that will be late wait")
+            return _refuse(estimate, "too many late requests are queued already")
         return AdmissionDecision(True)
 
 
 class AdmitAll(RouteAdmission):
-    """Begins everything; the baseline to compare with."""
+    """Admits everything; a baseline for comparisons."""
 
     def decide(self, estimate: RequestEstimate) -> AdmissionDecision:
         return AdmissionDecision(True)
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -1,4 +1,4 @@
-"""Which pieces share a call to a maker, and when the call is made."""
+"""Batching: which pieces share a call to a maker, and when the call is made."""
 
 from __future__ import annotations
 
@@ -22,48 +22,51 @@
     "is_late",
 )
 
-#: seconds by which a bundle seems less urgent for each rank: enough to order bundles
-#: that came together, too little to starve any
+#: seconds added to a bundle's soft deadline for each priority rank: enough to order
+#: bundles that arrive together, too little to starve any
 RANK_PENALTY_SECONDS = 0.8
 
-#: bytes that a bundle moves from which it waits for a maker in the right place
+#: bytes moved between data centres from which a bundle waits for a local maker
 LARGE_INPUT_BYTES = 500_000
-#: seconds that it waits at the most; a full call takes about as long
+#: longest time that a bundle waits for a local maker, in seconds; about as long as a
+#: full call
 MAX_LOCAL_WAIT_SECONDS = 0.45
-#: slowness up to which a maker is waited for
+#: slowness up to which a bundle waits for a local maker
 MAX_LOCAL_SLOWNESS = 1.5
-#: seconds by which a bundle seems less urgent to a maker far from its inputs
+#: seconds added to a bundle's urgency at a maker in another data centre than its inputs
 REMOTE_PENALTY_SECONDS = 0.3
-#: seconds before a bundle's last moment at which it goes first: about a call. With
-#: more, late bundles take the place of others that could still be on time
+#: seconds before its hard deadline at which a late bundle is put first: about the time
+#: of a call. With more, late bundles displace others that could still be on time
 DEADLINE_MARGIN_SECONDS = 0.3
-#: the same before what it reads lapses, which would be made again: a call and some
+#: the same before its inputs expire, which would have to be made again: a little more
+#: than the time of a call, in seconds
 EXPIRY_MARGIN_SECONDS = 0.4
-#: share of makers' full speed that is counted on: calls are not always full
+#: share of the makers' full throughput that estimates assume: calls are not always full
 ASSUMED_UTILISATION = 0.8
-#: slowness of a maker that is counted at the least
+#: lower bound on the slowness of a maker in estimates of throughput
 MIN_SLOWNESS = 0.5
-#: times a bundle's results that a maker must have room for before it is split
+#: free memory that a maker must have before a bundle is split, as a multiple of the
+#: size of the bundle's results
 SPLIT_MEMORY_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MakerView:
-    """One maker at the moment of a decision."""
+    """State of one maker at the time of a decision."""
 
     incarnation: Incarnation
     data_centre: str
-    #: monotonic seconds at which it should be able to begin another call
+    #: monotonic time at which it is expected to accept another call
     free_at: float
-    #: bytes of results that it has room for
+    #: free memory for results
     free_bytes: float
-    #: how long its calls take, as a multiple of what the profile says
+    #: duration of its calls as a multiple of the profile's estimate
     slowness: float = 1.0
 
 
 @dataclass(slots=True)
 class PlannedCall:
-    """A call that is to be made now."""
+    """A call to make now."""
 
     incarnation: Incarnation
     #: pieces in order, each with its bundle
@@ -71,7 +74,7 @@
 
 
 class BatchPolicy(ABC):
-    """Fills calls from the bundles that wait."""
+    """Assigns waiting bundles to calls."""
 
     @abstractmethod
     def plan(
@@ -83,18 +86,18 @@
     ) -> list[PlannedCall]:
         """Return the calls to make now.
 
-        :param bundles: each with its pieces that are not yet being made
-        :param makers: all makers, busy ones included
+        :param bundles: each with those of its pieces that are not in a call yet
+        :param makers: all makers, including busy ones
         """
 
 
 class CrossRequestBatching(BatchPolicy):
-    """Lets requests share calls, the most urgent ones first.
+    """Batches pieces of several requests into one call, the most urgent ones first.
 
-    A call has a high fixed cost and a low one for each piece, so full calls make
+    A call has a high fixed cost and a low cost for each piece, so full calls make
     about twice as many pieces as calls for one request each. Under light load
     there are more idle makers than bundles, and each bundle has its own call; as
-    load rises, bundles wait while makers are busy, and calls fill up by themselves.
+    load rises, bundles queue while makers are busy, and the calls grow.
     """
 
     def plan(
@@ -122,7 +125,7 @@
 
 
 class PerRequestBatching(BatchPolicy):
-    """One bundle a call, in the order of arrival; the baseline to compare with."""
+    """Makes one call for each bundle, first come first served; a baseline."""
 
     def plan(
         self,
@@ -147,24 +150,24 @@
 
 @dataclass(slots=True)
 class _WaitingBundle:
-    """A bundle that waits, and its place in the order."""
+    """A waiting bundle with its sort keys."""
 
     bundle: Bundle
-    #: pieces that are not yet being made
+    #: pieces that are not in a call yet
     left: list[Piece]
     late: bool = False
     urgency: float = 0.0
 
     @property
     def has_large_inputs(self) -> bool:
-        """Whether it is best made in one place."""
+        """Whether its inputs are too large to be moved between data centres."""
         return self.bundle.moved_bytes >= LARGE_INPUT_BYTES
 
 
 def _estimate_call(
     bundles: list[tuple[Bundle, list[Piece]]], makers: int, profile: MakerProfile
 ) -> float:
-    """Return the seconds that a call takes if makers share all that waits."""
+    """Return the seconds that a call takes if all waiting pieces are spread evenly."""
     pieces = sum(len(left) for _, left in bundles)
     share = ceil(pieces / max(1, makers))
     return profile.estimate_seconds(min(share, profile.batch))
@@ -176,13 +179,14 @@
     now: float,
     call: float = 0.0,
 ) -> list[_WaitingBundle]:
-    """Order bundles: those that can still meet their aim, then by urgency.
+    """Sort bundles: those that can still meet the soft deadline first, by urgency.
 
-    One that can't meet its aim any more has lost most of its worth; let it wait
-    for those that have not, up to its last chance: what was made for it is not to be
-    thrown away, and few such are begun.
+    A late bundle has lost most of its value, so it yields to those that are on time.
+    Shortly before its hard deadline, or before its inputs expire, it is put first:
+    the work already done for its request should not be wasted, and admission control
+    lets few late requests in.
 
-    :param call: seconds that the next calls take, as requests share them
+    :param call: seconds that the next shared call takes
     """
     waiting = []
     for bundle, left in bundles:
@@ -207,9 +211,9 @@
 def _sort_for_maker(
     maker: MakerView, waiting: list[_WaitingBundle]
 ) -> list[_WaitingBundle]:
-    """Put bundles that move much first at a maker in the right place.
+    """Sort bundles for one maker, those with large inputs in its data centre first.
 
-    What crosses data centres is paid for.
+    Traffic between data centres is billed.
     """
     if not any(one.has_large_inputs for one in waiting):
         return waiting
@@ -225,9 +229,9 @@
 def is_late(
     bundle: Bundle, count: int, profile: MakerProfile, now: float, call: float = 0.0
 ) -> bool:
-    """Whether a bundle's request can't meet its objective any more.
+    """Return whether a bundle can't meet its soft deadline any more.
 
-    :param call: seconds that a call takes that other requests share
+    :param call: seconds that a call shared with other requests takes
     """
     alone = profile.estimate_seconds(min(count, profile.batch))
     return now + max(alone, call) > bundle.soft_deadline
@@ -239,12 +243,12 @@
     profile: MakerProfile,
     now: float,
 ) -> list[Bundle]:
-    """Return the bundles that can't be made by their last moment.
+    """Return the bundles that can't be made before their hard deadline.
 
-    Load pattern: a burst, or lost makers, of more than can be made for seconds.
-    Those behind too much are found out at once and not at their last moment: their
-    callers would hear of it when there is no time left to come back, and until then
-    they would make the queue seem longer to newcomers.
+    In a burst, or after a loss of makers, the queue can hold more work than the makers
+    complete in several seconds. Bundles too far back are reported at once rather than
+    at their deadline: a caller that is refused early still has time to retry, and
+    such bundles would inflate the queue estimates that newer requests are judged by.
     """
     speed = sum(1 / max(one.slowness, MIN_SLOWNESS) for one in makers)
     rate = speed * profile.batch / profile.estimate_seconds(profile.batch)
@@ -270,11 +274,11 @@
     profile: MakerProfile,
     now: float,
 ) -> list[_WaitingBundle]:
-    """Return the bundles to place now, without those that wait for a near maker.
+    """Return the bundles to place now, without those that wait for a local maker.
 
-    What crosses data centres is paid for, and every piece reads all of its bundle's
-    inputs. A bundle that reads much waits for a maker beside them as long as that
-    one can take it with its next call, in time for the request's objective.
+    Traffic between data centres is billed, and every piece reads all inputs of its
+    bundle. A bundle with large inputs waits for a maker in their data centre as long
+    as the next call of that maker can include it and meet its soft deadline.
     """
     idle_data_centres = {one.data_centre for one in idle}
     makers_by_data_centre: dict[str, list[MakerView]] = {}
@@ -304,7 +308,7 @@
 def _is_available_soon(
     maker: MakerView, bundle: Bundle, count: int, profile: MakerProfile, now: float
 ) -> bool:
-    """Whether a busy maker will be done with ``count`` pieces in time."""
+    """Return whether a busy maker can finish ``count`` pieces by the soft deadline."""
     if (
         maker.free_at > now + MAX_LOCAL_WAIT_SECONDS
         or maker.slowness > MAX_LOCAL_SLOWNESS
@@ -317,11 +321,10 @@
 def _list_eligible(
     makers: list[MakerView], profile: MakerProfile, now: float
 ) -> list[MakerView]:
-    """Return the idle makers that end a call before any other one could.
+    """Return the idle makers that would finish a call no later than a busy one.
 
-    A maker that has become five times slower is idle more often than not to the
-    eye of a late binding; work sent to it would be late, though another maker could
-    have begun a moment later and still ended sooner.
+    A maker that has become five times slower is often idle when work is assigned,
+    but another maker that starts the call a moment later still finishes it sooner.
     """
     typical_call = profile.estimate_seconds(max(1, profile.batch // 2))
     earliest_end = min(
@@ -346,7 +349,7 @@
 
 
 def _choose_maker(idle: list[MakerView], bundle: Bundle) -> MakerView:
-    """Prefer fast makers, then near ones, then those with the most room."""
+    """Return a maker: fast ones first, then local ones, then the most free memory."""
     return min(
         idle,
         key=lambda one: (
@@ -360,11 +363,11 @@
 def _fill(
     maker: MakerView, waiting: list[_WaitingBundle], share: int, profile: MakerProfile
 ) -> PlannedCall:
-    """Take pieces off ``waiting`` for one call, whole bundles if possible.
+    """Move pieces from ``waiting`` to one call, whole bundles if possible.
 
-    A bundle of which only some pieces are made holds room at its maker for nothing
-    until the others are. It is split only where it would not fit any call, or where
-    the maker has room for more than this call could fill.
+    The results of a partly made bundle occupy memory at the maker, unused until the
+    other pieces are made. A bundle is split only if it exceeds any call, or if the
+    maker has more free memory than this call could fill.
     """
     call = PlannedCall(maker.incarnation)
     free = maker.free_bytes
--- a/packages/greengagelatch/src/greengagelatch/relay/capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/capacity.py
@@ -1,4 +1,4 @@
-"""What an instance may use of its machine, and how much of that it uses."""
+"""Capacity of an instance and its utilisation."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 __all__ = ("BUSY_SHARE", "Capacity", "Usage", "is_busy")
 
-#: processor seconds, and bytes sent, that an owner of stage work spends on each bundle
-#: of pieces: it takes it in, calls makers, answers, and has its results freed
+#: processor seconds, and bytes sent, that an owner spends on each bundle: it receives
+#: the bundle, calls makers, answers, and releases the results
 BUNDLE_SECONDS = 0.0025
 BUNDLE_BYTES = 3000
-#: share of a resource from which an instance counts as busy, and below which it does
-#: not any more; apart, so that one near the limit is told of once
+#: utilisation from which an instance counts as busy, and below which it no longer
+#: does; the hysteresis avoids repeated reports of an instance near the limit
 BUSY_SHARE = 0.8
 RELIEVED_SHARE = 0.6
 #: the same for the lateness of the event loop, in seconds
@@ -21,19 +21,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Capacity:
-    """What an instance may use; 0 where its settings don't tell."""
+    """Resources of an instance; 0 where its settings don't give them."""
 
-    #: seconds of processor in a second
+    #: processor seconds per second
     cores: float = 0.0
-    #: bytes that its network link carries in a second
+    #: bytes per second that its network link carries
     link_bytes: float = 0.0
 
     @property
     def bundles(self) -> int:
-        """Bundles of stage work that it can gather in a second; 0: not told.
+        """Bundles that it can process per second as an owner; 0: unknown.
 
-        The scarcer resource decides. A processor that is not told of counts for
-        nothing, as does such a link, unless neither is.
+        The scarcer resource decides; one that is not configured is ignored.
         """
         rates = []
         if self.cores > 0:
@@ -45,18 +44,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Usage:
-    """What an instance used of its capacity in the last second."""
+    """Utilisation of an instance in the last second."""
 
-    #: share of the time in which its event loop was at work
+    #: share of the time in which its event loop was busy
     work: float
-    #: share of its network link, sending; 0 where the capacity is not told
+    #: share of its network link used for sending; 0 where the capacity is unknown
     link: float
-    #: seconds by which the event loop was late
+    #: lag of the event loop in seconds
     lag: float
 
 
 def is_busy(usage: Usage, before: bool) -> bool:
-    """Whether an instance is short of processor or link, given whether it was."""
+    """Return whether an instance is short of processor time or bandwidth.
+
+    :param before: whether it was so far, for the hysteresis
+    """
     share = RELIEVED_SHARE if before else BUSY_SHARE
     lag = RELIEVED_LAG if before else BUSY_LAG
     return max(usage.work, usage.link) >= share or usage.lag >= lag
--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -1,4 +1,4 @@
-"""A configuration in force: routes, services, workspaces and bounds on callers."""
+"""The active configuration: routes, services, workspaces and limits on callers."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 
 #: bytes that the platform counts as one megabyte of results
 MEGABYTE = 1_000_000
-#: silence after which callers give up a stream, as their pages say: the longest of so
-#: many seconds, objectives and pauses
+#: silence after which callers abandon a stream, as documented for them: the longest of
+#: this number of seconds, of objectives, and of pauses between events
 MIN_SILENCE_SECONDS = 2.0
 SILENCE_OBJECTIVES = 4.0
 SILENCE_PAUSES = 8.0
 
 
 class RouteKind(Enum):
-    """What may be repeated of a route's requests."""
+    """Whether requests of a route may be retried."""
 
     #: idempotent: may run any number of times
     SAFE = "safe"
-    #: runs at most once
+    #: not idempotent: may run at most once
     UNSAFE = "unsafe"
-    #: answered by a stream of events; runs at most once unless it can be resumed
+    #: answered by a stream of events; may run at most once unless it can be resumed
     STREAMING = "streaming"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouteStage:
-    """Work that is done for a request before its target runs it."""
+    """A stage of a pipeline, run before the request is sent to its target."""
 
     service: str
     #: numbers of the stages whose results it reads
@@ -50,37 +50,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """One pipeline, chosen by host and path; times in seconds."""
+    """One pipeline, selected by host and path; times in seconds."""
 
     name: str
     host: str
     #: begins and ends with a slash
     prefix: str
     kind: RouteKind
-    #: longest time that a caller may be kept waiting
+    #: longest time that a caller waits for an answer
     timeout: float
-    #: time within which an answer has its full value
+    #: latency objective: a later answer loses value
     objective: float
     #: 0 is the most urgent
     priority: int = 0
-    #: services and their shares of the route's requests
+    #: traffic split: services and their shares of the route's requests
     split: tuple[tuple[str, float], ...] = ()
-    #: targets to which one request may be sent
+    #: most targets to which one request may be sent
     max_attempts: int = 1
     stages: tuple[RouteStage, ...] = ()
-    #: whether callers need no key
+    #: whether callers need no API key
     public: bool = False
-    #: whether a stream that broke off may go on at another target
+    #: whether an interrupted stream may be resumed at another target
     resumable: bool = False
-    #: longest pause between two events of a stream that is still on time
+    #: longest pause between two events of a stream that meets its objective
     longest_pause: float = 0.0
 
     @property
     def silence_limit(self) -> float:
-        """Seconds of silence after which callers give a stream up.
+        """Seconds of silence after which callers abandon a stream.
 
-        It holds before the first event as well, and may be far shorter than the
-        route's timeout: what begins later is made for nobody.
+        It also applies before the first event, and may be far shorter than the route's
+        timeout: a stream that begins later has no reader.
         """
         return max(
             MIN_SILENCE_SECONDS,
@@ -90,7 +90,7 @@
 
     @property
     def retryable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request that may already have run may be retried."""
         return self.kind is RouteKind.SAFE or (
             self.kind is RouteKind.STREAMING and self.resumable
         )
@@ -98,45 +98,45 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineProfile:
-    """What a model engine can take."""
+    """Capacity of an engine, a target that runs a language model."""
 
-    #: requests that run at the same time
+    #: requests that run concurrently
     slots: int
-    #: tokens that its memory holds
+    #: tokens that its KV cache holds
     token_capacity: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MakerProfile:
-    """How a target makes stage results; times in seconds."""
+    """Capacity of makers, the targets of stage work; times in seconds."""
 
-    #: calls that are worked on at the same time
+    #: calls that run concurrently
     slots: int
-    #: calls that may wait behind these
+    #: calls that may be queued behind these
     queue: int
-    #: results that one call may ask for
+    #: most results that one call may ask for
     batch: int
     #: fixed cost of a call
     call_seconds: float
     #: approximate cost of each result
     item_seconds: float
-    #: bytes of results that it keeps
+    #: bytes of memory for results
     result_memory_bytes: int
-    #: time for which it keeps a result that nobody frees
+    #: time for which it keeps a result that is not released
     retention_seconds: float
 
     def estimate_seconds(self, items: int) -> float:
-        """Return how long a call for ``items`` results takes, by expectation."""
+        """Return the expected duration of a call for ``items`` results."""
         return self.call_seconds + items * self.item_seconds
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutedService:
-    """A service that targets provide."""
+    """A service, provided by its targets."""
 
     name: str
     health_path: str = ""
-    #: connections that one target accepts from all instances together
+    #: connection limit of one target, shared by all instances; 0: unknown
     max_connections: int = 0
     engine: EngineProfile | None = None
     maker: MakerProfile | None = None
@@ -144,17 +144,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutedWorkspace:
-    """A workspace and the keys of its callers."""
+    """A workspace with the API keys of its callers."""
 
     name: str
     keys: tuple[str, ...] = ()
-    #: goes before the priority of routes; ``None``: only the route's counts
+    #: takes precedence over the priority of routes; ``None``: only the route's counts
     priority: int | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What callers may send, and how long they may take; times in seconds."""
+    """Limits on the size and duration of callers' requests; times in seconds."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -164,14 +164,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Deployment:
-    """All of one version; versions rise in uneven steps."""
+    """One version of the configuration; versions rise, not always by one."""
 
     version: int
-    #: revision of the store at which it was written
+    #: store revision at which it was written
     revision: int = 0
     routes: tuple[Route, ...] = ()
     services: dict[str, RoutedService] = field(default_factory=dict)
     workspaces: tuple[RoutedWorkspace, ...] = ()
     limits: CallerLimits = field(default_factory=CallerLimits)
-    #: whether requests need a key at all
+    #: whether requests need an API key
     requires_key: bool = False
--- a/packages/greengagelatch/src/greengagelatch/relay/digests.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/digests.py
@@ -1,4 +1,4 @@
-"""Digests by which a request is recognised when it comes again."""
+"""Digests by which attempts of the same request are recognised."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 __all__ = ("compute_digest",)
 
-#: bytes of a digest: few enough to be told to all instances, and enough that no two
-#: requests of a year share one by chance
+#: bytes of a digest: short enough to be sent to all instances, and long enough that no
+#: two requests of a year collide
 DIGEST_BYTES = 12
 
 
 def compute_digest(request: OpaqueRequest, workspace: str) -> str:
-    """Return the same text for each attempt that carries the same request.
+    """Return a digest that is the same for all attempts of one request.
 
-    Attempts differ in their ids, deadlines and connections; what a target works on is
-    the same if method, host, path, caller and body are.
+    Attempts differ in their ids, deadlines and connections; the work of the target is
+    the same if method, host, path, workspace and body are.
 
-    :param workspace: whose request it is; empty where no keys are asked for
+    :param workspace: workspace of the caller; empty where no API keys are needed
     """
     hashed = blake2b(digest_size=DIGEST_BYTES)
     host = request.host.lower()
--- a/packages/greengagelatch/src/greengagelatch/relay/groups.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/groups.py
@@ -1,4 +1,4 @@
-"""Makers of a service in groups, each with an owner, and which group makes what."""
+"""Groups of makers, each with one owner, and the choice of a group for a bundle."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
     "find_owning_data_centre",
 )
 
-#: makers for each data centre, on average, from which a service's makers are divided,
-#: and below which they are put together again; apart, so that one maker that comes and
-#: goes does not change all owners
+#: average number of makers for each data centre from which a service's makers are
+#: partitioned, and below which they are merged again; the hysteresis keeps one maker
+#: that leaves and returns from changing all owners
 PARTITION_FROM = 1.5
 MERGE_BELOW = 1.0
-#: share of the strongest instance's capacity below which they are put together again
+#: share of the largest instance's capacity below which they are merged again
 MERGE_CAPACITY_SHARE = 0.5
-#: pieces of a bundle, about
+#: typical number of pieces in a bundle
 BUNDLE_PIECES = 5
-#: seconds by which makers in another data centre must be sooner
+#: seconds by which the queue in another data centre must be shorter to be chosen
 REMOTE_PENALTY_SECONDS = 0.05
-#: the same for a bundle whose inputs would cross data centres, which is paid for
+#: the same for a bundle with large inputs, as traffic between data centres is billed
 LARGE_INPUT_PENALTY_SECONDS = 0.3
-#: seconds by which a near queue must be longer than a far one for every bundle to go
-#: there. All instances hear of the same queues, a moment late: were each to choose the
-#: shorter one, it would be the longer one by then
+#: seconds by which the local queue must be longer than a remote one for every bundle
+#: to go there. All instances see the same queue lengths with a delay: if each chose the
+#: shorter queue, that queue would become the longer one
 CERTAIN_MOVE_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class MakerGroup:
-    """Makers of one service that have one owner."""
+    """Makers of one service that share an owner."""
 
     service: str
-    #: where they are; empty: all makers of the service
+    #: data centre of the makers; empty: all makers of the service
     data_centre: str = ""
 
     def __str__(self) -> str:
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
-    """A group, and what a piece would have before it there."""
+    """A group and the wait in its queue."""
 
     group: MakerGroup
     wait: QueueWait
@@ -73,34 +73,34 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceView:
-    """What the division of a service's makers depends on."""
+    """What the ownership of a service's makers depends on."""
 
     #: number of makers by the data centre whose instances may own them
     makers: Mapping[str, int]
-    #: bundles that all of them could take in a second
+    #: bundles that all makers together can process per second
     load: float
-    #: bundles that the strongest instance could gather in a second; 0: not told
+    #: bundles that the largest instance can process per second; 0: unknown
     capacity: int
 
 
 class OwnershipPolicy(ABC):
-    """Says whether the makers of a service have one owner, or one in each place."""
+    """Decides whether a service has one owner or one in each data centre."""
 
     @abstractmethod
     def is_partitioned(self, view: ServiceView, before: bool) -> bool:
-        """Return whether makers are divided by data centre.
+        """Return whether makers are partitioned by data centre.
 
-        :param before: whether they were
+        :param before: whether they are at present
         """
 
 
 class CapacityBasedOwnership(OwnershipPolicy):
-    """Divides makers that could take more work than any instance could gather.
+    """Partitions makers whose throughput exceeds the capacity of any single owner.
 
-    One owner for all fills calls best and has the next idle maker sooner: bundles of
-    three data centres wait for a third as long as those of one. But everything goes
-    through its processor and link, so that where no instance is strong enough for
-    all makers, each data centre has an owner.
+    A single owner fills calls best and finds an idle maker sooner: bundles of three
+    data centres wait a third as long as those of one. But all work passes through its
+    processor and link, so that each data centre gets its own owner where no instance
+    has the capacity for all makers.
     """
 
     def is_partitioned(self, view: ServiceView, before: bool) -> bool:
@@ -114,29 +114,31 @@
 
 
 class SingleOwnership(OwnershipPolicy):
-    """One owner for all makers of a service; a baseline to compare with."""
+    """One owner for all makers of a service; a baseline for comparisons."""
 
     def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         return False
 
 
 class PerDataCentreOwnership(OwnershipPolicy):
-    """An owner in each data centre that has makers; a baseline to compare with."""
+    """One owner in each data centre that has makers; a baseline for comparisons."""
 
     def is_partitioned(self, view: ServiceView, before: bool) -> bool:
         return len(view.makers) > 1
 
 
 def estimate_load(profile: MakerProfile, makers: int) -> float:
-    """Return the bundles that so many makers could take in a second."""
+    """Return the bundles that a number of makers can process per second."""
     rate = profile.batch / profile.estimate_seconds(profile.batch)
     return makers * rate / BUNDLE_PIECES
 
 
 def find_owning_data_centre(data_centre: str, homes: Collection[str]) -> str:
-    """Return the data centre whose instances own the makers of ``place``.
+    """Return the data centre whose instances own the makers of a data centre.
 
     Makers in a data centre without instances are owned from another one.
+
+    :param homes: data centres that have instances
     """
     if data_centre in homes or not homes:
         return data_centre
@@ -150,10 +152,10 @@
     now: float,
     random_source: random.Random,
 ) -> MakerGroup:
-    """Return the group that should make a bundle: the near one, unless it is behind.
+    """Return the group for a bundle: the local one, unless its queue is too long.
 
-    Load pattern: a burst that falls on one data centre, or makers that are lost in
-    one: the queue there grows while others are short.
+    A burst in one data centre, or a loss of makers there, makes its queue grow while
+    the queues of others stay short.
 
     :param views: at least one
     """
--- a/packages/greengagelatch/src/greengagelatch/relay/idle_connections.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/idle_connections.py
@@ -1,4 +1,4 @@
-"""How many idle connections an instance keeps to a target that serves all of them."""
+"""Size of the pool of idle connections that one instance keeps to one target."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 __all__ = ("count_idle_connections",)
 
-#: share of the connections that a target accepts which idle ones may take: it accepts
-#: fewer while its queue is long, and those in use need the rest
+#: share of a target's connection limit that idle connections may occupy: the target
+#: accepts fewer while its queue is long, and active connections need the rest
 IDLE_SHARE = 0.4
-#: idle connections that are of use to one instance at the most
+#: most idle connections that are of use to one instance
 MAX_IDLE = 4
-#: number of different weights
+#: number of different values of a weight
 WEIGHT_RANGE = 2**64
 
 
@@ -20,13 +20,13 @@
 ) -> int:
     """Return the idle connections that one instance may keep to one target.
 
-    A target resets whatever comes beyond what it accepts from all instances together,
-    so each kept connection of hundreds of instances is one that a request in need
-    can't open. Where the share of one instance is below a whole connection, those with
-    the lowest hashes keep one, others for each target.
+    A target resets connections beyond its limit, which all instances share, so idle
+    connections of hundreds of instances keep requests from opening new ones. Where the
+    share of one instance is below one connection, the instances with the lowest hashes
+    for this target keep one each.
 
-    :param max_connections: what the target accepts; 0: not told
-    :param instances: instances that may have connections to it
+    :param max_connections: the target's limit; 0: unknown
+    :param instances: number of instances that may connect to it
     """
     if max_connections <= 0:
         return MAX_IDLE
--- a/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
@@ -1,4 +1,4 @@
-"""Incarnations of targets: one for each start under an id."""
+"""Incarnations of targets: one for each start of a target under an id."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """One life of a target, from a start to its end.
+    """One run of a target, from its start to its end.
 
-    A target may start again under the id that it had, and then holds nothing of
-    before. Whatever is believed of it is kept under this, so that no belief about
-    the former one is taken for true of the next.
+    A target may restart under the same id and then has lost all its former state. What
+    is known of a target is stored by incarnation, so that facts about a former run
+    are not applied to the next one.
     """
 
     target_id: str
-    #: Unix milliseconds of its start, by its own clock; 0: not told
+    #: Unix milliseconds of its start, by its own clock; 0: unknown
     started_ms: int = 0
 
     def __str__(self) -> str:
@@ -28,14 +28,14 @@
 
 
 class IncarnationOrder(Enum):
-    """How what an entry says stands to the newest incarnation known of its id."""
+    """How an entry compares with the newest incarnation known of its id."""
 
-    #: nothing was known of the id
+    #: the id was not known
     FIRST = "first"
     SAME = "same"
-    #: the target has started again
+    #: the target has restarted
     NEWER = "newer"
-    #: an old answer
+    #: a stale entry of a former incarnation
     OUTDATED = "outdated"
-    #: it does not say which incarnation it is of, and is at another address
+    #: the entry gives no start and has another address, so its incarnation is unknown
     UNKNOWN = "untold"
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -1,4 +1,4 @@
-"""Which target gets a request: least time to the answer, kept prompt parts, health."""
+"""Load balancing of requests by target load, cached prompt parts and health."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 
 __all__ = ("EngineDemand", "LoadBalancer", "LoadReport")
 
-#: a target is out after two failures in a row: with three targets, a third of all
-#: requests find out about one that is lost, so each further sample is dear
+#: the circuit breaker of a target opens after two failures in a row: with three
+#: targets, a third of all requests fails while a lost target is still in use
 BREAKER_RULE = BreakerRule(failures=2, first_pause=1.0, longest_pause=4.0)
-#: seconds after which a target's own word about its load counts for nothing
+#: seconds for which a load report is used
 REPORT_TTL_SECONDS = 1.0
-#: the same where it matters only whether it was nearly full
+#: the same where it matters only whether the target was nearly full
 SLOTS_REPORT_TTL_SECONDS = 3.0
-#: share of an engine's places up to which it is taken to have free ones
+#: share of occupied slots up to which an engine is taken to have free ones
 FREE_SLOTS_SHARE = 0.5
-#: share of a slot by which a target in another data centre seems fuller
+#: penalty on the load of a target in another data centre, as a share of its slots
 REMOTE_PENALTY = 0.05
-#: tokens whose prefill a running request delays about as much
+#: cost of a running request, as the tokens whose prefill delays others as much
 RUNNING_REQUEST_TOKENS = 60.0
-#: tokens whose reading is as dear as moving one byte of results to another data
-#: centre, by the prices of both on the sheets, and a little more for the delay
+#: tokens whose prefill costs as much as the transfer of one byte of results to another
+#: data centre, by the price lists of both and a small surcharge for the delay
 TOKENS_PER_REMOTE_BYTE = 0.0005
-#: seconds for which a prompt part is expected to stay in an engine's memory
+#: seconds for which a prompt part is expected to stay in an engine's prefix cache
 PART_TTL_SECONDS = 20.0
-#: prompt parts remembered for one engine
+#: most prompt parts that are tracked for one engine
 MAX_PARTS = 2048
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A target's own word about its load."""
+    """Load that a target reported."""
 
     running: int
     waiting: int
@@ -52,10 +52,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineDemand:
-    """What a request needs of its engine."""
+    """What a request asks of its engine."""
 
     prompt: Prompt
-    #: bytes of stage results that it reads, by the data centre of their makers
+    #: bytes of stage results to read, by the data centre of their makers
     result_bytes: Mapping[str, int] = field(default_factory=dict)
 
 
@@ -63,16 +63,16 @@
 class _TargetState:
     breaker: Breaker
     in_flight: int = 0
-    #: prompt tokens of requests sent and not yet begun
+    #: prompt tokens of requests sent whose prefill has not finished
     pending_tokens: float = 0.0
     report: LoadReport | None = None
     reported: float = 0.0
-    #: prompt parts by the time of their last use
+    #: prompt parts by id, with the time of their last use; least recently used first
     parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
 
 
 class LoadBalancer:
-    """Chooses among the targets that are listed, and learns from outcomes."""
+    """Chooses among the listed targets and records the outcomes of requests."""
 
     def __init__(
         self, *, table: TargetTable, data_centre: str, random_source: random.Random
@@ -85,7 +85,7 @@
     def choose_least_loaded(
         self, service: str, excluded: frozenset[Incarnation], now: float
     ) -> ListedTarget | None:
-        """Return the least loaded sound target, near ones first."""
+        """Return the least loaded healthy target; local ones win ties."""
         candidates = self._list_candidates(service, excluded, now)
         if not candidates:
             return None
@@ -98,13 +98,13 @@
         excluded: frozenset[Incarnation],
         now: float,
     ) -> ListedTarget | None:
-        """Return the engine that should have the least to read and to move.
+        """Return the engine with the lowest cost of prefill and data transfer.
 
-        The last shared part names a home for all that are shared, the same for all
-        instances without a word between them. The first one would not do: a handful
-        of them begins most prompts, and as few engines would get all requests of a
-        large fleet. An engine that waits to read more than the others gives way, or
-        a much used part would overload its home.
+        Consistent hashing of the last shared prompt part gives an affinity target for
+        all shared parts, the same at all instances without coordination. The first part
+        would not do: a handful of first parts begins most prompts, so that a few
+        engines would get all requests of a large fleet. The cost includes the pending
+        prefill of an engine, or a popular part would overload its affinity target.
         """
         candidates = self._list_candidates(service, excluded, now)
         if not candidates:
@@ -118,18 +118,18 @@
     def find_affinity_target(
         self, service: str, prompt: Prompt, now: float
     ) -> ListedTarget | None:
-        """Return the engine that a prompt's shared parts should be sent to."""
+        """Return the engine to which consistent hashing assigns a prompt's parts."""
         return _find_affinity_target(
             prompt, self._list_candidates(service, frozenset(), now)
         )
 
     def has_free_slots(self, target: ListedTarget, now: float) -> bool:
-        """Whether an engine has places for what it is sent, rather than a queue.
+        """Return whether an engine starts a request at once rather than queue it.
 
-        One that is full takes a request in when another one ends. Told by itself of
-        late, with half of its places for what others have sent it since. In a large
-        fleet most have told this instance nothing for seconds; then the others of its
-        service must be half as full on average.
+        Decided by the recent load report of the engine; half of its slots are left for
+        requests that other instances have sent since. In a large fleet most engines
+        have sent this instance no recent report; then the average occupancy of the
+        other engines of the service must be half as high.
         """
         state = self._find_state(target.incarnation)
         own_share = _find_occupancy(state, now)
@@ -142,29 +142,29 @@
         return bool(reported) and sum(reported) / len(reported) <= FREE_SLOTS_SHARE / 2
 
     def start(self, incarnation: Incarnation, tokens: float = 0.0) -> None:
-        """Count a request that is being sent."""
+        """Count a request that is sent to a target."""
         state = self._find_state(incarnation)
         state.in_flight += 1
         state.pending_tokens += tokens
 
     def finish_prefill(self, incarnation: Incarnation, tokens: float) -> None:
-        """Take in that an engine has read a request's prompt."""
+        """Record that an engine has finished the prefill of a request."""
         state = self._find_state(incarnation)
         state.pending_tokens = max(0.0, state.pending_tokens - tokens)
 
     def finish(self, incarnation: Incarnation) -> None:
-        """Count out a request."""
+        """Record that a request has ended."""
         state = self._find_state(incarnation)
         state.in_flight = max(0, state.in_flight - 1)
         if not state.in_flight and not self._table.is_available(incarnation):
-            # the last word of one that is gone must not bring its state back: each
-            # restart would use more memory
+            # a late update must not recreate the state of a target that is gone:
+            # memory would grow with each restart
             self.forget(incarnation)
 
     def record_cached_parts(
         self, incarnation: Incarnation, prompt: Prompt, now: float
     ) -> None:
-        """Remember what an engine has read for a request."""
+        """Record the prompt parts that an engine has cached for a request."""
         parts = self._find_state(incarnation).parts
         for part in prompt.shared_parts:
             parts.pop(part.part_id, None)
@@ -173,17 +173,17 @@
             parts.popitem(last=False)
 
     def record_success(self, incarnation: Incarnation) -> None:
-        """Take in an answer."""
+        """Record an answer."""
         self._find_state(incarnation).breaker.note_success()
 
     def record_failure(self, incarnation: Incarnation, now: float) -> None:
-        """Take in a failure that is the target's doing."""
+        """Record a failure that the target is responsible for."""
         self._find_state(incarnation).breaker.note_failure(now)
 
     def record_load_report(
         self, incarnation: Incarnation, report: LoadReport, now: float
     ) -> None:
-        """Take in a target's own word about its load."""
+        """Record the load that a target reported."""
         state = self._find_state(incarnation)
         state.report = report
         state.reported = now
@@ -191,15 +191,15 @@
     def count_tokens(
         self, incarnation: Incarnation, prompt: Prompt, now: float
     ) -> float:
-        """Return the prompt tokens that an engine does not seem to keep."""
+        """Return the prompt tokens that are not expected in an engine's cache."""
         return _count_tokens(self._find_state(incarnation).parts, prompt, now)
 
     def forget(self, incarnation: Incarnation) -> None:
-        """Drop what is known of a target that is gone."""
+        """Discard the state of a target that is gone."""
         self._states.pop(incarnation, None)
 
     def describe(self, now: float) -> dict[str, dict[str, float | str]]:
-        """Return what is believed of each target, for the state dump."""
+        """Return the state of each target for the state dump."""
         return {
             str(incarnation): {
                 "breaker": state.breaker.read_state(now).value,
@@ -250,7 +250,7 @@
         state = self._find_state(target.incarnation)
         tokens = _count_tokens(state.parts, need.prompt, now)
         if target is affinity_target:
-            # others will have sent the parts there, whatever this instance saw
+            # other instances send the parts there too, so they are taken to be cached
             shared = sum(part.tokens for part in need.prompt.shared_parts)
             tokens = min(tokens, need.prompt.tokens_in - shared)
         running = state.in_flight + self._count_other_requests(state, now)
@@ -270,7 +270,7 @@
 
 
 def _find_occupancy(state: _TargetState, now: float) -> float | None:
-    """Return the share of an engine's places that are taken; ``None`` if not told."""
+    """Return the share of an engine's slots in use; ``None`` if unknown."""
     report = state.report
     if (
         report is None
@@ -296,8 +296,8 @@
     if not prompt.shared_parts or not candidates:
         return None
     last = prompt.shared_parts[-1].part_id
-    # by the id: this says where parts are to go and not where they are. By the
-    # incarnation, a restart would move other engines' parts as well
+    # hash the id rather than the incarnation: a restart of one engine must not
+    # reassign the parts of other engines
     return min(
         candidates,
         key=lambda one: (
--- a/packages/greengagelatch/src/greengagelatch/relay/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which instances share stage work and pass on what they learnt."""
+"""Messages by which instances share stage work and exchange state."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
     "encode_results",
 )
 
-#: pieces of one bundle that are accepted from a peer
+#: most pieces of one bundle that are accepted from a peer
 MAX_PIECES = 4096
 
 
 @register("pieces-wanted")
 @dataclass(frozen=True, slots=True)
 class BundleRequest(Message):
-    """Asks the owner of a service to have a bundle made; times from now on.
+    """Asks the owner of a group of makers to have a bundle made.
 
-    The clocks of two instances have nothing in common, so that times are told as
-    seconds that are left when the message is written.
+    Monotonic clocks of two instances can't be compared, so times are sent as the
+    seconds remaining when the message is encoded.
     """
 
     bundle_id: str = ""
@@ -51,17 +51,17 @@
     result_bytes: int = 0
     aim_seconds: float = 0.0
     latest_seconds: float = 0.0
-    #: until what the pieces read lapses; ``None``: it does not
+    #: until the inputs of the pieces expire; ``None``: they do not
     inputs_seconds: float | None = None
-    #: pairs of id and start of the makers of what the pieces read
+    #: pairs of id and start of the makers that hold the inputs
     input_makers: tuple[Any, ...] = ()
     rank: float = 0.0
     data_centre: str = ""
     moved_bytes: int = 0
     begun: bool = False
-    #: data centre of the makers that are meant; empty: all of the service
+    #: data centre of the group of makers; empty: all makers of the service
     group: str = ""
-    #: of the request; empty: from an earlier release
+    #: digest of the request; empty: sent by an earlier release
     digest: str = ""
 
     def __post_init__(self) -> None:
@@ -80,13 +80,15 @@
         for row in self.input_makers:
             _check_maker(row)
         if not 0 < len(self.segments) <= MAX_PIECES:
-            raise ValueError("a bundle of no piece, or of too many")
+            raise ValueError(
+                f"bundle has {len(self.segments)} pieces, not 1 to {MAX_PIECES}"
+            )
 
 
 @register("pieces-made")
 @dataclass(frozen=True, slots=True)
 class BundleResults(Message):
-    """Answers with the results, in the order of the segments."""
+    """Answers with the results of a bundle, in the order of its segments."""
 
     #: see :func:`encode_results`
     results: tuple[Any, ...] = ()
@@ -98,13 +100,13 @@
 @register("stage-waits")
 @dataclass(frozen=True, slots=True)
 class StageWaits(Message):
-    """Tells how long a piece would wait that came to the sender now."""
+    """Reports the wait of a new piece in the queues of the sender."""
 
-    #: from earlier releases: rows of a service, the seconds behind those that can
-    #: still be on time, and the seconds behind all
+    #: from earlier releases: rows of service, seconds of queue that can still meet the
+    #: objective, and seconds of the whole queue
     waits: tuple[Any, ...] = ()
-    #: rows of a service, the data centre of its makers (empty: all of them), both
-    #: waits as above, and the seconds that a call takes
+    #: rows of service, data centre of its makers (empty: all of them), both waits as
+    #: above, and the seconds that a call takes
     queues: tuple[Any, ...] = ()
 
     def __post_init__(self) -> None:
@@ -115,7 +117,7 @@
 @register("pieces-read")
 @dataclass(frozen=True, slots=True)
 class BundleInputsRead(Message):
-    """Tells who asked for a bundle that its inputs are not needed any more."""
+    """Tells the sender of a bundle that its inputs are not needed any more."""
 
     bundle_id: str = ""
 
@@ -123,7 +125,7 @@
 @register("pieces-dropped")
 @dataclass(frozen=True, slots=True)
 class BundleCancelled(Message):
-    """Tells an owner that nobody wants a bundle any more."""
+    """Cancels a bundle at its owner."""
 
     bundle_id: str = ""
 
@@ -131,7 +133,7 @@
 @register("results-freed")
 @dataclass(frozen=True, slots=True)
 class ResultsReleased(Message):
-    """Tells an owner that results are not needed any more."""
+    """Releases results at the owner that had them made."""
 
     service: str = ""
     #: see :func:`encode_results`
@@ -145,7 +147,7 @@
 @register("news-query")
 @dataclass(frozen=True, slots=True)
 class PeerSyncQuery(Message):
-    """Asks a peer for what it has heard of the store since these revisions."""
+    """Asks a peer for changes of the store after these revisions."""
 
     configuration_revision: int = 0
     listing_revision: int = 0
@@ -160,20 +162,20 @@
 @register("news")
 @dataclass(frozen=True, slots=True)
 class PeerSyncAnswer(Message):
-    """What the sender knows beyond the question's revisions."""
+    """Answers with what the sender knows beyond the revisions of the query."""
 
-    #: seconds since the store was last known to have said nothing newer; ``None``
-    #: from an earlier release, which does not tell
+    #: seconds since the sender was last known to be up to date with the store;
+    #: ``None``: sent by an earlier release
     heard_seconds: float | None = None
     configuration_revision: int = 0
-    #: compressed; empty if the asker's is as new
+    #: compressed; empty if the receiver is up to date
     configuration: bytes = b""
     listing_revision: int = 0
-    #: whether ``targets`` is a listing at all
+    #: whether ``targets`` contains a listing
     listed: bool = False
-    #: see :func:`~greengagelatch.relay.news.encode_target`
+    #: see :func:`~greengagelatch.relay.target_rows.encode_target`
     targets: tuple[Any, ...] = ()
-    #: key, revision and value of reports on targets that ended, oldest first
+    #: key, revision and value of crash reports, oldest first
     crashes: tuple[Any, ...] = ()
 
     def __post_init__(self) -> None:
@@ -188,9 +190,9 @@
 @register("crashes-seen")
 @dataclass(frozen=True, slots=True)
 class CrashReportsUpdate(Message):
-    """Reports on targets that ended, which the store has not taken yet."""
+    """Crash reports that have not been written to the store yet."""
 
-    #: key and value of each, as they are to stand in the store
+    #: key and value of each, as they are to be stored
     rows: tuple[Any, ...] = ()
 
     def __post_init__(self) -> None:
@@ -198,7 +200,7 @@
 
 
 def encode_bundle(bundle: Bundle, group: MakerGroup, now: float) -> BundleRequest:
-    """Return the message that asks for a bundle of the makers of a group."""
+    """Return the message that asks the owner of a group for a bundle."""
     first = bundle.pieces[0]
     return BundleRequest(
         bundle_id=bundle.bundle_id,
@@ -225,7 +227,7 @@
 
 
 def decode_bundle(message: BundleRequest, now: float) -> Bundle:
-    """Return the bundle that a message asks for."""
+    """Return the bundle in a message."""
     pieces = tuple(
         Piece(
             request_id=message.request_id,
@@ -262,10 +264,10 @@
 
 
 def encode_results(results: tuple[PieceResult, ...]) -> tuple[Any, ...]:
-    """Return results as a message holds them.
+    """Return results as rows of a message.
 
-    A row has the handle, the maker's data centre, and the maker's id and start; one
-    of a piece that was not made has an empty text and the reason.
+    A row holds the handle, the maker's data centre, and the maker's id and start. The
+    row of a piece that was not made holds an empty string and the reason.
     """
     return tuple(
         (one.handle, one.data_centre, one.maker.target_id, one.maker.started_ms)
@@ -276,7 +278,7 @@
 
 
 def decode_results(rows: tuple[Any, ...], count: int) -> tuple[PieceResult, ...] | None:
-    """Return the results of a message; ``None`` if it can't be used."""
+    """Return the results of a message; ``None`` if it is invalid."""
     if len(rows) != count:
         return None
     results = []
@@ -291,7 +293,8 @@
 def _decode_result(row: Any) -> PieceResult:
     """Return the result of one row.
 
-    :raises ValueError: if it can't be used; also TypeError
+    :raises TypeError: if a value can't be unpacked
+    :raises ValueError: if the row is invalid
     """
     check_type(row, (tuple, list))
     handle, detail, *maker = row
@@ -304,22 +307,22 @@
 
 
 def _check_maker(row: Any) -> None:
-    """Check an id and a start.
+    """Check a pair of a maker's id and start.
 
-    :raises ValueError: if they can't be used
+    :raises ValueError: if the pair is invalid
     """
     check_type(row, (tuple, list))
     target_id, started_ms = row
     check_type(target_id, str)
     check_type(started_ms, int)
     if isinstance(started_ms, bool) or started_ms < 0:
-        raise ValueError("a start is a whole number from 0 on")
+        raise ValueError(f"invalid start of maker {target_id!r}: {started_ms!r}")
 
 
 def _check_rows(rows: Any, names: tuple[type, ...], numbers: int) -> None:
-    """Check rows of names and of numbers.
+    """Check that each row holds names followed by numbers.
 
-    :raises ValueError: if they can't be used
+    :raises ValueError: if a row does not
     """
     check_type(rows, (tuple, list))
     kinds = (*names, *((int, float),) * numbers)
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -1,4 +1,4 @@
-"""What one send to a target came to, and what may follow it."""
+"""Outcomes of sending a request to a target, and the decision whether to retry."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class SendOutcome(Enum):
-    """How one send to a target ended without an answer for the caller."""
+    """How a send to a target ended without an answer for the caller."""
 
-    #: no byte of it reached the target
+    #: no byte reached the target
     UNSENT = "unsent"
-    #: another target has the address now; nothing ran
+    #: another target has the address now; the request did not run
     MISDIRECTED = "misdirected"
-    #: the target said that it did not run it
+    #: the target answered that the request did not run
     REJECTED = "rejected"
-    #: it may have run, and no answer says what became of it
+    #: the request may have run, but no answer arrived
     LOST = "lost"
-    #: the target answered that it failed
+    #: the target answered with a failure
     FAILED = "failed"
 
     @property
@@ -34,50 +34,51 @@
 
 
 class NextStep(Enum):
-    """What follows a send that was not answered."""
+    """What to do after a send that was not answered."""
 
-    #: send it to another target, charged to the budget of repeats
+    #: send it to another target, charged to the retry budget
     RETRY = "repeat"
-    #: send it to another target; no target has had it yet
+    #: send it to another target, without charge as no target has received it yet
     SEND = "send"
-    #: tell the caller what is known
+    #: answer the caller with the failure
     GIVE_UP = "give-up"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetryContext:
-    """What a repeat depends on."""
+    """What the decision about a retry depends on."""
 
     outcome: SendOutcome
-    #: whether a request that may have run may be sent again
+    #: whether a request that may have run may be retried
     repeatable: bool
-    #: targets that have had it so far
+    #: number of targets that have received the request so far
     deliveries: int
     max_attempts: int
-    #: sends that reached no target so far
+    #: number of sends so far that reached no target
     unsent: int
-    #: seconds that are left
+    #: seconds until the deadline
     remaining: float
-    #: seconds that a send needs at the least to be of use
+    #: minimum number of seconds that a send needs to be useful
     min_seconds: float
 
 
-#: sends of one request that reach nobody, after which the way is taken to be broken
+#: sends of one request that reach no target, after which the network is taken to be
+#: broken
 MAX_UNSENT = 4
 
 
 def decide_next(facts: RetryContext) -> NextStep:
-    """Say what follows a send that was not answered.
+    """Return what to do after a send that was not answered.
 
-    A request that may run only once is sent again only where it certainly did not
-    run: a booking whose answer was lost may have been made.
+    A request that is not idempotent is retried only if it certainly did not run: a
+    booking whose answer was lost may have been made.
     """
     if facts.remaining <= facts.min_seconds:
         return NextStep.GIVE_UP
     if facts.outcome in (SendOutcome.UNSENT, SendOutcome.MISDIRECTED):
         if facts.unsent >= MAX_UNSENT:
             return NextStep.GIVE_UP
-        # another target than the one that was meant has had it, and turned it away
+        # a target other than the intended one received and rejected it
         misdirected = facts.outcome is SendOutcome.MISDIRECTED
         return NextStep.RETRY if misdirected else NextStep.SEND
     if not facts.repeatable and not facts.outcome.proves_not_run:
--- a/packages/greengagelatch/src/greengagelatch/relay/owners.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/owners.py
@@ -1,4 +1,4 @@
-"""Which instance gathers the stage work of a group of makers."""
+"""Choice of the instance that owns a group of makers and batches their work."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 __all__ = ("rank_owners",)
 
-#: share of the greatest capacity of all from which an instance is as good as any
+#: share of the largest capacity from which instances are treated as equal
 LARGE_CAPACITY_SHARE = 0.5
 
 
 def rank_owners(group: MakerGroup, members: Collection[Member]) -> tuple[str, ...]:
-    """Return instances in the order in which they should own a group of makers.
+    """Return instance ids in order of preference as owner of a group of makers.
 
-    Those in the group's data centre own it, so that a partition leaves owner and
-    makers on the same side; others only where there is none.
+    Only instances in the group's data centre are candidates if there are any, so that
+    a network partition leaves owner and makers on the same side.
 
-    Strong ones go first: an owner sends each call and each result of its makers over
-    its own link, and one whose link is full makes all makers seem slow. Among equals,
-    hashes spread groups over them.
+    Instances with a large capacity come first: an owner sends all calls and results of
+    its makers over its own link, and a saturated link makes all makers seem slow.
+    Rendezvous hashing spreads groups over instances of similar capacity.
 
-    All instances that know the same others agree without a word, and one that
-    comes or goes moves only the groups that it owns.
+    Instances with the same membership view agree without coordination, and an
+    instance that joins or leaves moves only the groups that it owns.
     """
     local = [one for one in members if one.data_centre == group.data_centre]
     candidates = local or members
--- a/packages/greengagelatch/src/greengagelatch/relay/pieces.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/pieces.py
@@ -1,4 +1,4 @@
-"""Pieces of stage work: what is asked of makers, and what comes of it."""
+"""Pieces of stage work, their bundles and their results."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 
     request_id: str
     stage: int
+    #: position among the results of the stage
     segment: int
-    #: names the input of a stage that reads no other one's results
+    #: identifies the input of a stage that reads no results of other stages
     key: str = ""
     #: handles of the results that it reads
     inputs: tuple[str, ...] = ()
@@ -34,24 +35,24 @@
     pieces: tuple[Piece, ...]
     #: approximate size of one result
     result_bytes: int
-    #: end of the stage up to which the request can still meet its objective
+    #: latest end of the stage with which the request still meets its objective
     soft_deadline: float
-    #: end of the stage after which the request can't be answered in time
+    #: latest end of the stage with which the request can be answered in time
     hard_deadline: float
-    #: when what the pieces read lapses at its makers
+    #: when the inputs of the pieces expire at their makers
     inputs_expire_at: float = float("inf")
-    #: makers of what the pieces read; once one has started again, it is lost
+    #: makers that hold the inputs; an input is lost when its maker restarts
     input_makers: tuple[Incarnation, ...] = ()
-    #: 0 is the most urgent
+    #: priority rank; 0 is the most urgent
     rank: float = 0.0
-    #: data centre in which the results are best made: of what the pieces read, or of
-    #: what reads them
+    #: preferred data centre of the maker: that of the inputs, or of the consumer of the
+    #: results
     data_centre: str = ""
-    #: bytes that cross data centres if they are made in another one
+    #: bytes transferred between data centres if the maker is in another one
     moved_bytes: int = 0
     #: whether earlier stages of the request have been made already
     begun: bool = False
-    #: of the request; empty: not told
+    #: digest of the request; empty: unknown
     digest: str = ""
 
     @property
@@ -61,19 +62,19 @@
 
 
 class PieceFailure(Enum):
-    """Why there is no result of a piece."""
+    """Why a piece has no result."""
 
-    #: it could not be made in time
+    #: it could not be made before its deadline
     LATE = "late"
-    #: a result that it reads is gone
+    #: one of its inputs no longer exists
     GONE = "gone"
-    #: the maker has no room for its result
+    #: the maker has no memory for its result
     ROOM = "room"
-    #: the maker failed
+    #: the maker answered with a failure
     ERROR = "error"
-    #: nobody knows: the call broke off, or the maker could not be reached
+    #: unknown: the call was interrupted, or the maker could not be reached
     LOST = "lost"
-    #: makers have ended under such pieces
+    #: it is quarantined, as makers crashed while they ran it
     HELD = "held"
     #: no maker is listed
     NO_MAKER = "no-maker"
@@ -81,11 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceResult:
-    """Handle of a result, or why there is none."""
+    """Handle of a result, or the reason why there is none."""
 
     handle: str = ""
     failure: PieceFailure | None = None
     #: data centre of the maker
     data_centre: str = ""
-    #: what made it, and holds it for as long as it lives
+    #: maker that stores the result until it is released, or until the maker restarts
     maker: Incarnation | None = None
--- a/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets which run them, told from those beside them."""
+"""Quarantine of requests that crash the targets which run them."""
 
 from __future__ import annotations
 
@@ -11,64 +11,65 @@
 
 __all__ = ("QUARANTINE_SECONDS", "CrashReport", "Quarantine")
 
-#: targets that may end under a request before it is kept from all others
+#: crashes of targets running a request after which it is quarantined
 CRASH_LIMIT = 3
-#: the same where another request was on all of these, or targets end by themselves:
-#: one more than a sound request meets in two attempts of two sends each
+#: the same where another request ran on all of these targets too, or where targets
+#: crash without the request: one more than a harmless request meets in two attempts
+#: of two sends each
 AMBIGUOUS_CRASH_LIMIT = 5
-#: seconds around the ends under a request in which other ends of the service speak for
-#: it
+#: seconds before and after the crashes of a request within which other crashes of the
+#: service count as evidence against a connection
 CORRELATION_SECONDS = 10.0
-#: seconds for which a target's end counts against the requests that were on it
+#: seconds for which a crash counts against the requests that ran on the target
 QUARANTINE_SECONDS = 600.0
-#: seconds for which a request that was answered is taken to be sound: one that many
-#: callers send is on every target when a data centre loses power
+#: seconds for which a request is cleared of suspicion once it has been answered: a
+#: request that many callers send runs on every target when a data centre loses power
 CLEARED_SECONDS = 60.0
-#: requests that are remembered as sound
+#: most requests that are remembered as cleared
 MAX_CLEARED = 4096
-#: ends of targets under requests that are remembered; the oldest go first
+#: most crashes that are remembered; the oldest are dropped first
 MAX_CRASHES = 16_384
 
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """A target that ended, and the requests on it that one instance had sent."""
+    """A crashed target, with the requests of one instance that it was running."""
 
     target: Incarnation
     service: str
-    #: digests of those that it had not answered and not been running for long
+    #: digests of requests that were not answered and had not been running for long
     digests: tuple[str, ...]
 
 
 class Quarantine:
-    """Finds requests under which one target after the other ends.
+    """Finds requests that crash one target after the other.
 
-    Whatever was on a target when it ended is suspected, most of it wrongly. A request
-    is not blamed for the end of a target on which there was another one that more
-    targets ended under, nor if it was answered lately. More targets have to end, so
-    that chance does not decide about a sound one, where two requests can't be told
-    apart, and where half of the targets of the service that end meanwhile or more do so
-    without it.
+    All requests that run on a target when it crashes become suspects, most of them
+    wrongly. A request is not blamed for a crash if another request on that target has
+    more crashes, nor if it was answered recently. The limit is higher, so that a
+    harmless request is not quarantined by chance, where two requests ran on the same
+    targets, or where at least half of the service's crashes in the same period happen
+    without the request.
 
-    Answers depend on the reports and on when they came, not on their order, so that
-    instances which know the same reports agree.
+    Decisions depend on the reports and their arrival times but not on their order, so
+    that instances with the same reports agree.
     """
 
     def __init__(self) -> None:
-        #: targets that ended under a request, and when that was learnt
+        #: crashed targets by the request that they ran, with the time of the report
         self._crashed_targets: dict[str, dict[Incarnation, float]] = {}
         self._suspects: dict[Incarnation, set[str]] = {}
-        #: service and time of each end, those learnt first in front
+        #: service and time of each crash, the earliest report first
         self._crashes: OrderedDict[Incarnation, tuple[str, float]] = OrderedDict()
-        #: limit by which each request is held: what ends by itself later on does not
-        #: speak for it any more
+        #: limit by which each request was quarantined: later crashes without the
+        #: request don't raise it
         self._limits: dict[str, int] = {}
-        #: every end under a request in the order in which they were learnt
+        #: time, target and digest of each suspicion, in order of arrival
         self._suspicions: deque[tuple[float, Incarnation, str]] = deque()
         self._cleared: OrderedDict[str, float] = OrderedDict()
 
     def record_crash(self, report: CrashReport, now: float) -> None:
-        """Take in that a target ended; a report that is known changes nothing."""
+        """Record a crash report; idempotent."""
         self._expire(now)
         for digest in report.digests:
             targets = self._crashed_targets.setdefault(digest, {})
@@ -80,7 +81,7 @@
             self._suspicions.append((now, report.target, digest))
 
     def record_survival(self, digest: str, now: float) -> None:
-        """Take in that a target has answered a request, and lives."""
+        """Record that a target has answered a request without a crash."""
         self._cleared.pop(digest, None)
         self._cleared[digest] = now
         if len(self._cleared) > MAX_CLEARED:
@@ -90,13 +91,13 @@
             self._remove_suspect(target, digest)
 
     def is_cleared(self, digest: str, now: float) -> bool:
-        """Whether a request was answered lately."""
+        """Return whether a request was answered recently."""
         return now - self._cleared.get(digest, float("-inf")) < CLEARED_SECONDS
 
     def find_quarantine_seconds(self, digest: str, now: float) -> float | None:
-        """Return for how many seconds a request is kept from targets.
+        """Return the seconds for which a request stays in quarantine.
 
-        ``None``: it may be sent.
+        ``None``: it is not quarantined.
         """
         targets = self._crashed_targets.get(digest)
         if targets is None or len(targets) < CRASH_LIMIT:
@@ -108,24 +109,24 @@
             self._limits.pop(digest, None)
             return None
         self._limits[digest] = limit
-        # held until so many of these have lapsed that fewer than the limit are left
+        # ends when enough crashes have expired that fewer than the limit remain
         reported_at = sorted(targets[target] for target in blamed)
         return reported_at[-limit] + QUARANTINE_SECONDS - now
 
     def has_crashes(self) -> bool:
-        """Whether any target ended with a request on it."""
+        """Return whether any target crashed while it ran a request."""
         return bool(self._crashed_targets)
 
     def count_crashed(self, digest: str) -> int:
-        """Return how many targets ended with a request on them."""
+        """Return how many targets crashed while they ran a request."""
         return len(self._crashed_targets.get(digest, ()))
 
     def list_crashed(self, digest: str) -> tuple[Incarnation, ...]:
-        """Return the targets that ended with a request on them."""
+        """Return the targets that crashed while they ran a request."""
         return tuple(self._crashed_targets.get(digest, ()))
 
     def _find_limit(self, digest: str, blamed: set[Incarnation]) -> int:
-        """Return how many ends a request must be blamed for to be held."""
+        """Return the number of crashes for which a request is quarantined."""
         if not self._dominates(digest, blamed):
             others = self._list_unrelated(digest, blamed)
             left = [one for one in others if not self._has_dominant_request(one)]
@@ -136,7 +137,7 @@
         )
 
     def _has_dominant_request(self, target: Incarnation) -> bool:
-        """Whether a request was on a target that ends of targets stand out for."""
+        """Return whether a target ran a request that dominates its crashes."""
         return any(
             len(self._crashed_targets[one]) >= CRASH_LIMIT
             and self._dominates(one, set(self._crashed_targets[one]))
@@ -144,13 +145,13 @@
         )
 
     def _dominates(self, digest: str, blamed: set[Incarnation]) -> bool:
-        """Whether most targets that end about the same time end with a request."""
+        """Return whether most crashes of the period happened with a request."""
         return len(self._list_unrelated(digest, blamed)) < len(blamed)
 
     def _list_unrelated(
         self, digest: str, blamed: set[Incarnation]
     ) -> list[Incarnation]:
-        """Return the targets that ended without a request about the same time."""
+        """Return the targets that crashed in the same period without a request."""
         known = [self._crashes[target] for target in blamed if target in self._crashes]
         services = {service for service, _ in known}
         times = [crashed_at for _, crashed_at in known]
@@ -165,20 +166,20 @@
         ]
 
     def _is_explained(self, target: Incarnation, crashes: int) -> bool:
-        """Whether a request was on a target that more than ``ends`` ended under."""
+        """Return whether a target ran a request with more crashes than a number."""
         return any(
             len(self._crashed_targets[one]) > crashes for one in self._suspects[target]
         )
 
     def _find_blamed(self, digest: str) -> set[Incarnation]:
-        """Return the targets whose end nothing else on them explains better."""
+        """Return the crashes of a request that no other request explains better."""
         targets = self._crashed_targets.get(digest, {})
         return {
             target for target in targets if not self._is_explained(target, len(targets))
         }
 
     def _is_ambiguous(self, digest: str, blamed: set[Incarnation]) -> bool:
-        """Whether another request was on the same targets, and on no more."""
+        """Return whether another request ran on all of the same targets."""
         if not blamed:
             return False
         shared = set.intersection(*(self._suspects[target] for target in blamed))
--- a/packages/greengagelatch/src/greengagelatch/relay/queue_waits.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/queue_waits.py
@@ -1,4 +1,4 @@
-"""How long stage work waits for its makers, and takes there."""
+"""Queueing time of stage work and the duration of its calls."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueWait:
-    """What a piece that came now would have before it; times in seconds."""
+    """The wait of a piece that is queued now; times in seconds."""
 
-    #: behind those whose requests can still be on time
+    #: behind requests that can still meet their objective
     urgent: float = 0.0
-    #: behind all
+    #: behind all requests
     total: float = 0.0
-    #: that a call takes of late, with the pieces of all requests that share it; 0: not
-    #: told
+    #: recent duration of a call, with the pieces of all requests that share it; 0:
+    #: unknown
     call: float = 0.0
 
     def estimate_stage(self, alone: float) -> float:
-        """Return the seconds that a stage takes once it is begun.
+        """Return the seconds that a stage takes once its call has started.
 
-        :param alone: the same where no other request shares its call
+        :param alone: duration of a call that no other request shares
         """
         return max(alone, self.call)
--- a/packages/greengagelatch/src/greengagelatch/relay/requests.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/requests.py
@@ -1,4 +1,4 @@
-"""Opaque requests as they arrive, and what is said to their callers."""
+"""Opaque requests as received from callers, and refusals."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     "RefusedError",
 )
 
-#: a header's name and value as they are on the wire
+#: name and value of a header as on the wire
 HeaderLine = tuple[bytes, bytes]
 
-#: results that each stage of a route has to make for a request, by stage number
+#: number of results that each stage of a route has to make for a request
 PieceCounts = tuple[int, ...]
 
 
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Prompt:
-    """What an engine will read and write for a request."""
+    """The tokens that an engine processes and generates for a request."""
 
     model: str = ""
     tokens_in: int = 0
     max_tokens_out: int = 0
-    #: in order; the last one belongs to the request or its session alone
+    #: in order; the last one is specific to the request or its session
     parts: tuple[PromptPart, ...] = ()
 
     @property
@@ -55,26 +55,26 @@
     host: str
     #: path and query as sent; never decoded or normalized
     target: str
-    #: what is passed on unchanged
+    #: headers that are passed on unchanged
     headers: tuple[HeaderLine, ...] = field(repr=False)
     body: bytes = field(repr=False)
     received: float
-    #: seconds that the caller waits from ``received``
+    #: seconds from ``received`` for which the caller waits
     timeout: float
     key: str = field(default="", repr=False)
-    #: id of the last event that the caller already has
+    #: id of the last event that the caller has received
     resume_after: int | None = None
     prompt: Prompt | None = None
     piece_counts: PieceCounts = ()
-    #: names the input of a request's first stages
+    #: identifies the input of the request's first stages
     piece_key: str = ""
 
 
 class RefusedError(Exception):
-    """A request that gets a refusal for its final answer."""
+    """Raised when a request is refused; the refusal is the final answer."""
 
     def __init__(self, refusal: Refusal, status: int = 0) -> None:
         super().__init__(refusal.message)
         self.refusal = refusal
-        #: HTTP status where the refusal's code alone does not say it
+        #: HTTP status, where the refusal's code does not determine it; 0 otherwise
         self.status = status
--- a/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/result_memory.py
@@ -1,66 +1,66 @@
-"""Room for results at one maker, as far as this instance fills it."""
+"""Accounting of the memory for results at one maker."""
 
 from __future__ import annotations
 
 __all__ = ("ResultMemory",)
 
-#: share of the room that is used: sizes of results are approximate
+#: share of the memory that is used: sizes of results are approximate
 USED_SHARE = 0.97
-#: seconds for which a maker's room is taken to be filled by others
+#: seconds for which memory is taken to be occupied by others after a refusal
 REFUSAL_SECONDS = 0.5
 
 
 class ResultMemory:
-    """Counts the bytes of results that a maker keeps for this instance.
+    """Counts the bytes of results that a maker stores for this instance.
 
-    A result takes up room from the start of its call until it is freed, or until
-    its maker drops it. A call beyond the room is refused piece by piece, and its
-    fixed cost is lost.
+    A result occupies memory from the start of its call until it is released, or until
+    its maker evicts it. The maker refuses the pieces of a call that exceed its memory,
+    and the fixed cost of the call is wasted.
     """
 
     def __init__(self, size: int, retention_seconds: float) -> None:
         self._size = size * USED_SHARE
         self._retention_seconds = retention_seconds
         self._reserved = 0.0
-        #: bytes that others must hold, and until when that is believed
+        #: bytes taken to be occupied by others, and until when
         self._occupied_by_others = 0.0
         self._occupied_until = 0.0
-        #: bytes of each result and when it lapses, those that lapse first in front
+        #: size and time of expiry of each result, the earliest expiry first
         self._results: dict[str, tuple[int, float]] = {}
         self._result_bytes = 0
 
     def find_free(self, now: float) -> float:
-        """Return the bytes that are free."""
+        """Return the number of free bytes."""
         self._expire(now)
         occupied = self._occupied_by_others if now < self._occupied_until else 0.0
         return self._size - self._reserved - self._result_bytes - occupied
 
     def reserve(self, size: int) -> None:
-        """Take room for a call that begins."""
+        """Reserve memory for a call that starts."""
         self._reserved += size
 
     def commit(self, size: int, results: dict[str, int], now: float) -> None:
-        """Turn a call's reservation into the results that it made."""
+        """Replace the reservation of a call by the results that it made."""
         self._reserved = max(0.0, self._reserved - size)
         for handle, result_size in results.items():
             self._hold(handle, result_size, now + self._retention_seconds)
 
     def record_refusal(self, now: float) -> None:
-        """Take in that there was no room: results of others fill it.
+        """Record that the maker refused a call for lack of memory.
 
-        They are those of an owner that is gone, or of one that does not know of this
-        one. Going on with calls that are refused would cost more than waiting until
-        some of these have lapsed.
+        Its memory is occupied by results of a former owner, or of a concurrent owner
+        that does not know of this one. Further calls that are refused would cost more
+        than waiting until some of these results have expired.
         """
         self._occupied_by_others += max(0.0, self.find_free(now))
         self._occupied_until = now + REFUSAL_SECONDS
 
     def hold_unidentified(self, name: str, size: int, until: float) -> None:
-        """Count results whose handles were lost on the way, until they lapse."""
+        """Count results whose handles were lost in transit until they expire."""
         self._hold(name, size, until + self._retention_seconds)
 
     def release(self, handle: str) -> None:
-        """Give back a result's room."""
+        """Release the memory of a result."""
         size, _ = self._results.pop(handle, (0, 0.0))
         self._result_bytes -= size
 
--- a/packages/greengagelatch/src/greengagelatch/relay/retry_budget.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/retry_budget.py
@@ -1,4 +1,4 @@
-"""This instance's share of the repeats that a service allows to all instances."""
+"""Retry budget: the share of one instance in a service's allowance for retries."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetryBudgetRule:
-    """Repeats that all instances together may send to one service.
+    """Retries that all instances together may send to one service.
 
-    :param ratio: repeats for each request
-    :param slack: repeats in a window whatever the traffic
-    :param window: seconds
+    :param ratio: retries per request
+    :param slack: retries per window regardless of traffic
+    :param window: length of the sliding window in seconds
     """
 
     ratio: float = 0.2
@@ -22,18 +22,18 @@
     window: float = 10.0
 
 
-#: share of the ratio and of the slack that is used, as windows slide and
-#: instances know each other's number with a lag
+#: shares of the ratio and of the slack that are used: a margin, as windows slide and
+#: the number of instances is known with a delay
 USED_RATIO = 0.75
 USED_SLACK = 0.6
 
 
 class RetryBudget:
-    """Counts requests and repeats of one service over a sliding window.
+    """Counts requests and retries of one service over a sliding window.
 
-    Each instance keeps to its own share without asking the others, so that the
-    bound holds also while some of them stand still or can't be reached: a repeat
-    storm is most likely just then.
+    Each instance limits itself to its share without coordination, so that the bound
+    also holds while some instances hang or are unreachable, when a retry storm is most
+    likely.
     """
 
     def __init__(self, rule: RetryBudgetRule) -> None:
@@ -47,17 +47,17 @@
         self._drop_old(now)
 
     def take(self, now: float, instances: int) -> bool:
-        """Spend one repeat; ``False`` if this instance's share is used up."""
+        """Spend one retry; return ``False`` if this instance's share is used up."""
         if self.count_left(now, instances) < 1:
             return False
         self._repeats.append(now)
         return True
 
     def count_left(self, now: float, instances: int) -> int:
-        """Return how many repeats may be spent now."""
+        """Return the number of retries that may be spent now."""
         self._drop_old(now)
         share = self._rule.slack * USED_SLACK / max(1, instances)
-        # at least one, or no request of a quiet instance could ever be repeated
+        # at least one, or an instance with little traffic could never retry
         allowed = max(1.0, share) + self._rule.ratio * USED_RATIO * len(self._requests)
         return max(0, int(allowed - len(self._repeats)))
 
--- a/packages/greengagelatch/src/greengagelatch/relay/routes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/routes.py
@@ -1,4 +1,4 @@
-"""Lookup of routes by host and path, and of workspaces by key."""
+"""Lookup of routes by host and path, and of workspaces by API key."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RouteTable:
-    """The routes and keys of one deployment, ready for lookup."""
+    """Lookup tables for the routes and API keys of one deployment."""
 
     def __init__(self, deployment: Deployment) -> None:
         self.deployment = deployment
@@ -24,10 +24,10 @@
                 self._keys[key] = workspace
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``.
+        """Return the route of ``host`` with the longest prefix of ``path``.
 
-        The path is compared as sent: a decoded or normalized one could choose a
-        route that the target, which gets the raw path, does not serve.
+        The path is compared as sent: a decoded or normalized path could select a
+        route that the target, which receives the raw path, does not serve.
 
         :param host: value of the ``Host`` header, with or without a port
         """
@@ -44,7 +44,7 @@
         return None
 
     def find_workspace(self, key: str) -> RoutedWorkspace | None:
-        """Return the workspace that holds ``key``."""
+        """Return the workspace to which an API key belongs."""
         return self._keys.get(key)
 
 
--- a/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/stage_plan.py
@@ -1,4 +1,4 @@
-"""The stage work of one request, in the order in which it can be done."""
+"""Dependency graph of the stages that one request needs."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 
 __all__ = ("ChainEstimate", "StagePlan", "StageWork", "TargetDeadlines")
 
-#: share of a maker's room from which a stage's results should not wait for others:
-#: those of 1.5 MB fill a seventh each, those of 8 kB hardly any
+#: share of a maker's result memory from which the results of a stage should not be made
+#: before they are needed: results of 1.5 MB fill a seventh each, those of 8 kB hardly
+#: any
 LARGE_SHARE = 0.02
 
 
@@ -29,39 +30,39 @@
     service: str
     count: int
     result_bytes: int
-    #: stages that it reads and that the request has
+    #: stages of the request whose results it reads
     after: tuple[int, ...]
-    #: expected time from its start to its end, where no other request shares its call
+    #: expected duration of a call that no other request shares
     seconds: float
-    #: share of one maker's room that its results fill
+    #: share of one maker's result memory that its results occupy
     memory_share: float = 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetDeadlines:
-    """When a target has to begin with a request; monotonic seconds."""
+    """When a target has to start on a request; monotonic seconds."""
 
-    #: up to which the answer can meet its objective
+    #: latest start with which the answer meets its objective
     soft_deadline: float
-    #: after which the answer can't be whole in time
+    #: latest start with which the answer is complete before the caller's deadline
     hard_deadline: float
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class ChainEstimate:
-    """What is expected of stages that follow each other; times in seconds."""
+    """Estimates for a chain of dependent stages; times in seconds."""
 
-    #: until the last one is made, behind those that can still be on time
+    #: until the last stage ends, queued behind requests that can meet their objective
     urgent_end: float = 0.0
-    #: in calls
+    #: spent in calls
     work: float = 0.0
-    #: in queues, behind those that can still be on time, and behind all
+    #: spent in queues, behind requests that can meet their objective and behind all
     urgent_wait: float = 0.0
     total_wait: float = 0.0
 
 
 class StagePlan:
-    """Stages of a route that one request needs, and what depends on what."""
+    """Stages of a route that one request needs, with their dependencies."""
 
     def __init__(
         self, request: OpaqueRequest, route: Route, deployment: Deployment
@@ -88,13 +89,13 @@
                 memory_share=_find_room_share(stage, counts[number], deployment),
             )
         read = {one for work in self.stages.values() for one in work.after}
-        #: stages whose results the target itself reads, in order
+        #: stages whose results the target reads, in order
         self.final = tuple(sorted(set(self.stages) - read))
 
     def estimate(self, find_queue: Callable[[str], QueueWait]) -> ChainEstimate:
-        """Return what is expected of the longest chain of stages.
+        """Return the estimate for the longest chain of stages.
 
-        :param find_queue: returns what a piece has before it at a service
+        :param find_queue: returns the wait in the queue of a service
         """
         chains = [
             _add(
@@ -109,7 +110,7 @@
     def estimate_rest(
         self, work: StageWork, find_queue: Callable[[str], QueueWait]
     ) -> float:
-        """Return the seconds from a stage's end until those that read it are made."""
+        """Return the seconds from the end of a stage to the end of its dependents."""
         return self._estimate_rest(work, find_queue).urgent_end
 
     def _estimate_stage(
@@ -133,7 +134,7 @@
         return max(chains, default=ChainEstimate())
 
     def list_components(self) -> list[tuple[int, ...]]:
-        """Return the stages in groups of which none reads another one's results."""
+        """Return the connected components of the dependency graph."""
         parts: list[set[int]] = []
         for number, work in self.stages.items():
             joined = {number, *work.after}
@@ -155,18 +156,18 @@
         bounds: TargetDeadlines,
         made: Container[int] = (),
     ) -> float:
-        """Return the seconds for which a stage can wait without harm to the request.
-
-        The target begins once all final stages are made. Results of a short chain
-        fill their makers' room until the longest one ends: those that are large
-        held a third of all room for a second, while other requests waited for it.
-        Once the target begins too late for the objective anyway, the longest chain
-        may wait for seconds behind requests that can be on time; the short ones are
-        then begun after it.
-
-        :param ends: expected moments of the ends of stages that have begun
-        :param find_queue: returns what a piece has before it at a service
-        :param made: stages whose results are there
+        """Return the seconds for which a stage can wait without delay to the request.
+
+        The target starts once all final stages have ended. Results of a short chain
+        occupy memory of their makers until the longest chain ends; without slack, large
+        results held a third of all memory for a second while other requests waited for
+        it. If the target will start too late for the objective anyway, the longest
+        chain may queue for seconds behind requests that can meet theirs, and the short
+        chains are started after it.
+
+        :param ends: expected end times of stages that have started
+        :param find_queue: returns the wait in the queue of a service
+        :param made: stages that have ended
         """
         if work.after or work.number not in self.final:
             return 0.0
@@ -204,7 +205,7 @@
     ) -> tuple[Piece, ...]:
         """Return the pieces of a stage.
 
-        :param handles: results of the stages made so far, by stage
+        :param handles: handles of the results made so far, by stage
         """
         inputs = tuple(handle for one in work.after for handle in handles[one])
         return tuple(
--- a/packages/greengagelatch/src/greengagelatch/relay/store_followers.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/store_followers.py
@@ -1,4 +1,4 @@
-"""Which instances follow the platform's store for all others."""
+"""Choice of the instances that follow the platform's store for all others."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 __all__ = ("ALL_FOLLOW_LIMIT", "choose_followers")
 
-#: instances up to which all of them follow the store
+#: largest number of instances at which all of them follow the store
 ALL_FOLLOW_LIMIT = 12
-#: instances of one data centre that follow it in a larger fleet: one may be lost or
-#: stand still, and the other goes on
+#: followers in each data centre of a larger fleet: two, so that one of them may fail
+#: or hang
 FOLLOWERS_PER_DATA_CENTRE = 2
-#: what the choice is about; each duty falls to other instances
+#: hash key of this role; other roles are assigned to other instances
 ROLE = "store"
 
 
 def choose_followers(instances: Mapping[str, str]) -> frozenset[str]:
     """Return the instances that follow the store.
 
-    The platform counts each call and wakes every watch at each change, so that with
+    The platform bills each call and wakes every watch at each change, so that with
     all instances watching, calls grow with instances times changes. In a large fleet
-    two of each data centre follow the store, so that one which is cut off keeps its
-    own, and the others ask them.
+    two instances of each data centre follow the store and the others ask them; a data
+    centre that is partitioned off keeps its own followers.
 
     :param instances: data centre by instance id
     """
--- a/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
@@ -1,4 +1,4 @@
-"""Targets as instances tell each other of them."""
+"""Encoding of targets as rows of a message."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def encode_target(target: ListedTarget) -> tuple[Any, ...]:
-    """Return a target as a message holds it."""
+    """Return a target as a row of a message."""
     return (
         target.target_id,
         target.incarnation.started_ms,
@@ -25,7 +25,7 @@
 
 
 def decode_target(row: Any) -> ListedTarget | None:
-    """Return the target of a row; ``None`` if it can't be used."""
+    """Return the target of a row; ``None`` if the row is invalid."""
     kinds = (str, int, str, str, str, int, bool, int)
     if not isinstance(row, tuple | list) or len(row) != len(kinds):
         return None
--- a/packages/greengagelatch/src/greengagelatch/relay/targets.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/targets.py
@@ -1,4 +1,4 @@
-"""Targets as the platform lists them, and which of them may get work."""
+"""Targets as listed by the platform, and which of them may receive requests."""
 
 from __future__ import annotations
 
@@ -12,46 +12,47 @@
 
 __all__ = ("ListedTarget", "TargetTable")
 
-#: seconds after the platform's store is back within which entries that lapsed while
-#: it was away are written again by targets that live
+#: seconds after the end of a store outage within which live targets register again
+#: entries that expired during it
 REREGISTRATION_SECONDS = 2.0
-#: targets that left, and ids whose newest incarnation is known, that are remembered
+#: most departed targets, and most ids of known targets, that are remembered
 MAX_REMEMBERED = 4096
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListedTarget:
-    """One incarnation of a target, as its entry tells of it."""
+    """The listing entry of one incarnation of a target."""
 
     incarnation: Incarnation
     service: str
-    #: ``host:port``; may be given to another target once this one has ended
+    #: ``host:port``; may be reused by another target once this one has ended
     address: str
     data_centre: str
     slots: int = 1
+    #: whether it is draining
     leaving: bool = False
-    #: revision of the store at which its entry was written
+    #: store revision at which its entry was written
     revision: int = 0
 
     @property
     def target_id(self) -> str:
-        """The id, which a later incarnation may have as well."""
+        """The id, shared by all incarnations of the target."""
         return self.incarnation.target_id
 
 
 class TargetTable:
-    """All targets that are listed, by service.
+    """All listed targets, by service.
 
-    A target that has begun to leave stays out for good, also if an older entry of
-    it is read again from a store that lags: work sent to it would be cut. One that
-    starts again under its id is another target: of each id only the newest
-    incarnation is listed.
+    A target that has started to drain stays excluded, even if an older entry of it is
+    read from a replica of the store that lags: requests sent to it would be
+    interrupted. A restarted target is a new one: only the newest incarnation of each
+    id is listed.
     """
 
     def __init__(self) -> None:
-        #: by id: there is one entry for each
+        #: listed targets by id
         self._targets: dict[str, ListedTarget] = {}
-        #: what was last read of each id, also of those that are not listed any more
+        #: latest entry of each id, including ids that are not listed any more
         self._newest: dict[str, ListedTarget] = {}
         self._departed: dict[Incarnation, None] = {}
         self._services: dict[str, tuple[ListedTarget, ...]] = {}
@@ -60,23 +61,23 @@
         return len(self._targets)
 
     def is_available(self, incarnation: Incarnation) -> bool:
-        """Whether a target may still be sent work."""
+        """Return whether a target may be sent requests."""
         target = self._targets.get(incarnation.target_id)
         if target is None or target.incarnation != incarnation:
             return False
         return not target.leaving
 
     def is_superseded(self, incarnation: Incarnation) -> bool:
-        """Whether the target has started again since: all that it held is lost."""
+        """Return whether the target has restarted since and lost its state."""
         newest = self._newest.get(incarnation.target_id)
         return newest is not None and newest.incarnation > incarnation
 
     def has_superseded(self, incarnations: Iterable[Incarnation]) -> bool:
-        """Whether any of several targets has started again since."""
+        """Return whether any of several targets has restarted since."""
         return any(map(self.is_superseded, incarnations))
 
     def find_newest(self, target_id: str) -> Incarnation | None:
-        """Return the newest incarnation known of an id, listed or not."""
+        """Return the newest known incarnation of an id, listed or not."""
         newest = self._newest.get(target_id)
         return None if newest is None else newest.incarnation
 
@@ -85,7 +86,7 @@
         return self._targets.get(target_id)
 
     def list_service(self, service: str) -> tuple[ListedTarget, ...]:
-        """Return the targets of a service that may be sent work, by id."""
+        """Return the targets of a service that may be sent requests, sorted by id."""
         found = self._services.get(service)
         if found is None:
             found = tuple(
@@ -102,15 +103,14 @@
         return found
 
     def list_all(self) -> tuple[ListedTarget, ...]:
-        """Return every target listed, also those that leave."""
+        """Return all listed targets, including those that are draining."""
         return tuple(self._targets.values())
 
     def compare(self, target: ListedTarget) -> IncarnationOrder:
-        """Say how an entry stands to the newest incarnation known of its id.
+        """Compare an entry with the newest known incarnation of its id.
 
-        An entry that tells no start can't prove a new one. It is of the incarnation
-        that is known where its address is the same; elsewhere nobody can say whose
-        it is.
+        An entry without a start time can't indicate a restart. With the same address it
+        belongs to the known incarnation; with another one its incarnation is unknown.
         """
         newest = self._newest.get(target.target_id)
         if newest is None:
@@ -124,7 +124,7 @@
         return IncarnationOrder.NEWER if born > known else IncarnationOrder.OUTDATED
 
     def put(self, target: ListedTarget) -> bool:
-        """Take in an entry; whether it changed what may be sent work."""
+        """Apply an entry; return whether the set of usable targets changed."""
         match self.compare(target):
             case IncarnationOrder.OUTDATED | IncarnationOrder.UNKNOWN:
                 return False
@@ -148,9 +148,9 @@
     def remove(
         self, incarnation: Incarnation, revision: int, *, lapsed: bool = False
     ) -> bool:
-        """Take in that an entry is gone; whether it was there.
+        """Apply the removal of an entry; return whether it was listed.
 
-        :param lapsed: whether the entry may have ended only because its target
+        :param lapsed: whether the entry may have expired only because its target
             could not renew it; such a target may be listed again
         """
         known = self._targets.get(incarnation.target_id)
@@ -170,7 +170,7 @@
             del self._departed[next(iter(self._departed))]
 
     def _remember_newest(self, target: ListedTarget) -> None:
-        # to the end, so that those unheard of for the longest time are dropped first
+        # moved to the end, so that the least recently updated ids are dropped first
         self._newest.pop(target.target_id, None)
         self._newest[target.target_id] = target
         if len(self._newest) <= MAX_REMEMBERED:
--- a/tests/test_core/test_relay/test_crash_reports.py
+++ b/tests/test_core/test_relay/test_crash_reports.py
@@ -1,4 +1,4 @@
-"""Reports on targets that ended, as the store keeps them."""
+"""Tests of greengagelatch.relay.crash_reports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 REPORT = CrashReport(Incarnation("t1", 7), "llm", ("aa", "bb"))
 
 
-def test_reports_come_back_as_they_were():
+def test_reports_survive_a_round_trip():
     reports = (REPORT, CrashReport(Incarnation("t2"), "llm", ()))
     assert decode_reports(encode_reports(reports)) == reports
 
@@ -33,10 +33,10 @@
         ({"requests": ["a"] * 1000}, "requests"),
     ],
 )
-def test_field_that_cannot_be_used_is_named(change, field):
+def test_error_names_the_invalid_field(change, field):
     rows = json.loads(encode_reports((REPORT,)))
     value = json.dumps([rows[0] | change]).encode()
-    with pytest.raises(ValueError, match=field):
+    with pytest.raises(ValueError, match=f"invalid {field}"):
         decode_reports(value)
 
 
@@ -47,7 +47,7 @@
         lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     ).map(lambda value: json.dumps(value).encode())
 )
-def test_any_bytes_are_read_or_refused(value):
+def test_arbitrary_bytes_raise_only_value_errors(value):
     try:
         decode_reports(value)
     except ValueError:
