--- a/tests/test_core/test_relay/test_admission.py
+++ b/tests/test_core/test_relay/test_admission.py
@@ -17,30 +17,28 @@
 POLICY = DeadlineAdmission()
 
 
-def test_request_that_can_be_on_time_is_begun():
+def test_request_that_meets_its_objective_is_admitted():
     assert POLICY.decide(ESTIMATE).admitted
     assert POLICY.decide(replace(ESTIMATE, total_wait=3.0, urgent_wait=0.85)).admitted
 
 
-def test_newcomer_that_would_be_on_time_by_a_hair_comes_back():
-    """Guards against queues in which half of all are late by a tenth of a second."""
+def test_first_attempt_within_the_safety_margin_is_refused():
+    """Guards against queues in which half of the requests are late by 0.1 s."""
     assert not POLICY.decide(
         replace(ESTIMATE, total_wait=0.95, urgent_wait=0.95)
     ).admitted
 
 
-def test_newcomer_that_would_be_late_comes_back():
+def test_late_first_attempt_is_told_when_to_retry():
     decision = POLICY.decide(replace(ESTIMATE, total_wait=1.5, urgent_wait=1.5))
     assert not decision.admitted
     assert 0 < decision.retry_after <= ESTIMATE.remaining / 3
 
 
-def test_caller_that_came_back_is_begun_though_late():
-    """Symptom: under a burst some callers are sent away twice and get nothing.
+def test_late_retry_is_admitted():
+    """Guards against callers that are refused twice in a burst and get no answer.
 
-    Sequence: a caller is told to come back, does so, and is judged as a newcomer
-    that can't be on time.
-    Cause: nobody asked whether it had been sent away before.
+    A caller retried as told and was judged as a first attempt that would be late.
     """
     returned = replace(
         ESTIMATE,
@@ -53,12 +51,11 @@
     assert POLICY.decide(returned).admitted
 
 
-def test_those_that_will_be_late_fill_a_part_of_the_queue_only():
-    """Symptom: in a burst hardly any answer is on time, though half of them could be.
+def test_late_requests_fill_only_a_part_of_the_queue():
+    """Guards against a burst in which few answers meet the objective.
 
-    Sequence: callers that came back fill the queue; newcomers wait behind them and
-    become late themselves.
-    Cause: what is worth little by now took the place of what is worth all.
+    Retries, whose answers are late anyway, filled the queue, and first attempts that
+    could have met the objective became late behind them.
     """
     returned = replace(
         ESTIMATE,
@@ -72,16 +69,16 @@
     assert POLICY.decide(replace(ESTIMATE, total_wait=2.5, urgent_wait=0.85)).admitted
 
 
-def test_what_can_not_be_answered_in_time_is_refused_at_once():
+def test_request_that_would_miss_its_deadline_is_refused():
     decision = POLICY.decide(replace(ESTIMATE, total_wait=5.5, urgent_wait=5.5))
     assert not decision.admitted
 
 
-def test_late_request_is_begun_where_hardly_anything_waits():
+def test_late_request_is_admitted_to_a_short_queue():
     assert POLICY.decide(
         replace(ESTIMATE, objective_remaining=0.1, total_wait=0.2)
     ).admitted
 
 
-def test_baseline_begins_everything():
+def test_baseline_admits_everything():
     assert AdmitAll().decide(replace(ESTIMATE, total_wait=60.0)).admitted
--- a/tests/test_core/test_relay/test_batches.py
+++ b/tests/test_core/test_relay/test_batches.py
@@ -82,13 +82,13 @@
     }
 
 
-def test_requests_share_a_call_where_makers_are_few():
+def test_requests_share_a_call_if_makers_are_scarce():
     calls = plan([create_bundle("a", 6), create_bundle("b", 6)], [create_maker()])
     assert calls == {"m-1": ["a"] * 6 + ["b"] * 6}
 
 
 def test_baseline_makes_a_call_for_each_request():
-    """The load that sharing answers: three requests, two makers, one call each."""
+    """Three requests and two makers: the baseline leaves one request waiting."""
     bundles = [create_bundle(name, 6) for name in "abc"]
     makers = [create_maker("m-1"), create_maker("m-2")]
     assert plan(bundles, makers, PerRequestBatching()) == {
@@ -101,18 +101,17 @@
     assert sorted(ready) == ["a"] * 6 + ["b"] * 6 + ["c"] * 6
 
 
-def test_each_bundle_has_its_own_call_where_makers_are_idle():
+def test_each_bundle_has_its_own_call_if_makers_are_idle():
     makers = [create_maker("m-1"), create_maker("m-2")]
     calls = plan([create_bundle("a", 6), create_bundle("b", 6)], makers)
     assert sorted(calls.values()) == [["a"] * 6, ["b"] * 6]
 
 
-def test_bundle_is_not_split_where_room_is_short():
-    """Symptom: makers are full of results, and hardly any request is whole.
+def test_bundle_is_not_split_if_memory_is_short():
+    """Guards against makers full of results of incomplete requests.
 
-    Sequence: a call takes some pieces of a bundle; their results wait at the maker
-    for the others, which wait for room.
-    Cause: calls were filled up to the last piece.
+    Calls were filled with parts of bundles; their results stayed in the maker's memory
+    while the remaining pieces waited for memory.
     """
     size = 60_000
     bundles = [create_bundle("a", 6, size=size), create_bundle("b", 6, size=size)]
@@ -125,19 +124,18 @@
     assert calls == {"m-1": ["a"] * 17}
 
 
-def test_room_is_never_overrun():
+def test_result_memory_is_never_exceeded():
     size = 60_000
     bundle = create_bundle("a", 30, size=size)
     calls = plan([bundle], [create_maker(free_bytes=size * 5 + 1)])
     assert len(calls.get("m-1", [])) <= 5
 
 
-def test_what_can_be_on_time_goes_before_what_can_not():
-    """Symptom: in a burst every answer is late, though half could be on time.
+def test_bundles_that_meet_the_soft_deadline_precede_late_ones():
+    """Guards against an overload in which every answer misses its objective.
 
-    Sequence: more requests come than makers can do; the queue is served in order,
-    so that each request reaches the makers just after its objective.
-    Cause: the oldest went first, although nothing was to be won by it any more.
+    The queue was served in order of arrival, so that each request reached the makers
+    just after its objective, though half of them could have met it.
     """
     late = create_bundle("late", 10, aim=NOW + 0.1)
     on_time = create_bundle("fresh", 10, aim=NOW + 0.6)
@@ -145,11 +143,11 @@
     assert calls["m-1"][:10] == ["fresh"] * 10
 
 
-def test_late_request_has_its_last_chance():
-    """Symptom: a caller that came back is begun and then never answered.
+def test_late_bundle_goes_first_before_its_hard_deadline():
+    """Guards against starvation of late requests.
 
-    Sequence: newcomers that can be on time go first, one after the other.
-    Cause: what is late waited without a bound.
+    An admitted retry was overtaken by all requests that could meet their objective,
+    and was never answered.
     """
     latest = NOW + DEADLINE_MARGIN_SECONDS - 0.01
     late = create_bundle("late", 10, aim=NOW - 1.0, latest=latest)
@@ -158,12 +156,11 @@
     assert calls["m-1"][:10] == ["late"] * 10
 
 
-def test_late_request_goes_on_before_what_it_reads_lapses():
-    """Symptom: stages are made a second time for requests that nothing happened to.
+def test_late_bundle_goes_first_before_its_inputs_expire():
+    """Guards against stages that are run again without any failure.
 
-    Sequence: a request becomes late between two stages and waits behind all that can
-    be on time; after four seconds the maker drops the results that it was to read.
-    Cause: only the request's own last moment was looked at.
+    A request became late between two stages and waited behind those on time, until
+    after four seconds the maker evicted its inputs; only its hard deadline counted.
     """
     late = create_bundle(
         "late",
@@ -177,37 +174,36 @@
     assert calls["m-1"][:10] == ["late"] * 10
 
 
-def test_maker_that_has_become_slow_is_left_alone():
-    """Symptom: requests are late by seconds while other makers idle a moment later.
+def test_slow_maker_is_avoided():
+    """Guards against requests that are late by seconds because of one slow maker.
 
-    Sequence: a maker works five times as long; it is free when the others are busy,
-    gets the next call, and holds it for two seconds.
-    Cause: being idle was all that was asked of a maker.
+    A maker that was five times slower was idle while the others were busy, got the next
+    call and took two seconds, though another maker would have finished sooner.
     """
     makers = [create_maker("slow", slowness=5.0), create_maker("m", free_at=NOW + 0.1)]
     assert plan([create_bundle("a", 6)], makers) == {}
 
 
-def test_only_maker_is_used_however_slow():
+def test_only_maker_is_used_even_if_slow():
     calls = plan([create_bundle("a", 6)], [create_maker("slow", slowness=5.0)])
     assert calls == {"slow": ["a"] * 6}
 
 
-def test_bundle_that_reads_much_waits_for_a_near_maker():
+def test_bundle_with_large_inputs_waits_for_a_local_maker():
     makers_by_data_centre = create_maker("near", free_at=NOW + 0.2)
     far = create_maker("far", data_centre="south")
     bundle = create_bundle("a", 6, moved_bytes=2_000_000)
     assert plan([bundle], [makers_by_data_centre, far]) == {}
 
 
-def test_bundle_that_reads_much_does_not_wait_beyond_its_aim():
+def test_bundle_with_large_inputs_does_not_wait_past_its_soft_deadline():
     makers_by_data_centre = create_maker("near", free_at=NOW + 0.2)
     far = create_maker("far", data_centre="south")
     bundle = create_bundle("a", 6, moved_bytes=2_000_000, aim=NOW + 0.3)
     assert plan([bundle], [makers_by_data_centre, far]) == {"far": ["a"] * 6}
 
 
-def test_near_bundle_goes_first_at_a_maker():
+def test_local_bundle_goes_first_at_a_maker():
     large = 2_000_000
     far = create_bundle(
         "far", 16, data_centre="south", aim=NOW + 5.0, moved_bytes=large
@@ -221,12 +217,11 @@
     return [one.bundle_id for one in find_infeasible(bundles, makers, PROFILE, NOW)]
 
 
-def test_bundles_behind_too_much_are_given_up_at_once():
-    """Symptom: callers hear "too late" after three seconds, and can't come back.
+def test_bundles_too_far_back_in_the_queue_are_infeasible():
+    """Guards against refusals that come too late for a retry.
 
-    Sequence: a burst of twice what the makers can do; those at the end of the queue
-    wait there until their last moment is over.
-    Cause: only the time of one's own call was looked at.
+    In a burst of twice the makers' capacity, requests at the end of the queue waited
+    there for three seconds until their deadline, as the queue ahead did not count.
     """
     bundles = [
         create_bundle(f"r-{number:03}", 17, aim=NOW + number / 100, latest=NOW + 2.0)
@@ -237,11 +232,11 @@
     assert find_names(bundles, [create_maker(f"m-{n}") for n in range(4)]) == []
 
 
-def test_urgent_bundles_are_kept_before_late_ones():
+def test_late_bundles_become_infeasible_before_urgent_ones():
     late = create_bundle("late", 17, aim=NOW, latest=NOW + 0.9)
     urgent = [create_bundle(name, 17, latest=NOW + 2.0) for name in "abc"]
     assert find_names([late, *urgent], [create_maker()]) == ["late"]
 
 
-def test_calm_queue_has_no_hopeless_bundle():
+def test_short_queue_has_no_infeasible_bundle():
     assert find_names([create_bundle("a", 6)], [create_maker(free_at=NOW + 0.2)]) == []
--- a/tests/test_core/test_relay/test_capacity.py
+++ b/tests/test_core/test_relay/test_capacity.py
@@ -12,18 +12,18 @@
 @pytest.mark.parametrize(
     "short", [{"work": 0.85}, {"link": 0.85}, {"lag": 0.15}], ids=str
 )
-def test_instance_short_of_anything_is_busy(short):
+def test_instance_short_of_any_resource_is_busy(short):
     assert is_busy(Usage(**{**REST, **short}), before=False)
 
 
-def test_instance_near_the_limit_is_told_of_once():
+def test_busy_state_has_hysteresis():
     usage = Usage(**{**REST, "link": 0.7})
     assert not is_busy(usage, before=False)
     assert is_busy(usage, before=True)
     assert not is_busy(Usage(**REST), before=True)
 
 
-def test_scarcer_resource_bounds_the_bundles_that_an_instance_gathers():
+def test_scarcer_resource_bounds_the_bundles_of_an_instance():
     strong = Capacity(cores=2.0, link_bytes=12_500_000)
     small_link = Capacity(cores=2.0, link_bytes=625_000)
     assert small_link.bundles < strong.bundles
--- a/tests/test_core/test_relay/test_crash_storms.py
+++ b/tests/test_core/test_relay/test_crash_storms.py
@@ -1,4 +1,4 @@
-"""Fleets in which one request ends engines, replayed through the decision alone."""
+"""Simulations of quarantine where one request crashes engines again and again."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 
 BAD = "bad"
 ENGINES = 5
-#: seconds of a day
+#: simulated seconds
 LENGTH = 60.0
-#: seconds after which an engine that ended is back
+#: seconds until a crashed engine has restarted
 RESTART_SECONDS = 3.0
-#: seconds from the end of an engine until all instances know of it
+#: seconds from a crash until all instances know of it
 REPORT_SECONDS = 0.3
-#: seconds for which a sound request waits on an engine, and then runs
+#: longest time that a request is queued on an engine, and that a harmless one then runs
 MAX_WAIT, MAX_RUN = 0.4, 0.3
-#: seconds after it began in which the request that ends engines does so
+#: seconds after its start within which the crashing request crashes its engine
 CRASH_DELAY = (0.02, 0.12)
 HARMLESS_PER_SECOND = 25.0
 BAD_PER_SECOND = 2.0
-#: engines that an attempt goes to, and attempts of a caller
+#: engines to which one attempt is sent, and attempts of one caller
 SENDS, ATTEMPTS = 2, 2
-#: seconds after the third end in which all must know, and arrivals after that
+#: seconds after the third crash until all instances must know of it, and the crashing
+#: requests that may reach engines after that
 DETECTION_SECONDS, MAX_LATE_ARRIVALS = 3.0, 3
 
 
@@ -49,11 +50,11 @@
 
 
 class Storm:
-    """Callers, engines and the decision of all instances, in virtual time."""
+    """Discrete-event simulation of callers, engines and the quarantine."""
 
     def __init__(self, seed: int, crashes: float = 0.0) -> None:
         self.random = random.Random(seed)
-        #: ends in a second that no request causes
+        #: crashes per second that no request causes
         self.crashes = crashes
         self.quarantine = Quarantine()
         self.numbers = itertools.count()
@@ -147,7 +148,7 @@
     def report_crash(self, report: CrashReport) -> None:
         self.quarantine.record_crash(report, self.now)
         for digest in report.digests:
-            # as each instance does, to tell of it
+            # each instance does so to log the quarantine
             self.quarantine.find_quarantine_seconds(digest, self.now)
 
     def retry(self, sent: SentRequest) -> None:
@@ -157,7 +158,7 @@
             self.after(0.1, self.send, SentRequest(sent.digest, 1, sent.attempts + 1))
 
     def count_late_arrivals(self) -> int:
-        """Return how often the request came to an engine once all had to know."""
+        """Count crashing requests that reach engines once all instances must know."""
         if len(self.crash_times) < 3:
             return 0
         known = self.crash_times[2] + DETECTION_SECONDS
@@ -166,7 +167,7 @@
 
 @pytest.mark.parametrize("seed", range(50))
 def test_only_the_crashing_request_is_quarantined(seed):
-    """Guards against all engines down for long, and sound requests that pay for it."""
+    """Guards against long outages of all engines and against quarantine by mistake."""
     storm = Storm(seed)
     storm.run()
     assert storm.count_late_arrivals() <= MAX_LATE_ARRIVALS
@@ -176,7 +177,7 @@
 
 @pytest.mark.parametrize("seed", [*range(50), 104, 380])
 def test_independent_crashes_quarantine_no_harmless_request(seed):
-    """Guards against a hold by chance beside one that is due."""
+    """Guards against quarantine by mistake while engines crash by themselves."""
     storm = Storm(seed, crashes=0.7)
     storm.run()
     assert storm.refused_harmless == 0
--- a/tests/test_core/test_relay/test_deployment.py
+++ b/tests/test_core/test_relay/test_deployment.py
@@ -23,12 +23,11 @@
     ("objective", "pause", "limit"),
     [(0.79, 0.25, 3.16), (0.1, 0.5, 4.0), (0.1, 0.1, 2)],
 )
-def test_callers_give_up_a_silent_stream_before_its_timeout(objective, pause, limit):
-    """Symptom: makers and engines work for callers that have gone.
+def test_silence_limit_is_shorter_than_the_timeout(objective, pause, limit):
+    """Guards against work for callers that have disconnected.
 
-    Sequence: a request waits for its stages for four seconds of the fifteen that its
-    route allows; its caller has given up after three.
-    Cause: only the timeout was looked at.
+    A request waited for its stages for four seconds of its route's timeout of fifteen,
+    but its caller had abandoned the silent stream after three.
     """
     route = replace(ROUTE, objective=objective, longest_pause=pause)
     assert route.silence_limit == pytest.approx(limit)
@@ -43,12 +42,12 @@
         (RouteKind.STREAMING, True, True),
     ],
 )
-def test_kind_says_what_may_be_repeated(kind, resumable, repeatable):
+def test_kind_determines_whether_requests_are_retryable(kind, resumable, repeatable):
     route = replace(ROUTE, kind=kind, resumable=resumable)
     assert route.retryable is repeatable
 
 
-def test_call_has_a_fixed_cost_and_one_for_each_piece():
+def test_call_has_a_fixed_cost_and_a_cost_per_piece():
     maker = MakerProfile(
         slots=1,
         queue=0,
--- a/tests/test_core/test_relay/test_digests.py
+++ b/tests/test_core/test_relay/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests by which requests are recognised."""
+"""Tests of greengagelatch.relay.digests."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
         replace(REQUEST, host="other.example"),
         replace(REQUEST, target="/brokers/7?x=2"),
         replace(REQUEST, body=b"hello!"),
-        # a boundary between two parts that has moved
+        # a moved boundary between host and path
         replace(REQUEST, host="chat.example/", target="brokers/7?x=1"),
     ],
 )
-def test_other_requests_have_other_digests(other):
+def test_different_requests_have_different_digests(other):
     assert compute_digest(other, "w") != compute_digest(REQUEST, "w")
 
 
-def test_callers_do_not_share_digests():
+def test_workspaces_do_not_share_digests():
     assert compute_digest(REQUEST, "w") != compute_digest(REQUEST, "v")
--- a/tests/test_core/test_relay/test_groups.py
+++ b/tests/test_core/test_relay/test_groups.py
@@ -71,7 +71,7 @@
     return Counter(chosen)
 
 
-def test_makers_are_divided_where_nobody_could_gather_for_all():
+def test_ownership_is_partitioned_if_no_instance_has_the_capacity():
     rule = CapacityBasedOwnership()
     assert rule.is_partitioned(view(400, 200, 3, 3, 3), before=False)
     assert not rule.is_partitioned(view(400, 800, 3, 3, 3), before=False)
@@ -84,25 +84,25 @@
     )
 
 
-def test_capacity_that_nobody_tells_divides_nothing():
+def test_unknown_capacity_keeps_one_owner():
     assert not CapacityBasedOwnership().is_partitioned(
         view(400, 0, 3, 3, 3), before=False
     )
 
 
-def test_maker_that_comes_and_goes_changes_no_division():
+def test_partitioning_has_hysteresis():
     """Guards against owners that change with each maker that is lost for a moment."""
     rule = CapacityBasedOwnership()
     assert rule.is_partitioned(view(400, 200, 2, 1, 1), before=True)
     assert not rule.is_partitioned(view(400, 200, 2, 1, 1), before=False)
 
 
-def test_load_grows_with_the_makers():
+def test_load_is_proportional_to_the_makers():
     assert estimate_load(PROFILE, 8) == pytest.approx(2 * estimate_load(PROFILE, 4))
 
 
-def test_makers_of_a_place_without_instances_have_an_owner_elsewhere():
-    """Guards against makers that nobody calls."""
+def test_makers_in_a_data_centre_without_instances_have_a_remote_owner():
+    """Guards against makers that no instance calls."""
     assert find_owning_data_centre("north", DATA_CENTRES) == "north"
     homes = {
         find_owning_data_centre(f"place-{number}", DATA_CENTRES) for number in range(50)
@@ -110,18 +110,18 @@
     assert homes == set(DATA_CENTRES)
 
 
-def test_bundle_goes_to_the_near_makers_unless_they_are_behind():
+def test_bundle_goes_to_local_makers_unless_their_queue_is_long():
     assert choose(create_bundle(), create_views()) == {"north": 200}
     assert choose(create_bundle(), create_views(north=2.0, west=2.0)) == {"east": 200}
 
 
 def test_small_difference_of_queues_moves_few_bundles():
-    """Guards against a queue that all instances leave for the same other one."""
+    """Guards against oscillation: all instances moving to the same shorter queue."""
     chosen = choose(create_bundle(), create_views(north=0.15, west=0.15))
     assert 0 < chosen["east"] < chosen["north"]
 
 
-def test_inputs_cross_data_centres_only_where_the_near_makers_are_too_late():
+def test_inputs_cross_data_centres_only_if_local_makers_are_too_late():
     large = create_bundle(moved_bytes=4_000_000, aim=NOW + 2.0)
     assert choose(large, create_views(north=1.0)) == {"north": 200}
     chosen = choose(large, create_views(north=1.9))
--- a/tests/test_core/test_relay/test_idle_connections.py
+++ b/tests/test_core/test_relay/test_idle_connections.py
@@ -21,24 +21,23 @@
 
 @pytest.mark.parametrize("instances", [9, 84, 195, 570])
 @pytest.mark.parametrize("most", [49, 120, 1200])
-def test_idle_connections_leave_room_for_those_in_use(most, instances):
-    """Symptom: a target resets new connections although few requests run.
+def test_idle_connections_leave_capacity_for_active_ones(most, instances):
+    """Guards against connections that a target resets although few requests run.
 
-    Sequence: 84 instances keep up to four idle connections each to a target that
-    takes 120 from all of them.
-    Cause: the bound was one for each instance, whatever their number.
+    84 instances kept up to four idle connections each to a target that accepts 120 in
+    all; the bound did not depend on the number of instances.
     """
-    # which instances keep one is drawn by hashes where there are too few for all
+    # the margin covers the choice by hashes where not every instance keeps one
     assert count_all(most, instances) <= most * (IDLE_SHARE + 0.15)
 
 
-def test_few_instances_keep_what_is_of_use():
+def test_few_instances_keep_the_maximum():
     assert count_idle_connections(500, 9, "entry-1", "t-1") == MAX_IDLE
 
 
-def test_unknown_bound_leaves_the_usual_number():
+def test_unknown_limit_allows_the_maximum():
     assert count_idle_connections(0, 195, "entry-1", "t-1") == MAX_IDLE
 
 
-def test_some_instances_keep_one_where_the_share_is_below_one():
+def test_some_instances_keep_one_if_the_share_is_below_one():
     assert 0 < count_all(49, 195) < 49
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.relay.incarnations through the book, fleet and news."""
+"""Tests of incarnations in the target table, load balancer and peer messages."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
     return table, LoadBalancer(table=table, data_centre="north", random_source=source)
 
 
-def test_incarnation_is_shown_with_its_start():
+def test_incarnation_is_printed_with_its_start():
     assert (str(PREVIOUS), str(WITHOUT_START)) == ("t-1@1000", "t-1")
 
 
-def test_target_that_starts_again_replaces_the_former_one():
+def test_restarted_target_replaces_its_former_incarnation():
     table = TargetTable()
     table.put(create(PREVIOUS, 5))
     assert table.compare(create(CURRENT, 6)) is IncarnationOrder.NEWER
@@ -65,11 +65,11 @@
     assert [one.incarnation for one in table.list_service("desk")] == [CURRENT]
 
 
-def test_target_that_left_may_start_again():
-    """Symptom: a service is short of a target until the instance is restarted.
+def test_drained_target_may_restart():
+    """Guards against a restarted target that gets no requests.
 
-    Sequence: a target leaves as planned and starts again under the id that it had.
-    Cause: that it had left was remembered under its id.
+    A target drained and restarted under the same id; the drain was remembered by id
+    rather than by incarnation.
     """
     table = TargetTable()
     table.put(create(PREVIOUS, 5, leaving=True))
@@ -78,13 +78,11 @@
     assert table.is_available(CURRENT)
 
 
-def test_old_answer_does_not_bring_the_former_one_back():
-    """Symptom: beliefs about a target begin anew again and again, and requests for
-    results that it lost fail.
+def test_stale_entry_does_not_restore_a_former_incarnation():
+    """Guards against requests for lost results, and state that is reset repeatedly.
 
-    Sequence: a target has started again; an entry of before is read from a peer that
-    is behind, with whatever revision it may claim, also once the new one has gone.
-    Cause: the entry read last was believed.
+    After a restart, a stale entry with any revision was read from a lagging peer, even
+    after the new incarnation had gone; the entry read last won.
     """
     table = TargetTable()
     table.put(create(CURRENT, 5))
@@ -97,14 +95,14 @@
     assert not table.is_available(PREVIOUS)
 
 
-def test_removal_concerns_the_incarnation_that_was_listed():
+def test_removal_of_another_incarnation_is_ignored():
     table = TargetTable()
     table.put(create(CURRENT, 5))
     assert not table.remove(PREVIOUS, 9)
     assert table.is_available(CURRENT)
 
 
-def test_entry_without_a_start_is_of_the_one_known_at_its_address():
+def test_entry_without_a_start_matches_the_known_address():
     table = TargetTable()
     table.put(create(CURRENT, 5))
     assert table.put(create(WITHOUT_START, 6, leaving=True))
@@ -112,7 +110,7 @@
     assert [one.incarnation for one in table.list_all()] == [CURRENT]
 
 
-def test_entry_without_a_start_elsewhere_is_nobodys():
+def test_entry_without_a_start_at_another_address_is_ignored():
     table = TargetTable()
     table.put(create(CURRENT, 5))
     elsewhere = create(WITHOUT_START, 6, address="10.0.0.2:80")
@@ -121,7 +119,7 @@
     assert not table.is_available(WITHOUT_START)
 
 
-def test_ids_without_a_start_are_as_before():
+def test_known_id_without_a_start_accepts_any_address():
     table = TargetTable()
     table.put(create(WITHOUT_START, 5))
     assert (
@@ -142,7 +140,7 @@
 
 
 @given(st.lists(_entries, max_size=30))
-def test_of_each_id_one_incarnation_gets_work_and_never_an_older_one(steps):
+def test_only_the_newest_incarnation_of_each_id_is_accepted(steps):
     table = TargetTable()
     newest = {"t-1": -1, "t-2": -1}
     for step, target_id, started_ms, revision, leaving, address in steps:
@@ -166,11 +164,11 @@
                 newest[known_id] = known.started_ms
 
 
-def test_failures_of_the_former_one_do_not_count():
-    """Symptom: a target that is back gets no work for seconds.
+def test_failures_of_a_former_incarnation_do_not_count():
+    """Guards against a restarted target that gets no requests for seconds.
 
-    Sequence: a target fails, is ended and starts again under its id.
-    Cause: its breaker was kept under the id.
+    A target failed and was restarted under the same id; its circuit breaker was stored
+    by id.
     """
     table, balancer = create_balancer(
         create(PREVIOUS, 1), create(Incarnation("t-2", 5), 2)
@@ -183,12 +181,11 @@
     assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW).incarnation == CURRENT
 
 
-def test_prompt_parts_and_load_of_the_former_one_do_not_count():
-    """Symptom: an engine that has just started reads whole prompts, late, while those
-    that keep their parts idle.
+def test_cached_parts_and_load_of_a_former_incarnation_do_not_count():
+    """Guards against prompts sent to an engine whose prefix cache is empty.
 
-    Sequence: an engine that kept the parts of many prompts starts again.
-    Cause: its memory was remembered under the id.
+    An engine with many cached parts restarted; its cached parts were recorded by id,
+    and engines that did have the parts stayed idle.
     """
     table, balancer = create_balancer(
         create(PREVIOUS, 1), create(Incarnation("t-2", 5), 2)
@@ -203,11 +200,11 @@
     assert "t-1@1000" not in balancer.describe(NOW)
 
 
-def test_last_word_of_a_former_one_leaves_nothing_behind():
-    """Symptom: memory grows with each restart of a target.
+def test_late_outcome_of_a_former_incarnation_leaves_no_state():
+    """Guards against memory that grows with each restart of a target.
 
-    Sequence: a request is at a target that starts again; it ends afterwards.
-    Cause: the state of what had been forgotten was made anew for it.
+    A request ended after its target had restarted, which recreated the discarded state
+    of the former incarnation.
     """
     table, balancer = create_balancer(create(PREVIOUS, 1))
     balancer.start(PREVIOUS, 100.0)
@@ -218,11 +215,11 @@
     assert balancer.describe(NOW) == {}
 
 
-def test_home_of_prompt_parts_stays_with_the_id():
-    """Symptom: a restart of one engine costs the parts of two.
+def test_affinity_target_depends_on_the_id_only():
+    """Guards against a restart that invalidates cached parts of other engines.
 
-    Sequence: an engine starts again; the parts that others were to keep move to it.
-    Cause: homes were drawn anew for the new start.
+    An engine restarted, and parts of other engines were reassigned to it, as the hash
+    included the start time.
     """
     others = [create(Incarnation(f"t-{n}", 7), n) for n in range(2, 7)]
     prompts = [
@@ -242,7 +239,7 @@
     assert balancer.choose_engine("desk", need, NO_TARGETS, NOW).incarnation == CURRENT
 
 
-def test_news_tell_the_start():
+def test_peer_message_contains_the_start():
     target = create(CURRENT, 9)
     message = decode(
         encode(Envelope(PeerSyncAnswer(listed=True, targets=(encode_target(target),))))
@@ -255,7 +252,7 @@
 
 
 @pytest.mark.parametrize("started_ms", [-1, True, "2000", 2000.0, None])
-def test_wrong_start_in_news_is_not_used(started_ms):
+def test_row_with_an_invalid_start_is_rejected(started_ms):
     assert decode_target(ROW) is not None
     assert decode_target((ROW[0], started_ms, *ROW[2:])) is None
 
@@ -266,5 +263,5 @@
 
 
 @given(st.one_of(_values, st.lists(_values, max_size=9), st.tuples(*[_values] * 8)))
-def test_rows_of_news_never_raise(row):
+def test_arbitrary_rows_never_raise(row):
     decode_target(row)
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.relay.fleet."""
+"""Tests of greengagelatch.relay.load_balancer."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return balancer.choose_engine("s", need, excluded, NOW).target_id
 
 
-def test_near_target_is_preferred():
+def test_local_target_is_preferred():
     balancer = create_balancer()
     chosen = balancer.choose_least_loaded("s", NO_TARGETS, NOW)
     assert chosen.data_centre == "north"
@@ -58,18 +58,18 @@
     assert balancer.choose_least_loaded("s", NO_TARGETS, NOW).target_id != "t-0"
 
 
-def test_targets_word_on_its_load_counts_for_a_while():
+def test_load_report_is_used_until_it_expires():
     balancer = create_balancer(1 + 1)
     balancer.record_load_report(Incarnation("t-0"), LoadReport(6, 3, 6), NOW)
     assert balancer.choose_least_loaded("s", NO_TARGETS, NOW).target_id == "t-1"
     assert balancer.choose_least_loaded("s", NO_TARGETS, NOW + 5).target_id == "t-0"
 
 
-def test_failing_target_is_out_for_a_while():
-    """Symptom: every third booking fails for as long as one replica is lost.
+def test_circuit_breaker_ejects_a_failing_target():
+    """Guards against a third of all bookings that fails while one replica is lost.
 
-    Sequence: a target crashes and stays listed; each request finds out anew.
-    Cause: outcomes were not remembered.
+    A crashed target stayed listed, and requests were sent to it without regard to
+    earlier failures.
     """
     balancer = create_balancer(3)
     balancer.record_failure(Incarnation("t-0"), NOW)
@@ -80,12 +80,11 @@
         )
 
 
-def test_service_is_never_emptied_by_failures():
-    """Symptom: an instance refuses everything, though its targets answer others.
+def test_circuit_breakers_never_eject_all_targets():
+    """Guards against an instance that refuses all requests of a healthy service.
 
-    Sequence: the network of one instance is at fault for a moment, and every target
-    seems to fail.
-    Cause: all of them were taken out.
+    A short network fault of one instance made all targets seem to fail, and all were
+    ejected.
     """
     balancer = create_balancer(3)
     for number in range(3):
@@ -104,19 +103,19 @@
     )
 
 
-def test_instances_agree_on_the_home_of_a_prompt_part():
+def test_instances_agree_on_the_affinity_target_of_a_prompt_part():
     first, second = create_balancer(), create_balancer()
     for number in range(20):
         need = create_need(f"part-{number}")
         assert choose(first, need) == choose(second, need)
 
 
-def test_common_beginning_does_not_bring_requests_together():
-    """Symptom: four engines of 45 are late with everything, most others idle.
+def test_common_first_part_does_not_concentrate_requests():
+    """Guards against four overloaded engines of 45 while most others are idle.
 
-    Sequence: many instances send long prompts of which four different beginnings are
-    shared; each sends a few, so that none sees what waits at the engines.
-    Cause: the first shared part alone named the home of a prompt.
+    Many instances sent a few long prompts each, with four different first parts, so
+    that none saw the queues at the engines; the affinity target was chosen by the first
+    shared part alone.
     """
     balancer = create_balancer(45)
     needs = [create_need(f"part-{number}", first="common") for number in range(90)]
@@ -125,11 +124,11 @@
     assert max(homes.count(one) for one in homes) <= 8
 
 
-def test_home_that_has_too_much_to_read_gives_way():
-    """Symptom: one engine is late with everything while the others idle.
+def test_overloaded_affinity_target_is_not_chosen():
+    """Guards against one overloaded engine while the others are idle.
 
-    Sequence: half of the requests share one prompt part, and its home gets them all.
-    Cause: what the home has still to read did not count.
+    Half of the requests shared one prompt part and all went to its affinity target, as
+    the pending prefill of the engine did not count.
     """
     balancer = create_balancer()
     need = create_need("hot")
@@ -139,7 +138,7 @@
     assert choose(balancer, need) != home
 
 
-def test_engine_that_has_read_a_part_is_preferred():
+def test_cached_parts_reduce_the_tokens_of_a_prompt():
     balancer = create_balancer()
     need = create_need("part")
     home = choose(balancer, need)
@@ -149,13 +148,13 @@
     assert balancer.count_tokens(Incarnation(other), need.prompt, NOW + 60) == 9000
 
 
-def test_engine_near_large_results_is_preferred():
+def test_engine_in_the_data_centre_of_large_results_is_preferred():
     balancer = create_balancer()
     need = create_need("part", east=6_000_000)
     assert choose(balancer, need) in ("t-2",)
 
 
-def test_engine_that_told_of_free_places_takes_requests_in():
+def test_load_report_shows_whether_an_engine_has_free_slots():
     balancer = create_balancer(2)
     first, second = balancer._table.list_service("s")
     balancer.record_load_report(first.incarnation, LoadReport(2, 0, 6), NOW)
@@ -164,11 +163,11 @@
     assert not balancer.has_free_slots(second, NOW)
 
 
-def test_engine_of_which_nothing_was_heard_is_taken_for_the_others():
-    """Symptom: inputs of requests are freed before their engine has fetched them.
+def test_engine_without_a_recent_report_is_judged_by_the_others():
+    """Guards against inputs that are released before their engine has fetched them.
 
-    Sequence: an instance sends to an engine that it has not heard of for long.
-    Cause: what is not known was taken for free places.
+    An engine without a recent load report was taken to have free slots, though it
+    queued the request.
     """
     balancer = create_balancer(3)
     unheard, second, third = balancer._table.list_service("s")
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.relay.messages and greengagelatch.relay.news."""
+"""Tests of greengagelatch.relay.messages and greengagelatch.relay.target_rows."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
             raise AssertionError(error)
 
 
-def test_bundle_arrives_with_times_of_the_other_clock():
+def test_bundle_times_are_converted_to_the_receivers_clock():
     message = pass_on(encode_bundle(BUNDLE, MakerGroup("ledger", "north"), now=100.0))
     bundle = decode_bundle(message, now=500.0)
     assert bundle.pieces == BUNDLE.pieces
@@ -63,7 +63,7 @@
     assert message.group == "north"
 
 
-def test_results_arrive_in_order():
+def test_results_keep_their_order():
     results = (
         PieceResult(
             handle="10.0.0.1:80/a",
@@ -89,11 +89,11 @@
         (7, ROW),
     ],
 )
-def test_results_that_do_not_fit_are_not_used(rows):
-    """Symptom: a request is given the results of fewer pieces than it has.
+def test_invalid_results_are_rejected(rows):
+    """Guards against a request that gets fewer results than it has pieces.
 
-    Sequence: a peer of another release, or one that fails, answers with other rows.
-    Cause: rows were taken as they came.
+    A peer of another release, or a faulty one, answered with different rows, which were
+    not checked.
     """
     assert decode_results(rows, 2) is None
 
@@ -108,17 +108,17 @@
         {"segments": (1,), "input_makers": (("m", -1),)},
     ],
 )
-def test_request_for_pieces_is_checked(fields):
+def test_invalid_bundle_is_rejected(fields):
     with pytest.raises(ValueError):
         BundleRequest(**fields)
 
 
-def test_waits_are_checked():
+def test_invalid_waits_are_rejected():
     with pytest.raises(ValueError):
         StageWaits((("s", 0.1),))
 
 
-def test_news_pass_targets_on():
+def test_targets_survive_a_round_trip():
     target = ListedTarget(
         incarnation=Incarnation("t-1", 1_700_000_000_123),
         service="s",
--- a/tests/test_core/test_relay/test_owners.py
+++ b/tests/test_core/test_relay/test_owners.py
@@ -22,7 +22,7 @@
     ]
 
 
-def test_stage_work_goes_to_strong_instances_first():
+def test_instances_with_large_capacity_are_preferred_as_owners():
     """Guards against a service whose owner is the smallest of all instances."""
     members = create_members(*[200] * 20, 860, 500, *[200] * 20)
     for number in range(50):
@@ -31,7 +31,7 @@
         assert len(set(ranked)) == len(members)
 
 
-def test_services_are_spread_over_equals():
+def test_services_are_spread_over_equal_instances():
     members = create_members(*[600] * 9)
     firsts = Counter(
         rank_owners(MakerGroup(f"service-{n}"), members)[0] for n in range(300)
@@ -40,13 +40,13 @@
     assert max(firsts.values()) < 3 * 300 / 9
 
 
-def test_all_agree_whatever_the_order_in_which_they_know_members():
+def test_ranking_does_not_depend_on_the_order_of_members():
     members = create_members(200, 860, 0, 860, 200)
     ranked = rank_owners(MakerGroup("ledger"), members)
     assert rank_owners(MakerGroup("ledger"), members[::-1]) == ranked
 
 
-def test_instance_that_goes_moves_only_what_it_owns():
+def test_departed_instance_moves_only_the_groups_it_owns():
     members = create_members(*[600] * 9)
     for number in range(50):
         ranked = rank_owners(MakerGroup(f"service-{number}"), members)
--- a/tests/test_core/test_relay/test_quarantine.py
+++ b/tests/test_core/test_relay/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from targets, and which only were beside them."""
+"""Tests of greengagelatch.relay.quarantine."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     return quarantine.find_quarantine_seconds(digest, now) is not None
 
 
-def test_three_targets_that_ended_are_enough():
+def test_three_crashed_targets_are_enough():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
     assert not is_quarantined(quarantine, "bad")
     quarantine.record_crash(report("t3", "bad"), 0.0)
     assert is_quarantined(quarantine, "bad")
 
 
-def test_one_target_told_of_by_several_instances_counts_once():
+def test_crash_reported_by_several_instances_counts_once():
     quarantine = create(*[report("t1", "bad")] * 3, report("t2", "bad"))
     assert not is_quarantined(quarantine, "bad")
 
@@ -47,8 +47,8 @@
     assert is_quarantined(create(*lives), "bad")
 
 
-def test_requests_beside_it_are_not_held():
-    """Guards against sound requests that pay for the one beside them."""
+def test_concurrent_requests_are_not_quarantined():
+    """Guards against quarantine of harmless requests on the same targets."""
     quarantine = create(
         report("t1", "bad", "a", "b"),
         report("t2", "bad", "a"),
@@ -59,8 +59,8 @@
     assert not any(is_quarantined(quarantine, one) for one in "abc")
 
 
-def test_requests_that_nothing_tells_apart_wait_for_more_ends():
-    """Guards against chance: one of two that were on the same targets is sound."""
+def test_requests_with_the_same_crashes_need_more_of_them():
+    """Guards against quarantine by chance: one of two such requests is harmless."""
     quarantine = create(*(report(one, "bad", "a") for one in ("t1", "t2", "t3")))
     assert not is_quarantined(quarantine, "bad")
     assert not is_quarantined(quarantine, "a")
@@ -69,19 +69,19 @@
     assert not is_quarantined(quarantine, "a")
 
 
-def test_both_are_held_once_five_targets_have_ended_under_both():
-    """Guards against two such requests that hide behind each other."""
+def test_both_requests_are_quarantined_after_five_shared_crashes():
+    """Guards against two crashing requests that shield each other."""
     crashes = [report(f"t{number}", "bad", "worse") for number in range(5)]
     quarantine = create(*crashes)
     assert is_quarantined(quarantine, "bad")
     assert is_quarantined(quarantine, "worse")
 
 
-def test_targets_that_end_by_themselves_hold_no_request_that_met_three():
-    """Guards against a sound request held for the targets' own ends.
+def test_independent_crashes_quarantine_no_request_that_met_three():
+    """Guards against harmless requests quarantined for crashes they don't cause.
 
-    A release crashes again and again: targets end every second, each with other
-    requests on it, and what is sent again meets the next ones.
+    A faulty release crashes every second, each time with different requests, and their
+    retries meet the next crashes.
     """
     quarantine = Quarantine()
     for number in range(30):
@@ -96,8 +96,8 @@
         )
 
 
-def test_request_that_met_half_of_the_ends_is_not_held():
-    """Guards against chance where few targets end, and each takes many requests."""
+def test_request_that_met_half_of_the_crashes_is_not_quarantined():
+    """Guards against quarantine by chance if few targets serve many requests each."""
     quarantine = Quarantine()
     for number in range(3):
         quarantine.record_crash(report(f"t{number}", "a"), number)
@@ -105,8 +105,8 @@
     assert not is_quarantined(quarantine, "a", 3)
 
 
-def test_request_that_ends_targets_while_others_end_by_themselves():
-    """Guards against one that hides among other ends for good."""
+def test_crashing_request_is_quarantined_among_independent_crashes():
+    """Guards against a crashing request that stays undetected among other crashes."""
     quarantine = Quarantine()
     for number in range(5):
         for copy in range(3):
@@ -115,8 +115,8 @@
         assert is_quarantined(quarantine, "bad", number) == (number == 4)
 
 
-def test_held_request_is_not_released_by_targets_that_end_by_themselves():
-    """Guards against one that goes on as soon as a data centre loses power."""
+def test_independent_crashes_do_not_end_a_quarantine():
+    """Guards against release from quarantine when a data centre loses power."""
     quarantine = create(report("t1", "bad"), report("t2", "bad"), report("t3", "bad"))
     assert is_quarantined(quarantine, "bad")
     for number in range(20):
@@ -124,8 +124,8 @@
     assert is_quarantined(quarantine, "bad", 1.0)
 
 
-def test_ends_count_though_what_was_on_them_is_answered_since():
-    """Guards against a sound request that alone is left of those on ended targets."""
+def test_crashes_count_after_their_requests_have_been_answered():
+    """Guards against blame of the only request that has not been answered since."""
     quarantine = Quarantine()
     for number in range(3):
         quarantine.record_crash(report(f"t{number}", "a"), number)
@@ -134,8 +134,8 @@
     assert not is_quarantined(quarantine, "a", 3)
 
 
-def test_two_that_end_targets_at_the_same_time_are_both_held():
-    """Guards against one that hides behind the ends of another that is held."""
+def test_two_crashing_requests_are_both_quarantined():
+    """Guards against a crashing request shielded by the crashes of another one."""
     quarantine = Quarantine()
     for number in range(3):
         quarantine.record_crash(report(f"t{number}", "bad", f"a{number}"), number)
@@ -145,7 +145,7 @@
     assert is_quarantined(quarantine, "worse", 3)
 
 
-def test_ends_of_another_service_speak_for_no_request():
+def test_crashes_of_another_service_do_not_clear_a_request():
     quarantine = create(report("t1", "bad"), report("t2", "bad"), report("t3", "bad"))
     for number in range(9):
         end = CrashReport(Incarnation(f"m{number}"), "portal", (f"a{number}",))
@@ -153,8 +153,8 @@
     assert is_quarantined(quarantine, "bad")
 
 
-def test_loss_of_a_data_centre_holds_nothing_that_is_answered():
-    """Guards against a refusal of what many callers send, as many targets end."""
+def test_loss_of_a_data_centre_quarantines_no_answered_request():
+    """Guards against quarantine of a frequent request when many targets are lost."""
     quarantine = Quarantine()
     quarantine.record_survival("status", 95.0)
     for number in range(20):
@@ -169,7 +169,7 @@
     assert not is_quarantined(quarantine, "a", 100.0)
 
 
-def test_hold_lapses():
+def test_quarantine_expires():
     quarantine = create(report("t1", "bad"), report("t2", "bad"))
     quarantine.record_crash(report("t3", "bad"), 50.0)
     assert (
@@ -198,7 +198,7 @@
 
 
 @given(REPORTS, st.randoms(use_true_random=False))
-def test_instances_that_know_the_same_reports_agree(reports, rng):
+def test_decision_does_not_depend_on_the_order_of_reports(reports, rng):
     shuffled = list(reports)
     rng.shuffle(shuffled)
     one, other = create(*reports), create(*shuffled)
@@ -209,16 +209,16 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_replayed_storm_of_repeats_holds_only_the_cause(seed):
-    """Guards against innocents held where all engines end within seconds.
+def test_retry_storm_quarantines_only_its_cause(seed):
+    """Guards against quarantine of harmless requests if all engines crash in seconds.
 
-    Each attempt goes to two engines. The request that ends them comes again and again;
-    a sound one that was cut goes to the next engine as well, and comes back once.
+    Each attempt is sent to two engines. The crashing request is retried repeatedly;
+    an interrupted harmless one is sent to the next engine too, and retried once.
     """
     rng = random.Random(seed)
     quarantine = Quarantine()
     names = itertools.count()
-    #: sends that each sound request has left
+    #: remaining sends of each harmless request
     left: dict[str, int] = {}
     reached = 0
     while not is_quarantined(quarantine, "bad"):
--- a/tests/test_core/test_relay/test_result_memory.py
+++ b/tests/test_core/test_relay/test_result_memory.py
@@ -1,11 +1,11 @@
-"""Tests of greengagelatch.relay.room."""
+"""Tests of greengagelatch.relay.result_memory."""
 
 from __future__ import annotations
 
 from greengagelatch.relay.result_memory import REFUSAL_SECONDS, USED_SHARE, ResultMemory
 
 
-def test_results_take_room_from_the_call_until_they_are_freed():
+def test_results_occupy_memory_from_the_call_until_their_release():
     memory = ResultMemory(1000, retention_seconds=4.0)
     capacity = 1000 * USED_SHARE
     memory.reserve(300)
@@ -16,7 +16,7 @@
     assert memory.find_free(1.0) == capacity - 100
 
 
-def test_results_that_nobody_frees_lapse():
+def test_unreleased_results_expire():
     memory = ResultMemory(1000, retention_seconds=4.0)
     memory.commit(0, {"h-1": 500}, now=1.0)
     memory.hold_unidentified("lost", 100, until=1.0)
@@ -24,12 +24,11 @@
     assert memory.find_free(5.1) == 1000 * USED_SHARE
 
 
-def test_refusal_fills_the_room_for_a_moment():
-    """Symptom: calls to a maker are refused one after the other for seconds.
+def test_refusal_marks_the_memory_as_full_for_a_moment():
+    """Guards against calls that a maker refuses one after the other for seconds.
 
-    Sequence: the instance that gathered a service's pieces dies; its results still
-    fill the makers when the next one begins with empty books.
-    Cause: what a refusal says about the room was not taken in.
+    The owner of the makers died, and its results still occupied their memory when the
+    next owner started; refusals were not taken into account.
     """
     memory = ResultMemory(1000, retention_seconds=4.0)
     memory.record_refusal(now=1.0)
--- a/tests/test_core/test_relay/test_retry_budget.py
+++ b/tests/test_core/test_relay/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.relay.repeats."""
+"""Tests of greengagelatch.relay.retry_budget."""
 
 from __future__ import annotations
 
@@ -15,11 +15,10 @@
 
 
 def test_all_instances_together_keep_to_the_bound():
-    """Symptom: targets that fail get twice the load that they fail under.
+    """Guards against a retry storm that doubles the load of failing targets.
 
-    Sequence: every call to a service fails on all instances at the same time, and
-    each of them repeats what it may.
-    Cause: each instance took the whole bound for its own.
+    Every call to a service failed at all instances at the same time, and each of them
+    used the whole budget.
     """
     for instances in (1, 9, 60, 77):
         total = 0
@@ -31,18 +30,18 @@
         assert total <= RULE.ratio * 20 * instances + RULE.slack + instances
 
 
-def test_quiet_instance_may_repeat_one():
+def test_instance_without_traffic_may_retry_once():
     assert spend(RetryBudget(RULE), 0.0, 77) == 1
 
 
-def test_budget_comes_back_after_the_window():
+def test_budget_is_restored_after_the_window():
     budget = RetryBudget(RULE)
     assert spend(budget, 0.0, 9) > 0
     assert not budget.take(9.9, 9)
     assert budget.take(10.1, 9)
 
 
-def test_requests_of_an_earlier_window_earn_nothing():
+def test_requests_of_an_earlier_window_do_not_count():
     budget = RetryBudget(RULE)
     for _ in range(100):
         budget.record_request(0.0)
--- a/tests/test_core/test_relay/test_routes.py
+++ b/tests/test_core/test_relay/test_routes.py
@@ -69,17 +69,16 @@
 
 
 def test_path_is_compared_as_sent():
-    """Symptom: a target runs a request that its route does not cover.
+    """Guards against a request that reaches a target outside of its route.
 
-    Sequence: a caller writes a prefix in percent encoding, or climbs out of it by
-    dots; the path is decoded for the lookup and passed on as it was.
-    Cause: what was looked up was not what was sent.
+    A prefix in percent encoding, or a path with ``..``, was normalized for the lookup
+    but passed on as sent.
     """
     assert TABLE.find_route("a.example", "/%78/y/1") is None
     assert TABLE.find_route("a.example", "/x/../z/y/").name == "short"
 
 
-def test_workspaces_are_found_by_each_of_their_keys():
+def test_workspace_is_found_by_each_of_its_keys():
     assert TABLE.find_workspace("k-2").name == "north"
     assert TABLE.find_workspace("k-3") is None
     assert TABLE.find_workspace("") is None
--- a/tests/test_core/test_relay/test_stage_plan.py
+++ b/tests/test_core/test_relay/test_stage_plan.py
@@ -63,18 +63,18 @@
     return StagePlan(request, route, DEPLOYMENT)
 
 
-def test_target_reads_the_stages_that_nothing_follows():
+def test_final_stages_have_no_dependents():
     assert create_plan(2, 1, 6, 10).final == (0, 3)
 
 
-def test_stages_that_read_each_other_are_of_one_part():
+def test_dependent_stages_share_a_component():
     assert sorted(map(sorted, create_plan(2, 1, 6, 10).list_components())) == [
         [0],
         [1, 2, 3],
     ]
 
 
-def test_stages_that_one_stage_reads_are_of_one_part():
+def test_stages_with_a_common_dependent_share_a_component():
     stages = (
         RouteStage(service="a"),
         RouteStage(service="a"),
@@ -94,13 +94,13 @@
     ]
 
 
-def test_stage_without_pieces_is_left_out():
+def test_stage_without_pieces_is_skipped():
     plan = create_plan(0, 1, 6, 10)
     assert sorted(plan.stages) == [1, 2, 3]
     assert plan.final == (3,)
 
 
-def test_pieces_read_all_results_before_them():
+def test_pieces_read_all_results_of_their_dependencies():
     plan = create_plan(2, 1, 2, 10)
     pieces = plan.create_pieces(plan.stages[3], {2: ("h-1", "h-2")})
     assert len(pieces) == 10
@@ -114,7 +114,7 @@
     assert [(piece.segment, piece.key) for piece in pieces] == [(0, "key"), (1, "key")]
 
 
-def test_time_of_the_longest_chain_counts():
+def test_estimate_is_that_of_the_longest_chain():
     plan = create_plan(2, 1, 6, 10)
     chain = plan.estimate(lambda service: QueueWait())
     assert chain.work == pytest.approx(0.21 + 0.26 + 0.3)
@@ -127,10 +127,10 @@
     assert rests[3] == 0.0
 
 
-def test_calls_that_requests_share_make_the_chain_longer():
-    """Guards against requests that are begun although they will be late.
+def test_shared_calls_lengthen_the_chain():
+    """Guards against admission of requests that will be late.
 
-    A call for six pieces takes 0.26 s alone, and a full one that it shares 0.4 s.
+    A call for six pieces alone takes 0.26 s, and a full one that it shares 0.4 s.
     """
     queues = {"b": QueueWait(urgent=0.1, total=0.5, call=0.4)}
     plan = create_plan(0, 1, 6, 10)
@@ -148,7 +148,7 @@
 )
 
 
-#: of a request that has all the time
+#: deadlines that do not constrain a request
 FAR_BOUNDS = TargetDeadlines(soft_deadline=100.0, hard_deadline=200.0)
 
 
@@ -170,12 +170,12 @@
     )
 
 
-def test_large_results_are_not_made_before_others_are_due():
-    """Symptom: makers refuse pieces for lack of room at two thirds of their load.
+def test_large_results_are_not_made_before_they_are_needed():
+    """Guards against makers that run out of memory at two thirds of their load.
 
-    Sequence: a request has a large first stage and a chain of three others; the
-    large results are there after one call and wait for two more.
-    Cause: all stages that read nothing were begun at once.
+    A request had a stage with large results and a chain of three others. All stages
+    without inputs were started at once, so that the large results were made in the
+    first call and occupied memory during the two calls that followed.
     """
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
     chain = sum(plan.stages[number].seconds for number in (1, 2, 3))
@@ -186,21 +186,20 @@
     assert find_slack(plan, 5.5, ends) == pytest.approx(left - own)
 
 
-def test_queues_count_in_the_slack_of_large_results():
+def test_slack_includes_queueing_time():
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
     bare = find_slack(plan, 5.0, {})
     assert find_slack(plan, 5.0, {}, c=0.4) == pytest.approx(bare + 0.4)
-    # one's own queue is waited for as well, before the chain's first stage too
+    # stage 0 waits in the same queue as the first stage of the chain
     assert find_slack(plan, 5.0, {}, a=0.4) == pytest.approx(bare)
 
 
-def test_large_results_of_a_late_request_are_made_after_the_others():
-    """Symptom: in a burst, large results of the least urgent requests fill most of
-    their makers' room, for three seconds each.
+def test_large_results_of_a_late_request_are_made_last():
+    """Guards against memory filled by large results of late requests in a burst.
 
-    Sequence: a request can't meet its objective any more; its chain waits behind
-    those of requests that can, long after its last stage was expected to end.
-    Cause: the large results were made when the chain was expected to end.
+    The chain of a late request waits behind requests that can meet their objective,
+    long past its expected end; results made at that expected end occupied memory for
+    three seconds each.
     """
     plan = create_plan(1, 1, 6, 10, route=LARGE_ROUTE)
     bounds = TargetDeadlines(soft_deadline=6.0, hard_deadline=9.0)
@@ -208,7 +207,7 @@
     overrun = {1: 5.2, 2: 5.5, 3: 5.9}
     assert find_slack(plan, 6.5, overrun, bounds) == pytest.approx(9.0 - 6.5 - own)
     assert find_slack(plan, 6.5, overrun, bounds, made=(1, 2, 3)) == 0.0
-    # as long as it can be on time, it may not wait for what is about to end
+    # a request that can meet its objective does not wait for stages about to end
     assert find_slack(plan, 5.7, overrun, bounds) <= 0.0
 
 
--- a/tests/test_core/test_relay/test_targets.py
+++ b/tests/test_core/test_relay/test_targets.py
@@ -17,7 +17,7 @@
     )
 
 
-def test_listed_targets_are_given_by_service():
+def test_targets_are_listed_by_service():
     table = TargetTable()
     assert table.put(create("t-2", 1))
     assert table.put(create("t-1", 2))
@@ -25,7 +25,7 @@
     assert table.list_service("other") == ()
 
 
-def test_leaving_target_gets_nothing():
+def test_draining_target_gets_no_requests():
     table = TargetTable()
     table.put(create("t-1", 1))
     assert table.put(create("t-1", 2, leaving=True))
@@ -33,12 +33,11 @@
     assert table.list_service("desk") == ()
 
 
-def test_older_entry_does_not_bring_a_leaving_target_back():
-    """Symptom: requests are cut by a target that ended as planned.
+def test_stale_entry_does_not_restore_a_draining_target():
+    """Guards against requests interrupted by the planned end of their target.
 
-    Sequence: a target says that it leaves; then an older entry of it is read, from a
-    store that lags or from a peer that is behind, with any revision it may claim.
-    Cause: the entry read last was believed.
+    After a target had started to drain, a stale entry with any revision was read from a
+    lagging store or peer; the entry read last won.
     """
     table = TargetTable()
     table.put(create("t-1", 5))
@@ -50,11 +49,11 @@
     assert not table.is_available(Incarnation("t-1"))
 
 
-def test_lapsed_entry_may_come_back():
-    """Symptom: a service has no target for good after an outage of the store.
+def test_expired_entry_may_be_restored():
+    """Guards against a service without targets after an outage of the store.
 
-    Sequence: entries lapse while targets can't renew them, and are written again.
-    Cause: a target whose entry had lapsed was taken to have left.
+    Entries expired while targets could not renew them and were written again later; a
+    target whose entry had expired was taken to have left for good.
     """
     table = TargetTable()
     table.put(create("t-1", 5))
@@ -64,7 +63,7 @@
     assert table.is_available(Incarnation("t-1"))
 
 
-def test_removal_that_is_older_than_the_entry_is_ignored():
+def test_stale_removal_is_ignored():
     table = TargetTable()
     table.put(create("t-1", 5))
     assert not table.remove(Incarnation("t-1"), 4)
