--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -137,7 +137,7 @@
         self.book = TargetTable()
         self.quarantine = Quarantine()
         self.fleet = LoadBalancer(
-            book=self.book,
+            target_table=self.book,
             data_centre=self.rules.data_centre,
             random_source=self.random,
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -115,7 +115,7 @@
             return max(sizes, key=sizes.get)
         exchange = self._exchange
         if work.number in self._plan.final and exchange.request.prompt is not None:
-            home = self._fleet.find_owning_data_centre(
+            home = self._fleet.find_affinity_target(
                 exchange.service, exchange.request.prompt, self._clock.now()
             )
             if home is not None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -213,7 +213,7 @@
 
     def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
         fleet = LoadBalancer(
-            book=self._book, data_centre=near, random_source=self._random
+            target_table=self._book, data_centre=near, random_source=self._random
         )
         stages = StageRunner(
             desk=desk,
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -75,9 +75,13 @@
     """Chooses among the listed targets and records the outcomes of requests."""
 
     def __init__(
-        self, *, table: TargetTable, data_centre: str, random_source: random.Random
+        self,
+        *,
+        target_table: TargetTable,
+        data_centre: str,
+        random_source: random.Random,
     ) -> None:
-        self._table = table
+        self._target_table = target_table
         self._data_centre = data_centre
         self._random = random_source
         self._states: dict[Incarnation, _TargetState] = {}
@@ -135,7 +139,7 @@
         own_share = _find_occupancy(state, now)
         if own_share is not None:
             return own_share <= FREE_SLOTS_SHARE
-        listed = self._table.list_service(target.service)
+        listed = self._target_table.list_service(target.service)
         states = [self._find_state(one.incarnation) for one in listed]
         shares = [_find_occupancy(one, now) for one in states]
         reported = [share for share in shares if share is not None]
@@ -156,7 +160,7 @@
         """Record that a request has ended."""
         state = self._find_state(incarnation)
         state.in_flight = max(0, state.in_flight - 1)
-        if not state.in_flight and not self._table.is_available(incarnation):
+        if not state.in_flight and not self._target_table.is_available(incarnation):
             # a late update must not recreate the state of a target that is gone:
             # memory would grow with each restart
             self.forget(incarnation)
@@ -220,7 +224,7 @@
     def _list_candidates(
         self, service: str, excluded: frozenset[Incarnation], now: float
     ) -> list[ListedTarget]:
-        listed = self._table.list_service(service)
+        listed = self._target_table.list_service(service)
         breakers = [
             (one.incarnation, self._find_state(one.incarnation).breaker)
             for one in listed
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -46,7 +46,9 @@
     for target in targets:
         table.put(target)
     source = random.Random(4)
-    return table, LoadBalancer(table=table, data_centre="north", random_source=source)
+    return table, LoadBalancer(
+        target_table=table, data_centre="north", random_source=source
+    )
 
 
 def test_incarnation_is_printed_with_its_start():
--- a/tests/test_core/test_relay/test_load_balancer.py
+++ b/tests/test_core/test_relay/test_load_balancer.py
@@ -27,7 +27,7 @@
             )
         )
     return LoadBalancer(
-        table=table, data_centre="north", random_source=random.Random(4)
+        target_table=table, data_centre="north", random_source=random.Random(4)
     )
 
 
@@ -156,7 +156,7 @@
 
 def test_load_report_shows_whether_an_engine_has_free_slots():
     balancer = create_balancer(2)
-    first, second = balancer._table.list_service("s")
+    first, second = balancer._target_table.list_service("s")
     balancer.record_load_report(first.incarnation, LoadReport(2, 0, 6), NOW)
     balancer.record_load_report(second.incarnation, LoadReport(6, 3, 6), NOW)
     assert balancer.has_free_slots(first, NOW)
@@ -170,7 +170,7 @@
     queued the request.
     """
     balancer = create_balancer(3)
-    unheard, second, third = balancer._table.list_service("s")
+    unheard, second, third = balancer._target_table.list_service("s")
     assert not balancer.has_free_slots(unheard, NOW)
     balancer.record_load_report(second.incarnation, LoadReport(1, 0, 6), NOW)
     assert balancer.has_free_slots(unheard, NOW)
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -99,7 +99,7 @@
 
 
 def test_targets_that_left_are_remembered(monkeypatch):
-    monkeypatch.setattr(TargetTable, "_remember_left", lambda self, target_id: None)
+    monkeypatch.setattr(TargetTable, "_remember_departed", lambda self, target_id: None)
     book = TargetTable()
     target = ListedTarget(
         incarnation=Incarnation("t-1"),
