--- a/packages/greengagelatch/src/greengagelatch/relay/capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/capacity.py
@@ -54,11 +54,11 @@
     lag: float
 
 
-def is_busy(usage: Usage, before: bool) -> bool:
+def is_busy(usage: Usage, was_busy: bool) -> bool:
     """Return whether an instance is short of processor time or bandwidth.
 
     :param before: whether it was so far, for the hysteresis
     """
-    share = RELIEVED_SHARE if before else BUSY_SHARE
-    lag = RELIEVED_LAG if before else BUSY_LAG
+    share = RELIEVED_SHARE if was_busy else BUSY_SHARE
+    lag = RELIEVED_LAG if was_busy else BUSY_LAG
     return max(usage.work, usage.link) >= share or usage.lag >= lag
--- a/tests/test_core/test_relay/test_capacity.py
+++ b/tests/test_core/test_relay/test_capacity.py
@@ -13,14 +13,14 @@
     "short", [{"work": 0.85}, {"link": 0.85}, {"lag": 0.15}], ids=str
 )
 def test_instance_short_of_any_resource_is_busy(short):
-    assert is_busy(Usage(**{**REST, **short}), before=False)
+    assert is_busy(Usage(**{**REST, **short}), was_busy=False)
 
 
 def test_busy_state_has_hysteresis():
     usage = Usage(**{**REST, "link": 0.7})
-    assert not is_busy(usage, before=False)
-    assert is_busy(usage, before=True)
-    assert not is_busy(Usage(**REST), before=True)
+    assert not is_busy(usage, was_busy=False)
+    assert is_busy(usage, was_busy=True)
+    assert not is_busy(Usage(**REST), was_busy=True)
 
 
 def test_scarcer_resource_bounds_the_bundles_of_an_instance():
