--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -85,7 +85,7 @@
         route = exchange.route
         facts = RetryContext(
             outcome=outcome,
-            repeatable=route.retryable,
+            retryable=route.retryable,
             deliveries=len(set(exchange.targets)),
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -50,7 +50,7 @@
 
     outcome: SendOutcome
     #: whether a request that may have run may be retried
-    repeatable: bool
+    retryable: bool
     #: number of targets that have received the request so far
     deliveries: int
     max_attempts: int
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -15,7 +15,7 @@
 
 FACTS = RetryContext(
     outcome=SendOutcome.LOST,
-    repeatable=True,
+    retryable=True,
     deliveries=1,
     max_attempts=2,
     unsent=0,
