--- a/packages/greengagelatch/src/greengagelatch/relay/capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/capacity.py
@@ -57,7 +57,7 @@
 def is_busy(usage: Usage, was_busy: bool) -> bool:
     """Return whether an instance is short of processor time or bandwidth.
 
-    :param before: whether it was so far, for the hysteresis
+    :param was_busy: whether it was so far, for the hysteresis
     """
     share = RELIEVED_SHARE if was_busy else BUSY_SHARE
     lag = RELIEVED_LAG if was_busy else BUSY_LAG
