--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_quarantine.py
@@ -84,18 +84,20 @@
 
     def record_success(self, maker: ListedTarget, bundles: Iterable[Bundle]) -> None:
         for key in _list_keys(bundles):
-            if self._quarantine.count_ended(key):
+            if self._quarantine.count_crashed(key):
                 self._crashes.record_answer(maker, key)
 
     def has_suspects(self) -> bool:
-        return self._quarantine.has_ends()
+        return self._quarantine.has_crashes()
 
     def is_suspect(self, bundle: Bundle) -> bool:
-        return self._quarantine.count_ended(_build_key(bundle)) >= MAX_SHARED_CRASHES
+        return self._quarantine.count_crashed(_build_key(bundle)) >= MAX_SHARED_CRASHES
 
     def is_quarantined(self, bundle: Bundle) -> bool:
         key = _build_key(bundle)
-        return self._quarantine.find_hold(key, self._clock.now()) is not None
+        return (
+            self._quarantine.find_quarantine_seconds(key, self._clock.now()) is not None
+        )
 
 
 def _list_keys(bundles: Iterable[Bundle]) -> set[str]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/bundle_queue.py
@@ -16,7 +16,7 @@
     from greengagelatch.relay.batches import PlannedCall
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import Bundle, Piece
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from ..metrics import Metrics
     from .maker_calls import CallResult
@@ -56,7 +56,7 @@
         service: str,
         *,
         free: Callable[[tuple[PieceResult, ...]], None],
-        target_table: TargetBook,
+        target_table: TargetTable,
         budgets: RetryBudgets,
         metrics: Metrics,
     ) -> None:
@@ -208,7 +208,7 @@
             if entry.failure_count >= MAX_PIECE_FAILURES:
                 self.fail(entry, PieceFailure.LOST)
                 return
-        if self._target_table.has_former(entry.bundle.input_makers):
+        if self._target_table.has_superseded(entry.bundle.input_makers):
             # a maker of its inputs restarted while the call was in progress
             self.fail(entry, PieceFailure.GONE)
             return
@@ -216,7 +216,7 @@
 
     def _is_lost(self, result: PieceResult) -> bool:
         """Return whether the maker of a result has restarted since."""
-        return result.failure is None and self._target_table.is_former(result.maker)
+        return result.failure is None and self._target_table.is_superseded(result.maker)
 
     def _finish(self, entry: QueuedBundle) -> None:
         self._remove(entry)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -10,15 +10,15 @@
 from greengagelatch.clock import SystemClock
 from greengagelatch.events import EventBus
 from greengagelatch.peers import MemberState
-from greengagelatch.relay.admission import EstimateRule
-from greengagelatch.relay.batches import SharedCalls
-from greengagelatch.relay.connections import count_kept
-from greengagelatch.relay.deployment import CallerBounds
-from greengagelatch.relay.fleet import Fleet
-from greengagelatch.relay.groups import ByCapacity
-from greengagelatch.relay.listeners import choose_listeners
+from greengagelatch.relay.admission import DeadlineAdmission
+from greengagelatch.relay.batches import CrossRequestBatching
+from greengagelatch.relay.deployment import CallerLimits
+from greengagelatch.relay.groups import CapacityBasedOwnership
+from greengagelatch.relay.idle_connections import count_idle_connections
+from greengagelatch.relay.load_balancer import LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.store_followers import choose_followers
+from greengagelatch.relay.targets import TargetTable
 
 from ..adapters.peers import PeerHub
 from ..controllers import Controller
@@ -133,10 +133,10 @@
         )
 
     def _build_state(self) -> None:
-        self.target_table = TargetBook()
+        self.target_table = TargetTable()
         self.quarantine = Quarantine()
-        self.load_balancer = Fleet(
-            book=self.target_table,
+        self.load_balancer = LoadBalancer(
+            target_table=self.target_table,
             data_centre=self.settings.data_centre,
             random_source=self.random,
         )
@@ -235,7 +235,7 @@
 
     def _build_request_path(self) -> None:
         self.maker_groups = MakerGroups(
-            rule=ByCapacity(),
+            rule=CapacityBasedOwnership(),
             target_table=self.target_table,
             list_members=self.peers.members,
             find_profile=self._find_maker,
@@ -285,7 +285,7 @@
             stages=stages,
             codec=self.adapters.targets,
             times=RouteLatencies(),
-            admission=EstimateRule(),
+            admission=DeadlineAdmission(),
             **common,
         )
 
@@ -358,7 +358,7 @@
                 crashes=self.crash_detector,
                 clock=self.clock,
             ),
-            policy=SharedCalls(),
+            policy=CrossRequestBatching(),
             target_table=self.target_table,
             connections=self.connections,
             codec=self.adapters.targets,
@@ -387,7 +387,7 @@
         service = None
         if target is not None and deployment is not None:
             service = deployment.services.get(target.service)
-        return count_kept(
+        return count_idle_connections(
             service.max_connections if service else 0,
             self._count_instances(),
             self.settings.instance_id,
@@ -399,7 +399,7 @@
         if members is not self.follower_members:
             # cached: read several times a second, while the membership changes rarely
             self.follower_members = members
-            self.followers = choose_listeners(
+            self.followers = choose_followers(
                 {
                     member.instance_id: member.data_centre
                     for member in members
@@ -440,9 +440,9 @@
         found = deployment.services.get(service) if deployment else None
         return found.maker if found else None
 
-    def _find_limits(self) -> CallerBounds:
+    def _find_limits(self) -> CallerLimits:
         deployment = self.configuration.deployment
-        return deployment.bounds if deployment else CallerBounds()
+        return deployment.limits if deployment else CallerLimits()
 
     def _is_ready(self) -> bool:
         synced = self.configuration.table is not None and self.listing.synced
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_detector.py
@@ -15,7 +15,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.quarantine import Quarantine
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
     from ..metrics import Metrics
     from .crash_report_replicator import CrashReportReplicator
@@ -61,7 +61,7 @@
         *,
         replicator: CrashReportReplicator,
         quarantine: Quarantine,
-        target_table: TargetBook,
+        target_table: TargetTable,
         connections: TargetConnectionPool,
         clock: Clock,
         metrics: Metrics,
@@ -81,12 +81,12 @@
     def record_disconnect(self, target: ListedTarget, digest: str) -> None:
         """Record a connection that broke before its request was answered."""
         incarnation = target.incarnation
-        if self._quarantine.is_sound(digest, self._clock.now()):
+        if self._quarantine.is_cleared(digest, self._clock.now()):
             return
         suspicion = self._suspicions.get(incarnation)
         if suspicion is None:
             # a draining target stops as planned, with any requests still on it
-            draining = not self._target_table.accepts(incarnation)
+            draining = not self._target_table.is_available(incarnation)
             if draining or len(self._suspicions) >= MAX_SUSPICIONS:
                 return
             suspicion = self._suspicions[incarnation] = _Suspicion()
@@ -98,7 +98,7 @@
 
     def record_answer(self, target: ListedTarget, digest: str) -> None:
         """Record that a target has answered a request."""
-        self._quarantine.note_survived(digest, self._clock.now())
+        self._quarantine.record_survival(digest, self._clock.now())
         suspicion = self._suspicions.get(target.incarnation)
         if suspicion is not None:
             suspicion.digests.pop(digest, None)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/crash_report_replicator.py
@@ -16,8 +16,8 @@
     decode_reports,
     encode_reports,
 )
-from greengagelatch.relay.messages import CrashesSeen
-from greengagelatch.relay.quarantine import HOLD_SECONDS, CrashReport
+from greengagelatch.relay.messages import CrashReportsUpdate
+from greengagelatch.relay.quarantine import QUARANTINE_SECONDS, CrashReport
 from greengagelatch.store import ABSENT, WriteOutcome
 
 from ..controllers import Controller
@@ -104,7 +104,7 @@
         #: store revision up to which all reports are known
         self._revision = 0
         self._quarantined_digests: set[str] = set()
-        peers.handle(CrashesSeen, self._receive_reports)
+        peers.handle(CrashReportsUpdate, self._receive_reports)
 
     @property
     def revision(self) -> int:
@@ -120,11 +120,13 @@
     def _record(self, reports: Iterable[CrashReport]) -> None:
         now = self._clock.now()
         for report in reports:
-            self._quarantine.note_crash(report, now)
+            self._quarantine.record_crash(report, now)
         # a further crash may also clear another request of suspicion
         suspected = {digest for report in reports for digest in report.digests}
         for digest in sorted(suspected | self._quarantined_digests):
-            self._update_quarantined(digest, self._quarantine.find_hold(digest, now))
+            self._update_quarantined(
+                digest, self._quarantine.find_quarantine_seconds(digest, now)
+            )
 
     def _update_quarantined(self, digest: str, seconds: float | None) -> None:
         held = seconds is not None
@@ -136,7 +138,7 @@
             return
         self._quarantined_digests.add(digest)
         self._metrics.count("requests.held")
-        ended = self._quarantine.list_ended(digest)
+        ended = self._quarantine.list_crashed(digest)
         self._decisions.log_state_change(
             "request-held",
             digest=digest,
@@ -190,7 +192,7 @@
         unsent = [row for row in self._unwritten if row[0] not in self._sent_keys]
         if not unsent:
             return
-        seen = CrashesSeen(tuple(unsent))
+        seen = CrashReportsUpdate(tuple(unsent))
         for peer in self._peers.neighbours():
             self._peers.send(peer, seen)
         self._sent_keys = {key for key, _ in self._unwritten}
@@ -200,7 +202,7 @@
         now = self._clock.now()
         if self._lease_id and now - self._lease_granted_at < LEASE_REUSE_SECONDS:
             return self._lease_id
-        granted = await self._store.grant_lease(HOLD_SECONDS)
+        granted = await self._store.grant_lease(QUARANTINE_SECONDS)
         self._lease_id = "" if isinstance(granted, Err) else granted.ok_value.lease_id
         self._lease_granted_at = now
         return self._lease_id
@@ -237,7 +239,7 @@
                     self._apply_entry(key, value, revision)
                     self._revision = max(self._revision, revision)
 
-    def _receive_reports(self, sender: str, message: CrashesSeen) -> None:
+    def _receive_reports(self, sender: str, message: CrashReportsUpdate) -> None:
         for row in message.rows:
             match row:
                 case (str(key), bytes(value)):
@@ -263,7 +265,7 @@
         self._record(reports)
 
     def _evict_expired(self) -> None:
-        cutoff = self._clock.now() - HOLD_SECONDS
+        cutoff = self._clock.now() - QUARANTINE_SECONDS
         while self._entries:
             key, oldest = next(iter(self._entries.items()))
             if oldest.received_at >= cutoff and len(self._entries) <= MAX_ENTRIES:
@@ -273,7 +275,7 @@
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
         holds = {
-            one: self._quarantine.find_hold(one, now)
+            one: self._quarantine.find_quarantine_seconds(one, now)
             for one in self._quarantined_digests
         }
         held = {one: round(left) for one, left in holds.items() if left is not None}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -147,7 +147,7 @@
         A caller that retries after a refusal has less time left than the timeout of
         its route.
         """
-        return max(0.0, self.route.timeout - self.request.patience)
+        return max(0.0, self.route.timeout - self.request.timeout)
 
     @property
     def first_deadline(self) -> float:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -219,11 +219,11 @@
             )
         exchange.route = route
         exchange.deadline = min(
-            request.received + min(request.patience, route.timeout),
+            request.received + min(request.timeout, route.timeout),
             self._find_stop_deadline(),
         )
         workspace = None
-        if table.deployment.keyed and not route.public:
+        if table.deployment.requires_key and not route.public:
             workspace = self._authorize(exchange, table)
             exchange.workspace = workspace.name
         exchange.rank = compute_rank(
@@ -252,7 +252,9 @@
         self._clock = clock
 
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
-        hold = self._quarantine.find_hold(exchange.digest, self._clock.now())
+        hold = self._quarantine.find_quarantine_seconds(
+            exchange.digest, self._clock.now()
+        )
         if hold is not None:
             raise create_quarantine_error(exchange, hold)
         await proceed(exchange)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/forwarding_stage_executor.py
@@ -11,11 +11,11 @@
 
 from greengagelatch.relay.groups import GroupView, MakerGroup, choose_group
 from greengagelatch.relay.messages import (
-    PiecesDropped,
-    PiecesMade,
-    PiecesRead,
-    PiecesWanted,
-    ResultsFreed,
+    BundleCancelled,
+    BundleInputsRead,
+    BundleRequest,
+    BundleResults,
+    ResultsReleased,
     StageWaits,
     decode_bundle,
     decode_results,
@@ -99,10 +99,10 @@
         self._read_callbacks: dict[tuple[str, str], Callable[[], None]] = {}
         #: bundles of peers in progress, by peer and bundle id
         self._in_progress: dict[tuple[str, str], asyncio.Task[Any]] = {}
-        peers.handle(PiecesWanted, self._handle_request)
-        peers.handle(PiecesDropped, self._handle_cancelled)
-        peers.handle(PiecesRead, self._handle_inputs_read)
-        peers.handle(ResultsFreed, self._handle_released)
+        peers.handle(BundleRequest, self._handle_request)
+        peers.handle(BundleCancelled, self._handle_cancelled)
+        peers.handle(BundleInputsRead, self._handle_inputs_read)
+        peers.handle(ResultsReleased, self._handle_released)
         peers.handle(StageWaits, self._handle_waits)
 
     async def execute(
@@ -124,7 +124,7 @@
             owner = self._result_owners.pop(result.handle, "")
             by_owner.setdefault(owner, []).append(result)
         for owner, freed in by_owner.items():
-            message = ResultsFreed(service, encode_results(tuple(freed)))
+            message = ResultsReleased(service, encode_results(tuple(freed)))
             if not owner or not self._peers.send(owner, message):
                 self._local.free(service, tuple(freed))
 
@@ -216,7 +216,7 @@
                 # if its process has ended.
                 reply = await self._send(owner, group, bundle)
         except asyncio.CancelledError:
-            self._peers.send(owner, PiecesDropped(bundle.bundle_id))
+            self._peers.send(owner, BundleCancelled(bundle.bundle_id))
             raise
         finally:
             del self._read_callbacks[bundle_key]
@@ -225,7 +225,7 @@
             return None
         answer = reply.ok_value
         results = None
-        if isinstance(answer, PiecesMade):
+        if isinstance(answer, BundleResults):
             results = decode_results(answer.results, len(bundle.pieces))
         if results is None:
             self._record_owner_failure(owner, group, bundle, "answer cannot be decoded")
@@ -239,7 +239,7 @@
         self, owner: str, group: MakerGroup, bundle: Bundle
     ) -> Result[Message, PeerError]:
         now = self._clock.now()
-        timeout = max(0.0, bundle.latest - now) + ANSWER_MARGIN
+        timeout = max(0.0, bundle.hard_deadline - now) + ANSWER_MARGIN
         return await self._peers.ask(owner, encode_bundle(bundle, group, now), timeout)
 
     def _record_owner_failure(
@@ -258,13 +258,17 @@
 
     # executing for peers as an owner
 
-    async def _handle_request(self, sender: str, message: PiecesWanted) -> PiecesMade:
+    async def _handle_request(
+        self, sender: str, message: BundleRequest
+    ) -> BundleResults:
         bundle = decode_bundle(message, self._clock.now())
         self._reports.add_subscriber(sender)
         bundle_key = (sender, bundle.bundle_id)
         task = self._in_progress.get(bundle_key)
         if task is None:
-            on_read = partial(self._peers.send, sender, PiecesRead(bundle.bundle_id))
+            on_read = partial(
+                self._peers.send, sender, BundleInputsRead(bundle.bundle_id)
+            )
             group = self._find_requested_group(bundle.service, message.group)
             making = self._local.execute_in(group, bundle, on_read)
             task = asyncio.ensure_future(making)
@@ -272,7 +276,7 @@
             task.add_done_callback(partial(self._remove_finished, bundle_key))
         # shielded: the peer may request the same bundle again over another link
         results = await asyncio.shield(task)
-        return PiecesMade(encode_results(results))
+        return BundleResults(encode_results(results))
 
     def _find_requested_group(self, service: str, data_centre: str) -> MakerGroup:
         """Return the group that a peer's request refers to.
@@ -306,19 +310,19 @@
             if self._ownership.rank(group)[:1] == (sender,):
                 self._reports.store(group, wait)
 
-    def _handle_cancelled(self, sender: str, message: PiecesDropped) -> None:
+    def _handle_cancelled(self, sender: str, message: BundleCancelled) -> None:
         # removed at once: a new request for the stage may follow immediately, and must
         # not wait for the task that is being cancelled
         task = self._in_progress.pop((sender, message.bundle_id), None)
         if task is not None:
             task.cancel()
 
-    def _handle_inputs_read(self, sender: str, message: PiecesRead) -> None:
+    def _handle_inputs_read(self, sender: str, message: BundleInputsRead) -> None:
         on_read = self._read_callbacks.get((sender, message.bundle_id))
         if on_read is not None:
             on_read()
 
-    def _handle_released(self, sender: str, message: ResultsFreed) -> None:
+    def _handle_released(self, sender: str, message: ResultsReleased) -> None:
         results = decode_results(message.results, len(message.results))
         if results is not None:
             self._local.free(message.service, results)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/listing.py
@@ -7,8 +7,8 @@
 
 from result import Err, Ok
 
-from greengagelatch.relay.incarnations import Succession
-from greengagelatch.relay.targets import RETURN_SECONDS
+from greengagelatch.relay.incarnations import IncarnationOrder
+from greengagelatch.relay.targets import REREGISTRATION_SECONDS
 
 from .invalid_entries import InvalidEntries
 from .store_follower import StoreSubscriber
@@ -18,7 +18,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.relay.incarnations import Incarnation
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
     from greengagelatch.store import Entry
     from greengagelatch.store.ranges import Changes, Scan
 
@@ -45,7 +45,7 @@
         self,
         *,
         codec: ListingCodec,
-        target_table: TargetBook,
+        target_table: TargetTable,
         on_removed: Callable[[Incarnation], None],
         find_services: Callable[[], Collection[str] | None],
         clock: Clock,
@@ -124,20 +124,20 @@
     def handle_store_recovered(self) -> None:
         # leases of entries expire during an outage; targets that are alive write
         # their entries again within this time
-        self._grace_until = self._clock.now() + RETURN_SECONDS
+        self._grace_until = self._clock.now() + REREGISTRATION_SECONDS
 
     def _put(self, target: ListedTarget) -> None:
         former = None
         match self._target_table.compare(target):
-            case Succession.OUTDATED:
+            case IncarnationOrder.OUTDATED:
                 self._record_outdated(target)
                 return
-            case Succession.UNTOLD:
+            case IncarnationOrder.UNKNOWN:
                 # from a peer that does not know the newest incarnation; entries of this
                 # kind from the store itself are excluded earlier
                 self._metrics.count("targets.untold")
                 return
-            case Succession.NEWER:
+            case IncarnationOrder.NEWER:
                 former = self._target_table.find_newest(target.target_id)
         changed = self._target_table.put(target)
         if former is not None:
@@ -271,7 +271,7 @@
 
     def _find_fault(self, target: ListedTarget) -> str:
         """Return why the target of a decoded entry is not usable; empty if it is."""
-        if self._target_table.compare(target) is Succession.UNTOLD:
+        if self._target_table.compare(target) is IncarnationOrder.UNKNOWN:
             known = self._target_table.find_newest(target.target_id)
             return f"no start time, and {known} was at another address"
         return ""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/maker_calls.py
@@ -12,7 +12,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.relay.batches import PlannedCall
     from greengagelatch.relay.pieces import PieceResult
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from .codecs import TargetCodec
     from .makers import Maker
@@ -59,7 +59,7 @@
         *,
         connections: TargetConnectionPool,
         codec: TargetCodec,
-        target_table: TargetBook,
+        target_table: TargetTable,
         clock: Clock,
     ) -> None:
         self._connections = connections
@@ -103,7 +103,7 @@
         target = maker.target
         pieces = tuple(piece for _, piece in call.pieces)
         remaining = tuple(
-            max(0.0, bundle.latest - started) for bundle, _ in call.pieces
+            max(0.0, bundle.hard_deadline - started) for bundle, _ in call.pieces
         )
         reply = await self._connections.send(
             incarnation=target.incarnation,
@@ -122,10 +122,10 @@
 
     def _may_send(self, maker: Maker, call: PlannedCall) -> bool:
         """Return whether the maker accepts calls and no input of this one is lost."""
-        if not self._target_table.accepts(maker.target.incarnation):
+        if not self._target_table.is_available(maker.target.incarnation):
             return False
         return not any(
-            self._target_table.has_former(bundle.input_makers)
+            self._target_table.has_superseded(bundle.input_makers)
             for bundle, _ in call.pieces
         )
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/makers.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.batches import MakerView
-from greengagelatch.relay.room import MakerRoom
+from greengagelatch.relay.result_memory import ResultMemory
 
 if TYPE_CHECKING:
     from greengagelatch.relay.deployment import MakerProfile
@@ -39,7 +39,7 @@
 
     target: ListedTarget
     profile: MakerProfile
-    result_memory: MakerRoom
+    result_memory: ResultMemory
     calls: int = 0
     #: expected end of the call in progress
     busy_until: float = 0.0
@@ -119,7 +119,7 @@
     def record_rejection(self, now: float) -> None:
         """Record a call that the maker rejected, as it is busy with others' calls."""
         self.calls -= 1
-        self.result_memory.note_refusal(now)
+        self.result_memory.record_refusal(now)
         self.back_off(now)
 
     def back_off(self, now: float) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/parts.py
@@ -9,7 +9,7 @@
 from greengagelatch.relay.capacity import Capacity
 
 if TYPE_CHECKING:
-    from greengagelatch.relay.repeats import RepeatRule
+    from greengagelatch.relay.retry_budget import RetryBudgetRule
     from greengagelatch.store.ranges import RangeStore
 
     from ..controllers import Controller
@@ -41,7 +41,7 @@
     balancer_lag: float
     #: time after that in which requests in flight may finish
     longest_drain: float
-    retry_budget: RepeatRule
+    retry_budget: RetryBudgetRule
     capacity: Capacity = field(default_factory=Capacity)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/peer_sync.py
@@ -10,8 +10,8 @@
 from result import Err
 
 from greengagelatch.peers import MemberState
-from greengagelatch.relay.messages import News, NewsQuery
-from greengagelatch.relay.news import decode_target, encode_target
+from greengagelatch.relay.messages import PeerSyncAnswer, PeerSyncQuery
+from greengagelatch.relay.target_rows import decode_target, encode_target
 
 from ..controllers import Controller
 
@@ -21,7 +21,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.peers import Member, PeerNetwork
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from ..metrics import Metrics
     from .configuration import ConfigurationFollower
@@ -70,7 +70,7 @@
         configuration: ConfigurationFollower,
         listing: ListingFollower,
         crash_reports: CrashReportReplicator,
-        target_table: TargetBook,
+        target_table: TargetTable,
         clock: Clock,
         random_source: random.Random,
         metrics: Metrics,
@@ -92,7 +92,7 @@
         self._last_query_answered = True
         #: revision of the active configuration, and its compressed value
         self._compressed = (0, b"")
-        peers.handle(NewsQuery, self._handle_query)
+        peers.handle(PeerSyncQuery, self._handle_query)
 
     def dump(self) -> dict[str, Any]:
         return {"learnt_from_peers": self._adopted}
@@ -113,7 +113,7 @@
         peer = self._choose_peer()
         if peer is None:
             return
-        query = NewsQuery(
+        query = PeerSyncQuery(
             self._configuration.revision,
             self._listing.revision,
             self._crash_reports.revision,
@@ -121,7 +121,7 @@
         sent_at = self._clock.now()
         reply = await self._peers.ask(peer, query, QUERY_TIMEOUT)
         self._last_query_answered = not isinstance(reply, Err)
-        if isinstance(reply, Err) or not isinstance(reply.ok_value, News):
+        if isinstance(reply, Err) or not isinstance(reply.ok_value, PeerSyncAnswer):
             self._metrics.count("news.unanswered")
             return
         self._apply(reply.ok_value, self._clock.now() - sent_at)
@@ -150,7 +150,7 @@
             return []
         return [one for one in members if one.data_centre == self._data_centre]
 
-    def _apply(self, update: News, elapsed: float) -> None:
+    def _apply(self, update: PeerSyncAnswer, elapsed: float) -> None:
         """Apply the state of a peer.
 
         :param elapsed: seconds since the query was sent
@@ -169,13 +169,13 @@
         if update.heard_seconds is not None:
             self._follower.record_peer_report(update.heard_seconds + elapsed)
 
-    def _handle_query(self, sender: str, query: NewsQuery) -> News:
+    def _handle_query(self, sender: str, query: PeerSyncQuery) -> PeerSyncAnswer:
         configuration = self._configuration
         newer = configuration.revision > query.configuration_revision
         listed = (
             self._listing.synced and self._listing.revision > query.listing_revision
         )
-        return News(
+        return PeerSyncAnswer(
             heard_seconds=self._follower.staleness,
             configuration_revision=configuration.revision,
             configuration=self._compress_configuration() if newer else b"",
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_wait_reports.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/queue_wait_reports.py
@@ -58,10 +58,10 @@
         rows = [
             (group, wait)
             for group, wait in waits
-            if wait.whole >= MIN_REPORTED_WAIT or group in self._reported
+            if wait.total >= MIN_REPORTED_WAIT or group in self._reported
         ]
         self._reported = {
-            group for group, wait in rows if wait.whole >= MIN_REPORTED_WAIT
+            group for group, wait in rows if wait.total >= MIN_REPORTED_WAIT
         }
         if not rows:
             return
@@ -100,7 +100,7 @@
                 group.service,
                 group.data_centre,
                 round(wait.urgent, 3),
-                round(wait.whole, 3),
+                round(wait.total, 3),
                 round(wait.call, 3),
             )
             for group, wait in rows
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/result_releaser.py
@@ -12,7 +12,7 @@
 
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import PieceResult
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from ..metrics import Metrics
     from .codecs import TargetCodec
@@ -47,7 +47,7 @@
         *,
         find_maker: Callable[[Incarnation], Maker | None],
         on_freed: Callable[[], None],
-        target_table: TargetBook,
+        target_table: TargetTable,
         connections: TargetConnectionPool,
         codec: TargetCodec,
         metrics: Metrics,
@@ -98,7 +98,7 @@
         self._timer = None
         pending, self._pending = self._pending, {}
         for (incarnation, address), handles in pending.items():
-            if self._target_table.is_former(incarnation):
+            if self._target_table.is_superseded(incarnation):
                 self._metrics.count("stages.lost_by_restart", len(handles))
                 continue
             sending = self._send(incarnation, address, tuple(handles))
@@ -117,10 +117,10 @@
                 fresh=False,
                 timeout=FREE_TIMEOUT,
                 # a draining maker holds its results until it stops
-                may_send=lambda: not self._target_table.is_former(incarnation),
+                may_send=lambda: not self._target_table.is_superseded(incarnation),
             )
             await reply.read(MAX_ANSWER_BYTES)
-            if self._target_table.accepts(incarnation):
+            if self._target_table.is_available(incarnation):
                 reply.release()
             else:
                 reply.abort()
@@ -136,5 +136,5 @@
             return
         # not before the answer: a call sent earlier would still find the memory in use
         for handle in handles:
-            maker.result_memory.free(handle)
+            maker.result_memory.release(handle)
         self._on_freed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/retry_budgets.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.repeats import RepeatBudget
+from greengagelatch.relay.retry_budget import RetryBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.repeats import RepeatRule
+    from greengagelatch.relay.retry_budget import RetryBudgetRule
 
 __all__ = ("RetryBudgets",)
 
@@ -22,16 +22,16 @@
     """
 
     def __init__(
-        self, *, rule: RepeatRule, clock: Clock, count_instances: Callable[[], int]
+        self, *, rule: RetryBudgetRule, clock: Clock, count_instances: Callable[[], int]
     ) -> None:
         self._rule = rule
         self._clock = clock
         self._count_instances = count_instances
-        self._budgets: dict[str, RepeatBudget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
 
     def record_request(self, service: str) -> None:
         """Credit the budget of ``service`` with one request."""
-        self._get_budget(service).note_request(self._clock.now())
+        self._get_budget(service).record_request(self._clock.now())
 
     def try_spend(self, service: str) -> bool:
         """Spend one retry; return ``False`` if the budget is exhausted."""
@@ -44,8 +44,8 @@
         budget = self._get_budget(service)
         return budget.count_left(self._clock.now(), self._count_instances())
 
-    def _get_budget(self, service: str) -> RepeatBudget:
+    def _get_budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RepeatBudget(self._rule)
+            budget = self._budgets[service] = RetryBudget(self._rule)
         return budget
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -8,7 +8,7 @@
 from greengagelatch.errors import RefusalCode
 from greengagelatch.relay.outcomes import (
     NextStep,
-    RepeatFacts,
+    RetryContext,
     SendOutcome,
     decide_next,
 )
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.requests import RefusedError
 
@@ -45,7 +45,7 @@
         self,
         *,
         sender: TargetSender,
-        load_balancer: Fleet,
+        load_balancer: LoadBalancer,
         budgets: RetryBudgets,
         quarantine: Quarantine,
         clock: Clock,
@@ -75,26 +75,28 @@
 
         :raises RefusedError: if the request is held
         """
-        seconds = self._quarantine.find_hold(exchange.digest, self.clock.now())
+        seconds = self._quarantine.find_quarantine_seconds(
+            exchange.digest, self.clock.now()
+        )
         if seconds is not None:
             raise create_quarantine_error(exchange, seconds)
 
     def may_retry(self, exchange: RelayExchange, outcome: SendOutcome) -> bool:
         """Return whether to send again after ``outcome``; a retry is charged."""
         route = exchange.route
-        facts = RepeatFacts(
+        facts = RetryContext(
             outcome=outcome,
-            repeatable=route.repeatable,
-            arrivals=len(set(exchange.targets)),
+            retryable=route.retryable,
+            deliveries=len(set(exchange.targets)),
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
             remaining=self.find_remaining(exchange),
-            least=MIN_ATTEMPT_SECONDS,
+            min_seconds=MIN_ATTEMPT_SECONDS,
         )
         match decide_next(facts):
             case NextStep.SEND:
                 return True
-            case NextStep.REPEAT:
+            case NextStep.RETRY:
                 return self.budgets.try_spend(exchange.service)
         return False
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_bundles.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.pieces import Bundle
-from greengagelatch.relay.stage_plan import TargetBounds
+from greengagelatch.relay.stage_plan import TargetDeadlines
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Mapping
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.pieces import PieceResult
     from greengagelatch.relay.stage_plan import StagePlan, StageWork
 
@@ -43,7 +43,7 @@
         exchange: RelayExchange,
         plan: StagePlan,
         executor: StageExecutor,
-        load_balancer: Fleet,
+        load_balancer: LoadBalancer,
         clock: Clock,
         data_centre: str,
         first_seconds: float,
@@ -58,13 +58,13 @@
         self._first_seconds = first_seconds
         self._whole_seconds = whole_seconds
 
-    def find_bounds(self) -> TargetBounds:
+    def find_bounds(self) -> TargetDeadlines:
         """Return the times by which the target has to start on the request."""
         exchange = self._exchange
         objective = exchange.request.received + exchange.route.objective
-        return TargetBounds(
-            aim=objective - exchange.prior_wait - self._first_seconds,
-            latest=min(
+        return TargetDeadlines(
+            soft_deadline=objective - exchange.prior_wait - self._first_seconds,
+            hard_deadline=min(
                 exchange.first_deadline - self._first_seconds,
                 exchange.deadline - self._whole_seconds,
             ),
@@ -87,9 +87,9 @@
             service=work.service,
             pieces=self._plan.create_pieces(work, handles),
             result_bytes=work.result_bytes,
-            aim=bounds.aim - remaining_seconds,
-            latest=bounds.latest - remaining_seconds,
-            inputs_until=self._find_input_expiry(work),
+            soft_deadline=bounds.soft_deadline - remaining_seconds,
+            hard_deadline=bounds.hard_deadline - remaining_seconds,
+            inputs_expire_at=self._find_input_expiry(work),
             input_makers=list_makers(held, work.after),
             rank=self._exchange.rank,
             data_centre=self._find_data_centre(work, held),
@@ -108,14 +108,14 @@
         """
         sizes: dict[str, int] = {}
         for one in work.after:
-            size = self._plan.works[one].result_bytes
+            size = self._plan.stages[one].result_bytes
             for result in held[one]:
                 sizes[result.data_centre] = sizes.get(result.data_centre, 0) + size
         if sizes:
             return max(sizes, key=sizes.get)
         exchange = self._exchange
         if work.number in self._plan.final and exchange.request.prompt is not None:
-            home = self._load_balancer.find_home(
+            home = self._load_balancer.find_affinity_target(
                 exchange.service, exchange.request.prompt, self._clock.now()
             )
             if home is not None:
@@ -128,9 +128,9 @@
         services = self._exchange.deployment.services
         expiries = [float("inf")]
         for one in work.after:
-            found = services.get(self._plan.works[one].service)
+            found = services.get(self._plan.stages[one].service)
             if found is not None and found.maker is not None:
-                expiries.append(now + found.maker.keep_seconds)
+                expiries.append(now + found.maker.retention_seconds)
         return min(expiries)
 
     def _count_moved_bytes(
@@ -142,5 +142,5 @@
         waiting for a maker near the engine costs more time than it saves.
         """
         return work.count * sum(
-            len(held[one]) * self._plan.works[one].result_bytes for one in work.after
+            len(held[one]) * self._plan.stages[one].result_bytes for one in work.after
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_groups.py
@@ -11,7 +11,7 @@
     MakerGroup,
     ServiceView,
     estimate_load,
-    find_home,
+    find_owning_data_centre,
 )
 
 if TYPE_CHECKING:
@@ -19,8 +19,8 @@
 
     from greengagelatch.peers import Member
     from greengagelatch.relay.deployment import MakerProfile
-    from greengagelatch.relay.groups import DivisionRule
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.groups import OwnershipPolicy
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
 __all__ = ("MakerGroups",)
 
@@ -63,8 +63,8 @@
     def __init__(
         self,
         *,
-        rule: DivisionRule,
-        target_table: TargetBook,
+        rule: OwnershipPolicy,
+        target_table: TargetTable,
         list_members: Callable[[], tuple[Member, ...]],
         find_profile: Callable[[str], MakerProfile | None],
     ) -> None:
@@ -105,7 +105,8 @@
             chosen = tuple(
                 target
                 for target in listed
-                if find_home(target.data_centre, fleet.homes) == group.data_centre
+                if find_owning_data_centre(target.data_centre, fleet.homes)
+                == group.data_centre
             )
             cached = self._selections[group] = _Selection(listed, fleet, chosen)
         return cached.chosen
@@ -120,7 +121,7 @@
 
     def find_group(self, service: str, data_centre: str) -> MakerGroup:
         """Return the group that contains the makers of a data centre."""
-        home = find_home(data_centre, self._find_fleet().homes)
+        home = find_owning_data_centre(data_centre, self._find_fleet().homes)
         group = MakerGroup(service, home)
         return group if group in self.list_groups(service) else MakerGroup(service)
 
@@ -135,14 +136,16 @@
             return whole
         fleet = self._find_fleet()
         listed = self._target_table.list_service(service)
-        makers = Counter(find_home(one.data_centre, fleet.homes) for one in listed)
+        makers = Counter(
+            find_owning_data_centre(one.data_centre, fleet.homes) for one in listed
+        )
         view = ServiceView(
             makers=makers,
             load=estimate_load(profile, len(listed)),
             capacity=fleet.capacity,
         )
         before = cached is not None and bool(cached.groups[0].data_centre)
-        if not self._rule.is_divided(view, before):
+        if not self._rule.is_partitioned(view, before):
             return whole
         return tuple(MakerGroup(service, place) for place in sorted(makers))
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stage_pool.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.batches import find_hopeless
+from greengagelatch.relay.batches import find_infeasible
 from greengagelatch.relay.pieces import PieceFailure, PieceResult
-from greengagelatch.relay.room import MakerRoom
+from greengagelatch.relay.result_memory import ResultMemory
 
 from .bundle_queue import BundleQueue
 from .maker_calls import SETTLED_OUTCOMES, CallResult, MakerCaller
@@ -25,7 +25,7 @@
     from greengagelatch.relay.incarnations import Incarnation
     from greengagelatch.relay.pieces import Bundle
     from greengagelatch.relay.queue_waits import QueueWait
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
     from ..metrics import Metrics
     from .bundle_quarantine import BundleQuarantine
@@ -67,7 +67,7 @@
         is_exclusive: Callable[[], bool],
         quarantine: BundleQuarantine,
         policy: BatchPolicy,
-        target_table: TargetBook,
+        target_table: TargetTable,
         connections: TargetConnectionPool,
         codec: TargetCodec,
         budgets: RetryBudgets,
@@ -120,7 +120,7 @@
 
         :param on_read: called once makers have read the inputs of all pieces
         """
-        if self._target_table.has_former(bundle.input_makers):
+        if self._target_table.has_superseded(bundle.input_makers):
             gone = PieceResult(failure=PieceFailure.GONE)
             return (gone,) * len(bundle.pieces)
         entry = self._queue.add(bundle, on_read)
@@ -148,7 +148,7 @@
         Their pieces are made again: an engine that received the stale handles would
         reject the request, after all its stages were executed.
         """
-        if not self._target_table.is_former(incarnation):
+        if not self._target_table.is_superseded(incarnation):
             return
         self._queue.discard_results(incarnation)
         self._schedule()
@@ -256,7 +256,9 @@
         for target in listed:
             maker = self._makers.get(target.incarnation)
             if maker is None or maker.profile != profile:
-                result_memory = MakerRoom(profile.room_bytes, profile.keep_seconds)
+                result_memory = ResultMemory(
+                    profile.result_memory_bytes, profile.retention_seconds
+                )
                 self._makers[target.incarnation] = Maker(target, profile, result_memory)
         self._listed = [self._makers[target.incarnation] for target in listed]
         self._listed_from = (listed, profile)
@@ -268,7 +270,7 @@
         """Fail the bundles whose request can no longer meet its deadline."""
         views = [maker.view(now) for maker in makers]
         waiting = self._queue.list_waiting()
-        for bundle in find_hopeless(waiting, views, profile, now):
+        for bundle in find_infeasible(waiting, views, profile, now):
             self._queue.fail(self._queue.find(bundle), PieceFailure.LATE)
 
     def _fail_quarantined(self) -> None:
@@ -332,13 +334,13 @@
             if result.failure is None:
                 made[result.handle] = bundle.result_bytes
             elif result.failure is PieceFailure.ROOM:
-                maker.result_memory.note_refusal(now)
-        maker.result_memory.settle(size, made, now)
+                maker.result_memory.record_refusal(now)
+        maker.result_memory.commit(size, made, now)
         if made:
             self._estimator.record_completion(len(made), now - started, now)
         if call_result.outcome not in SETTLED_OUTCOMES:
             # the maker may continue the call and keep its results for a while
-            maker.result_memory.hold_unknown(f"lost at {started}", size, now)
+            maker.result_memory.hold_unidentified(f"lost at {started}", size, now)
 
     def _report_inputs_read(
         self, maker: Maker, entries: list[QueuedBundle | None]
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/stages.py
@@ -17,11 +17,11 @@
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.requests import RefusedError
     from greengagelatch.relay.stage_plan import ChainEstimate, StageWork
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.targets import TargetTable
 
     from .decisions import DecisionLog
     from .exchange import RelayExchange
@@ -69,8 +69,8 @@
         clock: Clock,
         decisions: DecisionLog,
         data_centre: str,
-        load_balancer: Fleet,
-        target_table: TargetBook,
+        load_balancer: LoadBalancer,
+        target_table: TargetTable,
     ) -> None:
         self.load_balancer = load_balancer
         self.target_table = target_table
@@ -166,13 +166,13 @@
         Sent with these, the request would be rejected by one engine after the other.
         """
         for number in self._plan.final:
-            if self._target_table.has_former(list_makers(self._held, (number,))):
-                return _StageFailedError(self._plan.works[number], PieceFailure.GONE)
+            if self._target_table.has_superseded(list_makers(self._held, (number,))):
+                return _StageFailedError(self._plan.stages[number], PieceFailure.GONE)
         return None
 
     def is_lost(self, results: StageResults) -> bool:
         """Return whether a maker of ``results`` has restarted and lost them."""
-        return self._target_table.has_former(results.makers)
+        return self._target_table.has_superseded(results.makers)
 
     def free(self) -> None:
         """Free all results that are held."""
@@ -180,17 +180,17 @@
             self._free_stage(number)
 
     def _list_readers(self) -> dict[int, set[int]]:
-        works = self._plan.works.values()
+        works = self._plan.stages.values()
         return {
             number: {work.number for work in works if number in work.after}
-            for number in self._plan.works
+            for number in self._plan.stages
         }
 
     async def _execute_all(self, started: float) -> None:
         """Execute all stages, and again those of a component that lost results."""
         self._tasks = {}
         self._ends = {}
-        self._start_all(tuple(self._plan.works))
+        self._start_all(tuple(self._plan.stages))
         lost: Counter[tuple[int, ...]] = Counter()
         try:
             while (error := await self._wait_finished()) is not None:
@@ -236,7 +236,7 @@
         stages are freed by then. So the whole connected component of the stage is
         executed again; results of other stages are kept.
         """
-        components = self._plan.list_parts()
+        components = self._plan.list_components()
         return next(
             component for component in components if error.work.number in component
         )
@@ -262,7 +262,7 @@
     def _start(self, number: int) -> asyncio.Task[None]:
         task = self._tasks.get(number)
         if task is None:
-            earlier = [self._start(one) for one in self._plan.works[number].after]
+            earlier = [self._start(one) for one in self._plan.stages[number].after]
             task = asyncio.create_task(self._execute_stage(number, earlier))
             self._tasks[number] = task
         return task
@@ -273,12 +273,12 @@
         for task in earlier:
             # shielded: cancelling a stage must not cancel the stages that it reads
             await asyncio.shield(task)
-        work = self._plan.works[number]
+        work = self._plan.stages[number]
         await self._delay_start(work)
-        if self._target_table.has_former(list_makers(self._held, work.after)):
+        if self._target_table.has_superseded(list_makers(self._held, work.after)):
             raise _StageFailedError(work, PieceFailure.GONE)
         queue = self._executor.estimate_wait(work.service)
-        seconds = queue.urgent + queue.find_seconds(work.seconds)
+        seconds = queue.urgent + queue.estimate_stage(work.seconds)
         self._ends[number] = self._clock.now() + seconds
         bundle = self._bundles.create(work, self._held)
         results = await self._executor.execute(bundle, lambda: self._free_inputs(work))
@@ -325,19 +325,19 @@
             results.makers |= {result.maker for result in self._held[number]}
             for result in self._held[number]:
                 results.inputs += (result.handle,)
-                size = self._plan.works[number].result_bytes
+                size = self._plan.stages[number].result_bytes
                 sizes[result.data_centre] = sizes.get(result.data_centre, 0) + size
         return results
 
     def _free_stage(self, number: int) -> None:
         held = self._held.pop(number, ())
         if held:
-            self._executor.free(self._plan.works[number].service, held)
+            self._executor.free(self._plan.stages[number].service, held)
 
     def _create_refusal(self, error: _StageFailedError) -> RefusedError:
         late = error.failure in (PieceFailure.LATE, PieceFailure.ROOM)
         code = RefusalCode.OVERLOADED if late else RefusalCode.STAGE_FAILED
-        wait = self._executor.estimate_wait(error.work.service).whole
+        wait = self._executor.estimate_wait(error.work.service).total
         self._decisions.log_decision(
             "stage-failed",
             request=self._exchange.request.request_id,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/streams.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.errors import RefusalCode
-from greengagelatch.relay.admission import Estimate
-from greengagelatch.relay.fleet import EngineNeed
+from greengagelatch.relay.admission import RequestEstimate
+from greengagelatch.relay.load_balancer import EngineDemand
 from greengagelatch.relay.outcomes import SendOutcome
 from greengagelatch.relay.requests import Prompt
 
@@ -23,8 +23,8 @@
     from collections.abc import AsyncIterator
 
     from greengagelatch.relay.admission import RouteAdmission
-    from greengagelatch.relay.fleet import Fleet
     from greengagelatch.relay.incarnations import Incarnation
+    from greengagelatch.relay.load_balancer import LoadBalancer
     from greengagelatch.relay.targets import ListedTarget
 
     from .codecs import TargetCodec
@@ -95,13 +95,13 @@
         work = chain.work + first_seconds
         route = exchange.route
         elapsed = self.clock.now() - exchange.request.received
-        estimate = Estimate(
-            wait=chain.whole_wait,
+        estimate = RequestEstimate(
+            total_wait=chain.total_wait,
             urgent_wait=chain.urgent_wait,
-            work=work,
-            left=exchange.first_deadline - self.clock.now(),
-            objective_left=route.objective - exchange.prior_wait - elapsed,
-            waited_share=exchange.prior_wait / route.timeout if route.timeout else 0.0,
+            service_time=work,
+            remaining=exchange.first_deadline - self.clock.now(),
+            objective_remaining=route.objective - exchange.prior_wait - elapsed,
+            elapsed_share=exchange.prior_wait / route.timeout if route.timeout else 0.0,
         )
         decision = self._admission.decide(estimate)
         if decision.admitted:
@@ -109,8 +109,9 @@
         raise create_error(
             exchange,
             RefusalCode.OVERLOADED,
-            f"{decision.reason}: {estimate.urgent_wait:.1f} of {estimate.wait:.1f} s"
-            f" of queue, {work:.1f} s of work, {estimate.left:.1f} s left",
+            f"{decision.reason}: {estimate.urgent_wait:.1f} of"
+            f" {estimate.total_wait:.1f} s of queue, {work:.1f} s of work,"
+            f" {estimate.remaining:.1f} s left",
             retry_after=decision.retry_after,
         )
 
@@ -169,7 +170,7 @@
         self._results = await self._run.execute()
 
     def _choose(self, excluded: frozenset[Incarnation]) -> ListedTarget | None:
-        need = EngineNeed(self._prompt, self._results.bytes_by_data_centre)
+        need = EngineDemand(self._prompt, self._results.bytes_by_data_centre)
         fleet, now = self._runner.load_balancer, self._runner.clock.now()
         return fleet.choose_engine(self._exchange.service, need, excluded, now)
 
@@ -200,7 +201,7 @@
                 target,
                 call,
                 timeout=self._choose_first_event_timeout(left),
-                fresh=not exchange.route.repeatable,
+                fresh=not exchange.route.retryable,
                 may_send=lambda: fetch_timer.start(
                     not self._run.is_lost(self._results)
                 ),
@@ -220,7 +221,7 @@
         until then would take memory that their makers need for other requests.
         """
         now = self._runner.clock.now()
-        if not self._runner.load_balancer.takes_in(target, now):
+        if not self._runner.load_balancer.has_free_slots(target, now):
             return
         self._inputs_released = True
         self._run.free()
@@ -243,7 +244,7 @@
             response.abort()
             raise
         response.release()
-        self._runner.load_balancer.note_success(target.incarnation)
+        self._runner.load_balancer.record_success(target.incarnation)
         self._runner.sender.record_survival(self._exchange, target)
         self._exchange.outcome = "answered"
         return None
@@ -299,7 +300,7 @@
         now = runner.clock.now()
         self._first_event_at = now
         runner.times.record_first_part(self._exchange, now - self._sent_at)
-        runner.load_balancer.note_parts(target.incarnation, self._prompt, now)
+        runner.load_balancer.record_cached_parts(target.incarnation, self._prompt, now)
         self._first_event_seen = self._inputs_released = True
         # the target has fetched the stage results; release their makers' memory
         self._run.free()
@@ -311,7 +312,7 @@
         body = await received.response.read(MAX_ERROR_BODY_BYTES)
         received.response.release()
         self._runner.sender.record_survival(self._exchange, target)
-        self._runner.load_balancer.note_failure(
+        self._runner.load_balancer.record_failure(
             target.incarnation, self._runner.clock.now()
         )
         exchange = self._exchange
@@ -353,7 +354,9 @@
 class _PrefillTracker:
     """Accounts for a request at its engine: first in prefill, then in decoding."""
 
-    def __init__(self, fleet: Fleet, incarnation: Incarnation, tokens: float) -> None:
+    def __init__(
+        self, fleet: LoadBalancer, incarnation: Incarnation, tokens: float
+    ) -> None:
         self.fleet = fleet
         self._incarnation = incarnation
         self._tokens = tokens
@@ -365,7 +368,7 @@
         if not self._in_prefill:
             return False
         self._in_prefill = False
-        self.fleet.begin(self._incarnation, self._tokens)
+        self.fleet.finish_prefill(self._incarnation, self._tokens)
         return True
 
     def end(self) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/target_sender.py
@@ -15,8 +15,8 @@
     from collections.abc import Callable
 
     from greengagelatch.clock import Clock
-    from greengagelatch.relay.fleet import Fleet
-    from greengagelatch.relay.targets import ListedTarget, TargetBook
+    from greengagelatch.relay.load_balancer import LoadBalancer
+    from greengagelatch.relay.targets import ListedTarget, TargetTable
 
     from .codecs import TargetCodec
     from .crash_detector import CrashDetector
@@ -60,8 +60,8 @@
         *,
         connections: TargetConnectionPool,
         codec: TargetCodec,
-        load_balancer: Fleet,
-        target_table: TargetBook,
+        load_balancer: LoadBalancer,
+        target_table: TargetTable,
         crash_detector: CrashDetector,
         clock: Clock,
         decisions: DecisionLog,
@@ -99,7 +99,9 @@
                 outbound=outbound,
                 fresh=fresh,
                 timeout=timeout,
-                may_send=lambda: self._target_table.accepts(incarnation) and may_send(),
+                may_send=lambda: (
+                    self._target_table.is_available(incarnation) and may_send()
+                ),
             )
         except NotSentError as error:
             exchange.unsent += 1
@@ -139,7 +141,7 @@
     ) -> ReceivedResponse | FailedSend:
         head = self._codec.read_head(response)
         if head.load is not None:
-            self._load_balancer.note_report(
+            self._load_balancer.record_load_report(
                 target.incarnation, head.load, self._clock.now()
             )
         if head.request_id != exchange.request.request_id and not head.misdirected:
@@ -184,7 +186,7 @@
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
         now = self._clock.now()
         if blamed and outcome is not SendOutcome.REJECTED:
-            self._load_balancer.note_failure(target.incarnation, now)
+            self._load_balancer.record_failure(target.incarnation, now)
             # idle connections to it may be broken as well
             self._connections.close_idle(target.incarnation)
         self._decisions.log_decision(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -51,7 +51,7 @@
         last: FailedSend | None = None
         error_response: _FullResponse | None = None
         while True:
-            target = self.load_balancer.choose_plain(
+            target = self.load_balancer.choose_least_loaded(
                 exchange.service, excluded, self.clock.now()
             )
             if target is None:
@@ -97,7 +97,7 @@
                 target,
                 call,
                 timeout=timeout,
-                fresh=not exchange.route.repeatable,
+                fresh=not exchange.route.retryable,
             )
             if isinstance(result, FailedSend):
                 return result
@@ -129,9 +129,9 @@
         response.release()
         self.sender.record_survival(exchange, target)
         if received.head.succeeded:
-            self.load_balancer.note_success(target.incarnation)
+            self.load_balancer.record_success(target.incarnation)
         else:
-            self.load_balancer.note_failure(target.incarnation, self.clock.now())
+            self.load_balancer.record_failure(target.incarnation, self.clock.now())
         return _FullResponse(received.head, body)
 
     def _choose_timeout(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.relay.admission import AdmitAll
-from greengagelatch.relay.batches import SeparateCalls
-from greengagelatch.relay.groups import Divided, Undivided
+from greengagelatch.relay.batches import PerRequestBatching
+from greengagelatch.relay.groups import PerDataCentreOwnership, SingleOwnership
 
 from .shapes import SCENARIOS, SHAPES
 from .trial import Policies, run_trial
@@ -25,10 +25,10 @@
 VARIANTS = {
     "ours": Policies(),
     "unsettled": Policies(sole=False),
-    "undivided": Policies(create_division=Undivided),
-    "divided": Policies(create_division=Divided),
+    "undivided": Policies(create_division=SingleOwnership),
+    "divided": Policies(create_division=PerDataCentreOwnership),
     "admit-all": Policies(create_admission=AdmitAll),
-    "naive": Policies(create_batches=SeparateCalls, create_admission=AdmitAll),
+    "naive": Policies(create_batches=PerRequestBatching, create_admission=AdmitAll),
 }
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from greengagelatch.relay.fleet import EngineNeed, Fleet
+from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer
 from greengagelatch.relay.quarantine import Quarantine
-from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.bundle_quarantine import DisabledBundleQuarantine
 from greengagelatch_entry.relay.forwarding_stage_executor import ForwardingStageExecutor
 from greengagelatch_entry.relay.local_stage_executor import LocalStageExecutor
@@ -30,8 +30,8 @@
     from greengagelatch.relay.admission import RouteAdmission
     from greengagelatch.relay.batches import BatchPolicy
     from greengagelatch.relay.deployment import Deployment, MakerProfile
-    from greengagelatch.relay.groups import DivisionRule, MakerGroup
-    from greengagelatch.relay.targets import TargetBook
+    from greengagelatch.relay.groups import MakerGroup, OwnershipPolicy
+    from greengagelatch.relay.targets import TargetTable
     from greengagelatch_entry.relay.exchange import RelayExchange
     from greengagelatch_entry.relay.stages import StageResults, StageRun
 
@@ -68,7 +68,7 @@
         self, exchange: RelayExchange, run: StageRun, results: StageResults
     ) -> None:
         prompt = exchange.request.prompt
-        need = EngineNeed(prompt, results.bytes_by_data_centre)
+        need = EngineDemand(prompt, results.bytes_by_data_centre)
         started = self.clock.now()
         target = self.load_balancer.choose_engine(ENGINES, need, frozenset(), started)
         tokens = self.load_balancer.count_tokens(target.incarnation, prompt, started)
@@ -79,10 +79,10 @@
             results.inputs or (), shared.part_id, shared.tokens, own.tokens
         )
         now = self.clock.now()
-        self.load_balancer.begin(target.incarnation, tokens)
+        self.load_balancer.finish_prefill(target.incarnation, tokens)
         if read:
             self.times.record_first_part(exchange, now - started)
-            self.load_balancer.note_parts(target.incarnation, prompt, now)
+            self.load_balancer.record_cached_parts(target.incarnation, prompt, now)
             exchange.outcome = "answered"
         run.free()
         self.load_balancer.finish(target.incarnation)
@@ -105,7 +105,7 @@
         self,
         *,
         clock: Clock,
-        book: TargetBook,
+        book: TargetTable,
         deployment: Deployment,
         engines: dict[str, Engine],
         links: ModelLinks,
@@ -113,7 +113,7 @@
         random_source: random.Random,
         create_batches: Callable[[], BatchPolicy],
         create_admission: Callable[[], RouteAdmission],
-        create_division: Callable[[], DivisionRule],
+        create_division: Callable[[], OwnershipPolicy],
     ) -> None:
         self._clock = clock
         self._book = book
@@ -206,11 +206,15 @@
 
     def _create_budgets(self) -> RetryBudgets:
         return RetryBudgets(
-            rule=RepeatRule(slack=1e6), clock=self._clock, count_instances=lambda: 1
+            rule=RetryBudgetRule(slack=1e6),
+            clock=self._clock,
+            count_instances=lambda: 1,
         )
 
     def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
-        fleet = Fleet(book=self._book, data_centre=near, random_source=self._random)
+        fleet = LoadBalancer(
+            target_table=self._book, data_centre=near, random_source=self._random
+        )
         stages = StageRunner(
             executor=desk,
             clock=self._clock,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -43,8 +43,8 @@
             batch=self.batch,
             call_seconds=self.call_seconds,
             item_seconds=self.item_seconds,
-            room_bytes=round(self.room_bytes),
-            keep_seconds=self.keep_seconds,
+            result_memory_bytes=round(self.room_bytes),
+            retention_seconds=self.keep_seconds,
         )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -10,8 +10,8 @@
 from looptime import LoopTimeEventLoop
 
 from greengagelatch.clock import Clock
-from greengagelatch.relay.admission import EstimateRule, RouteAdmission
-from greengagelatch.relay.batches import BatchPolicy, SharedCalls
+from greengagelatch.relay.admission import DeadlineAdmission, RouteAdmission
+from greengagelatch.relay.batches import BatchPolicy, CrossRequestBatching
 from greengagelatch.relay.deployment import (
     Deployment,
     Route,
@@ -19,10 +19,10 @@
     RouteKind,
     RouteStage,
 )
-from greengagelatch.relay.groups import ByCapacity, DivisionRule
+from greengagelatch.relay.groups import CapacityBasedOwnership, OwnershipPolicy
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.requests import OpaqueRequest, RefusedError
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 from greengagelatch.relay.urgency import compute_rank
 from greengagelatch_entry.relay.exchange import RelayExchange
 
@@ -65,9 +65,9 @@
 class Policies:
     """The decisions that a trial is run with."""
 
-    create_batches: Callable[[], BatchPolicy] = SharedCalls
-    create_admission: Callable[[], RouteAdmission] = EstimateRule
-    create_division: Callable[[], DivisionRule] = ByCapacity
+    create_batches: Callable[[], BatchPolicy] = CrossRequestBatching
+    create_admission: Callable[[], RouteAdmission] = DeadlineAdmission
+    create_division: Callable[[], OwnershipPolicy] = CapacityBasedOwnership
     #: whether the instance knows that no other one calls the makers
     sole: bool = True
 
@@ -83,7 +83,7 @@
         self.clock = LoopClock()
         self.results = Results()
         self.outcome = Outcome()
-        self.book = TargetBook()
+        self.book = TargetTable()
         self.makers: dict[str, Maker] = {}
         self.engines: dict[str, Engine] = {}
         self.centres = [f"dc-{number}" for number in range(shape.data_centres)]
@@ -223,7 +223,7 @@
             headers=(),
             body=b"",
             received=now,
-            patience=left,
+            timeout=left,
             prompt=arrival.prompt,
             piece_counts=arrival.piece_counts,
             piece_key="key",
--- a/packages/greengagelatch/src/greengagelatch/relay/batches.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/batches.py
@@ -1,4 +1,4 @@
-"""Which pieces share a call to a maker, and when the call is made."""
+"""Batching: which pieces share a call to a maker, and when the call is made."""
 
 from __future__ import annotations
 
@@ -16,54 +16,57 @@
     "BatchPolicy",
     "MakerView",
     "PlannedCall",
-    "SeparateCalls",
-    "SharedCalls",
-    "find_hopeless",
+    "PerRequestBatching",
+    "CrossRequestBatching",
+    "find_infeasible",
     "is_late",
 )
 
-#: seconds by which a bundle seems less urgent for each rank: enough to order bundles
-#: that came together, too little to starve any
-RANK_SECONDS = 0.8
-
-#: bytes that a bundle moves from which it waits for a maker in the right place
-MUCH_MOVED = 500_000
-#: seconds that it waits at the most; a full call takes about as long
-LONGEST_HOLD = 0.45
-#: slowness up to which a maker is waited for
-STEADY = 1.5
-#: seconds by which a bundle seems less urgent to a maker far from its inputs
-FAR_SECONDS = 0.3
-#: seconds before a bundle's last moment at which it goes first: about a call. With
-#: more, late bundles take the place of others that could still be on time
-LAST_CHANCE = 0.3
-#: the same before what it reads lapses, which would be made again: a call and some
-LAPSE_CHANCE = 0.4
-#: share of makers' full speed that is counted on: calls are not always full
-COUNTED_SPEED = 0.8
-#: slowness of a maker that is counted at the least
-LEAST_SLOWNESS = 0.5
-#: times a bundle's results that a maker must have room for before it is split
-ROOMY = 2.0
+#: seconds added to a bundle's soft deadline for each priority rank: enough to order
+#: bundles that arrive together, too little to starve any
+RANK_PENALTY_SECONDS = 0.8
+
+#: bytes moved between data centres from which a bundle waits for a local maker
+LARGE_INPUT_BYTES = 500_000
+#: longest time that a bundle waits for a local maker, in seconds; about as long as a
+#: full call
+MAX_LOCAL_WAIT_SECONDS = 0.45
+#: slowness up to which a bundle waits for a local maker
+MAX_LOCAL_SLOWNESS = 1.5
+#: seconds added to a bundle's urgency at a maker in another data centre than its inputs
+REMOTE_PENALTY_SECONDS = 0.3
+#: seconds before its hard deadline at which a late bundle is put first: about the time
+#: of a call. With more, late bundles displace others that could still be on time
+DEADLINE_MARGIN_SECONDS = 0.3
+#: the same before its inputs expire, which would have to be made again: a little more
+#: than the time of a call, in seconds
+EXPIRY_MARGIN_SECONDS = 0.4
+#: share of the makers' full throughput that estimates assume: calls are not always full
+ASSUMED_UTILISATION = 0.8
+#: lower bound on the slowness of a maker in estimates of throughput
+MIN_SLOWNESS = 0.5
+#: free memory that a maker must have before a bundle is split, as a multiple of the
+#: size of the bundle's results
+SPLIT_MEMORY_FACTOR = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MakerView:
-    """One maker at the moment of a decision."""
+    """State of one maker at the time of a decision."""
 
     incarnation: Incarnation
     data_centre: str
-    #: monotonic seconds at which it should be able to begin another call
+    #: monotonic time at which it is expected to accept another call
     free_at: float
-    #: bytes of results that it has room for
+    #: free memory for results
     free_bytes: float
-    #: how long its calls take, as a multiple of what the profile says
+    #: duration of its calls as a multiple of the profile's estimate
     slowness: float = 1.0
 
 
 @dataclass(slots=True)
 class PlannedCall:
-    """A call that is to be made now."""
+    """A call to make now."""
 
     incarnation: Incarnation
     #: pieces in order, each with its bundle
@@ -71,7 +74,7 @@
 
 
 class BatchPolicy(ABC):
-    """Fills calls from the bundles that wait."""
+    """Assigns waiting bundles to calls."""
 
     @abstractmethod
     def plan(
@@ -83,18 +86,18 @@
     ) -> list[PlannedCall]:
         """Return the calls to make now.
 
-        :param bundles: each with its pieces that are not yet being made
-        :param makers: all makers, busy ones included
+        :param bundles: each with those of its pieces that are not in a call yet
+        :param makers: all makers, including busy ones
         """
 
 
-class SharedCalls(BatchPolicy):
-    """Lets requests share calls, the most urgent ones first.
+class CrossRequestBatching(BatchPolicy):
+    """Batches pieces of several requests into one call, the most urgent ones first.
 
-    A call has a high fixed cost and a low one for each piece, so full calls make
+    A call has a high fixed cost and a low cost for each piece, so full calls make
     about twice as many pieces as calls for one request each. Under light load
     there are more idle makers than bundles, and each bundle has its own call; as
-    load rises, bundles wait while makers are busy, and calls fill up by themselves.
+    load rises, bundles queue while makers are busy, and the calls grow.
     """
 
     def plan(
@@ -104,25 +107,25 @@
         profile: MakerProfile,
         now: float,
     ) -> list[PlannedCall]:
-        idle = _list_useful(makers, profile, now)
+        idle = _list_eligible(makers, profile, now)
         calls = []
         call = _estimate_call(bundles, len(idle), profile)
-        waiting = _leave_for_near(
-            _order(bundles, profile, now, call), idle, makers, profile, now
+        waiting = _defer_to_local(
+            _sort_bundles(bundles, profile, now, call), idle, makers, profile, now
         )
         while waiting and idle:
             share = _count_share(waiting, len(idle), profile)
             maker = _choose_maker(idle, waiting[0].bundle)
             idle.remove(maker)
-            call = _fill(maker, _order_for(maker, waiting), share, profile)
+            call = _fill(maker, _sort_for_maker(maker, waiting), share, profile)
             waiting = [one for one in waiting if one.left]
             if call.pieces:
                 calls.append(call)
         return calls
 
 
-class SeparateCalls(BatchPolicy):
-    """One bundle a call, in the order of arrival; the baseline to compare with."""
+class PerRequestBatching(BatchPolicy):
+    """Makes one call for each bundle, first come first served; a baseline."""
 
     def plan(
         self,
@@ -138,7 +141,7 @@
                 break
             if not left:
                 continue
-            waiting = [_Waiting(bundle, left)]
+            waiting = [_WaitingBundle(bundle, left)]
             call = _fill(idle.pop(0), waiting, profile.batch, profile)
             if call.pieces:
                 calls.append(call)
@@ -146,195 +149,207 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A bundle that waits, and its place in the order."""
+class _WaitingBundle:
+    """A waiting bundle with its sort keys."""
 
     bundle: Bundle
-    #: pieces that are not yet being made
+    #: pieces that are not in a call yet
     left: list[Piece]
     late: bool = False
     urgency: float = 0.0
 
     @property
-    def moves_much(self) -> bool:
-        """Whether it is best made in one place."""
-        return self.bundle.moved_bytes >= MUCH_MOVED
+    def has_large_inputs(self) -> bool:
+        """Whether its inputs are too large to be moved between data centres."""
+        return self.bundle.moved_bytes >= LARGE_INPUT_BYTES
 
 
 def _estimate_call(
     bundles: list[tuple[Bundle, list[Piece]]], makers: int, profile: MakerProfile
 ) -> float:
-    """Return the seconds that a call takes if makers share all that waits."""
+    """Return the seconds that a call takes if all waiting pieces are spread evenly."""
     pieces = sum(len(left) for _, left in bundles)
     share = ceil(pieces / max(1, makers))
     return profile.estimate_seconds(min(share, profile.batch))
 
 
-def _order(
+def _sort_bundles(
     bundles: list[tuple[Bundle, list[Piece]]],
     profile: MakerProfile,
     now: float,
     call: float = 0.0,
-) -> list[_Waiting]:
-    """Order bundles: those that can still meet their aim, then by urgency.
+) -> list[_WaitingBundle]:
+    """Sort bundles: those that can still meet the soft deadline first, by urgency.
 
-    One that can't meet its aim any more has lost most of its worth; let it wait
-    for those that have not, up to its last chance: what was made for it is not to be
-    thrown away, and few such are begun.
+    A late bundle has lost most of its value, so it yields to those that are on time.
+    Shortly before its hard deadline, or before its inputs expire, it is put first:
+    the work already done for its request should not be wasted, and admission control
+    lets few late requests in.
 
-    :param call: seconds that the next calls take, as requests share them
+    :param call: seconds that the next shared call takes
     """
     waiting = []
     for bundle, left in bundles:
         if not left:
             continue
         late = is_late(bundle, len(left), profile, now, call)
-        urgency = bundle.aim + bundle.rank * RANK_SECONDS
-        if late and now > _find_last_chance(bundle):
+        urgency = bundle.soft_deadline + bundle.rank * RANK_PENALTY_SECONDS
+        if late and now > _find_promotion_time(bundle):
             late, urgency = False, now
-        waiting.append(_Waiting(bundle, left, late, urgency))
+        waiting.append(_WaitingBundle(bundle, left, late, urgency))
     waiting.sort(key=lambda one: (one.late, one.urgency))
     return waiting
 
 
-def _find_last_chance(bundle: Bundle) -> float:
-    return min(bundle.latest - LAST_CHANCE, bundle.inputs_until - LAPSE_CHANCE)
+def _find_promotion_time(bundle: Bundle) -> float:
+    return min(
+        bundle.hard_deadline - DEADLINE_MARGIN_SECONDS,
+        bundle.inputs_expire_at - EXPIRY_MARGIN_SECONDS,
+    )
 
 
-def _order_for(maker: MakerView, waiting: list[_Waiting]) -> list[_Waiting]:
-    """Put bundles that move much first at a maker in the right place.
+def _sort_for_maker(
+    maker: MakerView, waiting: list[_WaitingBundle]
+) -> list[_WaitingBundle]:
+    """Sort bundles for one maker, those with large inputs in its data centre first.
 
-    What crosses data centres is paid for.
+    Traffic between data centres is billed.
     """
-    if not any(one.moves_much for one in waiting):
+    if not any(one.has_large_inputs for one in waiting):
         return waiting
     return sorted(waiting, key=lambda one: (one.late, _find_urgency(one, maker)))
 
 
-def _find_urgency(one: _Waiting, maker: MakerView) -> float:
-    if one.moves_much and one.bundle.data_centre != maker.data_centre:
-        return one.urgency + FAR_SECONDS
+def _find_urgency(one: _WaitingBundle, maker: MakerView) -> float:
+    if one.has_large_inputs and one.bundle.data_centre != maker.data_centre:
+        return one.urgency + REMOTE_PENALTY_SECONDS
     return one.urgency
 
 
 def is_late(
     bundle: Bundle, count: int, profile: MakerProfile, now: float, call: float = 0.0
 ) -> bool:
-    """Whether a bundle's request can't meet its objective any more.
+    """Return whether a bundle can't meet its soft deadline any more.
 
-    :param call: seconds that a call takes that other requests share
+    :param call: seconds that a call shared with other requests takes
     """
     alone = profile.estimate_seconds(min(count, profile.batch))
-    return now + max(alone, call) > bundle.aim
+    return now + max(alone, call) > bundle.soft_deadline
 
 
-def find_hopeless(
+def find_infeasible(
     bundles: list[tuple[Bundle, list[Piece]]],
     makers: list[MakerView],
     profile: MakerProfile,
     now: float,
 ) -> list[Bundle]:
-    """Return the bundles that can't be made by their last moment.
+    """Return the bundles that can't be made before their hard deadline.
 
-    Load pattern: a burst, or lost makers, of more than can be made for seconds.
-    Those behind too much are found out at once and not at their last moment: their
-    callers would hear of it when there is no time left to come back, and until then
-    they would make the queue seem longer to newcomers.
+    In a burst, or after a loss of makers, the queue can hold more work than the makers
+    complete in several seconds. Bundles too far back are reported at once rather than
+    at their deadline: a caller that is refused early still has time to retry, and
+    such bundles would inflate the queue estimates that newer requests are judged by.
     """
-    speed = sum(1 / max(one.slowness, LEAST_SLOWNESS) for one in makers)
+    speed = sum(1 / max(one.slowness, MIN_SLOWNESS) for one in makers)
     rate = speed * profile.batch / profile.estimate_seconds(profile.batch)
-    rate *= COUNTED_SPEED
+    rate *= ASSUMED_UTILISATION
     least = now + profile.estimate_seconds(1)
-    hopeless = []
+    infeasible = []
     before = 0
-    for one in _order(bundles, profile, now):
+    for one in _sort_bundles(bundles, profile, now):
         count = len(one.left)
         call = profile.estimate_seconds(min(count, profile.batch))
-        latest = one.bundle.latest
+        latest = one.bundle.hard_deadline
         if least > latest or now + before / rate + call > latest:
-            hopeless.append(one.bundle)
+            infeasible.append(one.bundle)
             continue
         before += count
-    return hopeless
+    return infeasible
 
 
-def _leave_for_near(
-    waiting: list[_Waiting],
+def _defer_to_local(
+    waiting: list[_WaitingBundle],
     idle: list[MakerView],
     makers: list[MakerView],
     profile: MakerProfile,
     now: float,
-) -> list[_Waiting]:
-    """Return the bundles to place now, without those that wait for a near maker.
+) -> list[_WaitingBundle]:
+    """Return the bundles to place now, without those that wait for a local maker.
 
-    What crosses data centres is paid for, and every piece reads all of its bundle's
-    inputs. A bundle that reads much waits for a maker beside them as long as that
-    one can take it with its next call, in time for the request's objective.
+    Traffic between data centres is billed, and every piece reads all inputs of its
+    bundle. A bundle with large inputs waits for a maker in their data centre as long
+    as the next call of that maker can include it and meet its soft deadline.
     """
-    idle_places = {one.data_centre for one in idle}
-    near: dict[str, list[MakerView]] = {}
+    idle_data_centres = {one.data_centre for one in idle}
+    makers_by_data_centre: dict[str, list[MakerView]] = {}
     for maker in makers:
-        near.setdefault(maker.data_centre, []).append(maker)
-    held: dict[str, int] = {}
-    placed = []
+        makers_by_data_centre.setdefault(maker.data_centre, []).append(maker)
+    deferred: dict[str, int] = {}
+    ready = []
     for one in waiting:
-        place = one.bundle.data_centre
-        beside = near.get(place, [])
-        count = held.get(place, 0) + len(one.left)
+        data_centre = one.bundle.data_centre
+        local_makers = makers_by_data_centre.get(data_centre, [])
+        count = deferred.get(data_centre, 0) + len(one.left)
         if (
-            not one.moves_much
-            or place in idle_places
-            or count > profile.batch * len(beside)
+            not one.has_large_inputs
+            or data_centre in idle_data_centres
+            or count > profile.batch * len(local_makers)
             or not any(
-                _is_soon(maker, one.bundle, count, profile, now) for maker in beside
+                _is_available_soon(maker, one.bundle, count, profile, now)
+                for maker in local_makers
             )
         ):
-            placed.append(one)
+            ready.append(one)
             continue
-        held[place] = count
-    return placed
+        deferred[data_centre] = count
+    return ready
 
 
-def _is_soon(
+def _is_available_soon(
     maker: MakerView, bundle: Bundle, count: int, profile: MakerProfile, now: float
 ) -> bool:
-    """Whether a busy maker will be done with ``count`` pieces in time."""
-    if maker.free_at > now + LONGEST_HOLD or maker.slowness > STEADY:
+    """Return whether a busy maker can finish ``count`` pieces by the soft deadline."""
+    if (
+        maker.free_at > now + MAX_LOCAL_WAIT_SECONDS
+        or maker.slowness > MAX_LOCAL_SLOWNESS
+    ):
         return False
     end = maker.free_at + profile.estimate_seconds(min(count, profile.batch))
-    return end <= bundle.aim
+    return end <= bundle.soft_deadline
 
 
-def _list_useful(
+def _list_eligible(
     makers: list[MakerView], profile: MakerProfile, now: float
 ) -> list[MakerView]:
-    """Return the idle makers that end a call before any other one could.
+    """Return the idle makers that would finish a call no later than a busy one.
 
-    A maker that has become five times slower is idle more often than not to the
-    eye of a late binding; work sent to it would be late, though another maker could
-    have begun a moment later and still ended sooner.
+    A maker that has become five times slower is often idle when work is assigned,
+    but another maker that starts the call a moment later still finishes it sooner.
     """
-    usual = profile.estimate_seconds(max(1, profile.batch // 2))
-    soonest = min(
-        (max(now, one.free_at) + usual * one.slowness for one in makers), default=0.0
+    typical_call = profile.estimate_seconds(max(1, profile.batch // 2))
+    earliest_end = min(
+        (max(now, one.free_at) + typical_call * one.slowness for one in makers),
+        default=0.0,
     )
-    useful = []
+    eligible = []
     for one in makers:
         if one.free_at > now:
             continue
-        if now + usual * one.slowness > soonest + usual:
+        if now + typical_call * one.slowness > earliest_end + typical_call:
             continue
-        useful.append(one)
-    return useful
+        eligible.append(one)
+    return eligible
 
 
-def _count_share(waiting: list[_Waiting], idle: int, profile: MakerProfile) -> int:
+def _count_share(
+    waiting: list[_WaitingBundle], idle: int, profile: MakerProfile
+) -> int:
     pieces = sum(len(one.left) for one in waiting)
     return max(1, min(profile.batch, ceil(pieces / idle)))
 
 
 def _choose_maker(idle: list[MakerView], bundle: Bundle) -> MakerView:
-    """Prefer fast makers, then near ones, then those with the most room."""
+    """Return a maker: fast ones first, then local ones, then the most free memory."""
     return min(
         idle,
         key=lambda one: (
@@ -346,13 +361,13 @@
 
 
 def _fill(
-    maker: MakerView, waiting: list[_Waiting], share: int, profile: MakerProfile
+    maker: MakerView, waiting: list[_WaitingBundle], share: int, profile: MakerProfile
 ) -> PlannedCall:
-    """Take pieces off ``waiting`` for one call, whole bundles if possible.
+    """Move pieces from ``waiting`` to one call, whole bundles if possible.
 
-    A bundle of which only some pieces are made holds room at its maker for nothing
-    until the others are. It is split only where it would not fit any call, or where
-    the maker has room for more than this call could fill.
+    The results of a partly made bundle occupy memory at the maker, unused until the
+    other pieces are made. A bundle is split only if it exceeds any call, or if the
+    maker has more free memory than this call could fill.
     """
     call = PlannedCall(maker.incarnation)
     free = maker.free_bytes
@@ -380,6 +395,6 @@
 ) -> bool:
     if len(left) > profile.batch:
         return True
-    if len(left) * bundle.result_bytes > profile.room_bytes:
+    if len(left) * bundle.result_bytes > profile.result_memory_bytes:
         return not call.pieces
-    return free >= ROOMY * len(left) * bundle.result_bytes
+    return free >= SPLIT_MEMORY_FACTOR * len(left) * bundle.result_bytes
--- a/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/incarnations.py
@@ -1,39 +1,41 @@
-"""Incarnations of targets: one for each start under an id."""
+"""Incarnations of targets: one for each start of a target under an id."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ("Incarnation", "Succession")
+__all__ = ("Incarnation", "IncarnationOrder")
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """One life of a target, from a start to its end.
+    """One run of a target, from its start to its end.
 
-    A target may start again under the id that it had, and then holds nothing of
-    before. Whatever is believed of it is kept under this, so that no belief about
-    the former one is taken for true of the next.
+    A target may restart under the same id and then has lost all its former state. What
+    is known of a target is stored by incarnation, so that facts about a former run
+    are not applied to the next one.
     """
 
     target_id: str
-    #: Unix milliseconds of its start, by its own clock; 0: not told
-    born: int = 0
+    #: Unix milliseconds of its start, by its own clock; 0: unknown
+    started_ms: int = 0
 
     def __str__(self) -> str:
-        return f"{self.target_id}@{self.born}" if self.born else self.target_id
+        return (
+            f"{self.target_id}@{self.started_ms}" if self.started_ms else self.target_id
+        )
 
 
-class Succession(Enum):
-    """How what an entry says stands to the newest incarnation known of its id."""
+class IncarnationOrder(Enum):
+    """How an entry compares with the newest incarnation known of its id."""
 
-    #: nothing was known of the id
+    #: the id was not known
     FIRST = "first"
     SAME = "same"
-    #: the target has started again
+    #: the target has restarted
     NEWER = "newer"
-    #: an old answer
+    #: a stale entry of a former incarnation
     OUTDATED = "outdated"
-    #: it does not say which incarnation it is of, and is at another address
-    UNTOLD = "untold"
+    #: the entry gives no start and has another address, so its incarnation is unknown
+    UNKNOWN = "untold"
--- /dev/null
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -0,0 +1,311 @@
+"""Load balancing of requests by target load, cached prompt parts and health."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from ..load.breakers import Breaker, BreakerRule, find_ejected
+from ..targets.subset import compute_weight
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Mapping
+
+    from .incarnations import Incarnation
+    from .requests import Prompt
+    from .targets import ListedTarget, TargetTable
+
+__all__ = ("EngineDemand", "LoadBalancer", "LoadReport")
+
+#: the circuit breaker of a target opens after two failures in a row: with three
+#: targets, a third of all requests fails while a lost target is still in use
+BREAKER_RULE = BreakerRule(failures=2, first_pause=1.0, longest_pause=4.0)
+#: seconds for which a load report is used
+REPORT_TTL_SECONDS = 1.0
+#: the same where it matters only whether the target was nearly full
+SLOTS_REPORT_TTL_SECONDS = 3.0
+#: share of occupied slots up to which an engine is taken to have free ones
+FREE_SLOTS_SHARE = 0.5
+#: penalty on the load of a target in another data centre, as a share of its slots
+REMOTE_PENALTY = 0.05
+#: cost of a running request, as the tokens whose prefill delays others as much
+RUNNING_REQUEST_TOKENS = 60.0
+#: tokens whose prefill costs as much as the transfer of one byte of results to another
+#: data centre, by the price lists of both and a small surcharge for the delay
+TOKENS_PER_REMOTE_BYTE = 0.0005
+#: seconds for which a prompt part is expected to stay in an engine's prefix cache
+PART_TTL_SECONDS = 20.0
+#: most prompt parts that are tracked for one engine
+MAX_PARTS = 2048
+
+
+@dataclass(frozen=True, slots=True)
+class LoadReport:
+    """Load that a target reported."""
+
+    running: int
+    waiting: int
+    slots: int
+
+
+@dataclass(frozen=True, slots=True)
+class EngineDemand:
+    """What a request asks of its engine."""
+
+    prompt: Prompt
+    #: bytes of stage results to read, by the data centre of their makers
+    result_bytes: Mapping[str, int] = field(default_factory=dict)
+
+
+@dataclass(slots=True)
+class _TargetState:
+    breaker: Breaker
+    in_flight: int = 0
+    #: prompt tokens of requests sent whose prefill has not finished
+    pending_tokens: float = 0.0
+    report: LoadReport | None = None
+    reported: float = 0.0
+    #: prompt parts by id, with the time of their last use; least recently used first
+    parts: OrderedDict[str, float] = field(default_factory=OrderedDict)
+
+
+class LoadBalancer:
+    """Chooses among the listed targets and records the outcomes of requests."""
+
+    def __init__(
+        self,
+        *,
+        target_table: TargetTable,
+        data_centre: str,
+        random_source: random.Random,
+    ) -> None:
+        self._target_table = target_table
+        self._data_centre = data_centre
+        self._random = random_source
+        self._states: dict[Incarnation, _TargetState] = {}
+
+    def choose_least_loaded(
+        self, service: str, excluded: frozenset[Incarnation], now: float
+    ) -> ListedTarget | None:
+        """Return the least loaded healthy target; local ones win ties."""
+        candidates = self._list_candidates(service, excluded, now)
+        if not candidates:
+            return None
+        return min(candidates, key=lambda one: self._score_target(one, now))
+
+    def choose_engine(
+        self,
+        service: str,
+        need: EngineDemand,
+        excluded: frozenset[Incarnation],
+        now: float,
+    ) -> ListedTarget | None:
+        """Return the engine with the lowest cost of prefill and data transfer.
+
+        Consistent hashing of the last shared prompt part gives an affinity target for
+        all shared parts, the same at all instances without coordination. The first part
+        would not do: a handful of first parts begins most prompts, so that a few
+        engines would get all requests of a large fleet. The cost includes the pending
+        prefill of an engine, or a popular part would overload its affinity target.
+        """
+        candidates = self._list_candidates(service, excluded, now)
+        if not candidates:
+            return None
+        affinity_target = _find_affinity_target(need.prompt, candidates)
+        return min(
+            candidates,
+            key=lambda one: self._score_engine(one, need, affinity_target, now),
+        )
+
+    def find_affinity_target(
+        self, service: str, prompt: Prompt, now: float
+    ) -> ListedTarget | None:
+        """Return the engine to which consistent hashing assigns a prompt's parts."""
+        return _find_affinity_target(
+            prompt, self._list_candidates(service, frozenset(), now)
+        )
+
+    def has_free_slots(self, target: ListedTarget, now: float) -> bool:
+        """Return whether an engine starts a request at once rather than queue it.
+
+        Decided by the recent load report of the engine; half of its slots are left for
+        requests that other instances have sent since. In a large fleet most engines
+        have sent this instance no recent report; then the average occupancy of the
+        other engines of the service must be half as high.
+        """
+        state = self._find_state(target.incarnation)
+        own_share = _find_occupancy(state, now)
+        if own_share is not None:
+            return own_share <= FREE_SLOTS_SHARE
+        listed = self._target_table.list_service(target.service)
+        states = [self._find_state(one.incarnation) for one in listed]
+        shares = [_find_occupancy(one, now) for one in states]
+        reported = [share for share in shares if share is not None]
+        return bool(reported) and sum(reported) / len(reported) <= FREE_SLOTS_SHARE / 2
+
+    def start(self, incarnation: Incarnation, tokens: float = 0.0) -> None:
+        """Count a request that is sent to a target."""
+        state = self._find_state(incarnation)
+        state.in_flight += 1
+        state.pending_tokens += tokens
+
+    def finish_prefill(self, incarnation: Incarnation, tokens: float) -> None:
+        """Record that an engine has finished the prefill of a request."""
+        state = self._find_state(incarnation)
+        state.pending_tokens = max(0.0, state.pending_tokens - tokens)
+
+    def finish(self, incarnation: Incarnation) -> None:
+        """Record that a request has ended."""
+        state = self._find_state(incarnation)
+        state.in_flight = max(0, state.in_flight - 1)
+        if not state.in_flight and not self._target_table.is_available(incarnation):
+            # a late update must not recreate the state of a target that is gone:
+            # memory would grow with each restart
+            self.forget(incarnation)
+
+    def record_cached_parts(
+        self, incarnation: Incarnation, prompt: Prompt, now: float
+    ) -> None:
+        """Record the prompt parts that an engine has cached for a request."""
+        parts = self._find_state(incarnation).parts
+        for part in prompt.shared_parts:
+            parts.pop(part.part_id, None)
+            parts[part.part_id] = now
+        while len(parts) > MAX_PARTS:
+            parts.popitem(last=False)
+
+    def record_success(self, incarnation: Incarnation) -> None:
+        """Record an answer."""
+        self._find_state(incarnation).breaker.note_success()
+
+    def record_failure(self, incarnation: Incarnation, now: float) -> None:
+        """Record a failure that the target is responsible for."""
+        self._find_state(incarnation).breaker.note_failure(now)
+
+    def record_load_report(
+        self, incarnation: Incarnation, report: LoadReport, now: float
+    ) -> None:
+        """Record the load that a target reported."""
+        state = self._find_state(incarnation)
+        state.report = report
+        state.reported = now
+
+    def count_tokens(
+        self, incarnation: Incarnation, prompt: Prompt, now: float
+    ) -> float:
+        """Return the prompt tokens that are not expected in an engine's cache."""
+        return _count_tokens(self._find_state(incarnation).parts, prompt, now)
+
+    def forget(self, incarnation: Incarnation) -> None:
+        """Discard the state of a target that is gone."""
+        self._states.pop(incarnation, None)
+
+    def describe(self, now: float) -> dict[str, dict[str, float | str]]:
+        """Return the state of each target for the state dump."""
+        return {
+            str(incarnation): {
+                "breaker": state.breaker.read_state(now).value,
+                "in_flight": state.in_flight,
+                "pending_tokens": state.pending_tokens,
+                "report_age": now - state.reported if state.report else -1.0,
+            }
+            for incarnation, state in self._states.items()
+        }
+
+    def _find_state(self, incarnation: Incarnation) -> _TargetState:
+        state = self._states.get(incarnation)
+        if state is None:
+            state = _TargetState(Breaker(BREAKER_RULE, self._random))
+            self._states[incarnation] = state
+        return state
+
+    def _list_candidates(
+        self, service: str, excluded: frozenset[Incarnation], now: float
+    ) -> list[ListedTarget]:
+        listed = self._target_table.list_service(service)
+        breakers = [
+            (one.incarnation, self._find_state(one.incarnation).breaker)
+            for one in listed
+        ]
+        ejected = find_ejected(breakers, BREAKER_RULE, now)
+        left = list(listed)
+        if excluded:
+            left = [one for one in left if one.incarnation not in excluded]
+        if not ejected:
+            return left
+        healthy = [one for one in left if one.incarnation not in ejected]
+        return healthy or left
+
+    def _score_target(self, target: ListedTarget, now: float) -> tuple[float, float]:
+        state = self._find_state(target.incarnation)
+        requests = state.in_flight + self._count_other_requests(state, now)
+        remote = 0.0 if target.data_centre == self._data_centre else REMOTE_PENALTY
+        return requests / max(1, target.slots) + remote, self._random.random()
+
+    def _score_engine(
+        self,
+        target: ListedTarget,
+        need: EngineDemand,
+        affinity_target: ListedTarget | None,
+        now: float,
+    ) -> tuple[float, float]:
+        state = self._find_state(target.incarnation)
+        tokens = _count_tokens(state.parts, need.prompt, now)
+        if target is affinity_target:
+            # other instances send the parts there too, so they are taken to be cached
+            shared = sum(part.tokens for part in need.prompt.shared_parts)
+            tokens = min(tokens, need.prompt.tokens_in - shared)
+        running = state.in_flight + self._count_other_requests(state, now)
+        remote = sum(
+            size
+            for data_centre, size in need.result_bytes.items()
+            if data_centre != target.data_centre
+        )
+        cost = tokens + state.pending_tokens + running * RUNNING_REQUEST_TOKENS
+        return cost + remote * TOKENS_PER_REMOTE_BYTE, self._random.random()
+
+    def _count_other_requests(self, state: _TargetState, now: float) -> float:
+        if state.report is None or now - state.reported > REPORT_TTL_SECONDS:
+            return 0.0
+        reported = state.report.running + state.report.waiting
+        return max(0.0, float(reported - state.in_flight))
+
+
+def _find_occupancy(state: _TargetState, now: float) -> float | None:
+    """Return the share of an engine's slots in use; ``None`` if unknown."""
+    report = state.report
+    if (
+        report is None
+        or now - state.reported > SLOTS_REPORT_TTL_SECONDS
+        or report.slots <= 0
+    ):
+        return None
+    return max(report.running + report.waiting, state.in_flight) / report.slots
+
+
+def _count_tokens(parts: Mapping[str, float], prompt: Prompt, now: float) -> float:
+    cached = 0
+    for part in prompt.shared_parts:
+        if now - parts.get(part.part_id, -PART_TTL_SECONDS) >= PART_TTL_SECONDS:
+            break
+        cached += part.tokens
+    return max(0.0, prompt.tokens_in - cached)
+
+
+def _find_affinity_target(
+    prompt: Prompt, candidates: list[ListedTarget]
+) -> ListedTarget | None:
+    if not prompt.shared_parts or not candidates:
+        return None
+    last = prompt.shared_parts[-1].part_id
+    # hash the id rather than the incarnation: a restart of one engine must not
+    # reassign the parts of other engines
+    return min(
+        candidates,
+        key=lambda one: (
+            compute_weight(last, one.incarnation.target_id),
+            one.incarnation.target_id,
+        ),
+    )
--- a/packages/greengagelatch/src/greengagelatch/relay/owners.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/owners.py
@@ -1,4 +1,4 @@
-"""Which instance gathers the stage work of a group of makers."""
+"""Choice of the instance that owns a group of makers and batches their work."""
 
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 
 __all__ = ("rank_owners",)
 
-#: share of the greatest capacity of all from which an instance is as good as any
-STRONG_SHARE = 0.5
+#: share of the largest capacity from which instances are treated as equal
+LARGE_CAPACITY_SHARE = 0.5
 
 
 def rank_owners(group: MakerGroup, members: Collection[Member]) -> tuple[str, ...]:
-    """Return instances in the order in which they should own a group of makers.
+    """Return instance ids in order of preference as owner of a group of makers.
 
-    Those in the group's data centre own it, so that a partition leaves owner and
-    makers on the same side; others only where there is none.
+    Only instances in the group's data centre are candidates if there are any, so that
+    a network partition leaves owner and makers on the same side.
 
-    Strong ones go first: an owner sends each call and each result of its makers over
-    its own link, and one whose link is full makes all makers seem slow. Among equals,
-    hashes spread groups over them.
+    Instances with a large capacity come first: an owner sends all calls and results of
+    its makers over its own link, and a saturated link makes all makers seem slow.
+    Rendezvous hashing spreads groups over instances of similar capacity.
 
-    All instances that know the same others agree without a word, and one that
-    comes or goes moves only the groups that it owns.
+    Instances with the same membership view agree without coordination, and an
+    instance that joins or leaves moves only the groups that it owns.
     """
-    near = [one for one in members if one.data_centre == group.data_centre]
-    chosen = near or members
-    strong = max((one.capacity for one in chosen), default=0) * STRONG_SHARE
+    local = [one for one in members if one.data_centre == group.data_centre]
+    candidates = local or members
+    min_capacity = (
+        max((one.capacity for one in candidates), default=0) * LARGE_CAPACITY_SHARE
+    )
 
-    def rate(one: Member) -> tuple[bool, int, str]:
-        weak = one.capacity < strong
-        return weak, compute_weight(one.instance_id, group.service), one.instance_id
+    def compute_sort_key(one: Member) -> tuple[bool, int, str]:
+        is_small = one.capacity < min_capacity
+        return is_small, compute_weight(one.instance_id, group.service), one.instance_id
 
-    return tuple(one.instance_id for one in sorted(chosen, key=rate))
+    return tuple(one.instance_id for one in sorted(candidates, key=compute_sort_key))
--- a/packages/greengagelatch/src/greengagelatch/relay/news.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/target_rows.py
@@ -1,4 +1,4 @@
-"""Targets as instances tell each other of them."""
+"""Encoding of targets as rows of a message."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def encode_target(target: ListedTarget) -> tuple[Any, ...]:
-    """Return a target as a message holds it."""
+    """Return a target as a row of a message."""
     return (
         target.target_id,
-        target.incarnation.born,
+        target.incarnation.started_ms,
         target.service,
         target.address,
         target.data_centre,
@@ -25,17 +25,17 @@
 
 
 def decode_target(row: Any) -> ListedTarget | None:
-    """Return the target of a row; ``None`` if it can't be used."""
+    """Return the target of a row; ``None`` if the row is invalid."""
     kinds = (str, int, str, str, str, int, bool, int)
     if not isinstance(row, tuple | list) or len(row) != len(kinds):
         return None
     if not all(isinstance(one, kind) for one, kind in zip(row, kinds, strict=True)):
         return None
-    target_id, born, service, address, data_centre, slots, leaving, revision = row
-    if isinstance(born, bool) or born < 0:
+    target_id, started_ms, service, address, data_centre, slots, leaving, revision = row
+    if isinstance(started_ms, bool) or started_ms < 0:
         return None
     return ListedTarget(
-        incarnation=Incarnation(target_id, born),
+        incarnation=Incarnation(target_id, started_ms),
         service=service,
         address=address,
         data_centre=data_centre,
--- a/tests/test_core/test_relay/test_incarnations.py
+++ b/tests/test_core/test_relay/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.relay.incarnations through the book, fleet and news."""
+"""Tests of incarnations in the target table, load balancer and peer messages."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from hypothesis import strategies as st
 
 from greengagelatch.peers.codec import Envelope, decode, encode
-from greengagelatch.relay.fleet import EngineNeed, Fleet, LoadReport
-from greengagelatch.relay.incarnations import Incarnation, Succession
-from greengagelatch.relay.messages import News
-from greengagelatch.relay.news import decode_target, encode_target
+from greengagelatch.relay.incarnations import Incarnation, IncarnationOrder
+from greengagelatch.relay.load_balancer import EngineDemand, LoadBalancer, LoadReport
+from greengagelatch.relay.messages import PeerSyncAnswer
 from greengagelatch.relay.requests import Prompt, PromptPart
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.target_rows import decode_target, encode_target
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 
-FORMER = Incarnation("t-1", 1000)
-LATER = Incarnation("t-1", 2000)
-UNTOLD = Incarnation("t-1")
+PREVIOUS = Incarnation("t-1", 1000)
+CURRENT = Incarnation("t-1", 2000)
+WITHOUT_START = Incarnation("t-1")
 NOW = 50.0
-NOBODY: frozenset[Incarnation] = frozenset()
+NO_TARGETS: frozenset[Incarnation] = frozenset()
 PROMPT = Prompt(tokens_in=9000, parts=(PromptPart("a", 8000), PromptPart("own", 1000)))
 
 
@@ -41,91 +41,94 @@
     )
 
 
-def create_fleet(*targets: ListedTarget) -> tuple[TargetBook, Fleet]:
-    book = TargetBook()
+def create_balancer(*targets: ListedTarget) -> tuple[TargetTable, LoadBalancer]:
+    table = TargetTable()
     for target in targets:
-        book.put(target)
+        table.put(target)
     source = random.Random(4)
-    return book, Fleet(book=book, data_centre="north", random_source=source)
+    return table, LoadBalancer(
+        target_table=table, data_centre="north", random_source=source
+    )
 
 
-def test_incarnation_is_shown_with_its_start():
-    assert (str(FORMER), str(UNTOLD)) == ("t-1@1000", "t-1")
+def test_incarnation_is_printed_with_its_start():
+    assert (str(PREVIOUS), str(WITHOUT_START)) == ("t-1@1000", "t-1")
 
 
-def test_target_that_starts_again_replaces_the_former_one():
-    book = TargetBook()
-    book.put(create(FORMER, 5))
-    assert book.compare(create(LATER, 6)) is Succession.NEWER
-    assert book.put(create(LATER, 6))
-    assert book.accepts(LATER)
-    assert not book.accepts(FORMER)
-    assert book.is_former(FORMER)
-    assert not book.is_former(LATER)
-    assert [one.incarnation for one in book.list_service("desk")] == [LATER]
+def test_restarted_target_replaces_its_former_incarnation():
+    table = TargetTable()
+    table.put(create(PREVIOUS, 5))
+    assert table.compare(create(CURRENT, 6)) is IncarnationOrder.NEWER
+    assert table.put(create(CURRENT, 6))
+    assert table.is_available(CURRENT)
+    assert not table.is_available(PREVIOUS)
+    assert table.is_superseded(PREVIOUS)
+    assert not table.is_superseded(CURRENT)
+    assert [one.incarnation for one in table.list_service("desk")] == [CURRENT]
 
 
-def test_target_that_left_may_start_again():
-    """Symptom: a service is short of a target until the instance is restarted.
+def test_drained_target_may_restart():
+    """Guards against a restarted target that gets no requests.
 
-    Sequence: a target leaves as planned and starts again under the id that it had.
-    Cause: that it had left was remembered under its id.
+    A target drained and restarted under the same id; the drain was remembered by id
+    rather than by incarnation.
     """
-    book = TargetBook()
-    book.put(create(FORMER, 5, leaving=True))
-    book.remove(FORMER, 6)
-    assert book.put(create(LATER, 7))
-    assert book.accepts(LATER)
+    table = TargetTable()
+    table.put(create(PREVIOUS, 5, leaving=True))
+    table.remove(PREVIOUS, 6)
+    assert table.put(create(CURRENT, 7))
+    assert table.is_available(CURRENT)
 
 
-def test_old_answer_does_not_bring_the_former_one_back():
-    """Symptom: beliefs about a target begin anew again and again, and requests for
-    results that it lost fail.
+def test_stale_entry_does_not_restore_a_former_incarnation():
+    """Guards against requests for lost results, and state that is reset repeatedly.
 
-    Sequence: a target has started again; an entry of before is read from a peer that
-    is behind, with whatever revision it may claim, also once the new one has gone.
-    Cause: the entry read last was believed.
+    After a restart, a stale entry with any revision was read from a lagging peer, even
+    after the new incarnation had gone; the entry read last won.
     """
-    book = TargetBook()
-    book.put(create(LATER, 5))
-    old = create(FORMER, 9)
-    assert book.compare(old) is Succession.OUTDATED
-    assert not book.put(old)
-    assert book.accepts(LATER)
-    book.remove(LATER, 10)
-    assert not book.put(old)
-    assert not book.accepts(FORMER)
-
-
-def test_removal_concerns_the_incarnation_that_was_listed():
-    book = TargetBook()
-    book.put(create(LATER, 5))
-    assert not book.remove(FORMER, 9)
-    assert book.accepts(LATER)
-
-
-def test_entry_without_a_start_is_of_the_one_known_at_its_address():
-    book = TargetBook()
-    book.put(create(LATER, 5))
-    assert book.put(create(UNTOLD, 6, leaving=True))
-    assert not book.accepts(LATER)
-    assert [one.incarnation for one in book.list_all()] == [LATER]
-
-
-def test_entry_without_a_start_elsewhere_is_nobodys():
-    book = TargetBook()
-    book.put(create(LATER, 5))
-    elsewhere = create(UNTOLD, 6, address="10.0.0.2:80")
-    assert book.compare(elsewhere) is Succession.UNTOLD
-    assert not book.put(elsewhere)
-    assert not book.accepts(UNTOLD)
-
-
-def test_ids_without_a_start_are_as_before():
-    book = TargetBook()
-    book.put(create(UNTOLD, 5))
-    assert book.compare(create(UNTOLD, 6, address="10.0.0.2:80")) is Succession.SAME
-    assert book.compare(create(LATER, 6)) is Succession.NEWER
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    old = create(PREVIOUS, 9)
+    assert table.compare(old) is IncarnationOrder.OUTDATED
+    assert not table.put(old)
+    assert table.is_available(CURRENT)
+    table.remove(CURRENT, 10)
+    assert not table.put(old)
+    assert not table.is_available(PREVIOUS)
+
+
+def test_removal_of_another_incarnation_is_ignored():
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    assert not table.remove(PREVIOUS, 9)
+    assert table.is_available(CURRENT)
+
+
+def test_entry_without_a_start_matches_the_known_address():
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    assert table.put(create(WITHOUT_START, 6, leaving=True))
+    assert not table.is_available(CURRENT)
+    assert [one.incarnation for one in table.list_all()] == [CURRENT]
+
+
+def test_entry_without_a_start_at_another_address_is_ignored():
+    table = TargetTable()
+    table.put(create(CURRENT, 5))
+    elsewhere = create(WITHOUT_START, 6, address="10.0.0.2:80")
+    assert table.compare(elsewhere) is IncarnationOrder.UNKNOWN
+    assert not table.put(elsewhere)
+    assert not table.is_available(WITHOUT_START)
+
+
+def test_known_id_without_a_start_accepts_any_address():
+    table = TargetTable()
+    table.put(create(WITHOUT_START, 5))
+    assert (
+        table.compare(create(WITHOUT_START, 6, address="10.0.0.2:80"))
+        is IncarnationOrder.SAME
+    )
+    assert table.compare(create(CURRENT, 6)) is IncarnationOrder.NEWER
 
 
 _entries = st.tuples(
@@ -139,102 +142,109 @@
 
 
 @given(st.lists(_entries, max_size=30))
-def test_of_each_id_one_incarnation_gets_work_and_never_an_older_one(steps):
-    book = TargetBook()
+def test_only_the_newest_incarnation_of_each_id_is_accepted(steps):
+    table = TargetTable()
     newest = {"t-1": -1, "t-2": -1}
-    for step, target_id, born, revision, leaving, address in steps:
-        incarnation = Incarnation(target_id, born)
+    for step, target_id, started_ms, revision, leaving, address in steps:
+        incarnation = Incarnation(target_id, started_ms)
         if step == "put":
             entry = create(incarnation, revision, leaving=leaving, address=address)
-            book.put(entry)
+            table.put(entry)
         else:
-            book.remove(incarnation, revision, lapsed=step == "lapse")
+            table.remove(incarnation, revision, lapsed=step == "lapse")
         for known_id, before in newest.items():
             accepted = [
                 number
                 for number in range(4)
-                if book.accepts(Incarnation(known_id, number))
+                if table.is_available(Incarnation(known_id, number))
             ]
             assert len(accepted) <= 1
             assert all(number >= before for number in accepted)
-            known = book.find_newest(known_id)
+            known = table.find_newest(known_id)
             if known is not None:
-                assert known.born >= before
-                newest[known_id] = known.born
+                assert known.started_ms >= before
+                newest[known_id] = known.started_ms
 
 
-def test_failures_of_the_former_one_do_not_count():
-    """Symptom: a target that is back gets no work for seconds.
+def test_failures_of_a_former_incarnation_do_not_count():
+    """Guards against a restarted target that gets no requests for seconds.
 
-    Sequence: a target fails, is ended and starts again under its id.
-    Cause: its breaker was kept under the id.
+    A target failed and was restarted under the same id; its circuit breaker was stored
+    by id.
     """
-    book, fleet = create_fleet(create(FORMER, 1), create(Incarnation("t-2", 5), 2))
+    table, balancer = create_balancer(
+        create(PREVIOUS, 1), create(Incarnation("t-2", 5), 2)
+    )
     for _ in range(3):
-        fleet.note_failure(FORMER, NOW)
-    fleet.start(Incarnation("t-2", 5))
-    assert fleet.choose_plain("desk", NOBODY, NOW).target_id == "t-2"
-    book.put(create(LATER, 3))
-    assert fleet.choose_plain("desk", NOBODY, NOW).incarnation == LATER
+        balancer.record_failure(PREVIOUS, NOW)
+    balancer.start(Incarnation("t-2", 5))
+    assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW).target_id == "t-2"
+    table.put(create(CURRENT, 3))
+    assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW).incarnation == CURRENT
 
 
-def test_prompt_parts_and_load_of_the_former_one_do_not_count():
-    """Symptom: an engine that has just started reads whole prompts, late, while those
-    that keep their parts idle.
+def test_cached_parts_and_load_of_a_former_incarnation_do_not_count():
+    """Guards against prompts sent to an engine whose prefix cache is empty.
 
-    Sequence: an engine that kept the parts of many prompts starts again.
-    Cause: its memory was remembered under the id.
+    An engine with many cached parts restarted; its cached parts were recorded by id,
+    and engines that did have the parts stayed idle.
     """
-    book, fleet = create_fleet(create(FORMER, 1), create(Incarnation("t-2", 5), 2))
-    fleet.note_parts(FORMER, PROMPT, NOW)
-    fleet.note_report(FORMER, LoadReport(4, 2, 1), NOW)
-    assert fleet.count_tokens(FORMER, PROMPT, NOW) == 1000
-    book.put(create(LATER, 3))
-    fleet.forget(FORMER)
-    assert fleet.count_tokens(LATER, PROMPT, NOW) == 9000
-    assert fleet.choose_plain("desk", NOBODY, NOW) is not None
-    assert "t-1@1000" not in fleet.describe(NOW)
-
-
-def test_last_word_of_a_former_one_leaves_nothing_behind():
-    """Symptom: memory grows with each restart of a target.
-
-    Sequence: a request is at a target that starts again; it ends afterwards.
-    Cause: the state of what had been forgotten was made anew for it.
+    table, balancer = create_balancer(
+        create(PREVIOUS, 1), create(Incarnation("t-2", 5), 2)
+    )
+    balancer.record_cached_parts(PREVIOUS, PROMPT, NOW)
+    balancer.record_load_report(PREVIOUS, LoadReport(4, 2, 1), NOW)
+    assert balancer.count_tokens(PREVIOUS, PROMPT, NOW) == 1000
+    table.put(create(CURRENT, 3))
+    balancer.forget(PREVIOUS)
+    assert balancer.count_tokens(CURRENT, PROMPT, NOW) == 9000
+    assert balancer.choose_least_loaded("desk", NO_TARGETS, NOW) is not None
+    assert "t-1@1000" not in balancer.describe(NOW)
+
+
+def test_late_outcome_of_a_former_incarnation_leaves_no_state():
+    """Guards against memory that grows with each restart of a target.
+
+    A request ended after its target had restarted, which recreated the discarded state
+    of the former incarnation.
     """
-    book, fleet = create_fleet(create(FORMER, 1))
-    fleet.start(FORMER, 100.0)
-    book.put(create(LATER, 2))
-    fleet.forget(FORMER)
-    fleet.note_failure(FORMER, NOW)
-    fleet.finish(FORMER)
-    assert fleet.describe(NOW) == {}
+    table, balancer = create_balancer(create(PREVIOUS, 1))
+    balancer.start(PREVIOUS, 100.0)
+    table.put(create(CURRENT, 2))
+    balancer.forget(PREVIOUS)
+    balancer.record_failure(PREVIOUS, NOW)
+    balancer.finish(PREVIOUS)
+    assert balancer.describe(NOW) == {}
 
 
-def test_home_of_prompt_parts_stays_with_the_id():
-    """Symptom: a restart of one engine costs the parts of two.
+def test_affinity_target_depends_on_the_id_only():
+    """Guards against a restart that invalidates cached parts of other engines.
 
-    Sequence: an engine starts again; the parts that others were to keep move to it.
-    Cause: homes were drawn anew for the new start.
+    An engine restarted, and parts of other engines were reassigned to it, as the hash
+    included the start time.
     """
     others = [create(Incarnation(f"t-{n}", 7), n) for n in range(2, 7)]
     prompts = [
         Prompt(tokens_in=9000, parts=(PromptPart(f"p-{n}", 8000), PromptPart("o", 1)))
         for n in range(40)
     ]
-    book, fleet = create_fleet(create(FORMER, 1), *others)
-    before = [fleet.find_home("desk", one, NOW).target_id for one in prompts]
-    book.put(create(LATER, 9))
-    after = [fleet.find_home("desk", one, NOW).target_id for one in prompts]
+    table, balancer = create_balancer(create(PREVIOUS, 1), *others)
+    before = [
+        balancer.find_affinity_target("desk", one, NOW).target_id for one in prompts
+    ]
+    table.put(create(CURRENT, 9))
+    after = [
+        balancer.find_affinity_target("desk", one, NOW).target_id for one in prompts
+    ]
     assert before == after
-    need = EngineNeed(prompts[before.index("t-1")])
-    assert fleet.choose_engine("desk", need, NOBODY, NOW).incarnation == LATER
+    need = EngineDemand(prompts[before.index("t-1")])
+    assert balancer.choose_engine("desk", need, NO_TARGETS, NOW).incarnation == CURRENT
 
 
-def test_news_tell_the_start():
-    target = create(LATER, 9)
+def test_peer_message_contains_the_start():
+    target = create(CURRENT, 9)
     message = decode(
-        encode(Envelope(News(listed=True, targets=(encode_target(target),))))
+        encode(Envelope(PeerSyncAnswer(listed=True, targets=(encode_target(target),))))
     )
     row = message.unwrap().message.targets[0]
     assert decode_target(row) == target
@@ -243,10 +253,10 @@
 ROW = ("t-1", 2000, "desk", "10.0.0.1:80", "north", 3, False, 9)
 
 
-@pytest.mark.parametrize("born", [-1, True, "2000", 2000.0, None])
-def test_wrong_start_in_news_is_not_used(born):
+@pytest.mark.parametrize("started_ms", [-1, True, "2000", 2000.0, None])
+def test_row_with_an_invalid_start_is_rejected(started_ms):
     assert decode_target(ROW) is not None
-    assert decode_target((ROW[0], born, *ROW[2:])) is None
+    assert decode_target((ROW[0], started_ms, *ROW[2:])) is None
 
 
 _values = st.one_of(
@@ -255,5 +265,5 @@
 
 
 @given(st.one_of(_values, st.lists(_values, max_size=9), st.tuples(*[_values] * 8)))
-def test_rows_of_news_never_raise(row):
+def test_arbitrary_rows_never_raise(row):
     decode_target(row)
--- a/tests/test_core/test_relay/test_messages.py
+++ b/tests/test_core/test_relay/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.relay.messages and greengagelatch.relay.news."""
+"""Tests of greengagelatch.relay.messages and greengagelatch.relay.target_rows."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from greengagelatch.relay.groups import MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.messages import (
-    News,
-    PiecesWanted,
+    BundleRequest,
+    PeerSyncAnswer,
     StageWaits,
     decode_bundle,
     decode_results,
     encode_bundle,
     encode_results,
 )
-from greengagelatch.relay.news import decode_target, encode_target
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure, PieceResult
+from greengagelatch.relay.target_rows import decode_target, encode_target
 from greengagelatch.relay.targets import ListedTarget
 
 BUNDLE = Bundle(
@@ -29,9 +29,9 @@
         for number in range(3)
     ),
     result_bytes=6000,
-    aim=101.5,
-    latest=104.0,
-    inputs_until=103.0,
+    soft_deadline=101.5,
+    hard_deadline=104.0,
+    inputs_expire_at=103.0,
     input_makers=(Incarnation("m-1", 5), Incarnation("m-2")),
     rank=1.45,
     data_centre="north",
@@ -51,19 +51,19 @@
             raise AssertionError(error)
 
 
-def test_bundle_arrives_with_times_of_the_other_clock():
+def test_bundle_times_are_converted_to_the_receivers_clock():
     message = pass_on(encode_bundle(BUNDLE, MakerGroup("ledger", "north"), now=100.0))
     bundle = decode_bundle(message, now=500.0)
     assert bundle.pieces == BUNDLE.pieces
-    assert bundle.aim == pytest.approx(501.5)
-    assert bundle.latest == pytest.approx(504.0)
-    assert bundle.inputs_until == pytest.approx(503.0)
+    assert bundle.soft_deadline == pytest.approx(501.5)
+    assert bundle.hard_deadline == pytest.approx(504.0)
+    assert bundle.inputs_expire_at == pytest.approx(503.0)
     assert (bundle.moved_bytes, bundle.begun) == (18000, True)
     assert bundle.input_makers == BUNDLE.input_makers
     assert message.group == "north"
 
 
-def test_results_arrive_in_order():
+def test_results_keep_their_order():
     results = (
         PieceResult(
             handle="10.0.0.1:80/a",
@@ -89,11 +89,11 @@
         (7, ROW),
     ],
 )
-def test_results_that_do_not_fit_are_not_used(rows):
-    """Symptom: a request is given the results of fewer pieces than it has.
+def test_invalid_results_are_rejected(rows):
+    """Guards against a request that gets fewer results than it has pieces.
 
-    Sequence: a peer of another release, or one that fails, answers with other rows.
-    Cause: rows were taken as they came.
+    A peer of another release, or a faulty one, answered with different rows, which were
+    not checked.
     """
     assert decode_results(rows, 2) is None
 
@@ -108,17 +108,17 @@
         {"segments": (1,), "input_makers": (("m", -1),)},
     ],
 )
-def test_request_for_pieces_is_checked(fields):
+def test_invalid_bundle_is_rejected(fields):
     with pytest.raises(ValueError):
-        PiecesWanted(**fields)
+        BundleRequest(**fields)
 
 
-def test_waits_are_checked():
+def test_invalid_waits_are_rejected():
     with pytest.raises(ValueError):
         StageWaits((("s", 0.1),))
 
 
-def test_news_pass_targets_on():
+def test_targets_survive_a_round_trip():
     target = ListedTarget(
         incarnation=Incarnation("t-1", 1_700_000_000_123),
         service="s",
@@ -128,7 +128,7 @@
         leaving=True,
         revision=9,
     )
-    news = pass_on(News(listed=True, targets=(encode_target(target),)))
+    news = pass_on(PeerSyncAnswer(listed=True, targets=(encode_target(target),)))
     assert decode_target(news.targets[0]) == target
     assert decode_target(("t-1", "s")) is None
     assert decode_target(("t-1", 5, "s", "a", "d", "3", True, 9)) is None
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 from yarl import URL
 
-from greengagelatch.relay.repeats import RepeatRule
+from greengagelatch.relay.retry_budget import RetryBudgetRule
 from greengagelatch_entry.relay.composition import compose_relay
 from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelaySettings
 from greengagelatch_lab.platform_standins.deployment import (
@@ -90,7 +90,7 @@
         """Return whether the target listed under an id accepts requests."""
         book = self.find("news")._target_table
         listed = book.find_listed(target_id)
-        return listed is not None and book.accepts(listed.incarnation)
+        return listed is not None and book.is_available(listed.incarnation)
 
     async def wait_for(self, condition) -> None:
         """Wait until ``condition`` holds."""
@@ -176,7 +176,7 @@
             metrics_path="",
             balancer_lag=0.0,
             longest_drain=0.2,
-            retry_budget=RepeatRule(),
+            retry_budget=RetryBudgetRule(),
         )
 
     def _create_adapters(self) -> RelayAdapters:
--- a/tests/test_entry/test_relay/test_crash_report_replicator.py
+++ b/tests/test_entry/test_relay/test_crash_report_replicator.py
@@ -4,7 +4,7 @@
 
 from greengagelatch.relay.crash_reports import decode_reports, encode_reports
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.messages import CrashesSeen
+from greengagelatch.relay.messages import CrashReportsUpdate
 from greengagelatch.relay.quarantine import CrashReport
 from greengagelatch_entry.relay.crash_report_replicator import (
     MAX_ANSWER_ENTRIES,
@@ -108,12 +108,12 @@
     """Records the messages to an instance's overlay neighbours."""
 
     def __init__(self) -> None:
-        self.sent: list[CrashesSeen] = []
+        self.sent: list[CrashReportsUpdate] = []
 
     def neighbours(self) -> tuple[str, ...]:
         return ("e-2",)
 
-    def send(self, instance_id: str, message: CrashesSeen) -> bool:
+    def send(self, instance_id: str, message: CrashReportsUpdate) -> bool:
         self.sent.append(message)
         return True
 
--- a/tests/test_entry/test_relay/test_forwarding_stage_executor.py
+++ b/tests/test_entry/test_relay/test_forwarding_stage_executor.py
@@ -11,9 +11,9 @@
 
 from greengagelatch.clock import ManualClock
 from greengagelatch.peers import Member, MemberState, PeerError, PeerErrorKind
-from greengagelatch.relay.groups import ByCapacity, MakerGroup
+from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
-from greengagelatch.relay.messages import PiecesDropped, PiecesWanted
+from greengagelatch.relay.messages import BundleCancelled, BundleRequest
 from greengagelatch.relay.owners import rank_owners
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure, PieceResult
 from greengagelatch.relay.queue_waits import QueueWait
@@ -47,8 +47,8 @@
         Piece(request_id="r-1", stage=0, segment=1, key="k"),
     ),
     result_bytes=100,
-    aim=1001.0,
-    latest=1004.0,
+    soft_deadline=1001.0,
+    hard_deadline=1004.0,
 )
 
 
@@ -129,9 +129,7 @@
         on_read()
         return tuple(
             PieceResult(
-                handle=f"{self.name}/{piece.segment}",
-                data_centre="north",
-                maker=MAKER,
+                handle=f"{self.name}/{piece.segment}", data_centre="north", maker=MAKER
             )
             for piece in bundle.pieces
         )
@@ -166,7 +164,7 @@
         return ForwardingStageExecutor(
             local=self.local[name],
             groups=MakerGroups(
-                rule=ByCapacity(),
+                rule=CapacityBasedOwnership(),
                 target_table=book,
                 list_members=peers.members,
                 find_profile=lambda service: None,
@@ -510,7 +508,7 @@
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert local.made == [BUNDLE.bundle_id]
-    world.network.send(third, owner, PiecesDropped(BUNDLE.bundle_id))
+    world.network.send(third, owner, BundleCancelled(BUNDLE.bundle_id))
     second = asyncio.create_task(executor._send(owner, WHOLE, BUNDLE))
     await asyncio.sleep(0.01)
     local.hold.set()
@@ -561,6 +559,6 @@
         return (PieceResult(failure=PieceFailure.LATE),) * len(bundle.pieces)
 
     world.local[owner].execute_in = make_nothing
-    world.network.handlers[owner][PiecesWanted] = fail
+    world.network.handlers[owner][BundleRequest] = fail
     results = await world.executors[third].execute(BUNDLE, do_nothing)
     assert {one.failure for one in results} == {PieceFailure.LATE}
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.outcomes import NextStep
-from greengagelatch.relay.targets import ListedTarget, TargetBook
+from greengagelatch.relay.targets import ListedTarget, TargetTable
 from greengagelatch_entry.adapters.caller_connections import _Connection
 from greengagelatch_entry.relay import runners
 from greengagelatch_entry.relay.event_splitter import EventSplitter
@@ -34,7 +34,7 @@
 
 
 async def test_request_kind_decides_on_retries(world, monkeypatch):
-    steps = iter([NextStep.REPEAT, NextStep.GIVE_UP])
+    steps = iter([NextStep.RETRY, NextStep.GIVE_UP])
     monkeypatch.setattr(runners, "decide_next", lambda facts: next(steps))
     set_fault(world, TargetFault.LOSE_ANSWER)
     await world.ask("/book/1", method="POST", request_id="b-1")
@@ -101,8 +101,8 @@
 
 
 def test_targets_that_left_are_remembered(monkeypatch):
-    monkeypatch.setattr(TargetBook, "_remember_left", lambda self, target_id: None)
-    book = TargetBook()
+    monkeypatch.setattr(TargetTable, "_remember_departed", lambda self, target_id: None)
+    book = TargetTable()
     target = ListedTarget(
         incarnation=Incarnation("t-1"),
         service="desk",
@@ -112,7 +112,7 @@
     )
     book.put(replace(target, leaving=True, revision=2))
     book.put(replace(target, revision=3))
-    assert book.accepts(Incarnation("t-1"))
+    assert book.is_available(Incarnation("t-1"))
 
 
 async def test_revision_prevents_a_configuration_rollback(world, monkeypatch):
@@ -223,7 +223,7 @@
 
 
 async def test_request_kind_decides_on_retries_to_a_new_incarnation(world, monkeypatch):
-    steps = iter([NextStep.REPEAT, NextStep.GIVE_UP])
+    steps = iter([NextStep.RETRY, NextStep.GIVE_UP])
     monkeypatch.setattr(runners, "decide_next", lambda facts: next(steps))
     with pytest.raises(AssertionError):
         await test_restarts.test_non_idempotent_request_is_not_resent_after_a_restart(
--- a/tests/test_entry/test_relay/test_listing.py
+++ b/tests/test_entry/test_relay/test_listing.py
@@ -11,9 +11,9 @@
 
 from greengagelatch.clock import ManualClock
 from greengagelatch.peers.codec import Envelope, decode, encode
-from greengagelatch.relay.messages import News
-from greengagelatch.relay.news import decode_target, encode_target
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.messages import PeerSyncAnswer
+from greengagelatch.relay.target_rows import decode_target, encode_target
+from greengagelatch.relay.targets import TargetTable
 from greengagelatch.store import Entry
 from greengagelatch.store.ranges import Changes, Scan
 from greengagelatch_entry.relay.decisions import DecisionLog
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         clock = ManualClock()
         self.metrics = PrometheusMetrics()
-        self.book = TargetBook()
+        self.book = TargetTable()
         self.gone: list[str] = []
         self.services = {"desk"}
         self.follower = ListingFollower(
@@ -63,7 +63,7 @@
 
     def accepts(self, target_id: str) -> bool:
         listed = self.book.find_listed(target_id)
-        return listed is not None and self.book.accepts(listed.incarnation)
+        return listed is not None and self.book.is_available(listed.incarnation)
 
 
 def write_fields(**changes: object) -> bytes:
@@ -154,7 +154,7 @@
     ahead.follower.apply_peer_listing(behind.book.list_all(), 9)
     behind.follower.apply_peer_listing(ahead.book.list_all(), 9)
     for listing in (ahead, behind):
-        assert listing.book.find_newest("one").born == later
+        assert listing.book.find_newest("one").started_ms == later
         assert listing.accepts("one")
         assert listing.gone == [f"one@{GOOD['born']}"]
     assert ahead.metrics.value("targets.outdated") == 1
@@ -222,12 +222,14 @@
     listed = listing.book.list_all()
     # listed targets can be encoded for peers and for requests
     rows = tuple(map(encode_target, listed))
-    message = decode(encode(Envelope(News(listed=True, targets=rows)))).unwrap()
+    message = decode(
+        encode(Envelope(PeerSyncAnswer(listed=True, targets=rows)))
+    ).unwrap()
     assert tuple(map(decode_target, message.message.targets)) == listed
     for target in listed:
         assert target.target_id.isascii()
         assert target.address.rpartition(":")[2].isdecimal()
-        assert target.incarnation.born >= 0
+        assert target.incarnation.started_ms >= 0
 
 
 # tests on an instance
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -11,7 +11,7 @@
 from greengagelatch.relay.batches import PlannedCall
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
-from greengagelatch.relay.room import MakerRoom
+from greengagelatch.relay.result_memory import ResultMemory
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.maker_calls import MADE, MakerCaller
 from greengagelatch_entry.relay.makers import Maker
@@ -42,7 +42,7 @@
             address="m:1",
             data_centre="north",
         )
-        self.maker = Maker(target, PROFILE, MakerRoom(10_000, 4.0))
+        self.maker = Maker(target, PROFILE, ResultMemory(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
             connections=models.ModelLinks(
@@ -65,8 +65,8 @@
             service="ledger",
             pieces=pieces,
             result_bytes=100,
-            aim=now + CALL_TIMEOUT,
-            latest=now + CALL_TIMEOUT,
+            soft_deadline=now + CALL_TIMEOUT,
+            hard_deadline=now + CALL_TIMEOUT,
         )
         call = PlannedCall(Incarnation("m", 1), [(bundle, piece) for piece in pieces])
         self.maker.start_call(len(pieces), now)
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -22,7 +22,7 @@
 
 def is_known(world, target) -> bool:
     """Return whether the instance knows the current incarnation of a target."""
-    return find_listed(world, target.target_id).incarnation.born == target.born
+    return find_listed(world, target.target_id).incarnation.started_ms == target.born
 
 
 async def restart(world, target_id: str, *, cut: bool = True) -> None:
@@ -269,8 +269,8 @@
         service="ledger",
         pieces=(Piece(request_id="r-1", stage=1, segment=0, inputs=("h",)),),
         result_bytes=1000,
-        aim=1e9,
-        latest=1e9,
+        soft_deadline=1e9,
+        hard_deadline=1e9,
         input_makers=(former,),
     )
     results = await pipeline.find("stages").execute(bundle, lambda: None)
--- a/tests/test_entry/test_relay/test_result_releaser.py
+++ b/tests/test_entry/test_relay/test_result_releaser.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import PieceResult
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.targets import TargetTable
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.result_releaser import CLOSE_TIMEOUT, ResultReleaser
@@ -47,7 +47,7 @@
         "ledger",
         find_maker=lambda incarnation: None,
         on_freed=lambda: None,
-        target_table=TargetBook(),
+        target_table=TargetTable(),
         connections=links,
         codec=ModelCodec(),
         metrics=metrics,
--- a/tests/test_entry/test_relay/test_stage_groups.py
+++ b/tests/test_entry/test_relay/test_stage_groups.py
@@ -8,7 +8,7 @@
 
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.relay.deployment import MakerProfile
-from greengagelatch.relay.groups import ByCapacity, MakerGroup
+from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.targets import ListedTarget
 from greengagelatch_entry.relay.stage_groups import MakerGroups
@@ -21,8 +21,8 @@
     batch=60,
     call_seconds=0.2,
     item_seconds=0.003,
-    room_bytes=8_000_000,
-    keep_seconds=4.0,
+    result_memory_bytes=8_000_000,
+    retention_seconds=4.0,
 )
 WHOLE = MakerGroup(SERVICE)
 
@@ -34,7 +34,7 @@
         self.makers = self.list_makers(*DATA_CENTRES * 3)
         self.members = self.list_members(*DATA_CENTRES)
         self.groups = MakerGroups(
-            rule=ByCapacity(),
+            rule=CapacityBasedOwnership(),
             target_table=SimpleNamespace(list_service=lambda service: self.makers),
             list_members=lambda: self.members,
             find_profile=lambda service: PROFILE,
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from greengagelatch.relay.batches import BatchPolicy, SharedCalls
+from greengagelatch.relay.batches import BatchPolicy, CrossRequestBatching
 from greengagelatch.relay.groups import MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.plans = 0
-        self._policy = SharedCalls()
+        self._policy = CrossRequestBatching()
         #: the requests of each call
         self.calls: list[set[str]] = []
 
@@ -94,8 +94,8 @@
             target_table=SimpleNamespace(
                 list_service=lambda service: listed,
                 accepts=lambda incarnation: True,
-                is_former=lambda incarnation: False,
-                has_former=lambda incarnations: False,
+                is_superseded=lambda incarnation: False,
+                has_superseded=lambda incarnations: False,
             ),
             connections=ModelLinks(
                 {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
@@ -124,8 +124,8 @@
                 for one in range(pieces)
             ),
             result_bytes=100,
-            aim=now + timeout,
-            latest=now + timeout,
+            soft_deadline=now + timeout,
+            hard_deadline=now + timeout,
         )
         return asyncio.create_task(self.pool.execute(bundle, lambda: None))
 
@@ -168,11 +168,11 @@
     """
     tasks = [world.submit(number) for number in range(12)]
     await asyncio.sleep(0.01)
-    first = world.pool.estimate_wait().whole
+    first = world.pool.estimate_wait().total
     tasks.append(world.submit(12, pieces=10))
     await asyncio.sleep(0.001)
     call = PROFILE.estimate_seconds(PROFILE.batch)
-    assert world.pool.estimate_wait().whole == pytest.approx(first + call)
+    assert world.pool.estimate_wait().total == pytest.approx(first + call)
     await asyncio.gather(*tasks)
 
 
--- a/tests/test_entry/test_relay/test_stages.py
+++ b/tests/test_entry/test_relay/test_stages.py
@@ -19,7 +19,7 @@
 from greengagelatch.relay.pieces import Bundle, PieceFailure, PieceResult
 from greengagelatch.relay.queue_waits import QueueWait
 from greengagelatch.relay.requests import OpaqueRequest, RefusedError
-from greengagelatch.relay.targets import TargetBook
+from greengagelatch.relay.targets import TargetTable
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.exchange import RelayExchange
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
@@ -36,8 +36,8 @@
     batch=10,
     call_seconds=0.2,
     item_seconds=0.01,
-    room_bytes=1_000_000,
-    keep_seconds=4.0,
+    result_memory_bytes=1_000_000,
+    retention_seconds=4.0,
 )
 #: one independent stage, and a chain of three stages
 ROUTE = Route(
@@ -102,7 +102,7 @@
         decisions=DecisionLog(clock=clock, metrics=PrometheusMetrics()),
         data_centre="north",
         load_balancer=None,
-        target_table=TargetBook(),
+        target_table=TargetTable(),
     )
     request = OpaqueRequest(
         request_id="r-1",
@@ -112,7 +112,7 @@
         headers=(),
         body=b"",
         received=clock.now(),
-        patience=6.0,
+        timeout=6.0,
         piece_counts=counts,
         piece_key="key",
     )
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -13,8 +13,8 @@
 import pytest
 
 from greengagelatch.peers import Member, MemberState
-from greengagelatch.relay.batches import SharedCalls
-from greengagelatch.relay.groups import ByCapacity, MakerGroup
+from greengagelatch.relay.batches import CrossRequestBatching
+from greengagelatch.relay.groups import CapacityBasedOwnership, MakerGroup
 from greengagelatch.relay.incarnations import Incarnation
 from greengagelatch.relay.pieces import Bundle, Piece, PieceFailure
 from greengagelatch.relay.targets import ListedTarget
@@ -79,8 +79,8 @@
         self.book = SimpleNamespace(
             list_service=lambda service: self.makers,
             accepts=lambda incarnation: True,
-            is_former=lambda incarnation: False,
-            has_former=lambda incarnations: False,
+            is_superseded=lambda incarnation: False,
+            has_superseded=lambda incarnations: False,
         )
 
     def create_pool(
@@ -97,7 +97,7 @@
             find_profile=lambda: PROFILE,
             is_exclusive=is_exclusive,
             quarantine=DisabledBundleQuarantine(),
-            policy=SharedCalls(),
+            policy=CrossRequestBatching(),
             target_table=self.book,
             connections=self.links,
             codec=ModelCodec(),
@@ -127,7 +127,7 @@
                 )
             ),
             groups=MakerGroups(
-                rule=ByCapacity(),
+                rule=CapacityBasedOwnership(),
                 target_table=self.book,
                 list_members=peers.members,
                 find_profile=lambda service: PROFILE,
@@ -163,8 +163,8 @@
             service=SERVICE,
             pieces=pieces,
             result_bytes=100,
-            aim=self.clock.now() + 3.0,
-            latest=self.clock.now() + 5.0,
+            soft_deadline=self.clock.now() + 3.0,
+            hard_deadline=self.clock.now() + 5.0,
         )
 
     async def execute_both(self, first, second) -> list[set[PieceFailure | None]]:
