--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -85,7 +85,7 @@
         """Whether enough is known to call the target slow, if others are not."""
         return not self._open and self._timed >= self._rule.timed
 
-    def note_success(self) -> bool:
+    def record_success(self) -> bool:
         """Take in an answer; whether it brings the target back into service."""
         self._in_a_row = 0
         self._note(0.0)
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -245,7 +245,7 @@
         seconds = outcome.seconds
         baseline = self._times.find_baseline(find_kind(ticket), seconds, now)
         load.breaker.note_time(self._times.rate_end(ticket, outcome, now))
-        if load.breaker.note_success():
+        if load.breaker.record_success():
             load.limit.restart(now)
         usual = baseline + self._limit_rule.wait
         load.limit.note_latency(seconds / usual, running.held, now)
--- a/packages/greengagelatch/src/greengagelatch/relay/fleet.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/fleet.py
@@ -167,7 +167,7 @@
 
     def note_success(self, incarnation: Incarnation) -> None:
         """Take in an answer."""
-        self._find(incarnation).breaker.note_success()
+        self._find(incarnation).breaker.record_success()
 
     def note_failure(self, incarnation: Incarnation, now: float) -> None:
         """Take in a failure that is the target's doing."""
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -87,8 +87,8 @@
         breaker.note_failure(0.0)
     breaker.begin_probe(10.0)
     breaker.note_time(20.0)
-    assert not breaker.note_success()
+    assert not breaker.record_success()
     breaker.begin_probe(40.0)
     breaker.note_time(1.0)
-    assert breaker.note_success()
+    assert breaker.record_success()
     assert breaker.read_state(40.1) is BreakerState.CLOSED
