--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -91,7 +91,7 @@
         self._note(0.0)
         return self._probing and self._settle_probe()
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Take in a call without an answer that is the target's doing."""
         self._in_a_row += 1
         self._note(1.0)
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -200,7 +200,7 @@
             case OutcomeKind.SUCCESS:
                 self._note_answer(running, load, outcome, now)
             case OutcomeKind.FAILURE:
-                load.breaker.note_failure(now)
+                load.breaker.record_failure(now)
             case OutcomeKind.REJECTED:
                 load.limit.note_rejection(running.held, now)
             case OutcomeKind.ABANDONED:
--- a/packages/greengagelatch/src/greengagelatch/relay/fleet.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/fleet.py
@@ -171,7 +171,7 @@
 
     def note_failure(self, incarnation: Incarnation, now: float) -> None:
         """Take in a failure that is the target's doing."""
-        self._find(incarnation).breaker.note_failure(now)
+        self._find(incarnation).breaker.record_failure(now)
 
     def note_report(
         self, incarnation: Incarnation, report: LoadReport, now: float
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -34,7 +34,7 @@
     breakers = create_breakers(count)
     for _, breaker in breakers:
         for _ in range(data.draw(st.integers(0, 6))):
-            breaker.note_failure(0.0)
+            breaker.record_failure(0.0)
     ejected = find_ejected(breakers, RULE, 0.1)
     assert len(ejected) <= max(0, min(count - 1, (count + 1) // 2))
 
@@ -68,7 +68,7 @@
     """
     breaker = Breaker(RULE, random.Random(1))
     for _ in range(RULE.failures):
-        breaker.note_failure(0.0)
+        breaker.record_failure(0.0)
     probes = []
     for tick in range(600):
         now = tick * 0.1
@@ -84,7 +84,7 @@
 def test_good_probe_brings_the_target_back_and_a_slow_one_does_not():
     breaker = Breaker(RULE, random.Random(1))
     for _ in range(RULE.failures):
-        breaker.note_failure(0.0)
+        breaker.record_failure(0.0)
     breaker.begin_probe(10.0)
     breaker.note_time(20.0)
     assert not breaker.record_success()
