--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -10,7 +10,13 @@
 from statistics import median_low
 from typing import TypeVar
 
-__all__ = ("Breaker", "BreakerRule", "BreakerState", "find_ejected", "trip_slow")
+__all__ = (
+    "Breaker",
+    "BreakerRule",
+    "BreakerState",
+    "find_ejected",
+    "trip_slow_targets",
+)
 
 #: what a target is known by; ordered
 Key = TypeVar("Key")
@@ -44,7 +50,7 @@
     CLOSED = "closed"
     OPEN = "open"
     #: one call at a time, to see whether the target works again
-    PROBING = "probing"
+    HALF_OPEN = "probing"
 
 
 class Breaker:
@@ -70,7 +76,7 @@
         return self._slowness
 
     @property
-    def badness(self) -> float:
+    def ejection_score(self) -> float:
         """How bad the target is, to compare it with others of its service."""
         return self._failed * self._rule.slowness + self._slowness
 
@@ -78,7 +84,7 @@
         """Return what the target may be given at ``now``."""
         if not self._open:
             return BreakerState.CLOSED
-        return BreakerState.OPEN if now < self._until else BreakerState.PROBING
+        return BreakerState.OPEN if now < self._until else BreakerState.HALF_OPEN
 
     @property
     def is_slow(self) -> bool:
@@ -88,13 +94,13 @@
     def record_success(self) -> bool:
         """Take in an answer; whether it brings the target back into service."""
         self._in_a_row = 0
-        self._note(0.0)
+        self._record(0.0)
         return self._probing and self._settle_probe()
 
     def record_failure(self, now: float) -> None:
         """Take in a call without an answer that is the target's doing."""
         self._in_a_row += 1
-        self._note(1.0)
+        self._record(1.0)
         if self._open:
             # it is out already, and the pause before the next probe is set
             return
@@ -104,7 +110,7 @@
         ):
             self.trip(now)
 
-    def note_time(self, ratio: float) -> None:
+    def record_latency(self, ratio: float) -> None:
         """Take in a time that was ``ratio`` times the service's median.
 
         It may be that of a whole call, of a first token, of each token, or how long
@@ -143,12 +149,14 @@
         self._slowness = self._last_ratio
         return True
 
-    def _note(self, failed: float) -> None:
+    def _record(self, failed: float) -> None:
         self._calls += 1
         self._failed += (failed - self._failed) / min(self._calls, self._rule.calls)
 
 
-def trip_slow(breakers: Iterable[Breaker], rule: BreakerRule, now: float) -> None:
+def trip_slow_targets(
+    breakers: Iterable[Breaker], rule: BreakerRule, now: float
+) -> None:
     """Trip the breakers of targets that are far slower than their service's others.
 
     Compared with the median of all, a service that is slow as a whole has no slow
@@ -176,7 +184,7 @@
     """
     known = tuple(breakers)
     bad = [
-        (breaker.badness, key)
+        (breaker.ejection_score, key)
         for key, breaker in known
         if breaker.read_state(now) is not BreakerState.CLOSED
     ]
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -9,7 +9,7 @@
 
 from ..targets.directory import Candidate, TargetDirectory
 from . import Grant, Outcome, OutcomeKind
-from .breakers import BreakerRule, BreakerState, find_ejected, trip_slow
+from .breakers import BreakerRule, BreakerState, find_ejected, trip_slow_targets
 from .choice import TargetChoice
 from .durations import DurationTracker
 from .limits import LimitRule
@@ -162,7 +162,7 @@
                     choosers=choosers,
                     near=candidate.target.data_centre == self._data_centre,
                     ejected=candidate.target.target_id in ejected,
-                    probing=state is BreakerState.PROBING,
+                    probing=state is BreakerState.HALF_OPEN,
                 )
             )
         return Room(
@@ -205,7 +205,9 @@
                 load.limit.note_rejection(running.held, now)
             case OutcomeKind.ABANDONED:
                 if outcome.tokens:
-                    load.breaker.note_time(self._times.rate_end(ticket, outcome, now))
+                    load.breaker.record_latency(
+                        self._times.rate_end(ticket, outcome, now)
+                    )
         self._times.note_end(ticket, outcome, now)
 
     def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
@@ -216,7 +218,7 @@
         running.begun = True
         self._known_room = None
         ratio = self._times.rate_first_token(grant.ticket, seconds, now)
-        self._targets[grant.target.target_id].breaker.note_time(ratio)
+        self._targets[grant.target.target_id].breaker.record_latency(ratio)
 
     def watch(self, now: float) -> None:
         """Notice calls that are out far longer than usual, and slow targets."""
@@ -227,7 +229,7 @@
         for running in self._running.values():
             self._note_overdue(running, now)
         breakers = [load.breaker for load in self._targets.values()]
-        trip_slow(breakers, self._breaker_rule, now)
+        trip_slow_targets(breakers, self._breaker_rule, now)
 
     def _note_overdue(self, running: _Running, now: float) -> None:
         grant = running.grant
@@ -235,7 +237,7 @@
         ratio = self._times.rate_open(grant.ticket, elapsed, now, begun=running.begun)
         if ratio < running.overdue:
             return
-        self._targets[grant.target.target_id].breaker.note_time(ratio)
+        self._targets[grant.target.target_id].breaker.record_latency(ratio)
         running.overdue *= 2
 
     def _note_answer(
@@ -244,7 +246,7 @@
         ticket = running.grant.ticket
         seconds = outcome.seconds
         baseline = self._times.find_baseline(find_kind(ticket), seconds, now)
-        load.breaker.note_time(self._times.rate_end(ticket, outcome, now))
+        load.breaker.record_latency(self._times.rate_end(ticket, outcome, now))
         if load.breaker.record_success():
             load.limit.restart(now)
         usual = baseline + self._limit_rule.wait
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -13,7 +13,7 @@
     BreakerRule,
     BreakerState,
     find_ejected,
-    trip_slow,
+    trip_slow_targets,
 )
 
 RULE = BreakerRule()
@@ -49,14 +49,14 @@
     plain = [breaker for _, breaker in breakers]
     for _ in range(5):
         for breaker in plain:
-            breaker.note_time(10.0 if breaker is plain[1] else 1.0)
-    trip_slow(plain, RULE, 0.0)
+            breaker.record_latency(10.0 if breaker is plain[1] else 1.0)
+    trip_slow_targets(plain, RULE, 0.0)
     assert find_ejected(breakers, RULE, 0.1) == {"t1"}
     plain = [breaker for _, breaker in create_breakers(5)]
     for _ in range(10):
         for breaker in plain:
-            breaker.note_time(10.0)
-    trip_slow(plain, RULE, 0.0)
+            breaker.record_latency(10.0)
+    trip_slow_targets(plain, RULE, 0.0)
     assert all(b.read_state(0.1) is BreakerState.CLOSED for b in plain)
 
 
@@ -72,7 +72,7 @@
     probes = []
     for tick in range(600):
         now = tick * 0.1
-        if breaker.read_state(now) is BreakerState.PROBING:
+        if breaker.read_state(now) is BreakerState.HALF_OPEN:
             breaker.begin_probe(now)
             probes.append(now)
     # pauses double, with a quarter of jitter
@@ -86,9 +86,9 @@
     for _ in range(RULE.failures):
         breaker.record_failure(0.0)
     breaker.begin_probe(10.0)
-    breaker.note_time(20.0)
+    breaker.record_latency(20.0)
     assert not breaker.record_success()
     breaker.begin_probe(40.0)
-    breaker.note_time(1.0)
+    breaker.record_latency(1.0)
     assert breaker.record_success()
     assert breaker.read_state(40.1) is BreakerState.CLOSED
