--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -38,7 +38,7 @@
     slowness_weight: float = 0.2
     timed: int = 3
     #: seconds it stays open the first time; doubled each time in a row
-    first_pause: float = 2.0
+    min_ejection: float = 2.0
     longest_pause: float = 30.0
     #: largest share of a service's targets that may be out at once, rounded up
     ejected_share: float = 0.5
@@ -62,7 +62,7 @@
         self._open = False
         self._probing = False
         self._until = 0.0
-        self._pause = rule.first_pause
+        self._pause = rule.min_ejection
         self._in_a_row = 0
         self._failed = 0.0
         self._slowness = 1.0
@@ -143,7 +143,7 @@
         if self._last_ratio > self._rule.slowness:
             return False
         self._open = False
-        self._pause = self._rule.first_pause
+        self._pause = self._rule.min_ejection
         self._failed = 0.0
         self._timed = 0
         self._slowness = self._last_ratio
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -78,7 +78,7 @@
     # pauses double, with a quarter of jitter
     assert len(probes) <= 6
     gaps = [later - earlier for earlier, later in pairwise(probes)]
-    assert all(gap >= 2 * 0.75 * RULE.first_pause for gap in gaps)
+    assert all(gap >= 2 * 0.75 * RULE.min_ejection for gap in gaps)
 
 
 def test_good_probe_brings_the_target_back_and_a_slow_one_does_not():
