--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -39,7 +39,7 @@
     timed: int = 3
     #: seconds it stays open the first time; doubled each time in a row
     min_ejection: float = 2.0
-    longest_pause: float = 30.0
+    max_ejection: float = 30.0
     #: largest share of a service's targets that may be out at once, rounded up
     ejected_share: float = 0.5
 
@@ -136,7 +136,7 @@
         self._open = True
         # jitter: or all instances would probe a weak target at the same moment
         self._until = now + self._pause * self._random.uniform(0.75, 1.25)
-        self._pause = min(self._pause * 2, self._rule.longest_pause)
+        self._pause = min(self._pause * 2, self._rule.max_ejection)
 
     def _settle_probe(self) -> bool:
         self._probing = False
