--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -27,7 +27,7 @@
     """When a target is taken out of service, and for how long."""
 
     #: failures in a row that open the breaker
-    failures: int = 3
+    consecutive_failures: int = 3
     #: failed share of recent calls that opens it
     failed_share: float = 0.5
     #: calls over which that share is taken, by an exponentially weighted mean
--- a/packages/greengagelatch/src/greengagelatch/relay/fleet.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/fleet.py
@@ -21,7 +21,7 @@
 
 #: a target is out after two failures in a row: with three targets, a third of all
 #: requests find out about one that is lost, so each further sample is dear
-BREAKER = BreakerRule(failures=2, min_ejection=1.0, max_ejection=4.0)
+BREAKER = BreakerRule(consecutive_failures=2, min_ejection=1.0, max_ejection=4.0)
 #: seconds after which a target's own word about its load counts for nothing
 REPORT_LIFE = 1.0
 #: the same where it matters only whether it was nearly full
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -67,7 +67,7 @@
     probing until some probe has a result would be the cause.
     """
     breaker = Breaker(RULE, random.Random(1))
-    for _ in range(RULE.failures):
+    for _ in range(RULE.consecutive_failures):
         breaker.record_failure(0.0)
     probes = []
     for tick in range(600):
@@ -83,7 +83,7 @@
 
 def test_good_probe_brings_the_target_back_and_a_slow_one_does_not():
     breaker = Breaker(RULE, random.Random(1))
-    for _ in range(RULE.failures):
+    for _ in range(RULE.consecutive_failures):
         breaker.record_failure(0.0)
     breaker.begin_probe(10.0)
     breaker.record_latency(20.0)
