--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -29,14 +29,14 @@
     #: failures in a row that open the breaker
     consecutive_failures: int = 3
     #: failed share of recent calls that opens it
-    failed_share: float = 0.5
+    failure_ratio: float = 0.5
     #: calls over which that share is taken, by an exponentially weighted mean
     calls: int = 10
     #: slowness, as a multiple of the usual one of the service's targets, that opens it
     slowness: float = 4.0
     #: weight of one time in the slowness, and times that are needed
     slowness_weight: float = 0.2
-    timed: int = 3
+    min_latencies: int = 3
     #: seconds it stays open the first time; doubled each time in a row
     min_ejection: float = 2.0
     max_ejection: float = 30.0
@@ -89,7 +89,7 @@
     @property
     def is_slow(self) -> bool:
         """Whether enough is known to call the target slow, if others are not."""
-        return not self._open and self._timed >= self._rule.timed
+        return not self._open and self._timed >= self._rule.min_latencies
 
     def record_success(self) -> bool:
         """Take in an answer; whether it brings the target back into service."""
@@ -106,7 +106,7 @@
             return
         enough = self._calls >= self._rule.calls
         if self._in_a_row >= self._rule.failures or (
-            enough and self._failed > self._rule.failed_share
+            enough and self._failed > self._rule.failure_ratio
         ):
             self.trip(now)
 
--- a/packages/greengagelatch/src/greengagelatch/load/budgets.py
+++ b/packages/greengagelatch/src/greengagelatch/load/budgets.py
@@ -38,12 +38,12 @@
         self.granted = 0
         self.denied = 0
 
-    def note_ordinary(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count one ordinary call, which earns a share of an extra one."""
         self._refill(now)
         self._tokens = min(self._rule.burst, self._tokens + self._rule.share)
 
-    def take(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Spend one extra call; ``False`` if there is none left."""
         self._refill(now)
         if self._tokens < 1:
--- a/packages/greengagelatch/src/greengagelatch/load/caution.py
+++ b/packages/greengagelatch/src/greengagelatch/load/caution.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable
 from math import exp
 
-__all__ = ("Caution",)
+__all__ = ("SafetyFactor",)
 
 #: factor by which one call that ended too late lengthens what is assumed, at most
 STEP = 0.15
@@ -18,7 +18,7 @@
 MEMORY = 30.0
 
 
-class Caution:
+class SafetyFactor:
     """A factor for each kind of call, such that only a set share ends too late.
 
     Percentiles of measured durations are too low under overload, when it matters:
@@ -42,7 +42,7 @@
         silent = max(0.0, now - updated - SILENCE)
         return 1.0 + (factor - 1.0) * exp(-silent / MEMORY)
 
-    def note(self, kind: Hashable, *, late: bool, now: float) -> None:
+    def record(self, kind: Hashable, *, late: bool, now: float) -> None:
         """Take in how a call ended."""
         factor = self.find_factor(kind, now)
         share = 1 - self._late_share if late else -self._late_share
--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -10,7 +10,7 @@
 
 from .loads import TargetView
 
-__all__ = ("ChoiceRule", "TargetChoice", "TwoChoices")
+__all__ = ("ChoiceRule", "TargetChoice", "PowerOfTwoChoices")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -18,8 +18,8 @@
     """Parameters of the choice."""
 
     #: targets looked at in this data centre, and in all others together
-    near_samples: int = 2
-    far_samples: int = 2
+    local_samples: int = 2
+    remote_samples: int = 2
     #: load, as a share of the limit, by which a far target must be better
     distance: float = 0.25
     #: load, as a share of the limit, that a cached prefix is worth
@@ -40,13 +40,13 @@
         """Return one of ``views``, which is not empty."""
 
     @abstractmethod
-    def find_familiar(
+    def find_affinity_targets(
         self, views: tuple[TargetView, ...], prefix: str
     ) -> list[TargetView]:
         """Return the targets that probably hold a prefix and are not overloaded."""
 
 
-class TwoChoices(TargetChoice):
+class PowerOfTwoChoices(TargetChoice):
     """The better of a few random targets, near ones and familiar ones first.
 
     If each instance took the target that it believes is the least loaded, all of
@@ -63,9 +63,9 @@
     ) -> TargetView:
         near = [view for view in views if view.near]
         far = [view for view in views if not view.near]
-        sampled = _sample(near, self._rule.near_samples, random_source)
-        sampled += _sample(far, self._rule.far_samples, random_source)
-        familiar = self.find_familiar(views, prefix)
+        sampled = _sample(near, self._rule.local_samples, random_source)
+        sampled += _sample(far, self._rule.remote_samples, random_source)
+        familiar = self.find_affinity_targets(views, prefix)
         sampled += [view for view in familiar if view not in sampled]
         costs = [
             self._draw_cost(view, view in familiar, random_source) for view in sampled
--- a/packages/greengagelatch/src/greengagelatch/load/room.py
+++ b/packages/greengagelatch/src/greengagelatch/load/room.py
@@ -78,7 +78,7 @@
         prefix = waiting.ticket.prefix
         if not prefix:
             return False
-        familiar = self._choice.find_familiar(self.views, prefix)
+        familiar = self._choice.find_affinity_targets(self.views, prefix)
         return any(self._fits(view, waiting) for view in familiar)
 
     def choose(self, waiting: Waiting, now: float) -> TargetView:
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -14,7 +14,7 @@
 from . import Grant, Outcome, Ticket
 from .breakers import BreakerRule
 from .budgets import Budget, BudgetRule
-from .choice import ChoiceRule, TwoChoices
+from .choice import ChoiceRule, PowerOfTwoChoices
 from .durations import DurationTracker
 from .limits import LimitRule
 from .queue import FairQueue, Waiting
@@ -136,7 +136,7 @@
                 data_centre=self._data_centre,
                 random_source=self._random,
                 durations=self._durations,
-                choice=TwoChoices(self._rule.choice),
+                choice=PowerOfTwoChoices(self._rule.choice),
                 queue=FairQueue(self._weigh),
                 weigh=self._weigh,
                 count_choosers=self._count_choosers,
@@ -221,9 +221,9 @@
             message = f"too many calls wait for {ticket.service}"
             return self._create_overload(service, ticket, message, now)
         if not ticket.retry:
-            self._retries.note_ordinary(now)
+            self._retries.record_request(now)
             return None
-        if self._retries.take(now):
+        if self._retries.try_spend(now):
             return None
         message = "too many calls are being repeated"
         return self._create_overload(service, ticket, message, now)
--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable
 
 from . import Outcome, OutcomeKind, Ticket
-from .caution import Caution
+from .caution import SafetyFactor
 from .durations import DurationTracker, create_first_token_kind
 from .knees import KneeFinder
 
@@ -46,7 +46,7 @@
 
     def __init__(self, durations: DurationTracker, *, late_share: float) -> None:
         self._durations = durations
-        self._caution = Caution(late_share)
+        self._caution = SafetyFactor(late_share)
         self._kinds: set[Kind] = set()
         self._mean = FIRST_MEAN
         self._answers = 0
@@ -112,12 +112,12 @@
         late = now >= ticket.deadline - LATE_MARGIN
         match outcome.kind:
             case OutcomeKind.SUCCESS:
-                self._caution.note(kind, late=late, now=now)
+                self._caution.record(kind, late=late, now=now)
                 self._durations.record(kind, outcome.seconds, now)
                 self._note_mean(outcome.seconds)
             case OutcomeKind.ABANDONED:
                 if late:
-                    self._caution.note(kind, late=True, now=now)
+                    self._caution.record(kind, late=True, now=now)
 
     def rate_end(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
         """Return a call's time over the usual one; of a stream, that of one token."""
--- a/tests/test_core/test_load/test_budgets.py
+++ b/tests/test_core/test_load/test_budgets.py
@@ -26,7 +26,7 @@
     extra = 0
     for ordinary, (wait, repeats) in enumerate(steps, start=1):
         now += wait
-        budget.note_ordinary(now)
-        extra += sum(budget.take(now) for _ in range(repeats))
+        budget.record_request(now)
+        extra += sum(budget.try_spend(now) for _ in range(repeats))
         assert extra <= burst + share * ordinary + per_second * now + 1e-6
     assert budget.granted == extra
--- a/tests/test_core/test_load/test_caution.py
+++ b/tests/test_core/test_load/test_caution.py
@@ -4,7 +4,7 @@
 
 import random
 
-from greengagelatch.load.caution import Caution
+from greengagelatch.load.caution import SafetyFactor
 
 
 def test_share_of_late_calls_settles_at_what_is_allowed():
@@ -14,14 +14,14 @@
     every percentile. A fixed margin on a percentile would be the cause.
     """
     source = random.Random(7)
-    caution = Caution(late_share=0.03)
+    caution = SafetyFactor(late_share=0.03)
     late = 0
     for index in range(4000):
         now = index * 0.2
         # what is measured has a 95th percentile of 1, what really happens is longer
         allowed = 1.0 * caution.find_factor("draft", now)
         is_late = source.lognormvariate(0.0, 0.6) > allowed
-        caution.note("draft", late=is_late, now=now)
+        caution.record("draft", late=is_late, now=now)
         late += is_late and index >= 1000
     assert 0.01 <= late / 3000 <= 0.06
 
@@ -31,8 +31,8 @@
 
     Many calls end late, and none is started any more, so none can end in time.
     """
-    caution = Caution(late_share=0.03)
+    caution = SafetyFactor(late_share=0.03)
     for _ in range(50):
-        caution.note("draft", late=True, now=0.0)
+        caution.record("draft", late=True, now=0.0)
     assert caution.find_factor("draft", 0.0) > 2
     assert caution.find_factor("draft", 300.0) < 1.01
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.config.objects import StageKind
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
-from greengagelatch.load.choice import ChoiceRule, TwoChoices
+from greengagelatch.load.choice import ChoiceRule, PowerOfTwoChoices
 from greengagelatch.load.durations import DurationTracker
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.targets import Target
@@ -89,7 +89,7 @@
     Sequence: a call that names a prompt prefix waits for one of several targets.
     Cause: the prefix was hashed as text, which the hash function does not take.
     """
-    choice = TwoChoices(ChoiceRule(affinity_targets=1))
+    choice = PowerOfTwoChoices(ChoiceRule(affinity_targets=1))
     views = tuple(create_view(f"t{number}") for number in range(6))
     source = random.Random(1)
     chosen = {
@@ -105,12 +105,12 @@
     Cause: such text can't be encoded strictly.
     """
     views = (create_view("t1"), create_view("t2"))
-    choice = TwoChoices(ChoiceRule())
+    choice = PowerOfTwoChoices(ChoiceRule())
     assert choice.choose(views, "\ud800", random.Random(1)) in views
 
 
 def test_calls_without_a_prefix_are_spread():
-    choice = TwoChoices(ChoiceRule(affinity_targets=1))
+    choice = PowerOfTwoChoices(ChoiceRule(affinity_targets=1))
     views = tuple(create_view(f"t{number}") for number in range(6))
     source = random.Random(1)
     chosen = {choice.choose(views, "", source).target.target_id for _ in range(200)}
