--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -46,7 +46,7 @@
             ejected_share=settings["load.ejected_share"],
         ),
         choice=ChoiceRule(
-            distance=settings["load.distance"], affinity=settings["load.affinity"]
+            remote_penalty=settings["load.distance"], affinity=settings["load.affinity"]
         ),
         retries=replace(RETRIES, share=settings["load.retry_share"]),
         queue_bound=settings["load.queue"],
--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -21,7 +21,7 @@
     local_samples: int = 2
     remote_samples: int = 2
     #: load, as a share of the limit, by which a far target must be better
-    distance: float = 0.25
+    remote_penalty: float = 0.25
     #: load, as a share of the limit, that a cached prefix is worth
     affinity: float = 1.0
     #: targets that calls with one prefix are kept to
@@ -83,7 +83,7 @@
         held = view.held + random_source.gauss(0.0, view.spread)
         cost = (max(0.0, held) + 1) / view.limit * view.slowness
         if not view.near:
-            cost += self._rule.distance
+            cost += self._rule.remote_penalty
         if familiar:
             cost -= self._rule.affinity
         return cost
