--- a/packages/greengagelatch/src/greengagelatch/load/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/load/admission.py
@@ -9,7 +9,7 @@
 from ..config.objects import Pipeline, Stage
 from ..config.steering import Weights
 from ..errors import Refusal, RefusalCode
-from .deadlines import measure_below
+from .deadlines import measure_downstream
 from .refusals import create_refusal
 from .service import ServiceLoad
 from .weights import scale_margin
@@ -73,7 +73,7 @@
             waits[stage.name] = wait
             totals[stage.name] = wait + seconds
         longest = max(
-            totals[stage.name] + measure_below(pipeline, stage.name, totals)
+            totals[stage.name] + measure_downstream(pipeline, stage.name, totals)
             for stage in pipeline.stages
         )
         if longest <= remaining:
--- a/packages/greengagelatch/src/greengagelatch/load/deadlines.py
+++ b/packages/greengagelatch/src/greengagelatch/load/deadlines.py
@@ -8,7 +8,7 @@
 from . import Ticket
 from .durations import DurationTracker
 
-__all__ = ("DeadlinePlan", "measure_below")
+__all__ = ("DeadlinePlan", "measure_downstream")
 
 #: percentile of the durations by which a deadline is divided
 SPLIT_PERCENTILE = 95
@@ -41,7 +41,7 @@
     ) -> float:
         """Return the monotonic second by which ``stage``, starting now, should end."""
         seconds = self._estimate_stages(pipeline, SPLIT_PERCENTILE, now)
-        below = measure_below(pipeline, stage.name, seconds)
+        below = measure_downstream(pipeline, stage.name, seconds)
         own = seconds[stage.name]
         remaining = max(0.0, deadline - now)
         return now + remaining * own / (own + below)
@@ -70,7 +70,7 @@
             )
             for stage in pipeline.stages
         }
-        return measure_below(pipeline, stage_name, seconds)
+        return measure_downstream(pipeline, stage_name, seconds)
 
     def _estimate_stages(
         self, pipeline: Pipeline, percentile: float, now: float
@@ -91,7 +91,7 @@
         }
 
 
-def measure_below(
+def measure_downstream(
     pipeline: Pipeline, stage_name: str, seconds: dict[str, float]
 ) -> float:
     """Return the longest way through stages that need the result of one."""
