--- a/packages/greengagelatch/src/greengagelatch/load/deadlines.py
+++ b/packages/greengagelatch/src/greengagelatch/load/deadlines.py
@@ -46,7 +46,7 @@
         remaining = max(0.0, deadline - now)
         return now + remaining * own / (own + below)
 
-    def estimate_rest(self, ticket: Ticket, now: float) -> float:
+    def estimate_remaining(self, ticket: Ticket, now: float) -> float:
         """Return seconds that the stages after the ticket's own take without a queue.
 
         A call whose request can't be answered in time any more is refused by this,
--- a/tests/test_core/test_load/test_deadlines.py
+++ b/tests/test_core/test_load/test_deadlines.py
@@ -68,4 +68,4 @@
         deadline=1.0,
         stage_deadline=1.0,
     )
-    assert plan.estimate_rest(ticket, 0.0) == pytest.approx(1.2, rel=0.1)
+    assert plan.estimate_remaining(ticket, 0.0) == pytest.approx(1.2, rel=0.1)
