--- a/packages/greengagelatch/src/greengagelatch/load/knees.py
+++ b/packages/greengagelatch/src/greengagelatch/load/knees.py
@@ -5,7 +5,7 @@
 from math import exp
 from typing import NamedTuple
 
-__all__ = ("KneeFinder",)
+__all__ = ("ConcurrencyTuner",)
 
 #: seconds after which a measured call counts for about a third
 MEMORY = 30.0
@@ -37,7 +37,7 @@
     work: float
 
 
-class KneeFinder:
+class ConcurrencyTuner:
     """Looks for the smallest concurrency that gives almost all of the throughput.
 
     A target that batches answers more calls a second the more it holds, up to a
@@ -59,7 +59,7 @@
         self._changed = float("-inf")
         self._value: float | None = None
 
-    def note(self, held: float, taken: float, work: float, now: float) -> None:
+    def record(self, held: float, taken: float, work: float, now: float) -> None:
         """Take in a call.
 
         :param held: calls that its target held meanwhile.
@@ -71,7 +71,7 @@
         point = self._points.get(at, _Point(0.0, 0.0))
         self._points[at] = _Point(point.taken + taken, point.work + work)
 
-    def find(self, capacity: float, *, pressed: bool, now: float) -> float:
+    def update(self, capacity: float, *, pressed: bool, now: float) -> float:
         """Return the concurrency to keep to, at most ``capacity``.
 
         :param pressed: whether calls wait, so that all that is allowed is used.
@@ -83,7 +83,7 @@
         self._value = min(max(value, capacity * FLOOR), capacity)
         return self._value
 
-    def find_slowdown(self, held: float) -> float:
+    def estimate_slowdown(self, held: float) -> float:
         """Return how long a token takes at a concurrency, relative to the mean.
 
         1 where too little is known. Calls take seconds, so what has been measured
--- a/packages/greengagelatch/src/greengagelatch/load/limits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/limits.py
@@ -44,25 +44,25 @@
         """The limit at present, at least 1."""
 
     @abstractmethod
-    def note_capacity(self, capacity: float, longest: float) -> None:
+    def update_capacity(self, capacity: float, longest: float) -> None:
         """Take in how many calls the target serves side by side.
 
         :param longest: seconds that its longest calls take without load, 0 if unknown.
         """
 
     @abstractmethod
-    def restart(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Begin again from the lowest limit, as the target was out of service."""
 
     @abstractmethod
-    def note_latency(self, ratio: float, held: float, now: float) -> None:
+    def record_latency(self, ratio: float, held: float, now: float) -> None:
         """Take in a call that took ``ratio`` times what it takes without load.
 
         :param held: calls the target held at that time, of all instances.
         """
 
     @abstractmethod
-    def note_rejection(self, held: float, now: float) -> None:
+    def record_rejection(self, held: float, now: float) -> None:
         """Take in that the target turned down a call as it holds too many."""
 
 
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -108,7 +108,7 @@
         self._report_lot = self._random.random()
         self.reported += report.in_flight + report.queued
         self.reports += 1
-        self.limit.note_capacity(knee, longest)
+        self.limit.update_capacity(knee, longest)
 
     def count_reported_others(self) -> float | None:
         """Return the calls of other instances by the newest report, if there is one.
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -37,7 +37,7 @@
 
     grant: Grant
     long: bool
-    held: float
+    expected_in_flight: float
     #: calls held by its target over all reports so far, and number of reports
     reported: float
     reports: int
@@ -202,7 +202,7 @@
             case OutcomeKind.FAILURE:
                 load.breaker.record_failure(now)
             case OutcomeKind.REJECTED:
-                load.limit.note_rejection(running.held, now)
+                load.limit.record_rejection(running.held, now)
             case OutcomeKind.ABANDONED:
                 if outcome.tokens:
                     load.breaker.record_latency(
@@ -248,9 +248,9 @@
         baseline = self._times.find_baseline(find_kind(ticket), seconds, now)
         load.breaker.record_latency(self._times.rate_end(ticket, outcome, now))
         if load.breaker.record_success():
-            load.limit.restart(now)
+            load.limit.reset(now)
         usual = baseline + self._limit_rule.wait
-        load.limit.note_latency(seconds / usual, running.held, now)
+        load.limit.record_latency(seconds / usual, running.held, now)
 
     def estimate_wait(
         self, workspace: str, priority: int, work: float, now: float
@@ -282,7 +282,7 @@
         held = running.held
         if reports > 0:
             held = (load.reported - running.reported) / reports
-        self._times.knees.note(held, outcome.seconds, outcome.tokens, now)
+        self._times.knees.record(held, outcome.seconds, outcome.tokens, now)
 
     def _count_slots(self, now: float) -> float:
         """Return how many calls this instance can have in flight, by expectation."""
@@ -307,7 +307,7 @@
         if report is None or not load.is_new(report):
             return load
         pressed = len(self.queue) > 1
-        knee = self._times.knees.find(report.capacity, pressed=pressed, now=now)
+        knee = self._times.knees.update(report.capacity, pressed=pressed, now=now)
         load.take_report(report, longest, knee)
         return load
 
--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -7,7 +7,7 @@
 from . import Outcome, OutcomeKind, Ticket
 from .caution import SafetyFactor
 from .durations import DurationTracker, create_first_token_kind
-from .knees import KneeFinder
+from .knees import ConcurrencyTuner
 
 __all__ = ("CallTimes", "Kind", "find_kind")
 
@@ -50,7 +50,7 @@
         self._kinds: set[Kind] = set()
         self._mean = FIRST_MEAN
         self._answers = 0
-        self.knees = KneeFinder()
+        self.knees = ConcurrencyTuner()
 
     @property
     def mean(self) -> float:
@@ -75,7 +75,7 @@
 
         :param held: calls that a target holds, on average.
         """
-        slowdown = self.knees.find_slowdown(held + 1)
+        slowdown = self.knees.estimate_slowdown(held + 1)
         # percentiles contain the times of high load too, so only the median is
         # scaled beyond them
         usual = self.estimate(kind, allotted, 50, now) * slowdown * SPREAD
--- a/tests/test_core/test_load/test_knees.py
+++ b/tests/test_core/test_load/test_knees.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch.load.knees import KneeFinder
+from greengagelatch.load.knees import ConcurrencyTuner
 from greengagelatch_lab.experiment.models import EngineRule
 
 ENGINE = EngineRule()
@@ -34,7 +34,7 @@
     An engine tells a capacity of 16; its throughput is best at 11. Trusting the
     capacity told would be the cause.
     """
-    value = run_engine(KneeFinder(), random.Random(seed), 240)
+    value = run_engine(ConcurrencyTuner(), random.Random(seed), 240)
     best = ENGINE.find_best_batch()
     throughput = value / ENGINE.measure_step(round(value))
     assert throughput >= 0.9 * best / ENGINE.measure_step(best)
@@ -47,24 +47,24 @@
     Few calls side by side are measured for minutes, while none waits. Taking the
     most that was seen for the best would be the cause.
     """
-    finder = KneeFinder()
+    finder = ConcurrencyTuner()
     now = 0.0
     for _ in range(400):
         now += 0.5
-        finder.note(2, 100 * ENGINE.measure_step(2), 100, now)
-        value = finder.find(ENGINE.capacity, pressed=False, now=now)
+        finder.record(2, 100 * ENGINE.measure_step(2), 100, now)
+        value = finder.update(ENGINE.capacity, pressed=False, now=now)
     assert value == ENGINE.capacity
 
 
 def test_slowdown_tells_at_once_what_more_calls_will_do():
-    finder = KneeFinder()
+    finder = ConcurrencyTuner()
     for index in range(200):
         held = 2 + index % 9
         taken = 100 * ENGINE.measure_step(held)
-        finder.note(held, taken, 100, index * 0.1)
-    now_idle = finder.find_slowdown(2)
-    now_busy = finder.find_slowdown(12)
+        finder.record(held, taken, 100, index * 0.1)
+    now_idle = finder.estimate_slowdown(2)
+    now_busy = finder.estimate_slowdown(12)
     assert now_idle < 1 < now_busy
     real = ENGINE.measure_step(12) / ENGINE.measure_step(6)
     assert now_busy == pytest.approx(real, rel=0.2)
-    assert KneeFinder().find_slowdown(12) == 1.0
+    assert ConcurrencyTuner().estimate_slowdown(12) == 1.0
--- a/tests/test_core/test_load/test_limits.py
+++ b/tests/test_core/test_load/test_limits.py
@@ -10,12 +10,12 @@
 def run(limit, ratio, seconds, *, start=0.0, held=None):
     for index in range(int(seconds * 20)):
         now = start + index * 0.05
-        limit.note_latency(ratio, limit.value if held is None else held, now)
+        limit.record_latency(ratio, limit.value if held is None else held, now)
 
 
 def test_limit_falls_while_calls_are_slow_and_rises_again():
     limit = AdaptiveLimit(RULE)
-    limit.note_capacity(16, 2.0)
+    limit.update_capacity(16, 2.0)
     full = limit.value
     run(limit, 3 * RULE.tolerance, 5)
     fallen = limit.value
@@ -37,16 +37,16 @@
 
 def test_fast_services_may_hold_some_waiting_calls_and_slow_ones_hardly_any():
     fast, slow = AdaptiveLimit(RULE), AdaptiveLimit(RULE)
-    fast.note_capacity(4, 0.05)
-    slow.note_capacity(4, 3.0)
+    fast.update_capacity(4, 0.05)
+    slow.update_capacity(4, 3.0)
     assert fast.value == 4 * (1 + RULE.wait / 0.05)
     assert 4 <= slow.value < 4.2
 
 
 def test_rejections_lower_the_limit_below_what_the_target_held():
     limit = AdaptiveLimit(RULE)
-    limit.note_capacity(16, 2.0)
-    limit.note_rejection(10, 1.0)
+    limit.update_capacity(16, 2.0)
+    limit.record_rejection(10, 1.0)
     assert limit.value == 10 * RULE.decrease
-    limit.note_rejection(10, 1.1)
+    limit.record_rejection(10, 1.1)
     assert limit.value == 10 * RULE.decrease
