--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -214,12 +214,13 @@
         "in_flight": service.in_flight,
         "targets": {
             target_id: {
-                "in_flight": load.mine,
+                "in_flight": load.own_in_flight,
                 "limit": round(load.limit.value, 2),
                 "slowness": round(load.breaker.slowness, 2),
                 "breaker": load.breaker.read_state(now).value,
             }
             for target_id, load in tuple(service.targets.items())[:DUMPED]
-            if load.mine or load.breaker.read_state(now) is not BreakerState.CLOSED
+            if load.own_in_flight
+            or load.breaker.read_state(now) is not BreakerState.CLOSED
         },
     }
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -27,7 +27,7 @@
 
     target: Target
     #: calls of this instance that the target holds
-    mine: int
+    own_in_flight: int
     #: those of them that belong to the service's long calls
     mine_long: int
     #: calls that the target holds by expectation, those of all instances together
@@ -72,7 +72,7 @@
         self._random = random_source
         self.limit = AdaptiveLimit(limit_rule)
         self.breaker = Breaker(breaker_rule, random_source)
-        self.mine = 0
+        self.own_in_flight = 0
         self.mine_long = 0
         #: rounds this instance's share of the limit: were it rounded up everywhere,
         #: many instances would together exceed a small limit many times over
@@ -89,10 +89,10 @@
 
     def change(self, step: int, *, long: bool, now: float) -> None:
         """Count one call more or less in flight."""
-        self.mine += step
+        self.own_in_flight += step
         if long:
             self.mine_long += step
-        self._history.append((now, self.mine))
+        self._history.append((now, self.own_in_flight))
 
     def is_new(self, report: LoadReport) -> bool:
         """Whether a report has not been taken in yet."""
@@ -149,7 +149,7 @@
         if report is None:
             return 0
         free = max(0.0, self.limit.value - report.in_flight - report.queued)
-        taken = max(0, self.mine - self._count_then(report))
+        taken = max(0, self.own_in_flight - self._count_then(report))
         return int(free / choosers + self._report_lot) - taken
 
     def _count_then(self, report: LoadReport) -> int:
@@ -173,9 +173,9 @@
         report = candidate.report
         return TargetView(
             target=candidate.target,
-            mine=self.mine,
+            own_in_flight=self.own_in_flight,
             mine_long=self.mine_long,
-            held=self.mine + others.mean,
+            held=self.own_in_flight + others.mean,
             spread=others.spread,
             limit=self.limit.value,
             assured=int(self.limit.value / choosers + self.lot),
--- a/packages/greengagelatch/src/greengagelatch/load/room.py
+++ b/packages/greengagelatch/src/greengagelatch/load/room.py
@@ -94,7 +94,7 @@
         """Count a call given to a target; return how many it held before."""
         self._views[view.target.target_id] = replace(
             view,
-            mine=view.mine + 1,
+            mine=view.own_in_flight + 1,
             mine_long=view.mine_long + long,
             held=view.held + 1,
             spare=view.spare - 1,
@@ -108,20 +108,20 @@
         if view.target.target_id in waiting.ticket.excluded:
             return False
         if view.ejected:
-            return view.probing and view.mine == 0 and self._may_probe(waiting)
+            return view.probing and view.own_in_flight == 0 and self._may_probe(waiting)
         common = max(1.0, view.limit * (1 - self._short_share))
         if waiting.long:
-            if view.mine < view.assured and self._has_long_share():
+            if view.own_in_flight < view.assured and self._has_long_share():
                 return True
             return view.held + 1 <= common and self._may_share(view)
-        if view.mine < view.assured:
+        if view.own_in_flight < view.assured:
             return True
         if view.held + 1 > max(1.0, view.limit) or not self._may_share(view):
             return False
         if not self._long_waits or view.held + 1 <= common:
             return True
         reserved = max(1.0, view.limit * self._short_share)
-        return view.mine - view.mine_long < reserved
+        return view.own_in_flight - view.mine_long < reserved
 
     def _has_long_share(self) -> bool:
         """Whether long calls leave enough of this instance's own share to short ones.
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -288,7 +288,7 @@
         """Return how many calls this instance can have in flight, by expectation."""
         choosers = max(1.0, self._count_choosers(self.name))
         return sum(
-            max(view.limit / choosers, view.limit - view.held + view.mine)
+            max(view.limit / choosers, view.limit - view.held + view.own_in_flight)
             for view in self.find_room(now).views
             if not view.ejected
         )
@@ -320,5 +320,5 @@
             for candidate in self._directory.candidates(self.name)
         }
         for target_id, load in tuple(self._targets.items()):
-            if load.mine == 0 and target_id not in present:
+            if load.own_in_flight == 0 and target_id not in present:
                 del self._targets[target_id]
