--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -61,8 +61,8 @@
     def choose(
         self, views: tuple[TargetView, ...], prefix: str, random_source: random.Random
     ) -> TargetView:
-        near = [view for view in views if view.near]
-        far = [view for view in views if not view.near]
+        near = [view for view in views if view.local]
+        far = [view for view in views if not view.local]
         sampled = _sample(near, self._rule.local_samples, random_source)
         sampled += _sample(far, self._rule.remote_samples, random_source)
         familiar = self.find_affinity_targets(views, prefix)
@@ -80,9 +80,9 @@
         However little an old report says, all instances would act on it alike; a
         drawn load differs between them, the more the older the report.
         """
-        held = view.held + random_source.gauss(0.0, view.spread)
+        held = view.expected_in_flight + random_source.gauss(0.0, view.deviation)
         cost = (max(0.0, held) + 1) / view.limit * view.slowness
-        if not view.near:
+        if not view.local:
             cost += self._rule.remote_penalty
         if familiar:
             cost -= self._rule.affinity
@@ -97,13 +97,13 @@
         if not prefix:
             return []
         ranked = sorted(views, key=lambda view: _rank(view, prefix))
-        loads = [view.held / view.limit for view in views]
+        loads = [view.expected_in_flight / view.limit for view in views]
         mean_held = sum(loads) / len(loads)
         bound = mean_held * self._rule.affinity_bound
         return [
             view
             for view in ranked[: self._rule.affinity_targets]
-            if view.held / view.limit <= bound + 1 / view.limit
+            if view.expected_in_flight / view.limit <= bound + 1 / view.limit
         ]
 
 
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -29,25 +29,25 @@
     #: calls of this instance that the target holds
     own_in_flight: int
     #: those of them that belong to the service's long calls
-    mine_long: int
+    own_long_in_flight: int
     #: calls that the target holds by expectation, those of all instances together
-    held: float
+    expected_in_flight: float
     #: calls it should hold at most
     limit: float
     #: standard deviation of ``held``, as reports are old
-    spread: float = 0.0
+    deviation: float = 0.0
     #: calls that this instance may have there whatever it believes of the others
-    assured: int = 0
+    guaranteed: int = 0
     #: further calls that it may send there while calls wait everywhere
-    spare: int = 0
+    burst_room: int = 0
     #: how long its calls take, as a multiple of the service's median
     slowness: float = 1.0
     #: whether it is in this instance's data centre
-    near: bool = True
+    local: bool = True
     #: whether it is out of service but for a probe
     ejected: bool = False
     #: whether it may be given a probe now
-    probing: bool = False
+    half_open: bool = False
     cached_prefixes: frozenset[str] = frozenset()
 
 
@@ -56,7 +56,7 @@
     """An expected number and its standard deviation."""
 
     mean: float
-    spread: float
+    deviation: float
 
 
 class TargetLoad:
@@ -73,10 +73,10 @@
         self.limit = AdaptiveLimit(limit_rule)
         self.breaker = Breaker(breaker_rule, random_source)
         self.own_in_flight = 0
-        self.mine_long = 0
+        self.own_long_in_flight = 0
         #: rounds this instance's share of the limit: were it rounded up everywhere,
         #: many instances would together exceed a small limit many times over
-        self.lot = random_source.random()
+        self.rounding_offset = random_source.random()
         self._history: deque[tuple[float, int]] = deque(
             [(float("-inf"), 0)], maxlen=HISTORY
         )
@@ -87,18 +87,18 @@
         self.reported = 0.0
         self.reports = 0
 
-    def change(self, step: int, *, long: bool, now: float) -> None:
+    def adjust_in_flight(self, step: int, *, long: bool, now: float) -> None:
         """Count one call more or less in flight."""
         self.own_in_flight += step
         if long:
-            self.mine_long += step
+            self.own_long_in_flight += step
         self._history.append((now, self.own_in_flight))
 
     def is_new(self, report: LoadReport) -> bool:
         """Whether a report has not been taken in yet."""
         return report is not self._report
 
-    def take_report(self, report: LoadReport, longest: float, knee: float) -> None:
+    def apply_report(self, report: LoadReport, longest: float, knee: float) -> None:
         """Take in a new report.
 
         :param longest: seconds that the longest calls take without load.
@@ -138,7 +138,7 @@
         mean = weight * others + (1 - weight) * usual
         return Estimate(mean, sqrt((1 - weight * weight) * usual))
 
-    def count_spare(self, choosers: float) -> int:
+    def count_burst_room(self, choosers: float) -> int:
         """Return how many more calls this instance may send in a rush.
 
         While calls wait everywhere, every instance sees the same free room in the
@@ -174,15 +174,15 @@
         return TargetView(
             target=candidate.target,
             own_in_flight=self.own_in_flight,
-            mine_long=self.mine_long,
-            held=self.own_in_flight + others.mean,
-            spread=others.spread,
+            own_long_in_flight=self.own_long_in_flight,
+            expected_in_flight=self.own_in_flight + others.mean,
+            deviation=others.deviation,
             limit=self.limit.value,
-            assured=int(self.limit.value / choosers + self.lot),
-            spare=self.count_spare(choosers),
+            guaranteed=int(self.limit.value / choosers + self.rounding_offset),
+            burst_room=self.count_burst_room(choosers),
             slowness=self.breaker.slowness,
-            near=near,
+            local=near,
             ejected=ejected,
-            probing=probing,
+            half_open=probing,
             cached_prefixes=frozenset() if report is None else report.cached_prefixes,
         )
--- a/packages/greengagelatch/src/greengagelatch/load/room.py
+++ b/packages/greengagelatch/src/greengagelatch/load/room.py
@@ -52,13 +52,16 @@
     def busy(self) -> bool:
         """Whether the targets are so full that calls take clearly longer."""
         limit = sum(view.limit for view in self._list_sound())
-        return sum(view.held for view in self._list_sound()) > BUSY_SHARE * limit
+        return (
+            sum(view.expected_in_flight for view in self._list_sound())
+            > BUSY_SHARE * limit
+        )
 
     @property
     def mean_held(self) -> float:
         """Calls that a target in service holds, on average."""
         sound = self._list_sound()
-        return sum(view.held for view in sound) / max(1, len(sound))
+        return sum(view.expected_in_flight for view in sound) / max(1, len(sound))
 
     def begin(self, *, long_waits: bool, rush: bool) -> None:
         """Prepare for one selection.
@@ -95,11 +98,11 @@
         self._views[view.target.target_id] = replace(
             view,
             mine=view.own_in_flight + 1,
-            mine_long=view.mine_long + long,
-            held=view.held + 1,
-            spare=view.spare - 1,
+            mine_long=view.own_long_in_flight + long,
+            held=view.expected_in_flight + 1,
+            spare=view.burst_room - 1,
         )
-        return view.held
+        return view.expected_in_flight
 
     def _list_sound(self) -> list[TargetView]:
         return [view for view in self._views.values() if not view.ejected]
@@ -108,20 +111,24 @@
         if view.target.target_id in waiting.ticket.excluded:
             return False
         if view.ejected:
-            return view.probing and view.own_in_flight == 0 and self._may_probe(waiting)
+            return (
+                view.half_open and view.own_in_flight == 0 and self._may_probe(waiting)
+            )
         common = max(1.0, view.limit * (1 - self._short_share))
         if waiting.long:
-            if view.own_in_flight < view.assured and self._has_long_share():
+            if view.own_in_flight < view.guaranteed and self._has_long_share():
                 return True
-            return view.held + 1 <= common and self._may_share(view)
-        if view.own_in_flight < view.assured:
+            return view.expected_in_flight + 1 <= common and self._may_share(view)
+        if view.own_in_flight < view.guaranteed:
             return True
-        if view.held + 1 > max(1.0, view.limit) or not self._may_share(view):
+        if view.expected_in_flight + 1 > max(1.0, view.limit) or not self._may_share(
+            view
+        ):
             return False
-        if not self._long_waits or view.held + 1 <= common:
+        if not self._long_waits or view.expected_in_flight + 1 <= common:
             return True
         reserved = max(1.0, view.limit * self._short_share)
-        return view.own_in_flight - view.mine_long < reserved
+        return view.own_in_flight - view.own_long_in_flight < reserved
 
     def _has_long_share(self) -> bool:
         """Whether long calls leave enough of this instance's own share to short ones.
@@ -130,12 +137,12 @@
         part could be left free at any single one.
         """
         sound = self._list_sound()
-        own = sum(view.assured for view in sound) * (1 - self._short_share)
-        return sum(view.mine_long for view in sound) < max(1, int(own))
+        own = sum(view.guaranteed for view in sound) * (1 - self._short_share)
+        return sum(view.own_long_in_flight for view in sound) < max(1, int(own))
 
     def _may_share(self, view: TargetView) -> bool:
         """Whether this instance may use room that is nobody's own."""
-        return not self._rush or view.spare > 0
+        return not self._rush or view.burst_room > 0
 
     def _may_probe(self, waiting: Waiting) -> bool:
         """Whether a call is fit to try a target that was out of service.
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -202,7 +202,7 @@
             case OutcomeKind.FAILURE:
                 load.breaker.record_failure(now)
             case OutcomeKind.REJECTED:
-                load.limit.record_rejection(running.held, now)
+                load.limit.record_rejection(running.expected_in_flight, now)
             case OutcomeKind.ABANDONED:
                 if outcome.tokens:
                     load.breaker.record_latency(
@@ -250,7 +250,7 @@
         if load.breaker.record_success():
             load.limit.reset(now)
         usual = baseline + self._limit_rule.wait
-        load.limit.record_latency(seconds / usual, running.held, now)
+        load.limit.record_latency(seconds / usual, running.expected_in_flight, now)
 
     def estimate_wait(
         self, workspace: str, priority: int, work: float, now: float
@@ -279,7 +279,7 @@
         if load.breaker.slowness > SLOW_FOR_CURVE:
             return
         reports = load.reports - running.reports
-        held = running.held
+        held = running.expected_in_flight
         if reports > 0:
             held = (load.reported - running.reported) / reports
         self._times.knees.record(held, outcome.seconds, outcome.tokens, now)
@@ -288,7 +288,10 @@
         """Return how many calls this instance can have in flight, by expectation."""
         choosers = max(1.0, self._count_choosers(self.name))
         return sum(
-            max(view.limit / choosers, view.limit - view.held + view.own_in_flight)
+            max(
+                view.limit / choosers,
+                view.limit - view.expected_in_flight + view.own_in_flight,
+            )
             for view in self.find_room(now).views
             if not view.ejected
         )
@@ -308,7 +311,7 @@
             return load
         pressed = len(self.queue) > 1
         knee = self._times.knees.update(report.capacity, pressed=pressed, now=now)
-        load.take_report(report, longest, knee)
+        load.apply_report(report, longest, knee)
         return load
 
     def _forget_idle(self) -> None:
