--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -15,7 +15,7 @@
 from greengagelatch.load.admission import AdmissionRule, Arrival, EstimateAdmission
 from greengagelatch.load.deadlines import DeadlinePlan
 from greengagelatch.load.durations import DurationTracker, create_first_token_kind
-from greengagelatch.load.naive import NaiveDispatcher
+from greengagelatch.load.naive import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.load.weights import scale_patience
 from greengagelatch.stages.patience import PatienceRule, choose_patience
@@ -46,7 +46,9 @@
         **values,
     ) -> None:
         super().__init__(**values)
-        self._dispatcher = NaiveDispatcher(directory=self.directory, clock=self.clock)
+        self._dispatcher = RoundRobinDispatcher(
+            directory=self.directory, clock=self.clock
+        )
 
     def plan(self, run: Run, stage: Stage) -> float:
         request = run.request
--- a/packages/greengagelatch/src/greengagelatch/load/naive.py
+++ b/packages/greengagelatch/src/greengagelatch/load/naive.py
@@ -15,13 +15,13 @@
     from ..clock import Clock
     from ..targets.directory import TargetDirectory
 
-__all__ = ("NaiveDispatcher",)
+__all__ = ("RoundRobinDispatcher",)
 
 #: milliseconds after which a service without a target may have one again
 NO_TARGET_RETRY_MS = 1000
 
 
-class NaiveDispatcher(Dispatcher):
+class RoundRobinDispatcher(Dispatcher):
     """Takes the targets of a service in turn and never makes a call wait."""
 
     def __init__(self, *, directory: TargetDirectory, clock: Clock) -> None:
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -12,7 +12,7 @@
 from greengagelatch.clock import SystemClock
 from greengagelatch.config.objects import Pipeline, Stage, StageKind
 from greengagelatch.errors import RefusalCode
-from greengagelatch.load.naive import NaiveDispatcher
+from greengagelatch.load.naive import RoundRobinDispatcher
 from greengagelatch.request import Request
 from greengagelatch.targets import CallFailure, FailureKind, StageAnswer, Target
 from greengagelatch.verdict import Verdict
@@ -40,7 +40,7 @@
             Target(f"target-{number}", SERVICE, "hall", "127.0.0.1:1")
             for number in range(targets)
         )
-        naive = NaiveDispatcher(directory=self.directory, clock=self.clock)
+        naive = RoundRobinDispatcher(directory=self.directory, clock=self.clock)
         self.dispatcher = CountingDispatcher(naive, before_grant)
         self.client = ScriptedClient(script)
         self.metrics = Metrics("127.0.0.1:9")
