--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -15,7 +15,7 @@
 from greengagelatch.load.admission import AdmissionRule, Arrival, EstimateAdmission
 from greengagelatch.load.deadlines import DeadlinePlan
 from greengagelatch.load.durations import DurationTracker, create_first_token_kind
-from greengagelatch.load.naive import RoundRobinDispatcher
+from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.load.weights import scale_patience
 from greengagelatch.stages.patience import PatienceRule, choose_patience
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -12,7 +12,7 @@
 from greengagelatch.clock import SystemClock
 from greengagelatch.config.objects import Pipeline, Stage, StageKind
 from greengagelatch.errors import RefusalCode
-from greengagelatch.load.naive import RoundRobinDispatcher
+from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.request import Request
 from greengagelatch.targets import CallFailure, FailureKind, StageAnswer, Target
 from greengagelatch.verdict import Verdict
