--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -177,7 +177,7 @@
 
     def _poll(self, now: float) -> None:
         for decision in self._scheduler.poll(now):
-            future = self._callers.get(decision.waiting_id)
+            future = self._callers.get(decision.ticket_id)
             if future is not None and not future.done():
                 future.set_result(decision.result)
                 continue
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -173,7 +173,7 @@
             if not decisions:
                 break
             for decision in decisions:
-                receive = self._receivers.pop(decision.waiting_id, None)
+                receive = self._receivers.pop(decision.ticket_id, None)
                 if receive is not None:
                     receive(decision.result)
         self._polling = False
--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -31,7 +31,7 @@
 class Waiting:
     """A ticket that waits, with what was worked out when it came."""
 
-    waiting_id: int
+    ticket_id: int
     ticket: Ticket
     entered: float
     #: expected seconds of service
@@ -114,14 +114,14 @@
         return len(self.by_age[False]) + len(self.by_age[True])
 
     def add(self, waiting: Waiting) -> None:
-        self.by_age[waiting.long][waiting.waiting_id] = waiting
+        self.by_age[waiting.long][waiting.ticket_id] = waiting
         self.by_urgency[waiting.long].add(waiting)
         priority = waiting.ticket.priority
         pending = self.pending.get(priority, 0.0)
         self.pending[priority] = pending + waiting.expected
 
     def discard(self, waiting: Waiting) -> None:
-        del self.by_age[waiting.long][waiting.waiting_id]
+        del self.by_age[waiting.long][waiting.ticket_id]
         self.by_urgency[waiting.long].remove(waiting)
         self.pending[waiting.ticket.priority] -= waiting.expected
         if not len(self):
@@ -152,11 +152,11 @@
 
 
 def _age_key(waiting: Waiting) -> int:
-    return waiting.waiting_id
+    return waiting.ticket_id
 
 
 def _sort_key(waiting: Waiting) -> tuple[int, float, int]:
-    return (-waiting.ticket.priority, waiting.urgency, waiting.waiting_id)
+    return (-waiting.ticket.priority, waiting.urgency, waiting.ticket_id)
 
 
 class FairQueue(CallQueue):
@@ -204,7 +204,7 @@
             # time without calls earns no claim on service later
             lane.virtual = max(lane.virtual, self._virtual)
         lane.add(waiting)
-        self._waiting[waiting.waiting_id] = waiting
+        self._waiting[waiting.ticket_id] = waiting
 
     def remove(self, waiting_id: int) -> Waiting | None:
         waiting = self._waiting.pop(waiting_id, None)
@@ -218,7 +218,7 @@
         if chosen is None:
             return None
         self._charge(chosen)
-        self.remove(chosen.waiting_id)
+        self.remove(chosen.ticket_id)
         return chosen
 
     def sum_pending(self, priority: int) -> dict[str, float]:
@@ -303,4 +303,4 @@
 
 
 def _pick_fair(heads: list[tuple[_Lane, Waiting]]) -> Waiting:
-    return min(heads, key=lambda pair: (pair[0].virtual, pair[1].waiting_id))[1]
+    return min(heads, key=lambda pair: (pair[0].virtual, pair[1].ticket_id))[1]
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -157,9 +157,9 @@
             return self._last_id
         waiting = self._prepare(service, ticket, now)
         service.queue.push(waiting)
-        self._homes[waiting.waiting_id] = service
+        self._homes[waiting.ticket_id] = service
         self._dirty.add(service.name)
-        return waiting.waiting_id
+        return waiting.ticket_id
 
     def poll(self, now: float) -> tuple[Decision, ...]:
         """Return the decisions that have come about."""
@@ -182,7 +182,7 @@
             for waiting in service.queue:
                 if not _is_late(waiting, busy, now):
                     continue
-                service.queue.remove(waiting.waiting_id)
+                service.queue.remove(waiting.ticket_id)
                 self._refuse_late(service, waiting, now)
 
     def withdraw(self, waiting_id: int) -> None:
@@ -239,7 +239,7 @@
         most *= scale_margin(weights)
         end = ticket.deadline - self._estimate_rest(ticket, now)
         return Waiting(
-            waiting_id=self._last_id,
+            ticket_id=self._last_id,
             ticket=ticket,
             entered=now,
             expected=expected,
@@ -285,7 +285,7 @@
         message = f"service {service.name} has no target in reach any more"
         refusal = create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
         for waiting in service.queue:
-            service.queue.remove(waiting.waiting_id)
+            service.queue.remove(waiting.ticket_id)
             self._decide(waiting, Err(refusal))
 
     def _refuse_late(self, service: ServiceLoad, waiting: Waiting, now: float) -> None:
@@ -303,8 +303,8 @@
         return create_refusal(RefusalCode.OVERLOADED, message, wait)
 
     def _decide(self, waiting: Waiting, result: Result[Grant, Refusal]) -> None:
-        self._homes.pop(waiting.waiting_id, None)
-        self._decided.append(Decision(waiting.waiting_id, result))
+        self._homes.pop(waiting.ticket_id, None)
+        self._decided.append(Decision(waiting.ticket_id, result))
 
 
 def _is_late(waiting: Waiting, busy: bool, now: float) -> bool:
--- a/tests/test_core/test_load/test_queue.py
+++ b/tests/test_core/test_load/test_queue.py
@@ -46,7 +46,7 @@
     )
     fields = {"entered": 0.0, "expected": 1.0, "safe_start": 900.0} | values
     return Waiting(
-        waiting_id=number,
+        ticket_id=number,
         ticket=ticket,
         urgency=urgency,
         latest_start=1000.0,
@@ -126,7 +126,7 @@
     assert 3 <= taken.count("busy") <= 7
     queue.push(create_waiting(99, "busy", urgency=1.0))
     queue.push(create_waiting(98, "new", urgency=1.0))
-    assert queue.select(AllSuit(), 0.0).waiting_id in (98, 99)
+    assert queue.select(AllSuit(), 0.0).ticket_id in (98, 99)
 
 
 def test_call_that_must_start_now_is_not_passed_by_one_whose_prefix_is_cached():
@@ -138,8 +138,8 @@
     queue.push(create_waiting(1, "w", urgency=50.0, safe_start=10.0))
     queue.push(create_waiting(2, "w", urgency=60.0, prefix="held"))
     queue.push(create_waiting(3, "w", urgency=70.0, prefix="held"))
-    assert queue.select(PrefersPrefix(), 5.0).waiting_id == 2
-    assert queue.select(PrefersPrefix(), 9.8).waiting_id == 1
+    assert queue.select(PrefersPrefix(), 5.0).ticket_id == 2
+    assert queue.select(PrefersPrefix(), 9.8).ticket_id == 1
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 3)), max_size=60))
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -113,7 +113,7 @@
     assert scheduler.poll(0.9) == ()
     scheduler.expire(1.1)
     (decision,) = scheduler.poll(1.1)
-    assert decision.waiting_id == late
+    assert decision.ticket_id == late
     refusal = decision.result.err_value
     assert refusal.code is RefusalCode.OVERLOADED
     assert refusal.verdict is Verdict.NOT_RUN
