--- a/packages/greengagelatch/src/greengagelatch/load/room.py
+++ b/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
@@ -7,9 +7,9 @@
 
 from .choice import TargetChoice
 from .loads import TargetView
-from .queue import SelectionTest, Waiting
+from .queue import SelectionFilter, QueuedCall
 
-__all__ = ("Room",)
+__all__ = ("FreeCapacity",)
 
 #: share of the limits that calls take up from which a service counts as busy
 BUSY_SHARE = 0.5
@@ -17,7 +17,7 @@
 PROBE_SLACK = 2.0
 
 
-class Room(SelectionTest):
+class FreeCapacity(SelectionFilter):
     """The room of all targets of one service while calls are being granted.
 
     Long calls leave a share of each limit free, so that a short call which comes
@@ -72,11 +72,11 @@
         self._long_waits = long_waits
         self._rush = rush
 
-    def suits(self, waiting: Waiting) -> bool:
+    def suits(self, waiting: QueuedCall) -> bool:
         """Whether some target has room for the call."""
         return any(self._fits(view, waiting) for view in self._views.values())
 
-    def prefers(self, waiting: Waiting) -> bool:
+    def prefers(self, waiting: QueuedCall) -> bool:
         """Whether a target that has room probably holds the call's prefix."""
         prefix = waiting.ticket.prefix
         if not prefix:
@@ -84,7 +84,7 @@
         familiar = self._choice.find_affinity_targets(self.views, prefix)
         return any(self._fits(view, waiting) for view in familiar)
 
-    def choose(self, waiting: Waiting, now: float) -> TargetView:
+    def choose(self, waiting: QueuedCall, now: float) -> TargetView:
         """Return the target for a call that :meth:`suits` has accepted."""
         fitting = tuple(v for v in self._views.values() if self._fits(v, waiting))
         probe = self._find_probe(fitting, waiting, now)
@@ -107,7 +107,7 @@
     def _list_sound(self) -> list[TargetView]:
         return [view for view in self._views.values() if not view.ejected]
 
-    def _fits(self, view: TargetView, waiting: Waiting) -> bool:
+    def _fits(self, view: TargetView, waiting: QueuedCall) -> bool:
         if view.target.target_id in waiting.ticket.excluded:
             return False
         if view.ejected:
@@ -144,7 +144,7 @@
         """Whether this instance may use room that is nobody's own."""
         return not self._rush or view.burst_room > 0
 
-    def _may_probe(self, waiting: Waiting) -> bool:
+    def _may_probe(self, waiting: QueuedCall) -> bool:
         """Whether a call is fit to try a target that was out of service.
 
         Long calls are not: on a target that is still slow they cost it, and
@@ -154,7 +154,7 @@
         return ticket.repeatable and not ticket.retry and not waiting.long
 
     def _find_probe(
-        self, views: tuple[TargetView, ...], waiting: Waiting, now: float
+        self, views: tuple[TargetView, ...], waiting: QueuedCall, now: float
     ) -> TargetView | None:
         if now + PROBE_SLACK * waiting.expected > waiting.latest_start:
             return None
--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -11,7 +11,7 @@
 
 from . import Ticket
 
-__all__ = ("FAIR_PERIOD", "CallQueue", "FairQueue", "SelectionTest", "Waiting")
+__all__ = ("FAIR_PERIOD", "CallQueue", "FairQueue", "SelectionFilter", "QueuedCall")
 
 #: one such part of the service ignores priorities, which bounds how long the least
 #: important workspace waits: see :class:`FairQueue`
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Waiting:
+class QueuedCall:
     """A ticket that waits, with what was worked out when it came."""
 
     ticket_id: int
@@ -37,7 +37,7 @@
     #: expected seconds of service
     expected: float
     #: monotonic seconds by which it should start to keep to its stage's deadline
-    urgency: float
+    start_by: float
     #: monotonic seconds after which it would probably, or surely, end too late
     safe_start: float
     latest_start: float
@@ -45,15 +45,15 @@
     long: bool = False
 
 
-class SelectionTest(ABC):
+class SelectionFilter(ABC):
     """Says which calls can be served now, and which of them would be served best."""
 
     @abstractmethod
-    def suits(self, waiting: Waiting) -> bool:
+    def accepts(self, waiting: QueuedCall) -> bool:
         """Whether the call can be served."""
 
     @abstractmethod
-    def prefers(self, waiting: Waiting) -> bool:
+    def prefers(self, waiting: QueuedCall) -> bool:
         """Whether a call that suits would be served with less work than usual."""
 
 
@@ -61,15 +61,15 @@
     """Calls waiting for one service."""
 
     @abstractmethod
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedCall) -> None:
         """Add a call."""
 
     @abstractmethod
-    def remove(self, waiting_id: int) -> Waiting | None:
+    def remove(self, waiting_id: int) -> QueuedCall | None:
         """Take out a call, ``None`` if it isn't there."""
 
     @abstractmethod
-    def select(self, test: SelectionTest, now: float) -> Waiting | None:
+    def select(self, test: SelectionFilter, now: float) -> QueuedCall | None:
         """Take out the call to be served next among those that suit."""
 
     @abstractmethod
@@ -81,7 +81,7 @@
 
     @property
     @abstractmethod
-    def long_waits(self) -> bool:
+    def has_long_calls(self) -> bool:
         """Whether a long call waits."""
 
     @abstractmethod
@@ -89,7 +89,7 @@
         """Return the number of calls that wait."""
 
     @abstractmethod
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedCall]:
         """Return all calls that wait, in no particular order."""
 
 
@@ -103,7 +103,7 @@
     __slots__ = ("by_age", "by_urgency", "pending", "virtual")
 
     def __init__(self) -> None:
-        self.by_age: tuple[dict[int, Waiting], ...] = ({}, {})
+        self.by_age: tuple[dict[int, QueuedCall], ...] = ({}, {})
         self.by_urgency = (SortedKeyList(key=_sort_key), SortedKeyList(key=_sort_key))
         #: seconds of service received, divided by the weight
         self.virtual = 0.0
@@ -113,14 +113,14 @@
     def __len__(self) -> int:
         return len(self.by_age[False]) + len(self.by_age[True])
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedCall) -> None:
         self.by_age[waiting.long][waiting.ticket_id] = waiting
         self.by_urgency[waiting.long].add(waiting)
         priority = waiting.ticket.priority
         pending = self.pending.get(priority, 0.0)
         self.pending[priority] = pending + waiting.expected
 
-    def discard(self, waiting: Waiting) -> None:
+    def discard(self, waiting: QueuedCall) -> None:
         del self.by_age[waiting.long][waiting.ticket_id]
         self.by_urgency[waiting.long].remove(waiting)
         self.pending[waiting.ticket.priority] -= waiting.expected
@@ -128,35 +128,35 @@
             # sums of floats drift: an empty lane must hold exactly nothing
             self.pending.clear()
 
-    def find_oldest(self, test: SelectionTest) -> Waiting | None:
-        heads = [_find_first(calls.values(), test.suits) for calls in self.by_age]
+    def find_oldest(self, test: SelectionFilter) -> QueuedCall | None:
+        heads = [_find_first(calls.values(), test.accepts) for calls in self.by_age]
         return min(filter(None, heads), key=_age_key, default=None)
 
     def find_most_urgent(
-        self, test: SelectionTest, *, preferred: bool = False
-    ) -> Waiting | None:
-        def accepts(waiting: Waiting) -> bool:
-            return test.suits(waiting) and (not preferred or test.prefers(waiting))
+        self, test: SelectionFilter, *, preferred: bool = False
+    ) -> QueuedCall | None:
+        def accepts(waiting: QueuedCall) -> bool:
+            return test.accepts(waiting) and (not preferred or test.prefers(waiting))
 
         heads = [_find_first(calls, accepts) for calls in self.by_urgency]
         return min(filter(None, heads), key=_sort_key, default=None)
 
 
 def _find_first(
-    calls: Iterable[Waiting], suits: Callable[[Waiting], bool]
-) -> Waiting | None:
+    calls: Iterable[QueuedCall], suits: Callable[[QueuedCall], bool]
+) -> QueuedCall | None:
     for call in islice(calls, SCANNED):
         if suits(call):
             return call
     return None
 
 
-def _age_key(waiting: Waiting) -> int:
+def _age_key(waiting: QueuedCall) -> int:
     return waiting.ticket_id
 
 
-def _sort_key(waiting: Waiting) -> tuple[int, float, int]:
-    return (-waiting.ticket.priority, waiting.urgency, waiting.ticket_id)
+def _sort_key(waiting: QueuedCall) -> tuple[int, float, int]:
+    return (-waiting.ticket.priority, waiting.start_by, waiting.ticket_id)
 
 
 class FairQueue(CallQueue):
@@ -186,7 +186,7 @@
         self._weigh = weigh
         self._quantum = quantum
         self._lanes: dict[str, _Lane] = {}
-        self._waiting: dict[int, Waiting] = {}
+        self._waiting: dict[int, QueuedCall] = {}
         #: lowest virtual time among the workspaces whose calls wait: where newcomers
         #: start. At the highest, a workspace whose calls come one by one would lose
         #: what it is behind by each time that its queue is empty
@@ -194,7 +194,7 @@
         #: seconds of service that may ignore priorities
         self._fair_credit = 0.0
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedCall) -> None:
         name = waiting.ticket.workspace
         lane = self._lanes.get(name)
         if lane is None:
@@ -206,14 +206,14 @@
         lane.add(waiting)
         self._waiting[waiting.ticket_id] = waiting
 
-    def remove(self, waiting_id: int) -> Waiting | None:
+    def remove(self, waiting_id: int) -> QueuedCall | None:
         waiting = self._waiting.pop(waiting_id, None)
         if waiting is None:
             return None
         self._lanes[waiting.ticket.workspace].discard(waiting)
         return waiting
 
-    def select(self, test: SelectionTest, now: float) -> Waiting | None:
+    def select(self, test: SelectionFilter, now: float) -> QueuedCall | None:
         chosen = self._choose(test, now)
         if chosen is None:
             return None
@@ -236,13 +236,13 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedCall]:
         return iter(tuple(self._waiting.values()))
 
-    def _choose(self, test: SelectionTest, now: float) -> Waiting | None:
+    def _choose(self, test: SelectionFilter, now: float) -> QueuedCall | None:
         if len(self._waiting) <= 1:
             # nobody to be fair to, as for most calls of a service that has room
-            return _find_first(self._waiting.values(), test.suits)
+            return _find_first(self._waiting.values(), test.accepts)
         heads = self._find_heads(test, by_age=True)
         if not heads:
             return None
@@ -262,8 +262,8 @@
                 del self._lanes[name]
 
     def _find_heads(
-        self, test: SelectionTest, *, by_age: bool
-    ) -> list[tuple[_Lane, Waiting]]:
+        self, test: SelectionFilter, *, by_age: bool
+    ) -> list[tuple[_Lane, QueuedCall]]:
         heads = []
         for lane in self._lanes.values():
             if not lane:
@@ -275,8 +275,8 @@
         return heads
 
     def _pick(
-        self, heads: list[tuple[_Lane, Waiting]], test: SelectionTest, now: float
-    ) -> Waiting:
+        self, heads: list[tuple[_Lane, QueuedCall]], test: SelectionFilter, now: float
+    ) -> QueuedCall:
         top = max(head.ticket.priority for _, head in heads)
         first = [pair for pair in heads if pair[1].ticket.priority == top]
         limit = min(lane.virtual for lane, _ in first) + self._quantum
@@ -292,7 +292,7 @@
         ]
         return min(preferred, key=_sort_key, default=urgent)
 
-    def _charge(self, waiting: Waiting) -> None:
+    def _charge(self, waiting: QueuedCall) -> None:
         name = waiting.ticket.workspace
         lane = self._lanes[name]
         lowest = lane.virtual
@@ -302,5 +302,5 @@
         lane.virtual += waiting.expected / self._weigh(name)
 
 
-def _pick_fair(heads: list[tuple[_Lane, Waiting]]) -> Waiting:
+def _pick_fair(heads: list[tuple[_Lane, QueuedCall]]) -> QueuedCall:
     return min(heads, key=lambda pair: (pair[0].virtual, pair[1].ticket_id))[1]
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -17,9 +17,9 @@
 from .choice import ChoiceRule, PowerOfTwoChoices
 from .durations import DurationTracker
 from .limits import LimitRule
-from .queue import FairQueue, Waiting
+from .queue import FairQueue, QueuedCall
 from .refusals import create_refusal
-from .room import Room
+from .free_capacity import FreeCapacity
 from .service import ServiceLoad
 from .weights import scale_margin, weigh_evenly
 
@@ -58,7 +58,7 @@
 class Decision:
     """What became of a ticket: a grant, or a refusal with nothing run."""
 
-    waiting_id: int
+    ticket_id: int
     result: Result[Grant, Refusal]
 
 
@@ -228,7 +228,7 @@
         message = "too many calls are being repeated"
         return self._create_overload(service, ticket, message, now)
 
-    def _prepare(self, service: ServiceLoad, ticket: Ticket, now: float) -> Waiting:
+    def _prepare(self, service: ServiceLoad, ticket: Ticket, now: float) -> QueuedCall:
         kind = (ticket.pipeline, ticket.stage)
         allotted = max(0.0, ticket.stage_deadline - now)
         rule = self._rule
@@ -238,12 +238,12 @@
         most = service.estimate_safe_duration(kind, allotted, now)
         most *= scale_margin(weights)
         end = ticket.deadline - self._estimate_rest(ticket, now)
-        return Waiting(
+        return QueuedCall(
             ticket_id=self._last_id,
             ticket=ticket,
             entered=now,
             expected=expected,
-            urgency=ticket.stage_deadline - expected,
+            start_by=ticket.stage_deadline - expected,
             latest_start=end - least,
             safe_start=end - most,
             long=service.is_long(kind, now),
@@ -260,7 +260,7 @@
         room = service.find_room(now)
         while True:
             queue = service.queue
-            room.begin(long_waits=queue.long_waits, rush=len(queue) > 1)
+            room.begin(long_waits=queue.has_long_calls, rush=len(queue) > 1)
             waiting = service.queue.select(room, now)
             if waiting is None:
                 return
@@ -270,7 +270,7 @@
             self._grant(service, waiting, room, now)
 
     def _grant(
-        self, service: ServiceLoad, waiting: Waiting, room: Room, now: float
+        self, service: ServiceLoad, waiting: QueuedCall, room: FreeCapacity, now: float
     ) -> None:
         view = room.choose(waiting, now)
         self._last_grant += 1
@@ -288,7 +288,9 @@
             service.queue.remove(waiting.ticket_id)
             self._decide(waiting, Err(refusal))
 
-    def _refuse_late(self, service: ServiceLoad, waiting: Waiting, now: float) -> None:
+    def _refuse_late(
+        self, service: ServiceLoad, waiting: QueuedCall, now: float
+    ) -> None:
         message = f"no target of {service.name} had room in time"
         refusal = self._create_overload(service, waiting.ticket, message, now)
         self._decide(waiting, Err(refusal))
@@ -302,12 +304,12 @@
         wait = service.estimate_wait(ticket.workspace, ticket.priority, work, now)
         return create_refusal(RefusalCode.OVERLOADED, message, wait)
 
-    def _decide(self, waiting: Waiting, result: Result[Grant, Refusal]) -> None:
+    def _decide(self, waiting: QueuedCall, result: Result[Grant, Refusal]) -> None:
         self._homes.pop(waiting.ticket_id, None)
         self._decided.append(Decision(waiting.ticket_id, result))
 
 
-def _is_late(waiting: Waiting, busy: bool, now: float) -> bool:
+def _is_late(waiting: QueuedCall, busy: bool, now: float) -> bool:
     """Whether starting a call is pointless.
 
     Where targets are busy, a call that will probably end too late takes the place
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -14,8 +14,8 @@
 from .durations import DurationTracker
 from .limits import LimitRule
 from .loads import TargetLoad
-from .queue import CallQueue, Waiting
-from .room import Room
+from .queue import CallQueue, QueuedCall
+from .free_capacity import FreeCapacity
 from .times import CallTimes, Kind, find_kind
 from .waits import DrainRate, estimate_fair_wait
 
@@ -52,7 +52,7 @@
 
     at: float
     candidates: tuple[Candidate, ...]
-    room: Room
+    room: FreeCapacity
 
 
 class ServiceLoad:
@@ -125,7 +125,7 @@
         """Whether its targets are so full that calls take clearly longer."""
         return len(self.queue) > 0 or self.find_room(now).busy
 
-    def find_room(self, now: float) -> Room:
+    def find_room(self, now: float) -> FreeCapacity:
         """Return the room of all targets as of ``now``.
 
         A call is asked about several times at one moment, from its arrival to its
@@ -138,7 +138,9 @@
             known = self._known_room = _KnownRoom(now, candidates, room)
         return known.room
 
-    def _work_out_room(self, candidates: tuple[Candidate, ...], now: float) -> Room:
+    def _work_out_room(
+        self, candidates: tuple[Candidate, ...], now: float
+    ) -> FreeCapacity:
         choosers = max(1.0, self._count_choosers(self.name))
         longest = self._times.find_longest(now)
         loads = [self._load_of(candidate, longest, now) for candidate in candidates]
@@ -165,14 +167,14 @@
                     probing=state is BreakerState.HALF_OPEN,
                 )
             )
-        return Room(
+        return FreeCapacity(
             tuple(views),
             short_share=self._short_share,
             choice=self._choice,
             random_source=self._random,
         )
 
-    def start(self, grant: Grant, waiting: Waiting, held: float) -> None:
+    def start(self, grant: Grant, waiting: QueuedCall, held: float) -> None:
         """Count a granted call; ``held`` is what its target held by expectation."""
         priority = grant.ticket.priority
         self._drain.note_started(priority, waiting.expected, grant.granted)
--- a/tests/test_core/test_load/test_queue.py
+++ b/tests/test_core/test_load/test_queue.py
@@ -13,12 +13,12 @@
     FAIR_PERIOD,
     QUANTUM,
     FairQueue,
-    SelectionTest,
-    Waiting,
+    SelectionFilter,
+    QueuedCall,
 )
 
 
-class AllSuit(SelectionTest):
+class AllSuit(SelectionFilter):
     def suits(self, waiting):
         return True
 
@@ -45,10 +45,10 @@
         prefix=values.pop("prefix", ""),
     )
     fields = {"entered": 0.0, "expected": 1.0, "safe_start": 900.0} | values
-    return Waiting(
+    return QueuedCall(
         ticket_id=number,
         ticket=ticket,
-        urgency=urgency,
+        start_by=urgency,
         latest_start=1000.0,
         **fields,
     )
