--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -14,7 +14,7 @@
 from greengagelatch.load.breakers import BreakerRule, BreakerState
 from greengagelatch.load.choice import ChoiceRule
 from greengagelatch.load.refusals import create_refusal
-from greengagelatch.load.scheduler import RETRIES, Scheduler, SchedulerRule
+from greengagelatch.load.scheduler import RETRY_BUDGET, Scheduler, SchedulerRule
 
 from . import Controller
 
@@ -48,7 +48,7 @@
         choice=ChoiceRule(
             remote_penalty=settings["load.distance"], affinity=settings["load.affinity"]
         ),
-        retries=replace(RETRIES, share=settings["load.retry_share"]),
+        retries=replace(RETRY_BUDGET, share=settings["load.retry_share"]),
         queue_bound=settings["load.queue"],
         short_share=settings["load.short_share"],
         late_share=settings["load.late_share"],
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -23,10 +23,10 @@
 from .service import ServiceLoad
 from .weights import scale_margin, weigh_evenly
 
-__all__ = ("RETRIES", "Decision", "Scheduler", "SchedulerRule")
+__all__ = ("RETRY_BUDGET", "Decision", "Scheduler", "SchedulerRule")
 
 #: budget of repeated and backup calls
-RETRIES = BudgetRule(share=0.1, burst=10, per_second=0.5)
+RETRY_BUDGET = BudgetRule(share=0.1, burst=10, per_second=0.5)
 
 #: seconds after which calls that wait are looked at again, as load reports and
 #: deadlines make no event
@@ -42,7 +42,7 @@
     limit: LimitRule = field(default_factory=LimitRule)
     breaker: BreakerRule = field(default_factory=BreakerRule)
     choice: ChoiceRule = field(default_factory=ChoiceRule)
-    retries: BudgetRule = RETRIES
+    retries: BudgetRule = RETRY_BUDGET
     #: calls that may wait for one service
     queue_bound: int = 2000
     #: share of each target's limit that only short calls may use
