--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -113,7 +113,7 @@
         self._last_grant = 0
 
     @property
-    def retries(self) -> Budget:
+    def retry_budget(self) -> Budget:
         """The budget of repeated calls."""
         return self._retries
 
