--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -120,7 +120,7 @@
             self._timer.cancel()
         refusal = create_refusal(RefusalCode.NOT_READY, "this instance is stopping", 0)
         for waiting_id, future in tuple(self._callers.items()):
-            self._scheduler.withdraw(waiting_id)
+            self._scheduler.cancel(waiting_id)
             if not future.done():
                 future.set_result(Err(refusal))
 
@@ -167,7 +167,7 @@
     def _give_up(
         self, waiting_id: int, future: asyncio.Future[Result[Grant, Refusal]]
     ) -> None:
-        self._scheduler.withdraw(waiting_id)
+        self._scheduler.cancel(waiting_id)
         self._metrics.count("scheduling.given_up")
         if not future.done() or future.cancelled():
             return
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -157,7 +157,7 @@
         return waiting_id
 
     def withdraw(self, waiting: object) -> None:
-        self._scheduler.withdraw(waiting)
+        self._scheduler.cancel(waiting)
         self._receivers.pop(waiting, None)
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -185,7 +185,7 @@
                 service.queue.remove(waiting.ticket_id)
                 self._refuse_late(service, waiting, now)
 
-    def withdraw(self, waiting_id: int) -> None:
+    def cancel(self, waiting_id: int) -> None:
         """Forget a call that its caller has given up."""
         service = self._homes.pop(waiting_id, None)
         if service is not None:
