--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -203,7 +203,7 @@
         self._poll(now)
 
     def _note_leaving(self, *_target: Any) -> None:
-        self._scheduler.touch()
+        self._scheduler.mark_all_dirty()
         if self._callers:
             self._poll(self._clock.now())
 
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -201,7 +201,7 @@
         """Take in that a granted stream has begun."""
         self.find_service(grant.ticket.service).note_first_token(grant, seconds, now)
 
-    def touch(self) -> None:
+    def mark_all_dirty(self) -> None:
         """Look again at all services, as the directory has changed."""
         self._dirty.update(self._services)
 
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -89,7 +89,7 @@
     assert scheduler.poll(0.0) == ()
     directory.note_leaving("t0")
     directory.targets["t9"] = Target("t9", "llm", "dc-a", "127.0.0.1:9")
-    scheduler.touch()
+    scheduler.mark_all_dirty()
     (moved,) = get_grants(scheduler.poll(0.1))
     assert moved.target.target_id == "t9"
     scheduler.finish(running, Outcome(OutcomeKind.SUCCESS, 0.2), 0.2)
@@ -178,7 +178,7 @@
     scheduler.submit(create_ticket("r2"), 0.0)
     scheduler.poll(0.0)
     directory.note_leaving("t0")
-    scheduler.touch()
+    scheduler.mark_all_dirty()
     (decision,) = scheduler.poll(0.1)
     assert isinstance(decision.result, Err)
     assert decision.result.err_value.code is RefusalCode.NO_TARGET
