--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -49,7 +49,7 @@
             remote_penalty=settings["load.distance"], affinity=settings["load.affinity"]
         ),
         retries=replace(RETRY_BUDGET, share=settings["load.retry_share"]),
-        queue_bound=settings["load.queue"],
+        queue_limit=settings["load.queue"],
         short_share=settings["load.short_share"],
         late_share=settings["load.late_share"],
     )
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -44,7 +44,7 @@
     choice: ChoiceRule = field(default_factory=ChoiceRule)
     retries: BudgetRule = RETRY_BUDGET
     #: calls that may wait for one service
-    queue_bound: int = 2000
+    queue_limit: int = 2000
     #: share of each target's limit that only short calls may use
     short_share: float = 0.2
     #: percentile of the stage's duration that must fit for a call to start where
@@ -217,7 +217,7 @@
         if not self._directory.candidates(ticket.service):
             message = f"service {ticket.service} has no target in reach"
             return create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
-        if len(service.queue) >= self._rule.queue_bound:
+        if len(service.queue) >= self._rule.queue_limit:
             message = f"too many calls wait for {ticket.service}"
             return self._create_overload(service, ticket, message, now)
         if not ticket.retry:
