--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -251,13 +251,13 @@
 
     def _serve(self, service: ServiceLoad, now: float) -> None:
         """Grant calls until nothing suits or there is no room."""
-        service.watch(now)
+        service.check_overdue(now)
         if not len(service.queue):
             return
         if not self._directory.candidates(service.name):
             self._refuse_all(service)
             return
-        room = service.find_room(now)
+        room = service.find_free_capacity(now)
         while True:
             queue = service.queue
             room.begin(long_waits=queue.has_long_calls, rush=len(queue) > 1)
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -114,7 +114,7 @@
 
     def estimate_safe_duration(self, kind: Kind, allotted: float, now: float) -> float:
         """Return seconds within which all but a few of such calls end."""
-        held = self.find_room(now).mean_held
+        held = self.find_free_capacity(now).mean_held
         return self._times.estimate_safe(kind, allotted, held, now)
 
     def is_long(self, kind: Kind, now: float) -> bool:
@@ -123,9 +123,9 @@
 
     def is_busy(self, now: float) -> bool:
         """Whether its targets are so full that calls take clearly longer."""
-        return len(self.queue) > 0 or self.find_room(now).busy
+        return len(self.queue) > 0 or self.find_free_capacity(now).busy
 
-    def find_room(self, now: float) -> FreeCapacity:
+    def find_free_capacity(self, now: float) -> FreeCapacity:
         """Return the room of all targets as of ``now``.
 
         A call is asked about several times at one moment, from its arrival to its
@@ -177,7 +177,7 @@
     def start(self, grant: Grant, waiting: QueuedCall, held: float) -> None:
         """Count a granted call; ``held`` is what its target held by expectation."""
         priority = grant.ticket.priority
-        self._drain.note_started(priority, waiting.expected, grant.granted)
+        self._drain.record_start(priority, waiting.expected, grant.granted)
         self._known_room = None
         load = self._targets[grant.target.target_id]
         load.change(1, long=waiting.long, now=grant.granted)
@@ -208,9 +208,9 @@
             case OutcomeKind.ABANDONED:
                 if outcome.tokens:
                     load.breaker.record_latency(
-                        self._times.rate_end(ticket, outcome, now)
+                        self._times.compare_end(ticket, outcome, now)
                     )
-        self._times.note_end(ticket, outcome, now)
+        self._times.record_end(ticket, outcome, now)
 
     def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
         """Learn from how long a stream took to begin."""
@@ -219,10 +219,10 @@
             return
         running.begun = True
         self._known_room = None
-        ratio = self._times.rate_first_token(grant.ticket, seconds, now)
+        ratio = self._times.compare_first_token(grant.ticket, seconds, now)
         self._targets[grant.target.target_id].breaker.record_latency(ratio)
 
-    def watch(self, now: float) -> None:
+    def check_overdue(self, now: float) -> None:
         """Notice calls that are out far longer than usual, and slow targets."""
         if now - self._watched < WATCH_INTERVAL:
             return
@@ -236,7 +236,9 @@
     def _note_overdue(self, running: _Running, now: float) -> None:
         grant = running.grant
         elapsed = now - grant.granted
-        ratio = self._times.rate_open(grant.ticket, elapsed, now, begun=running.begun)
+        ratio = self._times.compare_elapsed(
+            grant.ticket, elapsed, now, begun=running.begun
+        )
         if ratio < running.overdue:
             return
         self._targets[grant.target.target_id].breaker.record_latency(ratio)
@@ -248,7 +250,7 @@
         ticket = running.grant.ticket
         seconds = outcome.seconds
         baseline = self._times.find_baseline(find_kind(ticket), seconds, now)
-        load.breaker.record_latency(self._times.rate_end(ticket, outcome, now))
+        load.breaker.record_latency(self._times.compare_end(ticket, outcome, now))
         if load.breaker.record_success():
             load.limit.reset(now)
         usual = baseline + self._limit_rule.wait
@@ -267,7 +269,7 @@
 
     def find_rate(self, priority: int, now: float) -> float:
         """Return the seconds of work of a priority that are started each second."""
-        self._drain.note_queue(len(self.queue), now)
+        self._drain.record_queue_length(len(self.queue), now)
         return self._drain.estimate(priority, self._count_slots(now), now)
 
     def _note_tokens(
@@ -284,7 +286,7 @@
         held = running.expected_in_flight
         if reports > 0:
             held = (load.reported - running.reported) / reports
-        self._times.knees.record(held, outcome.seconds, outcome.tokens, now)
+        self._times.concurrency.record(held, outcome.seconds, outcome.tokens, now)
 
     def _count_slots(self, now: float) -> float:
         """Return how many calls this instance can have in flight, by expectation."""
@@ -294,7 +296,7 @@
                 view.limit / choosers,
                 view.limit - view.expected_in_flight + view.own_in_flight,
             )
-            for view in self.find_room(now).views
+            for view in self.find_free_capacity(now).views
             if not view.ejected
         )
 
@@ -312,7 +314,7 @@
         if report is None or not load.is_new(report):
             return load
         pressed = len(self.queue) > 1
-        knee = self._times.knees.update(report.capacity, pressed=pressed, now=now)
+        knee = self._times.concurrency.update(report.capacity, pressed=pressed, now=now)
         load.apply_report(report, longest, knee)
         return load
 
--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -7,7 +7,7 @@
 from . import Outcome, OutcomeKind, Ticket
 from .caution import SafetyFactor
 from .durations import DurationTracker, create_first_token_kind
-from .knees import ConcurrencyTuner
+from .concurrency import ConcurrencyTuner
 
 __all__ = ("CallTimes", "Kind", "find_kind")
 
@@ -50,7 +50,7 @@
         self._kinds: set[Kind] = set()
         self._mean = FIRST_MEAN
         self._answers = 0
-        self.knees = ConcurrencyTuner()
+        self.concurrency = ConcurrencyTuner()
 
     @property
     def mean(self) -> float:
@@ -75,7 +75,7 @@
 
         :param held: calls that a target holds, on average.
         """
-        slowdown = self.knees.estimate_slowdown(held + 1)
+        slowdown = self.concurrency.estimate_slowdown(held + 1)
         # percentiles contain the times of high load too, so only the median is
         # scaled beyond them
         usual = self.estimate(kind, allotted, 50, now) * slowdown * SPREAD
@@ -106,7 +106,7 @@
         """Return seconds that a kind takes without load, ``seconds`` if unknown."""
         return self._durations.find_baseline(kind, now, seconds)
 
-    def note_end(self, ticket: Ticket, outcome: Outcome, now: float) -> None:
+    def record_end(self, ticket: Ticket, outcome: Outcome, now: float) -> None:
         """Take in how a call ended; after its time was rated, as it changes that."""
         kind = find_kind(ticket)
         late = now >= ticket.deadline - LATE_MARGIN
@@ -119,7 +119,7 @@
                 if late:
                     self._caution.record(kind, late=True, now=now)
 
-    def rate_end(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
+    def compare_end(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
         """Return a call's time over the usual one; of a stream, that of one token."""
         if not outcome.tokens:
             usual = self._find_median(find_kind(ticket), now, outcome.seconds)
@@ -130,14 +130,14 @@
         self._durations.record(kind, seconds, now)
         return _divide(seconds, usual)
 
-    def rate_first_token(self, ticket: Ticket, seconds: float, now: float) -> float:
+    def compare_first_token(self, ticket: Ticket, seconds: float, now: float) -> float:
         """Return the time to a first token over the usual one."""
         kind = create_first_token_kind(ticket.pipeline, ticket.stage)
         usual = self._find_median(kind, now, seconds)
         self._durations.record(kind, seconds, now)
         return _divide(seconds, usual)
 
-    def rate_open(
+    def compare_elapsed(
         self, ticket: Ticket, elapsed: float, now: float, *, begun: bool
     ) -> float:
         """Return how long a call is out over what is usual, 0 if that is unknown.
--- a/packages/greengagelatch/src/greengagelatch/load/waits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/waits.py
@@ -49,12 +49,12 @@
         self._updated = float("-inf")
         self._busy_since: float | None = None
 
-    def note_started(self, priority: int, work: float, now: float) -> None:
+    def record_start(self, priority: int, work: float, now: float) -> None:
         """Count started work, in seconds."""
         self._decay(now)
         self._work[priority] = self._work.get(priority, 0.0) + work
 
-    def note_queue(self, length: int, now: float) -> None:
+    def record_queue_length(self, length: int, now: float) -> None:
         """Take in the number of calls that wait."""
         if length == 0:
             self._busy_since = None
--- a/tests/test_core/test_load/test_knees.py
+++ b/tests/test_core/test_load/test_knees.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch.load.knees."""
+"""Tests of greengagelatch.load.concurrency."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch.load.knees import ConcurrencyTuner
+from greengagelatch.load.concurrency import ConcurrencyTuner
 from greengagelatch_lab.experiment.models import EngineRule
 
 ENGINE = EngineRule()
--- a/tests/test_core/test_load/test_times.py
+++ b/tests/test_core/test_load/test_times.py
@@ -28,7 +28,7 @@
     for stage, duration in seconds.items():
         for _ in range(20):
             outcome = Outcome(OutcomeKind.SUCCESS, duration)
-            times.note_end(create_ticket(stage), outcome, 1.0)
+            times.record_end(create_ticket(stage), outcome, 1.0)
     return times
 
 
@@ -51,22 +51,26 @@
     times = create_times()
     for _ in range(20):
         usual = Outcome(OutcomeKind.SUCCESS, 0.5, tokens=20)
-        times.rate_end(create_ticket("draft"), usual, 1.0)
+        times.compare_end(create_ticket("draft"), usual, 1.0)
     longest = Outcome(OutcomeKind.SUCCESS, 5.0, tokens=200)
     slow = Outcome(OutcomeKind.ABANDONED, 5.0, tokens=20)
     ticket = create_ticket("draft")
-    assert times.rate_end(ticket, longest, 1.0) == pytest.approx(1.0, rel=0.1)
-    assert times.rate_end(ticket, slow, 1.0) == pytest.approx(10.0, rel=0.1)
+    assert times.compare_end(ticket, longest, 1.0) == pytest.approx(1.0, rel=0.1)
+    assert times.compare_end(ticket, slow, 1.0) == pytest.approx(10.0, rel=0.1)
 
 
 def test_call_without_a_first_token_is_rated_by_first_tokens():
     times = create_times(draft=4.0)
     ticket = create_ticket("draft")
     for _ in range(20):
-        times.rate_first_token(ticket, 0.2, 1.0)
-    assert times.rate_open(ticket, 2.0, 1.0, begun=False) == pytest.approx(10, rel=0.1)
-    assert times.rate_open(ticket, 2.0, 1.0, begun=True) == pytest.approx(0.5, rel=0.1)
-    assert times.rate_open(create_ticket("unknown"), 2.0, 1.0, begun=False) == 0
+        times.compare_first_token(ticket, 0.2, 1.0)
+    assert times.compare_elapsed(ticket, 2.0, 1.0, begun=False) == pytest.approx(
+        10, rel=0.1
+    )
+    assert times.compare_elapsed(ticket, 2.0, 1.0, begun=True) == pytest.approx(
+        0.5, rel=0.1
+    )
+    assert times.compare_elapsed(create_ticket("unknown"), 2.0, 1.0, begun=False) == 0
 
 
 def test_calls_cut_by_their_deadline_make_the_next_ones_start_sooner():
@@ -74,5 +78,5 @@
     before = times.estimate_safe(("p", "draft"), 5.0, 1.0, 1.0)
     for _ in range(5):
         cut = Outcome(OutcomeKind.ABANDONED, 4.0)
-        times.note_end(create_ticket("draft", deadline=2.0), cut, 2.0)
+        times.record_end(create_ticket("draft", deadline=2.0), cut, 2.0)
     assert times.estimate_safe(("p", "draft"), 5.0, 1.0, 2.0) > 1.5 * before
