--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -17,7 +17,7 @@
 from greengagelatch.load.durations import DurationTracker, create_first_token_kind
 from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
-from greengagelatch.load.weights import scale_patience
+from greengagelatch.load.weights import scale_hedge_delay
 from greengagelatch.stages.patience import PatienceRule, choose_patience
 from greengagelatch.stages.plan import plan_by_share
 
@@ -136,7 +136,7 @@
         if ticket.kind is StageKind.GENERATE and ticket.pipeline in self._streams:
             kind = create_first_token_kind(ticket.pipeline, ticket.stage)
             rule = self._stream_patience
-        scale = scale_patience(self._weights)
+        scale = scale_hedge_delay(self._weights)
         rule = replace(rule, factor=rule.factor * scale)
         median = self._durations.estimate(kind, 50, now, 0.0)
         if grant.probe and median > 0:
--- a/packages/greengagelatch/src/greengagelatch/load/weights.py
+++ b/packages/greengagelatch/src/greengagelatch/load/weights.py
@@ -4,7 +4,7 @@
 
 from ..config.steering import Weights
 
-__all__ = ("scale_margin", "scale_patience", "weigh_evenly")
+__all__ = ("scale_margin", "scale_hedge_delay", "weigh_evenly")
 
 #: factor on the time that a call must have left to be started on busy targets,
 #: where only attainment counts, and where only cost does
@@ -25,7 +25,7 @@
     return _interpolate(ATTAINMENT_MARGIN, COST_MARGIN, weights)
 
 
-def scale_patience(weights: Weights) -> float:
+def scale_hedge_delay(weights: Weights) -> float:
     """Return the factor on the patience before a call gets a backup.
 
     Backups bring answers from targets that became slow, and cost a second call.
