--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -105,7 +105,7 @@
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
 
     def note_first_token(self, grant: Grant, seconds: float) -> None:
-        self._scheduler.note_first_token(grant, seconds, self._clock.now())
+        self._scheduler.record_first_token(grant, seconds, self._clock.now())
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
         now = self._clock.now()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -126,7 +126,7 @@
         return self._plan(request.pipeline, stage, self.clock.now(), request.deadline)
 
     def note_first_token(self, grant: Grant, seconds: float) -> None:
-        self._scheduler.note_first_token(grant, seconds, self.clock.now())
+        self._scheduler.record_first_token(grant, seconds, self.clock.now())
 
     def find_patience(self, grant: Grant) -> float | None:
         ticket = grant.ticket
--- a/packages/greengagelatch/src/greengagelatch/load/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/load/__init__.py
@@ -84,7 +84,7 @@
     async def acquire(self, ticket: Ticket) -> Result[Grant, Refusal]:
         """Wait for a target; a refusal comes as soon as waiting is pointless."""
 
-    def note_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
+    def record_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
         """Take in that a granted stream has begun, ``seconds`` after it was sent.
 
         A target that has become slow shows it in the first token long before any
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -199,7 +199,7 @@
 
     def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
         """Take in that a granted stream has begun."""
-        self.find_service(grant.ticket.service).note_first_token(grant, seconds, now)
+        self.find_service(grant.ticket.service).record_first_token(grant, seconds, now)
 
     def mark_all_dirty(self) -> None:
         """Look again at all services, as the directory has changed."""
