--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -5,7 +5,7 @@
 from collections.abc import Hashable
 
 from . import Outcome, OutcomeKind, Ticket
-from .caution import SafetyFactor
+from .safety_factor import SafetyFactor
 from .durations import DurationTracker, create_first_token_kind
 from .concurrency import ConcurrencyTuner
 
--- a/tests/test_core/test_load/test_caution.py
+++ b/tests/test_core/test_load/test_caution.py
@@ -4,7 +4,7 @@
 
 import random
 
-from greengagelatch.load.caution import SafetyFactor
+from greengagelatch.load.safety_factor import SafetyFactor
 
 
 def test_share_of_late_calls_settles_at_what_is_allowed():
