--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -221,7 +221,7 @@
             random_source=self.random,
             weigh=lambda workspace: 1.0,
             count_choosers=self.targets.estimate_users,
-            estimate_rest=plan.estimate_remaining,
+            estimate_remaining=plan.estimate_remaining,
             durations=durations,
             now=self.clock.now(),
             find_weights=self._find_weights,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -210,7 +210,7 @@
         random_source=random.Random(1),
         weigh=lambda workspace: 1.0,
         count_choosers=lambda service: 10.0,
-        estimate_rest=lambda ticket, now: 0.0,
+        estimate_remaining=lambda ticket, now: 0.0,
         durations=DurationTracker(),
         now=time.monotonic(),
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -94,7 +94,7 @@
             random_source=self.random,
             weigh=lambda workspace: 1.0,
             count_choosers=lambda service: choosers,
-            estimate_rest=self._plan.estimate_remaining,
+            estimate_remaining=self._plan.estimate_remaining,
             find_weights=lambda workspace, pipeline: weights,
             durations=self._durations,
             now=self.clock.now(),
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -77,7 +77,7 @@
         the named service.
     :param find_weights: returns how a workspace's calls of a pipeline weigh
         attainment against cost.
-    :param estimate_rest: returns the seconds that the stages after a ticket's own
+    :param estimate_remaining: returns the seconds that the stages after a ticket's own
         are expected to take.
     """
 
@@ -90,7 +90,7 @@
         random_source: random.Random,
         weigh: Callable[[str], float],
         count_choosers: Callable[[str], float],
-        estimate_rest: Callable[[Ticket, float], float],
+        estimate_remaining: Callable[[Ticket, float], float],
         durations: DurationTracker,
         now: float,
         find_weights: Callable[[str, str], Weights] = weigh_evenly,
@@ -101,7 +101,7 @@
         self._random = random_source
         self._weigh = weigh
         self._count_choosers = count_choosers
-        self._estimate_rest = estimate_rest
+        self._estimate_remaining = estimate_remaining
         self._find_weights = find_weights
         self._durations = durations
         self._retries = Budget(rule.retries, now)
@@ -237,7 +237,7 @@
         weights = self._find_weights(ticket.workspace, ticket.pipeline)
         most = service.estimate_safe_duration(kind, allotted, now)
         most *= scale_margin(weights)
-        end = ticket.deadline - self._estimate_rest(ticket, now)
+        end = ticket.deadline - self._estimate_remaining(ticket, now)
         return QueuedCall(
             ticket_id=self._last_id,
             ticket=ticket,
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -37,7 +37,7 @@
             random_source=random.Random(seed),
             weigh=lambda workspace: 1.0,
             count_choosers=lambda service: choosers,
-            estimate_rest=lambda ticket, now: 0.0,
+            estimate_remaining=lambda ticket, now: 0.0,
             durations=DurationTracker(),
             now=0.0,
         )
--- a/tests/test_entry/test_controllers/test_scheduling.py
+++ b/tests/test_entry/test_controllers/test_scheduling.py
@@ -62,7 +62,7 @@
             random_source=random.Random(1),
             weigh=lambda workspace: 1.0,
             count_choosers=lambda service: 1,
-            estimate_rest=lambda ticket, now: 0.0,
+            estimate_remaining=lambda ticket, now: 0.0,
             find_weights=lambda workspace, pipeline: Weights(),
             durations=DurationTracker(),
             now=self.clock.now(),
--- a/tests/test_entry/test_controllers/test_scheduling_moves.py
+++ b/tests/test_entry/test_controllers/test_scheduling_moves.py
@@ -44,7 +44,7 @@
         random_source=random.Random(1),
         weigh=lambda workspace: 1.0,
         count_choosers=lambda service: 1,
-        estimate_rest=lambda ticket, now: 0.0,
+        estimate_remaining=lambda ticket, now: 0.0,
         durations=DurationTracker(),
         now=clock.now(),
     )
