--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -220,7 +220,7 @@
             data_centre=self.settings["instance.data_centre"],
             random_source=self.random,
             weigh=lambda workspace: 1.0,
-            count_choosers=self.targets.estimate_users,
+            count_senders=self.targets.estimate_users,
             estimate_remaining=plan.estimate_remaining,
             durations=durations,
             now=self.clock.now(),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -209,7 +209,7 @@
         data_centre="centre-00",
         random_source=random.Random(1),
         weigh=lambda workspace: 1.0,
-        count_choosers=lambda service: 10.0,
+        count_senders=lambda service: 10.0,
         estimate_remaining=lambda ticket, now: 0.0,
         durations=DurationTracker(),
         now=time.monotonic(),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -93,7 +93,7 @@
             data_centre=self.data_centre,
             random_source=self.random,
             weigh=lambda workspace: 1.0,
-            count_choosers=lambda service: choosers,
+            count_senders=lambda service: choosers,
             estimate_remaining=self._plan.estimate_remaining,
             find_weights=lambda workspace, pipeline: weights,
             durations=self._durations,
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -73,7 +73,7 @@
     :meth:`find_next_wake`; decisions name the ticket by the id from ``submit``.
 
     :param weigh: returns a workspace's weight in the fair shares, above 0.
-    :param count_choosers: returns how many instances send calls to one target of
+    :param count_senders: returns how many instances send calls to one target of
         the named service.
     :param find_weights: returns how a workspace's calls of a pipeline weigh
         attainment against cost.
@@ -89,7 +89,7 @@
         data_centre: str,
         random_source: random.Random,
         weigh: Callable[[str], float],
-        count_choosers: Callable[[str], float],
+        count_senders: Callable[[str], float],
         estimate_remaining: Callable[[Ticket, float], float],
         durations: DurationTracker,
         now: float,
@@ -100,7 +100,7 @@
         self._data_centre = data_centre
         self._random = random_source
         self._weigh = weigh
-        self._count_choosers = count_choosers
+        self._count_senders = count_senders
         self._estimate_remaining = estimate_remaining
         self._find_weights = find_weights
         self._durations = durations
@@ -139,7 +139,7 @@
                 choice=PowerOfTwoChoices(self._rule.choice),
                 queue=FairQueue(self._weigh),
                 weigh=self._weigh,
-                count_choosers=self._count_choosers,
+                count_senders=self._count_senders,
             )
         return service
 
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -73,7 +73,7 @@
         choice: TargetChoice,
         queue: CallQueue,
         weigh: Callable[[str], float],
-        count_choosers: Callable[[str], float],
+        count_senders: Callable[[str], float],
     ) -> None:
         self.name = name
         self.queue = queue
@@ -86,7 +86,7 @@
         self._times = CallTimes(durations, late_share=late_share)
         self._choice = choice
         self._weigh = weigh
-        self._count_choosers = count_choosers
+        self._count_senders = count_senders
         self._targets: dict[str, TargetLoad] = {}
         self._running: dict[int, _Running] = {}
         self._drain = DrainRate()
@@ -141,7 +141,7 @@
     def _work_out_room(
         self, candidates: tuple[Candidate, ...], now: float
     ) -> FreeCapacity:
-        choosers = max(1.0, self._count_choosers(self.name))
+        choosers = max(1.0, self._count_senders(self.name))
         longest = self._times.find_longest(now)
         loads = [self._load_of(candidate, longest, now) for candidate in candidates]
         known = [load.count_reported_others() for load in loads]
@@ -290,7 +290,7 @@
 
     def _count_slots(self, now: float) -> float:
         """Return how many calls this instance can have in flight, by expectation."""
-        choosers = max(1.0, self._count_choosers(self.name))
+        choosers = max(1.0, self._count_senders(self.name))
         return sum(
             max(
                 view.limit / choosers,
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -36,7 +36,7 @@
             data_centre="dc-a",
             random_source=random.Random(seed),
             weigh=lambda workspace: 1.0,
-            count_choosers=lambda service: choosers,
+            count_senders=lambda service: choosers,
             estimate_remaining=lambda ticket, now: 0.0,
             durations=DurationTracker(),
             now=0.0,
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -50,7 +50,7 @@
         data_centre="dc-a",
         random_source=random.Random(seed),
         weigh=lambda workspace: 1.0,
-        count_choosers=lambda service: 1,
+        count_senders=lambda service: 1,
         estimate_remaining=lambda ticket, now: 0.0,
         find_weights=lambda workspace, pipeline: Weights(),
         durations=durations or DurationTracker(),
--- a/tests/test_entry/test_controllers/test_scheduling.py
+++ b/tests/test_entry/test_controllers/test_scheduling.py
@@ -61,7 +61,7 @@
             data_centre="dc-a",
             random_source=random.Random(1),
             weigh=lambda workspace: 1.0,
-            count_choosers=lambda service: 1,
+            count_senders=lambda service: 1,
             estimate_remaining=lambda ticket, now: 0.0,
             find_weights=lambda workspace, pipeline: Weights(),
             durations=DurationTracker(),
--- a/tests/test_entry/test_controllers/test_scheduling_moves.py
+++ b/tests/test_entry/test_controllers/test_scheduling_moves.py
@@ -43,7 +43,7 @@
         data_centre="north",
         random_source=random.Random(1),
         weigh=lambda workspace: 1.0,
-        count_choosers=lambda service: 1,
+        count_senders=lambda service: 1,
         estimate_remaining=lambda ticket, now: 0.0,
         durations=DurationTracker(),
         now=clock.now(),
