--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -104,7 +104,7 @@
             self._metrics.count("scheduling.moved")
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
 
-    def note_first_token(self, grant: Grant, seconds: float) -> None:
+    def record_first_token(self, grant: Grant, seconds: float) -> None:
         self._scheduler.record_first_token(grant, seconds, self._clock.now())
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -88,7 +88,7 @@
             cost -= self._rule.affinity
         return cost
 
-    def find_familiar(
+    def find_affinity_targets(
         self, views: tuple[TargetView, ...], prefix: str
     ) -> list[TargetView]:
         # which they are follows from a hash, so that all instances agree without a
--- a/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
@@ -72,7 +72,7 @@
         self._long_waits = long_waits
         self._rush = rush
 
-    def suits(self, waiting: QueuedCall) -> bool:
+    def accepts(self, waiting: QueuedCall) -> bool:
         """Whether some target has room for the call."""
         return any(self._fits(view, waiting) for view in self._views.values())
 
--- a/packages/greengagelatch/src/greengagelatch/load/limits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/limits.py
@@ -90,7 +90,7 @@
     def value(self) -> float:
         return self._value
 
-    def note_capacity(self, capacity: float, longest: float) -> None:
+    def update_capacity(self, capacity: float, longest: float) -> None:
         if capacity <= 0:
             return
         rule = self._rule
@@ -101,11 +101,11 @@
         self._ceiling = ceiling
         self._set(ceiling if untouched else self._value)
 
-    def restart(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         self._set(self._rule.lowest)
         self._begin(now)
 
-    def note_latency(self, ratio: float, held: float, now: float) -> None:
+    def record_latency(self, ratio: float, held: float, now: float) -> None:
         self._ratios += ratio
         self._samples += 1
         self._highest_held = max(self._highest_held, held)
@@ -121,7 +121,7 @@
             self._set(self._value + 1)
         self._begin(now)
 
-    def note_rejection(self, held: float, now: float) -> None:
+    def record_rejection(self, held: float, now: float) -> None:
         if now - self._changed < self._rule.interval:
             return
         self._set(min(self._value, max(1.0, held)) * self._rule.decrease)
--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -65,7 +65,7 @@
         """Add a call."""
 
     @abstractmethod
-    def remove(self, waiting_id: int) -> QueuedCall | None:
+    def remove(self, ticket_id: int) -> QueuedCall | None:
         """Take out a call, ``None`` if it isn't there."""
 
     @abstractmethod
@@ -206,8 +206,8 @@
         lane.add(waiting)
         self._waiting[waiting.ticket_id] = waiting
 
-    def remove(self, waiting_id: int) -> QueuedCall | None:
-        waiting = self._waiting.pop(waiting_id, None)
+    def remove(self, ticket_id: int) -> QueuedCall | None:
+        waiting = self._waiting.pop(ticket_id, None)
         if waiting is None:
             return None
         self._lanes[waiting.ticket.workspace].discard(waiting)
@@ -230,7 +230,7 @@
         return pending
 
     @property
-    def long_waits(self) -> bool:
+    def has_long_calls(self) -> bool:
         return any(lane.by_age[True] for lane in self._lanes.values())
 
     def __len__(self) -> int:
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -185,11 +185,11 @@
                 service.queue.remove(waiting.ticket_id)
                 self._refuse_late(service, waiting, now)
 
-    def cancel(self, waiting_id: int) -> None:
+    def cancel(self, ticket_id: int) -> None:
         """Forget a call that its caller has given up."""
-        service = self._homes.pop(waiting_id, None)
+        service = self._homes.pop(ticket_id, None)
         if service is not None:
-            service.queue.remove(waiting_id)
+            service.queue.remove(ticket_id)
 
     def finish(self, grant: Grant, outcome: Outcome, now: float) -> None:
         """Take back a grant."""
@@ -197,7 +197,7 @@
         service.finish(grant, outcome, now)
         self._dirty.add(service.name)
 
-    def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
+    def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
         """Take in that a granted stream has begun."""
         self.find_service(grant.ticket.service).record_first_token(grant, seconds, now)
 
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -212,7 +212,7 @@
                     )
         self._times.record_end(ticket, outcome, now)
 
-    def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
+    def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
         """Learn from how long a stream took to begin."""
         running = self._running.get(grant.grant_id)
         if running is None:
--- a/tests/test_core/test_load/test_queue.py
+++ b/tests/test_core/test_load/test_queue.py
@@ -19,7 +19,7 @@
 
 
 class AllSuit(SelectionFilter):
-    def suits(self, waiting):
+    def accepts(self, waiting):
         return True
 
     def prefers(self, waiting):
