--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -123,7 +123,7 @@
     def release(self, grant: Grant, outcome: Outcome) -> None:
         """Give back a grant."""
 
-    def record_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
+    def note_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
         """Take in that a stream has begun."""
 
     def find_patience(self, grant: Grant) -> float | None:
@@ -269,7 +269,7 @@
         if run.over or not run.request.arrival.stream:
             return
         now = self.clock.now()
-        self.record_first_token(attempt.grant, now - attempt.started)
+        self.note_first_token(attempt.grant, now - attempt.started)
         if run.first_token is None:
             run.first_token = now
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -125,7 +125,7 @@
         request = run.request
         return self._plan(request.pipeline, stage, self.clock.now(), request.deadline)
 
-    def record_first_token(self, grant: Grant, seconds: float) -> None:
+    def note_first_token(self, grant: Grant, seconds: float) -> None:
         self._scheduler.record_first_token(grant, seconds, self.clock.now())
 
     def find_patience(self, grant: Grant) -> float | None:
--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -105,7 +105,7 @@
             # it is out already, and the pause before the next probe is set
             return
         enough = self._calls >= self._rule.calls
-        if self._in_a_row >= self._rule.failures or (
+        if self._in_a_row >= self._rule.consecutive_failures or (
             enough and self._failed > self._rule.failure_ratio
         ):
             self.trip(now)
