--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.placement.demand import (
-    Demand,
+    OverflowState,
     DemandRule,
     is_preferred,
     measure_load,
@@ -37,7 +37,7 @@
     placement: Placement
     #: whether the engines here are to hold what the placement names
     placed: bool = False
-    demand: Demand = field(default_factory=Demand)
+    demand: OverflowState = field(default_factory=OverflowState)
     #: targets that are neither leaving nor gone, by id
     targets: dict[str, Target] = field(default_factory=dict)
     #: ``None`` while the lease is not held
--- a/packages/greengagelatch/src/greengagelatch/placement/demand.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/demand.py
@@ -13,7 +13,7 @@
     from ..config.effects import Placement
     from ..targets.directory import Candidate
 
-__all__ = ("Demand", "DemandRule", "is_preferred", "measure_load")
+__all__ = ("OverflowState", "DemandRule", "is_preferred", "measure_load")
 
 #: load of data centres none of whose engines can be reached
 NONE_REACHED = math.inf
@@ -35,14 +35,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Demand:
+class OverflowState:
     """Whether work overflows, and since when the load says the opposite."""
 
     overflowing: bool = False
     #: monotonic seconds; ``None``: the load does not say the opposite
     since: float | None = None
 
-    def update(self, now: float, load: float | None, rule: DemandRule) -> Demand:
+    def update(self, now: float, load: float | None, rule: DemandRule) -> OverflowState:
         """Take in the preferred data centres' load; ``None``: it is not known."""
         if load is None or not self._is_opposite(load, rule):
             return dataclasses.replace(self, since=None)
@@ -51,7 +51,7 @@
         needed = rule.fall if self.overflowing else rule.rise
         if now - self.since < needed:
             return self
-        return Demand(overflowing=not self.overflowing)
+        return OverflowState(overflowing=not self.overflowing)
 
     def _is_opposite(self, load: float, rule: DemandRule) -> bool:
         return load <= rule.low if self.overflowing else load >= rule.high
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -12,7 +12,7 @@
 from greengagelatch.orders import EngineState
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
-from greengagelatch.placement.demand import Demand, DemandRule, measure_load
+from greengagelatch.placement.demand import OverflowState, DemandRule, measure_load
 from greengagelatch.placement.wanted import count_loads, find_placements, want_state
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
@@ -89,9 +89,9 @@
 
 
 def test_demand_follows_a_load_that_lasts():
-    demand, _ = follow(Demand(), [1.3] * 29 + [1.1] + [1.3] * 29)
+    demand, _ = follow(OverflowState(), [1.3] * 29 + [1.1] + [1.3] * 29)
     assert not demand.overflowing
-    demand, now = follow(Demand(), [1.3] * 31)
+    demand, now = follow(OverflowState(), [1.3] * 31)
     assert demand.overflowing
     # between the two loads nothing changes, however long that lasts
     demand, now = follow(demand, [0.7] * 1000, begin=now)
