--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.placement.demand import (
     OverflowState,
-    DemandRule,
+    OverflowRule,
     is_preferred,
     measure_load,
 )
@@ -25,7 +25,7 @@
 
 __all__ = ("Group", "GroupTable")
 
-DEMAND_RULE = DemandRule()
+DEMAND_RULE = OverflowRule()
 
 
 @dataclass(slots=True)
--- a/packages/greengagelatch/src/greengagelatch/placement/demand.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/demand.py
@@ -13,14 +13,14 @@
     from ..config.effects import Placement
     from ..targets.directory import Candidate
 
-__all__ = ("OverflowState", "DemandRule", "is_preferred", "measure_load")
+__all__ = ("OverflowState", "OverflowRule", "is_preferred", "measure_load")
 
 #: load of data centres none of whose engines can be reached
 NONE_REACHED = math.inf
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class DemandRule:
+class OverflowRule:
     """When work overflows from the preferred data centres; durations in seconds.
 
     Loads are calls for each call that the engines can run side by side. The two
@@ -42,7 +42,9 @@
     #: monotonic seconds; ``None``: the load does not say the opposite
     since: float | None = None
 
-    def update(self, now: float, load: float | None, rule: DemandRule) -> OverflowState:
+    def update(
+        self, now: float, load: float | None, rule: OverflowRule
+    ) -> OverflowState:
         """Take in the preferred data centres' load; ``None``: it is not known."""
         if load is None or not self._is_opposite(load, rule):
             return dataclasses.replace(self, since=None)
@@ -53,7 +55,7 @@
             return self
         return OverflowState(overflowing=not self.overflowing)
 
-    def _is_opposite(self, load: float, rule: DemandRule) -> bool:
+    def _is_opposite(self, load: float, rule: OverflowRule) -> bool:
         return load <= rule.low if self.overflowing else load >= rule.high
 
 
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -12,12 +12,12 @@
 from greengagelatch.orders import EngineState
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
-from greengagelatch.placement.demand import OverflowState, DemandRule, measure_load
+from greengagelatch.placement.demand import OverflowState, OverflowRule, measure_load
 from greengagelatch.placement.wanted import count_loads, find_placements, want_state
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
 
-RULE = DemandRule(high=1.2, low=0.6, rise=30, fall=300)
+RULE = OverflowRule(high=1.2, low=0.6, rise=30, fall=300)
 
 
 def create_policy(name, *, workspaces="", services="", **values):
