--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from greengagelatch.placement.demand import (
+from greengagelatch.placement.overflow import (
     OverflowState,
     OverflowRule,
     is_preferred,
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -12,7 +12,7 @@
 from greengagelatch.orders import EngineState
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
-from greengagelatch.placement.demand import OverflowState, OverflowRule, measure_load
+from greengagelatch.placement.overflow import OverflowState, OverflowRule, measure_load
 from greengagelatch.placement.wanted import count_loads, find_placements, want_state
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
