--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ..placement.wanted import count_loads, want_state
+from ..placement.wanted import count_loads, build_desired_state
 from . import EngineReport, EngineState, Order
 from .budget import LoadBudget
 from .engine import EngineAction, EngineRecord
@@ -146,7 +146,7 @@
                 "role": present.role,
                 "fence": None if record.report is None else record.report.fence,
                 "as_wanted": record.report is not None
-                and present.equals(want_state(placement, present)),
+                and present.equals(build_desired_state(placement, present)),
                 "unsettled_seconds": None
                 if record.unsettled is None
                 else now - record.sent,
@@ -163,7 +163,7 @@
         may_order: bool,
     ) -> EngineStep | None:
         present = UNREAD if record.report is None else record.report.state
-        wanted = want_state(placement, present)
+        wanted = build_desired_state(placement, present)
         loads = count_loads(wanted, present)
         may_order = may_order and not self.ordering and self._budget.allows(loads)
         match record.plan(now, wanted, may_order=may_order):
--- a/packages/greengagelatch/src/greengagelatch/placement/wanted.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/wanted.py
@@ -13,7 +13,7 @@
     from ..config.effects import Placement
     from ..config.snapshot import Snapshot
 
-__all__ = ("count_loads", "find_placements", "want_state")
+__all__ = ("count_loads", "find_placements", "build_desired_state")
 
 
 def find_placements(snapshot: Snapshot) -> Mapping[str, Placement]:
@@ -33,7 +33,7 @@
     return found
 
 
-def want_state(placement: Placement, present: EngineState) -> EngineState:
+def build_desired_state(placement: Placement, present: EngineState) -> EngineState:
     """Return the state an engine should be in; what is not named stays."""
     return EngineState(
         models=placement.models or present.models,
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -13,7 +13,11 @@
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
 from greengagelatch.placement.overflow import OverflowState, OverflowRule, measure_load
-from greengagelatch.placement.wanted import count_loads, find_placements, want_state
+from greengagelatch.placement.wanted import (
+    count_loads,
+    find_placements,
+    build_desired_state,
+)
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
 
@@ -56,7 +60,7 @@
 
 def test_what_a_placement_does_not_name_stays():
     present = EngineState(models=("old",), adapters=("kept",), role="decode")
-    wanted = want_state(Placement(models=("new", "old")), present)
+    wanted = build_desired_state(Placement(models=("new", "old")), present)
     assert wanted == EngineState(
         models=("new", "old"), adapters=("kept",), role="decode"
     )
