--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -11,7 +11,7 @@
     is_preferred,
     measure_load,
 )
-from greengagelatch.placement.wanted import find_placements
+from greengagelatch.placement.desired import find_placements
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ..placement.wanted import count_loads, build_desired_state
+from ..placement.desired import count_loads, build_desired_state
 from . import EngineReport, EngineState, Order
 from .budget import LoadBudget
 from .engine import EngineAction, EngineRecord
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -13,7 +13,7 @@
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
 from greengagelatch.placement.overflow import OverflowState, OverflowRule, measure_load
-from greengagelatch.placement.wanted import (
+from greengagelatch.placement.desired import (
     count_loads,
     find_placements,
     build_desired_state,
