--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -107,7 +107,7 @@
         ledger = self._ledger
         return {
             "alive": len(ledger.roster.alive),
-            "kept": len(ledger.roster.kept),
+            "kept": len(ledger.roster.reserved),
             "rows": ledger.rows,
             "settling_seconds": round(ledger.settling, 1),
             "keys": len(ledger),
--- a/packages/greengagelatch/src/greengagelatch/quotas/absence.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/absence.py
@@ -21,7 +21,7 @@
     #: this instance included
     alive: frozenset[int]
     #: those out of reach that may still use their shares
-    kept: frozenset[int] = frozenset()
+    reserved: frozenset[int] = frozenset()
     #: those that leave or have left, which is not told apart
     leaving: frozenset[int] = frozenset()
 
@@ -70,6 +70,6 @@
                 kept.add(digest_text(member.instance_id))
         return Roster(
             alive=frozenset(map(digest_text, alive)),
-            kept=frozenset(kept),
+            reserved=frozenset(kept),
             leaving=frozenset(map(digest_text, leaving - alive)),
         )
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -152,7 +152,7 @@
         """Take in what is believed of the members; then refresh each key."""
         before = self._roster
         self._roster = self._keeper.update(members, now)
-        self._returned = before.kept & self._roster.alive
+        self._returned = before.reserved & self._roster.alive
 
     def refresh(self, key: QuotaKey, now: float) -> None:
         """Measure demand on a key here and compute the share anew."""
@@ -186,7 +186,7 @@
         roster = self._roster
         lifetime = 2 * self.settling
         for origin, sighting in tuple(self._sightings.find(digest).items()):
-            if origin == self._own or origin in roster.kept:
+            if origin == self._own or origin in roster.reserved:
                 continue
             if origin in self._returned:
                 self._sightings.note(digest, origin, Sighting(sighting.rate, now))
@@ -237,9 +237,11 @@
         """Fix the shares of those just lost at what they had, by all that is known."""
         roster = self._roster
         use.kept = {
-            origin: share for origin, share in use.kept.items() if origin in roster.kept
+            origin: share
+            for origin, share in use.kept.items()
+            if origin in roster.reserved
         }
-        lost = roster.kept - use.kept.keys()
+        lost = roster.reserved - use.kept.keys()
         if not lost:
             return
         rates = {origin: rows[origin].rate for origin in lost if origin in rows}
