--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -115,7 +115,7 @@
                 f"{key.policy}/{key.workspace}": {
                     "share": round(use.share, 4),
                     "demand": round(use.meter.rate, 2),
-                    "kept_share": round(sum(use.kept.values()), 4),
+                    "kept_share": round(sum(use.reserved_shares.values()), 4),
                 }
                 for key, use in ledger.list_uses()[:DUMPED]
             },
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -39,7 +39,7 @@
         self.began = now
         self.asked = now
         #: shares of instances that are out of reach, by their digests
-        self.kept: dict[int, float] = {}
+        self.reserved_shares: dict[int, float] = {}
         self._requests: Bucket | None = None
         self._tokens: Bucket | None = None
 
@@ -227,8 +227,8 @@
             own=own,
             others=others,
             alive=len(roster.alive),
-            kept=len(use.kept),
-            kept_share=sum(use.kept.values()),
+            kept=len(use.reserved_shares),
+            kept_share=sum(use.reserved_shares.values()),
             young=young,
         )
         return compute_share(facts)
@@ -236,19 +236,19 @@
     def _keep_shares(self, use: Use, rows: dict[int, Sighting], reached: float) -> None:
         """Fix the shares of those just lost at what they had, by all that is known."""
         roster = self._roster
-        use.kept = {
+        use.reserved_shares = {
             origin: share
-            for origin, share in use.kept.items()
+            for origin, share in use.reserved_shares.items()
             if origin in roster.reserved
         }
-        lost = roster.reserved - use.kept.keys()
+        lost = roster.reserved - use.reserved_shares.keys()
         if not lost:
             return
         rates = {origin: rows[origin].rate for origin in lost if origin in rows}
         total = reached + sum(rates.values())
         count = len(roster.alive) + len(lost)
-        free = max(0.0, 1.0 - sum(use.kept.values()))
+        free = max(0.0, 1.0 - sum(use.reserved_shares.values()))
         rate = free * (use.quota.requests_per_second or 0.0)
         for origin in lost:
             part = compute_part(rates.get(origin, 0.0), total, count, rate)
-            use.kept[origin] = free * part
+            use.reserved_shares[origin] = free * part
