--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -70,7 +70,7 @@
 
     def admit(self, quota: Quota, workspace: str) -> Admission:
         """Charge a request, or tell when to ask again."""
-        admission = self._ledger.ask(quota, workspace, self._clock.now())
+        admission = self._ledger.admit(quota, workspace, self._clock.now())
         word = "admitted" if admission.admitted else "refused"
         self._metrics.count(f"quotas.{word}")
         return admission
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
@@ -81,7 +81,7 @@
             for _ in range(self._draw(self.demand[index]))
         ]
         for at, index, workspace in sorted(arrivals):
-            admission = self.ledgers[index].ask(self.quota, workspace, at)
+            admission = self.ledgers[index].admit(self.quota, workspace, at)
             admitted += admission.admitted
         self.now += 1.0
         for index in range(len(self.centres)):
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -133,7 +133,7 @@
         """Return the use of a key."""
         return self._uses.get(key)
 
-    def ask(self, quota: Quota, workspace: str, now: float) -> Admission:
+    def admit(self, quota: Quota, workspace: str, now: float) -> Admission:
         """Admit a request of a workspace, or tell when to ask again."""
         key = QuotaKey(quota.policy, workspace)
         use = self._uses.get(key)
@@ -146,7 +146,7 @@
             use.set_share(use.share, now)
         use.asked = now
         use.meter.count()
-        return use.ask(now)
+        return use.admit(now)
 
     def begin_round(self, members: Iterable[Member], now: float) -> None:
         """Take in what is believed of the members; then refresh each key."""
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -131,7 +131,7 @@
     asked = model.quota
     model.run(FOLLOWED)
     admissions = [
-        model.ledgers[8].ask(asked, model.workspaces[0], model.now) for _ in range(5)
+        model.ledgers[8].admit(asked, model.workspaces[0], model.now) for _ in range(5)
     ]
     assert all(admission.admitted for admission in admissions)
 
