--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -142,4 +142,4 @@
             self._peers.send(instance_id, report)
 
     def _receive(self, sender: str, report: DemandReport) -> None:
-        self._ledger.take_in(report, self._clock.now())
+        self._ledger.apply_report(report, self._clock.now())
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
@@ -106,7 +106,7 @@
             self.sent[index] += len(frame)
             if self.random.random() >= self.loss:
                 report = decode(frame).ok_value.message
-                self.ledgers[other].take_in(report, self.now)
+                self.ledgers[other].apply_report(report, self.now)
 
     def _list_members(self, index: int) -> list[Member]:
         return [
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -173,7 +173,7 @@
         """Return what to tell a peer next."""
         return self._sightings.create_report(now, self._random)
 
-    def take_in(self, report: DemandReport, now: float) -> None:
+    def apply_report(self, report: DemandReport, now: float) -> None:
         """Take in what a peer tells."""
         self._sightings.take_in(report, now)
 
