--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -109,7 +109,7 @@
             "alive": len(ledger.roster.alive),
             "kept": len(ledger.roster.reserved),
             "rows": ledger.rows,
-            "settling_seconds": round(ledger.settling, 1),
+            "settling_seconds": round(ledger.propagation_time, 1),
             "keys": len(ledger),
             "uses": {
                 f"{key.policy}/{key.workspace}": {
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -82,7 +82,7 @@
     sent = max(model.sent) / model.now
     print(
         f"{size:9d} {keys:4d}  {sent:8.0f}  {ledger.rows:5d}"
-        f"  {ledger.settling:9.0f}  {seconds * 1000:8.2f}"
+        f"  {ledger.propagation_time:9.0f}  {seconds * 1000:8.2f}"
     )
 
 
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -116,7 +116,7 @@
         return self._roster
 
     @property
-    def settling(self) -> float:
+    def propagation_time(self) -> float:
         """Seconds in which a change of demand is known everywhere.
 
         Every instance's row of every key has to be told in turn, also those that
@@ -165,7 +165,7 @@
             del self._digests[key]
             self._sightings.drop(digest, self._own)
             return
-        use.meter.roll(self.settling, self._is_young(use, now), now)
+        use.meter.roll(self.propagation_time, self._is_young(use, now), now)
         self._sightings.note(digest, self._own, Sighting(use.meter.rate, now))
         use.set_share(self._compute_share(use, digest, now), now)
 
@@ -184,7 +184,7 @@
         would let this one take over its share until it is heard again.
         """
         roster = self._roster
-        lifetime = 2 * self.settling
+        lifetime = 2 * self.propagation_time
         for origin, sighting in tuple(self._sightings.find(digest).items()):
             if origin == self._own or origin in roster.reserved:
                 continue
@@ -208,7 +208,7 @@
         return use
 
     def _is_young(self, use: Use, now: float) -> bool:
-        return now - use.began < self.settling
+        return now - use.began < self.propagation_time
 
     def _compute_share(self, use: Use, digest: int, now: float) -> float:
         roster = self._roster
