--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -106,8 +106,8 @@
     def dump(self) -> dict[str, Any]:
         ledger = self._ledger
         return {
-            "alive": len(ledger.roster.alive),
-            "kept": len(ledger.roster.reserved),
+            "alive": len(ledger.members_view.alive),
+            "kept": len(ledger.members_view.reserved),
             "rows": ledger.rows,
             "settling_seconds": round(ledger.propagation_time, 1),
             "keys": len(ledger),
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -111,7 +111,7 @@
         return len(self._sightings)
 
     @property
-    def roster(self) -> Roster:
+    def members_view(self) -> Roster:
         """Instances that count."""
         return self._roster
 
