--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -9,7 +9,7 @@
 from greengagelatch.config.objects import StageKind
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
-from greengagelatch.stages.patience import PatienceRule, choose_patience
+from greengagelatch.stages.patience import PatienceRule, choose_hedge_delay
 from greengagelatch.stages.retries import GiveUp, RetryRules, decide_retry
 from greengagelatch.targets import FailureKind
 
@@ -127,7 +127,7 @@
             kind = (work.request.pipeline, work.stage.name)
             median = self._durations.estimate(kind, 50, now, 0.0)
             late = self._durations.estimate(kind, LATE_PERCENTILE, now, 0.0)
-        return choose_patience(
+        return choose_hedge_delay(
             self._patience,
             median=median,
             late=late,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -18,7 +18,7 @@
 from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.load.weights import scale_hedge_delay
-from greengagelatch.stages.patience import PatienceRule, choose_patience
+from greengagelatch.stages.patience import PatienceRule, choose_hedge_delay
 from greengagelatch.stages.plan import plan_by_share
 
 from .entry import Entry, Run, drive
@@ -141,7 +141,7 @@
         median = self._durations.estimate(kind, 50, now, 0.0)
         if grant.probe and median > 0:
             return PROBE_PATIENCE * median
-        return choose_patience(
+        return choose_hedge_delay(
             rule,
             median=median,
             late=self._durations.estimate(kind, LATE_PERCENTILE, now, 0.0),
--- a/packages/greengagelatch/src/greengagelatch/stages/patience.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/patience.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ("PatienceRule", "choose_patience")
+__all__ = ("PatienceRule", "choose_hedge_delay")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -21,7 +21,7 @@
     unmeasured_share: float = 0.5
 
 
-def choose_patience(
+def choose_hedge_delay(
     rule: PatienceRule, *, median: float, late: float, remaining: float
 ) -> float | None:
     """Return the seconds after which to make a backup call; ``None``: make none.
