--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -9,7 +9,7 @@
 from greengagelatch.config.objects import StageKind
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
-from greengagelatch.stages.patience import PatienceRule, choose_hedge_delay
+from greengagelatch.stages.patience import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.retries import GiveUp, RetryRules, decide_retry
 from greengagelatch.targets import FailureKind
 
@@ -57,7 +57,7 @@
         metrics: Metrics,
         durations: DurationTracker | None = None,
         rules: RetryRules | None = None,
-        patience: PatienceRule | None = None,
+        patience: HedgeRule | None = None,
     ) -> None:
         self._dispatcher = dispatcher
         self._directory = directory
@@ -73,7 +73,7 @@
         self._metrics = metrics
         self._durations = durations
         self._rules = rules or RetryRules()
-        self._patience = patience or PatienceRule()
+        self._patience = patience or HedgeRule()
 
     async def make(self, work: StageWork) -> Result[StageAnswer, Refusal]:
         """Return the stage's answer, or the refusal of the whole request."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -18,7 +18,7 @@
 from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.load.weights import scale_hedge_delay
-from greengagelatch.stages.patience import PatienceRule, choose_hedge_delay
+from greengagelatch.stages.patience import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import plan_by_share
 
 from .entry import Entry, Run, drive
@@ -81,8 +81,8 @@
         self._weights = weights
         self._snapshot = snapshot
         self._durations = DurationTracker()
-        self._patience = PatienceRule()
-        self._stream_patience = PatienceRule(factor=3.0, floor=0.3)
+        self._patience = HedgeRule()
+        self._stream_patience = HedgeRule(factor=3.0, floor=0.3)
         self._streams = streams
         self._plan = DeadlinePlan(
             durations=self._durations, find_pipeline=snapshot.pipelines.get
--- a/packages/greengagelatch/src/greengagelatch/stages/patience.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/patience.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ("PatienceRule", "choose_hedge_delay")
+__all__ = ("HedgeRule", "choose_hedge_delay")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class PatienceRule:
+class HedgeRule:
     """When a call that is still out gets a backup on another target."""
 
     #: multiple of the 95th percentile of the stage's durations
@@ -22,7 +22,7 @@
 
 
 def choose_hedge_delay(
-    rule: PatienceRule, *, median: float, late: float, remaining: float
+    rule: HedgeRule, *, median: float, late: float, remaining: float
 ) -> float | None:
     """Return the seconds after which to make a backup call; ``None``: make none.
 
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -12,7 +12,7 @@
 from greengagelatch.request import Request
 from greengagelatch.stages.graph import build_input, find_ready
 from greengagelatch.stages.ledger import AttemptLedger
-from greengagelatch.stages.patience import PatienceRule, choose_hedge_delay
+from greengagelatch.stages.patience import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import plan_by_share
 from greengagelatch.stages.retries import (
     GiveUp,
@@ -139,7 +139,7 @@
     remaining=st.floats(-1, 60),
 )
 def test_backup_comes_late_enough_and_in_time(median, spread, remaining):
-    rule = PatienceRule()
+    rule = HedgeRule()
     late = median * spread
     patience = choose_hedge_delay(rule, median=median, late=late, remaining=remaining)
     if patience is None:
@@ -150,7 +150,7 @@
 
 
 def test_unmeasured_stage_leaves_half_of_its_time_to_a_backup():
-    assert choose_hedge_delay(PatienceRule(), median=0, late=0, remaining=2) == 1
+    assert choose_hedge_delay(HedgeRule(), median=0, late=0, remaining=2) == 1
 
 
 def test_stages_start_once_their_inputs_are_there():
