--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -9,7 +9,7 @@
 from greengagelatch.config.objects import StageKind
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
-from greengagelatch.stages.patience import HedgeRule, choose_hedge_delay
+from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.retries import GiveUp, RetryRules, decide_retry
 from greengagelatch.targets import FailureKind
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -18,7 +18,7 @@
 from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.load.weights import scale_hedge_delay
-from greengagelatch.stages.patience import HedgeRule, choose_hedge_delay
+from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import plan_by_share
 
 from .entry import Entry, Run, drive
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -12,7 +12,7 @@
 from greengagelatch.request import Request
 from greengagelatch.stages.graph import build_input, find_ready
 from greengagelatch.stages.ledger import AttemptLedger
-from greengagelatch.stages.patience import HedgeRule, choose_hedge_delay
+from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import plan_by_share
 from greengagelatch.stages.retries import (
     GiveUp,
