--- a/packages/greengagelatch/src/greengagelatch/stages/graph.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/graph.py
@@ -7,7 +7,7 @@
 
 from ..config.objects import Pipeline, Stage
 
-__all__ = ("build_input", "find_ready", "measure_path")
+__all__ = ("build_input", "find_ready", "measure_critical_path")
 
 
 def find_ready(
@@ -39,7 +39,7 @@
     return {name: results[name] for name in stage.inputs}
 
 
-def measure_path(pipeline: Pipeline, stage: Stage) -> float:
+def measure_critical_path(pipeline: Pipeline, stage: Stage) -> float:
     """Return the greatest sum of shares along any way from ``stage`` to an end."""
     lengths: dict[str, float] = {}
     for later in reversed(pipeline.stages):
--- a/packages/greengagelatch/src/greengagelatch/stages/plan.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..config.objects import Pipeline, Stage
-from .graph import measure_path
+from .graph import measure_critical_path
 
 __all__ = ("StagePlan", "plan_by_share")
 
@@ -22,4 +22,4 @@
     What an earlier stage did not use is thereby handed on to the later ones.
     """
     remaining = max(0.0, deadline - now)
-    return now + remaining * stage.share / measure_path(pipeline, stage)
+    return now + remaining * stage.share / measure_critical_path(pipeline, stage)
