--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -11,7 +11,7 @@
 from greengagelatch.config.objects import StageKind
 from greengagelatch.identity import create_id
 from greengagelatch.load import Outcome, OutcomeKind
-from greengagelatch.stages.retries import may_repeat, needs_cancel
+from greengagelatch.stages.retries import may_retry, needs_cancel
 from greengagelatch.stages.tokens import TokenCheck, TokenRecord
 from greengagelatch.targets import CallFailure, FailureKind, StageCall
 from greengagelatch.verdict import Verdict
@@ -81,7 +81,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether a call that may have run may be sent again."""
-        return may_repeat(self.stage, self.request)
+        return may_retry(self.stage, self.request)
 
     @property
     def streamed(self) -> bool:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
@@ -13,7 +13,7 @@
 from greengagelatch.stages.graph import build_input, find_ready
 from greengagelatch.stages.ledger import AttemptLedger
 from greengagelatch.stages.plan import StagePlan, plan_by_share
-from greengagelatch.stages.retries import may_repeat
+from greengagelatch.stages.retries import may_retry
 from greengagelatch.verdict import Verdict
 
 from .filters.observe import TRACE_NOTE
@@ -79,7 +79,7 @@
         request = self.exchange.request
         if request.key:
             return True
-        return all(may_repeat(stage, request) for stage in self.pipeline.stages)
+        return all(may_retry(stage, request) for stage in self.pipeline.stages)
 
 
 class StageRunner:
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -10,7 +10,7 @@
 from ..targets import CallFailure, FailureKind
 from ..verdict import Verdict
 
-__all__ = ("GiveUp", "RetryRules", "decide_retry", "may_repeat", "needs_cancel")
+__all__ = ("GiveUp", "RetryRules", "decide_retry", "may_retry", "needs_cancel")
 
 
 class GiveUp(Enum):
@@ -48,7 +48,7 @@
 )
 
 
-def may_repeat(stage: Stage, request: Request) -> bool:
+def may_retry(stage: Stage, request: Request) -> bool:
     """Whether a call of ``stage`` that may have run may be sent again.
 
     A caller that forbids repeats can't see which stages an operator has declared
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -18,7 +18,7 @@
     GiveUp,
     RetryRules,
     decide_retry,
-    may_repeat,
+    may_retry,
 )
 from greengagelatch.stages.tokens import TokenCheck, TokenRecord
 from greengagelatch.targets import CallFailure, FailureKind
@@ -110,10 +110,10 @@
         deadline=1,
         repeatable=False,
     )
-    assert not may_repeat(create_stage("hold"), request)
-    assert may_repeat(create_stage("scan", kind=StageKind.RETRIEVE), request)
+    assert not may_retry(create_stage("hold"), request)
+    assert may_retry(create_stage("scan", kind=StageKind.RETRIEVE), request)
     forbidden = create_stage("scan", kind=StageKind.RETRIEVE, repeatable=False)
-    assert not may_repeat(forbidden, request)
+    assert not may_retry(forbidden, request)
 
 
 def test_tokens_are_never_repeated_or_contradicted():
