--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -10,7 +10,7 @@
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
-from greengagelatch.stages.retries import GiveUp, RetryRules, decide_retry
+from greengagelatch.stages.retries import NoRetryReason, RetryRules, decide_retry
 from greengagelatch.targets import FailureKind
 
 from .racing import CallResult, race
@@ -181,7 +181,7 @@
             return None
         self._metrics.count(f"attempts.given_up.{reason.value}")
         code = RefusalCode.STAGE_FAILED
-        if reason in (GiveUp.OVER, GiveUp.NO_TIME):
+        if reason in (NoRetryReason.OVER, NoRetryReason.NO_TIME):
             code = RefusalCode.DEADLINE
         elif failure.kind is FailureKind.TARGET_REFUSED:
             code = RefusalCode.OVERLOADED
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -10,10 +10,10 @@
 from ..targets import CallFailure, FailureKind
 from ..verdict import Verdict
 
-__all__ = ("GiveUp", "RetryRules", "decide_retry", "may_retry", "needs_cancel")
+__all__ = ("NoRetryReason", "RetryRules", "decide_retry", "may_retry", "needs_cancel")
 
 
-class GiveUp(Enum):
+class NoRetryReason(Enum):
     """Why a failed call is not made again."""
 
     #: the deadline passed or the caller left
@@ -67,22 +67,22 @@
     repeatable: bool,
     attempts: int,
     remaining: float,
-) -> GiveUp | None:
+) -> NoRetryReason | None:
     """Return why the call must not be made again, or ``None`` if it may.
 
     :param attempts: attempts made at this stage so far
     :param remaining: seconds left of the request's deadline
     """
     if failure.kind in _OVER:
-        return GiveUp.OVER
+        return NoRetryReason.OVER
     # a second call whose first one ran doubles its side effect: a booking shows up
     # twice. Only the proof that nothing ran makes it safe, never the kind of error
     if not repeatable and failure.verdict is not Verdict.NOT_RUN:
-        return GiveUp.NOT_REPEATABLE
+        return NoRetryReason.NOT_REPEATABLE
     if attempts >= rules.max_attempts:
-        return GiveUp.ATTEMPTS
+        return NoRetryReason.ATTEMPTS
     if remaining < rules.min_remaining:
-        return GiveUp.NO_TIME
+        return NoRetryReason.NO_TIME
     return None
 
 
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -15,7 +15,7 @@
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import plan_by_share
 from greengagelatch.stages.retries import (
-    GiveUp,
+    NoRetryReason,
     RetryRules,
     decide_retry,
     may_retry,
@@ -77,9 +77,9 @@
         RetryRules(), failure, repeatable=repeatable, attempts=1, remaining=1.0
     )
     if kind in OVER:
-        assert reason is GiveUp.OVER
+        assert reason is NoRetryReason.OVER
     elif not repeatable and verdict is not Verdict.NOT_RUN:
-        assert reason is GiveUp.NOT_REPEATABLE
+        assert reason is NoRetryReason.NOT_REPEATABLE
     else:
         assert reason is None
 
@@ -90,9 +90,9 @@
     decide = {"repeatable": True}
     assert decide_retry(rules, failure, attempts=1, remaining=1, **decide) is None
     late = decide_retry(rules, failure, attempts=1, remaining=0.05, **decide)
-    assert late is GiveUp.NO_TIME
+    assert late is NoRetryReason.NO_TIME
     often = decide_retry(rules, failure, attempts=2, remaining=1, **decide)
-    assert often is GiveUp.ATTEMPTS
+    assert often is NoRetryReason.ATTEMPTS
 
 
 def test_caller_that_forbids_repeats_protects_undeclared_plain_services():
