--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
@@ -12,7 +12,7 @@
 from greengagelatch.request import Answer
 from greengagelatch.stages.graph import build_input, find_ready
 from greengagelatch.stages.ledger import AttemptLedger
-from greengagelatch.stages.plan import StagePlan, plan_by_share
+from greengagelatch.stages.plan import StagePlan, divide_by_share
 from greengagelatch.stages.retries import may_retry
 from greengagelatch.verdict import Verdict
 
@@ -95,7 +95,7 @@
         attempts: AttemptMaker,
         clock: Clock,
         metrics: Metrics,
-        plan: StagePlan = plan_by_share,
+        plan: StagePlan = divide_by_share,
         prioritise: Callable[[Exchange, Stage], int] | None = None,
     ) -> None:
         self._attempts = attempts
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -19,7 +19,7 @@
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.load.weights import scale_hedge_delay
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
-from greengagelatch.stages.plan import plan_by_share
+from greengagelatch.stages.plan import divide_by_share
 
 from .entry import Entry, Run, drive
 from .traces import Request
@@ -53,7 +53,7 @@
     def plan(self, run: Run, stage: Stage) -> float:
         request = run.request
         now = self.clock.now()
-        return plan_by_share(request.pipeline, stage, now, request.deadline)
+        return divide_by_share(request.pipeline, stage, now, request.deadline)
 
     def acquire(
         self, ticket: Ticket, receive: Callable[[Result[Grant, Refusal]], None]
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -13,7 +13,7 @@
 from greengagelatch.stages.graph import build_input, find_ready
 from greengagelatch.stages.ledger import AttemptLedger
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
-from greengagelatch.stages.plan import plan_by_share
+from greengagelatch.stages.plan import divide_by_share
 from greengagelatch.stages.retries import (
     NoRetryReason,
     RetryRules,
@@ -176,5 +176,5 @@
     }
     assert build_input(pipeline.stages[0], "given", {}) == "given"
     # a quarter of the way for each of encode and retrieve, half for write
-    assert plan_by_share(pipeline, pipeline.stages[0], 0.0, 4.0) == 1.0
-    assert plan_by_share(pipeline, write, 3.0, 4.0) == 4.0
+    assert divide_by_share(pipeline, pipeline.stages[0], 0.0, 4.0) == 1.0
+    assert divide_by_share(pipeline, write, 3.0, 4.0) == 4.0
