--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -12,7 +12,7 @@
 from greengagelatch.identity import create_id
 from greengagelatch.load import Outcome, OutcomeKind
 from greengagelatch.stages.retries import may_retry, needs_cancel
-from greengagelatch.stages.tokens import TokenCheck, TokenRecord
+from greengagelatch.stages.tokens import TokenCheck, StreamedTokens
 from greengagelatch.targets import CallFailure, FailureKind, StageCall
 from greengagelatch.verdict import Verdict
 
@@ -71,7 +71,7 @@
     charged: bool = False
     #: seconds that failed attempts took
     wasted: float = 0.0
-    tokens: TokenRecord = field(default_factory=TokenRecord)
+    tokens: StreamedTokens = field(default_factory=StreamedTokens)
     #: whether the next attempt asks the target to go on at the present offset
     resume: bool = True
     #: targets that a backup was called in for
--- a/packages/greengagelatch/src/greengagelatch/stages/tokens.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/tokens.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-__all__ = ("TokenCheck", "TokenRecord")
+__all__ = ("TokenCheck", "StreamedTokens")
 
 
 class TokenCheck(Enum):
@@ -17,7 +17,7 @@
     GAP = "gap"
 
 
-class TokenRecord:
+class StreamedTokens:
     """All tokens given to one caller, from offset zero.
 
     When a stream is cut, another target gives the answer again. Without a check
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -20,7 +20,7 @@
     decide_retry,
     may_retry,
 )
-from greengagelatch.stages.tokens import TokenCheck, TokenRecord
+from greengagelatch.stages.tokens import TokenCheck, StreamedTokens
 from greengagelatch.targets import CallFailure, FailureKind
 from greengagelatch.verdict import Verdict
 
@@ -122,7 +122,7 @@
     Sequence: the stream is cut; another target begins again from zero.
     Cause: its tokens were passed on without a look at those already given.
     """
-    record = TokenRecord()
+    record = StreamedTokens()
     assert record.take(0, "a") is TokenCheck.NEW
     assert record.take(1, "b") is TokenCheck.NEW
     assert record.take(0, "a") is TokenCheck.REPEATED
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -67,7 +67,7 @@
         Promise.FALSE_NOT_RUN,
     ),
     "what was already given": Loss(
-        tokens.TokenRecord,
+        tokens.StreamedTokens,
         "take",
         lambda self, offset, text: tokens.TokenCheck.NEW,
         "failing stage",
