--- a/packages/greengagelatch/src/greengagelatch/stages/tokens.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/tokens.py
@@ -36,7 +36,7 @@
         """The tokens given so far."""
         return tuple(self._tokens)
 
-    def take(self, offset: int, text: str) -> TokenCheck:
+    def append(self, offset: int, text: str) -> TokenCheck:
         """Record a token if it is the next one, and say how it relates."""
         if offset == len(self._tokens):
             self._tokens.append(text)
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -123,11 +123,11 @@
     Cause: its tokens were passed on without a look at those already given.
     """
     record = StreamedTokens()
-    assert record.take(0, "a") is TokenCheck.NEW
-    assert record.take(1, "b") is TokenCheck.NEW
-    assert record.take(0, "a") is TokenCheck.REPEATED
-    assert record.take(1, "x") is TokenCheck.CONTRADICTION
-    assert record.take(3, "d") is TokenCheck.GAP
+    assert record.append(0, "a") is TokenCheck.NEW
+    assert record.append(1, "b") is TokenCheck.NEW
+    assert record.append(0, "a") is TokenCheck.REPEATED
+    assert record.append(1, "x") is TokenCheck.CONTRADICTION
+    assert record.append(3, "d") is TokenCheck.GAP
     assert record.tokens == ("a", "b")
 
 
