--- a/packages/greengagelatch/src/greengagelatch/load/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/load/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions under load: who is served, when, and by which target."""
+"""Load management: admission, queueing, load balancing and circuit breaking."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     repeatable: bool = True
     #: whether an earlier stage of the request has already been answered
     begun: bool = False
-    #: text whose equality suggests a shared prompt prefix; empty: none
+    #: affinity key: calls with an equal key probably share a prompt prefix; empty: none
     prefix: str = ""
     #: targets that must not be chosen, such as those that failed this call
     excluded: frozenset[str] = frozenset()
@@ -51,46 +51,48 @@
     target: Target
     #: monotonic seconds
     granted: float
-    #: whether the call is to show if a target that was out of service works again;
-    #: it should get a backup sooner than others
+    #: whether the call probes a target whose circuit breaker is half-open; it should
+    #: be hedged sooner than others
     probe: bool = False
 
 
 class OutcomeKind(Enum):
-    """How a granted call ended, as far as load decisions care."""
+    """How a granted call ended, as reported to the dispatcher."""
 
     SUCCESS = "success"
     FAILURE = "failure"
-    #: the target said it is too busy; nothing ran
+    #: the target rejected the call because it is overloaded; nothing ran
     REJECTED = "rejected"
-    #: the caller left or the deadline passed; says nothing about the target
+    #: the caller disconnected or the deadline passed; no evidence about the target
     ABANDONED = "abandoned"
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How a granted call ended; ``seconds`` is the time it took."""
+    """Result of a granted call; ``seconds`` is its duration."""
 
     kind: OutcomeKind
     seconds: float
-    #: tokens received, where the call was a stream; also of one that was given up
+    #: tokens received if the call was a stream, also if it was abandoned
     tokens: int = 0
 
 
 class Dispatcher(ABC):
-    """Gives calls to targets: queues, chooses and limits."""
+    """Assigns calls to targets: queueing, load balancing, concurrency limits."""
 
     @abstractmethod
     async def acquire(self, ticket: Ticket) -> Result[Grant, Refusal]:
-        """Wait for a target; a refusal comes as soon as waiting is pointless."""
+        """Wait for a target; refuse as soon as the deadline can't be met."""
 
     def record_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
-        """Take in that a granted stream has begun, ``seconds`` after it was sent.
+        """Record the time to first token of a granted stream.
 
-        A target that has become slow shows it in the first token long before any
-        of its streams ends.
+        A target that has become slow shows it in the time to first token long
+        before any of its streams ends.
+
+        :param seconds: time from sending the call to its first token.
         """
 
     @abstractmethod
     def release(self, grant: Grant, outcome: Outcome) -> None:
-        """Give back a grant, exactly once."""
+        """Release a grant; must be called exactly once."""
--- a/packages/greengagelatch/src/greengagelatch/load/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/load/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request can be answered whole within its deadline."""
+"""Admission control: refuses requests that can't finish within their deadline."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """A request that may be begun."""
+    """A request that has arrived and awaits admission."""
 
     workspace: str
     pipeline: Pipeline
@@ -31,26 +31,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdmissionRule:
-    """Parameters of admission."""
+    """Parameters of admission control."""
 
-    #: percentile of the stages' durations that must fit where targets are idle
+    #: percentile of each stage's duration that must fit while its targets are idle
     idle_percentile: float = 10
 
 
 class Admission(ABC):
-    """Decides at a request's arrival whether it is begun."""
+    """Decides on a request's arrival whether to start it."""
 
     @abstractmethod
     def check(self, arrival: Arrival, now: float) -> Refusal | None:
-        """Return why the request must not be begun, ``None`` if it may."""
+        """Return the refusal of the request, ``None`` if it is admitted."""
 
 
 class EstimateAdmission(Admission):
-    """Adds up what each stage would wait and take if it came now.
+    """Admits by the estimated queueing and service time of all stages.
 
-    A request that is begun and then runs out of time has cost the targets as much
-    as an answered one; under overload most of the work is then for nothing. One
-    that is refused at once can be sent again in good time.
+    A request that starts and then exceeds its deadline costs the targets as much
+    as an answered one, so under overload most of the work would be wasted. A
+    caller that is refused at once still has time to retry.
 
     :param find_service: returns the load of a service by its name.
     """
@@ -79,8 +79,8 @@
         if longest <= remaining:
             return None
         message = (
-            f"pipeline {pipeline.name} needs about {longest * 1000:.0f} ms now and"
-            f" {remaining * 1000:.0f} ms are left"
+            f"pipeline {pipeline.name} needs about {longest * 1000:.0f} ms now but"
+            f" only {remaining * 1000:.0f} ms remain until the deadline"
         )
         waiting = max(waits.values())
         code = RefusalCode.OVERLOADED if waiting > 0 else RefusalCode.DEADLINE
@@ -89,7 +89,7 @@
     def _estimate(
         self, arrival: Arrival, stage: Stage, allotted: float, now: float
     ) -> tuple[float, float]:
-        """Return the seconds that a stage waits, and those that it takes."""
+        """Return the seconds a stage waits in the queue, and those it runs."""
         service = self._find_service(stage.service)
         kind = (arrival.pipeline.name, stage.name)
         if not service.is_busy(now):
--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -1,4 +1,4 @@
-"""Circuit breakers: targets that fail get probes instead of traffic."""
+"""Circuit breakers and outlier ejection of failing or slow targets."""
 
 from __future__ import annotations
 
@@ -18,43 +18,45 @@
     "trip_slow_targets",
 )
 
-#: what a target is known by; ordered
+#: identifies a target; must be orderable
 Key = TypeVar("Key")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BreakerRule:
-    """When a target is taken out of service, and for how long."""
+    """When a target is ejected, and for how long."""
 
-    #: failures in a row that open the breaker
+    #: consecutive failures that open the breaker
     consecutive_failures: int = 3
-    #: failed share of recent calls that opens it
+    #: ratio of failed to recent calls that opens it
     failure_ratio: float = 0.5
-    #: calls over which that share is taken, by an exponentially weighted mean
+    #: calls over which that ratio is averaged, with exponential weights
     calls: int = 10
-    #: slowness, as a multiple of the usual one of the service's targets, that opens it
+    #: slowness that opens it, as a multiple of the median of the service's targets
     slowness: float = 4.0
-    #: weight of one time in the slowness, and times that are needed
+    #: weight of one latency in the moving average, and latencies required before
+    #: the target can count as slow
     slowness_weight: float = 0.2
     min_latencies: int = 3
-    #: seconds it stays open the first time; doubled each time in a row
+    #: seconds that it stays open the first time, doubled on each consecutive
+    #: ejection up to the longest
     min_ejection: float = 2.0
     max_ejection: float = 30.0
-    #: largest share of a service's targets that may be out at once, rounded up
+    #: largest share of a service's targets that may be ejected at once, rounded up
     ejected_share: float = 0.5
 
 
 class BreakerState(Enum):
-    """What a target is given."""
+    """Which calls a target gets: all, none, or single probes."""
 
     CLOSED = "closed"
     OPEN = "open"
-    #: one call at a time, to see whether the target works again
+    #: half-open: one probe at a time checks whether the target has recovered
     HALF_OPEN = "probing"
 
 
 class Breaker:
-    """Watches the calls to one target."""
+    """Circuit breaker of one target."""
 
     def __init__(self, rule: BreakerRule, random_source: random.Random) -> None:
         self._rule = rule
@@ -72,37 +74,37 @@
 
     @property
     def slowness(self) -> float:
-        """How long its calls take, as a multiple of the service's median."""
+        """Average latency of its calls, as a multiple of the service's median."""
         return self._slowness
 
     @property
     def ejection_score(self) -> float:
-        """How bad the target is, to compare it with others of its service."""
+        """Rank for ejection among the targets of a service; higher is worse."""
         return self._failed * self._rule.slowness + self._slowness
 
     def read_state(self, now: float) -> BreakerState:
-        """Return what the target may be given at ``now``."""
+        """Return the state of the breaker at ``now``."""
         if not self._open:
             return BreakerState.CLOSED
         return BreakerState.OPEN if now < self._until else BreakerState.HALF_OPEN
 
     @property
     def is_slow(self) -> bool:
-        """Whether enough is known to call the target slow, if others are not."""
+        """Whether there are enough latencies to compare the target with others."""
         return not self._open and self._timed >= self._rule.min_latencies
 
     def record_success(self) -> bool:
-        """Take in an answer; whether it brings the target back into service."""
+        """Record an answer; return whether it closes the breaker."""
         self._in_a_row = 0
         self._record(0.0)
         return self._probing and self._settle_probe()
 
     def record_failure(self, now: float) -> None:
-        """Take in a call without an answer that is the target's doing."""
+        """Record a call that failed because of the target."""
         self._in_a_row += 1
         self._record(1.0)
         if self._open:
-            # it is out already, and the pause before the next probe is set
+            # already open, and the time of the next probe is set
             return
         enough = self._calls >= self._rule.calls
         if self._in_a_row >= self._rule.consecutive_failures or (
@@ -111,30 +113,30 @@
             self.trip(now)
 
     def record_latency(self, ratio: float) -> None:
-        """Take in a time that was ``ratio`` times the service's median.
+        """Record a latency that was ``ratio`` times the service's median.
 
-        It may be that of a whole call, of a first token, of each token, or how long
-        a call has been out so far. A target that has become ten times slower
-        answers nothing for a long time; waiting for its answers would send it work
-        all the while.
+        This may be the duration of a call, the time to first token, the time per
+        token, or the time since an unanswered call was sent. A target that has
+        become ten times slower sends no answers for a long time, and would get
+        more calls until then if only answers counted.
         """
         self._timed += 1
         self._last_ratio = ratio
         self._slowness += (ratio - self._slowness) * self._rule.slowness_weight
 
     def begin_probe(self, now: float) -> None:
-        """Take in that a call was sent to see whether the target works again.
+        """Record that a probe was sent.
 
-        The next one follows after another pause only, whatever becomes of this one:
-        it may well be given up without a word on the target.
+        The next one is sent only after another ejection time, whatever the result
+        of this one: a probe may be abandoned without any result.
         """
         self.trip(now)
         self._probing = True
 
     def trip(self, now: float) -> None:
-        """Take the target out of service for a while."""
+        """Open the breaker for the present ejection time."""
         self._open = True
-        # jitter: or all instances would probe a weak target at the same moment
+        # jitter, so that the instances don't all probe a weak target at once
         self._until = now + self._pause * self._random.uniform(0.75, 1.25)
         self._pause = min(self._pause * 2, self._rule.max_ejection)
 
@@ -157,11 +159,11 @@
 def trip_slow_targets(
     breakers: Iterable[Breaker], rule: BreakerRule, now: float
 ) -> None:
-    """Trip the breakers of targets that are far slower than their service's others.
+    """Trip the breakers of targets that are much slower than their service's median.
 
-    Compared with the median of all, a service that is slow as a whole has no slow
-    target: its load is a matter of limits, and taking targets out would only make
-    it worse.
+    In a service that is slow as a whole no target exceeds the median by much. Such
+    an overload is left to the concurrency limits, as ejecting targets would only
+    make it worse.
     """
     known = tuple(breakers)
     if len(known) < 2:
@@ -175,12 +177,12 @@
 def find_ejected(
     breakers: Iterable[tuple[Key, Breaker]], rule: BreakerRule, now: float
 ) -> frozenset[Key]:
-    """Return which targets of one service are out, by what each is known by.
+    """Return the keys of the targets of one service that are ejected.
 
-    One instance's view may be wrong about all targets at once, when its own network
-    is at fault or the whole service is slow. It would then stop serving a service
-    that others reach. So only the worst are out, up to the rule's share, and the
-    last one never is.
+    An instance can be wrong about all targets at once, if its own network is at
+    fault or the whole service is slow, and would then refuse calls of a service
+    that others can reach. So only the worst targets are ejected, up to the rule's
+    share, and never the last one.
     """
     known = tuple(breakers)
     bad = [
--- a/packages/greengagelatch/src/greengagelatch/load/budgets.py
+++ b/packages/greengagelatch/src/greengagelatch/load/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets that bound extra calls to a share of the ordinary ones."""
+"""Retry budgets: bound retries and hedged calls to a share of first attempts."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BudgetRule:
-    """How many extra calls are allowed.
+    """Parameters of a retry budget.
 
-    :param share: extra calls for each ordinary one.
-    :param burst: most extra calls that can be saved up.
-    :param per_second: extra calls each second whatever the traffic, so that an
-        instance with hardly any traffic can still repeat a call.
+    :param share: retries earned by each first attempt.
+    :param burst: most retries that can accumulate.
+    :param per_second: retries earned each second whatever the traffic, so that an
+        instance with hardly any traffic can still retry a call.
     """
 
     share: float
@@ -23,12 +23,11 @@
 
 
 class Budget:
-    """A token bucket filled by ordinary calls.
+    """A token bucket that first attempts fill and retries drain.
 
-    In a general failure every call fails, and repeating each of them doubles or
-    triples the load on what is already failing; one notices targets that stay
-    overloaded after the fault is gone. As extra calls are bounded by a share of
-    the ordinary ones, the load can't rise by more than that share.
+    When every call fails, unbounded retries double or triple the load on targets
+    that are already failing, and keep them overloaded after the fault is gone.
+    With the budget, the load rises by no more than the configured share.
     """
 
     def __init__(self, rule: BudgetRule, now: float) -> None:
@@ -39,12 +38,12 @@
         self.denied = 0
 
     def record_request(self, now: float) -> None:
-        """Count one ordinary call, which earns a share of an extra one."""
+        """Count one first attempt, which earns a share of a retry."""
         self._refill(now)
         self._tokens = min(self._rule.burst, self._tokens + self._rule.share)
 
     def try_spend(self, now: float) -> bool:
-        """Spend one extra call; ``False`` if there is none left."""
+        """Spend one retry; return ``False`` if the budget is exhausted."""
         self._refill(now)
         if self._tokens < 1:
             self.denied += 1
--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -1,4 +1,4 @@
-"""Choice of the target for one call."""
+"""Load balancing: the choice of the target for one call."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChoiceRule:
-    """Parameters of the choice."""
+    """Parameters of load balancing."""
 
-    #: targets looked at in this data centre, and in all others together
+    #: targets sampled in this data centre, and in all others together
     local_samples: int = 2
     remote_samples: int = 2
-    #: load, as a share of the limit, by which a far target must be better
+    #: load, as a share of the limit, that is added to a remote target's cost
     remote_penalty: float = 0.25
-    #: load, as a share of the limit, that a cached prefix is worth
+    #: load, as a share of the limit, that is taken off for a cached prefix
     affinity: float = 1.0
-    #: targets that calls with one prefix are kept to
+    #: targets that calls with one prefix are routed to
     affinity_targets: int = 1
-    #: load, as a multiple of the mean, beyond which affinity counts for nothing
+    #: load, as a multiple of the mean, beyond which affinity is ignored
     affinity_bound: float = 1.25
 
 
 class TargetChoice(ABC):
-    """Picks one of the targets that have room."""
+    """Picks one of the targets that have free capacity."""
 
     @abstractmethod
     def choose(
@@ -43,16 +43,17 @@
     def find_affinity_targets(
         self, views: tuple[TargetView, ...], prefix: str
     ) -> list[TargetView]:
-        """Return the targets that probably hold a prefix and are not overloaded."""
+        """Return the targets that probably cache a prefix and are not overloaded."""
 
 
 class PowerOfTwoChoices(TargetChoice):
-    """The better of a few random targets, near ones and familiar ones first.
+    """Power of two choices: the cheapest of a few random targets.
 
-    If each instance took the target that it believes is the least loaded, all of
-    them would take the same one until the next report; one notices targets that
-    swing between idle and overloaded. Two random ones are enough to keep the load
-    even, and instances then differ in what they look at.
+    Remote targets cost more, and those with prefix affinity less. If each instance
+    took the least loaded target of all, every instance would take the same one
+    until the next load report, and targets would swing between idle and overloaded.
+    Two random candidates are enough to balance the load, and differ from instance
+    to instance.
     """
 
     def __init__(self, rule: ChoiceRule) -> None:
@@ -75,10 +76,10 @@
     def _draw_cost(
         self, view: TargetView, familiar: bool, random_source: random.Random
     ) -> float:
-        """Return the cost of a call at a target, for one load it may have by now.
+        """Return the cost of a call at a target, for a randomly drawn load.
 
-        However little an old report says, all instances would act on it alike; a
-        drawn load differs between them, the more the older the report.
+        All instances see the same report and would otherwise act on it alike. The
+        drawn loads differ between them, and the more the older the report is.
         """
         held = view.expected_in_flight + random_source.gauss(0.0, view.deviation)
         cost = (max(0.0, held) + 1) / view.limit * view.slowness
@@ -91,9 +92,9 @@
     def find_affinity_targets(
         self, views: tuple[TargetView, ...], prefix: str
     ) -> list[TargetView]:
-        # which they are follows from a hash, so that all instances agree without a
-        # message, also when cache events are late or missing; a target that is said
-        # to hold the prefix goes first
+        # rendezvous hashing, so that all instances agree without communication, also
+        # if cache events are late or missing; targets that report the prefix as
+        # cached come first
         if not prefix:
             return []
         ranked = sorted(views, key=lambda view: _rank(view, prefix))
--- a/packages/greengagelatch/src/greengagelatch/load/concurrency.py
+++ b/packages/greengagelatch/src/greengagelatch/load/concurrency.py
@@ -1,4 +1,4 @@
-"""How many calls side by side serve a service best, learnt from its throughput."""
+"""Tuning of a service's concurrency per target by its throughput."""
 
 from __future__ import annotations
 
@@ -7,50 +7,49 @@
 
 __all__ = ("ConcurrencyTuner",)
 
-#: seconds after which a measured call counts for about a third
+#: time constant, in seconds, with which measured calls lose weight
 MEMORY = 30.0
-#: seconds that the calls of a range must have taken for it to count
+#: total seconds of calls that a range needs for its throughput to count
 MIN_TAKEN = 15.0
-#: seconds between two changes: calls must end before one shows
+#: seconds between two changes: calls must end before the effect of one shows
 INTERVAL = 2.0
-#: part of the present value by which it is changed
+#: change of the value, as a fraction of it
 STEP = 0.08
-#: edges of the ranges below, around and above the present value, as parts of it
+#: edges of the ranges below, around and above the present value, as multiples of it
 EDGES = (0.65, 0.92, 1.08, 1.5)
-#: part of the present throughput that is good enough with fewer calls: the last
-#: few per cent of it cost the most latency
+#: fraction of the present throughput that suffices at a lower concurrency: the last
+#: few per cent of throughput cost the most latency
 ENOUGH = 0.95
-#: part of the present throughput that more calls must give
+#: multiple of the present throughput that a higher concurrency must reach
 BETTER = 1.03
-#: lowest value, as a part of the capacity that targets tell
+#: lowest value, as a fraction of the capacity that targets report
 FLOOR = 0.25
 
-#: bounds of what the line through the measured points is trusted for
+#: bounds of the slowdown extrapolated by linear regression
 LEAST_SLOWDOWN = 0.5
 MOST_SLOWDOWN = 3.0
 
 
 class _Point(NamedTuple):
-    """Seconds that calls took at one concurrency, and the work they did in it."""
+    """Total seconds of the calls at one concurrency, and the work they did."""
 
     taken: float
     work: float
 
 
 class ConcurrencyTuner:
-    """Looks for the smallest concurrency that gives almost all of the throughput.
+    """Finds the lowest concurrency that gives almost the full throughput.
 
-    A target that batches answers more calls a second the more it holds, up to a
-    knee; it tells the number that it can hold, which may lie far beyond. Past the
-    knee more calls only make each of them slower: one notices drafts that end late
-    although no target is idle.
+    The throughput of a target that batches rises with its concurrency up to a knee.
+    The capacity it reports may lie far beyond that knee, where more concurrent calls
+    only make each of them slower and calls miss their deadlines.
 
-    By Little's law ``n`` calls side by side that each do ``w`` work in ``s`` seconds
+    By Little's law ``n`` concurrent calls that each do ``w`` work in ``s`` seconds
     give a throughput of ``n * w / s``. Work is counted in tokens, over all targets
-    of the service: how long whole calls take varies far too much to see the knee
-    within minutes. While calls wait, the value goes down as long as fewer do as
-    well, and up where more do better; else it drifts back to the capacity, as
-    nothing is learnt about what is not used.
+    of the service, as the durations of whole calls vary too much to find the knee
+    within minutes. While calls are queued, the value is lowered as long as a lower
+    concurrency does as well, and raised if a higher one does better. Otherwise it
+    drifts back to the capacity, as unused concurrency can't be measured.
     """
 
     def __init__(self) -> None:
@@ -60,11 +59,11 @@
         self._value: float | None = None
 
     def record(self, held: float, taken: float, work: float, now: float) -> None:
-        """Take in a call.
+        """Record a call.
 
-        :param held: calls that its target held meanwhile.
+        :param held: calls in flight at its target meanwhile.
         :param taken: seconds the call took.
-        :param work: tokens it got.
+        :param work: tokens received.
         """
         self._fade(now)
         at = max(1, round(held))
@@ -72,9 +71,9 @@
         self._points[at] = _Point(point.taken + taken, point.work + work)
 
     def update(self, capacity: float, *, pressed: bool, now: float) -> float:
-        """Return the concurrency to keep to, at most ``capacity``.
+        """Adjust and return the concurrency limit, at most ``capacity``.
 
-        :param pressed: whether calls wait, so that all that is allowed is used.
+        :param pressed: whether calls are queued, so that the limit is fully used.
         """
         value = capacity if self._value is None else min(self._value, capacity)
         if self._points and now - self._changed >= INTERVAL:
@@ -84,12 +83,12 @@
         return self._value
 
     def estimate_slowdown(self, held: float) -> float:
-        """Return how long a token takes at a concurrency, relative to the mean.
+        """Return the time per token at a concurrency, relative to the mean.
 
-        1 where too little is known. Calls take seconds, so what has been measured
-        tells of the load as it was; this tells at once what a change of load will
-        do to calls that start now. Without it admission acts seconds late and
-        swings between too much and too little.
+        The result is 1 if too little is measured. Calls take seconds, so measured
+        durations reflect a past load; this predicts how the present load affects
+        calls that start now. Without it admission reacts seconds late and
+        oscillates between admitting too much and too little.
         """
         taken = sum(point.taken for point in self._points.values())
         work = sum(point.work for point in self._points.values())
@@ -118,7 +117,7 @@
         return value
 
     def _measure(self, low: float, high: float) -> float | None:
-        """Return the throughput of a range, ``None`` if too little is known."""
+        """Return the throughput of a range, ``None`` if too little is measured."""
         taken = work = 0.0
         for at, point in self._points.items():
             if low < at <= high:
--- a/packages/greengagelatch/src/greengagelatch/load/deadlines.py
+++ b/packages/greengagelatch/src/greengagelatch/load/deadlines.py
@@ -1,4 +1,4 @@
-"""Division of a request's deadline among its stages by measured durations."""
+"""Per-stage deadlines, from a request's deadline and measured durations."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 #: percentile of the durations by which a deadline is divided
 SPLIT_PERCENTILE = 95
-#: percentile by which later stages are expected to take their time
+#: percentile of the durations that is expected of later stages
 REST_PERCENTILE = 50
 
 
 class DeadlinePlan:
-    """Divides what remains of a deadline each time that a stage starts.
+    """Divides the remaining time among the stages each time that one starts.
 
-    Declared shares are a guess of whoever wrote the pipeline; a stage that takes
-    longer than its share looks late from its start while others idle. So measured
-    percentiles decide, and shares stand in for stages not measured yet. As each
-    division starts from what then remains, time saved by one stage is handed on.
+    The declared shares are only the pipeline author's estimate: a stage that needs
+    more than its share would look late from its start while others idle. So the
+    measured percentiles decide, and shares are used only for stages that are not
+    measured yet. As each division covers the time that then remains, time saved
+    by one stage is available to the later ones.
 
     :param find_pipeline: returns the pipeline of a name, ``None`` if unknown.
     """
@@ -47,10 +48,10 @@
         return now + remaining * own / (own + below)
 
     def estimate_remaining(self, ticket: Ticket, now: float) -> float:
-        """Return seconds that the stages after the ticket's own take without a queue.
+        """Return the seconds that the stages after the ticket's take, unqueued.
 
-        A call whose request can't be answered in time any more is refused by this,
-        or its targets would work for nothing.
+        Used to refuse calls of requests that can't meet their deadline any more, as
+        the work on them would be wasted.
         """
         pipeline = self._find_pipeline(ticket.pipeline)
         if pipeline is None:
@@ -60,9 +61,9 @@
     def estimate_after(
         self, pipeline: Pipeline, stage_name: str, percentile: float, now: float
     ) -> float:
-        """Return seconds of the longest way from the end of a stage to the answer.
+        """Return seconds of the critical path from the end of a stage to the answer.
 
-        Stages that were never measured count nothing.
+        Stages that were never measured count as zero.
         """
         seconds = {
             stage.name: self._durations.estimate(
@@ -75,7 +76,7 @@
     def _estimate_stages(
         self, pipeline: Pipeline, percentile: float, now: float
     ) -> dict[str, float]:
-        """Return seconds by stage; shares scaled to them where nothing is measured."""
+        """Return seconds by stage; unmeasured stages get their share, scaled."""
         measured: dict[str, float] = {}
         shares = 0.0
         for stage in pipeline.stages:
@@ -94,7 +95,7 @@
 def measure_downstream(
     pipeline: Pipeline, stage_name: str, seconds: dict[str, float]
 ) -> float:
-    """Return the longest way through stages that need the result of one."""
+    """Return the length of the critical path through the stages after one."""
     below: dict[str, float] = {}
     for stage in reversed(pipeline.stages):
         longest = 0.0
--- a/packages/greengagelatch/src/greengagelatch/load/durations.py
+++ b/packages/greengagelatch/src/greengagelatch/load/durations.py
@@ -11,19 +11,19 @@
 
 #: histogram units in one second: a tenth of a millisecond each
 UNITS = 10_000
-#: longest duration that is told apart from longer ones, in seconds
+#: longest duration that the histogram distinguishes, in seconds
 LONGEST = 3600
-#: significant digits: durations are told apart to about six in a hundred; with two
-#: digits, finding a percentile took ten times as long and half of the processor
-#: time of all decisions
+#: significant digits: durations are resolved to about six in a hundred; with two
+#: digits, a percentile takes ten times as long, half of the processor time of all
+#: decisions
 DIGITS = 1
-#: seconds for which a computed percentile is used again
+#: seconds for which a computed percentile is cached
 CACHED = 0.5
-#: fewer durations than this say nothing
+#: fewest samples from which a percentile is computed
 MIN_SAMPLES = 8
-#: windows without any duration after which the last ones say nothing any more
+#: windows without any sample after which the last percentiles count as outdated
 STALE_WINDOWS = 2
-#: windows over which the lowest median counts as the one without load
+#: windows whose lowest median is taken as the duration without load
 BASELINE_WINDOWS = 30
 
 
@@ -42,7 +42,7 @@
 
     def rotate(self, now: float, window: float) -> None:
         if self.current.get_total_count() < MIN_SAMPLES:
-            # rare calls keep their history until there is something newer
+            # rare calls keep their history until there are enough new samples
             self.rotated = now
             return
         self.baseline.append(self.current.get_value_at_percentile(50) / UNITS)
@@ -55,9 +55,9 @@
     """Percentiles of durations by kind of call.
 
     A percentile covers the present window and the one before it, so it follows a
-    change within two windows and never rests on a handful of calls alone.
+    change within two windows but never depends on a handful of calls alone.
 
-    :param window: seconds after which a new window begins.
+    :param window: length of a window in seconds.
     """
 
     def __init__(self, window: float = 10.0) -> None:
@@ -77,7 +77,7 @@
     def estimate(
         self, kind: Hashable, percentile: float, now: float, prior: float
     ) -> float:
-        """Return the percentile in seconds, ``prior`` where too little is known."""
+        """Return the percentile in seconds, ``prior`` if there are too few samples."""
         series = self._series.get(kind)
         if series is None:
             return prior
@@ -88,8 +88,8 @@
         if value is None:
             return prior
         if now - series.recorded > STALE_WINDOWS * self._window:
-            # a service that was slow and is given no calls for it would otherwise
-            # count as slow for good
+            # a service that was slow and gets no calls because of that would
+            # otherwise count as slow forever
             value = min([value, *series.baseline])
         series.cache[percentile] = (now, value)
         return value
--- a/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
@@ -1,4 +1,4 @@
-"""Which targets of a service have room for which calls."""
+"""Free capacity of a service's targets, by kind of call."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 __all__ = ("FreeCapacity",)
 
-#: share of the limits that calls take up from which a service counts as busy
+#: utilization of the limits above which a service counts as busy
 BUSY_SHARE = 0.5
-#: a probe goes only to a call that has this many times its duration left
+#: minimum remaining time of a call used as a probe, as a multiple of its duration
 PROBE_SLACK = 2.0
 
 
 class FreeCapacity(SelectionFilter):
-    """The room of all targets of one service while calls are being granted.
+    """Free capacity of one service's targets while calls are being granted.
 
-    Long calls leave a share of each limit free, so that a short call which comes
-    while long ones fill the service starts at once. While a long call waits, the
-    short ones keep to that share, so that neither kind can shut out the other.
+    A share of each limit is reserved for short calls, so that they start at once
+    even if long calls fill the rest of the service. While a long call is queued,
+    short calls are confined to that share, so that neither kind starves the other.
 
-    Each instance may always use its own share of a limit, whatever it believes of
-    the others: with stale reports it could otherwise shut itself out.
+    Each instance may always use its own share of a limit, whatever it estimates for
+    the others: with stale reports it could otherwise lock itself out.
     """
 
     def __init__(
@@ -45,12 +45,12 @@
 
     @property
     def views(self) -> tuple[TargetView, ...]:
-        """All targets as they are now."""
+        """Snapshots of all targets, including calls granted since."""
         return tuple(self._views.values())
 
     @property
     def busy(self) -> bool:
-        """Whether the targets are so full that calls take clearly longer."""
+        """Whether utilization is so high that calls take clearly longer."""
         limit = sum(view.limit for view in self._list_sound())
         return (
             sum(view.expected_in_flight for view in self._list_sound())
@@ -59,25 +59,26 @@
 
     @property
     def mean_held(self) -> float:
-        """Calls that a target in service holds, on average."""
+        """Mean number of calls in flight at the targets that are not ejected."""
         sound = self._list_sound()
         return sum(view.expected_in_flight for view in sound) / max(1, len(sound))
 
     def begin(self, *, long_waits: bool, rush: bool) -> None:
         """Prepare for one selection.
 
-        :param long_waits: a long call is among those that wait.
-        :param rush: several calls wait, as they then probably do everywhere.
+        :param long_waits: whether a long call is queued.
+        :param rush: whether several calls are queued, as they then probably are on
+            all instances.
         """
         self._long_waits = long_waits
         self._rush = rush
 
     def accepts(self, waiting: QueuedCall) -> bool:
-        """Whether some target has room for the call."""
+        """Whether some target has free capacity for the call."""
         return any(self._fits(view, waiting) for view in self._views.values())
 
     def prefers(self, waiting: QueuedCall) -> bool:
-        """Whether a target that has room probably holds the call's prefix."""
+        """Whether a target with free capacity probably caches the call's prefix."""
         prefix = waiting.ticket.prefix
         if not prefix:
             return False
@@ -85,7 +86,7 @@
         return any(self._fits(view, waiting) for view in familiar)
 
     def choose(self, waiting: QueuedCall, now: float) -> TargetView:
-        """Return the target for a call that :meth:`suits` has accepted."""
+        """Return the target for a call that :meth:`accepts` has accepted."""
         fitting = tuple(v for v in self._views.values() if self._fits(v, waiting))
         probe = self._find_probe(fitting, waiting, now)
         if probe is not None:
@@ -94,7 +95,7 @@
         return self._choice.choose(sound, waiting.ticket.prefix, self._random)
 
     def take(self, view: TargetView, *, long: bool) -> float:
-        """Count a call given to a target; return how many it held before."""
+        """Count a granted call; return the calls in flight there before it."""
         self._views[view.target.target_id] = replace(
             view,
             mine=view.own_in_flight + 1,
@@ -131,24 +132,25 @@
         return view.own_in_flight - view.own_long_in_flight < reserved
 
     def _has_long_share(self) -> bool:
-        """Whether long calls leave enough of this instance's own share to short ones.
+        """Whether a long call may use this instance's own share of the limits.
 
-        It is counted over all targets: of a share of one call at each of them, no
-        part could be left free at any single one.
+        A part of that share is reserved for short calls. It is counted over all
+        targets: if the share is a single call at each of them, no part of it can be
+        reserved per target.
         """
         sound = self._list_sound()
         own = sum(view.guaranteed for view in sound) * (1 - self._short_share)
         return sum(view.own_long_in_flight for view in sound) < max(1, int(own))
 
     def _may_share(self, view: TargetView) -> bool:
-        """Whether this instance may use room that is nobody's own."""
+        """Whether this instance may use capacity beyond its own share."""
         return not self._rush or view.burst_room > 0
 
     def _may_probe(self, waiting: QueuedCall) -> bool:
-        """Whether a call is fit to try a target that was out of service.
+        """Whether a call may be used to probe an ejected target.
 
-        Long calls are not: on a target that is still slow they cost it, and
-        themselves, seconds; nor are those that could not be made again elsewhere.
+        Long calls may not, as they would take seconds on a target that is still
+        slow; nor may calls that can't be retried on another target.
         """
         ticket = waiting.ticket
         return ticket.repeatable and not ticket.retry and not waiting.long
--- a/packages/greengagelatch/src/greengagelatch/load/limits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/limits.py
@@ -1,4 +1,4 @@
-"""How many calls a target is given side by side."""
+"""Concurrency limits of targets."""
 
 from __future__ import annotations
 
@@ -12,68 +12,68 @@
 class LimitRule:
     """Parameters of the adaptive limit."""
 
-    #: limit for a target that has not told its capacity
+    #: limit for a target that has not reported its capacity
     initial: float = 8.0
     lowest: float = 1.0
     highest: float = 1024.0
-    #: seconds of waiting at a target that are allowed beyond its capacity. What an
-    #: instance knows of a target's load is up to a report's interval old, many
-    #: calls of a fast service; without some calls waiting there its workers idle
+    #: seconds of queueing at a target that are allowed beyond its capacity. Load
+    #: reports are up to one interval old, which is many calls of a fast service;
+    #: without a short queue at the target its workers would idle meanwhile
     wait: float = 0.1
-    #: most calls held as a multiple of the capacity
+    #: highest limit, as a multiple of the capacity
     stretch: float = 4.0
-    #: latency, as a multiple of the one without load, that is taken as overload
+    #: latency, as a multiple of the one without load, that counts as overload
     tolerance: float = 3.0
-    #: seconds between two changes, at least: a change must show in the latency
-    #: before the next one
+    #: minimum seconds between two changes: the latency must reflect one before the
+    #: next
     interval: float = 0.5
-    #: calls between two changes, at least
+    #: minimum calls between two changes
     samples: int = 4
-    #: factor on a rejection by the target
+    #: factor on the limit after a rejection by the target
     decrease: float = 0.85
     #: largest decrease in one change
     lowest_factor: float = 0.7
 
 
 class ConcurrencyLimit(ABC):
-    """The number of calls one target should hold, those of all instances together."""
+    """Limit on the calls in flight at one target, over all instances."""
 
     @property
     @abstractmethod
     def value(self) -> float:
-        """The limit at present, at least 1."""
+        """The present limit, at least 1."""
 
     @abstractmethod
     def update_capacity(self, capacity: float, longest: float) -> None:
-        """Take in how many calls the target serves side by side.
+        """Update the number of calls that the target can serve concurrently.
 
         :param longest: seconds that its longest calls take without load, 0 if unknown.
         """
 
     @abstractmethod
     def reset(self, now: float) -> None:
-        """Begin again from the lowest limit, as the target was out of service."""
+        """Restart from the lowest limit, after the target was ejected."""
 
     @abstractmethod
     def record_latency(self, ratio: float, held: float, now: float) -> None:
-        """Take in a call that took ``ratio`` times what it takes without load.
+        """Record a call that took ``ratio`` times its duration without load.
 
-        :param held: calls the target held at that time, of all instances.
+        :param held: calls in flight at the target at that time, of all instances.
         """
 
     @abstractmethod
     def record_rejection(self, held: float, now: float) -> None:
-        """Take in that the target turned down a call as it holds too many."""
+        """Record that the target rejected a call because of overload."""
 
 
 class AdaptiveLimit(ConcurrencyLimit):
-    """Additive increase, multiplicative decrease on latency.
+    """Additive increase, multiplicative decrease (AIMD) on latency.
 
-    A target that batches continuously answers more calls a second the more it
-    holds, each of them more slowly, up to a knee; beyond it only the latency grows.
-    The limit rises while it is made use of and latency stays within the tolerance,
-    and falls in proportion when it does not. All instances see the same target's
-    latency, so their limits agree without a message.
+    The throughput of a target with continuous batching rises with its concurrency
+    up to a knee; beyond it only the latency grows. The limit rises while it is used
+    and the latency stays within the tolerance, and falls in proportion to the
+    excess otherwise. All instances see the same target's latency, so their limits
+    agree without communication.
     """
 
     def __init__(self, rule: LimitRule) -> None:
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the load of one target."""
+"""Load of one target as this instance estimates it."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 
 __all__ = ("Estimate", "TargetLoad", "TargetView")
 
-#: changes of the number in flight that are kept to be compared with a late report
+#: changes of the number in flight that are kept, to match reports that arrive late
 HISTORY = 1024
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetView:
-    """One target at one moment, as the choice between targets sees it."""
+    """Snapshot of one target for load balancing."""
 
     target: Target
-    #: calls of this instance that the target holds
+    #: calls of this instance in flight at the target
     own_in_flight: int
-    #: those of them that belong to the service's long calls
+    #: those among them that are long calls of the service
     own_long_in_flight: int
-    #: calls that the target holds by expectation, those of all instances together
+    #: estimated calls in flight at the target, of all instances
     expected_in_flight: float
-    #: calls it should hold at most
+    #: concurrency limit over all instances
     limit: float
-    #: standard deviation of ``held``, as reports are old
+    #: standard deviation of ``expected_in_flight``, which grows with a report's age
     deviation: float = 0.0
-    #: calls that this instance may have there whatever it believes of the others
+    #: calls that this instance may have there whatever the load of the others
     guaranteed: int = 0
-    #: further calls that it may send there while calls wait everywhere
+    #: further calls that it may send there while calls are queued on all instances
     burst_room: int = 0
-    #: how long its calls take, as a multiple of the service's median
+    #: average latency of its calls, as a multiple of the service's median
     slowness: float = 1.0
     #: whether it is in this instance's data centre
     local: bool = True
-    #: whether it is out of service but for a probe
+    #: whether it is ejected and gets at most a probe
     ejected: bool = False
-    #: whether it may be given a probe now
+    #: whether its circuit breaker is half-open, so that it may get a probe now
     half_open: bool = False
     cached_prefixes: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """An expected number and its standard deviation."""
+    """A mean and its standard deviation."""
 
     mean: float
     deviation: float
 
 
 class TargetLoad:
-    """Calls in flight, limit and breaker of one target."""
+    """Calls in flight, concurrency limit and circuit breaker of one target."""
 
     def __init__(
         self,
@@ -74,35 +74,36 @@
         self.breaker = Breaker(breaker_rule, random_source)
         self.own_in_flight = 0
         self.own_long_in_flight = 0
-        #: rounds this instance's share of the limit: were it rounded up everywhere,
-        #: many instances would together exceed a small limit many times over
+        #: random offset that rounds this instance's share of the limit: if every
+        #: instance rounded up, many of them would exceed a small limit many times
         self.rounding_offset = random_source.random()
         self._history: deque[tuple[float, int]] = deque(
             [(float("-inf"), 0)], maxlen=HISTORY
         )
         self._report: LoadReport | None = None
-        #: rounds this instance's share of the room that the report shows
+        #: random offset that rounds this instance's share of the reported free
+        #: capacity
         self._report_lot = 0.0
-        #: calls held, summed over all reports, and the number of reports
+        #: calls at the target, summed over all reports, and the number of reports
         self.reported = 0.0
         self.reports = 0
 
     def adjust_in_flight(self, step: int, *, long: bool, now: float) -> None:
-        """Count one call more or less in flight."""
+        """Add ``step``, one or minus one, to the calls in flight."""
         self.own_in_flight += step
         if long:
             self.own_long_in_flight += step
         self._history.append((now, self.own_in_flight))
 
     def is_new(self, report: LoadReport) -> bool:
-        """Whether a report has not been taken in yet."""
+        """Whether a report has not been applied yet."""
         return report is not self._report
 
     def apply_report(self, report: LoadReport, longest: float, knee: float) -> None:
-        """Take in a new report.
+        """Apply a new load report.
 
         :param longest: seconds that the longest calls take without load.
-        :param knee: calls beyond which the service's targets only become slower.
+        :param knee: concurrency beyond which the throughput does not rise.
         """
         self._report = report
         self._report_lot = self._random.random()
@@ -111,10 +112,10 @@
         self.limit.update_capacity(knee, longest)
 
     def count_reported_others(self) -> float | None:
-        """Return the calls of other instances by the newest report, if there is one.
+        """Return the calls of other instances by the latest report, if there is one.
 
-        The report counts this instance's calls too, so what it had in flight when
-        the report was taken is subtracted.
+        The report counts this instance's calls too, so those in flight when the
+        report was taken are subtracted.
         """
         report = self._report
         if report is None:
@@ -122,14 +123,14 @@
         return max(0.0, report.in_flight + report.queued - self._count_then(report))
 
     def estimate_others(self, now: float, usual: float, memory: float) -> Estimate:
-        """Return the calls of other instances that the target holds by expectation.
+        """Return the estimated calls of other instances in flight at the target.
 
-        The older the report, the more counts ``usual``, the mean over the service's
-        targets: a target that looked idle a while ago would otherwise get the calls
-        of every instance at once.
+        The older the report, the greater the weight of ``usual``, the mean over the
+        service's targets: otherwise a target that was idle at its last report would
+        get the calls of every instance at once.
 
-        :param memory: seconds that a call lasts. What a report says holds about as
-            long as the calls that it counted are still there.
+        :param memory: mean duration of a call in seconds. A report stays valid for
+            about as long as the calls that it counted are running.
         """
         others = self.count_reported_others()
         if others is None or self._report is None:
@@ -139,11 +140,11 @@
         return Estimate(mean, sqrt((1 - weight * weight) * usual))
 
     def count_burst_room(self, choosers: float) -> int:
-        """Return how many more calls this instance may send in a rush.
+        """Return how many more calls this instance may send under contention.
 
-        While calls wait everywhere, every instance sees the same free room in the
-        same report and would fill it: one notices targets that hold far more than
-        their limit. So each takes its share of that room until the next report.
+        While calls are queued on all instances, each of them sees the same free
+        capacity in the same report; if all filled it, the target would get far more
+        calls than its limit. So each uses only its share until the next report.
         """
         report = self._report
         if report is None:
@@ -169,7 +170,7 @@
         ejected: bool,
         probing: bool,
     ) -> TargetView:
-        """Return a frozen view for one choice."""
+        """Return an immutable snapshot for load balancing."""
         report = candidate.report
         return TargetView(
             target=candidate.target,
--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -1,4 +1,4 @@
-"""Order of service among the calls that wait for one service."""
+"""Weighted fair queueing of the calls that wait for one service."""
 
 from __future__ import annotations
 
@@ -13,52 +13,53 @@
 
 __all__ = ("FAIR_PERIOD", "CallQueue", "FairQueue", "SelectionFilter", "QueuedCall")
 
-#: one such part of the service ignores priorities, which bounds how long the least
-#: important workspace waits: see :class:`FairQueue`
+#: one part in this many of the service time ignores priorities, which bounds the
+#: wait of the lowest priority: see :class:`FairQueue`
 FAIR_PERIOD = 8
-#: seconds of service by which a workspace may be ahead of its fair share while
-#: urgency still decides
+#: seconds of service by which a workspace may exceed its fair share and still be
+#: selected by urgency
 QUANTUM = 1.0
-#: seconds before a call must start within which none that is merely preferred goes
-#: before it
+#: seconds before a call's safe start time from which no preferred call may be
+#: selected ahead of it
 HURRY = 0.5
-#: calls of a workspace that are looked at in one selection; calls that no target
-#: suits are few, as only those that were tried before exclude any target
+#: calls of a workspace that one selection scans; few calls can't be served by any
+#: free target, as only retried calls exclude targets
 SCANNED = 16
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueuedCall:
-    """A ticket that waits, with what was worked out when it came."""
+    """A queued ticket, with the estimates made on its arrival."""
 
     ticket_id: int
     ticket: Ticket
     entered: float
     #: expected seconds of service
     expected: float
-    #: monotonic seconds by which it should start to keep to its stage's deadline
+    #: monotonic seconds by which it should start to meet its stage's deadline
     start_by: float
-    #: monotonic seconds after which it would probably, or surely, end too late
+    #: monotonic seconds after which it would probably (safe) or certainly (latest)
+    #: miss its deadline
     safe_start: float
     latest_start: float
-    #: whether it belongs to the service's long calls
+    #: whether it is one of the service's long calls
     long: bool = False
 
 
 class SelectionFilter(ABC):
-    """Says which calls can be served now, and which of them would be served best."""
+    """Tells which queued calls can be served now, and which are preferred."""
 
     @abstractmethod
     def accepts(self, waiting: QueuedCall) -> bool:
-        """Whether the call can be served."""
+        """Whether the call can be served now."""
 
     @abstractmethod
     def prefers(self, waiting: QueuedCall) -> bool:
-        """Whether a call that suits would be served with less work than usual."""
+        """Whether an accepted call would cost less than usual, by a cached prefix."""
 
 
 class CallQueue(ABC):
-    """Calls waiting for one service."""
+    """Queue of the calls that wait for one service."""
 
     @abstractmethod
     def push(self, waiting: QueuedCall) -> None:
@@ -66,38 +67,38 @@
 
     @abstractmethod
     def remove(self, ticket_id: int) -> QueuedCall | None:
-        """Take out a call, ``None`` if it isn't there."""
+        """Remove and return a call, ``None`` if it is not queued."""
 
     @abstractmethod
     def select(self, test: SelectionFilter, now: float) -> QueuedCall | None:
-        """Take out the call to be served next among those that suit."""
+        """Remove and return the accepted call to be served next, if any."""
 
     @abstractmethod
     def sum_pending(self, priority: int) -> dict[str, float]:
-        """Return the seconds of service that wait, by workspace.
+        """Return the queued seconds of service by workspace.
 
-        :param priority: calls of lower priorities are left out.
+        :param priority: calls of lower priorities are excluded.
         """
 
     @property
     @abstractmethod
     def has_long_calls(self) -> bool:
-        """Whether a long call waits."""
+        """Whether a long call is queued."""
 
     @abstractmethod
     def __len__(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of queued calls."""
 
     @abstractmethod
     def __iter__(self) -> Iterator[QueuedCall]:
-        """Return all calls that wait, in no particular order."""
+        """Iterate over all queued calls in no particular order."""
 
 
 class _Lane:
-    """The calls of one workspace, short ones and long ones apart.
+    """Queued calls of one workspace, with short and long ones kept separately.
 
-    Where only short calls may start, a search through a thousand long ones on each
-    event would block the loop; so each kind has its own order.
+    When only short calls may start, scanning a thousand long ones on each event
+    would block the event loop.
     """
 
     __slots__ = ("by_age", "by_urgency", "pending", "virtual")
@@ -105,9 +106,9 @@
     def __init__(self) -> None:
         self.by_age: tuple[dict[int, QueuedCall], ...] = ({}, {})
         self.by_urgency = (SortedKeyList(key=_sort_key), SortedKeyList(key=_sort_key))
-        #: seconds of service received, divided by the weight
+        #: virtual time: seconds of service received, divided by the weight
         self.virtual = 0.0
-        #: seconds of service that wait, by priority
+        #: queued seconds of service by priority
         self.pending: dict[int, float] = {}
 
     def __len__(self) -> int:
@@ -125,7 +126,7 @@
         self.by_urgency[waiting.long].remove(waiting)
         self.pending[waiting.ticket.priority] -= waiting.expected
         if not len(self):
-            # sums of floats drift: an empty lane must hold exactly nothing
+            # sums of floats drift, but an empty queue must have none pending
             self.pending.clear()
 
     def find_oldest(self, test: SelectionFilter) -> QueuedCall | None:
@@ -160,21 +161,21 @@
 
 
 class FairQueue(CallQueue):
-    """Priority first, then weighted fair shares, then urgency.
+    """Strict priority, then weighted fair queueing, then earliest start first.
 
     Each workspace has a virtual time: the service it has received, divided by its
     weight. Among the calls of the highest priority, the workspaces whose virtual
     time is within one quantum of the lowest are eligible, and the most urgent of
-    their calls is served. So urgency decides while shares are about even, and the
-    shares decide under overload, when one workspace asks for more than its own.
-
-    Strict priority starves whoever comes last, seen as a workspace with no answer
-    at all while others flood the service. So one part in :data:`FAIR_PERIOD` of the
-    service goes to the oldest call of the workspace with the lowest virtual time,
-    whatever its priority. It is a part of the service, not of the calls: a long call
-    in every eighth place would leave next to nothing to the short ones before it.
+    their calls is served. So urgency decides while the shares are about even, and
+    the shares decide under overload, when a workspace demands more than its share.
+
+    Strict priority would starve the lowest priority while others flood the service.
+    So one part in :data:`FAIR_PERIOD` of the service goes to the oldest call of the
+    workspace with the lowest virtual time, whatever its priority. It is a part of
+    the service time, not of the number of calls: a long call in every eighth place
+    would leave almost no service to the short ones.
     Bound: of ``FAIR_PERIOD * k`` selections in a row among ``k`` workspaces of equal
-    weight and equal calls, each that had a call waiting all the time gets at least
+    weight and equal calls, each that had a call queued all the time gets at least
     one.
 
     :param weigh: returns a workspace's weight, above 0.
@@ -187,11 +188,12 @@
         self._quantum = quantum
         self._lanes: dict[str, _Lane] = {}
         self._waiting: dict[int, QueuedCall] = {}
-        #: lowest virtual time among the workspaces whose calls wait: where newcomers
-        #: start. At the highest, a workspace whose calls come one by one would lose
-        #: what it is behind by each time that its queue is empty
+        #: lowest virtual time among the workspaces with queued calls, at which a
+        #: newly active workspace starts. If it started at the highest, a workspace
+        #: whose calls come one by one would lose its due share whenever its queue
+        #: is empty
         self._virtual = 0.0
-        #: seconds of service that may ignore priorities
+        #: seconds of service that may be given regardless of priority
         self._fair_credit = 0.0
 
     def push(self, waiting: QueuedCall) -> None:
@@ -201,7 +203,7 @@
             self._forget_idle()
             lane = self._lanes[name] = _Lane()
         if not lane:
-            # time without calls earns no claim on service later
+            # idle time earns no credit for later service
             lane.virtual = max(lane.virtual, self._virtual)
         lane.add(waiting)
         self._waiting[waiting.ticket_id] = waiting
@@ -241,7 +243,7 @@
 
     def _choose(self, test: SelectionFilter, now: float) -> QueuedCall | None:
         if len(self._waiting) <= 1:
-            # nobody to be fair to, as for most calls of a service that has room
+            # nothing to arbitrate, which is the common case below saturation
             return _find_first(self._waiting.values(), test.accepts)
         heads = self._find_heads(test, by_age=True)
         if not heads:
@@ -256,7 +258,7 @@
         return chosen
 
     def _forget_idle(self) -> None:
-        """Drop the lanes of workspaces that would start anew at the common time."""
+        """Drop idle workspaces whose virtual time would be reset anyway."""
         for name, lane in tuple(self._lanes.items()):
             if not lane and lane.virtual <= self._virtual:
                 del self._lanes[name]
--- a/packages/greengagelatch/src/greengagelatch/load/refusals.py
+++ b/packages/greengagelatch/src/greengagelatch/load/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that tell when to ask again."""
+"""Refusals with a retry-after time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 __all__ = ("create_refusal",)
 
-#: bounds of the time after which a caller is told to ask again, in seconds
+#: bounds of the retry-after time in seconds
 SHORTEST_RETRY = 0.05
 LONGEST_RETRY = 30.0
 
 
 def create_refusal(code: RefusalCode, message: str, wait: float) -> Refusal:
-    """Return a refusal to ask again after ``wait`` seconds, within bounds."""
+    """Return a refusal with a retry-after time of ``wait`` seconds, within bounds."""
     wait = min(max(wait, SHORTEST_RETRY), LONGEST_RETRY)
     return Refusal(code=code, message=message, retry_after_ms=int(wait * 1000))
--- a/packages/greengagelatch/src/greengagelatch/load/round_robin.py
+++ b/packages/greengagelatch/src/greengagelatch/load/round_robin.py
@@ -1,4 +1,4 @@
-"""A dispatcher without any limits, as a baseline to compare others with."""
+"""Round-robin dispatcher without limits, a baseline for comparisons."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 __all__ = ("RoundRobinDispatcher",)
 
-#: milliseconds after which a service without a target may have one again
+#: milliseconds after which a caller should retry if a service has no target
 NO_TARGET_RETRY_MS = 1000
 
 
 class RoundRobinDispatcher(Dispatcher):
-    """Takes the targets of a service in turn and never makes a call wait."""
+    """Assigns the targets of a service round-robin and never queues a call."""
 
     def __init__(self, *, directory: TargetDirectory, clock: Clock) -> None:
         self._directory = directory
@@ -40,7 +40,7 @@
             return Err(
                 Refusal(
                     code=RefusalCode.NO_TARGET,
-                    message="no target of the service takes calls",
+                    message="the service has no target that accepts calls",
                     field="service",
                     value=ticket.service,
                     retry_after_ms=NO_TARGET_RETRY_MS,
@@ -52,4 +52,4 @@
         return Ok(Grant(next(self._ids), ticket, target, self._clock.now()))
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
-        """Do nothing: without limits there is nothing to give back."""
+        """Do nothing: without limits there is nothing to release."""
--- a/packages/greengagelatch/src/greengagelatch/load/safety_factor.py
+++ b/packages/greengagelatch/src/greengagelatch/load/safety_factor.py
@@ -1,4 +1,4 @@
-"""How much longer than usual a call is taken to last before it is started."""
+"""Adaptive safety factors on the estimated durations of calls."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 __all__ = ("SafetyFactor",)
 
-#: factor by which one call that ended too late lengthens what is assumed, at most
+#: largest increase of the factor for one call that ended after its deadline
 STEP = 0.15
 #: bounds of the factor
 LOWEST = 1.0
 HIGHEST = 4.0
-#: seconds without a call after which what was learnt begins to fade, and seconds in
-#: which it then fades to a third
+#: seconds without a call after which the factor begins to decay, and time constant
+#: of that decay: the seconds in which it falls to a third
 SILENCE = 10.0
 MEMORY = 30.0
 
 
 class SafetyFactor:
-    """A factor for each kind of call, such that only a set share ends too late.
+    """A factor for each kind of call, such that only a set share exceeds its deadline.
 
-    Percentiles of measured durations are too low under overload, when it matters:
-    the longest calls are given up and never measured. One notices calls that were
-    started in good time by the measure and yet are cut by their deadline, again
-    and again. Here each call that ends too late raises the factor, each that ends
-    in time lowers it by as much as the allowed share makes up for; so the share of
-    late ones settles at the allowed one, whatever the durations are. It fades only
-    where no call ends at all: were calls refused for good, none could lower it.
+    Percentiles of measured durations are biased low under overload, as the longest
+    calls are abandoned and never measured; calls started by such an estimate keep
+    missing their deadlines. So each call that ends too late raises the factor, and
+    each that ends in time lowers it in proportion to the allowed share, which makes
+    the share of late calls converge to the allowed one for any distribution of
+    durations. The factor decays only if no call ends at all: otherwise a kind whose
+    calls are all refused could never recover.
 
     :param late_share: share of the started calls that may end too late.
     """
@@ -37,13 +37,13 @@
         self._factors: dict[Hashable, tuple[float, float]] = {}
 
     def find_factor(self, kind: Hashable, now: float) -> float:
-        """Return the factor for a kind of call, 1 if nothing was learnt."""
+        """Return the factor for a kind of call, 1 if none of it has ended yet."""
         factor, updated = self._factors.get(kind, (1.0, now))
         silent = max(0.0, now - updated - SILENCE)
         return 1.0 + (factor - 1.0) * exp(-silent / MEMORY)
 
     def record(self, kind: Hashable, *, late: bool, now: float) -> None:
-        """Take in how a call ended."""
+        """Record whether a call ended after its deadline."""
         factor = self.find_factor(kind, now)
         share = 1 - self._late_share if late else -self._late_share
         factor = min(max(factor + STEP * share, LOWEST), HIGHEST)
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduling of stage calls: a queue for each service, bound late to targets."""
+"""Scheduling of stage calls: one queue per service, late binding to targets."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 __all__ = ("RETRY_BUDGET", "Decision", "Scheduler", "SchedulerRule")
 
-#: budget of repeated and backup calls
+#: budget of retries and hedged calls
 RETRY_BUDGET = BudgetRule(share=0.1, burst=10, per_second=0.5)
 
-#: seconds after which calls that wait are looked at again, as load reports and
-#: deadlines make no event
+#: seconds after which queued calls are reconsidered, as load reports and deadlines
+#: cause no event
 WAKE_INTERVAL = 0.02
-#: seconds after which a lost data centre or service may be back
+#: retry-after time in seconds if a service has no reachable target
 NO_TARGET_RETRY = 1.0
 
 
@@ -43,20 +43,20 @@
     breaker: BreakerRule = field(default_factory=BreakerRule)
     choice: ChoiceRule = field(default_factory=ChoiceRule)
     retries: BudgetRule = RETRY_BUDGET
-    #: calls that may wait for one service
+    #: maximum queue length of one service
     queue_limit: int = 2000
     #: share of each target's limit that only short calls may use
     short_share: float = 0.2
-    #: percentile of the stage's duration that must fit for a call to start where
+    #: percentile of the stage's duration that must fit for a call to start while
     #: targets are idle
     idle_percentile: float = 10
-    #: share of the calls started where others wait that may yet end too late
+    #: share of the calls started on busy targets that may miss their deadline
     late_share: float = 0.03
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What became of a ticket: a grant, or a refusal with nothing run."""
+    """Decision on a ticket: a grant, or a refusal without any execution."""
 
     ticket_id: int
     result: Result[Grant, Refusal]
@@ -65,18 +65,17 @@
 class Scheduler:
     """Decides which call goes to which target, and when.
 
-    A call waits for its service, not for a target: it is given a target only at
-    the moment that one has room. So a target that begins to leave, or fails, holds
-    no waiting call that would have to be moved.
+    A call is queued for its service and bound to a target only when one has free
+    capacity. So no queued call has to be moved if a target drains or fails.
 
-    Nothing here waits. Callers ``submit``, then ``poll`` after each event and at
-    :meth:`find_next_wake`; decisions name the ticket by the id from ``submit``.
+    No method blocks. Callers ``submit``, then ``poll`` after each event and at
+    :meth:`find_next_wake`; decisions carry the ticket id returned by ``submit``.
 
     :param weigh: returns a workspace's weight in the fair shares, above 0.
     :param count_senders: returns how many instances send calls to one target of
         the named service.
-    :param find_weights: returns how a workspace's calls of a pipeline weigh
-        attainment against cost.
+    :param find_weights: returns the weights of attainment and cost for a
+        workspace's calls of a pipeline.
     :param estimate_remaining: returns the seconds that the stages after a ticket's own
         are expected to take.
     """
@@ -114,16 +113,16 @@
 
     @property
     def retry_budget(self) -> Budget:
-        """The budget of repeated calls."""
+        """The budget of retries and hedged calls."""
         return self._retries
 
     @property
     def waiting(self) -> int:
-        """Number of calls that wait."""
+        """Number of queued calls."""
         return len(self._homes)
 
     def find_service(self, name: str) -> ServiceLoad:
-        """Return the load of a service, an empty one if it is new."""
+        """Return the load of a service, creating it if needed."""
         service = self._services.get(name)
         if service is None:
             service = self._services[name] = ServiceLoad(
@@ -144,11 +143,11 @@
         return service
 
     def list_services(self) -> tuple[ServiceLoad, ...]:
-        """Return the load of all services that were ever called."""
+        """Return the loads of all services called so far."""
         return tuple(self._services.values())
 
     def submit(self, ticket: Ticket, now: float) -> int:
-        """Take in a ticket and return the id that its decision will carry."""
+        """Queue or refuse a ticket; return the id that its decision will carry."""
         self._last_id += 1
         service = self.find_service(ticket.service)
         refusal = self._find_fault(service, ticket, now)
@@ -162,7 +161,7 @@
         return waiting.ticket_id
 
     def poll(self, now: float) -> tuple[Decision, ...]:
-        """Return the decisions that have come about."""
+        """Return the decisions made since the last call."""
         dirty, self._dirty = self._dirty, set()
         for name in sorted(dirty):
             self._serve(self._services[name], now)
@@ -170,9 +169,9 @@
         return tuple(decided)
 
     def expire(self, now: float) -> None:
-        """Refuse the calls that can't be done in time any more.
+        """Refuse the queued calls that can't meet their deadline any more.
 
-        It also looks again for room, which reports may have shown meanwhile.
+        Also reconsiders the others, as load reports may show free capacity.
         """
         for service in self._services.values():
             if not len(service.queue):
@@ -186,23 +185,23 @@
                 self._refuse_late(service, waiting, now)
 
     def cancel(self, ticket_id: int) -> None:
-        """Forget a call that its caller has given up."""
+        """Remove a call that its caller has abandoned from the queue."""
         service = self._homes.pop(ticket_id, None)
         if service is not None:
             service.queue.remove(ticket_id)
 
     def finish(self, grant: Grant, outcome: Outcome, now: float) -> None:
-        """Take back a grant."""
+        """Release a grant and record its outcome."""
         service = self.find_service(grant.ticket.service)
         service.finish(grant, outcome, now)
         self._dirty.add(service.name)
 
     def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
-        """Take in that a granted stream has begun."""
+        """Record the time to first token of a granted stream."""
         self.find_service(grant.ticket.service).record_first_token(grant, seconds, now)
 
     def mark_all_dirty(self) -> None:
-        """Look again at all services, as the directory has changed."""
+        """Mark all services for scheduling, as the target directory has changed."""
         self._dirty.update(self._services)
 
     def find_next_wake(self, now: float) -> float | None:
@@ -215,17 +214,17 @@
         self, service: ServiceLoad, ticket: Ticket, now: float
     ) -> Refusal | None:
         if not self._directory.candidates(ticket.service):
-            message = f"service {ticket.service} has no target in reach"
+            message = f"service {ticket.service} has no reachable target"
             return create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
         if len(service.queue) >= self._rule.queue_limit:
-            message = f"too many calls wait for {ticket.service}"
+            message = f"the queue of service {ticket.service} is full"
             return self._create_overload(service, ticket, message, now)
         if not ticket.retry:
             self._retries.record_request(now)
             return None
         if self._retries.try_spend(now):
             return None
-        message = "too many calls are being repeated"
+        message = "the retry budget is exhausted"
         return self._create_overload(service, ticket, message, now)
 
     def _prepare(self, service: ServiceLoad, ticket: Ticket, now: float) -> QueuedCall:
@@ -250,7 +249,7 @@
         )
 
     def _serve(self, service: ServiceLoad, now: float) -> None:
-        """Grant calls until nothing suits or there is no room."""
+        """Grant queued calls until no target can serve any of them."""
         service.check_overdue(now)
         if not len(service.queue):
             return
@@ -282,7 +281,7 @@
         self._decide(waiting, Ok(grant))
 
     def _refuse_all(self, service: ServiceLoad) -> None:
-        message = f"service {service.name} has no target in reach any more"
+        message = f"service {service.name} has lost its last reachable target"
         refusal = create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
         for waiting in service.queue:
             service.queue.remove(waiting.ticket_id)
@@ -291,7 +290,7 @@
     def _refuse_late(
         self, service: ServiceLoad, waiting: QueuedCall, now: float
     ) -> None:
-        message = f"no target of {service.name} had room in time"
+        message = f"no target of service {service.name} had free capacity in time"
         refusal = self._create_overload(service, waiting.ticket, message, now)
         self._decide(waiting, Err(refusal))
 
@@ -310,18 +309,17 @@
 
 
 def _is_late(waiting: QueuedCall, busy: bool, now: float) -> bool:
-    """Whether starting a call is pointless.
+    """Whether it is too late to start a call.
 
-    Where targets are busy, a call that will probably end too late takes the place
-    of one that would not: under overload they would then work mostly for nothing,
-    seen as attainment that falls as the load rises. Where they are idle, or where
-    only a short call is missing to a request on which work was spent, the least
-    chance is worth taking.
+    On busy targets, a call that will probably miss its deadline displaces one that
+    would meet it: most work is then wasted under overload, and attainment falls as
+    the load rises. If targets are idle, or if a request on which work was already
+    spent only needs a short call, even a small chance of success is worth it.
     """
     cautious = busy and (waiting.long or not waiting.ticket.begun)
     return now > (waiting.safe_start if cautious else waiting.latest_start)
 
 
 def _is_contended(service: ServiceLoad, now: float) -> bool:
-    """Whether some call waits that would still end in time."""
+    """Whether a queued call would probably still meet its deadline."""
     return any(now <= waiting.safe_start for waiting in service.queue)
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -1,4 +1,4 @@
-"""The load of one service as this instance sees it."""
+"""Load of one service as this instance estimates it."""
 
 from __future__ import annotations
 
@@ -21,24 +21,25 @@
 
 __all__ = ("ServiceLoad",)
 
-#: a call is overdue at this multiple of its median, and at each doubling of it
+#: multiple of the median duration at which a running call counts as overdue; counted
+#: again at each doubling
 OVERDUE = 4.0
-#: seconds between two looks at the calls that are out
+#: seconds between two checks for overdue calls
 WATCH_INTERVAL = 0.1
-#: slowness from which a target's streams don't count for the curve of all targets
+#: slowness above which a target's streams are not used to tune the concurrency
 SLOW_FOR_CURVE = 2.0
-#: targets that have gone are forgotten once there are this many
+#: number of known targets from which absent ones are evicted
 FORGET_ABOVE = 64
 
 
 @dataclass(slots=True)
 class _Running:
-    """A granted call; ``overdue`` is the next multiple of the median to be noted."""
+    """A granted call; ``overdue`` is the next multiple of the median to record."""
 
     grant: Grant
     long: bool
     expected_in_flight: float
-    #: calls held by its target over all reports so far, and number of reports
+    #: sum of its target's reported calls over all reports so far, and their number
     reported: float
     reports: int
     overdue: float = OVERDUE
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _KnownRoom:
-    """The room as it was worked out last, and from what."""
+    """The free capacity computed last, and its inputs."""
 
     at: float
     candidates: tuple[Candidate, ...]
@@ -56,7 +57,7 @@
 
 
 class ServiceLoad:
-    """Queue, calls in flight and targets of one service."""
+    """Queue, calls in flight and target loads of one service."""
 
     def __init__(
         self,
@@ -95,7 +96,7 @@
 
     @property
     def targets(self) -> dict[str, TargetLoad]:
-        """Load by target id."""
+        """Loads by target id."""
         return self._targets
 
     @property
@@ -113,23 +114,23 @@
         return self._times.estimate(kind, allotted, percentile, now)
 
     def estimate_safe_duration(self, kind: Kind, allotted: float, now: float) -> float:
-        """Return seconds within which all but a few of such calls end."""
+        """Return seconds within which all but the allowed share of calls end."""
         held = self.find_free_capacity(now).mean_held
         return self._times.estimate_safe(kind, allotted, held, now)
 
     def is_long(self, kind: Kind, now: float) -> bool:
-        """Whether the call belongs to the long ones of this service."""
+        """Whether calls of this kind are long ones of this service."""
         return self._times.is_long(kind, now)
 
     def is_busy(self, now: float) -> bool:
-        """Whether its targets are so full that calls take clearly longer."""
+        """Whether calls are queued or the targets' utilization is high."""
         return len(self.queue) > 0 or self.find_free_capacity(now).busy
 
     def find_free_capacity(self, now: float) -> FreeCapacity:
-        """Return the room of all targets as of ``now``.
+        """Return the free capacity of all targets as of ``now``.
 
-        A call is asked about several times at one moment, from its arrival to its
-        grant, and working the room out is most of what a decision costs.
+        The result is cached: one call needs it several times at the same moment,
+        from arrival to grant, and computing it is most of the cost of a decision.
         """
         candidates = self._directory.candidates(self.name)
         known = self._known_room
@@ -175,7 +176,10 @@
         )
 
     def start(self, grant: Grant, waiting: QueuedCall, held: float) -> None:
-        """Count a granted call; ``held`` is what its target held by expectation."""
+        """Count a granted call.
+
+        :param held: estimated calls in flight at its target before it.
+        """
         priority = grant.ticket.priority
         self._drain.record_start(priority, waiting.expected, grant.granted)
         self._known_room = None
@@ -188,7 +192,7 @@
         )
 
     def finish(self, grant: Grant, outcome: Outcome, now: float) -> None:
-        """Count out a granted call and learn from how it ended."""
+        """Remove a granted call and record its outcome."""
         running = self._running.pop(grant.grant_id, None)
         if running is None:
             return
@@ -213,7 +217,7 @@
         self._times.record_end(ticket, outcome, now)
 
     def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
-        """Learn from how long a stream took to begin."""
+        """Record the time to first token of a stream."""
         running = self._running.get(grant.grant_id)
         if running is None:
             return
@@ -223,7 +227,7 @@
         self._targets[grant.target.target_id].breaker.record_latency(ratio)
 
     def check_overdue(self, now: float) -> None:
-        """Notice calls that are out far longer than usual, and slow targets."""
+        """Record overdue calls and trip the breakers of slow targets."""
         if now - self._watched < WATCH_INTERVAL:
             return
         self._watched = now
@@ -259,7 +263,7 @@
     def estimate_wait(
         self, workspace: str, priority: int, work: float, now: float
     ) -> float:
-        """Return seconds that a call of ``work`` seconds would wait, if it came now."""
+        """Return the queueing time of a call of ``work`` seconds arriving now."""
         if not len(self.queue):
             return 0.0
         pending = self.queue.sum_pending(priority)
@@ -268,17 +272,17 @@
         return estimate_fair_wait(pending, workspace, self._weigh, rate)
 
     def find_rate(self, priority: int, now: float) -> float:
-        """Return the seconds of work of a priority that are started each second."""
+        """Return the seconds of work started each second for a priority."""
         self._drain.record_queue_length(len(self.queue), now)
         return self._drain.estimate(priority, self._count_slots(now), now)
 
     def _note_tokens(
         self, running: _Running, load: TargetLoad, outcome: Outcome, now: float
     ) -> None:
-        """Tell the curve of a stream and of how many calls its target held then.
+        """Record a stream and its target's concurrency for concurrency tuning.
 
-        Not of one at a slow target: it would seem that few calls side by side take
-        as long as many.
+        Streams of slow targets are excluded: they would make a low concurrency look
+        as slow as a high one.
         """
         if load.breaker.slowness > SLOW_FOR_CURVE:
             return
@@ -289,7 +293,7 @@
         self._times.concurrency.record(held, outcome.seconds, outcome.tokens, now)
 
     def _count_slots(self, now: float) -> float:
-        """Return how many calls this instance can have in flight, by expectation."""
+        """Return the estimated number of calls this instance can have in flight."""
         choosers = max(1.0, self._count_senders(self.name))
         return sum(
             max(
@@ -319,7 +323,7 @@
         return load
 
     def _forget_idle(self) -> None:
-        """Drop targets that have gone, or each replacement would use more memory."""
+        """Drop absent targets, or each replaced target would leak memory."""
         if len(self._targets) < FORGET_ABOVE:
             return
         present = {
--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -1,4 +1,4 @@
-"""How long the calls of one service take, by kind of call."""
+"""Durations of one service's calls by kind of call."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 
 __all__ = ("CallTimes", "Kind", "find_kind")
 
-#: pipeline and stage: calls of one kind take about the same time
+#: pipeline and stage; calls of one kind take about the same time
 Kind = tuple[str, str]
 
-#: longest over shortest median of a service's kinds from which it has long calls
+#: ratio of the longest to the shortest median of a service's kinds from which calls
+#: are divided into long and short ones
 LONG_RATIO = 4.0
-#: seconds before the deadline at which a call that ends counts as too late: it was
-#: given up at the deadline, which the clock may show slightly early
+#: seconds before the deadline from which a call that ends counts as too late: it was
+#: abandoned at the deadline, but the clock may read slightly less
 LATE_MARGIN = 0.01
-#: percentile of the durations that is taken as safe, before any caution
+#: percentile of the durations that is taken as safe, before the safety factor
 SAFE_PERCENTILE = 95.0
-#: 95th percentile over median of calls under one and the same load, about
+#: approximate ratio of the 95th percentile to the median of calls under equal load
 SPREAD = 2.0
-#: part of a stage's time that a call takes by expectation before any was measured
+#: part of a stage's allotted time that an unmeasured call is expected to take
 PRIOR_SHARE = 0.3
-#: seconds that a call is taken to last before any was made, weight of later ones in
-#: the mean, and its lowest value
+#: initial mean duration in seconds, weight of a call in the moving average, and the
+#: lowest mean in seconds
 FIRST_MEAN = 1.0
 MEAN_WEIGHT = 0.05
 SHORTEST_MEAN = 0.001
@@ -38,10 +39,10 @@
 
 
 class CallTimes:
-    """Durations of one service's calls: what is usual, safe, long and slow.
+    """Usual and safe durations of one service's calls, and the slowness of each.
 
-    :param late_share: share of the calls started on busy targets that may yet end
-        too late.
+    :param late_share: share of the calls started on busy targets that may miss
+        their deadline.
     """
 
     def __init__(self, durations: DurationTracker, *, late_share: float) -> None:
@@ -54,7 +55,7 @@
 
     @property
     def mean(self) -> float:
-        """Seconds that a call lasts, mean over the latest calls."""
+        """Moving average of the calls' durations in seconds."""
         return self._mean
 
     def estimate(
@@ -62,8 +63,8 @@
     ) -> float:
         """Return seconds that a call takes once it has started.
 
-        :param allotted: seconds of the deadline that are meant for the stage; until
-            some calls were measured, one is taken to need a part of them.
+        :param allotted: seconds of the deadline that are allotted to the stage; a
+            part of them is the estimate until enough calls are measured.
         """
         prior = allotted * PRIOR_SHARE
         return self._durations.estimate(kind, percentile, now, prior)
@@ -71,23 +72,23 @@
     def estimate_safe(
         self, kind: Kind, allotted: float, held: float, now: float
     ) -> float:
-        """Return seconds within which all but a few of such calls end.
+        """Return seconds within which all but the allowed share of calls end.
 
-        :param held: calls that a target holds, on average.
+        :param held: mean number of calls in flight at a target.
         """
         slowdown = self.concurrency.estimate_slowdown(held + 1)
-        # percentiles contain the times of high load too, so only the median is
-        # scaled beyond them
+        # the high percentile already includes durations under high load, so only
+        # the median is scaled up
         usual = self.estimate(kind, allotted, 50, now) * slowdown * SPREAD
         late = self.estimate(kind, allotted, SAFE_PERCENTILE, now) * min(1.0, slowdown)
         return max(usual, late) * self._caution.find_factor(kind, now)
 
     def is_long(self, kind: Kind, now: float) -> bool:
-        """Whether the call belongs to the long ones of this service.
+        """Whether calls of this kind are long ones of this service.
 
-        The boundary lies between the shortest and the longest kind that the service
-        is called with, by measured medians; a service whose kinds take about the
-        same time has no long calls.
+        The boundary is the geometric mean of the shortest and the longest measured
+        median among the service's kinds. A service whose kinds take about the same
+        time has no long calls.
         """
         self._kinds.add(kind)
         medians = [self._find_median(each, now, 0.0) for each in self._kinds]
@@ -107,7 +108,10 @@
         return self._durations.find_baseline(kind, now, seconds)
 
     def record_end(self, ticket: Ticket, outcome: Outcome, now: float) -> None:
-        """Take in how a call ended; after its time was rated, as it changes that."""
+        """Record the outcome of a call.
+
+        To be called after :meth:`compare_end`, as it changes the usual durations.
+        """
         kind = find_kind(ticket)
         late = now >= ticket.deadline - LATE_MARGIN
         match outcome.kind:
@@ -120,7 +124,7 @@
                     self._caution.record(kind, late=True, now=now)
 
     def compare_end(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
-        """Return a call's time over the usual one; of a stream, that of one token."""
+        """Return the ratio of a call's duration, or time per token, to the usual."""
         if not outcome.tokens:
             usual = self._find_median(find_kind(ticket), now, outcome.seconds)
             return _divide(outcome.seconds, usual)
@@ -131,7 +135,7 @@
         return _divide(seconds, usual)
 
     def compare_first_token(self, ticket: Ticket, seconds: float, now: float) -> float:
-        """Return the time to a first token over the usual one."""
+        """Return the ratio of a time to first token to the usual one."""
         kind = create_first_token_kind(ticket.pipeline, ticket.stage)
         usual = self._find_median(kind, now, seconds)
         self._durations.record(kind, seconds, now)
@@ -140,9 +144,9 @@
     def compare_elapsed(
         self, ticket: Ticket, elapsed: float, now: float, *, begun: bool
     ) -> float:
-        """Return how long a call is out over what is usual, 0 if that is unknown.
+        """Return the ratio of a running call's age to the usual, 0 if unknown.
 
-        :param begun: whether its first token has come.
+        :param begun: whether its first token was received.
         """
         usual = self._find_median(find_kind(ticket), now, 0.0)
         if not begun:
--- a/packages/greengagelatch/src/greengagelatch/load/waits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/waits.py
@@ -1,4 +1,4 @@
-"""How long a call of a workspace will wait for a service."""
+"""Estimated queueing time of a workspace's calls."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 __all__ = ("DrainRate", "estimate_fair_wait")
 
-#: seconds over which the rate is measured
+#: time constant, in seconds, over which the rate is averaged
 HORIZON = 2.0
-#: share of the rate that calls of low priority have in any case, as some turns
-#: ignore priorities
+#: minimum share of the rate for calls of low priority, as a part of the service
+#: ignores priorities
 SMALLEST_SHARE = 1 / 8
-#: seconds of work in one second, so that an estimate stays finite
+#: minimum rate, in seconds of work per second, that keeps an estimate finite
 SMALLEST_RATE = 0.01
 
 
@@ -24,11 +24,11 @@
 ) -> float:
     """Return the seconds until ``workspace``'s pending work has been started.
 
-    Under weighted fair shares a workspace with little work is not held up by one
-    with a lot: until its own work is done, each other gets at most as much, in
-    proportion to the weights.
+    Under weighted fair queueing, a workspace with much work does not delay one with
+    little: until the latter's work is done, each other workspace gets at most as
+    much service, in proportion to the weights.
 
-    :param pending: seconds of work that wait, by workspace.
+    :param pending: queued seconds of work by workspace.
     :param rate: seconds of work that the service does in one second.
     """
     weight = weigh(workspace)
@@ -42,7 +42,7 @@
 
 
 class DrainRate:
-    """Seconds of work that a service starts in one second, by priority."""
+    """Rate at which a service starts queued work, by priority."""
 
     def __init__(self) -> None:
         self._work: dict[int, float] = {}
@@ -55,19 +55,19 @@
         self._work[priority] = self._work.get(priority, 0.0) + work
 
     def record_queue_length(self, length: int, now: float) -> None:
-        """Take in the number of calls that wait."""
+        """Record the present queue length."""
         if length == 0:
             self._busy_since = None
         elif self._busy_since is None:
             self._busy_since = now
 
     def estimate(self, priority: int, slots: float, now: float) -> float:
-        """Return the rate that is left for calls of a priority.
+        """Return the rate available to calls of a priority.
 
-        What is started with higher priorities is taken off, as such calls go on
-        coming. Without a queue little is started because little is asked for; then
-        the number of calls that the targets have room for stands in: each does a
-        second of work in a second.
+        Work of higher priorities is subtracted, as such calls keep arriving. Without
+        a queue, the rate of started work reflects only the demand; the number of
+        free call slots is then used instead, as each does a second of work in a
+        second.
         """
         self._decay(now)
         higher = sum(w for other, w in self._work.items() if other > priority)
--- a/packages/greengagelatch/src/greengagelatch/load/weights.py
+++ b/packages/greengagelatch/src/greengagelatch/load/weights.py
@@ -1,4 +1,4 @@
-"""What the weighing of attainment against cost changes in decisions under load."""
+"""Effect of a policy's weights of attainment and cost on load decisions."""
 
 from __future__ import annotations
 
@@ -6,38 +6,39 @@
 
 __all__ = ("scale_margin", "scale_hedge_delay", "weigh_evenly")
 
-#: factor on the time that a call must have left to be started on busy targets,
-#: where only attainment counts, and where only cost does
+#: factor on the remaining time a call needs to be started on busy targets, if only
+#: attainment counts and if only cost does
 ATTAINMENT_MARGIN = 1.1
 COST_MARGIN = 1.7
-#: factor on the patience before a backup call, likewise
+#: factor on the delay of a hedged call, likewise
 ATTAINMENT_PATIENCE = 1.5
 COST_PATIENCE = 4.0
 
 
 def scale_margin(weights: Weights) -> float:
-    """Return the factor on the time a call must have left on busy targets.
+    """Return the factor on the remaining time that a call needs on busy targets.
 
-    A high one refuses calls that might just have been in time. A low one starts
-    calls that end too late; below the lower bound there is so much work for nothing
-    that fewer requests are answered, so less than that is never asked.
+    A high factor refuses calls that might just have met their deadline. A low one
+    starts calls that miss it; below the lower bound so much work is wasted that
+    fewer requests are answered, so lower factors are never used.
     """
     return _interpolate(ATTAINMENT_MARGIN, COST_MARGIN, weights)
 
 
 def scale_hedge_delay(weights: Weights) -> float:
-    """Return the factor on the patience before a call gets a backup.
+    """Return the factor on the delay before a call is hedged.
 
-    Backups bring answers from targets that became slow, and cost a second call.
+    A hedged call gets its answer despite a target that became slow, but costs a
+    second call.
     """
     return _interpolate(ATTAINMENT_PATIENCE, COST_PATIENCE, weights)
 
 
 def weigh_evenly(workspace: str, pipeline: str) -> Weights:
-    """Return equal weights, for where no policy says otherwise."""
+    """Return equal weights, the default without a policy."""
     return Weights()
 
 
 def _interpolate(attainment: float, cost: float, weights: Weights) -> float:
-    """Return the geometric mean of two values by their weights."""
+    """Return the weighted geometric mean of two values."""
     return attainment**weights.attainment * cost**weights.cost
--- a/tests/test_core/test_load/test_admission.py
+++ b/tests/test_core/test_load/test_admission.py
@@ -66,10 +66,10 @@
 
 
 def test_wait_at_a_later_stage_refuses_before_the_first_one_runs():
-    """Earlier stages are run for requests that the last one then turns down.
+    """Guards against running early stages of requests that a later one refuses.
 
-    Drafts wait for two seconds; a request comes that has three. Looking only at
-    the next stage would be the cause.
+    Drafts queue for two seconds and a request has three seconds left. Admission
+    that estimates only the next stage would admit it.
     """
     busy = KnownService(busy=True, wait=2.0, safe=2.0)
     assert check(6.0, draft=busy) is None
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -26,10 +26,10 @@
 
 @given(st.integers(1, 12), st.data())
 def test_service_is_never_emptied(count, data):
-    """A service is refused as a whole while its targets work.
+    """Guards against refusing a whole service whose targets work.
 
-    This instance's own network fails for a moment, so that all calls fail. Each
-    breaker judging its target alone would be the cause.
+    All calls fail for a moment because of this instance's own network. Breakers
+    that each decide alone would eject every target.
     """
     breakers = create_breakers(count)
     for _, breaker in breakers:
@@ -40,10 +40,10 @@
 
 
 def test_slow_target_is_tripped_and_slow_service_is_not():
-    """Targets are taken out of an overloaded service, which makes it worse.
+    """Guards against ejecting targets of an overloaded service.
 
-    First one of five targets becomes ten times slower, later all of them do.
-    Comparing with a fixed time would be the cause.
+    First one of five targets becomes ten times slower, then all of them do. A
+    comparison with a fixed latency would eject targets in both cases.
     """
     breakers = create_breakers(5)
     plain = [breaker for _, breaker in breakers]
@@ -61,10 +61,10 @@
 
 
 def test_one_probe_for_each_pause_whatever_becomes_of_it():
-    """A target that is still slow gets call after call as soon as it may be probed.
+    """Guards against an unlimited rate of probes to a target that is still slow.
 
-    A probe is given up without a result, as its backup was answered first. Going on
-    probing until some probe has a result would be the cause.
+    A probe ends without a result, as its hedged call was answered first. A breaker
+    that stays half-open until a probe has a result would send call after call.
     """
     breaker = Breaker(RULE, random.Random(1))
     for _ in range(RULE.consecutive_failures):
@@ -75,7 +75,7 @@
         if breaker.read_state(now) is BreakerState.HALF_OPEN:
             breaker.begin_probe(now)
             probes.append(now)
-    # pauses double, with a quarter of jitter
+    # ejection times double, with a jitter of a quarter
     assert len(probes) <= 6
     gaps = [later - earlier for earlier, later in pairwise(probes)]
     assert all(gap >= 2 * 0.75 * RULE.min_ejection for gap in gaps)
--- a/tests/test_core/test_load/test_budgets.py
+++ b/tests/test_core/test_load/test_budgets.py
@@ -15,10 +15,10 @@
     steps=st.lists(st.tuples(st.floats(0, 1), st.integers(0, 5)), max_size=100),
 )
 def test_extra_calls_stay_within_their_share(share, burst, per_second, steps):
-    """Targets stay overloaded after a fault, as all failed calls are repeated.
+    """Guards against retries that keep targets overloaded after a fault.
 
-    Any mixture of ordinary calls and repeats, at any times. A budget that can be
-    overdrawn would be the cause.
+    Any mixture of first attempts and retries at any times must stay within the
+    budget, which would fail if it could be overdrawn.
     """
     rule = BudgetRule(share=share, burst=burst, per_second=per_second)
     budget = Budget(rule, 0.0)
--- a/tests/test_core/test_load/test_caution.py
+++ b/tests/test_core/test_load/test_caution.py
@@ -8,17 +8,17 @@
 
 
 def test_share_of_late_calls_settles_at_what_is_allowed():
-    """A fifth of the drafts started in good time is cut by the deadline, for hours.
+    """Guards against a fifth of the started calls missing their deadline for hours.
 
-    Durations are measured of answered calls only, so the longest are missing from
-    every percentile. A fixed margin on a percentile would be the cause.
+    Only answered calls are measured, so the longest durations are missing from
+    every percentile, and a fixed margin on a percentile would be too small.
     """
     source = random.Random(7)
     caution = SafetyFactor(late_share=0.03)
     late = 0
     for index in range(4000):
         now = index * 0.2
-        # what is measured has a 95th percentile of 1, what really happens is longer
+        # the measured 95th percentile is 1, but real durations exceed it
         allowed = 1.0 * caution.find_factor("draft", now)
         is_late = source.lognormvariate(0.0, 0.6) > allowed
         caution.record("draft", late=is_late, now=now)
@@ -27,9 +27,10 @@
 
 
 def test_caution_fades_when_nothing_is_started():
-    """A kind of call that went wrong once is refused for good.
+    """Guards against refusing a kind of call forever after some were late.
 
-    Many calls end late, and none is started any more, so none can end in time.
+    Many calls end late; then none is started, so none can end in time and lower
+    the factor.
     """
     caution = SafetyFactor(late_share=0.03)
     for _ in range(50):
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -84,10 +84,10 @@
 
 
 def test_calls_with_one_prefix_are_kept_to_few_targets():
-    """Symptom: drafting calls are refused as internal errors, all others work.
+    """Guards against internal errors for calls that name a prompt prefix.
 
-    Sequence: a call that names a prompt prefix waits for one of several targets.
-    Cause: the prefix was hashed as text, which the hash function does not take.
+    With several targets the prefix is hashed, and the hash function takes only
+    bytes, not text.
     """
     choice = PowerOfTwoChoices(ChoiceRule(affinity_targets=1))
     views = tuple(create_view(f"t{number}") for number in range(6))
@@ -99,10 +99,9 @@
 
 
 def test_prefix_need_not_be_valid_text():
-    """Symptom: one caller's drafting calls are refused as internal errors.
+    """Guards against internal errors for a prefix with a lone surrogate.
 
-    Sequence: its JSON holds a lone half of a surrogate pair.
-    Cause: such text can't be encoded strictly.
+    JSON may hold half of a surrogate pair, which can't be encoded strictly.
     """
     views = (create_view("t1"), create_view("t2"))
     choice = PowerOfTwoChoices(ChoiceRule())
@@ -119,10 +118,10 @@
 
 @pytest.mark.parametrize("choosers", [9, 570])
 def test_many_instances_do_not_herd_onto_one_target(choosers):
-    """Targets swing between idle and far too many calls.
+    """Guards against targets that swing between idle and overloaded.
 
-    Each instance sees load reports that are up to a second old and the same for
-    all. Taking the least loaded target of the newest report would be the cause.
+    All instances see the same load reports, up to a second old. If each chose the
+    least loaded target of the latest report, all would choose the same one.
     """
     source = random.Random(3)
     held = [0] * 20
@@ -153,5 +152,5 @@
                 heapq.heappush(ends, (entry[0], len(ends) + tick * 1000, *entry[2:]))
         if tick > 100:
             samples.extend(held)
-    # chance alone would give a deviation of 2.7
+    # purely random choice gives a standard deviation of 2.7
     assert statistics.pstdev(samples) <= 3.3
--- a/tests/test_core/test_load/test_deadlines.py
+++ b/tests/test_core/test_load/test_deadlines.py
@@ -43,7 +43,7 @@
 def test_measured_stages_get_what_they_need_along_the_longest_way():
     plan = create_plan(encode=0.1, prices=0.1, stock=0.7, draft=1.2)
     encode, prices, stock, draft = PIPELINE.stages
-    # 0.1 + 0.7 + 1.2 s along the way through the stock
+    # 0.1 + 0.7 + 1.2 s along the critical path through the stock
     assert plan(PIPELINE, encode, 0.0, 4.0) == pytest.approx(0.2, rel=0.1)
     assert plan(PIPELINE, stock, 0.2, 4.0) == pytest.approx(1.6, rel=0.1)
     assert plan(PIPELINE, prices, 0.2, 4.0) < plan(PIPELINE, stock, 0.2, 4.0)
--- a/tests/test_core/test_load/test_durations.py
+++ b/tests/test_core/test_load/test_durations.py
@@ -29,10 +29,10 @@
 
 
 def test_slow_time_long_past_does_not_shut_out_calls_for_good():
-    """A kind of call is refused for hours after its targets were slow.
+    """Guards against refusing a kind of call for hours after its targets were slow.
 
-    They were slow until every call was refused as too long; with no calls there are
-    no newer durations. Keeping the last ones for ever would be the cause.
+    They were slow until every call was refused as too long. Without calls there
+    are no newer durations, so the old ones must expire.
     """
     tracker = DurationTracker(window=10.0)
     for index in range(100):
--- a/tests/test_core/test_load/test_knees.py
+++ b/tests/test_core/test_load/test_knees.py
@@ -13,7 +13,7 @@
 
 
 def run_engine(finder, source, seconds, *, pressed=True, start=0.0):
-    """Keep an engine at the finder's value, with the usual noise."""
+    """Run an engine at the tuner's concurrency, with noise."""
     now = start
     value = float(ENGINE.capacity)
     while now < start + seconds:
@@ -29,10 +29,10 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_knee_of_continuous_batching_is_found(seed):
-    """Drafts take twice as long as they would and no more of them are answered.
+    """Guards against twice the latency at the same throughput.
 
-    An engine tells a capacity of 16; its throughput is best at 11. Trusting the
-    capacity told would be the cause.
+    An engine reports a capacity of 16, but its throughput is best at 11. Using the
+    reported capacity as the limit would only raise the latency.
     """
     value = run_engine(ConcurrencyTuner(), random.Random(seed), 240)
     best = ENGINE.find_best_batch()
@@ -42,10 +42,10 @@
 
 
 def test_little_load_teaches_nothing():
-    """A service that was hardly used refuses calls when it is needed.
+    """Guards against a low limit after a time of low load.
 
-    Few calls side by side are measured for minutes, while none waits. Taking the
-    most that was seen for the best would be the cause.
+    Only a low concurrency is measured for minutes, with no call queued. Taking the
+    highest concurrency seen as the best would refuse calls once load arrives.
     """
     finder = ConcurrencyTuner()
     now = 0.0
--- a/tests/test_core/test_load/test_limits.py
+++ b/tests/test_core/test_load/test_limits.py
@@ -25,10 +25,10 @@
 
 
 def test_unused_limit_does_not_rise():
-    """A limit has risen far beyond what the target can hold when a burst comes.
+    """Guards against a limit far above the target's capacity when a burst arrives.
 
-    Calls are fast, as there are few of them. Raising the limit on each fast call
-    would be the cause.
+    Few calls are in flight and so all are fast. A limit that rises on every fast
+    call would grow without being used.
     """
     limit = AdaptiveLimit(RULE)
     run(limit, 1.0, 60, held=1)
--- a/tests/test_core/test_load/test_queue.py
+++ b/tests/test_core/test_load/test_queue.py
@@ -62,10 +62,10 @@
 def test_lowest_priority_is_served_within_the_stated_bound(
     others, priority, selections
 ):
-    """A workspace of low priority gets no answer at all for minutes.
+    """Guards against starvation of a workspace of low priority.
 
-    Others of higher priority have calls waiting all the time. Strict priority
-    would be the cause.
+    Others of higher priority have calls queued all the time, so that strict
+    priority would never serve it.
     """
     queue = FairQueue(lambda workspace: 1.0)
     number = 0
@@ -88,10 +88,10 @@
     costs=st.lists(st.sampled_from((0.05, 0.3, 2.0)), min_size=5, max_size=5),
 )
 def test_service_follows_the_weights_whatever_the_calls_cost(weights, costs):
-    """One workspace's long drafts crowd out the others.
+    """Guards against one workspace's long calls crowding out the others.
 
-    All workspaces have calls waiting all the time, of different lengths. Counting
-    calls instead of the service they use would be the cause.
+    All workspaces have calls of different lengths queued all the time. Fair shares
+    by the number of calls, not by their service time, would favour long calls.
     """
     names = [f"w{index}" for index in range(len(weights))]
     by_name = dict(zip(names, weights, strict=True))
@@ -108,7 +108,7 @@
         number += 1
         queue.push(create_waiting(number, name, expected=chosen.expected))
     shares = [received[name] / by_name[name] for name in names]
-    # the quantum and one call: what a workspace may be ahead by
+    # a workspace may be ahead by the quantum and one call
     allowed = QUANTUM + max(costs) / min(weights)
     assert max(shares) - min(shares) <= allowed + 1e-6
 
@@ -119,7 +119,7 @@
         queue.push(create_waiting(number, "busy"))
     for _ in range(20):
         queue.select(AllSuit(), 0.0)
-    # a newcomer is not owed the 20 s that the other one was served
+    # a newly active workspace has no credit for the 20 s that the other was served
     for number in range(31, 61):
         queue.push(create_waiting(number, "new"))
     taken = [queue.select(AllSuit(), 0.0).ticket.workspace for _ in range(10)]
@@ -130,9 +130,10 @@
 
 
 def test_call_that_must_start_now_is_not_passed_by_one_whose_prefix_is_cached():
-    """A call misses its deadline while others with cached prefixes go first.
+    """Guards against missed deadlines because calls with cached prefixes go first.
 
-    Preferring what is cached without regard to time would be the cause.
+    A preference for cached prefixes without regard to urgency would delay the
+    other calls.
     """
     queue = FairQueue(lambda workspace: 1.0)
     queue.push(create_waiting(1, "w", urgency=50.0, safe_start=10.0))
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -75,11 +75,11 @@
 
 
 def test_target_that_begins_to_leave_gets_no_waiting_call():
-    """A leaving target is given work that had waited since before it began to.
+    """Guards against sending queued calls to a target that is draining.
 
-    A call waits while the only target is full; the target begins to leave and
-    another one appears; the first target's room becomes free. Binding the call to
-    its target when it queued would be the cause.
+    A call is queued while the only target is full; that target begins to drain,
+    another one appears, and a slot of the first becomes free. Binding calls to a
+    target when they are queued would send it to the first.
     """
     directory = FixedDirectory(1, capacity=1)
     scheduler = create_scheduler(directory)
@@ -97,10 +97,10 @@
 
 
 def test_call_that_can_not_be_done_in_time_is_refused_before_its_deadline():
-    """A caller hangs until its deadline although its call had no chance.
+    """Guards against callers that wait until their deadline without any chance.
 
-    Calls take one second; one waits behind a full target with a deadline of two.
-    Waiting on for the deadline alone would be the cause.
+    Calls take one second, and one with a deadline of two is queued for a full
+    target. It must be refused as soon as it can't finish any more.
     """
     durations = DurationTracker()
     for _ in range(20):
@@ -122,10 +122,10 @@
 
 
 def test_short_calls_find_room_while_long_ones_fill_the_service():
-    """A booking waits behind a screenful of drafts.
+    """Guards against short calls that wait behind many long ones.
 
-    Fifty drafts of two seconds come, then a call of 50 ms. Drafts that may use up
-    all of a target's room would be the cause.
+    Fifty drafts of two seconds arrive, then a call of 50 ms. Without reserved
+    capacity the drafts would occupy all targets.
     """
     durations = DurationTracker()
     for _ in range(20):
@@ -145,10 +145,10 @@
 
 
 def test_general_failure_does_not_multiply_calls():
-    """Targets that recover stay overloaded, as every call is made three times.
+    """Guards against retries that keep recovering targets overloaded.
 
-    All calls fail and each is submitted again at once. Retries without a budget
-    would be the cause.
+    All calls fail and each is submitted again at once. Without a retry budget
+    every call would be made several times.
     """
     scheduler = create_scheduler(FixedDirectory(3, capacity=1000))
     sent = 0
@@ -166,10 +166,10 @@
 
 
 def test_service_that_loses_its_last_target_refuses_what_waits():
-    """Callers hang although no target is left that could ever answer them.
+    """Guards against callers that wait although no target is left.
 
-    A call waits for the only target; it goes. Looking only for room, never for
-    targets, would be the cause.
+    A call is queued for the only target, which then disappears. Without a check
+    for targets, the scheduler would only wait for free capacity.
     """
     directory = FixedDirectory(1, capacity=1)
     scheduler = create_scheduler(directory)
--- a/tests/test_core/test_load/test_times.py
+++ b/tests/test_core/test_load/test_times.py
@@ -43,10 +43,10 @@
 
 
 def test_stream_is_rated_by_its_tokens():
-    """A target is taken out as slow because it was given the longest draft.
+    """Guards against ejecting a target as slow because it ran the longest call.
 
-    Drafts of 20 tokens take half a second; one of 200 takes ten times as long.
-    Comparing whole calls would be the cause.
+    Drafts of 20 tokens take half a second; one of 200 takes ten times as long. A
+    comparison of whole calls would count it as slow.
     """
     times = create_times()
     for _ in range(20):
