--- a/packages/greengagelatch/src/greengagelatch/load/breakers.py
+++ b/packages/greengagelatch/src/greengagelatch/load/breakers.py
@@ -63,14 +63,14 @@
         self._random = random_source
         self._open = False
         self._probing = False
-        self._until = 0.0
-        self._pause = rule.min_ejection
-        self._in_a_row = 0
-        self._failed = 0.0
+        self._open_until = 0.0
+        self._ejection = rule.min_ejection
+        self._consecutive_failures = 0
+        self._failure_ratio = 0.0
         self._slowness = 1.0
         self._last_ratio = 1.0
         self._calls = 0
-        self._timed = 0
+        self._latencies = 0
 
     @property
     def slowness(self) -> float:
@@ -80,35 +80,35 @@
     @property
     def ejection_score(self) -> float:
         """Rank for ejection among the targets of a service; higher is worse."""
-        return self._failed * self._rule.slowness + self._slowness
+        return self._failure_ratio * self._rule.slowness + self._slowness
 
     def read_state(self, now: float) -> BreakerState:
         """Return the state of the breaker at ``now``."""
         if not self._open:
             return BreakerState.CLOSED
-        return BreakerState.OPEN if now < self._until else BreakerState.HALF_OPEN
+        return BreakerState.OPEN if now < self._open_until else BreakerState.HALF_OPEN
 
     @property
     def is_slow(self) -> bool:
         """Whether there are enough latencies to compare the target with others."""
-        return not self._open and self._timed >= self._rule.min_latencies
+        return not self._open and self._latencies >= self._rule.min_latencies
 
     def record_success(self) -> bool:
         """Record an answer; return whether it closes the breaker."""
-        self._in_a_row = 0
+        self._consecutive_failures = 0
         self._record(0.0)
-        return self._probing and self._settle_probe()
+        return self._probing and self._conclude_probe()
 
     def record_failure(self, now: float) -> None:
         """Record a call that failed because of the target."""
-        self._in_a_row += 1
+        self._consecutive_failures += 1
         self._record(1.0)
         if self._open:
             # already open, and the time of the next probe is set
             return
         enough = self._calls >= self._rule.calls
-        if self._in_a_row >= self._rule.consecutive_failures or (
-            enough and self._failed > self._rule.failure_ratio
+        if self._consecutive_failures >= self._rule.consecutive_failures or (
+            enough and self._failure_ratio > self._rule.failure_ratio
         ):
             self.trip(now)
 
@@ -120,7 +120,7 @@
         become ten times slower sends no answers for a long time, and would get
         more calls until then if only answers counted.
         """
-        self._timed += 1
+        self._latencies += 1
         self._last_ratio = ratio
         self._slowness += (ratio - self._slowness) * self._rule.slowness_weight
 
@@ -137,23 +137,25 @@
         """Open the breaker for the present ejection time."""
         self._open = True
         # jitter, so that the instances don't all probe a weak target at once
-        self._until = now + self._pause * self._random.uniform(0.75, 1.25)
-        self._pause = min(self._pause * 2, self._rule.max_ejection)
+        self._open_until = now + self._ejection * self._random.uniform(0.75, 1.25)
+        self._ejection = min(self._ejection * 2, self._rule.max_ejection)
 
-    def _settle_probe(self) -> bool:
+    def _conclude_probe(self) -> bool:
         self._probing = False
         if self._last_ratio > self._rule.slowness:
             return False
         self._open = False
-        self._pause = self._rule.min_ejection
-        self._failed = 0.0
-        self._timed = 0
+        self._ejection = self._rule.min_ejection
+        self._failure_ratio = 0.0
+        self._latencies = 0
         self._slowness = self._last_ratio
         return True
 
     def _record(self, failed: float) -> None:
         self._calls += 1
-        self._failed += (failed - self._failed) / min(self._calls, self._rule.calls)
+        self._failure_ratio += (failed - self._failure_ratio) / min(
+            self._calls, self._rule.calls
+        )
 
 
 def trip_slow_targets(
--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -62,19 +62,19 @@
     def choose(
         self, views: tuple[TargetView, ...], prefix: str, random_source: random.Random
     ) -> TargetView:
-        near = [view for view in views if view.local]
-        far = [view for view in views if not view.local]
-        sampled = _sample(near, self._rule.local_samples, random_source)
-        sampled += _sample(far, self._rule.remote_samples, random_source)
-        familiar = self.find_affinity_targets(views, prefix)
-        sampled += [view for view in familiar if view not in sampled]
+        local_views = [view for view in views if view.local]
+        remote_views = [view for view in views if not view.local]
+        sampled = _sample(local_views, self._rule.local_samples, random_source)
+        sampled += _sample(remote_views, self._rule.remote_samples, random_source)
+        affine = self.find_affinity_targets(views, prefix)
+        sampled += [view for view in affine if view not in sampled]
         costs = [
-            self._draw_cost(view, view in familiar, random_source) for view in sampled
+            self._sample_cost(view, view in affine, random_source) for view in sampled
         ]
         return sampled[costs.index(min(costs))]
 
-    def _draw_cost(
-        self, view: TargetView, familiar: bool, random_source: random.Random
+    def _sample_cost(
+        self, view: TargetView, affine: bool, random_source: random.Random
     ) -> float:
         """Return the cost of a call at a target, for a randomly drawn load.
 
@@ -85,7 +85,7 @@
         cost = (max(0.0, held) + 1) / view.limit * view.slowness
         if not view.local:
             cost += self._rule.remote_penalty
-        if familiar:
+        if affine:
             cost -= self._rule.affinity
         return cost
 
--- a/packages/greengagelatch/src/greengagelatch/load/concurrency.py
+++ b/packages/greengagelatch/src/greengagelatch/load/concurrency.py
@@ -8,32 +8,32 @@
 __all__ = ("ConcurrencyTuner",)
 
 #: time constant, in seconds, with which measured calls lose weight
-MEMORY = 30.0
+DECAY_TIME = 30.0
 #: total seconds of calls that a range needs for its throughput to count
-MIN_TAKEN = 15.0
+MIN_TOTAL_SECONDS = 15.0
 #: seconds between two changes: calls must end before the effect of one shows
 INTERVAL = 2.0
 #: change of the value, as a fraction of it
 STEP = 0.08
 #: edges of the ranges below, around and above the present value, as multiples of it
-EDGES = (0.65, 0.92, 1.08, 1.5)
+RANGE_EDGES = (0.65, 0.92, 1.08, 1.5)
 #: fraction of the present throughput that suffices at a lower concurrency: the last
 #: few per cent of throughput cost the most latency
-ENOUGH = 0.95
+SUFFICIENT_RATIO = 0.95
 #: multiple of the present throughput that a higher concurrency must reach
-BETTER = 1.03
+IMPROVEMENT_RATIO = 1.03
 #: lowest value, as a fraction of the capacity that targets report
-FLOOR = 0.25
+MIN_CAPACITY_SHARE = 0.25
 
 #: bounds of the slowdown extrapolated by linear regression
-LEAST_SLOWDOWN = 0.5
-MOST_SLOWDOWN = 3.0
+MIN_SLOWDOWN = 0.5
+MAX_SLOWDOWN = 3.0
 
 
 class _Point(NamedTuple):
     """Total seconds of the calls at one concurrency, and the work they did."""
 
-    taken: float
+    seconds: float
     work: float
 
 
@@ -54,35 +54,35 @@
 
     def __init__(self) -> None:
         self._points: dict[int, _Point] = {}
-        self._faded = float("-inf")
+        self._decayed = float("-inf")
         self._changed = float("-inf")
         self._value: float | None = None
 
-    def record(self, held: float, taken: float, work: float, now: float) -> None:
+    def record(self, in_flight: float, seconds: float, work: float, now: float) -> None:
         """Record a call.
 
-        :param held: calls in flight at its target meanwhile.
-        :param taken: seconds the call took.
+        :param in_flight: calls in flight at its target meanwhile.
+        :param seconds: seconds the call took.
         :param work: tokens received.
         """
-        self._fade(now)
-        at = max(1, round(held))
+        self._decay(now)
+        at = max(1, round(in_flight))
         point = self._points.get(at, _Point(0.0, 0.0))
-        self._points[at] = _Point(point.taken + taken, point.work + work)
+        self._points[at] = _Point(point.seconds + seconds, point.work + work)
 
-    def update(self, capacity: float, *, pressed: bool, now: float) -> float:
+    def update(self, capacity: float, *, backlogged: bool, now: float) -> float:
         """Adjust and return the concurrency limit, at most ``capacity``.
 
-        :param pressed: whether calls are queued, so that the limit is fully used.
+        :param backlogged: whether calls are queued, so that the limit is fully used.
         """
         value = capacity if self._value is None else min(self._value, capacity)
         if self._points and now - self._changed >= INTERVAL:
             self._changed = now
-            value = self._improve(value) if pressed else value * (1 + STEP / 4)
-        self._value = min(max(value, capacity * FLOOR), capacity)
+            value = self._adjust(value) if backlogged else value * (1 + STEP / 4)
+        self._value = min(max(value, capacity * MIN_CAPACITY_SHARE), capacity)
         return self._value
 
-    def estimate_slowdown(self, held: float) -> float:
+    def estimate_slowdown(self, in_flight: float) -> float:
         """Return the time per token at a concurrency, relative to the mean.
 
         The result is 1 if too little is measured. Calls take seconds, so measured
@@ -90,45 +90,45 @@
         calls that start now. Without it admission reacts seconds late and
         oscillates between admitting too much and too little.
         """
-        taken = sum(point.taken for point in self._points.values())
+        seconds = sum(point.seconds for point in self._points.values())
         work = sum(point.work for point in self._points.values())
-        if taken < MIN_TAKEN or work <= 0:
+        if seconds < MIN_TOTAL_SECONDS or work <= 0:
             return 1.0
-        mean_held = sum(at * p.work for at, p in self._points.items()) / work
-        spread = bent = 0.0
+        mean_in_flight = sum(at * p.work for at, p in self._points.items()) / work
+        variance = covariance = 0.0
         for at, point in self._points.items():
-            spread += point.work * (at - mean_held) ** 2
-            bent += (at - mean_held) * point.taken
-        slope = bent / spread if spread > 0 else 0.0
-        slowdown = 1 + max(0.0, slope) * (held - mean_held) * work / taken
-        return min(max(slowdown, LEAST_SLOWDOWN), MOST_SLOWDOWN)
-
-    def _improve(self, value: float) -> float:
-        edges = [value * edge for edge in EDGES]
-        here = self._measure(edges[1], edges[2])
+            variance += point.work * (at - mean_in_flight) ** 2
+            covariance += (at - mean_in_flight) * point.seconds
+        slope = covariance / variance if variance > 0 else 0.0
+        slowdown = 1 + max(0.0, slope) * (in_flight - mean_in_flight) * work / seconds
+        return min(max(slowdown, MIN_SLOWDOWN), MAX_SLOWDOWN)
+
+    def _adjust(self, value: float) -> float:
+        edges = [value * edge for edge in RANGE_EDGES]
+        here = self._measure_throughput(edges[1], edges[2])
         if here is None:
             return value
-        above = self._measure(edges[2], edges[3])
-        if above is not None and above > here * BETTER:
+        above = self._measure_throughput(edges[2], edges[3])
+        if above is not None and above > here * IMPROVEMENT_RATIO:
             return value * (1 + STEP)
-        below = self._measure(edges[0], edges[1])
-        if below is None or below >= here * ENOUGH:
+        below = self._measure_throughput(edges[0], edges[1])
+        if below is None or below >= here * SUFFICIENT_RATIO:
             return value * (1 - STEP)
         return value
 
-    def _measure(self, low: float, high: float) -> float | None:
+    def _measure_throughput(self, low: float, high: float) -> float | None:
         """Return the throughput of a range, ``None`` if too little is measured."""
-        taken = work = 0.0
+        seconds = work = 0.0
         for at, point in self._points.items():
             if low < at <= high:
-                taken += point.taken
+                seconds += point.seconds
                 work += at * point.work
-        return work / taken if taken >= MIN_TAKEN else None
+        return work / seconds if seconds >= MIN_TOTAL_SECONDS else None
 
-    def _fade(self, now: float) -> None:
-        if now - self._faded < 1.0:
+    def _decay(self, now: float) -> None:
+        if now - self._decayed < 1.0:
             return
-        factor = exp(-(now - self._faded) / MEMORY)
-        self._faded = now
+        factor = exp(-(now - self._decayed) / DECAY_TIME)
+        self._decayed = now
         for at, point in tuple(self._points.items()):
-            self._points[at] = _Point(point.taken * factor, point.work * factor)
+            self._points[at] = _Point(point.seconds * factor, point.work * factor)
--- a/packages/greengagelatch/src/greengagelatch/load/deadlines.py
+++ b/packages/greengagelatch/src/greengagelatch/load/deadlines.py
@@ -13,7 +13,7 @@
 #: percentile of the durations by which a deadline is divided
 SPLIT_PERCENTILE = 95
 #: percentile of the durations that is expected of later stages
-REST_PERCENTILE = 50
+REMAINING_PERCENTILE = 50
 
 
 class DeadlinePlan:
@@ -42,10 +42,10 @@
     ) -> float:
         """Return the monotonic second by which ``stage``, starting now, should end."""
         seconds = self._estimate_stages(pipeline, SPLIT_PERCENTILE, now)
-        below = measure_downstream(pipeline, stage.name, seconds)
+        downstream = measure_downstream(pipeline, stage.name, seconds)
         own = seconds[stage.name]
         remaining = max(0.0, deadline - now)
-        return now + remaining * own / (own + below)
+        return now + remaining * own / (own + downstream)
 
     def estimate_remaining(self, ticket: Ticket, now: float) -> float:
         """Return the seconds that the stages after the ticket's take, unqueued.
@@ -56,7 +56,7 @@
         pipeline = self._find_pipeline(ticket.pipeline)
         if pipeline is None:
             return 0.0
-        return self.estimate_after(pipeline, ticket.stage, REST_PERCENTILE, now)
+        return self.estimate_after(pipeline, ticket.stage, REMAINING_PERCENTILE, now)
 
     def estimate_after(
         self, pipeline: Pipeline, stage_name: str, percentile: float, now: float
@@ -96,11 +96,13 @@
     pipeline: Pipeline, stage_name: str, seconds: dict[str, float]
 ) -> float:
     """Return the length of the critical path through the stages after one."""
-    below: dict[str, float] = {}
+    downstream: dict[str, float] = {}
     for stage in reversed(pipeline.stages):
         longest = 0.0
         for later in pipeline.stages:
             if stage.name in later.inputs:
-                longest = max(longest, seconds[later.name] + below.get(later.name, 0.0))
-        below[stage.name] = longest
-    return below.get(stage_name, 0.0)
+                longest = max(
+                    longest, seconds[later.name] + downstream.get(later.name, 0.0)
+                )
+        downstream[stage.name] = longest
+    return downstream.get(stage_name, 0.0)
--- a/packages/greengagelatch/src/greengagelatch/load/durations.py
+++ b/packages/greengagelatch/src/greengagelatch/load/durations.py
@@ -10,15 +10,15 @@
 __all__ = ("DurationTracker", "create_first_token_kind")
 
 #: histogram units in one second: a tenth of a millisecond each
-UNITS = 10_000
+UNITS_PER_SECOND = 10_000
 #: longest duration that the histogram distinguishes, in seconds
-LONGEST = 3600
+MAX_SECONDS = 3600
 #: significant digits: durations are resolved to about six in a hundred; with two
 #: digits, a percentile takes ten times as long, half of the processor time of all
 #: decisions
-DIGITS = 1
+SIGNIFICANT_DIGITS = 1
 #: seconds for which a computed percentile is cached
-CACHED = 0.5
+CACHE_TTL = 0.5
 #: fewest samples from which a percentile is computed
 MIN_SAMPLES = 8
 #: windows without any sample after which the last percentiles count as outdated
@@ -45,7 +45,9 @@
             # rare calls keep their history until there are enough new samples
             self.rotated = now
             return
-        self.baseline.append(self.current.get_value_at_percentile(50) / UNITS)
+        self.baseline.append(
+            self.current.get_value_at_percentile(50) / UNITS_PER_SECOND
+        )
         self.previous, self.current = self.current, self.previous
         self.current.reset()
         self.rotated = now if now - self.rotated > 2 * window else self.rotated + window
@@ -82,7 +84,7 @@
         if series is None:
             return prior
         cached = series.cache.get(percentile)
-        if cached is not None and now - cached[0] < CACHED:
+        if cached is not None and now - cached[0] < CACHE_TTL:
             return cached[1]
         value = _merge_percentile(series, percentile)
         if value is None:
@@ -113,11 +115,11 @@
 
 
 def _create_histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST * UNITS, DIGITS)
+    return HdrHistogram(1, MAX_SECONDS * UNITS_PER_SECOND, SIGNIFICANT_DIGITS)
 
 
 def _to_units(seconds: float) -> int:
-    return max(1, min(int(seconds * UNITS), LONGEST * UNITS))
+    return max(1, min(int(seconds * UNITS_PER_SECOND), MAX_SECONDS * UNITS_PER_SECOND))
 
 
 def _merge_percentile(series: _Series, percentile: float) -> float | None:
@@ -129,4 +131,4 @@
     for histogram, count in ((series.current, new), (series.previous, old)):
         if count:
             total += histogram.get_value_at_percentile(percentile) * count
-    return total / (new + old) / UNITS
+    return total / (new + old) / UNITS_PER_SECOND
--- a/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
@@ -7,7 +7,7 @@
 
 from .choice import TargetChoice
 from .loads import TargetView
-from .queue import SelectionFilter, QueuedCall
+from .queue import QueuedCall, SelectionFilter
 
 __all__ = ("FreeCapacity",)
 
@@ -40,8 +40,8 @@
         self._short_share = short_share
         self._choice = choice
         self._random = random_source
-        self._long_waits = False
-        self._rush = False
+        self._long_queued = False
+        self._contended = False
 
     @property
     def views(self) -> tuple[TargetView, ...]:
@@ -51,72 +51,72 @@
     @property
     def busy(self) -> bool:
         """Whether utilization is so high that calls take clearly longer."""
-        limit = sum(view.limit for view in self._list_sound())
+        limit = sum(view.limit for view in self._list_healthy())
         return (
-            sum(view.expected_in_flight for view in self._list_sound())
+            sum(view.expected_in_flight for view in self._list_healthy())
             > BUSY_SHARE * limit
         )
 
     @property
-    def mean_held(self) -> float:
+    def mean_in_flight(self) -> float:
         """Mean number of calls in flight at the targets that are not ejected."""
-        sound = self._list_sound()
-        return sum(view.expected_in_flight for view in sound) / max(1, len(sound))
+        healthy = self._list_healthy()
+        return sum(view.expected_in_flight for view in healthy) / max(1, len(healthy))
 
-    def begin(self, *, long_waits: bool, rush: bool) -> None:
+    def begin(self, *, long_queued: bool, contended: bool) -> None:
         """Prepare for one selection.
 
-        :param long_waits: whether a long call is queued.
-        :param rush: whether several calls are queued, as they then probably are on
+        :param long_queued: whether a long call is queued.
+        :param contended: whether several calls are queued, as they then probably are on
             all instances.
         """
-        self._long_waits = long_waits
-        self._rush = rush
+        self._long_queued = long_queued
+        self._contended = contended
 
-    def accepts(self, waiting: QueuedCall) -> bool:
+    def accepts(self, queued: QueuedCall) -> bool:
         """Whether some target has free capacity for the call."""
-        return any(self._fits(view, waiting) for view in self._views.values())
+        return any(self._fits(view, queued) for view in self._views.values())
 
-    def prefers(self, waiting: QueuedCall) -> bool:
+    def prefers(self, queued: QueuedCall) -> bool:
         """Whether a target with free capacity probably caches the call's prefix."""
-        prefix = waiting.ticket.prefix
+        prefix = queued.ticket.prefix
         if not prefix:
             return False
-        familiar = self._choice.find_affinity_targets(self.views, prefix)
-        return any(self._fits(view, waiting) for view in familiar)
+        affine = self._choice.find_affinity_targets(self.views, prefix)
+        return any(self._fits(view, queued) for view in affine)
 
-    def choose(self, waiting: QueuedCall, now: float) -> TargetView:
+    def choose(self, queued: QueuedCall, now: float) -> TargetView:
         """Return the target for a call that :meth:`accepts` has accepted."""
-        fitting = tuple(v for v in self._views.values() if self._fits(v, waiting))
-        probe = self._find_probe(fitting, waiting, now)
+        fitting = tuple(v for v in self._views.values() if self._fits(v, queued))
+        probe = self._find_probe(fitting, queued, now)
         if probe is not None:
             return probe
-        sound = tuple(view for view in fitting if not view.ejected) or fitting
-        return self._choice.choose(sound, waiting.ticket.prefix, self._random)
+        healthy = tuple(view for view in fitting if not view.ejected) or fitting
+        return self._choice.choose(healthy, queued.ticket.prefix, self._random)
 
     def take(self, view: TargetView, *, long: bool) -> float:
         """Count a granted call; return the calls in flight there before it."""
         self._views[view.target.target_id] = replace(
             view,
-            mine=view.own_in_flight + 1,
-            mine_long=view.own_long_in_flight + long,
-            held=view.expected_in_flight + 1,
-            spare=view.burst_room - 1,
+            own_in_flight=view.own_in_flight + 1,
+            own_long_in_flight=view.own_long_in_flight + long,
+            expected_in_flight=view.expected_in_flight + 1,
+            burst_room=view.burst_room - 1,
         )
         return view.expected_in_flight
 
-    def _list_sound(self) -> list[TargetView]:
+    def _list_healthy(self) -> list[TargetView]:
         return [view for view in self._views.values() if not view.ejected]
 
-    def _fits(self, view: TargetView, waiting: QueuedCall) -> bool:
-        if view.target.target_id in waiting.ticket.excluded:
+    def _fits(self, view: TargetView, queued: QueuedCall) -> bool:
+        if view.target.target_id in queued.ticket.excluded:
             return False
         if view.ejected:
             return (
-                view.half_open and view.own_in_flight == 0 and self._may_probe(waiting)
+                view.half_open and view.own_in_flight == 0 and self._may_probe(queued)
             )
         common = max(1.0, view.limit * (1 - self._short_share))
-        if waiting.long:
+        if queued.long:
             if view.own_in_flight < view.guaranteed and self._has_long_share():
                 return True
             return view.expected_in_flight + 1 <= common and self._may_share(view)
@@ -126,7 +126,7 @@
             view
         ):
             return False
-        if not self._long_waits or view.expected_in_flight + 1 <= common:
+        if not self._long_queued or view.expected_in_flight + 1 <= common:
             return True
         reserved = max(1.0, view.limit * self._short_share)
         return view.own_in_flight - view.own_long_in_flight < reserved
@@ -138,26 +138,26 @@
         targets: if the share is a single call at each of them, no part of it can be
         reserved per target.
         """
-        sound = self._list_sound()
-        own = sum(view.guaranteed for view in sound) * (1 - self._short_share)
-        return sum(view.own_long_in_flight for view in sound) < max(1, int(own))
+        healthy = self._list_healthy()
+        own = sum(view.guaranteed for view in healthy) * (1 - self._short_share)
+        return sum(view.own_long_in_flight for view in healthy) < max(1, int(own))
 
     def _may_share(self, view: TargetView) -> bool:
         """Whether this instance may use capacity beyond its own share."""
-        return not self._rush or view.burst_room > 0
+        return not self._contended or view.burst_room > 0
 
-    def _may_probe(self, waiting: QueuedCall) -> bool:
+    def _may_probe(self, queued: QueuedCall) -> bool:
         """Whether a call may be used to probe an ejected target.
 
         Long calls may not, as they would take seconds on a target that is still
         slow; nor may calls that can't be retried on another target.
         """
-        ticket = waiting.ticket
-        return ticket.repeatable and not ticket.retry and not waiting.long
+        ticket = queued.ticket
+        return ticket.repeatable and not ticket.retry and not queued.long
 
     def _find_probe(
-        self, views: tuple[TargetView, ...], waiting: QueuedCall, now: float
+        self, views: tuple[TargetView, ...], queued: QueuedCall, now: float
     ) -> TargetView | None:
-        if now + PROBE_SLACK * waiting.expected > waiting.latest_start:
+        if now + PROBE_SLACK * queued.expected > queued.latest_start:
             return None
         return next((view for view in views if view.ejected), None)
--- a/packages/greengagelatch/src/greengagelatch/load/limits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/limits.py
@@ -103,7 +103,7 @@
 
     def reset(self, now: float) -> None:
         self._set(self._rule.lowest)
-        self._begin(now)
+        self._start_window(now)
 
     def record_latency(self, ratio: float, held: float, now: float) -> None:
         self._ratios += ratio
@@ -119,15 +119,15 @@
             self._set(min(self._value, max(1.0, self._highest_held)) * factor)
         elif self._highest_held >= self._value / 2:
             self._set(self._value + 1)
-        self._begin(now)
+        self._start_window(now)
 
     def record_rejection(self, held: float, now: float) -> None:
         if now - self._changed < self._rule.interval:
             return
         self._set(min(self._value, max(1.0, held)) * self._rule.decrease)
-        self._begin(now)
+        self._start_window(now)
 
-    def _begin(self, now: float) -> None:
+    def _start_window(self, now: float) -> None:
         self._changed = now
         self._ratios = 0.0
         self._samples = 0
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -83,7 +83,7 @@
         self._report: LoadReport | None = None
         #: random offset that rounds this instance's share of the reported free
         #: capacity
-        self._report_lot = 0.0
+        self._report_rounding_offset = 0.0
         #: calls at the target, summed over all reports, and the number of reports
         self.reported = 0.0
         self.reports = 0
@@ -99,17 +99,17 @@
         """Whether a report has not been applied yet."""
         return report is not self._report
 
-    def apply_report(self, report: LoadReport, longest: float, knee: float) -> None:
+    def apply_report(self, report: LoadReport, longest: float, capacity: float) -> None:
         """Apply a new load report.
 
         :param longest: seconds that the longest calls take without load.
-        :param knee: concurrency beyond which the throughput does not rise.
+        :param capacity: calls that the target should run concurrently.
         """
         self._report = report
-        self._report_lot = self._random.random()
+        self._report_rounding_offset = self._random.random()
         self.reported += report.in_flight + report.queued
         self.reports += 1
-        self.limit.update_capacity(knee, longest)
+        self.limit.update_capacity(capacity, longest)
 
     def count_reported_others(self) -> float | None:
         """Return the calls of other instances by the latest report, if there is one.
@@ -120,7 +120,9 @@
         report = self._report
         if report is None:
             return None
-        return max(0.0, report.in_flight + report.queued - self._count_then(report))
+        return max(
+            0.0, report.in_flight + report.queued - self._count_own_at_report(report)
+        )
 
     def estimate_others(self, now: float, usual: float, memory: float) -> Estimate:
         """Return the estimated calls of other instances in flight at the target.
@@ -139,7 +141,7 @@
         mean = weight * others + (1 - weight) * usual
         return Estimate(mean, sqrt((1 - weight * weight) * usual))
 
-    def count_burst_room(self, choosers: float) -> int:
+    def count_burst_room(self, senders: float) -> int:
         """Return how many more calls this instance may send under contention.
 
         While calls are queued on all instances, each of them sees the same free
@@ -150,10 +152,10 @@
         if report is None:
             return 0
         free = max(0.0, self.limit.value - report.in_flight - report.queued)
-        taken = max(0, self.own_in_flight - self._count_then(report))
-        return int(free / choosers + self._report_lot) - taken
+        taken = max(0, self.own_in_flight - self._count_own_at_report(report))
+        return int(free / senders + self._report_rounding_offset) - taken
 
-    def _count_then(self, report: LoadReport) -> int:
+    def _count_own_at_report(self, report: LoadReport) -> int:
         """Return this instance's calls in flight when the report was taken."""
         history = self._history
         while len(history) > 1 and history[1][0] <= report.taken:
@@ -165,10 +167,10 @@
         candidate: Candidate,
         *,
         others: Estimate,
-        choosers: float,
-        near: bool,
+        senders: float,
+        local: bool,
         ejected: bool,
-        probing: bool,
+        half_open: bool,
     ) -> TargetView:
         """Return an immutable snapshot for load balancing."""
         report = candidate.report
@@ -179,11 +181,11 @@
             expected_in_flight=self.own_in_flight + others.mean,
             deviation=others.deviation,
             limit=self.limit.value,
-            guaranteed=int(self.limit.value / choosers + self.rounding_offset),
-            burst_room=self.count_burst_room(choosers),
+            guaranteed=int(self.limit.value / senders + self.rounding_offset),
+            burst_room=self.count_burst_room(senders),
             slowness=self.breaker.slowness,
-            local=near,
+            local=local,
             ejected=ejected,
-            half_open=probing,
+            half_open=half_open,
             cached_prefixes=frozenset() if report is None else report.cached_prefixes,
         )
--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -21,10 +21,10 @@
 QUANTUM = 1.0
 #: seconds before a call's safe start time from which no preferred call may be
 #: selected ahead of it
-HURRY = 0.5
+URGENT_MARGIN = 0.5
 #: calls of a workspace that one selection scans; few calls can't be served by any
 #: free target, as only retried calls exclude targets
-SCANNED = 16
+SCAN_LIMIT = 16
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,11 +50,11 @@
     """Tells which queued calls can be served now, and which are preferred."""
 
     @abstractmethod
-    def accepts(self, waiting: QueuedCall) -> bool:
+    def accepts(self, queued: QueuedCall) -> bool:
         """Whether the call can be served now."""
 
     @abstractmethod
-    def prefers(self, waiting: QueuedCall) -> bool:
+    def prefers(self, queued: QueuedCall) -> bool:
         """Whether an accepted call would cost less than usual, by a cached prefix."""
 
 
@@ -62,7 +62,7 @@
     """Queue of the calls that wait for one service."""
 
     @abstractmethod
-    def push(self, waiting: QueuedCall) -> None:
+    def push(self, queued: QueuedCall) -> None:
         """Add a call."""
 
     @abstractmethod
@@ -70,7 +70,7 @@
         """Remove and return a call, ``None`` if it is not queued."""
 
     @abstractmethod
-    def select(self, test: SelectionFilter, now: float) -> QueuedCall | None:
+    def select(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
         """Remove and return the accepted call to be served next, if any."""
 
     @abstractmethod
@@ -94,70 +94,74 @@
         """Iterate over all queued calls in no particular order."""
 
 
-class _Lane:
+class _WorkspaceQueue:
     """Queued calls of one workspace, with short and long ones kept separately.
 
     When only short calls may start, scanning a thousand long ones on each event
     would block the event loop.
     """
 
-    __slots__ = ("by_age", "by_urgency", "pending", "virtual")
+    __slots__ = ("by_age", "by_urgency", "pending", "virtual_time")
 
     def __init__(self) -> None:
         self.by_age: tuple[dict[int, QueuedCall], ...] = ({}, {})
         self.by_urgency = (SortedKeyList(key=_sort_key), SortedKeyList(key=_sort_key))
         #: virtual time: seconds of service received, divided by the weight
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         #: queued seconds of service by priority
         self.pending: dict[int, float] = {}
 
     def __len__(self) -> int:
         return len(self.by_age[False]) + len(self.by_age[True])
 
-    def add(self, waiting: QueuedCall) -> None:
-        self.by_age[waiting.long][waiting.ticket_id] = waiting
-        self.by_urgency[waiting.long].add(waiting)
-        priority = waiting.ticket.priority
+    def add(self, queued: QueuedCall) -> None:
+        self.by_age[queued.long][queued.ticket_id] = queued
+        self.by_urgency[queued.long].add(queued)
+        priority = queued.ticket.priority
         pending = self.pending.get(priority, 0.0)
-        self.pending[priority] = pending + waiting.expected
+        self.pending[priority] = pending + queued.expected
 
-    def discard(self, waiting: QueuedCall) -> None:
-        del self.by_age[waiting.long][waiting.ticket_id]
-        self.by_urgency[waiting.long].remove(waiting)
-        self.pending[waiting.ticket.priority] -= waiting.expected
+    def discard(self, queued: QueuedCall) -> None:
+        del self.by_age[queued.long][queued.ticket_id]
+        self.by_urgency[queued.long].remove(queued)
+        self.pending[queued.ticket.priority] -= queued.expected
         if not len(self):
             # sums of floats drift, but an empty queue must have none pending
             self.pending.clear()
 
-    def find_oldest(self, test: SelectionFilter) -> QueuedCall | None:
-        heads = [_find_first(calls.values(), test.accepts) for calls in self.by_age]
+    def find_oldest(self, selection: SelectionFilter) -> QueuedCall | None:
+        heads = [
+            _find_first(calls.values(), selection.accepts) for calls in self.by_age
+        ]
         return min(filter(None, heads), key=_age_key, default=None)
 
     def find_most_urgent(
-        self, test: SelectionFilter, *, preferred: bool = False
+        self, selection: SelectionFilter, *, preferred: bool = False
     ) -> QueuedCall | None:
-        def accepts(waiting: QueuedCall) -> bool:
-            return test.accepts(waiting) and (not preferred or test.prefers(waiting))
+        def accepts(queued: QueuedCall) -> bool:
+            return selection.accepts(queued) and (
+                not preferred or selection.prefers(queued)
+            )
 
         heads = [_find_first(calls, accepts) for calls in self.by_urgency]
         return min(filter(None, heads), key=_sort_key, default=None)
 
 
 def _find_first(
-    calls: Iterable[QueuedCall], suits: Callable[[QueuedCall], bool]
+    calls: Iterable[QueuedCall], accepts: Callable[[QueuedCall], bool]
 ) -> QueuedCall | None:
-    for call in islice(calls, SCANNED):
-        if suits(call):
+    for call in islice(calls, SCAN_LIMIT):
+        if accepts(call):
             return call
     return None
 
 
-def _age_key(waiting: QueuedCall) -> int:
-    return waiting.ticket_id
+def _age_key(queued: QueuedCall) -> int:
+    return queued.ticket_id
 
 
-def _sort_key(waiting: QueuedCall) -> tuple[int, float, int]:
-    return (-waiting.ticket.priority, waiting.start_by, waiting.ticket_id)
+def _sort_key(queued: QueuedCall) -> tuple[int, float, int]:
+    return (-queued.ticket.priority, queued.start_by, queued.ticket_id)
 
 
 class FairQueue(CallQueue):
@@ -186,37 +190,37 @@
     ) -> None:
         self._weigh = weigh
         self._quantum = quantum
-        self._lanes: dict[str, _Lane] = {}
+        self._workspace_queues: dict[str, _WorkspaceQueue] = {}
         self._waiting: dict[int, QueuedCall] = {}
         #: lowest virtual time among the workspaces with queued calls, at which a
         #: newly active workspace starts. If it started at the highest, a workspace
         #: whose calls come one by one would lose its due share whenever its queue
         #: is empty
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         #: seconds of service that may be given regardless of priority
         self._fair_credit = 0.0
 
-    def push(self, waiting: QueuedCall) -> None:
-        name = waiting.ticket.workspace
-        lane = self._lanes.get(name)
-        if lane is None:
-            self._forget_idle()
-            lane = self._lanes[name] = _Lane()
-        if not lane:
+    def push(self, queued: QueuedCall) -> None:
+        name = queued.ticket.workspace
+        queue = self._workspace_queues.get(name)
+        if queue is None:
+            self._evict_idle()
+            queue = self._workspace_queues[name] = _WorkspaceQueue()
+        if not queue:
             # idle time earns no credit for later service
-            lane.virtual = max(lane.virtual, self._virtual)
-        lane.add(waiting)
-        self._waiting[waiting.ticket_id] = waiting
+            queue.virtual_time = max(queue.virtual_time, self._virtual_time)
+        queue.add(queued)
+        self._waiting[queued.ticket_id] = queued
 
     def remove(self, ticket_id: int) -> QueuedCall | None:
-        waiting = self._waiting.pop(ticket_id, None)
-        if waiting is None:
+        queued = self._waiting.pop(ticket_id, None)
+        if queued is None:
             return None
-        self._lanes[waiting.ticket.workspace].discard(waiting)
-        return waiting
+        self._workspace_queues[queued.ticket.workspace].discard(queued)
+        return queued
 
-    def select(self, test: SelectionFilter, now: float) -> QueuedCall | None:
-        chosen = self._choose(test, now)
+    def select(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
+        chosen = self._choose(selection, now)
         if chosen is None:
             return None
         self._charge(chosen)
@@ -225,15 +229,15 @@
 
     def sum_pending(self, priority: int) -> dict[str, float]:
         pending = {}
-        for name, lane in self._lanes.items():
-            work = sum(w for other, w in lane.pending.items() if other >= priority)
+        for name, queue in self._workspace_queues.items():
+            work = sum(w for other, w in queue.pending.items() if other >= priority)
             if work > 0:
                 pending[name] = work
         return pending
 
     @property
     def has_long_calls(self) -> bool:
-        return any(lane.by_age[True] for lane in self._lanes.values())
+        return any(queue.by_age[True] for queue in self._workspace_queues.values())
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -241,11 +245,11 @@
     def __iter__(self) -> Iterator[QueuedCall]:
         return iter(tuple(self._waiting.values()))
 
-    def _choose(self, test: SelectionFilter, now: float) -> QueuedCall | None:
+    def _choose(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
         if len(self._waiting) <= 1:
             # nothing to arbitrate, which is the common case below saturation
-            return _find_first(self._waiting.values(), test.accepts)
-        heads = self._find_heads(test, by_age=True)
+            return _find_first(self._waiting.values(), selection.accepts)
+        heads = self._find_heads(selection, by_age=True)
         if not heads:
             return None
         fair = _pick_fair(heads)
@@ -253,56 +257,65 @@
             self._fair_credit -= fair.expected
             chosen = fair
         else:
-            chosen = self._pick(self._find_heads(test, by_age=False), test, now)
+            chosen = self._pick(
+                self._find_heads(selection, by_age=False), selection, now
+            )
         self._fair_credit += chosen.expected / FAIR_PERIOD
         return chosen
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         """Drop idle workspaces whose virtual time would be reset anyway."""
-        for name, lane in tuple(self._lanes.items()):
-            if not lane and lane.virtual <= self._virtual:
-                del self._lanes[name]
+        for name, queue in tuple(self._workspace_queues.items()):
+            if not queue and queue.virtual_time <= self._virtual_time:
+                del self._workspace_queues[name]
 
     def _find_heads(
-        self, test: SelectionFilter, *, by_age: bool
-    ) -> list[tuple[_Lane, QueuedCall]]:
+        self, selection: SelectionFilter, *, by_age: bool
+    ) -> list[tuple[_WorkspaceQueue, QueuedCall]]:
         heads = []
-        for lane in self._lanes.values():
-            if not lane:
+        for queue in self._workspace_queues.values():
+            if not queue:
                 continue
-            find = lane.find_oldest if by_age else lane.find_most_urgent
-            head = find(test)
+            find = queue.find_oldest if by_age else queue.find_most_urgent
+            head = find(selection)
             if head is not None:
-                heads.append((lane, head))
+                heads.append((queue, head))
         return heads
 
     def _pick(
-        self, heads: list[tuple[_Lane, QueuedCall]], test: SelectionFilter, now: float
+        self,
+        heads: list[tuple[_WorkspaceQueue, QueuedCall]],
+        selection: SelectionFilter,
+        now: float,
     ) -> QueuedCall:
         top = max(head.ticket.priority for _, head in heads)
         first = [pair for pair in heads if pair[1].ticket.priority == top]
-        limit = min(lane.virtual for lane, _ in first) + self._quantum
-        eligible = [pair for pair in first if pair[0].virtual <= limit]
+        limit = min(queue.virtual_time for queue, _ in first) + self._quantum
+        eligible = [pair for pair in first if pair[0].virtual_time <= limit]
         urgent = min((head for _, head in eligible), key=_sort_key)
-        if urgent.safe_start - now < HURRY:
+        if urgent.safe_start - now < URGENT_MARGIN:
             return urgent
-        found = [lane.find_most_urgent(test, preferred=True) for lane, _ in eligible]
+        found = [
+            queue.find_most_urgent(selection, preferred=True) for queue, _ in eligible
+        ]
         preferred = [
-            waiting
-            for waiting in found
-            if waiting is not None and waiting.ticket.priority == top
+            queued
+            for queued in found
+            if queued is not None and queued.ticket.priority == top
         ]
         return min(preferred, key=_sort_key, default=urgent)
 
-    def _charge(self, waiting: QueuedCall) -> None:
-        name = waiting.ticket.workspace
-        lane = self._lanes[name]
-        lowest = lane.virtual
+    def _charge(self, queued: QueuedCall) -> None:
+        name = queued.ticket.workspace
+        queue = self._workspace_queues[name]
+        lowest = queue.virtual_time
         if len(self._waiting) > 1:
-            lowest = min(other.virtual for other in self._lanes.values() if other)
-        self._virtual = max(self._virtual, lowest)
-        lane.virtual += waiting.expected / self._weigh(name)
+            lowest = min(
+                other.virtual_time for other in self._workspace_queues.values() if other
+            )
+        self._virtual_time = max(self._virtual_time, lowest)
+        queue.virtual_time += queued.expected / self._weigh(name)
 
 
-def _pick_fair(heads: list[tuple[_Lane, QueuedCall]]) -> QueuedCall:
-    return min(heads, key=lambda pair: (pair[0].virtual, pair[1].ticket_id))[1]
+def _pick_fair(heads: list[tuple[_WorkspaceQueue, QueuedCall]]) -> QueuedCall:
+    return min(heads, key=lambda pair: (pair[0].virtual_time, pair[1].ticket_id))[1]
--- a/packages/greengagelatch/src/greengagelatch/load/safety_factor.py
+++ b/packages/greengagelatch/src/greengagelatch/load/safety_factor.py
@@ -10,12 +10,12 @@
 #: largest increase of the factor for one call that ended after its deadline
 STEP = 0.15
 #: bounds of the factor
-LOWEST = 1.0
-HIGHEST = 4.0
+MIN_FACTOR = 1.0
+MAX_FACTOR = 4.0
 #: seconds without a call after which the factor begins to decay, and time constant
 #: of that decay: the seconds in which it falls to a third
-SILENCE = 10.0
-MEMORY = 30.0
+DECAY_DELAY = 10.0
+DECAY_TIME = 30.0
 
 
 class SafetyFactor:
@@ -39,12 +39,12 @@
     def find_factor(self, kind: Hashable, now: float) -> float:
         """Return the factor for a kind of call, 1 if none of it has ended yet."""
         factor, updated = self._factors.get(kind, (1.0, now))
-        silent = max(0.0, now - updated - SILENCE)
-        return 1.0 + (factor - 1.0) * exp(-silent / MEMORY)
+        silent = max(0.0, now - updated - DECAY_DELAY)
+        return 1.0 + (factor - 1.0) * exp(-silent / DECAY_TIME)
 
     def record(self, kind: Hashable, *, late: bool, now: float) -> None:
         """Record whether a call ended after its deadline."""
         factor = self.find_factor(kind, now)
         share = 1 - self._late_share if late else -self._late_share
-        factor = min(max(factor + STEP * share, LOWEST), HIGHEST)
+        factor = min(max(factor + STEP * share, MIN_FACTOR), MAX_FACTOR)
         self._factors[kind] = (factor, now)
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -16,10 +16,10 @@
 from .budgets import Budget, BudgetRule
 from .choice import ChoiceRule, PowerOfTwoChoices
 from .durations import DurationTracker
+from .free_capacity import FreeCapacity
 from .limits import LimitRule
 from .queue import FairQueue, QueuedCall
 from .refusals import create_refusal
-from .free_capacity import FreeCapacity
 from .service import ServiceLoad
 from .weights import scale_margin, weigh_evenly
 
@@ -105,11 +105,11 @@
         self._durations = durations
         self._retries = Budget(rule.retries, now)
         self._services: dict[str, ServiceLoad] = {}
-        self._homes: dict[int, ServiceLoad] = {}
-        self._dirty: set[str] = set()
-        self._decided: list[Decision] = []
-        self._last_id = 0
-        self._last_grant = 0
+        self._queued_services: dict[int, ServiceLoad] = {}
+        self._dirty_services: set[str] = set()
+        self._decisions: list[Decision] = []
+        self._last_ticket_id = 0
+        self._last_grant_id = 0
 
     @property
     def retry_budget(self) -> Budget:
@@ -119,7 +119,7 @@
     @property
     def waiting(self) -> int:
         """Number of queued calls."""
-        return len(self._homes)
+        return len(self._queued_services)
 
     def find_service(self, name: str) -> ServiceLoad:
         """Return the load of a service, creating it if needed."""
@@ -148,24 +148,24 @@
 
     def submit(self, ticket: Ticket, now: float) -> int:
         """Queue or refuse a ticket; return the id that its decision will carry."""
-        self._last_id += 1
+        self._last_ticket_id += 1
         service = self.find_service(ticket.service)
-        refusal = self._find_fault(service, ticket, now)
+        refusal = self._check_submission(service, ticket, now)
         if refusal is not None:
-            self._decided.append(Decision(self._last_id, Err(refusal)))
-            return self._last_id
-        waiting = self._prepare(service, ticket, now)
-        service.queue.push(waiting)
-        self._homes[waiting.ticket_id] = service
-        self._dirty.add(service.name)
-        return waiting.ticket_id
+            self._decisions.append(Decision(self._last_ticket_id, Err(refusal)))
+            return self._last_ticket_id
+        queued = self._prepare(service, ticket, now)
+        service.queue.push(queued)
+        self._queued_services[queued.ticket_id] = service
+        self._dirty_services.add(service.name)
+        return queued.ticket_id
 
     def poll(self, now: float) -> tuple[Decision, ...]:
         """Return the decisions made since the last call."""
-        dirty, self._dirty = self._dirty, set()
+        dirty, self._dirty_services = self._dirty_services, set()
         for name in sorted(dirty):
-            self._serve(self._services[name], now)
-        decided, self._decided = self._decided, []
+            self._dispatch(self._services[name], now)
+        decided, self._decisions = self._decisions, []
         return tuple(decided)
 
     def expire(self, now: float) -> None:
@@ -176,17 +176,17 @@
         for service in self._services.values():
             if not len(service.queue):
                 continue
-            self._dirty.add(service.name)
+            self._dirty_services.add(service.name)
             busy = _is_contended(service, now)
-            for waiting in service.queue:
-                if not _is_late(waiting, busy, now):
+            for queued in service.queue:
+                if not _is_late(queued, busy, now):
                     continue
-                service.queue.remove(waiting.ticket_id)
-                self._refuse_late(service, waiting, now)
+                service.queue.remove(queued.ticket_id)
+                self._refuse_late(service, queued, now)
 
     def cancel(self, ticket_id: int) -> None:
         """Remove a call that its caller has abandoned from the queue."""
-        service = self._homes.pop(ticket_id, None)
+        service = self._queued_services.pop(ticket_id, None)
         if service is not None:
             service.queue.remove(ticket_id)
 
@@ -194,7 +194,7 @@
         """Release a grant and record its outcome."""
         service = self.find_service(grant.ticket.service)
         service.finish(grant, outcome, now)
-        self._dirty.add(service.name)
+        self._dirty_services.add(service.name)
 
     def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
         """Record the time to first token of a granted stream."""
@@ -202,15 +202,15 @@
 
     def mark_all_dirty(self) -> None:
         """Mark all services for scheduling, as the target directory has changed."""
-        self._dirty.update(self._services)
+        self._dirty_services.update(self._services)
 
     def find_next_wake(self, now: float) -> float | None:
         """Return the monotonic seconds at which to ``expire`` and ``poll`` next."""
-        if not self._homes:
+        if not self._queued_services:
             return None
         return now + WAKE_INTERVAL
 
-    def _find_fault(
+    def _check_submission(
         self, service: ServiceLoad, ticket: Ticket, now: float
     ) -> Refusal | None:
         if not self._directory.candidates(ticket.service):
@@ -238,7 +238,7 @@
         most *= scale_margin(weights)
         end = ticket.deadline - self._estimate_remaining(ticket, now)
         return QueuedCall(
-            ticket_id=self._last_id,
+            ticket_id=self._last_ticket_id,
             ticket=ticket,
             entered=now,
             expected=expected,
@@ -248,7 +248,7 @@
             long=service.is_long(kind, now),
         )
 
-    def _serve(self, service: ServiceLoad, now: float) -> None:
+    def _dispatch(self, service: ServiceLoad, now: float) -> None:
         """Grant queued calls until no target can serve any of them."""
         service.check_overdue(now)
         if not len(service.queue):
@@ -256,43 +256,47 @@
         if not self._directory.candidates(service.name):
             self._refuse_all(service)
             return
-        room = service.find_free_capacity(now)
+        capacity = service.find_free_capacity(now)
         while True:
             queue = service.queue
-            room.begin(long_waits=queue.has_long_calls, rush=len(queue) > 1)
-            waiting = service.queue.select(room, now)
-            if waiting is None:
+            capacity.begin(long_queued=queue.has_long_calls, contended=len(queue) > 1)
+            queued = service.queue.select(capacity, now)
+            if queued is None:
                 return
-            if _is_late(waiting, service.is_busy(now), now):
-                self._refuse_late(service, waiting, now)
+            if _is_late(queued, service.is_busy(now), now):
+                self._refuse_late(service, queued, now)
                 continue
-            self._grant(service, waiting, room, now)
+            self._grant(service, queued, capacity, now)
 
     def _grant(
-        self, service: ServiceLoad, waiting: QueuedCall, room: FreeCapacity, now: float
+        self,
+        service: ServiceLoad,
+        queued: QueuedCall,
+        capacity: FreeCapacity,
+        now: float,
     ) -> None:
-        view = room.choose(waiting, now)
-        self._last_grant += 1
+        view = capacity.choose(queued, now)
+        self._last_grant_id += 1
         grant = Grant(
-            self._last_grant, waiting.ticket, view.target, now, probe=view.ejected
+            self._last_grant_id, queued.ticket, view.target, now, probe=view.ejected
         )
-        held = room.take(view, long=waiting.long)
-        service.start(grant, waiting, held)
-        self._decide(waiting, Ok(grant))
+        held = capacity.take(view, long=queued.long)
+        service.start(grant, queued, held)
+        self._decide(queued, Ok(grant))
 
     def _refuse_all(self, service: ServiceLoad) -> None:
         message = f"service {service.name} has lost its last reachable target"
         refusal = create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
-        for waiting in service.queue:
-            service.queue.remove(waiting.ticket_id)
-            self._decide(waiting, Err(refusal))
+        for queued in service.queue:
+            service.queue.remove(queued.ticket_id)
+            self._decide(queued, Err(refusal))
 
     def _refuse_late(
-        self, service: ServiceLoad, waiting: QueuedCall, now: float
+        self, service: ServiceLoad, queued: QueuedCall, now: float
     ) -> None:
         message = f"no target of service {service.name} had free capacity in time"
-        refusal = self._create_overload(service, waiting.ticket, message, now)
-        self._decide(waiting, Err(refusal))
+        refusal = self._create_overload(service, queued.ticket, message, now)
+        self._decide(queued, Err(refusal))
 
     def _create_overload(
         self, service: ServiceLoad, ticket: Ticket, message: str, now: float
@@ -303,12 +307,12 @@
         wait = service.estimate_wait(ticket.workspace, ticket.priority, work, now)
         return create_refusal(RefusalCode.OVERLOADED, message, wait)
 
-    def _decide(self, waiting: QueuedCall, result: Result[Grant, Refusal]) -> None:
-        self._homes.pop(waiting.ticket_id, None)
-        self._decided.append(Decision(waiting.ticket_id, result))
+    def _decide(self, queued: QueuedCall, result: Result[Grant, Refusal]) -> None:
+        self._queued_services.pop(queued.ticket_id, None)
+        self._decisions.append(Decision(queued.ticket_id, result))
 
 
-def _is_late(waiting: QueuedCall, busy: bool, now: float) -> bool:
+def _is_late(queued: QueuedCall, busy: bool, now: float) -> bool:
     """Whether it is too late to start a call.
 
     On busy targets, a call that will probably miss its deadline displaces one that
@@ -316,10 +320,10 @@
     the load rises. If targets are idle, or if a request on which work was already
     spent only needs a short call, even a small chance of success is worth it.
     """
-    cautious = busy and (waiting.long or not waiting.ticket.begun)
-    return now > (waiting.safe_start if cautious else waiting.latest_start)
+    cautious = busy and (queued.long or not queued.ticket.begun)
+    return now > (queued.safe_start if cautious else queued.latest_start)
 
 
 def _is_contended(service: ServiceLoad, now: float) -> bool:
     """Whether a queued call would probably still meet its deadline."""
-    return any(now <= waiting.safe_start for waiting in service.queue)
+    return any(now <= queued.safe_start for queued in service.queue)
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -12,10 +12,10 @@
 from .breakers import BreakerRule, BreakerState, find_ejected, trip_slow_targets
 from .choice import TargetChoice
 from .durations import DurationTracker
+from .free_capacity import FreeCapacity
 from .limits import LimitRule
 from .loads import TargetLoad
 from .queue import CallQueue, QueuedCall
-from .free_capacity import FreeCapacity
 from .times import CallTimes, Kind, find_kind
 from .waits import DrainRate, estimate_fair_wait
 
@@ -23,13 +23,13 @@
 
 #: multiple of the median duration at which a running call counts as overdue; counted
 #: again at each doubling
-OVERDUE = 4.0
+OVERDUE_RATIO = 4.0
 #: seconds between two checks for overdue calls
-WATCH_INTERVAL = 0.1
+OVERDUE_INTERVAL = 0.1
 #: slowness above which a target's streams are not used to tune the concurrency
-SLOW_FOR_CURVE = 2.0
+MAX_TUNING_SLOWNESS = 2.0
 #: number of known targets from which absent ones are evicted
-FORGET_ABOVE = 64
+EVICT_ABOVE = 64
 
 
 @dataclass(slots=True)
@@ -42,18 +42,18 @@
     #: sum of its target's reported calls over all reports so far, and their number
     reported: float
     reports: int
-    overdue: float = OVERDUE
+    overdue: float = OVERDUE_RATIO
     #: whether its first token has come
     begun: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownRoom:
+class _CachedCapacity:
     """The free capacity computed last, and its inputs."""
 
     at: float
     candidates: tuple[Candidate, ...]
-    room: FreeCapacity
+    capacity: FreeCapacity
 
 
 class ServiceLoad:
@@ -91,8 +91,8 @@
         self._targets: dict[str, TargetLoad] = {}
         self._running: dict[int, _Running] = {}
         self._drain = DrainRate()
-        self._watched = float("-inf")
-        self._known_room: _KnownRoom | None = None
+        self._overdue_checked = float("-inf")
+        self._cached_capacity: _CachedCapacity | None = None
 
     @property
     def targets(self) -> dict[str, TargetLoad]:
@@ -115,7 +115,7 @@
 
     def estimate_safe_duration(self, kind: Kind, allotted: float, now: float) -> float:
         """Return seconds within which all but the allowed share of calls end."""
-        held = self.find_free_capacity(now).mean_held
+        held = self.find_free_capacity(now).mean_in_flight
         return self._times.estimate_safe(kind, allotted, held, now)
 
     def is_long(self, kind: Kind, now: float) -> bool:
@@ -133,21 +133,21 @@
         from arrival to grant, and computing it is most of the cost of a decision.
         """
         candidates = self._directory.candidates(self.name)
-        known = self._known_room
+        known = self._cached_capacity
         if known is None or known.at != now or known.candidates != candidates:
-            room = self._work_out_room(candidates, now)
-            known = self._known_room = _KnownRoom(now, candidates, room)
-        return known.room
+            capacity = self._compute_free_capacity(candidates, now)
+            known = self._cached_capacity = _CachedCapacity(now, candidates, capacity)
+        return known.capacity
 
-    def _work_out_room(
+    def _compute_free_capacity(
         self, candidates: tuple[Candidate, ...], now: float
     ) -> FreeCapacity:
-        choosers = max(1.0, self._count_senders(self.name))
+        senders = max(1.0, self._count_senders(self.name))
         longest = self._times.find_longest(now)
-        loads = [self._load_of(candidate, longest, now) for candidate in candidates]
+        loads = [self._find_load(candidate, longest, now) for candidate in candidates]
         known = [load.count_reported_others() for load in loads]
-        told = [count for count in known if count is not None]
-        usual = fmean(told) if told else 0.0
+        reported = [count for count in known if count is not None]
+        usual = fmean(reported) if reported else 0.0
         ids = [candidate.target.target_id for candidate in candidates]
         breakers = [
             (target_id, load.breaker)
@@ -162,10 +162,10 @@
                 load.view(
                     candidate,
                     others=others,
-                    choosers=choosers,
-                    near=candidate.target.data_centre == self._data_centre,
+                    senders=senders,
+                    local=candidate.target.data_centre == self._data_centre,
                     ejected=candidate.target.target_id in ejected,
-                    probing=state is BreakerState.HALF_OPEN,
+                    half_open=state is BreakerState.HALF_OPEN,
                 )
             )
         return FreeCapacity(
@@ -175,20 +175,20 @@
             random_source=self._random,
         )
 
-    def start(self, grant: Grant, waiting: QueuedCall, held: float) -> None:
+    def start(self, grant: Grant, queued: QueuedCall, held: float) -> None:
         """Count a granted call.
 
         :param held: estimated calls in flight at its target before it.
         """
         priority = grant.ticket.priority
-        self._drain.record_start(priority, waiting.expected, grant.granted)
-        self._known_room = None
+        self._drain.record_start(priority, queued.expected, grant.granted)
+        self._cached_capacity = None
         load = self._targets[grant.target.target_id]
-        load.change(1, long=waiting.long, now=grant.granted)
+        load.adjust_in_flight(1, long=queued.long, now=grant.granted)
         if grant.probe:
             load.breaker.begin_probe(grant.granted)
         self._running[grant.grant_id] = _Running(
-            grant, waiting.long, held, load.reported, load.reports
+            grant, queued.long, held, load.reported, load.reports
         )
 
     def finish(self, grant: Grant, outcome: Outcome, now: float) -> None:
@@ -196,15 +196,15 @@
         running = self._running.pop(grant.grant_id, None)
         if running is None:
             return
-        self._known_room = None
+        self._cached_capacity = None
         load = self._targets[grant.target.target_id]
-        load.change(-1, long=running.long, now=now)
+        load.adjust_in_flight(-1, long=running.long, now=now)
         if outcome.tokens:
-            self._note_tokens(running, load, outcome, now)
+            self._record_tokens(running, load, outcome, now)
         ticket = grant.ticket
         match outcome.kind:
             case OutcomeKind.SUCCESS:
-                self._note_answer(running, load, outcome, now)
+                self._record_answer(running, load, outcome, now)
             case OutcomeKind.FAILURE:
                 load.breaker.record_failure(now)
             case OutcomeKind.REJECTED:
@@ -222,22 +222,22 @@
         if running is None:
             return
         running.begun = True
-        self._known_room = None
+        self._cached_capacity = None
         ratio = self._times.compare_first_token(grant.ticket, seconds, now)
         self._targets[grant.target.target_id].breaker.record_latency(ratio)
 
     def check_overdue(self, now: float) -> None:
         """Record overdue calls and trip the breakers of slow targets."""
-        if now - self._watched < WATCH_INTERVAL:
+        if now - self._overdue_checked < OVERDUE_INTERVAL:
             return
-        self._watched = now
-        self._known_room = None
+        self._overdue_checked = now
+        self._cached_capacity = None
         for running in self._running.values():
-            self._note_overdue(running, now)
+            self._record_overdue(running, now)
         breakers = [load.breaker for load in self._targets.values()]
         trip_slow_targets(breakers, self._breaker_rule, now)
 
-    def _note_overdue(self, running: _Running, now: float) -> None:
+    def _record_overdue(self, running: _Running, now: float) -> None:
         grant = running.grant
         elapsed = now - grant.granted
         ratio = self._times.compare_elapsed(
@@ -248,7 +248,7 @@
         self._targets[grant.target.target_id].breaker.record_latency(ratio)
         running.overdue *= 2
 
-    def _note_answer(
+    def _record_answer(
         self, running: _Running, load: TargetLoad, outcome: Outcome, now: float
     ) -> None:
         ticket = running.grant.ticket
@@ -276,7 +276,7 @@
         self._drain.record_queue_length(len(self.queue), now)
         return self._drain.estimate(priority, self._count_slots(now), now)
 
-    def _note_tokens(
+    def _record_tokens(
         self, running: _Running, load: TargetLoad, outcome: Outcome, now: float
     ) -> None:
         """Record a stream and its target's concurrency for concurrency tuning.
@@ -284,7 +284,7 @@
         Streams of slow targets are excluded: they would make a low concurrency look
         as slow as a high one.
         """
-        if load.breaker.slowness > SLOW_FOR_CURVE:
+        if load.breaker.slowness > MAX_TUNING_SLOWNESS:
             return
         reports = load.reports - running.reports
         held = running.expected_in_flight
@@ -294,21 +294,23 @@
 
     def _count_slots(self, now: float) -> float:
         """Return the estimated number of calls this instance can have in flight."""
-        choosers = max(1.0, self._count_senders(self.name))
+        senders = max(1.0, self._count_senders(self.name))
         return sum(
             max(
-                view.limit / choosers,
+                view.limit / senders,
                 view.limit - view.expected_in_flight + view.own_in_flight,
             )
             for view in self.find_free_capacity(now).views
             if not view.ejected
         )
 
-    def _load_of(self, candidate: Candidate, longest: float, now: float) -> TargetLoad:
+    def _find_load(
+        self, candidate: Candidate, longest: float, now: float
+    ) -> TargetLoad:
         target_id = candidate.target.target_id
         load = self._targets.get(target_id)
         if load is None:
-            self._forget_idle()
+            self._evict_absent()
             load = self._targets[target_id] = TargetLoad(
                 limit_rule=self._limit_rule,
                 breaker_rule=self._breaker_rule,
@@ -317,14 +319,16 @@
         report = candidate.report
         if report is None or not load.is_new(report):
             return load
-        pressed = len(self.queue) > 1
-        knee = self._times.concurrency.update(report.capacity, pressed=pressed, now=now)
-        load.apply_report(report, longest, knee)
+        backlogged = len(self.queue) > 1
+        capacity = self._times.concurrency.update(
+            report.capacity, backlogged=backlogged, now=now
+        )
+        load.apply_report(report, longest, capacity)
         return load
 
-    def _forget_idle(self) -> None:
+    def _evict_absent(self) -> None:
         """Drop absent targets, or each replaced target would leak memory."""
-        if len(self._targets) < FORGET_ABOVE:
+        if len(self._targets) < EVICT_ABOVE:
             return
         present = {
             candidate.target.target_id
--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -5,9 +5,9 @@
 from collections.abc import Hashable
 
 from . import Outcome, OutcomeKind, Ticket
-from .safety_factor import SafetyFactor
-from .durations import DurationTracker, create_first_token_kind
 from .concurrency import ConcurrencyTuner
+from .durations import DurationTracker, create_first_token_kind
+from .safety_factor import SafetyFactor
 
 __all__ = ("CallTimes", "Kind", "find_kind")
 
@@ -23,14 +23,14 @@
 #: percentile of the durations that is taken as safe, before the safety factor
 SAFE_PERCENTILE = 95.0
 #: approximate ratio of the 95th percentile to the median of calls under equal load
-SPREAD = 2.0
+P95_RATIO = 2.0
 #: part of a stage's allotted time that an unmeasured call is expected to take
 PRIOR_SHARE = 0.3
 #: initial mean duration in seconds, weight of a call in the moving average, and the
 #: lowest mean in seconds
-FIRST_MEAN = 1.0
+INITIAL_MEAN = 1.0
 MEAN_WEIGHT = 0.05
-SHORTEST_MEAN = 0.001
+MIN_MEAN = 0.001
 
 
 def find_kind(ticket: Ticket) -> Kind:
@@ -47,9 +47,9 @@
 
     def __init__(self, durations: DurationTracker, *, late_share: float) -> None:
         self._durations = durations
-        self._caution = SafetyFactor(late_share)
+        self._safety_factor = SafetyFactor(late_share)
         self._kinds: set[Kind] = set()
-        self._mean = FIRST_MEAN
+        self._mean = INITIAL_MEAN
         self._answers = 0
         self.concurrency = ConcurrencyTuner()
 
@@ -79,9 +79,9 @@
         slowdown = self.concurrency.estimate_slowdown(held + 1)
         # the high percentile already includes durations under high load, so only
         # the median is scaled up
-        usual = self.estimate(kind, allotted, 50, now) * slowdown * SPREAD
+        usual = self.estimate(kind, allotted, 50, now) * slowdown * P95_RATIO
         late = self.estimate(kind, allotted, SAFE_PERCENTILE, now) * min(1.0, slowdown)
-        return max(usual, late) * self._caution.find_factor(kind, now)
+        return max(usual, late) * self._safety_factor.find_factor(kind, now)
 
     def is_long(self, kind: Kind, now: float) -> bool:
         """Whether calls of this kind are long ones of this service.
@@ -116,12 +116,12 @@
         late = now >= ticket.deadline - LATE_MARGIN
         match outcome.kind:
             case OutcomeKind.SUCCESS:
-                self._caution.record(kind, late=late, now=now)
+                self._safety_factor.record(kind, late=late, now=now)
                 self._durations.record(kind, outcome.seconds, now)
-                self._note_mean(outcome.seconds)
+                self._record_mean(outcome.seconds)
             case OutcomeKind.ABANDONED:
                 if late:
-                    self._caution.record(kind, late=True, now=now)
+                    self._safety_factor.record(kind, late=True, now=now)
 
     def compare_end(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
         """Return the ratio of a call's duration, or time per token, to the usual."""
@@ -157,11 +157,11 @@
     def _find_median(self, kind: Hashable, now: float, prior: float) -> float:
         return self._durations.estimate(kind, 50, now, prior)
 
-    def _note_mean(self, seconds: float) -> None:
+    def _record_mean(self, seconds: float) -> None:
         self._answers += 1
         weight = max(MEAN_WEIGHT, 1 / self._answers)
         mean = self._mean + (seconds - self._mean) * weight
-        self._mean = max(mean, SHORTEST_MEAN)
+        self._mean = max(mean, MIN_MEAN)
 
 
 def _divide(seconds: float, usual: float) -> float:
--- a/packages/greengagelatch/src/greengagelatch/load/waits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/waits.py
@@ -8,12 +8,12 @@
 __all__ = ("DrainRate", "estimate_fair_wait")
 
 #: time constant, in seconds, over which the rate is averaged
-HORIZON = 2.0
+RATE_WINDOW = 2.0
 #: minimum share of the rate for calls of low priority, as a part of the service
 #: ignores priorities
-SMALLEST_SHARE = 1 / 8
+MIN_SHARE = 1 / 8
 #: minimum rate, in seconds of work per second, that keeps an estimate finite
-SMALLEST_RATE = 0.01
+MIN_RATE = 0.01
 
 
 def estimate_fair_wait(
@@ -72,12 +72,12 @@
         self._decay(now)
         higher = sum(w for other, w in self._work.items() if other > priority)
         total = slots
-        if self._busy_since is not None and now - self._busy_since >= HORIZON:
-            total = sum(self._work.values()) / HORIZON
-        return max(total - higher / HORIZON, SMALLEST_SHARE * total, SMALLEST_RATE)
+        if self._busy_since is not None and now - self._busy_since >= RATE_WINDOW:
+            total = sum(self._work.values()) / RATE_WINDOW
+        return max(total - higher / RATE_WINDOW, MIN_SHARE * total, MIN_RATE)
 
     def _decay(self, now: float) -> None:
-        factor = exp(-max(0.0, now - self._updated) / HORIZON)
+        factor = exp(-max(0.0, now - self._updated) / RATE_WINDOW)
         self._updated = now
         for priority in self._work:
             self._work[priority] *= factor
--- a/packages/greengagelatch/src/greengagelatch/load/weights.py
+++ b/packages/greengagelatch/src/greengagelatch/load/weights.py
@@ -11,8 +11,8 @@
 ATTAINMENT_MARGIN = 1.1
 COST_MARGIN = 1.7
 #: factor on the delay of a hedged call, likewise
-ATTAINMENT_PATIENCE = 1.5
-COST_PATIENCE = 4.0
+ATTAINMENT_HEDGE_DELAY = 1.5
+COST_HEDGE_DELAY = 4.0
 
 
 def scale_margin(weights: Weights) -> float:
@@ -31,7 +31,7 @@
     A hedged call gets its answer despite a target that became slow, but costs a
     second call.
     """
-    return _interpolate(ATTAINMENT_PATIENCE, COST_PATIENCE, weights)
+    return _interpolate(ATTAINMENT_HEDGE_DELAY, COST_HEDGE_DELAY, weights)
 
 
 def weigh_evenly(workspace: str, pipeline: str) -> Weights:
--- a/tests/test_core/test_load/test_admission.py
+++ b/tests/test_core/test_load/test_admission.py
@@ -58,7 +58,7 @@
     return admission.check(arrival, 0.0)
 
 
-def test_idle_targets_are_asked_for_whatever_has_a_chance():
+def test_idle_targets_admit_requests_that_may_meet_the_deadline():
     assert check(1.2, draft=KnownService()) is None
     refusal = check(1.0, draft=KnownService())
     assert refusal.code is RefusalCode.DEADLINE
@@ -81,6 +81,6 @@
 @pytest.mark.parametrize(
     ("weights", "admitted"), [(Weights(1.0, 0.0), True), (Weights(0.0, 1.0), False)]
 )
-def test_weights_decide_on_what_may_just_fit(weights, admitted):
+def test_weights_decide_on_borderline_requests(weights, admitted):
     busy = KnownService(busy=True, safe=2.0)
     assert (check(2.4, weights=weights, draft=busy) is None) is admitted
--- a/tests/test_core/test_load/test_breakers.py
+++ b/tests/test_core/test_load/test_breakers.py
@@ -25,7 +25,7 @@
 
 
 @given(st.integers(1, 12), st.data())
-def test_service_is_never_emptied(count, data):
+def test_some_targets_of_a_service_always_stay_in_service(count, data):
     """Guards against refusing a whole service whose targets work.
 
     All calls fail for a moment because of this instance's own network. Breakers
@@ -60,7 +60,7 @@
     assert all(b.read_state(0.1) is BreakerState.CLOSED for b in plain)
 
 
-def test_one_probe_for_each_pause_whatever_becomes_of_it():
+def test_one_probe_per_ejection_time_whatever_its_result():
     """Guards against an unlimited rate of probes to a target that is still slow.
 
     A probe ends without a result, as its hedged call was answered first. A breaker
@@ -81,7 +81,7 @@
     assert all(gap >= 2 * 0.75 * RULE.min_ejection for gap in gaps)
 
 
-def test_good_probe_brings_the_target_back_and_a_slow_one_does_not():
+def test_fast_probe_closes_the_breaker_and_a_slow_one_does_not():
     breaker = Breaker(RULE, random.Random(1))
     for _ in range(RULE.consecutive_failures):
         breaker.record_failure(0.0)
--- a/tests/test_core/test_load/test_budgets.py
+++ b/tests/test_core/test_load/test_budgets.py
@@ -14,7 +14,7 @@
     per_second=st.floats(0, 2),
     steps=st.lists(st.tuples(st.floats(0, 1), st.integers(0, 5)), max_size=100),
 )
-def test_extra_calls_stay_within_their_share(share, burst, per_second, steps):
+def test_retries_stay_within_their_share(share, burst, per_second, steps):
     """Guards against retries that keep targets overloaded after a fault.
 
     Any mixture of first attempts and retries at any times must stay within the
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -74,16 +74,16 @@
 def create_view(target_id, held=0.0):
     return SimpleNamespace(
         target=Target(target_id, "llm", "dc-a", "127.0.0.1:1"),
-        held=held,
+        expected_in_flight=held,
         limit=8.0,
-        spread=0.0,
+        deviation=0.0,
         slowness=1.0,
-        near=True,
+        local=True,
         cached_prefixes=frozenset(),
     )
 
 
-def test_calls_with_one_prefix_are_kept_to_few_targets():
+def test_calls_with_one_prefix_go_to_few_targets():
     """Guards against internal errors for calls that name a prompt prefix.
 
     With several targets the prefix is hashed, and the hash function takes only
@@ -98,7 +98,7 @@
     assert len(chosen) == 1
 
 
-def test_prefix_need_not_be_valid_text():
+def test_prefix_may_be_invalid_unicode():
     """Guards against internal errors for a prefix with a lone surrogate.
 
     JSON may hold half of a surrogate pair, which can't be encoded strictly.
--- a/tests/test_core/test_load/test_knees.py
+++ b/tests/test_core/test_load/test_concurrency.py
@@ -12,7 +12,7 @@
 ENGINE = EngineRule()
 
 
-def run_engine(finder, source, seconds, *, pressed=True, start=0.0):
+def run_engine(tuner, source, seconds, *, backlogged=True, start=0.0):
     """Run an engine at the tuner's concurrency, with noise."""
     now = start
     value = float(ENGINE.capacity)
@@ -22,8 +22,8 @@
         tokens = source.randint(40, 160)
         noise = source.uniform(0.7, 1.3)
         step = ENGINE.measure_step(round(held))
-        finder.note(held, tokens * step * noise, tokens, now)
-        value = finder.find(ENGINE.capacity, pressed=pressed, now=now)
+        tuner.record(held, tokens * step * noise, tokens, now)
+        value = tuner.update(ENGINE.capacity, backlogged=backlogged, now=now)
     return value
 
 
@@ -41,29 +41,29 @@
     assert value <= best + 1.5
 
 
-def test_little_load_teaches_nothing():
+def test_low_load_does_not_lower_the_limit():
     """Guards against a low limit after a time of low load.
 
     Only a low concurrency is measured for minutes, with no call queued. Taking the
     highest concurrency seen as the best would refuse calls once load arrives.
     """
-    finder = ConcurrencyTuner()
+    tuner = ConcurrencyTuner()
     now = 0.0
     for _ in range(400):
         now += 0.5
-        finder.record(2, 100 * ENGINE.measure_step(2), 100, now)
-        value = finder.update(ENGINE.capacity, pressed=False, now=now)
+        tuner.record(2, 100 * ENGINE.measure_step(2), 100, now)
+        value = tuner.update(ENGINE.capacity, backlogged=False, now=now)
     assert value == ENGINE.capacity
 
 
-def test_slowdown_tells_at_once_what_more_calls_will_do():
-    finder = ConcurrencyTuner()
+def test_slowdown_predicts_the_effect_of_more_calls():
+    tuner = ConcurrencyTuner()
     for index in range(200):
         held = 2 + index % 9
         taken = 100 * ENGINE.measure_step(held)
-        finder.record(held, taken, 100, index * 0.1)
-    now_idle = finder.estimate_slowdown(2)
-    now_busy = finder.estimate_slowdown(12)
+        tuner.record(held, taken, 100, index * 0.1)
+    now_idle = tuner.estimate_slowdown(2)
+    now_busy = tuner.estimate_slowdown(12)
     assert now_idle < 1 < now_busy
     real = ENGINE.measure_step(12) / ENGINE.measure_step(6)
     assert now_busy == pytest.approx(real, rel=0.2)
--- a/tests/test_core/test_load/test_deadlines.py
+++ b/tests/test_core/test_load/test_deadlines.py
@@ -34,13 +34,13 @@
     return DeadlinePlan(durations=tracker, find_pipeline={"quote": PIPELINE}.get)
 
 
-def test_shares_divide_the_deadline_until_something_is_measured():
+def test_declared_shares_divide_the_deadline_while_nothing_is_measured():
     plan = create_plan()
     assert plan(PIPELINE, PIPELINE.stages[0], 10.0, 18.0) == pytest.approx(11.0)
     assert plan(PIPELINE, PIPELINE.stages[3], 12.0, 18.0) == pytest.approx(18.0)
 
 
-def test_measured_stages_get_what_they_need_along_the_longest_way():
+def test_measured_stages_share_the_time_along_the_critical_path():
     plan = create_plan(encode=0.1, prices=0.1, stock=0.7, draft=1.2)
     encode, prices, stock, draft = PIPELINE.stages
     # 0.1 + 0.7 + 1.2 s along the critical path through the stock
@@ -50,13 +50,13 @@
     assert plan(PIPELINE, draft, 1.0, 4.0) == 4.0
 
 
-def test_unmeasured_stage_stands_in_by_its_share_of_the_measured_ones():
+def test_unmeasured_stage_is_estimated_by_its_share():
     plan = create_plan(encode=0.1, prices=0.1, stock=0.1)
     end = plan(PIPELINE, PIPELINE.stages[0], 0.0, 8.0)
     assert end == pytest.approx(1.0, rel=0.1)
 
 
-def test_rest_counts_the_stages_after_a_call():
+def test_remaining_time_covers_the_stages_after_a_call():
     plan = create_plan(encode=0.1, prices=0.1, stock=0.7, draft=1.2)
     ticket = Ticket(
         request_id="r",
--- a/tests/test_core/test_load/test_durations.py
+++ b/tests/test_core/test_load/test_durations.py
@@ -21,14 +21,14 @@
     assert tracker.find_baseline("draft", 65.0, 0.0) == pytest.approx(1.5, rel=0.1)
 
 
-def test_few_durations_say_nothing():
+def test_too_few_samples_give_the_prior():
     tracker = DurationTracker()
     tracker.record("draft", 9.0, 0.0)
     assert tracker.estimate("draft", 95, 0.0, 0.7) == 0.7
     assert tracker.estimate("unknown", 95, 0.0, 0.7) == 0.7
 
 
-def test_slow_time_long_past_does_not_shut_out_calls_for_good():
+def test_outdated_slow_durations_expire():
     """Guards against refusing a kind of call for hours after its targets were slow.
 
     They were slow until every call was refused as too long. Without calls there
--- a/tests/test_core/test_load/test_limits.py
+++ b/tests/test_core/test_load/test_limits.py
@@ -35,7 +35,7 @@
     assert limit.value == RULE.initial
 
 
-def test_fast_services_may_hold_some_waiting_calls_and_slow_ones_hardly_any():
+def test_fast_targets_may_queue_some_calls_and_slow_ones_hardly_any():
     fast, slow = AdaptiveLimit(RULE), AdaptiveLimit(RULE)
     fast.update_capacity(4, 0.05)
     slow.update_capacity(4, 3.0)
@@ -43,7 +43,7 @@
     assert 4 <= slow.value < 4.2
 
 
-def test_rejections_lower_the_limit_below_what_the_target_held():
+def test_rejections_lower_the_limit_below_the_calls_in_flight():
     limit = AdaptiveLimit(RULE)
     limit.update_capacity(16, 2.0)
     limit.record_rejection(10, 1.0)
--- a/tests/test_core/test_load/test_queue.py
+++ b/tests/test_core/test_load/test_queue.py
@@ -13,12 +13,12 @@
     FAIR_PERIOD,
     QUANTUM,
     FairQueue,
-    SelectionFilter,
     QueuedCall,
+    SelectionFilter,
 )
 
 
-class AllSuit(SelectionFilter):
+class AcceptAll(SelectionFilter):
     def accepts(self, waiting):
         return True
 
@@ -26,12 +26,12 @@
         return False
 
 
-class PrefersPrefix(AllSuit):
+class PreferCachedPrefix(AcceptAll):
     def prefers(self, waiting):
         return waiting.ticket.prefix == "held"
 
 
-def create_waiting(number, workspace, *, priority=0, urgency=100.0, **values):
+def create_queued_call(number, workspace, *, priority=0, urgency=100.0, **values):
     ticket = Ticket(
         request_id=f"r{number}",
         workspace=workspace,
@@ -73,12 +73,12 @@
     for name in range(others):
         for _ in range(selections):
             number += 1
-            queue.push(create_waiting(number, f"w{name}", priority=priority))
+            queue.push(create_queued_call(number, f"w{name}", priority=priority))
     for _ in range(selections):
         number += 1
-        queue.push(create_waiting(number, "low"))
+        queue.push(create_queued_call(number, "low"))
     for _ in range(selections):
-        served[queue.select(AllSuit(), 0.0).ticket.workspace] += 1
+        served[queue.select(AcceptAll(), 0.0).ticket.workspace] += 1
     assert served["low"] >= selections // (FAIR_PERIOD * (others + 1))
 
 
@@ -100,57 +100,59 @@
     number = 0
     for name in names:
         number += 1
-        queue.push(create_waiting(number, name, expected=costs[int(name[1:])]))
+        queue.push(create_queued_call(number, name, expected=costs[int(name[1:])]))
     for _ in range(2000):
-        chosen = queue.select(AllSuit(), 0.0)
+        chosen = queue.select(AcceptAll(), 0.0)
         name = chosen.ticket.workspace
         received[name] += chosen.expected
         number += 1
-        queue.push(create_waiting(number, name, expected=chosen.expected))
+        queue.push(create_queued_call(number, name, expected=chosen.expected))
     shares = [received[name] / by_name[name] for name in names]
     # a workspace may be ahead by the quantum and one call
     allowed = QUANTUM + max(costs) / min(weights)
     assert max(shares) - min(shares) <= allowed + 1e-6
 
 
-def test_urgent_call_goes_first_and_newcomers_earn_nothing_from_idle_time():
+def test_urgent_call_goes_first_and_idle_time_earns_no_credit():
     queue = FairQueue(lambda workspace: 1.0)
     for number in range(1, 31):
-        queue.push(create_waiting(number, "busy"))
+        queue.push(create_queued_call(number, "busy"))
     for _ in range(20):
-        queue.select(AllSuit(), 0.0)
+        queue.select(AcceptAll(), 0.0)
     # a newly active workspace has no credit for the 20 s that the other was served
     for number in range(31, 61):
-        queue.push(create_waiting(number, "new"))
-    taken = [queue.select(AllSuit(), 0.0).ticket.workspace for _ in range(10)]
+        queue.push(create_queued_call(number, "new"))
+    taken = [queue.select(AcceptAll(), 0.0).ticket.workspace for _ in range(10)]
     assert 3 <= taken.count("busy") <= 7
-    queue.push(create_waiting(99, "busy", urgency=1.0))
-    queue.push(create_waiting(98, "new", urgency=1.0))
-    assert queue.select(AllSuit(), 0.0).ticket_id in (98, 99)
+    queue.push(create_queued_call(99, "busy", urgency=1.0))
+    queue.push(create_queued_call(98, "new", urgency=1.0))
+    assert queue.select(AcceptAll(), 0.0).ticket_id in (98, 99)
 
 
-def test_call_that_must_start_now_is_not_passed_by_one_whose_prefix_is_cached():
+def test_urgent_call_precedes_those_with_cached_prefixes():
     """Guards against missed deadlines because calls with cached prefixes go first.
 
     A preference for cached prefixes without regard to urgency would delay the
     other calls.
     """
     queue = FairQueue(lambda workspace: 1.0)
-    queue.push(create_waiting(1, "w", urgency=50.0, safe_start=10.0))
-    queue.push(create_waiting(2, "w", urgency=60.0, prefix="held"))
-    queue.push(create_waiting(3, "w", urgency=70.0, prefix="held"))
-    assert queue.select(PrefersPrefix(), 5.0).ticket_id == 2
-    assert queue.select(PrefersPrefix(), 9.8).ticket_id == 1
+    queue.push(create_queued_call(1, "w", urgency=50.0, safe_start=10.0))
+    queue.push(create_queued_call(2, "w", urgency=60.0, prefix="held"))
+    queue.push(create_queued_call(3, "w", urgency=70.0, prefix="held"))
+    assert queue.select(PreferCachedPrefix(), 5.0).ticket_id == 2
+    assert queue.select(PreferCachedPrefix(), 9.8).ticket_id == 1
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 3)), max_size=60))
-def test_pending_work_is_what_waits(steps):
+def test_pending_work_equals_the_queued_calls(steps):
     queue = FairQueue(lambda workspace: 1.0)
     for number, (push, name) in enumerate(steps):
         if push:
-            queue.push(create_waiting(number, f"w{name}", expected=0.1 * name + 0.1))
+            queue.push(
+                create_queued_call(number, f"w{name}", expected=0.1 * name + 0.1)
+            )
         else:
-            queue.select(AllSuit(), 0.0)
+            queue.select(AcceptAll(), 0.0)
         expected = Counter()
         for waiting in queue:
             expected[waiting.ticket.workspace] += waiting.expected
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -74,7 +74,7 @@
     return [d.result.ok_value for d in decisions if isinstance(d.result, Ok)]
 
 
-def test_target_that_begins_to_leave_gets_no_waiting_call():
+def test_draining_target_gets_no_queued_call():
     """Guards against sending queued calls to a target that is draining.
 
     A call is queued while the only target is full; that target begins to drain,
@@ -144,7 +144,7 @@
     assert short.ticket.request_id == "status"
 
 
-def test_general_failure_does_not_multiply_calls():
+def test_retries_are_bounded_while_all_calls_fail():
     """Guards against retries that keep recovering targets overloaded.
 
     All calls fail and each is submitted again at once. Without a retry budget
@@ -165,7 +165,7 @@
     assert sent <= 1000 * 1.1 + 10 + 1
 
 
-def test_service_that_loses_its_last_target_refuses_what_waits():
+def test_service_that_loses_its_last_target_refuses_queued_calls():
     """Guards against callers that wait although no target is left.
 
     A call is queued for the only target, which then disappears. Without a check
--- a/tests/test_core/test_load/test_times.py
+++ b/tests/test_core/test_load/test_times.py
@@ -32,7 +32,7 @@
     return times
 
 
-def test_kinds_are_long_by_comparison_only():
+def test_long_kinds_are_found_by_comparison():
     times = create_times(draft=3.0, chat=0.4)
     kinds = [("p", "draft"), ("p", "chat"), ("p", "unknown")]
     for kind in kinds:
@@ -42,7 +42,7 @@
     assert not any(alike.is_long(("p", name), 1.0) for name in ("draft", "scan"))
 
 
-def test_stream_is_rated_by_its_tokens():
+def test_streams_are_compared_by_time_per_token():
     """Guards against ejecting a target as slow because it ran the longest call.
 
     Drafts of 20 tokens take half a second; one of 200 takes ten times as long. A
@@ -59,7 +59,7 @@
     assert times.compare_end(ticket, slow, 1.0) == pytest.approx(10.0, rel=0.1)
 
 
-def test_call_without_a_first_token_is_rated_by_first_tokens():
+def test_call_without_a_first_token_is_compared_with_first_tokens():
     times = create_times(draft=4.0)
     ticket = create_ticket("draft")
     for _ in range(20):
@@ -73,7 +73,7 @@
     assert times.compare_elapsed(create_ticket("unknown"), 2.0, 1.0, begun=False) == 0
 
 
-def test_calls_cut_by_their_deadline_make_the_next_ones_start_sooner():
+def test_calls_that_miss_their_deadline_raise_the_safe_duration():
     times = create_times(draft=2.0)
     before = times.estimate_safe(("p", "draft"), 5.0, 1.0, 1.0)
     for _ in range(5):
