--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -68,7 +68,7 @@
     ),
     "what was already given": Loss(
         tokens.StreamedTokens,
-        "take",
+        "append",
         lambda self, offset, text: tokens.TokenCheck.NEW,
         "failing stage",
         Step.RECEIVED,
