--- a/packages/greengagelatch/src/greengagelatch/quotas/demand.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/demand.py
@@ -41,11 +41,11 @@
         self._least = math.inf
         self._least_before = math.inf
 
-    def count(self) -> None:
+    def record_request(self) -> None:
         """Record that a request has asked."""
         self._asked += 1
 
-    def roll(self, settling: float, young: bool, now: float) -> None:
+    def update(self, settling: float, young: bool, now: float) -> None:
         """Take what was asked since the last call into the average.
 
         :param settling: seconds in which the others hear of a change.
@@ -73,7 +73,7 @@
         self._least = min(self._least, self.rate)
 
     @property
-    def known(self) -> float:
+    def propagated_rate(self) -> float:
         """Demand that the others know, in requests per second."""
         least = min(self._least, self._least_before)
         if math.isinf(least):
--- a/packages/greengagelatch/src/greengagelatch/quotas/sightings.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/demand_table.py
@@ -8,7 +8,7 @@
 
 from .messages import DemandReport, KeyRows, Row
 
-__all__ = ("ROWS_A_ROUND", "Sighting", "Sightings")
+__all__ = ("ROWS_PER_ROUND", "DemandSample", "DemandTable")
 
 #: estimated bytes of a report without rows, of a key and of a row in it
 FRAME_BYTES = 40
@@ -17,7 +17,7 @@
 #: bytes of a report
 REPORT_BYTES = 700
 #: rows that one instance tells in a round, at least
-ROWS_A_ROUND = 2 * (REPORT_BYTES - FRAME_BYTES) // (KEY_BYTES + ROW_BYTES)
+ROWS_PER_ROUND = 2 * (REPORT_BYTES - FRAME_BYTES) // (KEY_BYTES + ROW_BYTES)
 #: rows that are remembered; beyond that, news of further ones is dropped
 MAX_ROWS = 65_536
 #: hundredths of requests per second, and tenths of seconds
@@ -28,20 +28,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
+class DemandSample:
     """Requests per second at an instance, and when that was measured."""
 
     rate: float
-    taken: float
+    measured_at: float
 
 
-class Sightings:
+class DemandTable:
     """Demand by key and instance, both as digests, and whom to tell what next."""
 
     def __init__(self, own: int) -> None:
         self._own = own
         #: keys in the order in which they are told
-        self._keys: OrderedDict[int, dict[int, Sighting]] = OrderedDict()
+        self._keys: OrderedDict[int, dict[int, DemandSample]] = OrderedDict()
         self._count = 0
 
     def __len__(self) -> int:
@@ -55,16 +55,16 @@
         """Return the digests of all keys."""
         return list(self._keys)
 
-    def find(self, key: int) -> dict[int, Sighting]:
+    def find(self, key: int) -> dict[int, DemandSample]:
         """Return the sightings of a key by instance."""
         return self._keys.get(key, {})
 
-    def note(self, key: int, origin: int, sighting: Sighting) -> None:
+    def record(self, key: int, origin: int, sighting: DemandSample) -> None:
         """Take in a sighting, unless a later one is known."""
         rows = self._keys.get(key)
         known = rows.get(origin) if rows is not None else None
         if known is not None:
-            if known.taken < sighting.taken:
+            if known.measured_at < sighting.measured_at:
                 rows[origin] = sighting
             return
         if self._count >= MAX_ROWS:
@@ -74,7 +74,7 @@
         rows[origin] = sighting
         self._count += 1
 
-    def drop(self, key: int, origin: int) -> None:
+    def remove(self, key: int, origin: int) -> None:
         """Forget a sighting."""
         rows = self._keys.get(key)
         if rows is None or rows.pop(origin, None) is None:
@@ -83,14 +83,14 @@
         if not rows:
             del self._keys[key]
 
-    def take_in(self, report: DemandReport, now: float) -> None:
+    def apply_report(self, report: DemandReport, now: float) -> None:
         """Note what a peer tells; nobody else knows better what is asked here."""
         for key, rows in report.rows:
             for origin, rate, age in rows:
                 if origin == self._own:
                     continue
-                sighting = Sighting(rate / RATE_SCALE, now - age / AGE_SCALE)
-                self.note(key, origin, sighting)
+                sighting = DemandSample(rate / RATE_SCALE, now - age / AGE_SCALE)
+                self.record(key, origin, sighting)
 
     def create_report(self, now: float, random_source: Random) -> DemandReport:
         """Return the keys that were told longest ago, as many as there is room for.
@@ -122,7 +122,7 @@
         return tuple(_encode(origin, rows[origin], now) for origin in own + others)
 
 
-def _encode(origin: int, sighting: Sighting, now: float) -> Row:
+def _encode(origin: int, sighting: DemandSample, now: float) -> Row:
     rate = min(MAX_NUMBER, round(sighting.rate * RATE_SCALE))
-    age = min(MAX_NUMBER, max(0, round((now - sighting.taken) * AGE_SCALE)))
+    age = min(MAX_NUMBER, max(0, round((now - sighting.measured_at) * AGE_SCALE)))
     return origin, rate, age
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -8,14 +8,14 @@
 from ..config.effects import Quota
 from ..peers import Member
 from . import Admission, QuotaKey, digest_text
-from .absence import Roster, RosterKeeper
-from .bucket import Bucket
 from .demand import DemandMeter
+from .demand_table import ROWS_PER_ROUND, DemandSample, DemandTable
+from .membership import MembershipTracker, MembershipView
 from .messages import DemandReport
-from .shares import ShareFacts, compute_part, compute_share
-from .sightings import ROWS_A_ROUND, Sighting, Sightings
+from .shares import ShareInputs, compute_fraction, compute_share
+from .token_bucket import TokenBucket
 
-__all__ = ("QuotaLedger", "Use")
+__all__ = ("QuotaLedger", "QuotaUsage")
 
 #: seconds in which news of few keys has reached nearly all instances
 SETTLING = 8.0
@@ -29,19 +29,19 @@
 LONGEST_RETRY = 5.0
 
 
-class Use:
+class QuotaUsage:
     """Use of one quota by one workspace, at this instance."""
 
     def __init__(self, quota: Quota, now: float) -> None:
         self.quota = quota
         self.meter = DemandMeter(now)
         self.share = 0.0
-        self.began = now
-        self.asked = now
+        self.created = now
+        self.last_request = now
         #: shares of instances that are out of reach, by their digests
         self.reserved_shares: dict[int, float] = {}
-        self._requests: Bucket | None = None
-        self._tokens: Bucket | None = None
+        self._requests: TokenBucket | None = None
+        self._tokens: TokenBucket | None = None
 
     def set_share(self, share: float, now: float) -> None:
         """Change the share; a bucket begins as full as its first share lets it."""
@@ -51,7 +51,7 @@
         )
         self._tokens = self._adjust(self._tokens, self.quota.tokens_per_second, now)
 
-    def ask(self, now: float) -> Admission:
+    def admit(self, now: float) -> Admission:
         """Charge a request, or tell when to ask again."""
         wait = 0.0
         if self._requests is not None:
@@ -67,20 +67,20 @@
     def charge_request(self, amount: float) -> None:
         """Charge requests, or give them back where ``amount`` is negative."""
         if self._requests is not None:
-            self._requests.take(amount)
+            self._requests.spend(amount)
 
     def charge_tokens(self, count: int) -> None:
         """Charge tokens that were made; the bucket may be overdrawn."""
         if self._tokens is not None:
-            self._tokens.take(count)
+            self._tokens.spend(count)
 
     def _adjust(
-        self, bucket: Bucket | None, rate: float | None, now: float
-    ) -> Bucket | None:
+        self, bucket: TokenBucket | None, rate: float | None, now: float
+    ) -> TokenBucket | None:
         if rate is None:
             return None
         if bucket is None:
-            return Bucket(rate * self.share, self.quota.burst_seconds, now)
+            return TokenBucket(rate * self.share, self.quota.burst_seconds, now)
         bucket.set_rate(rate * self.share, self.quota.burst_seconds, now)
         return bucket
 
@@ -94,12 +94,12 @@
     def __init__(self, *, instance_id: str, hold: float, random_source: Random) -> None:
         self._own = digest_text(instance_id)
         self._random = random_source
-        self._roster = Roster(frozenset((self._own,)))
-        self._keeper = RosterKeeper(instance_id, hold)
-        self._sightings = Sightings(self._own)
+        self._roster = MembershipView(frozenset((self._own,)))
+        self._keeper = MembershipTracker(instance_id, hold)
+        self._sightings = DemandTable(self._own)
         #: those that came back in this round
         self._returned: frozenset[int] = frozenset()
-        self._uses: dict[QuotaKey, Use] = {}
+        self._uses: dict[QuotaKey, QuotaUsage] = {}
         self._digests: dict[QuotaKey, int] = {}
 
     def __len__(self) -> int:
@@ -111,7 +111,7 @@
         return len(self._sightings)
 
     @property
-    def members_view(self) -> Roster:
+    def members_view(self) -> MembershipView:
         """Instances that count."""
         return self._roster
 
@@ -123,13 +123,13 @@
         are not known here yet, and some are told to whom they are no news.
         """
         rows = self._sightings.count_keys() * len(self._roster.alive)
-        return SETTLING + TIMES_TOLD * rows / ROWS_A_ROUND
+        return SETTLING + TIMES_TOLD * rows / ROWS_PER_ROUND
 
-    def list_uses(self) -> list[tuple[QuotaKey, Use]]:
+    def list_uses(self) -> list[tuple[QuotaKey, QuotaUsage]]:
         """Return all keys in use here."""
         return list(self._uses.items())
 
-    def find(self, key: QuotaKey) -> Use | None:
+    def find(self, key: QuotaKey) -> QuotaUsage | None:
         """Return the use of a key."""
         return self._uses.get(key)
 
@@ -144,8 +144,8 @@
         elif use.quota != quota:
             use.quota = quota
             use.set_share(use.share, now)
-        use.asked = now
-        use.meter.count()
+        use.last_request = now
+        use.meter.record_request()
         return use.admit(now)
 
     def begin_round(self, members: Iterable[Member], now: float) -> None:
@@ -160,13 +160,13 @@
         if use is None:
             return
         digest = self._digests[key]
-        if now - use.asked >= IDLE:
+        if now - use.last_request >= IDLE:
             del self._uses[key]
             del self._digests[key]
-            self._sightings.drop(digest, self._own)
+            self._sightings.remove(digest, self._own)
             return
-        use.meter.roll(self.propagation_time, self._is_young(use, now), now)
-        self._sightings.note(digest, self._own, Sighting(use.meter.rate, now))
+        use.meter.update(self.propagation_time, self._is_young(use, now), now)
+        self._sightings.record(digest, self._own, DemandSample(use.meter.rate, now))
         use.set_share(self._compute_share(use, digest, now), now)
 
     def create_report(self, now: float) -> DemandReport:
@@ -175,7 +175,7 @@
 
     def apply_report(self, report: DemandReport, now: float) -> None:
         """Take in what a peer tells."""
-        self._sightings.take_in(report, now)
+        self._sightings.apply_report(report, now)
 
     def expire(self, digest: int, now: float) -> None:
         """Forget what is too old, or of instances that are no longer known.
@@ -189,32 +189,32 @@
             if origin == self._own or origin in roster.reserved:
                 continue
             if origin in self._returned:
-                self._sightings.note(digest, origin, Sighting(sighting.rate, now))
+                self._sightings.record(digest, origin, DemandSample(sighting.rate, now))
                 continue
             # an instance that leaves says nothing at last
             longest = lifetime if origin in roster.leaving else IDLE + lifetime
             known = origin in roster.alive or origin in roster.leaving
-            if not known or now - sighting.taken > longest:
-                self._sightings.drop(digest, origin)
+            if not known or now - sighting.measured_at > longest:
+                self._sightings.remove(digest, origin)
 
     def list_digests(self) -> list[int]:
         """Return the digests of all keys that something is known of."""
         return self._sightings.list_keys()
 
-    def _begin(self, key: QuotaKey, quota: Quota, now: float) -> Use:
-        use = self._uses[key] = Use(quota, now)
+    def _begin(self, key: QuotaKey, quota: Quota, now: float) -> QuotaUsage:
+        use = self._uses[key] = QuotaUsage(quota, now)
         digest = self._digests[key] = key.digest()
         use.set_share(self._compute_share(use, digest, now), now)
         return use
 
-    def _is_young(self, use: Use, now: float) -> bool:
-        return now - use.began < self.propagation_time
+    def _is_young(self, use: QuotaUsage, now: float) -> bool:
+        return now - use.created < self.propagation_time
 
-    def _compute_share(self, use: Use, digest: int, now: float) -> float:
+    def _compute_share(self, use: QuotaUsage, digest: int, now: float) -> float:
         roster = self._roster
         rows = self._sightings.find(digest)
         young = self._is_young(use, now)
-        own = use.meter.rate if young else use.meter.known
+        own = use.meter.rate if young else use.meter.propagated_rate
         others = sum(
             sighting.rate
             for origin, sighting in rows.items()
@@ -222,18 +222,20 @@
             and (origin in roster.alive or origin in roster.leaving)
         )
         self._keep_shares(use, rows, own + others)
-        facts = ShareFacts(
+        facts = ShareInputs(
             rate=use.quota.requests_per_second or 0.0,
             own=own,
             others=others,
             alive=len(roster.alive),
-            kept=len(use.reserved_shares),
-            kept_share=sum(use.reserved_shares.values()),
-            young=young,
+            reserved_count=len(use.reserved_shares),
+            reserved_share=sum(use.reserved_shares.values()),
+            settling=young,
         )
         return compute_share(facts)
 
-    def _keep_shares(self, use: Use, rows: dict[int, Sighting], reached: float) -> None:
+    def _keep_shares(
+        self, use: QuotaUsage, rows: dict[int, DemandSample], reached: float
+    ) -> None:
         """Fix the shares of those just lost at what they had, by all that is known."""
         roster = self._roster
         use.reserved_shares = {
@@ -250,5 +252,5 @@
         free = max(0.0, 1.0 - sum(use.reserved_shares.values()))
         rate = free * (use.quota.requests_per_second or 0.0)
         for origin in lost:
-            part = compute_part(rates.get(origin, 0.0), total, count, rate)
+            part = compute_fraction(rates.get(origin, 0.0), total, count, rate)
             use.reserved_shares[origin] = free * part
--- a/packages/greengagelatch/src/greengagelatch/quotas/absence.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/membership.py
@@ -8,14 +8,14 @@
 from ..peers import Member, MemberState
 from . import digest_text
 
-__all__ = ("CRASH_HOLD", "Roster", "RosterKeeper")
+__all__ = ("CRASH_GRACE", "MembershipView", "MembershipTracker")
 
 #: seconds for which the share of an instance is kept that went alone
-CRASH_HOLD = 15.0
+CRASH_GRACE = 15.0
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
+class MembershipView:
     """Instances, as digests of their ids."""
 
     #: this instance included
@@ -26,7 +26,7 @@
     leaving: frozenset[int] = frozenset()
 
 
-class RosterKeeper:
+class MembershipTracker:
     """Tells crashed instances from a data centre that was cut off.
 
     Instances out of reach may go on using their shares, and an instance that took
@@ -44,7 +44,7 @@
         #: when instances were first seen dead
         self._since: dict[str, float] = {}
 
-    def update(self, members: Iterable[Member], now: float) -> Roster:
+    def update(self, members: Iterable[Member], now: float) -> MembershipView:
         """Return who counts, given what is believed of the members now."""
         dead = []
         alive = {self._own}
@@ -63,13 +63,13 @@
             member.instance_id: self._since.get(member.instance_id, now)
             for member in dead
         }
-        kept = set()
+        reserved = set()
         for member in dead:
-            hold = CRASH_HOLD if member.data_centre in lively else self._hold
+            hold = CRASH_GRACE if member.data_centre in lively else self._hold
             if now - self._since[member.instance_id] < hold:
-                kept.add(digest_text(member.instance_id))
-        return Roster(
+                reserved.add(digest_text(member.instance_id))
+        return MembershipView(
             alive=frozenset(map(digest_text, alive)),
-            reserved=frozenset(kept),
+            reserved=frozenset(reserved),
             leaving=frozenset(map(digest_text, leaving - alive)),
         )
--- a/packages/greengagelatch/src/greengagelatch/quotas/shares.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/shares.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass
 
-__all__ = ("FLOOR", "ShareFacts", "compute_part", "compute_share")
+__all__ = ("FLOOR", "ShareInputs", "compute_fraction", "compute_share")
 
 #: part of a quota that is split evenly, so that each instance can begin
 FLOOR = 0.05
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ShareFacts:
+class ShareInputs:
     """What an instance's share of one quota depends on."""
 
     #: requests per second of the whole quota; 0: it limits something else
@@ -23,30 +23,30 @@
     #: instances believed alive, this one included
     alive: int
     #: those that are out of reach and whose shares are kept for them
-    kept: int = 0
+    reserved_count: int = 0
     #: sum of these shares
-    kept_share: float = 0.0
+    reserved_share: float = 0.0
     #: whether others can't have heard yet that the quota is used here
-    young: bool = False
+    settling: bool = False
 
 
-def compute_share(facts: ShareFacts) -> float:
+def compute_share(facts: ShareInputs) -> float:
     """Return the part of the quota, between 0 and 1.
 
     With the same facts everywhere, the shares of all instances add up to 1. Until
     others can have heard of this one's demand it takes at most the even share:
     instances that begin together then use no more than the quota.
     """
-    free = max(0.0, 1.0 - facts.kept_share)
+    free = max(0.0, 1.0 - facts.reserved_share)
     total = facts.own + facts.others
-    part = compute_part(facts.own, total, facts.alive, free * facts.rate)
+    part = compute_fraction(facts.own, total, facts.alive, free * facts.rate)
     share = free * part
-    if facts.young:
-        share = min(share, 1.0 / (facts.alive + facts.kept))
+    if facts.settling:
+        share = min(share, 1.0 / (facts.alive + facts.reserved_count))
     return share
 
 
-def compute_part(own: float, total: float, count: int, rate: float) -> float:
+def compute_fraction(own: float, total: float, count: int, rate: float) -> float:
     """Return one instance's part of a rate that ``count`` instances divide.
 
     Each gets what is asked of it, and what is left is split evenly: demand comes
--- a/packages/greengagelatch/src/greengagelatch/quotas/bucket.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/token_bucket.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-__all__ = ("Bucket",)
+__all__ = ("TokenBucket",)
 
 #: what a bucket holds at least: a smaller one would never let a request through
 LEAST_CAPACITY = 1.0
 
 
-class Bucket:
+class TokenBucket:
     """Holds what may be used at once and is refilled at a rate.
 
     It can be overdrawn by what is known only after the fact, such as tokens.
@@ -42,7 +42,7 @@
             return 0.0
         return missing / self._rate if self._rate > 0 else float("inf")
 
-    def take(self, amount: float) -> None:
+    def spend(self, amount: float) -> None:
         """Use ``amount``, or give it back where it is negative."""
         self._level = min(self._level - amount, self._capacity)
 
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -12,12 +12,12 @@
 from greengagelatch.orders import EngineState
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
-from greengagelatch.placement.overflow import OverflowState, OverflowRule, measure_load
 from greengagelatch.placement.desired import (
+    build_desired_state,
     count_loads,
     find_placements,
-    build_desired_state,
 )
+from greengagelatch.placement.overflow import OverflowRule, OverflowState, measure_load
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
 
--- a/tests/test_core/test_quotas/test_demand.py
+++ b/tests/test_core/test_quotas/test_demand.py
@@ -17,8 +17,8 @@
     share. Cause: a mean of too short a time.
     """
     meter = DemandMeter(100.0)
-    meter.count()
-    meter.roll(SETTLING, True, 100.01)
+    meter.record_request()
+    meter.update(SETTLING, True, 100.01)
     assert meter.rate < 1.0
 
 
@@ -26,11 +26,11 @@
     meter = DemandMeter(0.0)
     for second in range(1, 80):
         for _ in range(100 if 30 <= second < 60 else 10):
-            meter.count()
-        meter.roll(SETTLING, second < SETTLING, float(second))
+            meter.record_request()
+        meter.update(SETTLING, second < SETTLING, float(second))
         if 30 <= second < 30 + SETTLING - 1:
-            assert meter.known < 25
+            assert meter.propagated_rate < 25
         if second == 30 + 3 * SETTLING:
-            assert meter.known > 80
+            assert meter.propagated_rate > 80
         if second >= 60:
-            assert meter.known == pytest.approx(meter.rate, rel=0.01)
+            assert meter.propagated_rate == pytest.approx(meter.rate, rel=0.01)
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.config.effects import Quota
 from greengagelatch.quotas import QuotaKey
-from greengagelatch.quotas.absence import CRASH_HOLD
+from greengagelatch.quotas.membership import CRASH_GRACE
 from greengagelatch_lab.quotas.model import QuotaModel
 
 RATE = 100.0
@@ -106,7 +106,7 @@
     model.crashed = {0}
     model.run(1)
     assert model.sum_shares() < 0.95
-    model.run(int(CRASH_HOLD) + 5)
+    model.run(int(CRASH_GRACE) + 5)
     assert model.sum_shares() == pytest.approx(1.0, abs=SPARE)
 
 
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -11,8 +11,8 @@
 from greengagelatch.config.objects import Pipeline, Stage, StageKind
 from greengagelatch.request import Request
 from greengagelatch.stages.graph import build_input, find_ready
-from greengagelatch.stages.ledger import AttemptLedger
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
+from greengagelatch.stages.ledger import AttemptLedger
 from greengagelatch.stages.plan import divide_by_share
 from greengagelatch.stages.retries import (
     NoRetryReason,
@@ -20,7 +20,7 @@
     decide_retry,
     may_retry,
 )
-from greengagelatch.stages.tokens import TokenCheck, StreamedTokens
+from greengagelatch.stages.tokens import StreamedTokens, TokenCheck
 from greengagelatch.targets import CallFailure, FailureKind
 from greengagelatch.verdict import Verdict
 
