--- a/packages/greengagelatch/src/greengagelatch/placement/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on what the engines of a data centre should hold."""
+"""Placement of models and adapters on the engines of a data centre."""
--- a/packages/greengagelatch/src/greengagelatch/placement/desired.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/desired.py
@@ -1,4 +1,4 @@
-"""What the engines of a service should hold, by the operators' policies."""
+"""Desired state of a service's engines by the operators' policies."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def find_placements(snapshot: Snapshot) -> Mapping[str, Placement]:
-    """Return the placement of each service whose engines are to be given orders.
+    """Return the placement of each service whose engines are to receive orders.
 
-    Only policies without a selector of workspaces or pipelines count: an engine
-    serves all of them. Only model engines take orders.
+    Only policies without a workspace or pipeline selector apply, as an engine
+    serves all of them. Only model engines accept orders.
     """
     found = {}
     for name, service in sorted(snapshot.services.items()):
@@ -34,7 +34,7 @@
 
 
 def build_desired_state(placement: Placement, present: EngineState) -> EngineState:
-    """Return the state an engine should be in; what is not named stays."""
+    """Return an engine's desired state; parts the placement omits stay as they are."""
     return EngineState(
         models=placement.models or present.models,
         adapters=placement.adapters or present.adapters,
@@ -43,7 +43,7 @@
 
 
 def count_loads(wanted: EngineState, present: EngineState) -> int:
-    """Return how many models and adapters the weight store has to give."""
+    """Return how many models and adapters have to be loaded from the weight store."""
     models = set(wanted.models) - set(present.models)
     adapters = set(wanted.adapters) - set(present.adapters)
     return len(models) + len(adapters)
--- a/packages/greengagelatch/src/greengagelatch/placement/overflow.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/overflow.py
@@ -1,4 +1,4 @@
-"""Whether a data centre's engines should hold what a placement names."""
+"""Overflow of a placement's load beyond its preferred data centres."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 
 __all__ = ("OverflowState", "OverflowRule", "is_preferred", "measure_load")
 
-#: load of data centres none of whose engines can be reached
+#: load of data centres whose engines are all unreachable
 NONE_REACHED = math.inf
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OverflowRule:
-    """When work overflows from the preferred data centres; durations in seconds.
+    """When work overflows from the preferred data centres.
 
-    Loads are calls for each call that the engines can run side by side. The two
-    loads lie apart, and each has to last: load reports lag, and models that are
-    loaded and dropped in turn would use up the weight store's rate.
+    ``high`` and ``low`` are loads: calls in flight or queued, divided by the calls
+    that the engines can run concurrently. ``rise`` and ``fall`` are the seconds for
+    which a threshold has to be crossed. Both form a hysteresis: load reports lag,
+    and models that are loaded and unloaded in turn would exhaust the weight store's
+    rate limit.
     """
 
     high: float = 1.2
@@ -36,16 +38,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OverflowState:
-    """Whether work overflows, and since when the load says the opposite."""
+    """Whether work overflows, and since when the load calls for the opposite."""
 
     overflowing: bool = False
-    #: monotonic seconds; ``None``: the load does not say the opposite
+    #: monotonic seconds; ``None``: the load does not call for the opposite
     since: float | None = None
 
     def update(
         self, now: float, load: float | None, rule: OverflowRule
     ) -> OverflowState:
-        """Take in the preferred data centres' load; ``None``: it is not known."""
+        """Return the state after a load of the preferred data centres.
+
+        :param load: calls per concurrent slot, ``None`` if unknown.
+        """
         if load is None or not self._is_opposite(load, rule):
             return dataclasses.replace(self, since=None)
         if self.since is None:
@@ -60,12 +65,12 @@
 
 
 def is_preferred(placement: Placement, data_centre: str) -> bool:
-    """Whether a placement names a data centre, or none and so all of them."""
+    """Whether a placement names the data centre, or none and so all of them."""
     return not placement.data_centres or data_centre in placement.data_centres
 
 
 def measure_load(placement: Placement, candidates: Iterable[Candidate]) -> float | None:
-    """Return the load of the preferred data centres, ``None`` if nobody reports."""
+    """Return the load of the preferred data centres, ``None`` without any report."""
     reached = False
     work = 0
     capacity = 0
--- a/packages/greengagelatch/src/greengagelatch/quotas/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/__init__.py
@@ -11,25 +11,25 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaKey:
-    """What use is counted for: one policy and one workspace."""
+    """Key of a quota's usage: one policy and one workspace."""
 
     policy: str
     workspace: str
 
     def digest(self) -> int:
-        """Return the number that stands for it in messages."""
+        """Return the digest that identifies the key in messages."""
         return digest_text(f"{self.policy}\n{self.workspace}")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Admission:
-    """Whether a request may go on, as far as its quota is concerned."""
+    """Decision of the quota on a request."""
 
     admitted: bool
-    #: seconds after which asking again may help; 0 if admitted
+    #: seconds after which a retry may succeed; 0 if admitted
     retry_after: float = 0.0
 
 
 def digest_text(text: str) -> int:
-    """Return 32 bits that stand for a text in messages, where bytes count."""
+    """Return a 32-bit digest of a text, to keep messages small."""
     return xxhash.xxh32_intdigest(text.encode())
--- a/packages/greengagelatch/src/greengagelatch/quotas/demand.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/demand.py
@@ -1,4 +1,4 @@
-"""How much is asked of one quota here."""
+"""Measurement of this instance's demand on one quota."""
 
 from __future__ import annotations
 
@@ -6,29 +6,28 @@
 
 __all__ = ("DemandMeter",)
 
-#: seconds over which demand is averaged, at least
+#: minimum seconds over which demand is averaged
 AVERAGED = 5.0
-#: the same as a part of the time in which a change is known everywhere: what
-#: changes faster can't be followed, and its noise is heard of too late
+#: the same as a fraction of the propagation time: the others can't follow faster
+#: changes, and would receive their noise too late
 AVERAGED_PART = 0.5
-#: seconds without requests that are presumed before the first one: it would else
+#: seconds without requests that are assumed before the first one: otherwise it would
 #: count as a hundred in a second if the average was taken just after it
 PRESUMED = 2.0
-#: factor by which demand counts as unchanged
+#: factor up to which a rise of demand counts as unchanged
 STEADY = 1.3
-#: standard deviations of the average that count as chance
+#: standard deviations of the average that count as noise
 CHANCE = 2.0
 
 
 class DemandMeter:
-    """Averages demand and finds how much of it the others already know.
+    """Averages demand and tracks how much of it has propagated to the others.
 
-    Shares of all instances add up to one only if each counts the same demand. An
-    instance whose demand has just risen would take a greater share before the
-    others have heard of it and given some up, and the quota would be overrun by
-    as much. So a rise counts here after the time in which the others have heard
-    of it (the least of that time counts, with some room for chance) and a fall
-    at once.
+    The shares of all instances add up to one only if all of them use the same
+    demand. An instance whose demand has just risen would take a greater share
+    before the others reduce theirs, and the quota would be exceeded by as much. So
+    a rise takes effect here only after the propagation time (the minimum over that
+    time counts, with a margin for noise), but a fall takes effect at once.
     """
 
     def __init__(self, now: float) -> None:
@@ -42,22 +41,22 @@
         self._least_before = math.inf
 
     def record_request(self) -> None:
-        """Record that a request has asked."""
+        """Count one request."""
         self._asked += 1
 
     def update(self, settling: float, young: bool, now: float) -> None:
-        """Take what was asked since the last call into the average.
+        """Update the average with the requests since the last call.
 
-        :param settling: seconds in which the others hear of a change.
-        :param young: whether the average is still of too short a time, so that its
-            least would be too low.
+        :param settling: propagation time of a change in seconds.
+        :param young: whether the average covers too short a time, so that its
+            minimum would be too low.
         """
         passed = now - self._rolled
         if passed <= 0:
             return
         self._averaged = max(AVERAGED, AVERAGED_PART * settling)
-        # a plain mean at first: an average that slowly rose from nothing would be
-        # told as a demand that is too low, and the others would take what is left
+        # an unweighted average at first: one that rises slowly from zero would report
+        # too low a demand, and the others would take the remaining share
         mean = passed / (now - self._began + PRESUMED)
         weight = max(mean, 1 - math.exp(-passed / self._averaged))
         self.rate += (self._asked / passed - self.rate) * weight
@@ -74,10 +73,10 @@
 
     @property
     def propagated_rate(self) -> float:
-        """Demand that the others know, in requests per second."""
+        """Demand that has propagated to the others, in requests per second."""
         least = min(self._least, self._least_before)
         if math.isinf(least):
             return self.rate
-        # of the present rate: after a while without a request the least is zero
+        # from the present rate: the minimum is zero after a time without requests
         chance = CHANCE * math.sqrt(self.rate / (2 * self._averaged))
         return min(self.rate, least * STEADY + chance)
--- a/packages/greengagelatch/src/greengagelatch/quotas/demand_table.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/demand_table.py
@@ -1,4 +1,4 @@
-"""What has been heard of the demand at other instances."""
+"""Demand of all instances, as measured here or reported by peers."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 FRAME_BYTES = 40
 KEY_BYTES = 7
 ROW_BYTES = 12
-#: bytes of a report
+#: maximum bytes of a report
 REPORT_BYTES = 700
-#: rows that one instance tells in a round, at least
+#: minimum rows that one instance sends in a round
 ROWS_PER_ROUND = 2 * (REPORT_BYTES - FRAME_BYTES) // (KEY_BYTES + ROW_BYTES)
-#: rows that are remembered; beyond that, news of further ones is dropped
+#: maximum number of rows; further ones are dropped
 MAX_ROWS = 65_536
-#: hundredths of requests per second, and tenths of seconds
+#: units in a row: hundredths of requests per second, and tenths of seconds
 RATE_SCALE = 100
 AGE_SCALE = 10
 #: largest number in a row
@@ -29,18 +29,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandSample:
-    """Requests per second at an instance, and when that was measured."""
+    """Requests per second at an instance, and the monotonic second of measurement."""
 
     rate: float
     measured_at: float
 
 
 class DemandTable:
-    """Demand by key and instance, both as digests, and whom to tell what next."""
+    """Demand by key and instance, both as digests, in the order of reporting."""
 
     def __init__(self, own: int) -> None:
         self._own = own
-        #: keys in the order in which they are told
+        #: keys, least recently reported first
         self._keys: OrderedDict[int, dict[int, DemandSample]] = OrderedDict()
         self._count = 0
 
@@ -56,11 +56,11 @@
         return list(self._keys)
 
     def find(self, key: int) -> dict[int, DemandSample]:
-        """Return the sightings of a key by instance."""
+        """Return the samples of a key by instance."""
         return self._keys.get(key, {})
 
     def record(self, key: int, origin: int, sighting: DemandSample) -> None:
-        """Take in a sighting, unless a later one is known."""
+        """Record a sample, unless a later one is known."""
         rows = self._keys.get(key)
         known = rows.get(origin) if rows is not None else None
         if known is not None:
@@ -75,7 +75,7 @@
         self._count += 1
 
     def remove(self, key: int, origin: int) -> None:
-        """Forget a sighting."""
+        """Remove a sample."""
         rows = self._keys.get(key)
         if rows is None or rows.pop(origin, None) is None:
             return
@@ -84,7 +84,7 @@
             del self._keys[key]
 
     def apply_report(self, report: DemandReport, now: float) -> None:
-        """Note what a peer tells; nobody else knows better what is asked here."""
+        """Apply a peer's report, except for this instance's own demand."""
         for key, rows in report.rows:
             for origin, rate, age in rows:
                 if origin == self._own:
@@ -93,10 +93,10 @@
                 self.record(key, origin, sighting)
 
     def create_report(self, now: float, random_source: Random) -> DemandReport:
-        """Return the keys that were told longest ago, as many as there is room for.
+        """Return a report of the least recently reported keys that fit into it.
 
-        Where a key has more rows than there is room for, some are picked by chance,
-        this instance's own always among them.
+        If a key has more rows than fit, a random sample of them is sent, which
+        always includes this instance's own row.
         """
         room = REPORT_BYTES - FRAME_BYTES
         told: list[KeyRows] = []
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -1,4 +1,4 @@
-"""Applies quotas: counts use here and follows demand elsewhere."""
+"""Quota ledger: local usage of quotas, and shares by the demand of all instances."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 __all__ = ("QuotaLedger", "QuotaUsage")
 
-#: seconds in which news of few keys has reached nearly all instances
+#: seconds in which reports of few keys reach nearly all instances
 SETTLING = 8.0
-#: times that a row has to be told to be known nearly everywhere
+#: times that a row has to be sent to reach nearly all instances
 TIMES_TOLD = 2
-#: seconds without a request after which a key is forgotten
+#: seconds without a request after which a key expires
 IDLE = 60.0
-#: keys that are counted; requests of further ones are admitted uncounted
+#: maximum number of tracked keys; requests of further ones are admitted uncounted
 MAX_KEYS = 8192
-#: seconds after which asking again is worthwhile at the latest, as shares move
+#: longest retry-after time in seconds, as shares change meanwhile
 LONGEST_RETRY = 5.0
 
 
 class QuotaUsage:
-    """Use of one quota by one workspace, at this instance."""
+    """Usage of one quota by one workspace at this instance."""
 
     def __init__(self, quota: Quota, now: float) -> None:
         self.quota = quota
@@ -38,13 +38,13 @@
         self.share = 0.0
         self.created = now
         self.last_request = now
-        #: shares of instances that are out of reach, by their digests
+        #: shares reserved for unreachable instances, by their digests
         self.reserved_shares: dict[int, float] = {}
         self._requests: TokenBucket | None = None
         self._tokens: TokenBucket | None = None
 
     def set_share(self, share: float, now: float) -> None:
-        """Change the share; a bucket begins as full as its first share lets it."""
+        """Change the share; a new bucket starts full."""
         self.share = share
         self._requests = self._adjust(
             self._requests, self.quota.requests_per_second, now
@@ -52,12 +52,12 @@
         self._tokens = self._adjust(self._tokens, self.quota.tokens_per_second, now)
 
     def admit(self, now: float) -> Admission:
-        """Charge a request, or tell when to ask again."""
+        """Charge a request, or refuse it with a retry-after time."""
         wait = 0.0
         if self._requests is not None:
             wait = self._requests.measure_wait(1.0, now)
         if self._tokens is not None:
-            # what a request will use is not known before
+            # the tokens of a request are not known in advance
             wait = max(wait, self._tokens.measure_wait(1.0, now))
         if wait > 0:
             return Admission(admitted=False, retry_after=min(wait, LONGEST_RETRY))
@@ -65,12 +65,12 @@
         return Admission(admitted=True)
 
     def charge_request(self, amount: float) -> None:
-        """Charge requests, or give them back where ``amount`` is negative."""
+        """Charge requests, or refund them if ``amount`` is negative."""
         if self._requests is not None:
             self._requests.spend(amount)
 
     def charge_tokens(self, count: int) -> None:
-        """Charge tokens that were made; the bucket may be overdrawn."""
+        """Charge generated tokens; the bucket may be overdrawn."""
         if self._tokens is not None:
             self._tokens.spend(count)
 
@@ -86,9 +86,10 @@
 
 
 class QuotaLedger:
-    """Decides on requests, and on what is told and believed of demand.
+    """Admits requests by quota, and exchanges demand with other instances.
 
-    :param hold: seconds for which the shares of a data centre out of reach are kept.
+    :param hold: seconds for which the shares of an unreachable data centre stay
+        reserved.
     """
 
     def __init__(self, *, instance_id: str, hold: float, random_source: Random) -> None:
@@ -97,7 +98,7 @@
         self._roster = MembershipView(frozenset((self._own,)))
         self._keeper = MembershipTracker(instance_id, hold)
         self._sightings = DemandTable(self._own)
-        #: those that came back in this round
+        #: instances that became reachable again in this round
         self._returned: frozenset[int] = frozenset()
         self._uses: dict[QuotaKey, QuotaUsage] = {}
         self._digests: dict[QuotaKey, int] = {}
@@ -107,34 +108,34 @@
 
     @property
     def rows(self) -> int:
-        """Number of sightings that are known."""
+        """Number of known demand samples."""
         return len(self._sightings)
 
     @property
     def members_view(self) -> MembershipView:
-        """Instances that count."""
+        """Instances that count for the shares."""
         return self._roster
 
     @property
     def propagation_time(self) -> float:
-        """Seconds in which a change of demand is known everywhere.
+        """Seconds in which a change of demand propagates to all instances.
 
-        Every instance's row of every key has to be told in turn, also those that
-        are not known here yet, and some are told to whom they are no news.
+        Every instance's row of every key has to be sent in turn, also rows that are
+        not known here yet, and some are sent to instances that already have them.
         """
         rows = self._sightings.count_keys() * len(self._roster.alive)
         return SETTLING + TIMES_TOLD * rows / ROWS_PER_ROUND
 
     def list_uses(self) -> list[tuple[QuotaKey, QuotaUsage]]:
-        """Return all keys in use here."""
+        """Return all keys with usage here."""
         return list(self._uses.items())
 
     def find(self, key: QuotaKey) -> QuotaUsage | None:
-        """Return the use of a key."""
+        """Return the usage of a key, ``None`` if there is none."""
         return self._uses.get(key)
 
     def admit(self, quota: Quota, workspace: str, now: float) -> Admission:
-        """Admit a request of a workspace, or tell when to ask again."""
+        """Admit a request of a workspace, or refuse it with a retry-after time."""
         key = QuotaKey(quota.policy, workspace)
         use = self._uses.get(key)
         if use is None:
@@ -149,13 +150,13 @@
         return use.admit(now)
 
     def begin_round(self, members: Iterable[Member], now: float) -> None:
-        """Take in what is believed of the members; then refresh each key."""
+        """Update the member states; each key is to be refreshed afterwards."""
         before = self._roster
         self._roster = self._keeper.update(members, now)
         self._returned = before.reserved & self._roster.alive
 
     def refresh(self, key: QuotaKey, now: float) -> None:
-        """Measure demand on a key here and compute the share anew."""
+        """Update the local demand on a key and recompute its share."""
         use = self._uses.get(key)
         if use is None:
             return
@@ -170,18 +171,18 @@
         use.set_share(self._compute_share(use, digest, now), now)
 
     def create_report(self, now: float) -> DemandReport:
-        """Return what to tell a peer next."""
+        """Return the next demand report for a peer."""
         return self._sightings.create_report(now, self._random)
 
     def apply_report(self, report: DemandReport, now: float) -> None:
-        """Take in what a peer tells."""
+        """Apply a peer's demand report."""
         self._sightings.apply_report(report, now)
 
     def expire(self, digest: int, now: float) -> None:
-        """Forget what is too old, or of instances that are no longer known.
+        """Remove samples of a key that are outdated or of unknown instances.
 
-        What is known of an instance that has just come back is old, but dropping it
-        would let this one take over its share until it is heard again.
+        Samples of an instance that has just become reachable again are old, but
+        without them this instance would take over its share until its next report.
         """
         roster = self._roster
         lifetime = 2 * self.propagation_time
@@ -191,14 +192,14 @@
             if origin in self._returned:
                 self._sightings.record(digest, origin, DemandSample(sighting.rate, now))
                 continue
-            # an instance that leaves says nothing at last
+            # an instance that leaves sends no final report
             longest = lifetime if origin in roster.leaving else IDLE + lifetime
             known = origin in roster.alive or origin in roster.leaving
             if not known or now - sighting.measured_at > longest:
                 self._sightings.remove(digest, origin)
 
     def list_digests(self) -> list[int]:
-        """Return the digests of all keys that something is known of."""
+        """Return the digests of all keys with samples."""
         return self._sightings.list_keys()
 
     def _begin(self, key: QuotaKey, quota: Quota, now: float) -> QuotaUsage:
@@ -236,7 +237,7 @@
     def _keep_shares(
         self, use: QuotaUsage, rows: dict[int, DemandSample], reached: float
     ) -> None:
-        """Fix the shares of those just lost at what they had, by all that is known."""
+        """Reserve the shares of instances just lost, as last known."""
         roster = self._roster
         use.reserved_shares = {
             origin: share
--- a/packages/greengagelatch/src/greengagelatch/quotas/membership.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/membership.py
@@ -1,4 +1,4 @@
-"""Whose shares are kept although they are out of reach."""
+"""Instances that count for quota shares, including unreachable ones."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 __all__ = ("CRASH_GRACE", "MembershipView", "MembershipTracker")
 
-#: seconds for which the share of an instance is kept that went alone
+#: seconds for which the share of a crashed instance stays reserved
 CRASH_GRACE = 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """Instances, as digests of their ids."""
+    """Instances by state, as digests of their ids."""
 
     #: this instance included
     alive: frozenset[int]
-    #: those out of reach that may still use their shares
+    #: unreachable ones that may still use their shares
     reserved: frozenset[int] = frozenset()
-    #: those that leave or have left, which is not told apart
+    #: those that are leaving or have left, which can't be distinguished
     leaving: frozenset[int] = frozenset()
 
 
 class MembershipTracker:
-    """Tells crashed instances from a data centre that was cut off.
+    """Distinguishes crashed instances from a partitioned data centre.
 
-    Instances out of reach may go on using their shares, and an instance that took
-    these over would overrun the quota together with them. But a crashed instance's
-    share would be of use to nobody for as long. A whole data centre that falls
-    silent at once is more likely cut off, so its shares are kept for ``hold``
-    seconds; one instance whose neighbours still answer has crashed, or they would
-    have reached it. Its share is kept only for as long as it takes to notice that
-    the rest of its data centre is silent as well.
+    Unreachable instances may still use their shares; if the others took these over,
+    the quota would be exceeded. But the share of a crashed instance would be wasted
+    while it stays reserved. A whole data centre that becomes unreachable is probably
+    partitioned, so its shares stay reserved for ``hold`` seconds. A single instance
+    whose neighbours still answer has crashed, as they would otherwise reach it; its
+    share stays reserved only for as long as it takes to detect that the rest of its
+    data centre is unreachable as well.
     """
 
     def __init__(self, own: str, hold: float) -> None:
@@ -45,7 +45,7 @@
         self._since: dict[str, float] = {}
 
     def update(self, members: Iterable[Member], now: float) -> MembershipView:
-        """Return who counts, given what is believed of the members now."""
+        """Return the instances that count, by the present member states."""
         dead = []
         alive = {self._own}
         leaving = set()
--- a/packages/greengagelatch/src/greengagelatch/quotas/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/messages.py
@@ -1,4 +1,4 @@
-"""Message by which entry instances tell each other of demand."""
+"""Message in which entry instances report demand to each other."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 __all__ = ("DemandReport", "KeyRows", "Row")
 
 #: digest of an instance's id, hundredths of requests per second, and the age of
-#: that in tenths of a second
+#: that rate in tenths of a second
 Row = tuple[int, int, int]
 
-#: digest of a quota's key, and rows of it
+#: digest of a quota's key, and its rows
 KeyRows = tuple[int, tuple[Row, ...]]
 
 
 @register("quota-demand")
 @dataclass(frozen=True, slots=True)
 class DemandReport(Message):
-    """Demand of the sender, and what it has heard of others."""
+    """Demand of the sender, and of other instances as reported to it."""
 
     rows: tuple[KeyRows, ...] = ()
 
@@ -40,4 +40,4 @@
     for number in (origin, rate, age):
         check_type(number, int)
     if rate < 0 or age < 0:
-        raise ValueError("rate and age must not be negative")
+        raise ValueError(f"rate and age must not be negative, got {rate} and {age}")
--- a/packages/greengagelatch/src/greengagelatch/quotas/shares.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/shares.py
@@ -1,4 +1,4 @@
-"""Which part of a quota an instance may use."""
+"""Division of a quota into shares of the instances."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 
 __all__ = ("FLOOR", "ShareInputs", "compute_fraction", "compute_share")
 
-#: part of a quota that is split evenly, so that each instance can begin
+#: fraction of a quota that is split evenly, so that each instance can start
 FLOOR = 0.05
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShareInputs:
-    """What an instance's share of one quota depends on."""
+    """Inputs of an instance's share of one quota."""
 
-    #: requests per second of the whole quota; 0: it limits something else
+    #: requests per second of the whole quota; 0 if it does not limit requests
     rate: float
-    #: requests per second asked here
+    #: requests per second at this instance
     own: float
-    #: the same at the other instances that are believed alive
+    #: the same at the other instances that count as alive
     others: float
-    #: instances believed alive, this one included
+    #: instances that count as alive, including this one
     alive: int
-    #: those that are out of reach and whose shares are kept for them
+    #: unreachable instances whose shares are reserved for them
     reserved_count: int = 0
     #: sum of these shares
     reserved_share: float = 0.0
-    #: whether others can't have heard yet that the quota is used here
+    #: whether the demand of this instance has not propagated to the others yet
     settling: bool = False
 
 
 def compute_share(facts: ShareInputs) -> float:
-    """Return the part of the quota, between 0 and 1.
+    """Return the share of the quota, between 0 and 1.
 
-    With the same facts everywhere, the shares of all instances add up to 1. Until
-    others can have heard of this one's demand it takes at most the even share:
-    instances that begin together then use no more than the quota.
+    With the same inputs everywhere, the shares of all instances add up to 1. Until
+    this instance's demand has propagated, it takes at most the even share, so that
+    instances that start together don't exceed the quota.
     """
     free = max(0.0, 1.0 - facts.reserved_share)
     total = facts.own + facts.others
@@ -47,12 +47,12 @@
 
 
 def compute_fraction(own: float, total: float, count: int, rate: float) -> float:
-    """Return one instance's part of a rate that ``count`` instances divide.
+    """Return one instance's fraction of a rate that ``count`` instances divide.
 
-    Each gets what is asked of it, and what is left is split evenly: demand comes
-    in bursts, and an instance that was not asked for a while has to have room for
-    the next ones. Of more demand than there is, each gets its part, and of
-    :data:`FLOOR` its even part.
+    If the total demand fits, each gets its demand and the rest is split evenly:
+    demand comes in bursts, and an instance without recent requests needs capacity
+    for the next burst. Otherwise :data:`FLOOR` is split evenly and the rest in
+    proportion to demand.
     """
     if total <= 0:
         return 1.0 / count
--- a/packages/greengagelatch/src/greengagelatch/quotas/token_bucket.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/token_bucket.py
@@ -1,20 +1,20 @@
-"""Token bucket whose rate is a share that changes."""
+"""Token bucket with a variable rate."""
 
 from __future__ import annotations
 
 __all__ = ("TokenBucket",)
 
-#: what a bucket holds at least: a smaller one would never let a request through
+#: minimum capacity of a bucket: a smaller one would never admit a request
 LEAST_CAPACITY = 1.0
 
 
 class TokenBucket:
-    """Holds what may be used at once and is refilled at a rate.
+    """Token bucket that may be overdrawn.
 
-    It can be overdrawn by what is known only after the fact, such as tokens.
+    It is overdrawn by usage that is known only afterwards, such as generated tokens.
 
-    :param rate: units per second.
-    :param burst: seconds' worth of the rate that it holds.
+    :param rate: units refilled per second.
+    :param burst: capacity, as seconds of the rate.
     """
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
@@ -28,14 +28,14 @@
         return max(LEAST_CAPACITY, self._rate * self._burst)
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
-        """Change the rate; what is held is kept as far as there is room for it."""
+        """Change the rate; the level is kept up to the new capacity."""
         self._fill(now)
         self._rate = rate
         self._burst = burst
         self._level = min(self._level, self._capacity)
 
     def measure_wait(self, amount: float, now: float) -> float:
-        """Return the seconds until ``amount`` is there; 0: it is."""
+        """Return the seconds until ``amount`` is available, 0 if it is now."""
         self._fill(now)
         missing = amount - self._level
         if missing <= 0:
@@ -43,7 +43,7 @@
         return missing / self._rate if self._rate > 0 else float("inf")
 
     def spend(self, amount: float) -> None:
-        """Use ``amount``, or give it back where it is negative."""
+        """Spend ``amount``, or refund it if negative."""
         self._level = min(self._level - amount, self._capacity)
 
     def _fill(self, now: float) -> None:
--- a/packages/greengagelatch/src/greengagelatch/stages/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of one request's run through its pipeline, without any input or output."""
+"""Decisions on one request's run through its pipeline, without any I/O."""
 
 from __future__ import annotations
--- a/packages/greengagelatch/src/greengagelatch/stages/graph.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/graph.py
@@ -1,4 +1,4 @@
-"""Which stages of a pipeline may start, and what each is given."""
+"""Stage graph of a pipeline: ready stages, their inputs and critical paths."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def find_ready(
     pipeline: Pipeline, begun: Collection[str], results: Collection[str]
 ) -> list[Stage]:
-    """Return the stages not yet begun whose inputs are all among ``results``.
+    """Return the stages not yet started whose inputs are all among ``results``.
 
     :param begun: names of the stages that were started, finished or not
     :param results: names of the stages that have a result
@@ -29,10 +29,10 @@
 
 
 def build_input(stage: Stage, given: Any, results: Mapping[str, Any]) -> Any:
-    """Return what ``stage`` is called with.
+    """Return the input of ``stage``.
 
-    A stage that names no inputs is given the request's own input; any other one
-    an object that holds the result of each stage it names.
+    A stage without declared inputs gets the input of the request; any other one
+    gets an object with the result of each stage it declares.
     """
     if not stage.inputs:
         return given
@@ -40,7 +40,7 @@
 
 
 def measure_critical_path(pipeline: Pipeline, stage: Stage) -> float:
-    """Return the greatest sum of shares along any way from ``stage`` to an end."""
+    """Return the sum of shares along the critical path that starts at ``stage``."""
     lengths: dict[str, float] = {}
     for later in reversed(pipeline.stages):
         below = 0.0
--- a/packages/greengagelatch/src/greengagelatch/stages/hedging.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/hedging.py
@@ -1,4 +1,4 @@
-"""How long a call may stay without any answer before a second one is made."""
+"""Delay after which an unanswered call is hedged on another target."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HedgeRule:
-    """When a call that is still out gets a backup on another target."""
+    """When an unanswered call is hedged on another target."""
 
     #: multiple of the 95th percentile of the stage's durations
     factor: float = 2.0
-    #: seconds below which no call counts as late
+    #: minimum delay in seconds
     floor: float = 0.05
-    #: medians that must remain for a backup to be answered in time
+    #: multiple of the median that must remain for the hedged call to be in time
     reserve: float = 1.5
-    #: share of the stage's time to wait where no duration was measured yet
+    #: share of the stage's time to wait while no duration is measured
     unmeasured_share: float = 0.5
 
 
 def choose_hedge_delay(
     rule: HedgeRule, *, median: float, late: float, remaining: float
 ) -> float | None:
-    """Return the seconds after which to make a backup call; ``None``: make none.
+    """Return the seconds after which to hedge the call; ``None``: don't.
 
-    A connection that went silent swallows the call without an error, and waiting
-    for the deadline would lose the request although other targets are idle. Giving
-    the call up instead would lose every call of a stage that just became slower.
+    A dead connection loses the call without an error, and the request would fail at
+    its deadline although other targets are idle. A timeout instead of a hedged call
+    would fail every call of a stage that has just become slower.
 
     :param median: measured 50th percentile of the stage in seconds, 0 if unknown
     :param late: measured 95th percentile, 0 if unknown
@@ -38,7 +38,7 @@
         return max(0.0, remaining) * rule.unmeasured_share
     usual = max(rule.floor, rule.factor * late)
     patience = min(usual, remaining - rule.reserve * median)
-    # sooner than that, ordinary calls would be made twice
+    # an earlier hedge would duplicate calls that are not late
     if patience < late:
         return None
     return patience
--- a/packages/greengagelatch/src/greengagelatch/stages/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/ledger.py
@@ -1,4 +1,4 @@
-"""Record of a request's attempts, from which its verdict follows."""
+"""Ledger of a request's attempts, from which its verdict is derived."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 class AttemptLedger:
     """The attempts at all stages of one request.
 
-    An attempt counts as ``MAY_HAVE_RUN`` from before its first byte can reach a
-    socket until it is settled. Were it entered only afterwards, a request given up
-    in between would be refused as not run although a target had it.
+    An attempt counts as ``MAY_HAVE_RUN`` from before its first byte is written to a
+    socket until it is settled. If it were recorded later, a request abandoned in
+    between would be refused as not run although a target had received it.
     """
 
     def __init__(self) -> None:
@@ -29,16 +29,16 @@
 
     @property
     def count(self) -> int:
-        """Number of attempts ever begun."""
+        """Number of attempts started so far."""
         return self._count
 
     def begin(self, attempt_id: str, target_id: str) -> None:
-        """Enter an attempt that is about to be sent."""
+        """Record an attempt that is about to be sent."""
         self._open[attempt_id] = target_id
         self._count += 1
 
     def settle(self, attempt_id: str, verdict: Verdict) -> None:
-        """Record how an open attempt ended; a second time changes nothing."""
+        """Record the verdict of an open attempt; idempotent."""
         if self._open.pop(attempt_id, None) is None:
             return
         self._settled = self._settled.raise_to(verdict)
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -1,4 +1,4 @@
-"""Whether a failed stage call is made again."""
+"""Retry decisions for failed stage calls."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class NoRetryReason(Enum):
-    """Why a failed call is not made again."""
+    """Why a failed call is not retried."""
 
-    #: the deadline passed or the caller left
+    #: the deadline passed or the caller disconnected
     OVER = "over"
-    #: the call may have run and may not be repeated
+    #: the call may have run and is not retryable
     NOT_REPEATABLE = "not-repeatable"
     ATTEMPTS = "attempts"
     NO_TIME = "no-time"
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetryRules:
-    """Bounds on repeated calls of one stage."""
+    """Bounds on the retries of one stage."""
 
     max_attempts: int = 3
-    #: seconds that must remain, or a further attempt would only cost
+    #: seconds that must remain, as a later attempt could not succeed
     min_remaining: float = 0.005
 
 
-#: the request itself is over, so that no further answer is of use
+#: failures that end the request itself, so that no retry is of use
 _OVER = frozenset({FailureKind.DEADLINE, FailureKind.CANCELLED})
 
-#: the target may still be at work on a call that nobody waits for
+#: failures after which the target may still be executing the call
 _LEFT_RUNNING = frozenset(
     {
         FailureKind.STALLED,
@@ -49,11 +49,12 @@
 
 
 def may_retry(stage: Stage, request: Request) -> bool:
-    """Whether a call of ``stage`` that may have run may be sent again.
+    """Whether a call of ``stage`` that may have run may be retried.
 
-    A caller that forbids repeats can't see which stages an operator has declared
-    repeatable, and that is their default: a plain service left undeclared would
-    book twice. Only the kinds that compute and change nothing are then repeated.
+    A caller that forbids retries can't see which stages an operator has declared
+    repeatable. As that is the default, an undeclared plain service could execute a
+    side effect such as a booking twice. So for such callers only kinds of stages
+    without side effects are retried.
     """
     if not stage.repeatable:
         return False
@@ -68,15 +69,15 @@
     attempts: int,
     remaining: float,
 ) -> NoRetryReason | None:
-    """Return why the call must not be made again, or ``None`` if it may.
+    """Return why the call must not be retried, or ``None`` if it may be.
 
     :param attempts: attempts made at this stage so far
-    :param remaining: seconds left of the request's deadline
+    :param remaining: seconds until the request's deadline
     """
     if failure.kind in _OVER:
         return NoRetryReason.OVER
-    # a second call whose first one ran doubles its side effect: a booking shows up
-    # twice. Only the proof that nothing ran makes it safe, never the kind of error
+    # retrying a call that ran duplicates its side effect, such as a booking. Only
+    # proof that nothing ran makes a retry safe, never the kind of error
     if not repeatable and failure.verdict is not Verdict.NOT_RUN:
         return NoRetryReason.NOT_REPEATABLE
     if attempts >= rules.max_attempts:
@@ -87,7 +88,7 @@
 
 
 def needs_cancel(failure: CallFailure) -> bool:
-    """Whether the target may still work on the failed call."""
+    """Whether the target may still be executing the failed call."""
     if failure.verdict is Verdict.NOT_RUN:
         return False
     return failure.kind in _LEFT_RUNNING
--- a/packages/greengagelatch/src/greengagelatch/stages/tokens.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/tokens.py
@@ -1,4 +1,4 @@
-"""Tokens of a streamed answer that a caller was already given."""
+"""Tokens of a streamed answer that were already sent to the caller."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class TokenCheck(Enum):
-    """How a token relates to those already given."""
+    """How a token relates to those already sent."""
 
     NEW = "new"
     REPEATED = "repeated"
-    #: another text at an offset that the caller already holds
+    #: a different text at an offset that was already sent
     CONTRADICTION = "contradiction"
     GAP = "gap"
 
 
 class StreamedTokens:
-    """All tokens given to one caller, from offset zero.
+    """All tokens sent to one caller, from offset zero.
 
-    When a stream is cut, another target gives the answer again. Without a check
-    the caller would read a text that changes half way or repeats itself; with it
-    the second stream is only passed on beyond a prefix known to be equal.
+    When a stream breaks, another target generates the answer again. Without this
+    check the caller could read a text that changes half way or repeats itself; with
+    it, the second stream is forwarded only beyond an equal prefix.
     """
 
     def __init__(self) -> None:
@@ -33,11 +33,11 @@
 
     @property
     def tokens(self) -> tuple[str, ...]:
-        """The tokens given so far."""
+        """The tokens sent so far."""
         return tuple(self._tokens)
 
     def append(self, offset: int, text: str) -> TokenCheck:
-        """Record a token if it is the next one, and say how it relates."""
+        """Append a token if it is the next one; return how it relates."""
         if offset == len(self._tokens):
             self._tokens.append(text)
             return TokenCheck.NEW
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of what engines should hold, where, and how fast it may be loaded."""
+"""Tests of desired engine states, overflow and the rate of model loads."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     assert find() == {}
     assert find(create_policy("a", workspaces="tier = gold", models="m")) == {}
     assert find(create_policy("a", services="name = desk", models="m")) == {}
-    # where work runs, but nothing that an engine could be told
+    # says where work runs, but holds nothing to order an engine
     assert find(create_policy("a", data_centres="north")) == {}
     found = find(create_policy("a", models="m"))
     assert found == {"writer": Placement(models=("m",))}
@@ -85,7 +85,7 @@
 
 
 def follow(demand, loads, *, begin=0):
-    """Take in one load a second; return what it comes to and the last second."""
+    """Apply one load a second; return the final state and the last second."""
     now = begin
     for now, load in enumerate(loads, begin):
         demand = demand.update(float(now), load, RULE)
@@ -97,7 +97,7 @@
     assert not demand.overflowing
     demand, now = follow(OverflowState(), [1.3] * 31)
     assert demand.overflowing
-    # between the two loads nothing changes, however long that lasts
+    # between the two thresholds nothing changes, however long that lasts
     demand, now = follow(demand, [0.7] * 1000, begin=now)
     assert demand.overflowing
     demand, now = follow(demand, [0.5] * 299 + [None] + [0.5] * 299, begin=now)
@@ -130,8 +130,8 @@
     budget = budget.refill(110.0, per_minute=6)
     assert budget.allows(3)
     budget = budget.spend(3)
-    # two are owed, and the next one is not allowed before a third has come in
+    # the budget is two in debt, and the next load needs a third refilled token
     assert not budget.refill(129.0, per_minute=6).allows(1)
     assert budget.refill(140.0, per_minute=6).allows(1)
-    # nothing beyond one is saved up while there is nothing to load
+    # at most one token accumulates while there is nothing to load
     assert budget.refill(10_000.0, per_minute=6).level == 1.0
--- a/tests/test_core/test_quotas/test_demand.py
+++ b/tests/test_core/test_quotas/test_demand.py
@@ -10,11 +10,10 @@
 
 
 def test_first_request_does_not_count_as_many():
-    """Symptom: a workspace far below its quota is refused at other instances.
+    """Guards against refusals at other instances for a workspace below its quota.
 
-    Sequence: its first request comes 10 ms before the round; the average of these
-    10 ms, 100 requests per second, is told; the others are left with nearly no
-    share. Cause: a mean of too short a time.
+    Its first request arrives 10 ms before the round. An average over these 10 ms
+    would report 100 requests per second and leave the others almost no share.
     """
     meter = DemandMeter(100.0)
     meter.record_request()
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -14,11 +14,11 @@
 from greengagelatch_lab.quotas.model import QuotaModel
 
 RATE = 100.0
-#: rounds in which shares follow a move of demand
+#: rounds in which shares converge after a shift of demand
 FOLLOWED = 30
-#: part of the quota by which all shares together may exceed it, once settled
+#: fraction by which the sum of all shares may exceed the quota after convergence
 SPARE = 0.1
-#: the same at any time while all instances reach each other
+#: the same at any time while all instances can reach each other
 SPARE_MOVING = 0.35
 CENTRES = ["north", "south", "west"] * 3
 
@@ -29,7 +29,7 @@
 
 
 def check_rounds(model, rounds, spare):
-    """Run, with the shares of all instances bounded after each round."""
+    """Run rounds and check the sum of all shares after each."""
     for _ in range(rounds):
         model.run(1)
         assert model.sum_shares() <= 1 + spare
@@ -48,11 +48,10 @@
     seed=st.integers(0, 99),
 )
 def test_shares_stay_bounded_while_demand_moves(first, second, loss, seed):
-    """Symptom: a workspace gets more than its quota whenever its load shifts.
+    """Guards against exceeding a quota whenever load shifts between instances.
 
-    Sequence: callers move to another instance; it takes a greater share at once;
-    the others give theirs up only when they hear of it. Cause: a rise that counted
-    before it was known.
+    Callers move to another instance. If it took a greater share at once, the sum
+    would exceed the quota until its report reaches the others.
     """
     model = create_model(loss=loss, seed=seed)
     model.demand = first
@@ -61,7 +60,7 @@
     check_rounds(model, FOLLOWED, SPARE_MOVING)
     check_rounds(model, 10, SPARE)
     admitted = sum(model.run(20))
-    # each bucket may also hold one request more than its share
+    # each bucket may also admit one request beyond its share
     assert admitted <= RATE * 20 * (1 + SPARE) + RATE + len(CENTRES)
     wanted = min(sum(second), RATE) * 20
     if sum(second) > 2 * RATE:
@@ -74,10 +73,10 @@
     seed=st.integers(0, 99),
 )
 def test_cut_off_data_centres_keep_to_the_quota_together(moved, seed):
-    """Symptom: while a data centre is cut off, a workspace gets twice its quota.
+    """Guards against twice the quota while a data centre is partitioned.
 
-    Sequence: the links break; each side hears of no demand at the other; each
-    takes the whole quota. Cause: out of reach taken for gone.
+    Neither side receives demand reports of the other. If unreachable instances
+    counted as gone, each side would take the whole quota.
     """
     model = create_model(loss=0.2, seed=seed)
     model.demand = [20.0] * 9
@@ -120,11 +119,10 @@
 
 
 def test_an_instance_that_is_seldom_asked_has_room_for_a_burst():
-    """Symptom: a workspace far below its quota has some requests refused.
+    """Guards against refused requests of a workspace far below its quota.
 
-    Sequence: few callers, so that an instance gets none for a while; then two
-    within a moment; the second is refused. Cause: a share that followed demand
-    alone, with nothing left where there was none.
+    An instance gets no request for a while, then two at almost the same time. If
+    the share followed demand alone, the second would be refused.
     """
     model = create_model()
     model.demand = [4.0] * 8 + [0.05]
@@ -144,12 +142,11 @@
 
 
 def test_many_keys_keep_to_their_quotas_from_the_start():
-    """Symptom: with many workspaces in use, each gets half as much again.
+    """Guards against exceeding each quota by half when many workspaces are active.
 
-    Sequence: rows of many keys are told in turn and heard late; an average that
-    still rises is told as a low demand; everyone takes what the others seem not to
-    need. Cause: an average that starts at nothing, and a time to settle that did
-    not count rows that were not known yet.
+    Rows of many keys are sent in turn and arrive late. An average that starts at
+    zero would report too low a demand, and the others would take the rest; the
+    same happens if the propagation time ignores rows that are not known yet.
     """
     model = create_model(keys=100, loss=0.2)
     model.demand = [2.5 * RATE / 9 / 100] * 9
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of a request's run: ledger, retries, tokens, patience, order."""
+"""Tests of stage decisions: ledger, retries, tokens, hedging, stage graph."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from(Verdict))))
 def test_verdict_rises_only(steps):
-    """A request refused as "not run" had run at a target.
+    """Guards against refusing a request as "not run" that ran at a target.
 
-    Sequence: an attempt is sent; the request is given up before the answer comes.
-    Cause: the attempt was entered only with its answer.
+    An attempt is sent and the request abandoned before the answer. An attempt that
+    is recorded only with its answer would be missing from the verdict.
     """
     ledger = AttemptLedger()
     highest = Verdict.NOT_RUN
@@ -67,10 +67,10 @@
 def test_call_that_may_have_run_is_repeated_only_where_allowed(
     kind, verdict, repeatable
 ):
-    """A booking was confirmed twice.
+    """Guards against executing a side effect such as a booking twice.
 
-    Sequence: the call fails after it was sent and is sent to another target.
-    Cause: the decision looked at the kind of failure and not at the verdict.
+    A call fails after it was sent and is retried on another target. A decision by
+    the kind of failure instead of the verdict would allow that.
     """
     failure = CallFailure(kind=kind, verdict=verdict, message="")
     reason = decide_retry(
@@ -96,10 +96,10 @@
 
 
 def test_caller_that_forbids_repeats_protects_undeclared_plain_services():
-    """An order hold was made twice although its caller had forbidden repeats.
+    """Guards against retrying a side effect although the caller forbids retries.
 
-    Sequence: the operator left the stage's ``repeatable`` at its default; the call
-    was cut and repeated. Cause: only the stage's declaration was heeded.
+    The operator left the stage's ``repeatable`` at its default, and the connection
+    of a call breaks. The declaration of the stage alone would allow a retry.
     """
     request = Request(
         request_id="request",
@@ -117,10 +117,10 @@
 
 
 def test_tokens_are_never_repeated_or_contradicted():
-    """A caller read half of one draft and half of another.
+    """Guards against a caller that reads half of one answer and half of another.
 
-    Sequence: the stream is cut; another target begins again from zero.
-    Cause: its tokens were passed on without a look at those already given.
+    A stream breaks and another target starts again from offset zero. Its tokens
+    must be compared with those already sent.
     """
     record = StreamedTokens()
     assert record.append(0, "a") is TokenCheck.NEW
@@ -131,7 +131,8 @@
     assert record.tokens == ("a", "b")
 
 
-# adding up the other way round gives exactly 1.0 here, and 0.3999... below
+# with the opposite order of addition the result is exactly 1.0 here and 0.3999...
+# in the assertion
 @example(median=0.4, spread=1.0, remaining=1.0)
 @given(
     median=st.floats(0.001, 10),
@@ -175,6 +176,6 @@
         "stock": 2,
     }
     assert build_input(pipeline.stages[0], "given", {}) == "given"
-    # a quarter of the way for each of encode and retrieve, half for write
+    # a quarter of the path for each of encode and retrieve, half for write
     assert divide_by_share(pipeline, pipeline.stages[0], 0.0, 4.0) == 1.0
     assert divide_by_share(pipeline, write, 3.0, 4.0) == 4.0
