--- a/packages/greengagelatch/src/greengagelatch/quotas/demand.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/demand.py
@@ -7,17 +7,17 @@
 __all__ = ("DemandMeter",)
 
 #: minimum seconds over which demand is averaged
-AVERAGED = 5.0
+MIN_AVERAGING_TIME = 5.0
 #: the same as a fraction of the propagation time: the others can't follow faster
 #: changes, and would receive their noise too late
-AVERAGED_PART = 0.5
+AVERAGING_FRACTION = 0.5
 #: seconds without requests that are assumed before the first one: otherwise it would
 #: count as a hundred in a second if the average was taken just after it
-PRESUMED = 2.0
+ASSUMED_IDLE = 2.0
 #: factor up to which a rise of demand counts as unchanged
-STEADY = 1.3
+STEADY_FACTOR = 1.3
 #: standard deviations of the average that count as noise
-CHANCE = 2.0
+NOISE_DEVIATIONS = 2.0
 
 
 class DemandMeter:
@@ -32,51 +32,53 @@
 
     def __init__(self, now: float) -> None:
         self.rate = 0.0
-        self._averaged = AVERAGED
-        self._asked = 0
-        self._began = now
-        self._rolled = now
-        self._turned = now
-        self._least = math.inf
-        self._least_before = math.inf
+        self._averaging_time = MIN_AVERAGING_TIME
+        self._requests = 0
+        self._created = now
+        self._updated = now
+        self._window_start = now
+        self._window_min = math.inf
+        self._previous_min = math.inf
 
     def record_request(self) -> None:
         """Count one request."""
-        self._asked += 1
+        self._requests += 1
 
-    def update(self, settling: float, young: bool, now: float) -> None:
+    def update(self, propagation_time: float, settling: bool, now: float) -> None:
         """Update the average with the requests since the last call.
 
-        :param settling: propagation time of a change in seconds.
-        :param young: whether the average covers too short a time, so that its
+        :param propagation_time: propagation time of a change in seconds.
+        :param settling: whether the average covers too short a time, so that its
             minimum would be too low.
         """
-        passed = now - self._rolled
-        if passed <= 0:
+        elapsed = now - self._updated
+        if elapsed <= 0:
             return
-        self._averaged = max(AVERAGED, AVERAGED_PART * settling)
+        self._averaging_time = max(
+            MIN_AVERAGING_TIME, AVERAGING_FRACTION * propagation_time
+        )
         # an unweighted average at first: one that rises slowly from zero would report
         # too low a demand, and the others would take the remaining share
-        mean = passed / (now - self._began + PRESUMED)
-        weight = max(mean, 1 - math.exp(-passed / self._averaged))
-        self.rate += (self._asked / passed - self.rate) * weight
-        self._asked = 0
-        self._rolled = now
-        if young:
-            self._turned = now
+        first_weight = elapsed / (now - self._created + ASSUMED_IDLE)
+        weight = max(first_weight, 1 - math.exp(-elapsed / self._averaging_time))
+        self.rate += (self._requests / elapsed - self.rate) * weight
+        self._requests = 0
+        self._updated = now
+        if settling:
+            self._window_start = now
             return
-        if now - self._turned >= settling:
-            self._turned = now
-            self._least_before = self._least
-            self._least = math.inf
-        self._least = min(self._least, self.rate)
+        if now - self._window_start >= propagation_time:
+            self._window_start = now
+            self._previous_min = self._window_min
+            self._window_min = math.inf
+        self._window_min = min(self._window_min, self.rate)
 
     @property
     def propagated_rate(self) -> float:
         """Demand that has propagated to the others, in requests per second."""
-        least = min(self._least, self._least_before)
-        if math.isinf(least):
+        lowest = min(self._window_min, self._previous_min)
+        if math.isinf(lowest):
             return self.rate
         # from the present rate: the minimum is zero after a time without requests
-        chance = CHANCE * math.sqrt(self.rate / (2 * self._averaged))
-        return min(self.rate, least * STEADY + chance)
+        noise = NOISE_DEVIATIONS * math.sqrt(self.rate / (2 * self._averaging_time))
+        return min(self.rate, lowest * STEADY_FACTOR + noise)
--- a/packages/greengagelatch/src/greengagelatch/quotas/demand_table.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/demand_table.py
@@ -59,19 +59,19 @@
         """Return the samples of a key by instance."""
         return self._keys.get(key, {})
 
-    def record(self, key: int, origin: int, sighting: DemandSample) -> None:
+    def record(self, key: int, origin: int, sample: DemandSample) -> None:
         """Record a sample, unless a later one is known."""
         rows = self._keys.get(key)
         known = rows.get(origin) if rows is not None else None
         if known is not None:
-            if known.measured_at < sighting.measured_at:
-                rows[origin] = sighting
+            if known.measured_at < sample.measured_at:
+                rows[origin] = sample
             return
         if self._count >= MAX_ROWS:
             return
         if rows is None:
             rows = self._keys[key] = {}
-        rows[origin] = sighting
+        rows[origin] = sample
         self._count += 1
 
     def remove(self, key: int, origin: int) -> None:
@@ -89,8 +89,8 @@
             for origin, rate, age in rows:
                 if origin == self._own:
                     continue
-                sighting = DemandSample(rate / RATE_SCALE, now - age / AGE_SCALE)
-                self.record(key, origin, sighting)
+                sample = DemandSample(rate / RATE_SCALE, now - age / AGE_SCALE)
+                self.record(key, origin, sample)
 
     def create_report(self, now: float, random_source: Random) -> DemandReport:
         """Return a report of the least recently reported keys that fit into it.
@@ -98,17 +98,19 @@
         If a key has more rows than fit, a random sample of them is sent, which
         always includes this instance's own row.
         """
-        room = REPORT_BYTES - FRAME_BYTES
-        told: list[KeyRows] = []
+        remaining_bytes = REPORT_BYTES - FRAME_BYTES
+        reported: list[KeyRows] = []
         for key in self.list_keys():
-            room -= KEY_BYTES
-            if room < ROW_BYTES:
+            remaining_bytes -= KEY_BYTES
+            if remaining_bytes < ROW_BYTES:
                 break
-            rows = self._pick_rows(key, room // ROW_BYTES, now, random_source)
-            room -= len(rows) * ROW_BYTES
-            told.append((key, rows))
+            rows = self._pick_rows(
+                key, remaining_bytes // ROW_BYTES, now, random_source
+            )
+            remaining_bytes -= len(rows) * ROW_BYTES
+            reported.append((key, rows))
             self._keys.move_to_end(key)
-        return DemandReport(tuple(told))
+        return DemandReport(tuple(reported))
 
     def _pick_rows(
         self, key: int, limit: int, now: float, random_source: Random
@@ -122,7 +124,7 @@
         return tuple(_encode(origin, rows[origin], now) for origin in own + others)
 
 
-def _encode(origin: int, sighting: DemandSample, now: float) -> Row:
-    rate = min(MAX_NUMBER, round(sighting.rate * RATE_SCALE))
-    age = min(MAX_NUMBER, max(0, round((now - sighting.measured_at) * AGE_SCALE)))
+def _encode(origin: int, sample: DemandSample, now: float) -> Row:
+    rate = min(MAX_NUMBER, round(sample.rate * RATE_SCALE))
+    age = min(MAX_NUMBER, max(0, round((now - sample.measured_at) * AGE_SCALE)))
     return origin, rate, age
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -18,15 +18,15 @@
 __all__ = ("QuotaLedger", "QuotaUsage")
 
 #: seconds in which reports of few keys reach nearly all instances
-SETTLING = 8.0
+BASE_PROPAGATION_TIME = 8.0
 #: times that a row has to be sent to reach nearly all instances
-TIMES_TOLD = 2
+SENDS_PER_ROW = 2
 #: seconds without a request after which a key expires
-IDLE = 60.0
+IDLE_EXPIRY = 60.0
 #: maximum number of tracked keys; requests of further ones are admitted uncounted
 MAX_KEYS = 8192
 #: longest retry-after time in seconds, as shares change meanwhile
-LONGEST_RETRY = 5.0
+MAX_RETRY_AFTER = 5.0
 
 
 class QuotaUsage:
@@ -60,7 +60,7 @@
             # the tokens of a request are not known in advance
             wait = max(wait, self._tokens.measure_wait(1.0, now))
         if wait > 0:
-            return Admission(admitted=False, retry_after=min(wait, LONGEST_RETRY))
+            return Admission(admitted=False, retry_after=min(wait, MAX_RETRY_AFTER))
         self.charge_request(1.0)
         return Admission(admitted=True)
 
@@ -95,26 +95,26 @@
     def __init__(self, *, instance_id: str, hold: float, random_source: Random) -> None:
         self._own = digest_text(instance_id)
         self._random = random_source
-        self._roster = MembershipView(frozenset((self._own,)))
-        self._keeper = MembershipTracker(instance_id, hold)
-        self._sightings = DemandTable(self._own)
+        self._members = MembershipView(frozenset((self._own,)))
+        self._tracker = MembershipTracker(instance_id, hold)
+        self._table = DemandTable(self._own)
         #: instances that became reachable again in this round
         self._returned: frozenset[int] = frozenset()
-        self._uses: dict[QuotaKey, QuotaUsage] = {}
+        self._usages: dict[QuotaKey, QuotaUsage] = {}
         self._digests: dict[QuotaKey, int] = {}
 
     def __len__(self) -> int:
-        return len(self._uses)
+        return len(self._usages)
 
     @property
     def rows(self) -> int:
         """Number of known demand samples."""
-        return len(self._sightings)
+        return len(self._table)
 
     @property
     def members_view(self) -> MembershipView:
         """Instances that count for the shares."""
-        return self._roster
+        return self._members
 
     @property
     def propagation_time(self) -> float:
@@ -123,60 +123,60 @@
         Every instance's row of every key has to be sent in turn, also rows that are
         not known here yet, and some are sent to instances that already have them.
         """
-        rows = self._sightings.count_keys() * len(self._roster.alive)
-        return SETTLING + TIMES_TOLD * rows / ROWS_PER_ROUND
+        rows = self._table.count_keys() * len(self._members.alive)
+        return BASE_PROPAGATION_TIME + SENDS_PER_ROW * rows / ROWS_PER_ROUND
 
     def list_uses(self) -> list[tuple[QuotaKey, QuotaUsage]]:
         """Return all keys with usage here."""
-        return list(self._uses.items())
+        return list(self._usages.items())
 
     def find(self, key: QuotaKey) -> QuotaUsage | None:
         """Return the usage of a key, ``None`` if there is none."""
-        return self._uses.get(key)
+        return self._usages.get(key)
 
     def admit(self, quota: Quota, workspace: str, now: float) -> Admission:
         """Admit a request of a workspace, or refuse it with a retry-after time."""
         key = QuotaKey(quota.policy, workspace)
-        use = self._uses.get(key)
-        if use is None:
-            if len(self._uses) >= MAX_KEYS:
+        usage = self._usages.get(key)
+        if usage is None:
+            if len(self._usages) >= MAX_KEYS:
                 return Admission(admitted=True)
-            use = self._begin(key, quota, now)
-        elif use.quota != quota:
-            use.quota = quota
-            use.set_share(use.share, now)
-        use.last_request = now
-        use.meter.record_request()
-        return use.admit(now)
+            usage = self._begin(key, quota, now)
+        elif usage.quota != quota:
+            usage.quota = quota
+            usage.set_share(usage.share, now)
+        usage.last_request = now
+        usage.meter.record_request()
+        return usage.admit(now)
 
     def begin_round(self, members: Iterable[Member], now: float) -> None:
         """Update the member states; each key is to be refreshed afterwards."""
-        before = self._roster
-        self._roster = self._keeper.update(members, now)
-        self._returned = before.reserved & self._roster.alive
+        before = self._members
+        self._members = self._tracker.update(members, now)
+        self._returned = before.reserved & self._members.alive
 
     def refresh(self, key: QuotaKey, now: float) -> None:
         """Update the local demand on a key and recompute its share."""
-        use = self._uses.get(key)
-        if use is None:
+        usage = self._usages.get(key)
+        if usage is None:
             return
         digest = self._digests[key]
-        if now - use.last_request >= IDLE:
-            del self._uses[key]
+        if now - usage.last_request >= IDLE_EXPIRY:
+            del self._usages[key]
             del self._digests[key]
-            self._sightings.remove(digest, self._own)
+            self._table.remove(digest, self._own)
             return
-        use.meter.update(self.propagation_time, self._is_young(use, now), now)
-        self._sightings.record(digest, self._own, DemandSample(use.meter.rate, now))
-        use.set_share(self._compute_share(use, digest, now), now)
+        usage.meter.update(self.propagation_time, self._is_settling(usage, now), now)
+        self._table.record(digest, self._own, DemandSample(usage.meter.rate, now))
+        usage.set_share(self._compute_share(usage, digest, now), now)
 
     def create_report(self, now: float) -> DemandReport:
         """Return the next demand report for a peer."""
-        return self._sightings.create_report(now, self._random)
+        return self._table.create_report(now, self._random)
 
     def apply_report(self, report: DemandReport, now: float) -> None:
         """Apply a peer's demand report."""
-        self._sightings.apply_report(report, now)
+        self._table.apply_report(report, now)
 
     def expire(self, digest: int, now: float) -> None:
         """Remove samples of a key that are outdated or of unknown instances.
@@ -184,74 +184,76 @@
         Samples of an instance that has just become reachable again are old, but
         without them this instance would take over its share until its next report.
         """
-        roster = self._roster
+        members_view = self._members
         lifetime = 2 * self.propagation_time
-        for origin, sighting in tuple(self._sightings.find(digest).items()):
-            if origin == self._own or origin in roster.reserved:
+        for origin, sample in tuple(self._table.find(digest).items()):
+            if origin == self._own or origin in members_view.reserved:
                 continue
             if origin in self._returned:
-                self._sightings.record(digest, origin, DemandSample(sighting.rate, now))
+                self._table.record(digest, origin, DemandSample(sample.rate, now))
                 continue
             # an instance that leaves sends no final report
-            longest = lifetime if origin in roster.leaving else IDLE + lifetime
-            known = origin in roster.alive or origin in roster.leaving
-            if not known or now - sighting.measured_at > longest:
-                self._sightings.remove(digest, origin)
+            longest = (
+                lifetime if origin in members_view.leaving else IDLE_EXPIRY + lifetime
+            )
+            known = origin in members_view.alive or origin in members_view.leaving
+            if not known or now - sample.measured_at > longest:
+                self._table.remove(digest, origin)
 
     def list_digests(self) -> list[int]:
         """Return the digests of all keys with samples."""
-        return self._sightings.list_keys()
+        return self._table.list_keys()
 
     def _begin(self, key: QuotaKey, quota: Quota, now: float) -> QuotaUsage:
-        use = self._uses[key] = QuotaUsage(quota, now)
+        usage = self._usages[key] = QuotaUsage(quota, now)
         digest = self._digests[key] = key.digest()
-        use.set_share(self._compute_share(use, digest, now), now)
-        return use
+        usage.set_share(self._compute_share(usage, digest, now), now)
+        return usage
 
-    def _is_young(self, use: QuotaUsage, now: float) -> bool:
-        return now - use.created < self.propagation_time
+    def _is_settling(self, usage: QuotaUsage, now: float) -> bool:
+        return now - usage.created < self.propagation_time
 
-    def _compute_share(self, use: QuotaUsage, digest: int, now: float) -> float:
-        roster = self._roster
-        rows = self._sightings.find(digest)
-        young = self._is_young(use, now)
-        own = use.meter.rate if young else use.meter.propagated_rate
+    def _compute_share(self, usage: QuotaUsage, digest: int, now: float) -> float:
+        members_view = self._members
+        rows = self._table.find(digest)
+        settling = self._is_settling(usage, now)
+        own = usage.meter.rate if settling else usage.meter.propagated_rate
         others = sum(
-            sighting.rate
-            for origin, sighting in rows.items()
+            sample.rate
+            for origin, sample in rows.items()
             if origin != self._own
-            and (origin in roster.alive or origin in roster.leaving)
+            and (origin in members_view.alive or origin in members_view.leaving)
         )
-        self._keep_shares(use, rows, own + others)
-        facts = ShareInputs(
-            rate=use.quota.requests_per_second or 0.0,
+        self._reserve_shares(usage, rows, own + others)
+        inputs = ShareInputs(
+            rate=usage.quota.requests_per_second or 0.0,
             own=own,
             others=others,
-            alive=len(roster.alive),
-            reserved_count=len(use.reserved_shares),
-            reserved_share=sum(use.reserved_shares.values()),
-            settling=young,
+            alive=len(members_view.alive),
+            reserved_count=len(usage.reserved_shares),
+            reserved_share=sum(usage.reserved_shares.values()),
+            settling=settling,
         )
-        return compute_share(facts)
+        return compute_share(inputs)
 
-    def _keep_shares(
-        self, use: QuotaUsage, rows: dict[int, DemandSample], reached: float
+    def _reserve_shares(
+        self, usage: QuotaUsage, rows: dict[int, DemandSample], reached: float
     ) -> None:
         """Reserve the shares of instances just lost, as last known."""
-        roster = self._roster
-        use.reserved_shares = {
+        members_view = self._members
+        usage.reserved_shares = {
             origin: share
-            for origin, share in use.reserved_shares.items()
-            if origin in roster.reserved
+            for origin, share in usage.reserved_shares.items()
+            if origin in members_view.reserved
         }
-        lost = roster.reserved - use.reserved_shares.keys()
+        lost = members_view.reserved - usage.reserved_shares.keys()
         if not lost:
             return
         rates = {origin: rows[origin].rate for origin in lost if origin in rows}
         total = reached + sum(rates.values())
-        count = len(roster.alive) + len(lost)
-        free = max(0.0, 1.0 - sum(use.reserved_shares.values()))
-        rate = free * (use.quota.requests_per_second or 0.0)
+        count = len(members_view.alive) + len(lost)
+        free = max(0.0, 1.0 - sum(usage.reserved_shares.values()))
+        rate = free * (usage.quota.requests_per_second or 0.0)
         for origin in lost:
             part = compute_fraction(rates.get(origin, 0.0), total, count, rate)
-            use.reserved_shares[origin] = free * part
+            usage.reserved_shares[origin] = free * part
--- a/packages/greengagelatch/src/greengagelatch/quotas/membership.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/membership.py
@@ -49,7 +49,7 @@
         dead = []
         alive = {self._own}
         leaving = set()
-        lively = set()
+        reachable_centres = set()
         for member in members:
             if member.state is MemberState.DEAD:
                 dead.append(member)
@@ -58,14 +58,16 @@
                 leaving.add(member.instance_id)
                 continue
             alive.add(member.instance_id)
-            lively.add(member.data_centre)
+            reachable_centres.add(member.data_centre)
         self._since = {
             member.instance_id: self._since.get(member.instance_id, now)
             for member in dead
         }
         reserved = set()
         for member in dead:
-            hold = CRASH_GRACE if member.data_centre in lively else self._hold
+            hold = (
+                CRASH_GRACE if member.data_centre in reachable_centres else self._hold
+            )
             if now - self._since[member.instance_id] < hold:
                 reserved.add(digest_text(member.instance_id))
         return MembershipView(
--- a/packages/greengagelatch/src/greengagelatch/quotas/shares.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/shares.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-__all__ = ("FLOOR", "ShareInputs", "compute_fraction", "compute_share")
+__all__ = ("EVEN_FRACTION", "ShareInputs", "compute_fraction", "compute_share")
 
 #: fraction of a quota that is split evenly, so that each instance can start
-FLOOR = 0.05
+EVEN_FRACTION = 0.05
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -30,19 +30,19 @@
     settling: bool = False
 
 
-def compute_share(facts: ShareInputs) -> float:
+def compute_share(inputs: ShareInputs) -> float:
     """Return the share of the quota, between 0 and 1.
 
     With the same inputs everywhere, the shares of all instances add up to 1. Until
     this instance's demand has propagated, it takes at most the even share, so that
     instances that start together don't exceed the quota.
     """
-    free = max(0.0, 1.0 - facts.reserved_share)
-    total = facts.own + facts.others
-    part = compute_fraction(facts.own, total, facts.alive, free * facts.rate)
-    share = free * part
-    if facts.settling:
-        share = min(share, 1.0 / (facts.alive + facts.reserved_count))
+    free = max(0.0, 1.0 - inputs.reserved_share)
+    total = inputs.own + inputs.others
+    fraction = compute_fraction(inputs.own, total, inputs.alive, free * inputs.rate)
+    share = free * fraction
+    if inputs.settling:
+        share = min(share, 1.0 / (inputs.alive + inputs.reserved_count))
     return share
 
 
@@ -51,11 +51,11 @@
 
     If the total demand fits, each gets its demand and the rest is split evenly:
     demand comes in bursts, and an instance without recent requests needs capacity
-    for the next burst. Otherwise :data:`FLOOR` is split evenly and the rest in
+    for the next burst. Otherwise :data:`EVEN_FRACTION` is split evenly and the rest in
     proportion to demand.
     """
     if total <= 0:
         return 1.0 / count
-    if total < (1 - FLOOR) * rate:
+    if total < (1 - EVEN_FRACTION) * rate:
         return own / rate + (1 - total / rate) / count
-    return FLOOR / count + (1 - FLOOR) * own / total
+    return EVEN_FRACTION / count + (1 - EVEN_FRACTION) * own / total
--- a/packages/greengagelatch/src/greengagelatch/quotas/token_bucket.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/token_bucket.py
@@ -5,7 +5,7 @@
 __all__ = ("TokenBucket",)
 
 #: minimum capacity of a bucket: a smaller one would never admit a request
-LEAST_CAPACITY = 1.0
+MIN_CAPACITY = 1.0
 
 
 class TokenBucket:
@@ -21,22 +21,22 @@
         self._rate = rate
         self._burst = burst
         self._level = self._capacity
-        self._filled = now
+        self._refilled = now
 
     @property
     def _capacity(self) -> float:
-        return max(LEAST_CAPACITY, self._rate * self._burst)
+        return max(MIN_CAPACITY, self._rate * self._burst)
 
     def set_rate(self, rate: float, burst: float, now: float) -> None:
         """Change the rate; the level is kept up to the new capacity."""
-        self._fill(now)
+        self._refill(now)
         self._rate = rate
         self._burst = burst
         self._level = min(self._level, self._capacity)
 
     def measure_wait(self, amount: float, now: float) -> float:
         """Return the seconds until ``amount`` is available, 0 if it is now."""
-        self._fill(now)
+        self._refill(now)
         missing = amount - self._level
         if missing <= 0:
             return 0.0
@@ -46,8 +46,8 @@
         """Spend ``amount``, or refund it if negative."""
         self._level = min(self._level - amount, self._capacity)
 
-    def _fill(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         # a clock reading may be older than that of an earlier call
-        passed = max(0.0, now - self._filled)
+        passed = max(0.0, now - self._refilled)
         self._level = min(self._level + passed * self._rate, self._capacity)
-        self._filled = max(now, self._filled)
+        self._refilled = max(now, self._refilled)
--- a/packages/greengagelatch/src/greengagelatch/stages/graph.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/graph.py
@@ -43,9 +43,9 @@
     """Return the sum of shares along the critical path that starts at ``stage``."""
     lengths: dict[str, float] = {}
     for later in reversed(pipeline.stages):
-        below = 0.0
+        downstream = 0.0
         for other in pipeline.stages:
             if later.name in other.inputs:
-                below = max(below, lengths.get(other.name, 0.0))
-        lengths[later.name] = later.share + below
+                downstream = max(downstream, lengths.get(other.name, 0.0))
+        lengths[later.name] = later.share + downstream
     return lengths[stage.name]
--- a/packages/greengagelatch/src/greengagelatch/stages/hedging.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/hedging.py
@@ -37,8 +37,8 @@
     if late <= 0:
         return max(0.0, remaining) * rule.unmeasured_share
     usual = max(rule.floor, rule.factor * late)
-    patience = min(usual, remaining - rule.reserve * median)
+    delay = min(usual, remaining - rule.reserve * median)
     # an earlier hedge would duplicate calls that are not late
-    if patience < late:
+    if delay < late:
         return None
-    return patience
+    return delay
--- a/packages/greengagelatch/src/greengagelatch/stages/retries.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/retries.py
@@ -34,10 +34,10 @@
 
 
 #: failures that end the request itself, so that no retry is of use
-_OVER = frozenset({FailureKind.DEADLINE, FailureKind.CANCELLED})
+_REQUEST_ENDED = frozenset({FailureKind.DEADLINE, FailureKind.CANCELLED})
 
 #: failures after which the target may still be executing the call
-_LEFT_RUNNING = frozenset(
+_MAY_STILL_RUN = frozenset(
     {
         FailureKind.STALLED,
         FailureKind.CUT,
@@ -74,7 +74,7 @@
     :param attempts: attempts made at this stage so far
     :param remaining: seconds until the request's deadline
     """
-    if failure.kind in _OVER:
+    if failure.kind in _REQUEST_ENDED:
         return NoRetryReason.OVER
     # retrying a call that ran duplicates its side effect, such as a booking. Only
     # proof that nothing ran makes a retry safe, never the kind of error
@@ -91,4 +91,4 @@
     """Whether the target may still be executing the failed call."""
     if failure.verdict is Verdict.NOT_RUN:
         return False
-    return failure.kind in _LEFT_RUNNING
+    return failure.kind in _MAY_STILL_RUN
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -58,7 +58,7 @@
     assert found == {"writer": Placement(models=("m",))}
 
 
-def test_what_a_placement_does_not_name_stays():
+def test_parts_a_placement_omits_stay():
     present = EngineState(models=("old",), adapters=("kept",), role="decode")
     wanted = build_desired_state(Placement(models=("new", "old")), present)
     assert wanted == EngineState(
@@ -79,31 +79,31 @@
         ({"fencing": "checked"}, Fencing.CHECKED),
     ],
 )
-def test_engines_are_taken_to_ignore_numbers_unless_told_otherwise(labels, fencing):
+def test_engines_ignore_fencing_numbers_by_default(labels, fencing):
     service = Service(name="writer", kind=StageKind.GENERATE, labels=labels)
     assert read_fencing(service) is fencing
 
 
-def follow(demand, loads, *, begin=0):
+def follow(state, loads, *, begin=0):
     """Apply one load a second; return the final state and the last second."""
     now = begin
     for now, load in enumerate(loads, begin):
-        demand = demand.update(float(now), load, RULE)
-    return demand, now
+        state = state.update(float(now), load, RULE)
+    return state, now
 
 
-def test_demand_follows_a_load_that_lasts():
-    demand, _ = follow(OverflowState(), [1.3] * 29 + [1.1] + [1.3] * 29)
-    assert not demand.overflowing
-    demand, now = follow(OverflowState(), [1.3] * 31)
-    assert demand.overflowing
+def test_overflow_follows_a_lasting_load():
+    state, _ = follow(OverflowState(), [1.3] * 29 + [1.1] + [1.3] * 29)
+    assert not state.overflowing
+    state, now = follow(OverflowState(), [1.3] * 31)
+    assert state.overflowing
     # between the two thresholds nothing changes, however long that lasts
-    demand, now = follow(demand, [0.7] * 1000, begin=now)
-    assert demand.overflowing
-    demand, now = follow(demand, [0.5] * 299 + [None] + [0.5] * 299, begin=now)
-    assert demand.overflowing
-    demand, _ = follow(demand, [0.5] * 302, begin=now)
-    assert not demand.overflowing
+    state, now = follow(state, [0.7] * 1000, begin=now)
+    assert state.overflowing
+    state, now = follow(state, [0.5] * 299 + [None] + [0.5] * 299, begin=now)
+    assert state.overflowing
+    state, _ = follow(state, [0.5] * 302, begin=now)
+    assert not state.overflowing
 
 
 def test_load_is_that_of_the_preferred_data_centres():
@@ -123,7 +123,7 @@
     assert measure_load(placement, [here, *south]) == 12 / 8
 
 
-def test_a_new_holder_begins_without_saved_up_loads():
+def test_new_lease_holder_starts_with_an_empty_budget():
     budget = LoadBudget(at=100.0)
     assert not budget.allows(1)
     assert budget.allows(0)
--- a/tests/test_core/test_quotas/test_demand.py
+++ b/tests/test_core/test_quotas/test_demand.py
@@ -9,7 +9,7 @@
 SETTLING = 8.0
 
 
-def test_first_request_does_not_count_as_many():
+def test_first_request_does_not_inflate_the_rate():
     """Guards against refusals at other instances for a workspace below its quota.
 
     Its first request arrives 10 ms before the round. An average over these 10 ms
@@ -21,7 +21,7 @@
     assert meter.rate < 1.0
 
 
-def test_rise_counts_late_and_fall_at_once():
+def test_rise_takes_effect_late_and_fall_at_once():
     meter = DemandMeter(0.0)
     for second in range(1, 80):
         for _ in range(100 if 30 <= second < 60 else 10):
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -15,11 +15,11 @@
 
 RATE = 100.0
 #: rounds in which shares converge after a shift of demand
-FOLLOWED = 30
+CONVERGED = 30
 #: fraction by which the sum of all shares may exceed the quota after convergence
-SPARE = 0.1
+TOLERANCE = 0.1
 #: the same at any time while all instances can reach each other
-SPARE_MOVING = 0.35
+TOLERANCE_MOVING = 0.35
 CENTRES = ["north", "south", "west"] * 3
 
 
@@ -55,13 +55,13 @@
     """
     model = create_model(loss=loss, seed=seed)
     model.demand = first
-    check_rounds(model, FOLLOWED, SPARE_MOVING)
+    check_rounds(model, CONVERGED, TOLERANCE_MOVING)
     model.demand = second
-    check_rounds(model, FOLLOWED, SPARE_MOVING)
-    check_rounds(model, 10, SPARE)
+    check_rounds(model, CONVERGED, TOLERANCE_MOVING)
+    check_rounds(model, 10, TOLERANCE)
     admitted = sum(model.run(20))
     # each bucket may also admit one request beyond its share
-    assert admitted <= RATE * 20 * (1 + SPARE) + RATE + len(CENTRES)
+    assert admitted <= RATE * 20 * (1 + TOLERANCE) + RATE + len(CENTRES)
     wanted = min(sum(second), RATE) * 20
     if sum(second) > 2 * RATE:
         assert admitted >= 0.8 * wanted
@@ -72,7 +72,7 @@
     moved=st.lists(st.sampled_from([5.0, 60.0]), min_size=9, max_size=9),
     seed=st.integers(0, 99),
 )
-def test_cut_off_data_centres_keep_to_the_quota_together(moved, seed):
+def test_partitioned_data_centres_stay_within_the_quota(moved, seed):
     """Guards against twice the quota while a data centre is partitioned.
 
     Neither side receives demand reports of the other. If unreachable instances
@@ -80,20 +80,20 @@
     """
     model = create_model(loss=0.2, seed=seed)
     model.demand = [20.0] * 9
-    model.run(FOLLOWED)
+    model.run(CONVERGED)
     model.cut = {"north"}
-    check_rounds(model, FOLLOWED, SPARE)
+    check_rounds(model, CONVERGED, TOLERANCE)
     model.demand = moved
-    check_rounds(model, FOLLOWED, SPARE_MOVING)
-    check_rounds(model, 20, SPARE)
+    check_rounds(model, CONVERGED, TOLERANCE_MOVING)
+    check_rounds(model, 20, TOLERANCE)
 
 
 def test_after_the_hold_each_side_uses_the_quota():
     model = create_model(hold=40.0)
     model.demand = [20.0] * 9
-    model.run(FOLLOWED)
+    model.run(CONVERGED)
     model.cut = {"north"}
-    check_rounds(model, 39, SPARE)
+    check_rounds(model, 39, TOLERANCE)
     model.run(10)
     assert model.sum_shares() == pytest.approx(2.0, abs=0.15)
 
@@ -101,24 +101,24 @@
 def test_share_of_a_crashed_instance_goes_to_the_others():
     model = create_model()
     model.demand = [20.0] * 9
-    model.run(FOLLOWED)
+    model.run(CONVERGED)
     model.crashed = {0}
     model.run(1)
     assert model.sum_shares() < 0.95
     model.run(int(CRASH_GRACE) + 5)
-    assert model.sum_shares() == pytest.approx(1.0, abs=SPARE)
+    assert model.sum_shares() == pytest.approx(1.0, abs=TOLERANCE)
 
 
 def test_demand_below_the_quota_is_not_refused():
     model = create_model(loss=0.2)
     model.demand = [0.7 * RATE / 9] * 9
-    model.run(FOLLOWED)
+    model.run(CONVERGED)
     asked = [use.meter.rate for use in list_uses(model)]
     shares = [use.share * RATE for use in list_uses(model)]
     assert all(share > rate for share, rate in zip(shares, asked, strict=True))
 
 
-def test_an_instance_that_is_seldom_asked_has_room_for_a_burst():
+def test_instance_with_few_requests_admits_a_burst():
     """Guards against refused requests of a workspace far below its quota.
 
     An instance gets no request for a while, then two at almost the same time. If
@@ -127,7 +127,7 @@
     model = create_model()
     model.demand = [4.0] * 8 + [0.05]
     asked = model.quota
-    model.run(FOLLOWED)
+    model.run(CONVERGED)
     admissions = [
         model.ledgers[8].admit(asked, model.workspaces[0], model.now) for _ in range(5)
     ]
@@ -141,7 +141,7 @@
     assert 500 < max(model.sent) / model.now < 2000
 
 
-def test_many_keys_keep_to_their_quotas_from_the_start():
+def test_many_keys_stay_within_their_quotas_from_the_start():
     """Guards against exceeding each quota by half when many workspaces are active.
 
     Rows of many keys are sent in turn and arrive late. An average that starts at
@@ -154,7 +154,7 @@
     for _ in range(60):
         model.run(1)
         sums = [model.sum_shares(number) for number in range(100)]
-        assert sum(sums) / 100 <= 1 + SPARE
+        assert sum(sums) / 100 <= 1 + TOLERANCE
 
 
 def list_uses(model):
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -24,7 +24,7 @@
 from greengagelatch.targets import CallFailure, FailureKind
 from greengagelatch.verdict import Verdict
 
-OVER = {FailureKind.DEADLINE, FailureKind.CANCELLED}
+REQUEST_ENDED = {FailureKind.DEADLINE, FailureKind.CANCELLED}
 
 
 def create_stage(name: str, *inputs: str, share: float = 1.0, **fields) -> Stage:
@@ -39,7 +39,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from(Verdict))))
-def test_verdict_rises_only(steps):
+def test_verdict_never_falls(steps):
     """Guards against refusing a request as "not run" that ran at a target.
 
     An attempt is sent and the request abandoned before the answer. An attempt that
@@ -64,7 +64,7 @@
     ("kind", "verdict", "repeatable"),
     list(product(FailureKind, Verdict, (True, False))),
 )
-def test_call_that_may_have_run_is_repeated_only_where_allowed(
+def test_call_that_may_have_run_is_retried_only_where_allowed(
     kind, verdict, repeatable
 ):
     """Guards against executing a side effect such as a booking twice.
@@ -76,15 +76,15 @@
     reason = decide_retry(
         RetryRules(), failure, repeatable=repeatable, attempts=1, remaining=1.0
     )
-    if kind in OVER:
-        assert reason is NoRetryReason.OVER
+    if kind in REQUEST_ENDED:
+        assert reason is NoRetryReason.REQUEST_ENDED
     elif not repeatable and verdict is not Verdict.NOT_RUN:
         assert reason is NoRetryReason.NOT_REPEATABLE
     else:
         assert reason is None
 
 
-def test_repeats_are_bounded():
+def test_retries_are_bounded():
     failure = CallFailure(kind=FailureKind.CONNECT, verdict=Verdict.NOT_RUN, message="")
     rules = RetryRules(max_attempts=2, min_remaining=0.1)
     decide = {"repeatable": True}
@@ -95,7 +95,7 @@
     assert often is NoRetryReason.ATTEMPTS
 
 
-def test_caller_that_forbids_repeats_protects_undeclared_plain_services():
+def test_caller_that_forbids_retries_protects_undeclared_plain_services():
     """Guards against retrying a side effect although the caller forbids retries.
 
     The operator left the stage's ``repeatable`` at its default, and the connection
@@ -122,13 +122,13 @@
     A stream breaks and another target starts again from offset zero. Its tokens
     must be compared with those already sent.
     """
-    record = StreamedTokens()
-    assert record.append(0, "a") is TokenCheck.NEW
-    assert record.append(1, "b") is TokenCheck.NEW
-    assert record.append(0, "a") is TokenCheck.REPEATED
-    assert record.append(1, "x") is TokenCheck.CONTRADICTION
-    assert record.append(3, "d") is TokenCheck.GAP
-    assert record.tokens == ("a", "b")
+    sent_tokens = StreamedTokens()
+    assert sent_tokens.append(0, "a") is TokenCheck.NEW
+    assert sent_tokens.append(1, "b") is TokenCheck.NEW
+    assert sent_tokens.append(0, "a") is TokenCheck.REPEATED
+    assert sent_tokens.append(1, "x") is TokenCheck.CONTRADICTION
+    assert sent_tokens.append(3, "d") is TokenCheck.GAP
+    assert sent_tokens.tokens == ("a", "b")
 
 
 # with the opposite order of addition the result is exactly 1.0 here and 0.3999...
@@ -139,18 +139,18 @@
     spread=st.floats(1, 10),
     remaining=st.floats(-1, 60),
 )
-def test_backup_comes_late_enough_and_in_time(median, spread, remaining):
+def test_hedge_is_late_enough_and_in_time(median, spread, remaining):
     rule = HedgeRule()
     late = median * spread
-    patience = choose_hedge_delay(rule, median=median, late=late, remaining=remaining)
-    if patience is None:
+    delay = choose_hedge_delay(rule, median=median, late=late, remaining=remaining)
+    if delay is None:
         assert remaining - rule.reserve * median < late
         return
-    assert patience >= late
-    assert remaining - patience >= rule.reserve * median * 0.999
+    assert delay >= late
+    assert remaining - delay >= rule.reserve * median * 0.999
 
 
-def test_unmeasured_stage_leaves_half_of_its_time_to_a_backup():
+def test_unmeasured_stage_is_hedged_after_half_of_its_time():
     assert choose_hedge_delay(HedgeRule(), median=0, late=0, remaining=2) == 1
 
 
