--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -77,7 +77,7 @@
         RetryRules(), failure, repeatable=repeatable, attempts=1, remaining=1.0
     )
     if kind in REQUEST_ENDED:
-        assert reason is NoRetryReason.REQUEST_ENDED
+        assert reason is NoRetryReason.OVER
     elif not repeatable and verdict is not Verdict.NOT_RUN:
         assert reason is NoRetryReason.NOT_REPEATABLE
     else:
