--- a/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
@@ -94,7 +94,7 @@
         healthy = tuple(view for view in fitting if not view.ejected) or fitting
         return self._choice.choose(healthy, queued.ticket.prefix, self._random)
 
-    def take(self, view: TargetView, *, long: bool) -> float:
+    def reserve(self, view: TargetView, *, long: bool) -> float:
         """Count a granted call; return the calls in flight there before it."""
         self._views[view.target.target_id] = replace(
             view,
--- a/packages/greengagelatch/src/greengagelatch/load/limits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/limits.py
@@ -14,25 +14,25 @@
 
     #: limit for a target that has not reported its capacity
     initial: float = 8.0
-    lowest: float = 1.0
-    highest: float = 1024.0
+    min_limit: float = 1.0
+    max_limit: float = 1024.0
     #: seconds of queueing at a target that are allowed beyond its capacity. Load
     #: reports are up to one interval old, which is many calls of a fast service;
     #: without a short queue at the target its workers would idle meanwhile
-    wait: float = 0.1
+    allowed_queueing: float = 0.1
     #: highest limit, as a multiple of the capacity
-    stretch: float = 4.0
+    max_oversubscription: float = 4.0
     #: latency, as a multiple of the one without load, that counts as overload
-    tolerance: float = 3.0
+    latency_tolerance: float = 3.0
     #: minimum seconds between two changes: the latency must reflect one before the
     #: next
-    interval: float = 0.5
+    min_interval: float = 0.5
     #: minimum calls between two changes
-    samples: int = 4
+    min_samples: int = 4
     #: factor on the limit after a rejection by the target
-    decrease: float = 0.85
+    rejection_factor: float = 0.85
     #: largest decrease in one change
-    lowest_factor: float = 0.7
+    min_factor: float = 0.7
 
 
 class ConcurrencyLimit(ABC):
@@ -79,7 +79,7 @@
     def __init__(self, rule: LimitRule) -> None:
         self._rule = rule
         self._value = rule.initial
-        self._ceiling = rule.highest
+        self._ceiling = rule.max_limit
         self._capacity = 0.0
         self._ratios = 0.0
         self._samples = 0
@@ -94,37 +94,41 @@
         if capacity <= 0:
             return
         rule = self._rule
-        stretch = min(1 + rule.wait / longest, rule.stretch) if longest > 0 else 1.0
-        ceiling = min(rule.highest, capacity * stretch)
+        stretch = (
+            min(1 + rule.allowed_queueing / longest, rule.max_oversubscription)
+            if longest > 0
+            else 1.0
+        )
+        ceiling = min(rule.max_limit, capacity * stretch)
         untouched = self._capacity == 0 or self._value >= self._ceiling
         self._capacity = capacity
         self._ceiling = ceiling
         self._set(ceiling if untouched else self._value)
 
     def reset(self, now: float) -> None:
-        self._set(self._rule.lowest)
+        self._set(self._rule.min_limit)
         self._start_window(now)
 
     def record_latency(self, ratio: float, held: float, now: float) -> None:
         self._ratios += ratio
         self._samples += 1
         self._highest_held = max(self._highest_held, held)
-        if self._samples < self._rule.samples:
+        if self._samples < self._rule.min_samples:
             return
-        if now - self._changed < self._rule.interval:
+        if now - self._changed < self._rule.min_interval:
             return
         mean = self._ratios / self._samples
-        if mean > self._rule.tolerance:
-            factor = max(self._rule.lowest_factor, self._rule.tolerance / mean)
+        if mean > self._rule.latency_tolerance:
+            factor = max(self._rule.min_factor, self._rule.latency_tolerance / mean)
             self._set(min(self._value, max(1.0, self._highest_held)) * factor)
         elif self._highest_held >= self._value / 2:
             self._set(self._value + 1)
         self._start_window(now)
 
     def record_rejection(self, held: float, now: float) -> None:
-        if now - self._changed < self._rule.interval:
+        if now - self._changed < self._rule.min_interval:
             return
-        self._set(min(self._value, max(1.0, held)) * self._rule.decrease)
+        self._set(min(self._value, max(1.0, held)) * self._rule.rejection_factor)
         self._start_window(now)
 
     def _start_window(self, now: float) -> None:
@@ -134,4 +138,4 @@
         self._highest_held = 0.0
 
     def _set(self, value: float) -> None:
-        self._value = max(self._rule.lowest, min(value, self._ceiling))
+        self._value = max(self._rule.min_limit, min(value, self._ceiling))
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -124,20 +124,22 @@
             0.0, report.in_flight + report.queued - self._count_own_at_report(report)
         )
 
-    def estimate_others(self, now: float, usual: float, memory: float) -> Estimate:
+    def estimate_others(
+        self, now: float, usual: float, call_duration: float
+    ) -> Estimate:
         """Return the estimated calls of other instances in flight at the target.
 
         The older the report, the greater the weight of ``usual``, the mean over the
         service's targets: otherwise a target that was idle at its last report would
         get the calls of every instance at once.
 
-        :param memory: mean duration of a call in seconds. A report stays valid for
-            about as long as the calls that it counted are running.
+        :param call_duration: mean duration of a call in seconds. A report stays valid
+            for about as long as the calls that it counted are running.
         """
         others = self.count_reported_others()
         if others is None or self._report is None:
             return Estimate(usual, sqrt(usual))
-        weight = exp(-max(0.0, now - self._report.taken) / memory)
+        weight = exp(-max(0.0, now - self._report.taken) / call_duration)
         mean = weight * others + (1 - weight) * usual
         return Estimate(mean, sqrt((1 - weight * weight) * usual))
 
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -280,7 +280,7 @@
         grant = Grant(
             self._last_grant_id, queued.ticket, view.target, now, probe=view.ejected
         )
-        held = capacity.take(view, long=queued.long)
+        held = capacity.reserve(view, long=queued.long)
         service.start(grant, queued, held)
         self._decide(queued, Ok(grant))
 
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -16,7 +16,7 @@
 from .limits import LimitRule
 from .loads import TargetLoad
 from .queue import CallQueue, QueuedCall
-from .times import CallTimes, Kind, find_kind
+from .times import CallKind, CallTimes, find_kind
 from .waits import DrainRate, estimate_fair_wait
 
 __all__ = ("ServiceLoad",)
@@ -105,7 +105,7 @@
         return len(self._running)
 
     def estimate_duration(
-        self, kind: Kind, allotted: float, percentile: float, now: float
+        self, kind: CallKind, allotted: float, percentile: float, now: float
     ) -> float:
         """Return seconds that a call takes once it has started.
 
@@ -113,12 +113,14 @@
         """
         return self._times.estimate(kind, allotted, percentile, now)
 
-    def estimate_safe_duration(self, kind: Kind, allotted: float, now: float) -> float:
+    def estimate_safe_duration(
+        self, kind: CallKind, allotted: float, now: float
+    ) -> float:
         """Return seconds within which all but the allowed share of calls end."""
         held = self.find_free_capacity(now).mean_in_flight
         return self._times.estimate_safe(kind, allotted, held, now)
 
-    def is_long(self, kind: Kind, now: float) -> bool:
+    def is_long(self, kind: CallKind, now: float) -> bool:
         """Whether calls of this kind are long ones of this service."""
         return self._times.is_long(kind, now)
 
@@ -212,7 +214,7 @@
             case OutcomeKind.ABANDONED:
                 if outcome.tokens:
                     load.breaker.record_latency(
-                        self._times.compare_end(ticket, outcome, now)
+                        self._times.compare_duration(ticket, outcome, now)
                     )
         self._times.record_end(ticket, outcome, now)
 
@@ -254,10 +256,10 @@
         ticket = running.grant.ticket
         seconds = outcome.seconds
         baseline = self._times.find_baseline(find_kind(ticket), seconds, now)
-        load.breaker.record_latency(self._times.compare_end(ticket, outcome, now))
+        load.breaker.record_latency(self._times.compare_duration(ticket, outcome, now))
         if load.breaker.record_success():
             load.limit.reset(now)
-        usual = baseline + self._limit_rule.wait
+        usual = baseline + self._limit_rule.allowed_queueing
         load.limit.record_latency(seconds / usual, running.expected_in_flight, now)
 
     def estimate_wait(
--- a/packages/greengagelatch/src/greengagelatch/load/times.py
+++ b/packages/greengagelatch/src/greengagelatch/load/times.py
@@ -9,10 +9,10 @@
 from .durations import DurationTracker, create_first_token_kind
 from .safety_factor import SafetyFactor
 
-__all__ = ("CallTimes", "Kind", "find_kind")
+__all__ = ("CallTimes", "CallKind", "find_kind")
 
 #: pipeline and stage; calls of one kind take about the same time
-Kind = tuple[str, str]
+CallKind = tuple[str, str]
 
 #: ratio of the longest to the shortest median of a service's kinds from which calls
 #: are divided into long and short ones
@@ -33,7 +33,7 @@
 MIN_MEAN = 0.001
 
 
-def find_kind(ticket: Ticket) -> Kind:
+def find_kind(ticket: Ticket) -> CallKind:
     """Return the kind of a ticket's call."""
     return (ticket.pipeline, ticket.stage)
 
@@ -48,7 +48,7 @@
     def __init__(self, durations: DurationTracker, *, late_share: float) -> None:
         self._durations = durations
         self._safety_factor = SafetyFactor(late_share)
-        self._kinds: set[Kind] = set()
+        self._kinds: set[CallKind] = set()
         self._mean = INITIAL_MEAN
         self._answers = 0
         self.concurrency = ConcurrencyTuner()
@@ -59,7 +59,7 @@
         return self._mean
 
     def estimate(
-        self, kind: Kind, allotted: float, percentile: float, now: float
+        self, kind: CallKind, allotted: float, percentile: float, now: float
     ) -> float:
         """Return seconds that a call takes once it has started.
 
@@ -70,7 +70,7 @@
         return self._durations.estimate(kind, percentile, now, prior)
 
     def estimate_safe(
-        self, kind: Kind, allotted: float, held: float, now: float
+        self, kind: CallKind, allotted: float, held: float, now: float
     ) -> float:
         """Return seconds within which all but the allowed share of calls end.
 
@@ -83,7 +83,7 @@
         late = self.estimate(kind, allotted, SAFE_PERCENTILE, now) * min(1.0, slowdown)
         return max(usual, late) * self._safety_factor.find_factor(kind, now)
 
-    def is_long(self, kind: Kind, now: float) -> bool:
+    def is_long(self, kind: CallKind, now: float) -> bool:
         """Whether calls of this kind are long ones of this service.
 
         The boundary is the geometric mean of the shortest and the longest measured
@@ -103,14 +103,14 @@
         find = self._durations.find_baseline
         return max((find(kind, now, 0.0) for kind in self._kinds), default=0.0)
 
-    def find_baseline(self, kind: Kind, seconds: float, now: float) -> float:
+    def find_baseline(self, kind: CallKind, seconds: float, now: float) -> float:
         """Return seconds that a kind takes without load, ``seconds`` if unknown."""
         return self._durations.find_baseline(kind, now, seconds)
 
     def record_end(self, ticket: Ticket, outcome: Outcome, now: float) -> None:
         """Record the outcome of a call.
 
-        To be called after :meth:`compare_end`, as it changes the usual durations.
+        To be called after :meth:`compare_duration`, as it changes the usual durations.
         """
         kind = find_kind(ticket)
         late = now >= ticket.deadline - LATE_MARGIN
@@ -123,7 +123,7 @@
                 if late:
                     self._safety_factor.record(kind, late=True, now=now)
 
-    def compare_end(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
+    def compare_duration(self, ticket: Ticket, outcome: Outcome, now: float) -> float:
         """Return the ratio of a call's duration, or time per token, to the usual."""
         if not outcome.tokens:
             usual = self._find_median(find_kind(ticket), now, outcome.seconds)
--- a/packages/greengagelatch/src/greengagelatch/stages/hedging.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/hedging.py
@@ -16,7 +16,7 @@
     #: minimum delay in seconds
     floor: float = 0.05
     #: multiple of the median that must remain for the hedged call to be in time
-    reserve: float = 1.5
+    min_remaining_medians: float = 1.5
     #: share of the stage's time to wait while no duration is measured
     unmeasured_share: float = 0.5
 
@@ -37,7 +37,7 @@
     if late <= 0:
         return max(0.0, remaining) * rule.unmeasured_share
     usual = max(rule.floor, rule.factor * late)
-    delay = min(usual, remaining - rule.reserve * median)
+    delay = min(usual, remaining - rule.min_remaining_medians * median)
     # an earlier hedge would duplicate calls that are not late
     if delay < late:
         return None
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -29,14 +29,14 @@
         ]
 
     @classmethod
-    def create(cls, reports, choosers, seed):
+    def create(cls, reports, senders, seed):
         return Scheduler(
             directory=cls(reports),
             rule=SchedulerRule(),
             data_centre="dc-a",
             random_source=random.Random(seed),
             weigh=lambda workspace: 1.0,
-            count_senders=lambda service: choosers,
+            count_senders=lambda service: senders,
             estimate_remaining=lambda ticket, now: 0.0,
             durations=DurationTracker(),
             now=0.0,
@@ -116,8 +116,8 @@
     assert len(chosen) == 6
 
 
-@pytest.mark.parametrize("choosers", [9, 570])
-def test_many_instances_do_not_herd_onto_one_target(choosers):
+@pytest.mark.parametrize("senders", [9, 570])
+def test_many_instances_do_not_herd_onto_one_target(senders):
     """Guards against targets that swing between idle and overloaded.
 
     All instances see the same load reports, up to a second old. If each chose the
@@ -126,7 +126,7 @@
     source = random.Random(3)
     held = [0] * 20
     reports = [LoadReport(in_flight=0, queued=0, capacity=16, taken=0.0)] * 20
-    services = [ServedDirectory.create(reports, choosers, i) for i in range(choosers)]
+    services = [ServedDirectory.create(reports, senders, i) for i in range(senders)]
     ends: list[tuple[float, int, object, object]] = []
     samples = []
     for tick in range(300):
--- a/tests/test_core/test_load/test_limits.py
+++ b/tests/test_core/test_load/test_limits.py
@@ -17,7 +17,7 @@
     limit = AdaptiveLimit(RULE)
     limit.update_capacity(16, 2.0)
     full = limit.value
-    run(limit, 3 * RULE.tolerance, 5)
+    run(limit, 3 * RULE.latency_tolerance, 5)
     fallen = limit.value
     assert fallen <= full / 4
     run(limit, 1.0, 20, start=5)
@@ -39,7 +39,7 @@
     fast, slow = AdaptiveLimit(RULE), AdaptiveLimit(RULE)
     fast.update_capacity(4, 0.05)
     slow.update_capacity(4, 3.0)
-    assert fast.value == 4 * (1 + RULE.wait / 0.05)
+    assert fast.value == 4 * (1 + RULE.allowed_queueing / 0.05)
     assert 4 <= slow.value < 4.2
 
 
@@ -47,6 +47,6 @@
     limit = AdaptiveLimit(RULE)
     limit.update_capacity(16, 2.0)
     limit.record_rejection(10, 1.0)
-    assert limit.value == 10 * RULE.decrease
+    assert limit.value == 10 * RULE.rejection_factor
     limit.record_rejection(10, 1.1)
-    assert limit.value == 10 * RULE.decrease
+    assert limit.value == 10 * RULE.rejection_factor
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -96,7 +96,7 @@
     assert scheduler.poll(0.2) == ()
 
 
-def test_call_that_can_not_be_done_in_time_is_refused_before_its_deadline():
+def test_call_that_would_miss_its_deadline_is_refused_early():
     """Guards against callers that wait until their deadline without any chance.
 
     Calls take one second, and one with a deadline of two is queued for a full
@@ -121,7 +121,7 @@
     assert scheduler.find_next_wake(1.1) is None
 
 
-def test_short_calls_find_room_while_long_ones_fill_the_service():
+def test_short_calls_start_while_long_ones_fill_the_service():
     """Guards against short calls that wait behind many long ones.
 
     Fifty drafts of two seconds arrive, then a call of 50 ms. Without reserved
--- a/tests/test_core/test_load/test_times.py
+++ b/tests/test_core/test_load/test_times.py
@@ -51,12 +51,12 @@
     times = create_times()
     for _ in range(20):
         usual = Outcome(OutcomeKind.SUCCESS, 0.5, tokens=20)
-        times.compare_end(create_ticket("draft"), usual, 1.0)
+        times.compare_duration(create_ticket("draft"), usual, 1.0)
     longest = Outcome(OutcomeKind.SUCCESS, 5.0, tokens=200)
     slow = Outcome(OutcomeKind.ABANDONED, 5.0, tokens=20)
     ticket = create_ticket("draft")
-    assert times.compare_end(ticket, longest, 1.0) == pytest.approx(1.0, rel=0.1)
-    assert times.compare_end(ticket, slow, 1.0) == pytest.approx(10.0, rel=0.1)
+    assert times.compare_duration(ticket, longest, 1.0) == pytest.approx(1.0, rel=0.1)
+    assert times.compare_duration(ticket, slow, 1.0) == pytest.approx(10.0, rel=0.1)
 
 
 def test_call_without_a_first_token_is_compared_with_first_tokens():
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -113,9 +113,9 @@
     model = create_model(loss=0.2)
     model.demand = [0.7 * RATE / 9] * 9
     model.run(CONVERGED)
-    asked = [use.meter.rate for use in list_uses(model)]
+    rates = [use.meter.rate for use in list_uses(model)]
     shares = [use.share * RATE for use in list_uses(model)]
-    assert all(share > rate for share, rate in zip(shares, asked, strict=True))
+    assert all(share > rate for share, rate in zip(shares, rates, strict=True))
 
 
 def test_instance_with_few_requests_admits_a_burst():
@@ -126,10 +126,10 @@
     """
     model = create_model()
     model.demand = [4.0] * 8 + [0.05]
-    asked = model.quota
+    quota = model.quota
     model.run(CONVERGED)
     admissions = [
-        model.ledgers[8].admit(asked, model.workspaces[0], model.now) for _ in range(5)
+        model.ledgers[8].admit(quota, model.workspaces[0], model.now) for _ in range(5)
     ]
     assert all(admission.admitted for admission in admissions)
 
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -144,10 +144,10 @@
     late = median * spread
     delay = choose_hedge_delay(rule, median=median, late=late, remaining=remaining)
     if delay is None:
-        assert remaining - rule.reserve * median < late
+        assert remaining - rule.min_remaining_medians * median < late
         return
     assert delay >= late
-    assert remaining - delay >= rule.reserve * median * 0.999
+    assert remaining - delay >= rule.min_remaining_medians * median * 0.999
 
 
 def test_unmeasured_stage_is_hedged_after_half_of_its_time():
