--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -82,7 +82,7 @@
         self._snapshot = snapshot
         self._durations = DurationTracker()
         self._patience = HedgeRule()
-        self._stream_patience = HedgeRule(factor=3.0, floor=0.3)
+        self._stream_patience = HedgeRule(factor=3.0, min_delay=0.3)
         self._streams = streams
         self._plan = DeadlinePlan(
             durations=self._durations, find_pipeline=snapshot.pipelines.get
--- a/packages/greengagelatch/src/greengagelatch/stages/hedging.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/hedging.py
@@ -14,7 +14,7 @@
     #: multiple of the 95th percentile of the stage's durations
     factor: float = 2.0
     #: minimum delay in seconds
-    floor: float = 0.05
+    min_delay: float = 0.05
     #: multiple of the median that must remain for the hedged call to be in time
     min_remaining_medians: float = 1.5
     #: share of the stage's time to wait while no duration is measured
