--- a/packages/greengagelatch/src/greengagelatch/stages/hedging.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/hedging.py
@@ -36,7 +36,7 @@
     """
     if late <= 0:
         return max(0.0, remaining) * rule.unmeasured_share
-    usual = max(rule.floor, rule.factor * late)
+    usual = max(rule.min_delay, rule.factor * late)
     delay = min(usual, remaining - rule.min_remaining_medians * median)
     # an earlier hedge would duplicate calls that are not late
     if delay < late:
