--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -43,7 +43,7 @@
     reported: float
     reports: int
     overdue: float = OVERDUE_RATIO
-    #: whether its first token has come
+    #: whether its first token was received
     begun: bool = False
 
 
@@ -109,7 +109,7 @@
     ) -> float:
         """Return seconds that a call takes once it has started.
 
-        :param allotted: seconds of the deadline that are meant for the stage.
+        :param allotted: seconds of the deadline that are allotted to the stage.
         """
         return self._times.estimate(kind, allotted, percentile, now)
 
--- a/packages/greengagelatch/src/greengagelatch/load/waits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/waits.py
@@ -65,9 +65,10 @@
         """Return the rate available to calls of a priority.
 
         Work of higher priorities is subtracted, as such calls keep arriving. Without
-        a queue, the rate of started work reflects only the demand; the number of
-        free call slots is then used instead, as each does a second of work in a
-        second.
+        a queue, the rate of started work reflects only the demand; ``slots`` is then
+        used instead, as each slot does a second of work in a second.
+
+        :param slots: calls that this instance can have in flight.
         """
         self._decay(now)
         higher = sum(w for other, w in self._work.items() if other > priority)
