--- a/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
+++ b/packages/greengagelatch/src/greengagelatch/load/free_capacity.py
@@ -101,7 +101,7 @@
             own_in_flight=view.own_in_flight + 1,
             own_long_in_flight=view.own_long_in_flight + long,
             expected_in_flight=view.expected_in_flight + 1,
-            burst_room=view.burst_room - 1,
+            burst_allowance=view.burst_allowance - 1,
         )
         return view.expected_in_flight
 
@@ -144,7 +144,7 @@
 
     def _may_share(self, view: TargetView) -> bool:
         """Whether this instance may use capacity beyond its own share."""
-        return not self._contended or view.burst_room > 0
+        return not self._contended or view.burst_allowance > 0
 
     def _may_probe(self, queued: QueuedCall) -> bool:
         """Whether a call may be used to probe an ejected target.
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -39,7 +39,7 @@
     #: calls that this instance may have there whatever the load of the others
     guaranteed: int = 0
     #: further calls that it may send there while calls are queued on all instances
-    burst_room: int = 0
+    burst_allowance: int = 0
     #: average latency of its calls, as a multiple of the service's median
     slowness: float = 1.0
     #: whether it is in this instance's data centre
@@ -143,7 +143,7 @@
         mean = weight * others + (1 - weight) * usual
         return Estimate(mean, sqrt((1 - weight * weight) * usual))
 
-    def count_burst_room(self, senders: float) -> int:
+    def count_burst_allowance(self, senders: float) -> int:
         """Return how many more calls this instance may send under contention.
 
         While calls are queued on all instances, each of them sees the same free
@@ -184,7 +184,7 @@
             deviation=others.deviation,
             limit=self.limit.value,
             guaranteed=int(self.limit.value / senders + self.rounding_offset),
-            burst_room=self.count_burst_room(senders),
+            burst_allowance=self.count_burst_allowance(senders),
             slowness=self.breaker.slowness,
             local=local,
             ejected=ejected,
