--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -191,7 +191,7 @@
         self._weigh = weigh
         self._quantum = quantum
         self._workspace_queues: dict[str, _WorkspaceQueue] = {}
-        self._waiting: dict[int, QueuedCall] = {}
+        self._queued: dict[int, QueuedCall] = {}
         #: lowest virtual time among the workspaces with queued calls, at which a
         #: newly active workspace starts. If it started at the highest, a workspace
         #: whose calls come one by one would lose its due share whenever its queue
@@ -210,10 +210,10 @@
             # idle time earns no credit for later service
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
         queue.add(queued)
-        self._waiting[queued.ticket_id] = queued
+        self._queued[queued.ticket_id] = queued
 
     def remove(self, ticket_id: int) -> QueuedCall | None:
-        queued = self._waiting.pop(ticket_id, None)
+        queued = self._queued.pop(ticket_id, None)
         if queued is None:
             return None
         self._workspace_queues[queued.ticket.workspace].discard(queued)
@@ -240,15 +240,15 @@
         return any(queue.by_age[True] for queue in self._workspace_queues.values())
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
     def __iter__(self) -> Iterator[QueuedCall]:
-        return iter(tuple(self._waiting.values()))
+        return iter(tuple(self._queued.values()))
 
     def _choose(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
-        if len(self._waiting) <= 1:
+        if len(self._queued) <= 1:
             # nothing to arbitrate, which is the common case below saturation
-            return _find_first(self._waiting.values(), selection.accepts)
+            return _find_first(self._queued.values(), selection.accepts)
         heads = self._find_heads(selection, by_age=True)
         if not heads:
             return None
@@ -309,7 +309,7 @@
         name = queued.ticket.workspace
         queue = self._workspace_queues[name]
         lowest = queue.virtual_time
-        if len(self._waiting) > 1:
+        if len(self._queued) > 1:
             lowest = min(
                 other.virtual_time for other in self._workspace_queues.values() if other
             )
--- a/packages/greengagelatch/src/greengagelatch/placement/overflow.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/overflow.py
@@ -23,17 +23,16 @@
 class OverflowRule:
     """When work overflows from the preferred data centres.
 
-    ``high`` and ``low`` are loads: calls in flight or queued, divided by the calls
-    that the engines can run concurrently. ``rise`` and ``fall`` are the seconds for
-    which a threshold has to be crossed. Both form a hysteresis: load reports lag,
-    and models that are loaded and unloaded in turn would exhaust the weight store's
-    rate limit.
+    Loads are calls in flight or queued, divided by the calls that the engines can
+    run concurrently. The two thresholds, and the seconds for which each has to be
+    crossed, form a hysteresis: load reports lag, and models that are loaded and
+    unloaded in turn would exhaust the weight store's rate limit.
     """
 
-    high: float = 1.2
-    low: float = 0.6
-    rise: float = 30.0
-    fall: float = 300.0
+    high_load: float = 1.2
+    low_load: float = 0.6
+    rise_seconds: float = 30.0
+    fall_seconds: float = 300.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,13 +54,13 @@
             return dataclasses.replace(self, since=None)
         if self.since is None:
             return dataclasses.replace(self, since=now)
-        needed = rule.fall if self.overflowing else rule.rise
+        needed = rule.fall_seconds if self.overflowing else rule.rise_seconds
         if now - self.since < needed:
             return self
         return OverflowState(overflowing=not self.overflowing)
 
     def _is_opposite(self, load: float, rule: OverflowRule) -> bool:
-        return load <= rule.low if self.overflowing else load >= rule.high
+        return load <= rule.low_load if self.overflowing else load >= rule.high_load
 
 
 def is_preferred(placement: Placement, data_centre: str) -> bool:
--- a/packages/greengagelatch/src/greengagelatch/stages/hedging.py
+++ b/packages/greengagelatch/src/greengagelatch/stages/hedging.py
@@ -13,7 +13,7 @@
 
     #: multiple of the 95th percentile of the stage's durations
     factor: float = 2.0
-    #: minimum delay in seconds
+    #: minimum seconds before a call counts as late
     min_delay: float = 0.05
     #: multiple of the median that must remain for the hedged call to be in time
     min_remaining_medians: float = 1.5
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -21,7 +21,7 @@
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
 
-RULE = OverflowRule(high=1.2, low=0.6, rise=30, fall=300)
+RULE = OverflowRule(high_load=1.2, low_load=0.6, rise_seconds=30, fall_seconds=300)
 
 
 def create_policy(name, *, workspaces="", services="", **values):
