--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
+from greengagelatch.placement.desired import find_placements
 from greengagelatch.placement.overflow import (
-    OverflowState,
     OverflowRule,
+    OverflowState,
     is_preferred,
     measure_load,
 )
-from greengagelatch.placement.desired import find_placements
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -12,7 +12,7 @@
 from greengagelatch.identity import create_id
 from greengagelatch.load import Outcome, OutcomeKind
 from greengagelatch.stages.retries import may_retry, needs_cancel
-from greengagelatch.stages.tokens import TokenCheck, StreamedTokens
+from greengagelatch.stages.tokens import StreamedTokens, TokenCheck
 from greengagelatch.targets import CallFailure, FailureKind, StageCall
 from greengagelatch.verdict import Verdict
 
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ..placement.desired import count_loads, build_desired_state
+from ..placement.desired import build_desired_state, count_loads
 from . import EngineReport, EngineState, Order
 from .budget import LoadBudget
 from .engine import EngineAction, EngineRecord
