--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -254,7 +254,7 @@
 
 def _create_listener(work: StageWork) -> TokenListener:
     def listen(offset: int, text: str) -> None:
-        check = work.tokens.take(offset, text)
+        check = work.tokens.append(offset, text)
         if check is TokenCheck.REPEATED:
             return
         if check is not TokenCheck.NEW:
