--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -136,7 +136,7 @@
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
-        retries = self._scheduler.retries
+        retries = self._scheduler.retry_budget
         return {
             "waiting": self._scheduler.waiting,
             "retries": {"granted": retries.granted, "denied": retries.denied},
