--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -9,8 +9,8 @@
 from greengagelatch.config.objects import StageKind
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
-from greengagelatch.stages.patience import PatienceRule, choose_patience
-from greengagelatch.stages.retries import GiveUp, RetryRules, decide_retry
+from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
+from greengagelatch.stages.retries import NoRetryReason, RetryRules, decide_retry
 from greengagelatch.targets import FailureKind
 
 from .racing import CallResult, race
@@ -57,7 +57,7 @@
         metrics: Metrics,
         durations: DurationTracker | None = None,
         rules: RetryRules | None = None,
-        patience: PatienceRule | None = None,
+        patience: HedgeRule | None = None,
     ) -> None:
         self._dispatcher = dispatcher
         self._directory = directory
@@ -73,7 +73,7 @@
         self._metrics = metrics
         self._durations = durations
         self._rules = rules or RetryRules()
-        self._patience = patience or PatienceRule()
+        self._patience = patience or HedgeRule()
 
     async def make(self, work: StageWork) -> Result[StageAnswer, Refusal]:
         """Return the stage's answer, or the refusal of the whole request."""
@@ -127,7 +127,7 @@
             kind = (work.request.pipeline, work.stage.name)
             median = self._durations.estimate(kind, 50, now, 0.0)
             late = self._durations.estimate(kind, LATE_PERCENTILE, now, 0.0)
-        return choose_patience(
+        return choose_hedge_delay(
             self._patience,
             median=median,
             late=late,
@@ -181,7 +181,7 @@
             return None
         self._metrics.count(f"attempts.given_up.{reason.value}")
         code = RefusalCode.STAGE_FAILED
-        if reason in (GiveUp.OVER, GiveUp.NO_TIME):
+        if reason in (NoRetryReason.OVER, NoRetryReason.NO_TIME):
             code = RefusalCode.DEADLINE
         elif failure.kind is FailureKind.TARGET_REFUSED:
             code = RefusalCode.OVERLOADED
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -70,7 +70,7 @@
 
     def admit(self, quota: Quota, workspace: str) -> Admission:
         """Charge a request, or tell when to ask again."""
-        admission = self._ledger.ask(quota, workspace, self._clock.now())
+        admission = self._ledger.admit(quota, workspace, self._clock.now())
         word = "admitted" if admission.admitted else "refused"
         self._metrics.count(f"quotas.{word}")
         return admission
@@ -106,16 +106,16 @@
     def dump(self) -> dict[str, Any]:
         ledger = self._ledger
         return {
-            "alive": len(ledger.roster.alive),
-            "kept": len(ledger.roster.kept),
+            "alive": len(ledger.members_view.alive),
+            "kept": len(ledger.members_view.reserved),
             "rows": ledger.rows,
-            "settling_seconds": round(ledger.settling, 1),
+            "settling_seconds": round(ledger.propagation_time, 1),
             "keys": len(ledger),
             "uses": {
                 f"{key.policy}/{key.workspace}": {
                     "share": round(use.share, 4),
                     "demand": round(use.meter.rate, 2),
-                    "kept_share": round(sum(use.kept.values()), 4),
+                    "kept_share": round(sum(use.reserved_shares.values()), 4),
                 }
                 for key, use in ledger.list_uses()[:DUMPED]
             },
@@ -142,4 +142,4 @@
             self._peers.send(instance_id, report)
 
     def _receive(self, sender: str, report: DemandReport) -> None:
-        self._ledger.take_in(report, self._clock.now())
+        self._ledger.apply_report(report, self._clock.now())
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -14,7 +14,7 @@
 from greengagelatch.load.breakers import BreakerRule, BreakerState
 from greengagelatch.load.choice import ChoiceRule
 from greengagelatch.load.refusals import create_refusal
-from greengagelatch.load.scheduler import RETRIES, Scheduler, SchedulerRule
+from greengagelatch.load.scheduler import RETRY_BUDGET, Scheduler, SchedulerRule
 
 from . import Controller
 
@@ -46,10 +46,10 @@
             ejected_share=settings["load.ejected_share"],
         ),
         choice=ChoiceRule(
-            distance=settings["load.distance"], affinity=settings["load.affinity"]
+            remote_penalty=settings["load.distance"], affinity=settings["load.affinity"]
         ),
-        retries=replace(RETRIES, share=settings["load.retry_share"]),
-        queue_bound=settings["load.queue"],
+        retries=replace(RETRY_BUDGET, share=settings["load.retry_share"]),
+        queue_limit=settings["load.queue"],
         short_share=settings["load.short_share"],
         late_share=settings["load.late_share"],
     )
@@ -104,8 +104,8 @@
             self._metrics.count("scheduling.moved")
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
 
-    def note_first_token(self, grant: Grant, seconds: float) -> None:
-        self._scheduler.note_first_token(grant, seconds, self._clock.now())
+    def record_first_token(self, grant: Grant, seconds: float) -> None:
+        self._scheduler.record_first_token(grant, seconds, self._clock.now())
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
         now = self._clock.now()
@@ -120,7 +120,7 @@
             self._timer.cancel()
         refusal = create_refusal(RefusalCode.NOT_READY, "this instance is stopping", 0)
         for waiting_id, future in tuple(self._callers.items()):
-            self._scheduler.withdraw(waiting_id)
+            self._scheduler.cancel(waiting_id)
             if not future.done():
                 future.set_result(Err(refusal))
 
@@ -136,7 +136,7 @@
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
-        retries = self._scheduler.retries
+        retries = self._scheduler.retry_budget
         return {
             "waiting": self._scheduler.waiting,
             "retries": {"granted": retries.granted, "denied": retries.denied},
@@ -167,7 +167,7 @@
     def _give_up(
         self, waiting_id: int, future: asyncio.Future[Result[Grant, Refusal]]
     ) -> None:
-        self._scheduler.withdraw(waiting_id)
+        self._scheduler.cancel(waiting_id)
         self._metrics.count("scheduling.given_up")
         if not future.done() or future.cancelled():
             return
@@ -177,7 +177,7 @@
 
     def _poll(self, now: float) -> None:
         for decision in self._scheduler.poll(now):
-            future = self._callers.get(decision.waiting_id)
+            future = self._callers.get(decision.ticket_id)
             if future is not None and not future.done():
                 future.set_result(decision.result)
                 continue
@@ -203,7 +203,7 @@
         self._poll(now)
 
     def _note_leaving(self, *_target: Any) -> None:
-        self._scheduler.touch()
+        self._scheduler.mark_all_dirty()
         if self._callers:
             self._poll(self._clock.now())
 
@@ -214,12 +214,13 @@
         "in_flight": service.in_flight,
         "targets": {
             target_id: {
-                "in_flight": load.mine,
+                "in_flight": load.own_in_flight,
                 "limit": round(load.limit.value, 2),
                 "slowness": round(load.breaker.slowness, 2),
                 "breaker": load.breaker.read_state(now).value,
             }
             for target_id, load in tuple(service.targets.items())[:DUMPED]
-            if load.mine or load.breaker.read_state(now) is not BreakerState.CLOSED
+            if load.own_in_flight
+            or load.breaker.read_state(now) is not BreakerState.CLOSED
         },
     }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from greengagelatch.placement.demand import (
-    Demand,
-    DemandRule,
+from greengagelatch.placement.desired import find_placements
+from greengagelatch.placement.overflow import (
+    OverflowRule,
+    OverflowState,
     is_preferred,
     measure_load,
 )
-from greengagelatch.placement.wanted import find_placements
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -25,7 +25,7 @@
 
 __all__ = ("Group", "GroupTable")
 
-DEMAND_RULE = DemandRule()
+DEMAND_RULE = OverflowRule()
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     placement: Placement
     #: whether the engines here are to hold what the placement names
     placed: bool = False
-    demand: Demand = field(default_factory=Demand)
+    demand: OverflowState = field(default_factory=OverflowState)
     #: targets that are neither leaving nor gone, by id
     targets: dict[str, Target] = field(default_factory=dict)
     #: ``None`` while the lease is not held
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -11,8 +11,8 @@
 from greengagelatch.config.objects import StageKind
 from greengagelatch.identity import create_id
 from greengagelatch.load import Outcome, OutcomeKind
-from greengagelatch.stages.retries import may_repeat, needs_cancel
-from greengagelatch.stages.tokens import TokenCheck, TokenRecord
+from greengagelatch.stages.retries import may_retry, needs_cancel
+from greengagelatch.stages.tokens import StreamedTokens, TokenCheck
 from greengagelatch.targets import CallFailure, FailureKind, StageCall
 from greengagelatch.verdict import Verdict
 
@@ -71,7 +71,7 @@
     charged: bool = False
     #: seconds that failed attempts took
     wasted: float = 0.0
-    tokens: TokenRecord = field(default_factory=TokenRecord)
+    tokens: StreamedTokens = field(default_factory=StreamedTokens)
     #: whether the next attempt asks the target to go on at the present offset
     resume: bool = True
     #: targets that a backup was called in for
@@ -81,7 +81,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether a call that may have run may be sent again."""
-        return may_repeat(self.stage, self.request)
+        return may_retry(self.stage, self.request)
 
     @property
     def streamed(self) -> bool:
@@ -254,7 +254,7 @@
 
 def _create_listener(work: StageWork) -> TokenListener:
     def listen(offset: int, text: str) -> None:
-        check = work.tokens.take(offset, text)
+        check = work.tokens.append(offset, text)
         if check is TokenCheck.REPEATED:
             return
         if check is not TokenCheck.NEW:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -15,11 +15,11 @@
 from greengagelatch.load.admission import AdmissionRule, Arrival, EstimateAdmission
 from greengagelatch.load.deadlines import DeadlinePlan
 from greengagelatch.load.durations import DurationTracker, create_first_token_kind
-from greengagelatch.load.naive import NaiveDispatcher
+from greengagelatch.load.round_robin import RoundRobinDispatcher
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
-from greengagelatch.load.weights import scale_patience
-from greengagelatch.stages.patience import PatienceRule, choose_patience
-from greengagelatch.stages.plan import plan_by_share
+from greengagelatch.load.weights import scale_hedge_delay
+from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
+from greengagelatch.stages.plan import divide_by_share
 
 from .entry import Entry, Run, drive
 from .traces import Request
@@ -46,12 +46,14 @@
         **values,
     ) -> None:
         super().__init__(**values)
-        self._dispatcher = NaiveDispatcher(directory=self.directory, clock=self.clock)
+        self._dispatcher = RoundRobinDispatcher(
+            directory=self.directory, clock=self.clock
+        )
 
     def plan(self, run: Run, stage: Stage) -> float:
         request = run.request
         now = self.clock.now()
-        return plan_by_share(request.pipeline, stage, now, request.deadline)
+        return divide_by_share(request.pipeline, stage, now, request.deadline)
 
     def acquire(
         self, ticket: Ticket, receive: Callable[[Result[Grant, Refusal]], None]
@@ -79,8 +81,8 @@
         self._weights = weights
         self._snapshot = snapshot
         self._durations = DurationTracker()
-        self._patience = PatienceRule()
-        self._stream_patience = PatienceRule(factor=3.0, floor=0.3)
+        self._patience = HedgeRule()
+        self._stream_patience = HedgeRule(factor=3.0, min_delay=0.3)
         self._streams = streams
         self._plan = DeadlinePlan(
             durations=self._durations, find_pipeline=snapshot.pipelines.get
@@ -91,8 +93,8 @@
             data_centre=self.data_centre,
             random_source=self.random,
             weigh=lambda workspace: 1.0,
-            count_choosers=lambda service: choosers,
-            estimate_rest=self._plan.estimate_rest,
+            count_senders=lambda service: choosers,
+            estimate_remaining=self._plan.estimate_remaining,
             find_weights=lambda workspace, pipeline: weights,
             durations=self._durations,
             now=self.clock.now(),
@@ -124,7 +126,7 @@
         return self._plan(request.pipeline, stage, self.clock.now(), request.deadline)
 
     def note_first_token(self, grant: Grant, seconds: float) -> None:
-        self._scheduler.note_first_token(grant, seconds, self.clock.now())
+        self._scheduler.record_first_token(grant, seconds, self.clock.now())
 
     def find_patience(self, grant: Grant) -> float | None:
         ticket = grant.ticket
@@ -134,12 +136,12 @@
         if ticket.kind is StageKind.GENERATE and ticket.pipeline in self._streams:
             kind = create_first_token_kind(ticket.pipeline, ticket.stage)
             rule = self._stream_patience
-        scale = scale_patience(self._weights)
+        scale = scale_hedge_delay(self._weights)
         rule = replace(rule, factor=rule.factor * scale)
         median = self._durations.estimate(kind, 50, now, 0.0)
         if grant.probe and median > 0:
             return PROBE_PATIENCE * median
-        return choose_patience(
+        return choose_hedge_delay(
             rule,
             median=median,
             late=self._durations.estimate(kind, LATE_PERCENTILE, now, 0.0),
@@ -155,7 +157,7 @@
         return waiting_id
 
     def withdraw(self, waiting: object) -> None:
-        self._scheduler.withdraw(waiting)
+        self._scheduler.cancel(waiting)
         self._receivers.pop(waiting, None)
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
@@ -171,7 +173,7 @@
             if not decisions:
                 break
             for decision in decisions:
-                receive = self._receivers.pop(decision.waiting_id, None)
+                receive = self._receivers.pop(decision.ticket_id, None)
                 if receive is not None:
                     receive(decision.result)
         self._polling = False
--- a/packages/greengagelatch/src/greengagelatch/load/choice.py
+++ b/packages/greengagelatch/src/greengagelatch/load/choice.py
@@ -1,4 +1,4 @@
-"""Choice of the target for one call."""
+"""Load balancing: the choice of the target for one call."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 from .loads import TargetView
 
-__all__ = ("ChoiceRule", "TargetChoice", "TwoChoices")
+__all__ = ("ChoiceRule", "TargetChoice", "PowerOfTwoChoices")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChoiceRule:
-    """Parameters of the choice."""
-
-    #: targets looked at in this data centre, and in all others together
-    near_samples: int = 2
-    far_samples: int = 2
-    #: load, as a share of the limit, by which a far target must be better
-    distance: float = 0.25
-    #: load, as a share of the limit, that a cached prefix is worth
+    """Parameters of load balancing."""
+
+    #: targets sampled in this data centre, and in all others together
+    local_samples: int = 2
+    remote_samples: int = 2
+    #: load, as a share of the limit, that is added to a remote target's cost
+    remote_penalty: float = 0.25
+    #: load, as a share of the limit, that is taken off for a cached prefix
     affinity: float = 1.0
-    #: targets that calls with one prefix are kept to
+    #: targets that calls with one prefix are routed to
     affinity_targets: int = 1
-    #: load, as a multiple of the mean, beyond which affinity counts for nothing
+    #: load, as a multiple of the mean, beyond which affinity is ignored
     affinity_bound: float = 1.25
 
 
 class TargetChoice(ABC):
-    """Picks one of the targets that have room."""
+    """Picks one of the targets that have free capacity."""
 
     @abstractmethod
     def choose(
@@ -40,19 +40,20 @@
         """Return one of ``views``, which is not empty."""
 
     @abstractmethod
-    def find_familiar(
+    def find_affinity_targets(
         self, views: tuple[TargetView, ...], prefix: str
     ) -> list[TargetView]:
-        """Return the targets that probably hold a prefix and are not overloaded."""
+        """Return the targets that probably cache a prefix and are not overloaded."""
 
 
-class TwoChoices(TargetChoice):
-    """The better of a few random targets, near ones and familiar ones first.
+class PowerOfTwoChoices(TargetChoice):
+    """Power of two choices: the cheapest of a few random targets.
 
-    If each instance took the target that it believes is the least loaded, all of
-    them would take the same one until the next report; one notices targets that
-    swing between idle and overloaded. Two random ones are enough to keep the load
-    even, and instances then differ in what they look at.
+    Remote targets cost more, and those with prefix affinity less. If each instance
+    took the least loaded target of all, every instance would take the same one
+    until the next load report, and targets would swing between idle and overloaded.
+    Two random candidates are enough to balance the load, and differ from instance
+    to instance.
     """
 
     def __init__(self, rule: ChoiceRule) -> None:
@@ -61,49 +62,49 @@
     def choose(
         self, views: tuple[TargetView, ...], prefix: str, random_source: random.Random
     ) -> TargetView:
-        near = [view for view in views if view.near]
-        far = [view for view in views if not view.near]
-        sampled = _sample(near, self._rule.near_samples, random_source)
-        sampled += _sample(far, self._rule.far_samples, random_source)
-        familiar = self.find_familiar(views, prefix)
-        sampled += [view for view in familiar if view not in sampled]
+        local_views = [view for view in views if view.local]
+        remote_views = [view for view in views if not view.local]
+        sampled = _sample(local_views, self._rule.local_samples, random_source)
+        sampled += _sample(remote_views, self._rule.remote_samples, random_source)
+        affine = self.find_affinity_targets(views, prefix)
+        sampled += [view for view in affine if view not in sampled]
         costs = [
-            self._draw_cost(view, view in familiar, random_source) for view in sampled
+            self._sample_cost(view, view in affine, random_source) for view in sampled
         ]
         return sampled[costs.index(min(costs))]
 
-    def _draw_cost(
-        self, view: TargetView, familiar: bool, random_source: random.Random
+    def _sample_cost(
+        self, view: TargetView, affine: bool, random_source: random.Random
     ) -> float:
-        """Return the cost of a call at a target, for one load it may have by now.
+        """Return the cost of a call at a target, for a randomly drawn load.
 
-        However little an old report says, all instances would act on it alike; a
-        drawn load differs between them, the more the older the report.
+        All instances see the same report and would otherwise act on it alike. The
+        drawn loads differ between them, and the more the older the report is.
         """
-        held = view.held + random_source.gauss(0.0, view.spread)
+        held = view.expected_in_flight + random_source.gauss(0.0, view.deviation)
         cost = (max(0.0, held) + 1) / view.limit * view.slowness
-        if not view.near:
-            cost += self._rule.distance
-        if familiar:
+        if not view.local:
+            cost += self._rule.remote_penalty
+        if affine:
             cost -= self._rule.affinity
         return cost
 
-    def find_familiar(
+    def find_affinity_targets(
         self, views: tuple[TargetView, ...], prefix: str
     ) -> list[TargetView]:
-        # which they are follows from a hash, so that all instances agree without a
-        # message, also when cache events are late or missing; a target that is said
-        # to hold the prefix goes first
+        # rendezvous hashing, so that all instances agree without communication, also
+        # if cache events are late or missing; targets that report the prefix as
+        # cached come first
         if not prefix:
             return []
         ranked = sorted(views, key=lambda view: _rank(view, prefix))
-        loads = [view.held / view.limit for view in views]
+        loads = [view.expected_in_flight / view.limit for view in views]
         mean_held = sum(loads) / len(loads)
         bound = mean_held * self._rule.affinity_bound
         return [
             view
             for view in ranked[: self._rule.affinity_targets]
-            if view.held / view.limit <= bound + 1 / view.limit
+            if view.expected_in_flight / view.limit <= bound + 1 / view.limit
         ]
 
 
--- a/packages/greengagelatch/src/greengagelatch/load/durations.py
+++ b/packages/greengagelatch/src/greengagelatch/load/durations.py
@@ -10,20 +10,20 @@
 __all__ = ("DurationTracker", "create_first_token_kind")
 
 #: histogram units in one second: a tenth of a millisecond each
-UNITS = 10_000
-#: longest duration that is told apart from longer ones, in seconds
-LONGEST = 3600
-#: significant digits: durations are told apart to about six in a hundred; with two
-#: digits, finding a percentile took ten times as long and half of the processor
-#: time of all decisions
-DIGITS = 1
-#: seconds for which a computed percentile is used again
-CACHED = 0.5
-#: fewer durations than this say nothing
+UNITS_PER_SECOND = 10_000
+#: longest duration that the histogram distinguishes, in seconds
+MAX_SECONDS = 3600
+#: significant digits: durations are resolved to about six in a hundred; with two
+#: digits, a percentile takes ten times as long, half of the processor time of all
+#: decisions
+SIGNIFICANT_DIGITS = 1
+#: seconds for which a computed percentile is cached
+CACHE_TTL = 0.5
+#: fewest samples from which a percentile is computed
 MIN_SAMPLES = 8
-#: windows without any duration after which the last ones say nothing any more
+#: windows without any sample after which the last percentiles count as outdated
 STALE_WINDOWS = 2
-#: windows over which the lowest median counts as the one without load
+#: windows whose lowest median is taken as the duration without load
 BASELINE_WINDOWS = 30
 
 
@@ -42,10 +42,12 @@
 
     def rotate(self, now: float, window: float) -> None:
         if self.current.get_total_count() < MIN_SAMPLES:
-            # rare calls keep their history until there is something newer
+            # rare calls keep their history until there are enough new samples
             self.rotated = now
             return
-        self.baseline.append(self.current.get_value_at_percentile(50) / UNITS)
+        self.baseline.append(
+            self.current.get_value_at_percentile(50) / UNITS_PER_SECOND
+        )
         self.previous, self.current = self.current, self.previous
         self.current.reset()
         self.rotated = now if now - self.rotated > 2 * window else self.rotated + window
@@ -55,9 +57,9 @@
     """Percentiles of durations by kind of call.
 
     A percentile covers the present window and the one before it, so it follows a
-    change within two windows and never rests on a handful of calls alone.
+    change within two windows but never depends on a handful of calls alone.
 
-    :param window: seconds after which a new window begins.
+    :param window: length of a window in seconds.
     """
 
     def __init__(self, window: float = 10.0) -> None:
@@ -77,19 +79,19 @@
     def estimate(
         self, kind: Hashable, percentile: float, now: float, prior: float
     ) -> float:
-        """Return the percentile in seconds, ``prior`` where too little is known."""
+        """Return the percentile in seconds, ``prior`` if there are too few samples."""
         series = self._series.get(kind)
         if series is None:
             return prior
         cached = series.cache.get(percentile)
-        if cached is not None and now - cached[0] < CACHED:
+        if cached is not None and now - cached[0] < CACHE_TTL:
             return cached[1]
         value = _merge_percentile(series, percentile)
         if value is None:
             return prior
         if now - series.recorded > STALE_WINDOWS * self._window:
-            # a service that was slow and is given no calls for it would otherwise
-            # count as slow for good
+            # a service that was slow and gets no calls because of that would
+            # otherwise count as slow forever
             value = min([value, *series.baseline])
         series.cache[percentile] = (now, value)
         return value
@@ -113,11 +115,11 @@
 
 
 def _create_histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST * UNITS, DIGITS)
+    return HdrHistogram(1, MAX_SECONDS * UNITS_PER_SECOND, SIGNIFICANT_DIGITS)
 
 
 def _to_units(seconds: float) -> int:
-    return max(1, min(int(seconds * UNITS), LONGEST * UNITS))
+    return max(1, min(int(seconds * UNITS_PER_SECOND), MAX_SECONDS * UNITS_PER_SECOND))
 
 
 def _merge_percentile(series: _Series, percentile: float) -> float | None:
@@ -129,4 +131,4 @@
     for histogram, count in ((series.current, new), (series.previous, old)):
         if count:
             total += histogram.get_value_at_percentile(percentile) * count
-    return total / (new + old) / UNITS
+    return total / (new + old) / UNITS_PER_SECOND
--- a/packages/greengagelatch/src/greengagelatch/load/limits.py
+++ b/packages/greengagelatch/src/greengagelatch/load/limits.py
@@ -1,4 +1,4 @@
-"""How many calls a target is given side by side."""
+"""Concurrency limits of targets."""
 
 from __future__ import annotations
 
@@ -12,74 +12,74 @@
 class LimitRule:
     """Parameters of the adaptive limit."""
 
-    #: limit for a target that has not told its capacity
+    #: limit for a target that has not reported its capacity
     initial: float = 8.0
-    lowest: float = 1.0
-    highest: float = 1024.0
-    #: seconds of waiting at a target that are allowed beyond its capacity. What an
-    #: instance knows of a target's load is up to a report's interval old, many
-    #: calls of a fast service; without some calls waiting there its workers idle
-    wait: float = 0.1
-    #: most calls held as a multiple of the capacity
-    stretch: float = 4.0
-    #: latency, as a multiple of the one without load, that is taken as overload
-    tolerance: float = 3.0
-    #: seconds between two changes, at least: a change must show in the latency
-    #: before the next one
-    interval: float = 0.5
-    #: calls between two changes, at least
-    samples: int = 4
-    #: factor on a rejection by the target
-    decrease: float = 0.85
+    min_limit: float = 1.0
+    max_limit: float = 1024.0
+    #: seconds of queueing at a target that are allowed beyond its capacity. Load
+    #: reports are up to one interval old, which is many calls of a fast service;
+    #: without a short queue at the target its workers would idle meanwhile
+    allowed_queueing: float = 0.1
+    #: highest limit, as a multiple of the capacity
+    max_oversubscription: float = 4.0
+    #: latency, as a multiple of the one without load, that counts as overload
+    latency_tolerance: float = 3.0
+    #: minimum seconds between two changes: the latency must reflect one before the
+    #: next
+    min_interval: float = 0.5
+    #: minimum calls between two changes
+    min_samples: int = 4
+    #: factor on the limit after a rejection by the target
+    rejection_factor: float = 0.85
     #: largest decrease in one change
-    lowest_factor: float = 0.7
+    min_factor: float = 0.7
 
 
 class ConcurrencyLimit(ABC):
-    """The number of calls one target should hold, those of all instances together."""
+    """Limit on the calls in flight at one target, over all instances."""
 
     @property
     @abstractmethod
     def value(self) -> float:
-        """The limit at present, at least 1."""
+        """The present limit, at least 1."""
 
     @abstractmethod
-    def note_capacity(self, capacity: float, longest: float) -> None:
-        """Take in how many calls the target serves side by side.
+    def update_capacity(self, capacity: float, longest: float) -> None:
+        """Update the number of calls that the target can serve concurrently.
 
         :param longest: seconds that its longest calls take without load, 0 if unknown.
         """
 
     @abstractmethod
-    def restart(self, now: float) -> None:
-        """Begin again from the lowest limit, as the target was out of service."""
+    def reset(self, now: float) -> None:
+        """Restart from the lowest limit, after the target was ejected."""
 
     @abstractmethod
-    def note_latency(self, ratio: float, held: float, now: float) -> None:
-        """Take in a call that took ``ratio`` times what it takes without load.
+    def record_latency(self, ratio: float, held: float, now: float) -> None:
+        """Record a call that took ``ratio`` times its duration without load.
 
-        :param held: calls the target held at that time, of all instances.
+        :param held: calls in flight at the target at that time, of all instances.
         """
 
     @abstractmethod
-    def note_rejection(self, held: float, now: float) -> None:
-        """Take in that the target turned down a call as it holds too many."""
+    def record_rejection(self, held: float, now: float) -> None:
+        """Record that the target rejected a call because of overload."""
 
 
 class AdaptiveLimit(ConcurrencyLimit):
-    """Additive increase, multiplicative decrease on latency.
+    """Additive increase, multiplicative decrease (AIMD) on latency.
 
-    A target that batches continuously answers more calls a second the more it
-    holds, each of them more slowly, up to a knee; beyond it only the latency grows.
-    The limit rises while it is made use of and latency stays within the tolerance,
-    and falls in proportion when it does not. All instances see the same target's
-    latency, so their limits agree without a message.
+    The throughput of a target with continuous batching rises with its concurrency
+    up to a knee; beyond it only the latency grows. The limit rises while it is used
+    and the latency stays within the tolerance, and falls in proportion to the
+    excess otherwise. All instances see the same target's latency, so their limits
+    agree without communication.
     """
 
     def __init__(self, rule: LimitRule) -> None:
         self._rule = rule
         self._value = rule.initial
-        self._ceiling = rule.highest
+        self._ceiling = rule.max_limit
         self._capacity = 0.0
         self._ratios = 0.0
         self._samples = 0
@@ -90,48 +90,52 @@
     def value(self) -> float:
         return self._value
 
-    def note_capacity(self, capacity: float, longest: float) -> None:
+    def update_capacity(self, capacity: float, longest: float) -> None:
         if capacity <= 0:
             return
         rule = self._rule
-        stretch = min(1 + rule.wait / longest, rule.stretch) if longest > 0 else 1.0
-        ceiling = min(rule.highest, capacity * stretch)
+        stretch = (
+            min(1 + rule.allowed_queueing / longest, rule.max_oversubscription)
+            if longest > 0
+            else 1.0
+        )
+        ceiling = min(rule.max_limit, capacity * stretch)
         untouched = self._capacity == 0 or self._value >= self._ceiling
         self._capacity = capacity
         self._ceiling = ceiling
         self._set(ceiling if untouched else self._value)
 
-    def restart(self, now: float) -> None:
-        self._set(self._rule.lowest)
-        self._begin(now)
+    def reset(self, now: float) -> None:
+        self._set(self._rule.min_limit)
+        self._start_window(now)
 
-    def note_latency(self, ratio: float, held: float, now: float) -> None:
+    def record_latency(self, ratio: float, held: float, now: float) -> None:
         self._ratios += ratio
         self._samples += 1
         self._highest_held = max(self._highest_held, held)
-        if self._samples < self._rule.samples:
+        if self._samples < self._rule.min_samples:
             return
-        if now - self._changed < self._rule.interval:
+        if now - self._changed < self._rule.min_interval:
             return
         mean = self._ratios / self._samples
-        if mean > self._rule.tolerance:
-            factor = max(self._rule.lowest_factor, self._rule.tolerance / mean)
+        if mean > self._rule.latency_tolerance:
+            factor = max(self._rule.min_factor, self._rule.latency_tolerance / mean)
             self._set(min(self._value, max(1.0, self._highest_held)) * factor)
         elif self._highest_held >= self._value / 2:
             self._set(self._value + 1)
-        self._begin(now)
+        self._start_window(now)
 
-    def note_rejection(self, held: float, now: float) -> None:
-        if now - self._changed < self._rule.interval:
+    def record_rejection(self, held: float, now: float) -> None:
+        if now - self._changed < self._rule.min_interval:
             return
-        self._set(min(self._value, max(1.0, held)) * self._rule.decrease)
-        self._begin(now)
+        self._set(min(self._value, max(1.0, held)) * self._rule.rejection_factor)
+        self._start_window(now)
 
-    def _begin(self, now: float) -> None:
+    def _start_window(self, now: float) -> None:
         self._changed = now
         self._ratios = 0.0
         self._samples = 0
         self._highest_held = 0.0
 
     def _set(self, value: float) -> None:
-        self._value = max(self._rule.lowest, min(value, self._ceiling))
+        self._value = max(self._rule.min_limit, min(value, self._ceiling))
--- a/packages/greengagelatch/src/greengagelatch/load/loads.py
+++ b/packages/greengagelatch/src/greengagelatch/load/loads.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the load of one target."""
+"""Load of one target as this instance estimates it."""
 
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 
 __all__ = ("Estimate", "TargetLoad", "TargetView")
 
-#: changes of the number in flight that are kept to be compared with a late report
+#: changes of the number in flight that are kept, to match reports that arrive late
 HISTORY = 1024
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetView:
-    """One target at one moment, as the choice between targets sees it."""
+    """Snapshot of one target for load balancing."""
 
     target: Target
-    #: calls of this instance that the target holds
-    mine: int
-    #: those of them that belong to the service's long calls
-    mine_long: int
-    #: calls that the target holds by expectation, those of all instances together
-    held: float
-    #: calls it should hold at most
+    #: calls of this instance in flight at the target
+    own_in_flight: int
+    #: those among them that are long calls of the service
+    own_long_in_flight: int
+    #: estimated calls in flight at the target, of all instances
+    expected_in_flight: float
+    #: concurrency limit over all instances
     limit: float
-    #: standard deviation of ``held``, as reports are old
-    spread: float = 0.0
-    #: calls that this instance may have there whatever it believes of the others
-    assured: int = 0
-    #: further calls that it may send there while calls wait everywhere
-    spare: int = 0
-    #: how long its calls take, as a multiple of the service's median
+    #: standard deviation of ``expected_in_flight``, which grows with a report's age
+    deviation: float = 0.0
+    #: calls that this instance may have there whatever the load of the others
+    guaranteed: int = 0
+    #: further calls that it may send there while calls are queued on all instances
+    burst_allowance: int = 0
+    #: average latency of its calls, as a multiple of the service's median
     slowness: float = 1.0
     #: whether it is in this instance's data centre
-    near: bool = True
-    #: whether it is out of service but for a probe
+    local: bool = True
+    #: whether it is ejected and gets at most a probe
     ejected: bool = False
-    #: whether it may be given a probe now
-    probing: bool = False
+    #: whether its circuit breaker is half-open, so that it may get a probe now
+    half_open: bool = False
     cached_prefixes: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """An expected number and its standard deviation."""
+    """A mean and its standard deviation."""
 
     mean: float
-    spread: float
+    deviation: float
 
 
 class TargetLoad:
-    """Calls in flight, limit and breaker of one target."""
+    """Calls in flight, concurrency limit and circuit breaker of one target."""
 
     def __init__(
         self,
@@ -72,87 +72,92 @@
         self._random = random_source
         self.limit = AdaptiveLimit(limit_rule)
         self.breaker = Breaker(breaker_rule, random_source)
-        self.mine = 0
-        self.mine_long = 0
-        #: rounds this instance's share of the limit: were it rounded up everywhere,
-        #: many instances would together exceed a small limit many times over
-        self.lot = random_source.random()
+        self.own_in_flight = 0
+        self.own_long_in_flight = 0
+        #: random offset that rounds this instance's share of the limit: if every
+        #: instance rounded up, many of them would exceed a small limit many times
+        self.rounding_offset = random_source.random()
         self._history: deque[tuple[float, int]] = deque(
             [(float("-inf"), 0)], maxlen=HISTORY
         )
         self._report: LoadReport | None = None
-        #: rounds this instance's share of the room that the report shows
-        self._report_lot = 0.0
-        #: calls held, summed over all reports, and the number of reports
+        #: random offset that rounds this instance's share of the reported free
+        #: capacity
+        self._report_rounding_offset = 0.0
+        #: calls at the target, summed over all reports, and the number of reports
         self.reported = 0.0
         self.reports = 0
 
-    def change(self, step: int, *, long: bool, now: float) -> None:
-        """Count one call more or less in flight."""
-        self.mine += step
+    def adjust_in_flight(self, step: int, *, long: bool, now: float) -> None:
+        """Add ``step``, one or minus one, to the calls in flight."""
+        self.own_in_flight += step
         if long:
-            self.mine_long += step
-        self._history.append((now, self.mine))
+            self.own_long_in_flight += step
+        self._history.append((now, self.own_in_flight))
 
     def is_new(self, report: LoadReport) -> bool:
-        """Whether a report has not been taken in yet."""
+        """Whether a report has not been applied yet."""
         return report is not self._report
 
-    def take_report(self, report: LoadReport, longest: float, knee: float) -> None:
-        """Take in a new report.
+    def apply_report(self, report: LoadReport, longest: float, capacity: float) -> None:
+        """Apply a new load report.
 
         :param longest: seconds that the longest calls take without load.
-        :param knee: calls beyond which the service's targets only become slower.
+        :param capacity: calls that the target should run concurrently.
         """
         self._report = report
-        self._report_lot = self._random.random()
+        self._report_rounding_offset = self._random.random()
         self.reported += report.in_flight + report.queued
         self.reports += 1
-        self.limit.note_capacity(knee, longest)
+        self.limit.update_capacity(capacity, longest)
 
     def count_reported_others(self) -> float | None:
-        """Return the calls of other instances by the newest report, if there is one.
+        """Return the calls of other instances by the latest report, if there is one.
 
-        The report counts this instance's calls too, so what it had in flight when
-        the report was taken is subtracted.
+        The report counts this instance's calls too, so those in flight when the
+        report was taken are subtracted.
         """
         report = self._report
         if report is None:
             return None
-        return max(0.0, report.in_flight + report.queued - self._count_then(report))
+        return max(
+            0.0, report.in_flight + report.queued - self._count_own_at_report(report)
+        )
 
-    def estimate_others(self, now: float, usual: float, memory: float) -> Estimate:
-        """Return the calls of other instances that the target holds by expectation.
+    def estimate_others(
+        self, now: float, usual: float, call_duration: float
+    ) -> Estimate:
+        """Return the estimated calls of other instances in flight at the target.
 
-        The older the report, the more counts ``usual``, the mean over the service's
-        targets: a target that looked idle a while ago would otherwise get the calls
-        of every instance at once.
+        The older the report, the greater the weight of ``usual``, the mean over the
+        service's targets: otherwise a target that was idle at its last report would
+        get the calls of every instance at once.
 
-        :param memory: seconds that a call lasts. What a report says holds about as
-            long as the calls that it counted are still there.
+        :param call_duration: mean duration of a call in seconds. A report stays valid
+            for about as long as the calls that it counted are running.
         """
         others = self.count_reported_others()
         if others is None or self._report is None:
             return Estimate(usual, sqrt(usual))
-        weight = exp(-max(0.0, now - self._report.taken) / memory)
+        weight = exp(-max(0.0, now - self._report.taken) / call_duration)
         mean = weight * others + (1 - weight) * usual
         return Estimate(mean, sqrt((1 - weight * weight) * usual))
 
-    def count_spare(self, choosers: float) -> int:
-        """Return how many more calls this instance may send in a rush.
+    def count_burst_allowance(self, senders: float) -> int:
+        """Return how many more calls this instance may send under contention.
 
-        While calls wait everywhere, every instance sees the same free room in the
-        same report and would fill it: one notices targets that hold far more than
-        their limit. So each takes its share of that room until the next report.
+        While calls are queued on all instances, each of them sees the same free
+        capacity in the same report; if all filled it, the target would get far more
+        calls than its limit. So each uses only its share until the next report.
         """
         report = self._report
         if report is None:
             return 0
         free = max(0.0, self.limit.value - report.in_flight - report.queued)
-        taken = max(0, self.mine - self._count_then(report))
-        return int(free / choosers + self._report_lot) - taken
+        taken = max(0, self.own_in_flight - self._count_own_at_report(report))
+        return int(free / senders + self._report_rounding_offset) - taken
 
-    def _count_then(self, report: LoadReport) -> int:
+    def _count_own_at_report(self, report: LoadReport) -> int:
         """Return this instance's calls in flight when the report was taken."""
         history = self._history
         while len(history) > 1 and history[1][0] <= report.taken:
@@ -164,25 +169,25 @@
         candidate: Candidate,
         *,
         others: Estimate,
-        choosers: float,
-        near: bool,
+        senders: float,
+        local: bool,
         ejected: bool,
-        probing: bool,
+        half_open: bool,
     ) -> TargetView:
-        """Return a frozen view for one choice."""
+        """Return an immutable snapshot for load balancing."""
         report = candidate.report
         return TargetView(
             target=candidate.target,
-            mine=self.mine,
-            mine_long=self.mine_long,
-            held=self.mine + others.mean,
-            spread=others.spread,
+            own_in_flight=self.own_in_flight,
+            own_long_in_flight=self.own_long_in_flight,
+            expected_in_flight=self.own_in_flight + others.mean,
+            deviation=others.deviation,
             limit=self.limit.value,
-            assured=int(self.limit.value / choosers + self.lot),
-            spare=self.count_spare(choosers),
+            guaranteed=int(self.limit.value / senders + self.rounding_offset),
+            burst_allowance=self.count_burst_allowance(senders),
             slowness=self.breaker.slowness,
-            near=near,
+            local=local,
             ejected=ejected,
-            probing=probing,
+            half_open=half_open,
             cached_prefixes=frozenset() if report is None else report.cached_prefixes,
         )
--- a/packages/greengagelatch/src/greengagelatch/load/queue.py
+++ b/packages/greengagelatch/src/greengagelatch/load/queue.py
@@ -1,4 +1,4 @@
-"""Order of service among the calls that wait for one service."""
+"""Weighted fair queueing of the calls that wait for one service."""
 
 from __future__ import annotations
 
@@ -11,170 +11,175 @@
 
 from . import Ticket
 
-__all__ = ("FAIR_PERIOD", "CallQueue", "FairQueue", "SelectionTest", "Waiting")
+__all__ = ("FAIR_PERIOD", "CallQueue", "FairQueue", "SelectionFilter", "QueuedCall")
 
-#: one such part of the service ignores priorities, which bounds how long the least
-#: important workspace waits: see :class:`FairQueue`
+#: one part in this many of the service time ignores priorities, which bounds the
+#: wait of the lowest priority: see :class:`FairQueue`
 FAIR_PERIOD = 8
-#: seconds of service by which a workspace may be ahead of its fair share while
-#: urgency still decides
+#: seconds of service by which a workspace may exceed its fair share and still be
+#: selected by urgency
 QUANTUM = 1.0
-#: seconds before a call must start within which none that is merely preferred goes
-#: before it
-HURRY = 0.5
-#: calls of a workspace that are looked at in one selection; calls that no target
-#: suits are few, as only those that were tried before exclude any target
-SCANNED = 16
+#: seconds before a call's safe start time from which no preferred call may be
+#: selected ahead of it
+URGENT_MARGIN = 0.5
+#: calls of a workspace that one selection scans; few calls can't be served by any
+#: free target, as only retried calls exclude targets
+SCAN_LIMIT = 16
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Waiting:
-    """A ticket that waits, with what was worked out when it came."""
+class QueuedCall:
+    """A queued ticket, with the estimates made on its arrival."""
 
-    waiting_id: int
+    ticket_id: int
     ticket: Ticket
     entered: float
     #: expected seconds of service
     expected: float
-    #: monotonic seconds by which it should start to keep to its stage's deadline
-    urgency: float
-    #: monotonic seconds after which it would probably, or surely, end too late
+    #: monotonic seconds by which it should start to meet its stage's deadline
+    start_by: float
+    #: monotonic seconds after which it would probably (safe) or certainly (latest)
+    #: miss its deadline
     safe_start: float
     latest_start: float
-    #: whether it belongs to the service's long calls
+    #: whether it is one of the service's long calls
     long: bool = False
 
 
-class SelectionTest(ABC):
-    """Says which calls can be served now, and which of them would be served best."""
+class SelectionFilter(ABC):
+    """Tells which queued calls can be served now, and which are preferred."""
 
     @abstractmethod
-    def suits(self, waiting: Waiting) -> bool:
-        """Whether the call can be served."""
+    def accepts(self, queued: QueuedCall) -> bool:
+        """Whether the call can be served now."""
 
     @abstractmethod
-    def prefers(self, waiting: Waiting) -> bool:
-        """Whether a call that suits would be served with less work than usual."""
+    def prefers(self, queued: QueuedCall) -> bool:
+        """Whether an accepted call would cost less than usual, by a cached prefix."""
 
 
 class CallQueue(ABC):
-    """Calls waiting for one service."""
+    """Queue of the calls that wait for one service."""
 
     @abstractmethod
-    def push(self, waiting: Waiting) -> None:
+    def push(self, queued: QueuedCall) -> None:
         """Add a call."""
 
     @abstractmethod
-    def remove(self, waiting_id: int) -> Waiting | None:
-        """Take out a call, ``None`` if it isn't there."""
+    def remove(self, ticket_id: int) -> QueuedCall | None:
+        """Remove and return a call, ``None`` if it is not queued."""
 
     @abstractmethod
-    def select(self, test: SelectionTest, now: float) -> Waiting | None:
-        """Take out the call to be served next among those that suit."""
+    def select(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
+        """Remove and return the accepted call to be served next, if any."""
 
     @abstractmethod
     def sum_pending(self, priority: int) -> dict[str, float]:
-        """Return the seconds of service that wait, by workspace.
+        """Return the queued seconds of service by workspace.
 
-        :param priority: calls of lower priorities are left out.
+        :param priority: calls of lower priorities are excluded.
         """
 
     @property
     @abstractmethod
-    def long_waits(self) -> bool:
-        """Whether a long call waits."""
+    def has_long_calls(self) -> bool:
+        """Whether a long call is queued."""
 
     @abstractmethod
     def __len__(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of queued calls."""
 
     @abstractmethod
-    def __iter__(self) -> Iterator[Waiting]:
-        """Return all calls that wait, in no particular order."""
+    def __iter__(self) -> Iterator[QueuedCall]:
+        """Iterate over all queued calls in no particular order."""
 
 
-class _Lane:
-    """The calls of one workspace, short ones and long ones apart.
+class _WorkspaceQueue:
+    """Queued calls of one workspace, with short and long ones kept separately.
 
-    Where only short calls may start, a search through a thousand long ones on each
-    event would block the loop; so each kind has its own order.
+    When only short calls may start, scanning a thousand long ones on each event
+    would block the event loop.
     """
 
-    __slots__ = ("by_age", "by_urgency", "pending", "virtual")
+    __slots__ = ("by_age", "by_urgency", "pending", "virtual_time")
 
     def __init__(self) -> None:
-        self.by_age: tuple[dict[int, Waiting], ...] = ({}, {})
+        self.by_age: tuple[dict[int, QueuedCall], ...] = ({}, {})
         self.by_urgency = (SortedKeyList(key=_sort_key), SortedKeyList(key=_sort_key))
-        #: seconds of service received, divided by the weight
-        self.virtual = 0.0
-        #: seconds of service that wait, by priority
+        #: virtual time: seconds of service received, divided by the weight
+        self.virtual_time = 0.0
+        #: queued seconds of service by priority
         self.pending: dict[int, float] = {}
 
     def __len__(self) -> int:
         return len(self.by_age[False]) + len(self.by_age[True])
 
-    def add(self, waiting: Waiting) -> None:
-        self.by_age[waiting.long][waiting.waiting_id] = waiting
-        self.by_urgency[waiting.long].add(waiting)
-        priority = waiting.ticket.priority
+    def add(self, queued: QueuedCall) -> None:
+        self.by_age[queued.long][queued.ticket_id] = queued
+        self.by_urgency[queued.long].add(queued)
+        priority = queued.ticket.priority
         pending = self.pending.get(priority, 0.0)
-        self.pending[priority] = pending + waiting.expected
+        self.pending[priority] = pending + queued.expected
 
-    def discard(self, waiting: Waiting) -> None:
-        del self.by_age[waiting.long][waiting.waiting_id]
-        self.by_urgency[waiting.long].remove(waiting)
-        self.pending[waiting.ticket.priority] -= waiting.expected
+    def discard(self, queued: QueuedCall) -> None:
+        del self.by_age[queued.long][queued.ticket_id]
+        self.by_urgency[queued.long].remove(queued)
+        self.pending[queued.ticket.priority] -= queued.expected
         if not len(self):
-            # sums of floats drift: an empty lane must hold exactly nothing
+            # sums of floats drift, but an empty queue must have none pending
             self.pending.clear()
 
-    def find_oldest(self, test: SelectionTest) -> Waiting | None:
-        heads = [_find_first(calls.values(), test.suits) for calls in self.by_age]
+    def find_oldest(self, selection: SelectionFilter) -> QueuedCall | None:
+        heads = [
+            _find_first(calls.values(), selection.accepts) for calls in self.by_age
+        ]
         return min(filter(None, heads), key=_age_key, default=None)
 
     def find_most_urgent(
-        self, test: SelectionTest, *, preferred: bool = False
-    ) -> Waiting | None:
-        def accepts(waiting: Waiting) -> bool:
-            return test.suits(waiting) and (not preferred or test.prefers(waiting))
+        self, selection: SelectionFilter, *, preferred: bool = False
+    ) -> QueuedCall | None:
+        def accepts(queued: QueuedCall) -> bool:
+            return selection.accepts(queued) and (
+                not preferred or selection.prefers(queued)
+            )
 
         heads = [_find_first(calls, accepts) for calls in self.by_urgency]
         return min(filter(None, heads), key=_sort_key, default=None)
 
 
 def _find_first(
-    calls: Iterable[Waiting], suits: Callable[[Waiting], bool]
-) -> Waiting | None:
-    for call in islice(calls, SCANNED):
-        if suits(call):
+    calls: Iterable[QueuedCall], accepts: Callable[[QueuedCall], bool]
+) -> QueuedCall | None:
+    for call in islice(calls, SCAN_LIMIT):
+        if accepts(call):
             return call
     return None
 
 
-def _age_key(waiting: Waiting) -> int:
-    return waiting.waiting_id
+def _age_key(queued: QueuedCall) -> int:
+    return queued.ticket_id
 
 
-def _sort_key(waiting: Waiting) -> tuple[int, float, int]:
-    return (-waiting.ticket.priority, waiting.urgency, waiting.waiting_id)
+def _sort_key(queued: QueuedCall) -> tuple[int, float, int]:
+    return (-queued.ticket.priority, queued.start_by, queued.ticket_id)
 
 
 class FairQueue(CallQueue):
-    """Priority first, then weighted fair shares, then urgency.
+    """Strict priority, then weighted fair queueing, then earliest start first.
 
     Each workspace has a virtual time: the service it has received, divided by its
     weight. Among the calls of the highest priority, the workspaces whose virtual
     time is within one quantum of the lowest are eligible, and the most urgent of
-    their calls is served. So urgency decides while shares are about even, and the
-    shares decide under overload, when one workspace asks for more than its own.
-
-    Strict priority starves whoever comes last, seen as a workspace with no answer
-    at all while others flood the service. So one part in :data:`FAIR_PERIOD` of the
-    service goes to the oldest call of the workspace with the lowest virtual time,
-    whatever its priority. It is a part of the service, not of the calls: a long call
-    in every eighth place would leave next to nothing to the short ones before it.
+    their calls is served. So urgency decides while the shares are about even, and
+    the shares decide under overload, when a workspace demands more than its share.
+
+    Strict priority would starve the lowest priority while others flood the service.
+    So one part in :data:`FAIR_PERIOD` of the service goes to the oldest call of the
+    workspace with the lowest virtual time, whatever its priority. It is a part of
+    the service time, not of the number of calls: a long call in every eighth place
+    would leave almost no service to the short ones.
     Bound: of ``FAIR_PERIOD * k`` selections in a row among ``k`` workspaces of equal
-    weight and equal calls, each that had a call waiting all the time gets at least
+    weight and equal calls, each that had a call queued all the time gets at least
     one.
 
     :param weigh: returns a workspace's weight, above 0.
@@ -185,65 +190,66 @@
     ) -> None:
         self._weigh = weigh
         self._quantum = quantum
-        self._lanes: dict[str, _Lane] = {}
-        self._waiting: dict[int, Waiting] = {}
-        #: lowest virtual time among the workspaces whose calls wait: where newcomers
-        #: start. At the highest, a workspace whose calls come one by one would lose
-        #: what it is behind by each time that its queue is empty
-        self._virtual = 0.0
-        #: seconds of service that may ignore priorities
+        self._workspace_queues: dict[str, _WorkspaceQueue] = {}
+        self._queued: dict[int, QueuedCall] = {}
+        #: lowest virtual time among the workspaces with queued calls, at which a
+        #: newly active workspace starts. If it started at the highest, a workspace
+        #: whose calls come one by one would lose its due share whenever its queue
+        #: is empty
+        self._virtual_time = 0.0
+        #: seconds of service that may be given regardless of priority
         self._fair_credit = 0.0
 
-    def push(self, waiting: Waiting) -> None:
-        name = waiting.ticket.workspace
-        lane = self._lanes.get(name)
-        if lane is None:
-            self._forget_idle()
-            lane = self._lanes[name] = _Lane()
-        if not lane:
-            # time without calls earns no claim on service later
-            lane.virtual = max(lane.virtual, self._virtual)
-        lane.add(waiting)
-        self._waiting[waiting.waiting_id] = waiting
-
-    def remove(self, waiting_id: int) -> Waiting | None:
-        waiting = self._waiting.pop(waiting_id, None)
-        if waiting is None:
+    def push(self, queued: QueuedCall) -> None:
+        name = queued.ticket.workspace
+        queue = self._workspace_queues.get(name)
+        if queue is None:
+            self._evict_idle()
+            queue = self._workspace_queues[name] = _WorkspaceQueue()
+        if not queue:
+            # idle time earns no credit for later service
+            queue.virtual_time = max(queue.virtual_time, self._virtual_time)
+        queue.add(queued)
+        self._queued[queued.ticket_id] = queued
+
+    def remove(self, ticket_id: int) -> QueuedCall | None:
+        queued = self._queued.pop(ticket_id, None)
+        if queued is None:
             return None
-        self._lanes[waiting.ticket.workspace].discard(waiting)
-        return waiting
+        self._workspace_queues[queued.ticket.workspace].discard(queued)
+        return queued
 
-    def select(self, test: SelectionTest, now: float) -> Waiting | None:
-        chosen = self._choose(test, now)
+    def select(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
+        chosen = self._choose(selection, now)
         if chosen is None:
             return None
         self._charge(chosen)
-        self.remove(chosen.waiting_id)
+        self.remove(chosen.ticket_id)
         return chosen
 
     def sum_pending(self, priority: int) -> dict[str, float]:
         pending = {}
-        for name, lane in self._lanes.items():
-            work = sum(w for other, w in lane.pending.items() if other >= priority)
+        for name, queue in self._workspace_queues.items():
+            work = sum(w for other, w in queue.pending.items() if other >= priority)
             if work > 0:
                 pending[name] = work
         return pending
 
     @property
-    def long_waits(self) -> bool:
-        return any(lane.by_age[True] for lane in self._lanes.values())
+    def has_long_calls(self) -> bool:
+        return any(queue.by_age[True] for queue in self._workspace_queues.values())
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
-    def __iter__(self) -> Iterator[Waiting]:
-        return iter(tuple(self._waiting.values()))
+    def __iter__(self) -> Iterator[QueuedCall]:
+        return iter(tuple(self._queued.values()))
 
-    def _choose(self, test: SelectionTest, now: float) -> Waiting | None:
-        if len(self._waiting) <= 1:
-            # nobody to be fair to, as for most calls of a service that has room
-            return _find_first(self._waiting.values(), test.suits)
-        heads = self._find_heads(test, by_age=True)
+    def _choose(self, selection: SelectionFilter, now: float) -> QueuedCall | None:
+        if len(self._queued) <= 1:
+            # nothing to arbitrate, which is the common case below saturation
+            return _find_first(self._queued.values(), selection.accepts)
+        heads = self._find_heads(selection, by_age=True)
         if not heads:
             return None
         fair = _pick_fair(heads)
@@ -251,56 +257,65 @@
             self._fair_credit -= fair.expected
             chosen = fair
         else:
-            chosen = self._pick(self._find_heads(test, by_age=False), test, now)
+            chosen = self._pick(
+                self._find_heads(selection, by_age=False), selection, now
+            )
         self._fair_credit += chosen.expected / FAIR_PERIOD
         return chosen
 
-    def _forget_idle(self) -> None:
-        """Drop the lanes of workspaces that would start anew at the common time."""
-        for name, lane in tuple(self._lanes.items()):
-            if not lane and lane.virtual <= self._virtual:
-                del self._lanes[name]
+    def _evict_idle(self) -> None:
+        """Drop idle workspaces whose virtual time would be reset anyway."""
+        for name, queue in tuple(self._workspace_queues.items()):
+            if not queue and queue.virtual_time <= self._virtual_time:
+                del self._workspace_queues[name]
 
     def _find_heads(
-        self, test: SelectionTest, *, by_age: bool
-    ) -> list[tuple[_Lane, Waiting]]:
+        self, selection: SelectionFilter, *, by_age: bool
+    ) -> list[tuple[_WorkspaceQueue, QueuedCall]]:
         heads = []
-        for lane in self._lanes.values():
-            if not lane:
+        for queue in self._workspace_queues.values():
+            if not queue:
                 continue
-            find = lane.find_oldest if by_age else lane.find_most_urgent
-            head = find(test)
+            find = queue.find_oldest if by_age else queue.find_most_urgent
+            head = find(selection)
             if head is not None:
-                heads.append((lane, head))
+                heads.append((queue, head))
         return heads
 
     def _pick(
-        self, heads: list[tuple[_Lane, Waiting]], test: SelectionTest, now: float
-    ) -> Waiting:
+        self,
+        heads: list[tuple[_WorkspaceQueue, QueuedCall]],
+        selection: SelectionFilter,
+        now: float,
+    ) -> QueuedCall:
         top = max(head.ticket.priority for _, head in heads)
         first = [pair for pair in heads if pair[1].ticket.priority == top]
-        limit = min(lane.virtual for lane, _ in first) + self._quantum
-        eligible = [pair for pair in first if pair[0].virtual <= limit]
+        limit = min(queue.virtual_time for queue, _ in first) + self._quantum
+        eligible = [pair for pair in first if pair[0].virtual_time <= limit]
         urgent = min((head for _, head in eligible), key=_sort_key)
-        if urgent.safe_start - now < HURRY:
+        if urgent.safe_start - now < URGENT_MARGIN:
             return urgent
-        found = [lane.find_most_urgent(test, preferred=True) for lane, _ in eligible]
+        found = [
+            queue.find_most_urgent(selection, preferred=True) for queue, _ in eligible
+        ]
         preferred = [
-            waiting
-            for waiting in found
-            if waiting is not None and waiting.ticket.priority == top
+            queued
+            for queued in found
+            if queued is not None and queued.ticket.priority == top
         ]
         return min(preferred, key=_sort_key, default=urgent)
 
-    def _charge(self, waiting: Waiting) -> None:
-        name = waiting.ticket.workspace
-        lane = self._lanes[name]
-        lowest = lane.virtual
-        if len(self._waiting) > 1:
-            lowest = min(other.virtual for other in self._lanes.values() if other)
-        self._virtual = max(self._virtual, lowest)
-        lane.virtual += waiting.expected / self._weigh(name)
+    def _charge(self, queued: QueuedCall) -> None:
+        name = queued.ticket.workspace
+        queue = self._workspace_queues[name]
+        lowest = queue.virtual_time
+        if len(self._queued) > 1:
+            lowest = min(
+                other.virtual_time for other in self._workspace_queues.values() if other
+            )
+        self._virtual_time = max(self._virtual_time, lowest)
+        queue.virtual_time += queued.expected / self._weigh(name)
 
 
-def _pick_fair(heads: list[tuple[_Lane, Waiting]]) -> Waiting:
-    return min(heads, key=lambda pair: (pair[0].virtual, pair[1].waiting_id))[1]
+def _pick_fair(heads: list[tuple[_WorkspaceQueue, QueuedCall]]) -> QueuedCall:
+    return min(heads, key=lambda pair: (pair[0].virtual_time, pair[1].ticket_id))[1]
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduling of stage calls: a queue for each service, bound late to targets."""
+"""Scheduling of stage calls: one queue per service, late binding to targets."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from . import Grant, Outcome, Ticket
 from .breakers import BreakerRule
 from .budgets import Budget, BudgetRule
-from .choice import ChoiceRule, TwoChoices
+from .choice import ChoiceRule, PowerOfTwoChoices
 from .durations import DurationTracker
+from .free_capacity import FreeCapacity
 from .limits import LimitRule
-from .queue import FairQueue, Waiting
+from .queue import FairQueue, QueuedCall
 from .refusals import create_refusal
-from .room import Room
 from .service import ServiceLoad
 from .weights import scale_margin, weigh_evenly
 
-__all__ = ("RETRIES", "Decision", "Scheduler", "SchedulerRule")
+__all__ = ("RETRY_BUDGET", "Decision", "Scheduler", "SchedulerRule")
 
-#: budget of repeated and backup calls
-RETRIES = BudgetRule(share=0.1, burst=10, per_second=0.5)
+#: budget of retries and hedged calls
+RETRY_BUDGET = BudgetRule(share=0.1, burst=10, per_second=0.5)
 
-#: seconds after which calls that wait are looked at again, as load reports and
-#: deadlines make no event
+#: seconds after which queued calls are reconsidered, as load reports and deadlines
+#: cause no event
 WAKE_INTERVAL = 0.02
-#: seconds after which a lost data centre or service may be back
+#: retry-after time in seconds if a service has no reachable target
 NO_TARGET_RETRY = 1.0
 
 
@@ -42,42 +42,41 @@
     limit: LimitRule = field(default_factory=LimitRule)
     breaker: BreakerRule = field(default_factory=BreakerRule)
     choice: ChoiceRule = field(default_factory=ChoiceRule)
-    retries: BudgetRule = RETRIES
-    #: calls that may wait for one service
-    queue_bound: int = 2000
+    retries: BudgetRule = RETRY_BUDGET
+    #: maximum queue length of one service
+    queue_limit: int = 2000
     #: share of each target's limit that only short calls may use
     short_share: float = 0.2
-    #: percentile of the stage's duration that must fit for a call to start where
+    #: percentile of the stage's duration that must fit for a call to start while
     #: targets are idle
     idle_percentile: float = 10
-    #: share of the calls started where others wait that may yet end too late
+    #: share of the calls started on busy targets that may miss their deadline
     late_share: float = 0.03
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What became of a ticket: a grant, or a refusal with nothing run."""
+    """Decision on a ticket: a grant, or a refusal without any execution."""
 
-    waiting_id: int
+    ticket_id: int
     result: Result[Grant, Refusal]
 
 
 class Scheduler:
     """Decides which call goes to which target, and when.
 
-    A call waits for its service, not for a target: it is given a target only at
-    the moment that one has room. So a target that begins to leave, or fails, holds
-    no waiting call that would have to be moved.
+    A call is queued for its service and bound to a target only when one has free
+    capacity. So no queued call has to be moved if a target drains or fails.
 
-    Nothing here waits. Callers ``submit``, then ``poll`` after each event and at
-    :meth:`find_next_wake`; decisions name the ticket by the id from ``submit``.
+    No method blocks. Callers ``submit``, then ``poll`` after each event and at
+    :meth:`find_next_wake`; decisions carry the ticket id returned by ``submit``.
 
     :param weigh: returns a workspace's weight in the fair shares, above 0.
-    :param count_choosers: returns how many instances send calls to one target of
+    :param count_senders: returns how many instances send calls to one target of
         the named service.
-    :param find_weights: returns how a workspace's calls of a pipeline weigh
-        attainment against cost.
-    :param estimate_rest: returns the seconds that the stages after a ticket's own
+    :param find_weights: returns the weights of attainment and cost for a
+        workspace's calls of a pipeline.
+    :param estimate_remaining: returns the seconds that the stages after a ticket's own
         are expected to take.
     """
 
@@ -89,8 +88,8 @@
         data_centre: str,
         random_source: random.Random,
         weigh: Callable[[str], float],
-        count_choosers: Callable[[str], float],
-        estimate_rest: Callable[[Ticket, float], float],
+        count_senders: Callable[[str], float],
+        estimate_remaining: Callable[[Ticket, float], float],
         durations: DurationTracker,
         now: float,
         find_weights: Callable[[str, str], Weights] = weigh_evenly,
@@ -100,30 +99,30 @@
         self._data_centre = data_centre
         self._random = random_source
         self._weigh = weigh
-        self._count_choosers = count_choosers
-        self._estimate_rest = estimate_rest
+        self._count_senders = count_senders
+        self._estimate_remaining = estimate_remaining
         self._find_weights = find_weights
         self._durations = durations
         self._retries = Budget(rule.retries, now)
         self._services: dict[str, ServiceLoad] = {}
-        self._homes: dict[int, ServiceLoad] = {}
-        self._dirty: set[str] = set()
-        self._decided: list[Decision] = []
-        self._last_id = 0
-        self._last_grant = 0
+        self._queued_services: dict[int, ServiceLoad] = {}
+        self._dirty_services: set[str] = set()
+        self._decisions: list[Decision] = []
+        self._last_ticket_id = 0
+        self._last_grant_id = 0
 
     @property
-    def retries(self) -> Budget:
-        """The budget of repeated calls."""
+    def retry_budget(self) -> Budget:
+        """The budget of retries and hedged calls."""
         return self._retries
 
     @property
     def waiting(self) -> int:
-        """Number of calls that wait."""
-        return len(self._homes)
+        """Number of queued calls."""
+        return len(self._queued_services)
 
     def find_service(self, name: str) -> ServiceLoad:
-        """Return the load of a service, an empty one if it is new."""
+        """Return the load of a service, creating it if needed."""
         service = self._services.get(name)
         if service is None:
             service = self._services[name] = ServiceLoad(
@@ -136,99 +135,99 @@
                 data_centre=self._data_centre,
                 random_source=self._random,
                 durations=self._durations,
-                choice=TwoChoices(self._rule.choice),
+                choice=PowerOfTwoChoices(self._rule.choice),
                 queue=FairQueue(self._weigh),
                 weigh=self._weigh,
-                count_choosers=self._count_choosers,
+                count_senders=self._count_senders,
             )
         return service
 
     def list_services(self) -> tuple[ServiceLoad, ...]:
-        """Return the load of all services that were ever called."""
+        """Return the loads of all services called so far."""
         return tuple(self._services.values())
 
     def submit(self, ticket: Ticket, now: float) -> int:
-        """Take in a ticket and return the id that its decision will carry."""
-        self._last_id += 1
+        """Queue or refuse a ticket; return the id that its decision will carry."""
+        self._last_ticket_id += 1
         service = self.find_service(ticket.service)
-        refusal = self._find_fault(service, ticket, now)
+        refusal = self._check_submission(service, ticket, now)
         if refusal is not None:
-            self._decided.append(Decision(self._last_id, Err(refusal)))
-            return self._last_id
-        waiting = self._prepare(service, ticket, now)
-        service.queue.push(waiting)
-        self._homes[waiting.waiting_id] = service
-        self._dirty.add(service.name)
-        return waiting.waiting_id
+            self._decisions.append(Decision(self._last_ticket_id, Err(refusal)))
+            return self._last_ticket_id
+        queued = self._prepare(service, ticket, now)
+        service.queue.push(queued)
+        self._queued_services[queued.ticket_id] = service
+        self._dirty_services.add(service.name)
+        return queued.ticket_id
 
     def poll(self, now: float) -> tuple[Decision, ...]:
-        """Return the decisions that have come about."""
-        dirty, self._dirty = self._dirty, set()
+        """Return the decisions made since the last call."""
+        dirty, self._dirty_services = self._dirty_services, set()
         for name in sorted(dirty):
-            self._serve(self._services[name], now)
-        decided, self._decided = self._decided, []
+            self._dispatch(self._services[name], now)
+        decided, self._decisions = self._decisions, []
         return tuple(decided)
 
     def expire(self, now: float) -> None:
-        """Refuse the calls that can't be done in time any more.
+        """Refuse the queued calls that can't meet their deadline any more.
 
-        It also looks again for room, which reports may have shown meanwhile.
+        Also reconsiders the others, as load reports may show free capacity.
         """
         for service in self._services.values():
             if not len(service.queue):
                 continue
-            self._dirty.add(service.name)
+            self._dirty_services.add(service.name)
             busy = _is_contended(service, now)
-            for waiting in service.queue:
-                if not _is_late(waiting, busy, now):
+            for queued in service.queue:
+                if not _is_late(queued, busy, now):
                     continue
-                service.queue.remove(waiting.waiting_id)
-                self._refuse_late(service, waiting, now)
+                service.queue.remove(queued.ticket_id)
+                self._refuse_late(service, queued, now)
 
-    def withdraw(self, waiting_id: int) -> None:
-        """Forget a call that its caller has given up."""
-        service = self._homes.pop(waiting_id, None)
+    def cancel(self, ticket_id: int) -> None:
+        """Remove a call that its caller has abandoned from the queue."""
+        service = self._queued_services.pop(ticket_id, None)
         if service is not None:
-            service.queue.remove(waiting_id)
+            service.queue.remove(ticket_id)
 
     def finish(self, grant: Grant, outcome: Outcome, now: float) -> None:
-        """Take back a grant."""
+        """Release a grant and record its outcome."""
         service = self.find_service(grant.ticket.service)
         service.finish(grant, outcome, now)
-        self._dirty.add(service.name)
+        self._dirty_services.add(service.name)
 
-    def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
-        """Take in that a granted stream has begun."""
-        self.find_service(grant.ticket.service).note_first_token(grant, seconds, now)
+    def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
+        """Record the time to first token of a granted stream."""
+        self.find_service(grant.ticket.service).record_first_token(grant, seconds, now)
 
-    def touch(self) -> None:
-        """Look again at all services, as the directory has changed."""
-        self._dirty.update(self._services)
+    def mark_all_dirty(self) -> None:
+        """Mark all services for scheduling, as the target directory has changed."""
+        self._dirty_services.update(self._services)
 
     def find_next_wake(self, now: float) -> float | None:
         """Return the monotonic seconds at which to ``expire`` and ``poll`` next."""
-        if not self._homes:
+        if not self._queued_services:
             return None
         return now + WAKE_INTERVAL
 
-    def _find_fault(
+    def _check_submission(
         self, service: ServiceLoad, ticket: Ticket, now: float
     ) -> Refusal | None:
         if not self._directory.candidates(ticket.service):
-            message = f"service {ticket.service} has no target in reach"
+            message = f"service {ticket.service} has no reachable target"
             return create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
-        if len(service.queue) >= self._rule.queue_bound:
-            message = f"too many calls wait for {ticket.service}"
+        if len(service.queue) >= self._rule.queue_limit:
+            message = f"the queue of service {ticket.service} is full"
             return self._create_overload(service, ticket, message, now)
         if not ticket.retry:
-            self._retries.note_ordinary(now)
+            self._retries.record_request(now)
             return None
-        if self._retries.take(now):
+        if self._retries.try_spend(now):
             return None
-        message = "too many calls are being repeated"
+        message = "the retry budget is exhausted"
         return self._create_overload(service, ticket, message, now)
 
-    def _prepare(self, service: ServiceLoad, ticket: Ticket, now: float) -> Waiting:
+    def _prepare(self, service: ServiceLoad, ticket: Ticket, now: float) -> QueuedCall:
         kind = (ticket.pipeline, ticket.stage)
         allotted = max(0.0, ticket.stage_deadline - now)
         rule = self._rule
@@ -237,61 +236,67 @@
         weights = self._find_weights(ticket.workspace, ticket.pipeline)
         most = service.estimate_safe_duration(kind, allotted, now)
         most *= scale_margin(weights)
-        end = ticket.deadline - self._estimate_rest(ticket, now)
-        return Waiting(
-            waiting_id=self._last_id,
+        end = ticket.deadline - self._estimate_remaining(ticket, now)
+        return QueuedCall(
+            ticket_id=self._last_ticket_id,
             ticket=ticket,
             entered=now,
             expected=expected,
-            urgency=ticket.stage_deadline - expected,
+            start_by=ticket.stage_deadline - expected,
             latest_start=end - least,
             safe_start=end - most,
             long=service.is_long(kind, now),
         )
 
-    def _serve(self, service: ServiceLoad, now: float) -> None:
-        """Grant calls until nothing suits or there is no room."""
-        service.watch(now)
+    def _dispatch(self, service: ServiceLoad, now: float) -> None:
+        """Grant queued calls until no target can serve any of them."""
+        service.check_overdue(now)
         if not len(service.queue):
             return
         if not self._directory.candidates(service.name):
             self._refuse_all(service)
             return
-        room = service.find_room(now)
+        capacity = service.find_free_capacity(now)
         while True:
             queue = service.queue
-            room.begin(long_waits=queue.long_waits, rush=len(queue) > 1)
-            waiting = service.queue.select(room, now)
-            if waiting is None:
+            capacity.begin(long_queued=queue.has_long_calls, contended=len(queue) > 1)
+            queued = service.queue.select(capacity, now)
+            if queued is None:
                 return
-            if _is_late(waiting, service.is_busy(now), now):
-                self._refuse_late(service, waiting, now)
+            if _is_late(queued, service.is_busy(now), now):
+                self._refuse_late(service, queued, now)
                 continue
-            self._grant(service, waiting, room, now)
+            self._grant(service, queued, capacity, now)
 
     def _grant(
-        self, service: ServiceLoad, waiting: Waiting, room: Room, now: float
+        self,
+        service: ServiceLoad,
+        queued: QueuedCall,
+        capacity: FreeCapacity,
+        now: float,
     ) -> None:
-        view = room.choose(waiting, now)
-        self._last_grant += 1
+        view = capacity.choose(queued, now)
+        self._last_grant_id += 1
         grant = Grant(
-            self._last_grant, waiting.ticket, view.target, now, probe=view.ejected
+            self._last_grant_id, queued.ticket, view.target, now, probe=view.ejected
         )
-        held = room.take(view, long=waiting.long)
-        service.start(grant, waiting, held)
-        self._decide(waiting, Ok(grant))
+        held = capacity.reserve(view, long=queued.long)
+        service.start(grant, queued, held)
+        self._decide(queued, Ok(grant))
 
     def _refuse_all(self, service: ServiceLoad) -> None:
-        message = f"service {service.name} has no target in reach any more"
+        message = f"service {service.name} has lost its last reachable target"
         refusal = create_refusal(RefusalCode.NO_TARGET, message, NO_TARGET_RETRY)
-        for waiting in service.queue:
-            service.queue.remove(waiting.waiting_id)
-            self._decide(waiting, Err(refusal))
+        for queued in service.queue:
+            service.queue.remove(queued.ticket_id)
+            self._decide(queued, Err(refusal))
 
-    def _refuse_late(self, service: ServiceLoad, waiting: Waiting, now: float) -> None:
-        message = f"no target of {service.name} had room in time"
-        refusal = self._create_overload(service, waiting.ticket, message, now)
-        self._decide(waiting, Err(refusal))
+    def _refuse_late(
+        self, service: ServiceLoad, queued: QueuedCall, now: float
+    ) -> None:
+        message = f"no target of service {service.name} had free capacity in time"
+        refusal = self._create_overload(service, queued.ticket, message, now)
+        self._decide(queued, Err(refusal))
 
     def _create_overload(
         self, service: ServiceLoad, ticket: Ticket, message: str, now: float
@@ -302,24 +307,23 @@
         wait = service.estimate_wait(ticket.workspace, ticket.priority, work, now)
         return create_refusal(RefusalCode.OVERLOADED, message, wait)
 
-    def _decide(self, waiting: Waiting, result: Result[Grant, Refusal]) -> None:
-        self._homes.pop(waiting.waiting_id, None)
-        self._decided.append(Decision(waiting.waiting_id, result))
+    def _decide(self, queued: QueuedCall, result: Result[Grant, Refusal]) -> None:
+        self._queued_services.pop(queued.ticket_id, None)
+        self._decisions.append(Decision(queued.ticket_id, result))
 
 
-def _is_late(waiting: Waiting, busy: bool, now: float) -> bool:
-    """Whether starting a call is pointless.
+def _is_late(queued: QueuedCall, busy: bool, now: float) -> bool:
+    """Whether it is too late to start a call.
 
-    Where targets are busy, a call that will probably end too late takes the place
-    of one that would not: under overload they would then work mostly for nothing,
-    seen as attainment that falls as the load rises. Where they are idle, or where
-    only a short call is missing to a request on which work was spent, the least
-    chance is worth taking.
+    On busy targets, a call that will probably miss its deadline displaces one that
+    would meet it: most work is then wasted under overload, and attainment falls as
+    the load rises. If targets are idle, or if a request on which work was already
+    spent only needs a short call, even a small chance of success is worth it.
     """
-    cautious = busy and (waiting.long or not waiting.ticket.begun)
-    return now > (waiting.safe_start if cautious else waiting.latest_start)
+    cautious = busy and (queued.long or not queued.ticket.begun)
+    return now > (queued.safe_start if cautious else queued.latest_start)
 
 
 def _is_contended(service: ServiceLoad, now: float) -> bool:
-    """Whether some call waits that would still end in time."""
-    return any(now <= waiting.safe_start for waiting in service.queue)
+    """Whether a queued call would probably still meet its deadline."""
+    return any(now <= queued.safe_start for queued in service.queue)
--- a/packages/greengagelatch/src/greengagelatch/load/service.py
+++ b/packages/greengagelatch/src/greengagelatch/load/service.py
@@ -1,4 +1,4 @@
-"""The load of one service as this instance sees it."""
+"""Load of one service as this instance estimates it."""
 
 from __future__ import annotations
 
@@ -9,54 +9,55 @@
 
 from ..targets.directory import Candidate, TargetDirectory
 from . import Grant, Outcome, OutcomeKind
-from .breakers import BreakerRule, BreakerState, find_ejected, trip_slow
+from .breakers import BreakerRule, BreakerState, find_ejected, trip_slow_targets
 from .choice import TargetChoice
 from .durations import DurationTracker
+from .free_capacity import FreeCapacity
 from .limits import LimitRule
 from .loads import TargetLoad
-from .queue import CallQueue, Waiting
-from .room import Room
-from .times import CallTimes, Kind, find_kind
+from .queue import CallQueue, QueuedCall
+from .times import CallKind, CallTimes, find_kind
 from .waits import DrainRate, estimate_fair_wait
 
 __all__ = ("ServiceLoad",)
 
-#: a call is overdue at this multiple of its median, and at each doubling of it
-OVERDUE = 4.0
-#: seconds between two looks at the calls that are out
-WATCH_INTERVAL = 0.1
-#: slowness from which a target's streams don't count for the curve of all targets
-SLOW_FOR_CURVE = 2.0
-#: targets that have gone are forgotten once there are this many
-FORGET_ABOVE = 64
+#: multiple of the median duration at which a running call counts as overdue; counted
+#: again at each doubling
+OVERDUE_RATIO = 4.0
+#: seconds between two checks for overdue calls
+OVERDUE_INTERVAL = 0.1
+#: slowness above which a target's streams are not used to tune the concurrency
+MAX_TUNING_SLOWNESS = 2.0
+#: number of known targets from which absent ones are evicted
+EVICT_ABOVE = 64
 
 
 @dataclass(slots=True)
 class _Running:
-    """A granted call; ``overdue`` is the next multiple of the median to be noted."""
+    """A granted call; ``overdue`` is the next multiple of the median to record."""
 
     grant: Grant
     long: bool
-    held: float
-    #: calls held by its target over all reports so far, and number of reports
+    expected_in_flight: float
+    #: sum of its target's reported calls over all reports so far, and their number
     reported: float
     reports: int
-    overdue: float = OVERDUE
-    #: whether its first token has come
+    overdue: float = OVERDUE_RATIO
+    #: whether its first token was received
     begun: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownRoom:
-    """The room as it was worked out last, and from what."""
+class _CachedCapacity:
+    """The free capacity computed last, and its inputs."""
 
     at: float
     candidates: tuple[Candidate, ...]
-    room: Room
+    capacity: FreeCapacity
 
 
 class ServiceLoad:
-    """Queue, calls in flight and targets of one service."""
+    """Queue, calls in flight and target loads of one service."""
 
     def __init__(
         self,
@@ -73,7 +74,7 @@
         choice: TargetChoice,
         queue: CallQueue,
         weigh: Callable[[str], float],
-        count_choosers: Callable[[str], float],
+        count_senders: Callable[[str], float],
     ) -> None:
         self.name = name
         self.queue = queue
@@ -86,16 +87,16 @@
         self._times = CallTimes(durations, late_share=late_share)
         self._choice = choice
         self._weigh = weigh
-        self._count_choosers = count_choosers
+        self._count_senders = count_senders
         self._targets: dict[str, TargetLoad] = {}
         self._running: dict[int, _Running] = {}
         self._drain = DrainRate()
-        self._watched = float("-inf")
-        self._known_room: _KnownRoom | None = None
+        self._overdue_checked = float("-inf")
+        self._cached_capacity: _CachedCapacity | None = None
 
     @property
     def targets(self) -> dict[str, TargetLoad]:
-        """Load by target id."""
+        """Loads by target id."""
         return self._targets
 
     @property
@@ -104,47 +105,51 @@
         return len(self._running)
 
     def estimate_duration(
-        self, kind: Kind, allotted: float, percentile: float, now: float
+        self, kind: CallKind, allotted: float, percentile: float, now: float
     ) -> float:
         """Return seconds that a call takes once it has started.
 
-        :param allotted: seconds of the deadline that are meant for the stage.
+        :param allotted: seconds of the deadline that are allotted to the stage.
         """
         return self._times.estimate(kind, allotted, percentile, now)
 
-    def estimate_safe_duration(self, kind: Kind, allotted: float, now: float) -> float:
-        """Return seconds within which all but a few of such calls end."""
-        held = self.find_room(now).mean_held
+    def estimate_safe_duration(
+        self, kind: CallKind, allotted: float, now: float
+    ) -> float:
+        """Return seconds within which all but the allowed share of calls end."""
+        held = self.find_free_capacity(now).mean_in_flight
         return self._times.estimate_safe(kind, allotted, held, now)
 
-    def is_long(self, kind: Kind, now: float) -> bool:
-        """Whether the call belongs to the long ones of this service."""
+    def is_long(self, kind: CallKind, now: float) -> bool:
+        """Whether calls of this kind are long ones of this service."""
         return self._times.is_long(kind, now)
 
     def is_busy(self, now: float) -> bool:
-        """Whether its targets are so full that calls take clearly longer."""
-        return len(self.queue) > 0 or self.find_room(now).busy
+        """Whether calls are queued or the targets' utilization is high."""
+        return len(self.queue) > 0 or self.find_free_capacity(now).busy
 
-    def find_room(self, now: float) -> Room:
-        """Return the room of all targets as of ``now``.
+    def find_free_capacity(self, now: float) -> FreeCapacity:
+        """Return the free capacity of all targets as of ``now``.
 
-        A call is asked about several times at one moment, from its arrival to its
-        grant, and working the room out is most of what a decision costs.
+        The result is cached: one call needs it several times at the same moment,
+        from arrival to grant, and computing it is most of the cost of a decision.
         """
         candidates = self._directory.candidates(self.name)
-        known = self._known_room
+        known = self._cached_capacity
         if known is None or known.at != now or known.candidates != candidates:
-            room = self._work_out_room(candidates, now)
-            known = self._known_room = _KnownRoom(now, candidates, room)
-        return known.room
-
-    def _work_out_room(self, candidates: tuple[Candidate, ...], now: float) -> Room:
-        choosers = max(1.0, self._count_choosers(self.name))
+            capacity = self._compute_free_capacity(candidates, now)
+            known = self._cached_capacity = _CachedCapacity(now, candidates, capacity)
+        return known.capacity
+
+    def _compute_free_capacity(
+        self, candidates: tuple[Candidate, ...], now: float
+    ) -> FreeCapacity:
+        senders = max(1.0, self._count_senders(self.name))
         longest = self._times.find_longest(now)
-        loads = [self._load_of(candidate, longest, now) for candidate in candidates]
+        loads = [self._find_load(candidate, longest, now) for candidate in candidates]
         known = [load.count_reported_others() for load in loads]
-        told = [count for count in known if count is not None]
-        usual = fmean(told) if told else 0.0
+        reported = [count for count in known if count is not None]
+        usual = fmean(reported) if reported else 0.0
         ids = [candidate.target.target_id for candidate in candidates]
         breakers = [
             (target_id, load.breaker)
@@ -159,101 +164,108 @@
                 load.view(
                     candidate,
                     others=others,
-                    choosers=choosers,
-                    near=candidate.target.data_centre == self._data_centre,
+                    senders=senders,
+                    local=candidate.target.data_centre == self._data_centre,
                     ejected=candidate.target.target_id in ejected,
-                    probing=state is BreakerState.PROBING,
+                    half_open=state is BreakerState.HALF_OPEN,
                 )
             )
-        return Room(
+        return FreeCapacity(
             tuple(views),
             short_share=self._short_share,
             choice=self._choice,
             random_source=self._random,
         )
 
-    def start(self, grant: Grant, waiting: Waiting, held: float) -> None:
-        """Count a granted call; ``held`` is what its target held by expectation."""
+    def start(self, grant: Grant, queued: QueuedCall, held: float) -> None:
+        """Count a granted call.
+
+        :param held: estimated calls in flight at its target before it.
+        """
         priority = grant.ticket.priority
-        self._drain.note_started(priority, waiting.expected, grant.granted)
-        self._known_room = None
+        self._drain.record_start(priority, queued.expected, grant.granted)
+        self._cached_capacity = None
         load = self._targets[grant.target.target_id]
-        load.change(1, long=waiting.long, now=grant.granted)
+        load.adjust_in_flight(1, long=queued.long, now=grant.granted)
         if grant.probe:
             load.breaker.begin_probe(grant.granted)
         self._running[grant.grant_id] = _Running(
-            grant, waiting.long, held, load.reported, load.reports
+            grant, queued.long, held, load.reported, load.reports
         )
 
     def finish(self, grant: Grant, outcome: Outcome, now: float) -> None:
-        """Count out a granted call and learn from how it ended."""
+        """Remove a granted call and record its outcome."""
         running = self._running.pop(grant.grant_id, None)
         if running is None:
             return
-        self._known_room = None
+        self._cached_capacity = None
         load = self._targets[grant.target.target_id]
-        load.change(-1, long=running.long, now=now)
+        load.adjust_in_flight(-1, long=running.long, now=now)
         if outcome.tokens:
-            self._note_tokens(running, load, outcome, now)
+            self._record_tokens(running, load, outcome, now)
         ticket = grant.ticket
         match outcome.kind:
             case OutcomeKind.SUCCESS:
-                self._note_answer(running, load, outcome, now)
+                self._record_answer(running, load, outcome, now)
             case OutcomeKind.FAILURE:
-                load.breaker.note_failure(now)
+                load.breaker.record_failure(now)
             case OutcomeKind.REJECTED:
-                load.limit.note_rejection(running.held, now)
+                load.limit.record_rejection(running.expected_in_flight, now)
             case OutcomeKind.ABANDONED:
                 if outcome.tokens:
-                    load.breaker.note_time(self._times.rate_end(ticket, outcome, now))
-        self._times.note_end(ticket, outcome, now)
+                    load.breaker.record_latency(
+                        self._times.compare_duration(ticket, outcome, now)
+                    )
+        self._times.record_end(ticket, outcome, now)
 
-    def note_first_token(self, grant: Grant, seconds: float, now: float) -> None:
-        """Learn from how long a stream took to begin."""
+    def record_first_token(self, grant: Grant, seconds: float, now: float) -> None:
+        """Record the time to first token of a stream."""
         running = self._running.get(grant.grant_id)
         if running is None:
             return
         running.begun = True
-        self._known_room = None
-        ratio = self._times.rate_first_token(grant.ticket, seconds, now)
-        self._targets[grant.target.target_id].breaker.note_time(ratio)
+        self._cached_capacity = None
+        ratio = self._times.compare_first_token(grant.ticket, seconds, now)
+        self._targets[grant.target.target_id].breaker.record_latency(ratio)
 
-    def watch(self, now: float) -> None:
-        """Notice calls that are out far longer than usual, and slow targets."""
-        if now - self._watched < WATCH_INTERVAL:
+    def check_overdue(self, now: float) -> None:
+        """Record overdue calls and trip the breakers of slow targets."""
+        if now - self._overdue_checked < OVERDUE_INTERVAL:
             return
-        self._watched = now
-        self._known_room = None
+        self._overdue_checked = now
+        self._cached_capacity = None
         for running in self._running.values():
-            self._note_overdue(running, now)
+            self._record_overdue(running, now)
         breakers = [load.breaker for load in self._targets.values()]
-        trip_slow(breakers, self._breaker_rule, now)
+        trip_slow_targets(breakers, self._breaker_rule, now)
 
-    def _note_overdue(self, running: _Running, now: float) -> None:
+    def _record_overdue(self, running: _Running, now: float) -> None:
         grant = running.grant
         elapsed = now - grant.granted
-        ratio = self._times.rate_open(grant.ticket, elapsed, now, begun=running.begun)
+        ratio = self._times.compare_elapsed(
+            grant.ticket, elapsed, now, begun=running.begun
+        )
         if ratio < running.overdue:
             return
-        self._targets[grant.target.target_id].breaker.note_time(ratio)
+        self._targets[grant.target.target_id].breaker.record_latency(ratio)
         running.overdue *= 2
 
-    def _note_answer(
+    def _record_answer(
         self, running: _Running, load: TargetLoad, outcome: Outcome, now: float
     ) -> None:
         ticket = running.grant.ticket
         seconds = outcome.seconds
         baseline = self._times.find_baseline(find_kind(ticket), seconds, now)
-        load.breaker.note_time(self._times.rate_end(ticket, outcome, now))
-        if load.breaker.note_success():
-            load.limit.restart(now)
-        usual = baseline + self._limit_rule.wait
-        load.limit.note_latency(seconds / usual, running.held, now)
+        load.breaker.record_latency(self._times.compare_duration(ticket, outcome, now))
+        if load.breaker.record_success():
+            load.limit.reset(now)
+        usual = baseline + self._limit_rule.allowed_queueing
+        load.limit.record_latency(seconds / usual, running.expected_in_flight, now)
 
     def estimate_wait(
         self, workspace: str, priority: int, work: float, now: float
     ) -> float:
-        """Return seconds that a call of ``work`` seconds would wait, if it came now."""
+        """Return the queueing time of a call of ``work`` seconds arriving now."""
         if not len(self.queue):
             return 0.0
         pending = self.queue.sum_pending(priority)
@@ -262,40 +274,45 @@
         return estimate_fair_wait(pending, workspace, self._weigh, rate)
 
     def find_rate(self, priority: int, now: float) -> float:
-        """Return the seconds of work of a priority that are started each second."""
-        self._drain.note_queue(len(self.queue), now)
+        """Return the seconds of work started each second for a priority."""
+        self._drain.record_queue_length(len(self.queue), now)
         return self._drain.estimate(priority, self._count_slots(now), now)
 
-    def _note_tokens(
+    def _record_tokens(
         self, running: _Running, load: TargetLoad, outcome: Outcome, now: float
     ) -> None:
-        """Tell the curve of a stream and of how many calls its target held then.
+        """Record a stream and its target's concurrency for concurrency tuning.
 
-        Not of one at a slow target: it would seem that few calls side by side take
-        as long as many.
+        Streams of slow targets are excluded: they would make a low concurrency look
+        as slow as a high one.
         """
-        if load.breaker.slowness > SLOW_FOR_CURVE:
+        if load.breaker.slowness > MAX_TUNING_SLOWNESS:
             return
         reports = load.reports - running.reports
-        held = running.held
+        held = running.expected_in_flight
         if reports > 0:
             held = (load.reported - running.reported) / reports
-        self._times.knees.note(held, outcome.seconds, outcome.tokens, now)
+        self._times.concurrency.record(held, outcome.seconds, outcome.tokens, now)
 
     def _count_slots(self, now: float) -> float:
-        """Return how many calls this instance can have in flight, by expectation."""
-        choosers = max(1.0, self._count_choosers(self.name))
+        """Return the estimated number of calls this instance can have in flight."""
+        senders = max(1.0, self._count_senders(self.name))
         return sum(
-            max(view.limit / choosers, view.limit - view.held + view.mine)
-            for view in self.find_room(now).views
+            max(
+                view.limit / senders,
+                view.limit - view.expected_in_flight + view.own_in_flight,
+            )
+            for view in self.find_free_capacity(now).views
             if not view.ejected
         )
 
-    def _load_of(self, candidate: Candidate, longest: float, now: float) -> TargetLoad:
+    def _find_load(
+        self, candidate: Candidate, longest: float, now: float
+    ) -> TargetLoad:
         target_id = candidate.target.target_id
         load = self._targets.get(target_id)
         if load is None:
-            self._forget_idle()
+            self._evict_absent()
             load = self._targets[target_id] = TargetLoad(
                 limit_rule=self._limit_rule,
                 breaker_rule=self._breaker_rule,
@@ -304,19 +321,21 @@
         report = candidate.report
         if report is None or not load.is_new(report):
             return load
-        pressed = len(self.queue) > 1
-        knee = self._times.knees.find(report.capacity, pressed=pressed, now=now)
-        load.take_report(report, longest, knee)
+        backlogged = len(self.queue) > 1
+        capacity = self._times.concurrency.update(
+            report.capacity, backlogged=backlogged, now=now
+        )
+        load.apply_report(report, longest, capacity)
         return load
 
-    def _forget_idle(self) -> None:
-        """Drop targets that have gone, or each replacement would use more memory."""
-        if len(self._targets) < FORGET_ABOVE:
+    def _evict_absent(self) -> None:
+        """Drop absent targets, or each replaced target would leak memory."""
+        if len(self._targets) < EVICT_ABOVE:
             return
         present = {
             candidate.target.target_id
             for candidate in self._directory.candidates(self.name)
         }
         for target_id, load in tuple(self._targets.items()):
-            if load.mine == 0 and target_id not in present:
+            if load.own_in_flight == 0 and target_id not in present:
                 del self._targets[target_id]
--- a/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
+++ b/packages/greengagelatch/src/greengagelatch/quotas/ledger.py
@@ -1,4 +1,4 @@
-"""Applies quotas: counts use here and follows demand elsewhere."""
+"""Quota ledger: local usage of quotas, and shares by the demand of all instances."""
 
 from __future__ import annotations
 
@@ -8,245 +8,252 @@
 from ..config.effects import Quota
 from ..peers import Member
 from . import Admission, QuotaKey, digest_text
-from .absence import Roster, RosterKeeper
-from .bucket import Bucket
 from .demand import DemandMeter
+from .demand_table import ROWS_PER_ROUND, DemandSample, DemandTable
+from .membership import MembershipTracker, MembershipView
 from .messages import DemandReport
-from .shares import ShareFacts, compute_part, compute_share
-from .sightings import ROWS_A_ROUND, Sighting, Sightings
-
-__all__ = ("QuotaLedger", "Use")
-
-#: seconds in which news of few keys has reached nearly all instances
-SETTLING = 8.0
-#: times that a row has to be told to be known nearly everywhere
-TIMES_TOLD = 2
-#: seconds without a request after which a key is forgotten
-IDLE = 60.0
-#: keys that are counted; requests of further ones are admitted uncounted
+from .shares import ShareInputs, compute_fraction, compute_share
+from .token_bucket import TokenBucket
+
+__all__ = ("QuotaLedger", "QuotaUsage")
+
+#: seconds in which reports of few keys reach nearly all instances
+BASE_PROPAGATION_TIME = 8.0
+#: times that a row has to be sent to reach nearly all instances
+SENDS_PER_ROW = 2
+#: seconds without a request after which a key expires
+IDLE_EXPIRY = 60.0
+#: maximum number of tracked keys; requests of further ones are admitted uncounted
 MAX_KEYS = 8192
-#: seconds after which asking again is worthwhile at the latest, as shares move
-LONGEST_RETRY = 5.0
+#: longest retry-after time in seconds, as shares change meanwhile
+MAX_RETRY_AFTER = 5.0
 
 
-class Use:
-    """Use of one quota by one workspace, at this instance."""
+class QuotaUsage:
+    """Usage of one quota by one workspace at this instance."""
 
     def __init__(self, quota: Quota, now: float) -> None:
         self.quota = quota
         self.meter = DemandMeter(now)
         self.share = 0.0
-        self.began = now
-        self.asked = now
-        #: shares of instances that are out of reach, by their digests
-        self.kept: dict[int, float] = {}
-        self._requests: Bucket | None = None
-        self._tokens: Bucket | None = None
+        self.created = now
+        self.last_request = now
+        #: shares reserved for unreachable instances, by their digests
+        self.reserved_shares: dict[int, float] = {}
+        self._requests: TokenBucket | None = None
+        self._tokens: TokenBucket | None = None
 
     def set_share(self, share: float, now: float) -> None:
-        """Change the share; a bucket begins as full as its first share lets it."""
+        """Change the share; a new bucket starts full."""
         self.share = share
         self._requests = self._adjust(
             self._requests, self.quota.requests_per_second, now
         )
         self._tokens = self._adjust(self._tokens, self.quota.tokens_per_second, now)
 
-    def ask(self, now: float) -> Admission:
-        """Charge a request, or tell when to ask again."""
+    def admit(self, now: float) -> Admission:
+        """Charge a request, or refuse it with a retry-after time."""
         wait = 0.0
         if self._requests is not None:
             wait = self._requests.measure_wait(1.0, now)
         if self._tokens is not None:
-            # what a request will use is not known before
+            # the tokens of a request are not known in advance
             wait = max(wait, self._tokens.measure_wait(1.0, now))
         if wait > 0:
-            return Admission(admitted=False, retry_after=min(wait, LONGEST_RETRY))
+            return Admission(admitted=False, retry_after=min(wait, MAX_RETRY_AFTER))
         self.charge_request(1.0)
         return Admission(admitted=True)
 
     def charge_request(self, amount: float) -> None:
-        """Charge requests, or give them back where ``amount`` is negative."""
+        """Charge requests, or refund them if ``amount`` is negative."""
         if self._requests is not None:
-            self._requests.take(amount)
+            self._requests.spend(amount)
 
     def charge_tokens(self, count: int) -> None:
-        """Charge tokens that were made; the bucket may be overdrawn."""
+        """Charge generated tokens; the bucket may be overdrawn."""
         if self._tokens is not None:
-            self._tokens.take(count)
+            self._tokens.spend(count)
 
     def _adjust(
-        self, bucket: Bucket | None, rate: float | None, now: float
-    ) -> Bucket | None:
+        self, bucket: TokenBucket | None, rate: float | None, now: float
+    ) -> TokenBucket | None:
         if rate is None:
             return None
         if bucket is None:
-            return Bucket(rate * self.share, self.quota.burst_seconds, now)
+            return TokenBucket(rate * self.share, self.quota.burst_seconds, now)
         bucket.set_rate(rate * self.share, self.quota.burst_seconds, now)
         return bucket
 
 
 class QuotaLedger:
-    """Decides on requests, and on what is told and believed of demand.
+    """Admits requests by quota, and exchanges demand with other instances.
 
-    :param hold: seconds for which the shares of a data centre out of reach are kept.
+    :param hold: seconds for which the shares of an unreachable data centre stay
+        reserved.
     """
 
     def __init__(self, *, instance_id: str, hold: float, random_source: Random) -> None:
         self._own = digest_text(instance_id)
         self._random = random_source
-        self._roster = Roster(frozenset((self._own,)))
-        self._keeper = RosterKeeper(instance_id, hold)
-        self._sightings = Sightings(self._own)
-        #: those that came back in this round
+        self._members = MembershipView(frozenset((self._own,)))
+        self._tracker = MembershipTracker(instance_id, hold)
+        self._table = DemandTable(self._own)
+        #: instances that became reachable again in this round
         self._returned: frozenset[int] = frozenset()
-        self._uses: dict[QuotaKey, Use] = {}
+        self._usages: dict[QuotaKey, QuotaUsage] = {}
         self._digests: dict[QuotaKey, int] = {}
 
     def __len__(self) -> int:
-        return len(self._uses)
+        return len(self._usages)
 
     @property
     def rows(self) -> int:
-        """Number of sightings that are known."""
-        return len(self._sightings)
+        """Number of known demand samples."""
+        return len(self._table)
 
     @property
-    def roster(self) -> Roster:
-        """Instances that count."""
-        return self._roster
+    def members_view(self) -> MembershipView:
+        """Instances that count for the shares."""
+        return self._members
 
     @property
-    def settling(self) -> float:
-        """Seconds in which a change of demand is known everywhere.
+    def propagation_time(self) -> float:
+        """Seconds in which a change of demand propagates to all instances.
 
-        Every instance's row of every key has to be told in turn, also those that
-        are not known here yet, and some are told to whom they are no news.
+        Every instance's row of every key has to be sent in turn, also rows that are
+        not known here yet, and some are sent to instances that already have them.
         """
-        rows = self._sightings.count_keys() * len(self._roster.alive)
-        return SETTLING + TIMES_TOLD * rows / ROWS_A_ROUND
+        rows = self._table.count_keys() * len(self._members.alive)
+        return BASE_PROPAGATION_TIME + SENDS_PER_ROW * rows / ROWS_PER_ROUND
 
-    def list_uses(self) -> list[tuple[QuotaKey, Use]]:
-        """Return all keys in use here."""
-        return list(self._uses.items())
+    def list_uses(self) -> list[tuple[QuotaKey, QuotaUsage]]:
+        """Return all keys with usage here."""
+        return list(self._usages.items())
 
-    def find(self, key: QuotaKey) -> Use | None:
-        """Return the use of a key."""
-        return self._uses.get(key)
+    def find(self, key: QuotaKey) -> QuotaUsage | None:
+        """Return the usage of a key, ``None`` if there is none."""
+        return self._usages.get(key)
 
-    def ask(self, quota: Quota, workspace: str, now: float) -> Admission:
-        """Admit a request of a workspace, or tell when to ask again."""
+    def admit(self, quota: Quota, workspace: str, now: float) -> Admission:
+        """Admit a request of a workspace, or refuse it with a retry-after time."""
         key = QuotaKey(quota.policy, workspace)
-        use = self._uses.get(key)
-        if use is None:
-            if len(self._uses) >= MAX_KEYS:
+        usage = self._usages.get(key)
+        if usage is None:
+            if len(self._usages) >= MAX_KEYS:
                 return Admission(admitted=True)
-            use = self._begin(key, quota, now)
-        elif use.quota != quota:
-            use.quota = quota
-            use.set_share(use.share, now)
-        use.asked = now
-        use.meter.count()
-        return use.ask(now)
+            usage = self._begin(key, quota, now)
+        elif usage.quota != quota:
+            usage.quota = quota
+            usage.set_share(usage.share, now)
+        usage.last_request = now
+        usage.meter.record_request()
+        return usage.admit(now)
 
     def begin_round(self, members: Iterable[Member], now: float) -> None:
-        """Take in what is believed of the members; then refresh each key."""
-        before = self._roster
-        self._roster = self._keeper.update(members, now)
-        self._returned = before.kept & self._roster.alive
+        """Update the member states; each key is to be refreshed afterwards."""
+        before = self._members
+        self._members = self._tracker.update(members, now)
+        self._returned = before.reserved & self._members.alive
 
     def refresh(self, key: QuotaKey, now: float) -> None:
-        """Measure demand on a key here and compute the share anew."""
-        use = self._uses.get(key)
-        if use is None:
+        """Update the local demand on a key and recompute its share."""
+        usage = self._usages.get(key)
+        if usage is None:
             return
         digest = self._digests[key]
-        if now - use.asked >= IDLE:
-            del self._uses[key]
+        if now - usage.last_request >= IDLE_EXPIRY:
+            del self._usages[key]
             del self._digests[key]
-            self._sightings.drop(digest, self._own)
+            self._table.remove(digest, self._own)
             return
-        use.meter.roll(self.settling, self._is_young(use, now), now)
-        self._sightings.note(digest, self._own, Sighting(use.meter.rate, now))
-        use.set_share(self._compute_share(use, digest, now), now)
+        usage.meter.update(self.propagation_time, self._is_settling(usage, now), now)
+        self._table.record(digest, self._own, DemandSample(usage.meter.rate, now))
+        usage.set_share(self._compute_share(usage, digest, now), now)
 
     def create_report(self, now: float) -> DemandReport:
-        """Return what to tell a peer next."""
-        return self._sightings.create_report(now, self._random)
+        """Return the next demand report for a peer."""
+        return self._table.create_report(now, self._random)
 
-    def take_in(self, report: DemandReport, now: float) -> None:
-        """Take in what a peer tells."""
-        self._sightings.take_in(report, now)
+    def apply_report(self, report: DemandReport, now: float) -> None:
+        """Apply a peer's demand report."""
+        self._table.apply_report(report, now)
 
     def expire(self, digest: int, now: float) -> None:
-        """Forget what is too old, or of instances that are no longer known.
+        """Remove samples of a key that are outdated or of unknown instances.
 
-        What is known of an instance that has just come back is old, but dropping it
-        would let this one take over its share until it is heard again.
+        Samples of an instance that has just become reachable again are old, but
+        without them this instance would take over its share until its next report.
         """
-        roster = self._roster
-        lifetime = 2 * self.settling
-        for origin, sighting in tuple(self._sightings.find(digest).items()):
-            if origin == self._own or origin in roster.kept:
+        members_view = self._members
+        lifetime = 2 * self.propagation_time
+        for origin, sample in tuple(self._table.find(digest).items()):
+            if origin == self._own or origin in members_view.reserved:
                 continue
             if origin in self._returned:
-                self._sightings.note(digest, origin, Sighting(sighting.rate, now))
+                self._table.record(digest, origin, DemandSample(sample.rate, now))
                 continue
-            # an instance that leaves says nothing at last
-            longest = lifetime if origin in roster.leaving else IDLE + lifetime
-            known = origin in roster.alive or origin in roster.leaving
-            if not known or now - sighting.taken > longest:
-                self._sightings.drop(digest, origin)
+            # an instance that leaves sends no final report
+            longest = (
+                lifetime if origin in members_view.leaving else IDLE_EXPIRY + lifetime
+            )
+            known = origin in members_view.alive or origin in members_view.leaving
+            if not known or now - sample.measured_at > longest:
+                self._table.remove(digest, origin)
 
     def list_digests(self) -> list[int]:
-        """Return the digests of all keys that something is known of."""
-        return self._sightings.list_keys()
+        """Return the digests of all keys with samples."""
+        return self._table.list_keys()
 
-    def _begin(self, key: QuotaKey, quota: Quota, now: float) -> Use:
-        use = self._uses[key] = Use(quota, now)
+    def _begin(self, key: QuotaKey, quota: Quota, now: float) -> QuotaUsage:
+        usage = self._usages[key] = QuotaUsage(quota, now)
         digest = self._digests[key] = key.digest()
-        use.set_share(self._compute_share(use, digest, now), now)
-        return use
+        usage.set_share(self._compute_share(usage, digest, now), now)
+        return usage
 
-    def _is_young(self, use: Use, now: float) -> bool:
-        return now - use.began < self.settling
+    def _is_settling(self, usage: QuotaUsage, now: float) -> bool:
+        return now - usage.created < self.propagation_time
 
-    def _compute_share(self, use: Use, digest: int, now: float) -> float:
-        roster = self._roster
-        rows = self._sightings.find(digest)
-        young = self._is_young(use, now)
-        own = use.meter.rate if young else use.meter.known
+    def _compute_share(self, usage: QuotaUsage, digest: int, now: float) -> float:
+        members_view = self._members
+        rows = self._table.find(digest)
+        settling = self._is_settling(usage, now)
+        own = usage.meter.rate if settling else usage.meter.propagated_rate
         others = sum(
-            sighting.rate
-            for origin, sighting in rows.items()
+            sample.rate
+            for origin, sample in rows.items()
             if origin != self._own
-            and (origin in roster.alive or origin in roster.leaving)
+            and (origin in members_view.alive or origin in members_view.leaving)
         )
-        self._keep_shares(use, rows, own + others)
-        facts = ShareFacts(
-            rate=use.quota.requests_per_second or 0.0,
+        self._reserve_shares(usage, rows, own + others)
+        inputs = ShareInputs(
+            rate=usage.quota.requests_per_second or 0.0,
             own=own,
             others=others,
-            alive=len(roster.alive),
-            kept=len(use.kept),
-            kept_share=sum(use.kept.values()),
-            young=young,
+            alive=len(members_view.alive),
+            reserved_count=len(usage.reserved_shares),
+            reserved_share=sum(usage.reserved_shares.values()),
+            settling=settling,
         )
-        return compute_share(facts)
-
-    def _keep_shares(self, use: Use, rows: dict[int, Sighting], reached: float) -> None:
-        """Fix the shares of those just lost at what they had, by all that is known."""
-        roster = self._roster
-        use.kept = {
-            origin: share for origin, share in use.kept.items() if origin in roster.kept
+        return compute_share(inputs)
+
+    def _reserve_shares(
+        self, usage: QuotaUsage, rows: dict[int, DemandSample], reached: float
+    ) -> None:
+        """Reserve the shares of instances just lost, as last known."""
+        members_view = self._members
+        usage.reserved_shares = {
+            origin: share
+            for origin, share in usage.reserved_shares.items()
+            if origin in members_view.reserved
         }
-        lost = roster.kept - use.kept.keys()
+        lost = members_view.reserved - usage.reserved_shares.keys()
         if not lost:
             return
         rates = {origin: rows[origin].rate for origin in lost if origin in rows}
         total = reached + sum(rates.values())
-        count = len(roster.alive) + len(lost)
-        free = max(0.0, 1.0 - sum(use.kept.values()))
-        rate = free * (use.quota.requests_per_second or 0.0)
+        count = len(members_view.alive) + len(lost)
+        free = max(0.0, 1.0 - sum(usage.reserved_shares.values()))
+        rate = free * (usage.quota.requests_per_second or 0.0)
         for origin in lost:
-            part = compute_part(rates.get(origin, 0.0), total, count, rate)
-            use.kept[origin] = free * part
+            part = compute_fraction(rates.get(origin, 0.0), total, count, rate)
+            usage.reserved_shares[origin] = free * part
--- a/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/load_balancer.py
@@ -21,7 +21,7 @@
 
 #: the circuit breaker of a target opens after two failures in a row: with three
 #: targets, a third of all requests fails while a lost target is still in use
-BREAKER_RULE = BreakerRule(failures=2, first_pause=1.0, longest_pause=4.0)
+BREAKER_RULE = BreakerRule(consecutive_failures=2, min_ejection=1.0, max_ejection=4.0)
 #: seconds for which a load report is used
 REPORT_TTL_SECONDS = 1.0
 #: the same where it matters only whether the target was nearly full
@@ -178,11 +178,11 @@
 
     def record_success(self, incarnation: Incarnation) -> None:
         """Record an answer."""
-        self._find_state(incarnation).breaker.note_success()
+        self._find_state(incarnation).breaker.record_success()
 
     def record_failure(self, incarnation: Incarnation, now: float) -> None:
         """Record a failure that the target is responsible for."""
-        self._find_state(incarnation).breaker.note_failure(now)
+        self._find_state(incarnation).breaker.record_failure(now)
 
     def record_load_report(
         self, incarnation: Incarnation, report: LoadReport, now: float
--- a/tests/test_core/test_load/test_choice.py
+++ b/tests/test_core/test_load/test_choice.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.config.objects import StageKind
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
-from greengagelatch.load.choice import ChoiceRule, TwoChoices
+from greengagelatch.load.choice import ChoiceRule, PowerOfTwoChoices
 from greengagelatch.load.durations import DurationTracker
 from greengagelatch.load.scheduler import Scheduler, SchedulerRule
 from greengagelatch.targets import Target
@@ -29,15 +29,15 @@
         ]
 
     @classmethod
-    def create(cls, reports, choosers, seed):
+    def create(cls, reports, senders, seed):
         return Scheduler(
             directory=cls(reports),
             rule=SchedulerRule(),
             data_centre="dc-a",
             random_source=random.Random(seed),
             weigh=lambda workspace: 1.0,
-            count_choosers=lambda service: choosers,
-            estimate_rest=lambda ticket, now: 0.0,
+            count_senders=lambda service: senders,
+            estimate_remaining=lambda ticket, now: 0.0,
             durations=DurationTracker(),
             now=0.0,
         )
@@ -74,22 +74,22 @@
 def create_view(target_id, held=0.0):
     return SimpleNamespace(
         target=Target(target_id, "llm", "dc-a", "127.0.0.1:1"),
-        held=held,
+        expected_in_flight=held,
         limit=8.0,
-        spread=0.0,
+        deviation=0.0,
         slowness=1.0,
-        near=True,
+        local=True,
         cached_prefixes=frozenset(),
     )
 
 
-def test_calls_with_one_prefix_are_kept_to_few_targets():
-    """Symptom: drafting calls are refused as internal errors, all others work.
+def test_calls_with_one_prefix_go_to_few_targets():
+    """Guards against internal errors for calls that name a prompt prefix.
 
-    Sequence: a call that names a prompt prefix waits for one of several targets.
-    Cause: the prefix was hashed as text, which the hash function does not take.
+    With several targets the prefix is hashed, and the hash function takes only
+    bytes, not text.
     """
-    choice = TwoChoices(ChoiceRule(affinity_targets=1))
+    choice = PowerOfTwoChoices(ChoiceRule(affinity_targets=1))
     views = tuple(create_view(f"t{number}") for number in range(6))
     source = random.Random(1)
     chosen = {
@@ -98,36 +98,35 @@
     assert len(chosen) == 1
 
 
-def test_prefix_need_not_be_valid_text():
-    """Symptom: one caller's drafting calls are refused as internal errors.
+def test_prefix_may_be_invalid_unicode():
+    """Guards against internal errors for a prefix with a lone surrogate.
 
-    Sequence: its JSON holds a lone half of a surrogate pair.
-    Cause: such text can't be encoded strictly.
+    JSON may hold half of a surrogate pair, which can't be encoded strictly.
     """
     views = (create_view("t1"), create_view("t2"))
-    choice = TwoChoices(ChoiceRule())
+    choice = PowerOfTwoChoices(ChoiceRule())
     assert choice.choose(views, "\ud800", random.Random(1)) in views
 
 
 def test_calls_without_a_prefix_are_spread():
-    choice = TwoChoices(ChoiceRule(affinity_targets=1))
+    choice = PowerOfTwoChoices(ChoiceRule(affinity_targets=1))
     views = tuple(create_view(f"t{number}") for number in range(6))
     source = random.Random(1)
     chosen = {choice.choose(views, "", source).target.target_id for _ in range(200)}
     assert len(chosen) == 6
 
 
-@pytest.mark.parametrize("choosers", [9, 570])
-def test_many_instances_do_not_herd_onto_one_target(choosers):
-    """Targets swing between idle and far too many calls.
+@pytest.mark.parametrize("senders", [9, 570])
+def test_many_instances_do_not_herd_onto_one_target(senders):
+    """Guards against targets that swing between idle and overloaded.
 
-    Each instance sees load reports that are up to a second old and the same for
-    all. Taking the least loaded target of the newest report would be the cause.
+    All instances see the same load reports, up to a second old. If each chose the
+    least loaded target of the latest report, all would choose the same one.
     """
     source = random.Random(3)
     held = [0] * 20
     reports = [LoadReport(in_flight=0, queued=0, capacity=16, taken=0.0)] * 20
-    services = [ServedDirectory.create(reports, choosers, i) for i in range(choosers)]
+    services = [ServedDirectory.create(reports, senders, i) for i in range(senders)]
     ends: list[tuple[float, int, object, object]] = []
     samples = []
     for tick in range(300):
@@ -153,5 +152,5 @@
                 heapq.heappush(ends, (entry[0], len(ends) + tick * 1000, *entry[2:]))
         if tick > 100:
             samples.extend(held)
-    # chance alone would give a deviation of 2.7
+    # purely random choice gives a standard deviation of 2.7
     assert statistics.pstdev(samples) <= 3.3
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -50,8 +50,8 @@
         data_centre="dc-a",
         random_source=random.Random(seed),
         weigh=lambda workspace: 1.0,
-        count_choosers=lambda service: 1,
-        estimate_rest=lambda ticket, now: 0.0,
+        count_senders=lambda service: 1,
+        estimate_remaining=lambda ticket, now: 0.0,
         find_weights=lambda workspace, pipeline: Weights(),
         durations=durations or DurationTracker(),
         now=0.0,
@@ -74,12 +74,12 @@
     return [d.result.ok_value for d in decisions if isinstance(d.result, Ok)]
 
 
-def test_target_that_begins_to_leave_gets_no_waiting_call():
-    """A leaving target is given work that had waited since before it began to.
+def test_draining_target_gets_no_queued_call():
+    """Guards against sending queued calls to a target that is draining.
 
-    A call waits while the only target is full; the target begins to leave and
-    another one appears; the first target's room becomes free. Binding the call to
-    its target when it queued would be the cause.
+    A call is queued while the only target is full; that target begins to drain,
+    another one appears, and a slot of the first becomes free. Binding calls to a
+    target when they are queued would send it to the first.
     """
     directory = FixedDirectory(1, capacity=1)
     scheduler = create_scheduler(directory)
@@ -89,18 +89,18 @@
     assert scheduler.poll(0.0) == ()
     directory.mark_leaving("t0")
     directory.targets["t9"] = Target("t9", "llm", "dc-a", "127.0.0.1:9")
-    scheduler.touch()
+    scheduler.mark_all_dirty()
     (moved,) = get_grants(scheduler.poll(0.1))
     assert moved.target.target_id == "t9"
     scheduler.finish(running, Outcome(OutcomeKind.SUCCESS, 0.2), 0.2)
     assert scheduler.poll(0.2) == ()
 
 
-def test_call_that_can_not_be_done_in_time_is_refused_before_its_deadline():
-    """A caller hangs until its deadline although its call had no chance.
+def test_call_that_would_miss_its_deadline_is_refused_early():
+    """Guards against callers that wait until their deadline without any chance.
 
-    Calls take one second; one waits behind a full target with a deadline of two.
-    Waiting on for the deadline alone would be the cause.
+    Calls take one second, and one with a deadline of two is queued for a full
+    target. It must be refused as soon as it can't finish any more.
     """
     durations = DurationTracker()
     for _ in range(20):
@@ -113,7 +113,7 @@
     assert scheduler.poll(0.9) == ()
     scheduler.expire(1.1)
     (decision,) = scheduler.poll(1.1)
-    assert decision.waiting_id == late
+    assert decision.ticket_id == late
     refusal = decision.result.err_value
     assert refusal.code is RefusalCode.OVERLOADED
     assert refusal.verdict is Verdict.NOT_RUN
@@ -121,11 +121,11 @@
     assert scheduler.find_next_wake(1.1) is None
 
 
-def test_short_calls_find_room_while_long_ones_fill_the_service():
-    """A booking waits behind a screenful of drafts.
+def test_short_calls_start_while_long_ones_fill_the_service():
+    """Guards against short calls that wait behind many long ones.
 
-    Fifty drafts of two seconds come, then a call of 50 ms. Drafts that may use up
-    all of a target's room would be the cause.
+    Fifty drafts of two seconds arrive, then a call of 50 ms. Without reserved
+    capacity the drafts would occupy all targets.
     """
     durations = DurationTracker()
     for _ in range(20):
@@ -144,11 +144,11 @@
     assert short.ticket.request_id == "status"
 
 
-def test_general_failure_does_not_multiply_calls():
-    """Targets that recover stay overloaded, as every call is made three times.
+def test_retries_are_bounded_while_all_calls_fail():
+    """Guards against retries that keep recovering targets overloaded.
 
-    All calls fail and each is submitted again at once. Retries without a budget
-    would be the cause.
+    All calls fail and each is submitted again at once. Without a retry budget
+    every call would be made several times.
     """
     scheduler = create_scheduler(FixedDirectory(3, capacity=1000))
     sent = 0
@@ -165,11 +165,11 @@
     assert sent <= 1000 * 1.1 + 10 + 1
 
 
-def test_service_that_loses_its_last_target_refuses_what_waits():
-    """Callers hang although no target is left that could ever answer them.
+def test_service_that_loses_its_last_target_refuses_queued_calls():
+    """Guards against callers that wait although no target is left.
 
-    A call waits for the only target; it goes. Looking only for room, never for
-    targets, would be the cause.
+    A call is queued for the only target, which then disappears. Without a check
+    for targets, the scheduler would only wait for free capacity.
     """
     directory = FixedDirectory(1, capacity=1)
     scheduler = create_scheduler(directory)
@@ -178,7 +178,7 @@
     scheduler.submit(create_ticket("r2"), 0.0)
     scheduler.poll(0.0)
     directory.mark_leaving("t0")
-    scheduler.touch()
+    scheduler.mark_all_dirty()
     (decision,) = scheduler.poll(0.1)
     assert isinstance(decision.result, Err)
     assert decision.result.err_value.code is RefusalCode.NO_TARGET
--- a/tests/test_core/test_placement/test_placement.py
+++ b/tests/test_core/test_placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of what engines should hold, where, and how fast it may be loaded."""
+"""Tests of desired engine states, overflow and the rate of model loads."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 from greengagelatch.orders import EngineState
 from greengagelatch.orders.budget import LoadBudget
 from greengagelatch.orders.rules import Fencing, read_fencing
-from greengagelatch.placement.demand import Demand, DemandRule, measure_load
-from greengagelatch.placement.wanted import count_loads, find_placements, want_state
+from greengagelatch.placement.desired import (
+    build_desired_state,
+    count_loads,
+    find_placements,
+)
+from greengagelatch.placement.overflow import OverflowRule, OverflowState, measure_load
 from greengagelatch.targets import Target
 from greengagelatch.targets.directory import Candidate, LoadReport
 
-RULE = DemandRule(high=1.2, low=0.6, rise=30, fall=300)
+RULE = OverflowRule(high_load=1.2, low_load=0.6, rise_seconds=30, fall_seconds=300)
 
 
 def create_policy(name, *, workspaces="", services="", **values):
@@ -48,15 +52,15 @@
     assert find() == {}
     assert find(create_policy("a", workspaces="tier = gold", models="m")) == {}
     assert find(create_policy("a", services="name = desk", models="m")) == {}
-    # where work runs, but nothing that an engine could be told
+    # says where work runs, but holds nothing to order an engine
     assert find(create_policy("a", data_centres="north")) == {}
     found = find(create_policy("a", models="m"))
     assert found == {"writer": Placement(models=("m",))}
 
 
-def test_what_a_placement_does_not_name_stays():
+def test_parts_a_placement_omits_stay():
     present = EngineState(models=("old",), adapters=("kept",), role="decode")
-    wanted = want_state(Placement(models=("new", "old")), present)
+    wanted = build_desired_state(Placement(models=("new", "old")), present)
     assert wanted == EngineState(
         models=("new", "old"), adapters=("kept",), role="decode"
     )
@@ -75,31 +79,31 @@
         ({"fencing": "checked"}, Fencing.CHECKED),
     ],
 )
-def test_engines_are_taken_to_ignore_numbers_unless_told_otherwise(labels, fencing):
+def test_engines_ignore_fencing_numbers_by_default(labels, fencing):
     service = Service(name="writer", kind=StageKind.GENERATE, labels=labels)
     assert read_fencing(service) is fencing
 
 
-def follow(demand, loads, *, begin=0):
-    """Take in one load a second; return what it comes to and the last second."""
+def follow(state, loads, *, begin=0):
+    """Apply one load a second; return the final state and the last second."""
     now = begin
     for now, load in enumerate(loads, begin):
-        demand = demand.update(float(now), load, RULE)
-    return demand, now
+        state = state.update(float(now), load, RULE)
+    return state, now
 
 
-def test_demand_follows_a_load_that_lasts():
-    demand, _ = follow(Demand(), [1.3] * 29 + [1.1] + [1.3] * 29)
-    assert not demand.overflowing
-    demand, now = follow(Demand(), [1.3] * 31)
-    assert demand.overflowing
-    # between the two loads nothing changes, however long that lasts
-    demand, now = follow(demand, [0.7] * 1000, begin=now)
-    assert demand.overflowing
-    demand, now = follow(demand, [0.5] * 299 + [None] + [0.5] * 299, begin=now)
-    assert demand.overflowing
-    demand, _ = follow(demand, [0.5] * 302, begin=now)
-    assert not demand.overflowing
+def test_overflow_follows_a_lasting_load():
+    state, _ = follow(OverflowState(), [1.3] * 29 + [1.1] + [1.3] * 29)
+    assert not state.overflowing
+    state, now = follow(OverflowState(), [1.3] * 31)
+    assert state.overflowing
+    # between the two thresholds nothing changes, however long that lasts
+    state, now = follow(state, [0.7] * 1000, begin=now)
+    assert state.overflowing
+    state, now = follow(state, [0.5] * 299 + [None] + [0.5] * 299, begin=now)
+    assert state.overflowing
+    state, _ = follow(state, [0.5] * 302, begin=now)
+    assert not state.overflowing
 
 
 def test_load_is_that_of_the_preferred_data_centres():
@@ -119,15 +123,15 @@
     assert measure_load(placement, [here, *south]) == 12 / 8
 
 
-def test_a_new_holder_begins_without_saved_up_loads():
+def test_new_lease_holder_starts_with_an_empty_budget():
     budget = LoadBudget(at=100.0)
     assert not budget.allows(1)
     assert budget.allows(0)
     budget = budget.refill(110.0, per_minute=6)
     assert budget.allows(3)
     budget = budget.spend(3)
-    # two are owed, and the next one is not allowed before a third has come in
+    # the budget is two in debt, and the next load needs a third refilled token
     assert not budget.refill(129.0, per_minute=6).allows(1)
     assert budget.refill(140.0, per_minute=6).allows(1)
-    # nothing beyond one is saved up while there is nothing to load
+    # at most one token accumulates while there is nothing to load
     assert budget.refill(10_000.0, per_minute=6).level == 1.0
--- a/tests/test_core/test_stages/test_stage_decisions.py
+++ b/tests/test_core/test_stages/test_stage_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of a request's run: ledger, retries, tokens, patience, order."""
+"""Tests of stage decisions: ledger, retries, tokens, hedging, stage graph."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from greengagelatch.config.objects import Pipeline, Stage, StageKind
 from greengagelatch.request import Request
 from greengagelatch.stages.graph import build_input, find_ready
+from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.ledger import AttemptLedger
-from greengagelatch.stages.patience import PatienceRule, choose_patience
-from greengagelatch.stages.plan import plan_by_share
+from greengagelatch.stages.plan import divide_by_share
 from greengagelatch.stages.retries import (
-    GiveUp,
+    NoRetryReason,
     RetryRules,
     decide_retry,
-    may_repeat,
+    may_retry,
 )
-from greengagelatch.stages.tokens import TokenCheck, TokenRecord
+from greengagelatch.stages.tokens import StreamedTokens, TokenCheck
 from greengagelatch.targets import CallFailure, FailureKind
 from greengagelatch.verdict import Verdict
 
-OVER = {FailureKind.DEADLINE, FailureKind.CANCELLED}
+REQUEST_ENDED = {FailureKind.DEADLINE, FailureKind.CANCELLED}
 
 
 def create_stage(name: str, *inputs: str, share: float = 1.0, **fields) -> Stage:
@@ -39,11 +39,11 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.sampled_from(Verdict))))
-def test_verdict_rises_only(steps):
-    """A request refused as "not run" had run at a target.
+def test_verdict_never_falls(steps):
+    """Guards against refusing a request as "not run" that ran at a target.
 
-    Sequence: an attempt is sent; the request is given up before the answer comes.
-    Cause: the attempt was entered only with its answer.
+    An attempt is sent and the request abandoned before the answer. An attempt that
+    is recorded only with its answer would be missing from the verdict.
     """
     ledger = AttemptLedger()
     highest = Verdict.NOT_RUN
@@ -64,42 +64,42 @@
     ("kind", "verdict", "repeatable"),
     list(product(FailureKind, Verdict, (True, False))),
 )
-def test_call_that_may_have_run_is_repeated_only_where_allowed(
+def test_call_that_may_have_run_is_retried_only_where_allowed(
     kind, verdict, repeatable
 ):
-    """A booking was confirmed twice.
+    """Guards against executing a side effect such as a booking twice.
 
-    Sequence: the call fails after it was sent and is sent to another target.
-    Cause: the decision looked at the kind of failure and not at the verdict.
+    A call fails after it was sent and is retried on another target. A decision by
+    the kind of failure instead of the verdict would allow that.
     """
     failure = CallFailure(kind=kind, verdict=verdict, message="")
     reason = decide_retry(
         RetryRules(), failure, repeatable=repeatable, attempts=1, remaining=1.0
     )
-    if kind in OVER:
-        assert reason is GiveUp.OVER
+    if kind in REQUEST_ENDED:
+        assert reason is NoRetryReason.OVER
     elif not repeatable and verdict is not Verdict.NOT_RUN:
-        assert reason is GiveUp.NOT_REPEATABLE
+        assert reason is NoRetryReason.NOT_REPEATABLE
     else:
         assert reason is None
 
 
-def test_repeats_are_bounded():
+def test_retries_are_bounded():
     failure = CallFailure(kind=FailureKind.CONNECT, verdict=Verdict.NOT_RUN, message="")
     rules = RetryRules(max_attempts=2, min_remaining=0.1)
     decide = {"repeatable": True}
     assert decide_retry(rules, failure, attempts=1, remaining=1, **decide) is None
     late = decide_retry(rules, failure, attempts=1, remaining=0.05, **decide)
-    assert late is GiveUp.NO_TIME
+    assert late is NoRetryReason.NO_TIME
     often = decide_retry(rules, failure, attempts=2, remaining=1, **decide)
-    assert often is GiveUp.ATTEMPTS
+    assert often is NoRetryReason.ATTEMPTS
 
 
-def test_caller_that_forbids_repeats_protects_undeclared_plain_services():
-    """An order hold was made twice although its caller had forbidden repeats.
+def test_caller_that_forbids_retries_protects_undeclared_plain_services():
+    """Guards against retrying a side effect although the caller forbids retries.
 
-    Sequence: the operator left the stage's ``repeatable`` at its default; the call
-    was cut and repeated. Cause: only the stage's declaration was heeded.
+    The operator left the stage's ``repeatable`` at its default, and the connection
+    of a call breaks. The declaration of the stage alone would allow a retry.
     """
     request = Request(
         request_id="request",
@@ -110,47 +110,48 @@
         deadline=1,
         repeatable=False,
     )
-    assert not may_repeat(create_stage("hold"), request)
-    assert may_repeat(create_stage("scan", kind=StageKind.RETRIEVE), request)
+    assert not may_retry(create_stage("hold"), request)
+    assert may_retry(create_stage("scan", kind=StageKind.RETRIEVE), request)
     forbidden = create_stage("scan", kind=StageKind.RETRIEVE, repeatable=False)
-    assert not may_repeat(forbidden, request)
+    assert not may_retry(forbidden, request)
 
 
 def test_tokens_are_never_repeated_or_contradicted():
-    """A caller read half of one draft and half of another.
+    """Guards against a caller that reads half of one answer and half of another.
 
-    Sequence: the stream is cut; another target begins again from zero.
-    Cause: its tokens were passed on without a look at those already given.
+    A stream breaks and another target starts again from offset zero. Its tokens
+    must be compared with those already sent.
     """
-    record = TokenRecord()
-    assert record.take(0, "a") is TokenCheck.NEW
-    assert record.take(1, "b") is TokenCheck.NEW
-    assert record.take(0, "a") is TokenCheck.REPEATED
-    assert record.take(1, "x") is TokenCheck.CONTRADICTION
-    assert record.take(3, "d") is TokenCheck.GAP
-    assert record.tokens == ("a", "b")
+    sent_tokens = StreamedTokens()
+    assert sent_tokens.append(0, "a") is TokenCheck.NEW
+    assert sent_tokens.append(1, "b") is TokenCheck.NEW
+    assert sent_tokens.append(0, "a") is TokenCheck.REPEATED
+    assert sent_tokens.append(1, "x") is TokenCheck.CONTRADICTION
+    assert sent_tokens.append(3, "d") is TokenCheck.GAP
+    assert sent_tokens.tokens == ("a", "b")
 
 
-# adding up the other way round gives exactly 1.0 here, and 0.3999... below
+# with the opposite order of addition the result is exactly 1.0 here and 0.3999...
+# in the assertion
 @example(median=0.4, spread=1.0, remaining=1.0)
 @given(
     median=st.floats(0.001, 10),
     spread=st.floats(1, 10),
     remaining=st.floats(-1, 60),
 )
-def test_backup_comes_late_enough_and_in_time(median, spread, remaining):
-    rule = PatienceRule()
+def test_hedge_is_late_enough_and_in_time(median, spread, remaining):
+    rule = HedgeRule()
     late = median * spread
-    patience = choose_patience(rule, median=median, late=late, remaining=remaining)
-    if patience is None:
-        assert remaining - rule.reserve * median < late
+    delay = choose_hedge_delay(rule, median=median, late=late, remaining=remaining)
+    if delay is None:
+        assert remaining - rule.min_remaining_medians * median < late
         return
-    assert patience >= late
-    assert remaining - patience >= rule.reserve * median * 0.999
+    assert delay >= late
+    assert remaining - delay >= rule.min_remaining_medians * median * 0.999
 
 
-def test_unmeasured_stage_leaves_half_of_its_time_to_a_backup():
-    assert choose_patience(PatienceRule(), median=0, late=0, remaining=2) == 1
+def test_unmeasured_stage_is_hedged_after_half_of_its_time():
+    assert choose_hedge_delay(HedgeRule(), median=0, late=0, remaining=2) == 1
 
 
 def test_stages_start_once_their_inputs_are_there():
@@ -175,6 +176,6 @@
         "stock": 2,
     }
     assert build_input(pipeline.stages[0], "given", {}) == "given"
-    # a quarter of the way for each of encode and retrieve, half for write
-    assert plan_by_share(pipeline, pipeline.stages[0], 0.0, 4.0) == 1.0
-    assert plan_by_share(pipeline, write, 3.0, 4.0) == 4.0
+    # a quarter of the path for each of encode and retrieve, half for write
+    assert divide_by_share(pipeline, pipeline.stages[0], 0.0, 4.0) == 1.0
+    assert divide_by_share(pipeline, write, 3.0, 4.0) == 4.0
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -67,8 +67,8 @@
         Promise.FALSE_NOT_RUN,
     ),
     "what was already given": Loss(
-        tokens.TokenRecord,
-        "take",
+        tokens.StreamedTokens,
+        "append",
         lambda self, offset, text: tokens.TokenCheck.NEW,
         "failing stage",
         Step.RECEIVED,
