--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""How the daemon reads, learns and changes the operator configuration."""
+"""Reads, replicates and changes the operator configuration."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/driver.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/driver.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of changes against the store."""
+"""Runs configuration changes against the store."""
 
 from __future__ import annotations
 
@@ -42,25 +42,25 @@
 
 __all__ = ("ChangeDriver",)
 
-#: shards written or deleted side by side
+#: concurrent writes and deletions of shards
 MAX_WRITES = 16
 
-_LATE = "the time for the change is over"
+_LATE = "the change has exceeded its time limit"
 
-#: gets the head and the shards of a change that this instance has made
+#: receives the head and the shards of a change that this instance has committed
 SettledListener = Callable[[Head, Mapping[ShardRef, HeldShard]], object]
 
 
 class ChangeDriver:
-    """Makes one change at a time, each within a time limit.
+    """Commits one change at a time, each within a time limit.
 
-    Changes of one instance wait for each other, as they would only lose each other's
-    swaps. When the time of a change is over, no further store call is made for it;
-    what is known of it then is its outcome.
+    Changes of one instance are serialized, as concurrent ones would only make each
+    other's swaps fail. After the time limit of a change, no further store call is
+    made for it, and its outcome follows from the answers received so far.
 
-    :param timeout: seconds for one change, waiting for earlier ones included.
-    :param get_generation: returns the generation in force here.
-    :param on_settled: told of the new head as soon as a change is in force.
+    :param timeout: seconds for one change, including the wait for earlier ones.
+    :param get_generation: returns the generation that is active at this instance.
+    :param on_settled: called with the new head as soon as a change is committed.
     """
 
     def __init__(
@@ -87,13 +87,16 @@
         self._slots = asyncio.Semaphore(MAX_WRITES)
 
     async def change(self, request: ChangeRequest) -> ChangeOutcome:
-        """Make a change and return what became of it."""
+        """Commit a change and return its outcome."""
         deadline = self._clock.now() + self._timeout
         try:
             async with asyncio.timeout(self._timeout):
                 await self._turn.acquire()
         except TimeoutError:
-            return NotApplied(message="too many changes are waiting", base=request.base)
+            return NotApplied(
+                message=f"earlier changes were not finished within {self._timeout:g} s",
+                base=request.base,
+            )
         try:
             outcome = await self._run(request, deadline)
         finally:
@@ -173,7 +176,7 @@
     results: list[WriteResult],
     fresh: dict[ShardRef, HeldShard],
 ) -> None:
-    """Keep what was written, so that it need not be read back from the store."""
+    """Keep written shards, so that they need not be read back from the store."""
     for (ref, data), result in zip(shards, results, strict=True):
         if result.outcome not in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
             continue
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -1,4 +1,4 @@
-"""What is told to peers of generations, and what is heard from them."""
+"""Gossip of configuration generations between entry instances."""
 
 from __future__ import annotations
 
@@ -27,15 +27,17 @@
 
 __all__ = ("Gossip",)
 
-#: members asked side by side, and at all, for the generation that they have
+#: concurrent queries for the generation of members
 MAX_ASKED_AT_ONCE = 32
+
+#: members queried at all in one round
 MAX_ASKED = 1024
 
 
 class Gossip:
-    """Tells peers which generation is in force here and remembers what they tell.
+    """Advertises the active generation to peers and records their generations.
 
-    :param fetch_timeout: seconds that a peer is given for one answer.
+    :param fetch_timeout: timeout in seconds of one query to a peer.
     :param on_news: called when a peer may have a newer generation.
     """
 
@@ -62,29 +64,29 @@
         peers.handle(ConfigQuery, self._answer_query)
 
     def confirm_newest(self) -> None:
-        """Record that the store holds nothing newer than what is in force here."""
+        """Record that the active generation is the newest in the store."""
         self._knowledge.confirm(self._replica.generation, self._clock.now())
 
     def get_store_age(self) -> float | None:
-        """Return seconds since the generation here was surely the newest."""
+        """Return seconds since the active generation was confirmed as the newest."""
         now = self._clock.now()
         return self._knowledge.get_store_age(self._replica.generation, now)
 
     def find_generation(self, instance_id: str) -> int | None:
-        """Return the generation an instance is known to have; ``None``: unknown."""
+        """Return the last known generation of an instance; ``None``: unknown."""
         if instance_id == self._peers.instance_id:
             return self._replica.generation
         sighting = self._knowledge.find(instance_id)
         return None if sighting is None else sighting.generation
 
     def list_others(self) -> list[Member]:
-        """Return the other instances that can be talked to."""
+        """Return the other instances that are reachable."""
         own_id = self._peers.instance_id
         alive = list_alive(self._peers.members())
         return [member for member in alive if member.instance_id != own_id]
 
     def list_ahead(self) -> list[str]:
-        """Return the instances that have a newer generation than this one."""
+        """Return the ids of instances that have a newer generation than this one."""
         ahead = []
         for member in self.list_others():
             generation = self.find_generation(member.instance_id)
@@ -93,13 +95,13 @@
         return ahead
 
     def tell_one(self) -> None:
-        """Tell one of the others, so that whatever was missed is heard at last."""
+        """Send an advert to one random peer, so that lost adverts are made up for."""
         others = [member.instance_id for member in self.list_others()]
         for name in choose_peers(others, self._peers.neighbours(), 1, self._random):
             self._peers.send(name, self._create_advert())
 
     def tell_listeners(self) -> None:
-        """Tell a few at once that a newer generation is in force here."""
+        """Send an advert of a new generation to a few peers immediately."""
         listeners = choose_listeners(
             self._peers.members(),
             self._peers.neighbours(),
@@ -107,13 +109,13 @@
             self._data_centre,
             self._random,
         )
-        # without what was heard of others: that many of them would be most of the cost
+        # without generations of others, which would make up most of the bytes
         advert = self._create_advert(rows=False)
         for instance_id in listeners:
             self._peers.send(instance_id, advert)
 
     async def ask(self, members: Sequence[Member]) -> None:
-        """Ask members which generation they have in force, and take that in."""
+        """Query members for their generations and record the answers."""
         slots = asyncio.Semaphore(MAX_ASKED_AT_ONCE)
 
         async def ask(instance_id: str) -> None:
@@ -134,7 +136,7 @@
         await asyncio.gather(*(ask(name) for name in asked[:MAX_ASKED]))
 
     def describe(self, member: Member) -> MemberGeneration:
-        """Return what is known of a member's generation."""
+        """Return the known state of a member's generation."""
         own = member.instance_id == self._peers.instance_id
         sighting = self._knowledge.find(member.instance_id)
         age = None
@@ -153,7 +155,7 @@
     def _receive_advert(self, sender: str, advert: ConfigAdvert) -> None:
         self._take_in(sender, advert)
         if advert.generation < self._replica.generation:
-            # it will fetch what it has missed
+            # the sender then fetches the newer generation
             self._peers.send(sender, self._create_advert())
 
     def _answer_query(self, sender: str, query: ConfigQuery) -> ConfigAdvert:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
@@ -1,4 +1,4 @@
-"""Takes over generations found in the store or at a peer."""
+"""Adopts newer generations from the store and from peers."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 logger = logging.getLogger(__name__)
 
-#: shards fetched from one peer side by side
+#: concurrent shard fetches from one peer
 MAX_FETCHES = 8
 
-#: largest value that a peer may send: that of the store
+#: largest value in bytes that is accepted from a peer, the same as in the store
 MAX_VALUE_BYTES = 1024 * 1024
 
 
 class Learner:
-    """Fetches what a newer generation needs, then puts it in force at once.
+    """Fetches all shards of a newer generation, then activates it atomically.
 
-    Nothing of a generation is visible before all of it is here: a peer or the store
-    may go away half way, and half a change must not be served.
+    No part of a generation is visible until all of it is present: a peer or the store
+    may become unreachable during the fetch, and a partial change must not be served.
 
-    :param on_adopted: called after a newer generation was put in force.
+    :param on_adopted: called after a newer generation was activated.
     """
 
     def __init__(
@@ -61,18 +61,25 @@
         self._on_adopted = on_adopted
 
     def adopt(self, head: Head, fresh: Mapping[ShardRef, HeldShard]) -> bool:
-        """Put a generation in force whose shards are all here."""
+        """Activate a generation whose shards are all present."""
         if not self._replica.adopt(head, fresh):
             return False
         self._on_adopted()
         return True
 
     async def learn_entry(self, entry: Entry) -> bool:
-        """Take over the head that the store gave; whether that is now in force."""
+        """Adopt a head from the store.
+
+        :return: whether that generation or a newer one is now active.
+        """
         decoded = decode_head(entry.value)
         if decoded.is_err():
             self._metrics.count("configuration.bad_heads")
-            logger.error("head at revision %s: %s", entry.revision, decoded.err_value)
+            logger.error(
+                "configuration head at store revision %s is invalid: %s",
+                entry.revision,
+                decoded.err_value,
+            )
             return False
         head = decoded.ok_value
         if head.generation <= self._replica.generation:
@@ -84,7 +91,7 @@
         return self._replica.generation >= head.generation
 
     async def learn_from_peer(self, instance_id: str) -> bool:
-        """Take over a peer's generation; ``False`` if that could not be fetched."""
+        """Adopt a peer's generation; return ``False`` if it could not be fetched."""
         match await self._fetch_head(instance_id):
             case Err(reason):
                 self._note_failure(instance_id, reason)
@@ -110,7 +117,11 @@
         if applied.is_ok():
             return applied
         self._metrics.count("configuration.bad_deltas")
-        logger.warning("delta from %s: %s", instance_id, applied.err_value)
+        logger.warning(
+            "configuration delta from %s does not apply: %s; fetching its full head",
+            instance_id,
+            applied.err_value,
+        )
         chunk, data = await self._fetch(instance_id, "", 0)
         return Err("no head") if chunk is None else decode_head(data)
 
@@ -127,14 +138,14 @@
 
         shards = await _gather(fetch, missing)
         if any(shard is None for shard in shards):
-            self._note_failure(instance_id, "a shard is missing")
+            self._note_failure(instance_id, "missing or invalid shards")
             return None
         return dict(zip(missing, shards, strict=True))
 
     async def _fetch(
         self, instance_id: str, key: str, generation: int
     ) -> tuple[ConfigChunk | None, bytes]:
-        """Return the first chunk and all bytes; ``None`` if any of it is missing."""
+        """Return the first chunk and all bytes; ``None`` if any chunk is missing."""
         first: ConfigChunk | None = None
         data = b""
         while first is None or len(data) < first.total:
@@ -152,14 +163,14 @@
 
     def _note_failure(self, instance_id: str, reason: str) -> None:
         self._metrics.count("configuration.failed_fetches")
-        logger.info("fetch from %s failed: %s", instance_id, reason)
+        logger.info("configuration fetch from %s failed: %s", instance_id, reason)
 
 
 def _continues(first: ConfigChunk, chunk: ConfigChunk, offset: int) -> bool:
-    """Whether a chunk belongs to the same bytes as the first one.
+    """Return whether a chunk continues the value that the first one began.
 
-    The peer may have moved on to another generation in between, and its head's bytes
-    with it.
+    The peer may have adopted another generation between chunks, which changes the
+    bytes of its head.
     """
     if chunk.total > MAX_VALUE_BYTES or chunk.offset != offset:
         return False
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/report.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/report.py
@@ -1,4 +1,4 @@
-"""What operators are told of generations and changes."""
+"""Reports to operators on generations and changes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberGeneration:
-    """What an entry instance is known to have in force."""
+    """Last known active generation of an entry instance."""
 
     instance_id: str
     data_centre: str
-    #: what is believed of the instance itself
+    #: membership state of the instance
     state: str
-    #: ``None``: never heard
+    #: ``None``: unknown
     generation: int | None
-    #: seconds since that was so
+    #: seconds since the generation was observed
     age: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class Sought:
-    """A change that was looked for in a head; ``None`` if it is not in it."""
+    """Result of looking up a change; ``entry`` is ``None`` if the head lacks it."""
 
     head: Head
     entry: ChangeEntry | None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/serving.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/serving.py
@@ -1,4 +1,4 @@
-"""Answers to peers that fetch the configuration from this instance."""
+"""Serves the configuration to peers that fetch it."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/shards.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/shards.py
@@ -1,4 +1,4 @@
-"""Shards read from the store, unless they are here already."""
+"""Reads shards from the local replica or from the store."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 __all__ = ("ShardReader",)
 
-#: shards read from the store side by side
+#: concurrent shard reads from the store
 MAX_READS = 16
 
 
 class ShardReader:
-    """Reads shards from the store and checks that they are what they should be."""
+    """Reads shards that the replica lacks from the store and verifies their digests."""
 
     def __init__(self, *, store: Store, replica: Replica, metrics: Metrics) -> None:
         self._store = store
@@ -35,7 +35,7 @@
     async def read(
         self, refs: Iterable[ShardRef]
     ) -> Result[Mapping[ShardRef, HeldShard], StoreError]:
-        """Return shards; those that the store does not hold are left out."""
+        """Return shards; missing or invalid ones are left out."""
         found: dict[ShardRef, HeldShard] = {}
         missing = []
         for ref in refs:
--- a/packages/greengagelatch/src/greengagelatch/config/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operator configuration: objects, selectors, snapshots and their order."""
+"""Operator configuration: objects, selectors, policies and versioned snapshots."""
--- a/packages/greengagelatch/src/greengagelatch/config/changes.py
+++ b/packages/greengagelatch/src/greengagelatch/config/changes.py
@@ -1,16 +1,17 @@
-"""How a change is made: which store call comes next, given the answers so far.
+"""Commit protocol of a configuration change, as a generator of store operations.
 
-The process is a generator: it yields the next step and is sent the answer to it. It
-has no socket and no clock, so that tests can lose any answer at any step.
+The generator yields the next step and is sent its result. It does no I/O and reads no
+clock, so that tests can lose any result at any step.
 
-What is known of a change at each moment:
+The protocol:
 
-- shards are written under keys of their own, which nothing names yet;
-- one compare-and-swap of the head then puts the change in force;
-- a swap without an answer may take effect at any later moment, as long as the head
-  is still at the revision it expects. So the change is not given up as "not applied"
-  while the head stands still: the swap is made again, of which at most one takes
-  effect, or the head has moved on and then names the change or never will.
+- the new shards are written under unique keys that no head references yet;
+- a single compare-and-swap of the head then commits the change;
+- a swap without an answer may still take effect as long as the head is at the
+  revision that the swap expects. The change is therefore not reported as "not
+  applied" while the head is unchanged. The swap is retried, and at most one of the
+  attempts takes effect; once the head has moved on, it either lists the change or
+  never will.
 """
 
 from __future__ import annotations
@@ -75,16 +76,16 @@
     "run_change",
 )
 
-#: times that the head is read for one change
+#: attempts at one change; each of them reads the head
 MAX_ROUNDS = 24
 
-#: times that one shard is written, the first one included
+#: attempts to write one shard, the first one included
 MAX_SHARD_WRITES = 3
 
-#: shards deleted alongside one change, so that garbage shrinks and a change is quick
+#: unreferenced shards deleted during one change; bounds the time this adds to it
 MAX_DELETES = 8
 
-#: longest pause in seconds after losing a swap to another writer
+#: longest back-off in seconds after another writer's swap has won
 MAX_PAUSE = 0.2
 
 SALT_BITS = 64
@@ -100,18 +101,18 @@
     random_source: random.Random,
     known: int = 0,
 ) -> Process:
-    """Make a change; the generator's value is what became of it.
+    """Commit a change; the generator returns its outcome.
 
-    :param wall: seconds since the Unix epoch, for the record of the change.
-    :param known: generation in force at this instance. On top of a lower one no
-        change is made: instances don't go back, so it would be accepted and never
-        be in force.
+    :param wall: returns seconds since the Unix epoch, for the change's log entry.
+    :param known: generation that is active at this instance. No change is made on top
+        of a lower one: instances never move to a lower generation, so the change
+        would be committed and never become active.
     """
     return _Change(request, wall, random_source, known).run()
 
 
 class _Change:
-    """One change under way."""
+    """State of one change in progress."""
 
     def __init__(
         self,
@@ -125,13 +126,13 @@
         self._wall = wall
         self._random = random_source
         self._base = request.base
-        #: highest revision expected by a swap without an answer; ``None``: no such
+        #: highest revision expected by a swap without an answer; ``None``: no such swap
         self._unanswered: int | None = None
-        #: objects changed by the swap that was made last
+        #: objects changed by the latest swap
         self._changed: tuple[str, ...] = ()
-        #: shards written for the swap that is next
+        #: shards written for the next swap
         self._written: list[ShardRef] = []
-        #: shards written for swaps that have no answer
+        #: shards written for swaps without an answer
         self._in_doubt: list[ShardRef] = []
 
     def run(self) -> Process:
@@ -145,12 +146,16 @@
                 return self._give_up(decoded.err_value)
             head = decoded.ok_value
             if head.generation < self._known:
-                # a slow read, or a store that was put back to a time long past
-                reason = f"the store shows generation {head.generation}"
+                # a stale read, or a store that was restored from an old backup
+                reason = (
+                    f"the store shows generation {head.generation}, lower than"
+                    f" generation {self._known} that is active here"
+                )
                 yield Pause(self._random.uniform(0, MAX_PAUSE))
                 continue
             if self._unanswered is not None and revision > self._unanswered:
-                # whatever has no answer has taken effect by now or never will
+                # the head has moved on: a swap without an answer has either taken
+                # effect by now or never will
                 yield from self._withdraw(self._in_doubt, head)
             found = self._find_self(head)
             if found is not None:
@@ -162,7 +167,7 @@
             outcome = yield from self._try(head, revision)
             if outcome is not None:
                 return outcome
-            reason = "too many other changes at the same time"
+            reason = "too many concurrent changes"
             yield Pause(self._random.uniform(0, MAX_PAUSE))
         return self._give_up(reason)
 
@@ -173,7 +178,10 @@
         if entry.digest != self._request.digest:
             return Refused(
                 code=RefusedCode.CHANGE_ID_REUSED,
-                message=f"generation {entry.generation} has this id",
+                message=(
+                    f"change id {self._request.change_id!r} is already used by"
+                    f" generation {entry.generation}"
+                ),
             )
         mine = self._unanswered is not None
         return Settled(
@@ -191,7 +199,7 @@
     def _try(
         self, head: Head, revision: int
     ) -> Generator[Step, Any, ChangeOutcome | None]:
-        """Make the change on top of ``head``; ``None`` to read the head again."""
+        """Commit the change on top of ``head``; return ``None`` to retry."""
         request = self._request
         target_refs: Mapping[int, ShardRef] = {}
         if request.mode is ChangeMode.ROLLBACK:
@@ -205,7 +213,7 @@
             return self._give_up(f"store: {reading.err_value.message}")
         shards = reading.ok_value
         if len(shards) < len(refs):
-            # the head has moved on and its old shards are being deleted
+            # another change has replaced the head, and its old shards are deleted
             return None
         records = _merge(shards, head.shards)
         planned = build_plan(
@@ -217,9 +225,10 @@
             generation=head.generation,
         )
         if planned.is_err():
-            # with a swap unanswered, a check against the old head proves nothing
+            # while a swap has no answer, a conflict with the old head is not final:
+            # the swap may still take effect
             if self._unanswered is not None:
-                return self._give_up("a write has no answer yet")
+                return self._give_up("a write to the store has not been answered yet")
             return planned.err_value
         plan = planned.ok_value
         if request.dry_run:
@@ -280,7 +289,7 @@
     def _write_shards(
         self, fresh: Mapping[int, tuple[ShardRef, bytes]]
     ) -> Generator[Step, Any, Result[Mapping[int, ShardRef], str]]:
-        """Write all shards; the references then hold their revisions."""
+        """Write all shards and return their references with revisions."""
         left = dict(fresh)
         self._written = []
         written: dict[int, ShardRef] = {}
@@ -289,15 +298,18 @@
                 break
             results = yield WriteShards(tuple(left.values()))
             for bucket, result in zip(tuple(left), results, strict=True):
-                # nobody else writes these keys: a conflict is an earlier write of
-                # this one whose answer was lost
+                # the keys are unique to this change: a conflict means that an earlier
+                # attempt was written and its answer was lost
                 if result.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
                     ref, _ = left.pop(bucket)
                     ref = ShardRef(ref.digest, ref.salt, result.revision)
                     written[bucket] = ref
                     self._written.append(ref)
         if left:
-            return Err("store: shards could not be written")
+            return Err(
+                f"store: {len(left)} of {len(fresh)} shards could not be written"
+                f" in {MAX_SHARD_WRITES} attempts"
+            )
         return Ok(written)
 
     def _delete_garbage(self, head: Head) -> Generator[Step, Any, frozenset[ShardRef]]:
@@ -313,10 +325,10 @@
         )
 
     def _withdraw(self, refs: list[ShardRef], head: Head) -> Generator[Step, Any, None]:
-        """Delete shards written for swaps that are over, but for those in ``head``.
+        """Delete shards of finished swaps that ``head`` does not reference.
 
-        A shard left behind by a writer that died is never named by any head: it
-        costs room and nothing else.
+        A shard left by a writer that crashed is never referenced by any head: it
+        takes up space and has no other effect.
         """
         named = list_refs(head)
         unused = tuple(ref for ref in refs if ref not in named)
@@ -325,7 +337,7 @@
             yield DeleteShards(unused)
 
     def _refuse_size(self, size: int) -> ChangeOutcome:
-        message = f"a shard would be {size} bytes large, allowed: {MAX_SHARD_BYTES}"
+        message = f"a shard would have {size} bytes; the limit is {MAX_SHARD_BYTES}"
         if self._unanswered is not None:
             return self._give_up(message)
         return Refused(code=RefusedCode.INVALID, message=message)
@@ -344,7 +356,9 @@
     oldest = max(1, get_oldest_generation(head))
     return Refused(
         code=RefusedCode.UNKNOWN_GENERATION,
-        message=f"generation {generation} is not kept",
+        message=(
+            f"generation {generation} is no longer stored; the oldest is {oldest}"
+        ),
         oldest=oldest,
     )
 
--- a/packages/greengagelatch/src/greengagelatch/config/effects.py
+++ b/packages/greengagelatch/src/greengagelatch/config/effects.py
@@ -1,4 +1,4 @@
-"""Effects of policies and their typed parameters."""
+"""Effects of policies and the parsing of their parameters."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
     "read_effect",
 )
 
-#: priorities lie between the negative of this and this
+#: largest absolute value of a priority
 MAX_PRIORITY = 100
 
 
 @dataclass(frozen=True, slots=True)
 class Priority:
-    """Order of service; higher is served first."""
+    """Scheduling priority; higher is served first."""
 
     priority: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Quota:
-    """What each matched workspace may use, over all instances together."""
+    """Limits for each matching workspace, over all instances together."""
 
-    #: name of the policy; use is counted for each workspace and policy
+    #: name of the policy; usage is counted for each pair of workspace and policy
     policy: str
     requests_per_second: float | None = None
     tokens_per_second: float | None = None
-    #: seconds' worth of the rates that may be used at once
+    #: size of a burst, in seconds at the configured rates
     burst_seconds: float = 1.0
     #: share of the concurrency of the targets, above 0 and at most 1
     concurrency_share: float | None = None
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """What counts more, attainment or cost by stage; the two add up to 1."""
+    """Relative weights of deadline attainment and of cost; they add up to 1."""
 
     attainment: float = 0.5
     cost: float = 0.5
@@ -68,16 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Traffic divided among names by whole shares, as written by the operator."""
+    """Weighted traffic split among names; the weights are whole numbers."""
 
     policy: str
     shares: tuple[tuple[str, int], ...]
 
     def pick(self, request_id: str) -> str:
-        """Return the name for a request: the same on every instance and attempt.
+        """Return the name for a request, the same on every instance and attempt.
 
-        The policy's name is part of what is hashed, so that two splits of the same
-        traffic are independent of each other.
+        The policy's name is part of the hash input, so that two splits of the same
+        traffic are statistically independent.
         """
         total = sum(share for _, share in self.shares)
         text = f"{self.policy}\n{request_id}"
@@ -86,24 +86,24 @@
             if point < share:
                 return name
             point -= share
-        raise AssertionError("shares add up to their total")
+        raise AssertionError(f"no share of policy {self.policy!r} was chosen")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placement:
-    """Where work should run, and what the engines there should hold."""
+    """Where work runs, and which models and adapters the engines there load."""
 
-    #: preferred first; others are used when none of these can serve
+    #: in order of preference; others are used when none of these can serve
     data_centres: tuple[str, ...] = ()
     models: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
-    #: wanted role of the engines; empty: any
+    #: role of the engines; empty: any
     role: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Splits:
-    """The divisions that one policy asks for."""
+    """The traffic splits of one policy."""
 
     pipelines: Split | None = None
     services: Split | None = None
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EffectFault:
-    """A parameter that can't be used; ``key`` is empty if one is missing."""
+    """An invalid parameter of a policy."""
 
     key: str
     value: str
@@ -123,8 +123,8 @@
 
 _read_priority = build_number_reader(-MAX_PRIORITY, MAX_PRIORITY)
 
-#: parameters of each effect, with what reads them; all are optional, but a policy
-#: must have at least one
+#: parsers of each effect's parameters; all parameters are optional, but a policy must
+#: have at least one
 EFFECT_PARAMETERS: Mapping[PolicyEffect, Mapping[str, Callable[[str], Any]]] = {
     PolicyEffect.SPLIT: {"to_pipelines": read_shares, "to_services": read_shares},
     PolicyEffect.PRIORITY: {
@@ -147,7 +147,7 @@
 
 
 def read_effect(policy: Policy) -> Result[EffectValue, tuple[EffectFault, ...]]:
-    """Return the typed parameters of a policy, or all that is wrong with them."""
+    """Parse the parameters of a policy, or return all errors in them."""
     readers = EFFECT_PARAMETERS[policy.effect]
     values: dict[str, Any] = {}
     faults = []
@@ -155,7 +155,7 @@
         reader = readers.get(key)
         if reader is None:
             known = ", ".join(readers)
-            reason = f"is no parameter of {policy.effect.value}; known: {known}"
+            reason = f"unknown parameter of {policy.effect.value}; known: {known}"
             faults.append(EffectFault(key, text, reason))
             continue
         try:
--- a/packages/greengagelatch/src/greengagelatch/config/gossip.py
+++ b/packages/greengagelatch/src/greengagelatch/config/gossip.py
@@ -1,4 +1,4 @@
-"""Who watches the store, whom to tell, and how old one's knowledge is."""
+"""Gossip of configuration generations: watchers, recipients and known generations."""
 
 from __future__ import annotations
 
@@ -19,32 +19,33 @@
     "list_alive",
 )
 
-#: instances in each data centre that watch the head: one may be cut off or silent
+#: instances in each data centre that watch the head; two, as one may be partitioned
+#: or unresponsive
 WATCHERS = 2
 
-#: members of one's own data centre told of a new generation at once
+#: members of the local data centre that are notified of a new generation immediately
 FANOUT = 3
 
-#: other instances whose generations are passed on in one advert
+#: generations of other instances that one advert relays
 SEEN_ROWS = 8
 
-#: instances whose generations are remembered
+#: instances whose generations are stored
 MAX_SIGHTINGS = 4096
 
 
 def list_alive(members: Iterable[Member]) -> tuple[Member, ...]:
-    """Return members that can be talked to; suspects count, as most are alive."""
+    """Return reachable members, including suspects, most of which are alive."""
     usable = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
     return tuple(member for member in members if member.state in usable)
 
 
 def choose_watchers(members: Iterable[Member], data_centre: str) -> tuple[str, ...]:
-    """Return the ids of those that watch the head in a data centre.
+    """Return the ids of the instances that watch the head in a data centre.
 
-    The choice is by rendezvous hashing over the members that are alive: instances
-    that see the same members choose the same without a word, and a member that comes
-    or goes moves only its own share. Where views differ, one more or one fewer
-    watches for a while, which is harmless.
+    They are chosen by rendezvous hashing over the live members: instances with the
+    same membership view choose the same watchers without coordination, and a member
+    that joins or leaves moves only its own share. Where views differ, there is one
+    watcher more or fewer for a while, which is harmless.
     """
     candidates = [
         member.instance_id
@@ -62,16 +63,16 @@
     data_centre: str,
     source: random.Random,
 ) -> tuple[str, ...]:
-    """Return whom to tell of a new generation at once.
+    """Return the instances to notify of a new generation immediately.
 
-    These are the neighbours: links to them are open, some lead to other data centres,
-    and as each that learns tells its own in turn, all hear of it. Words to members
-    picked anew each time would each cost a handshake: with eleven data centres a
-    change then kept all instances busy for seconds, seen as a change that takes long
-    to be in force and as instances that are suspected meanwhile.
+    These are the neighbours: connections to them are open, some of them lead to other
+    data centres, and each recipient notifies its own neighbours in turn, so that the
+    advert reaches all. Random recipients would each cost a handshake: with eleven
+    data centres these kept all instances busy for seconds, so that the change became
+    active late and live instances were suspected meanwhile.
 
-    Where no links are kept these are a few of one's own data centre and one of each
-    other.
+    Without open connections, the recipients are a few members of the local data
+    centre and one of each other data centre.
     """
     usable = [member for member in list_alive(members) if member.instance_id != own_id]
     kept = frozenset(neighbours)
@@ -102,7 +103,7 @@
 
 
 class Knowledge:
-    """What has been heard of others' generations, and of the store's newest."""
+    """Known generations of other instances, and the newest confirmed by the store."""
 
     def __init__(self) -> None:
         self._sightings: dict[str, Sighting] = {}
@@ -111,8 +112,8 @@
     def note(
         self, instance_id: str, data_centre: str, generation: int, taken: float
     ) -> None:
-        """Record an instance's own word."""
-        # newest last, so that the oldest is the first to be forgotten
+        """Record the generation that an instance reports of itself."""
+        # newest last, so that the oldest is evicted first
         self._sightings.pop(instance_id, None)
         self._sightings[instance_id] = Sighting(data_centre, generation, taken)
         if len(self._sightings) > MAX_SIGHTINGS:
@@ -121,10 +122,10 @@
     def note_hearsay(
         self, instance_id: str, data_centre: str, generation: int, taken: float
     ) -> None:
-        """Record what another one says of an instance.
+        """Record a generation that another instance relays.
 
-        Its time is later than it truly was by the time the message took, so a lower
-        generation proves nothing against a higher one.
+        The transmission time of the message makes it look newer than it is, so a
+        lower generation does not replace a higher one.
         """
         known = self._sightings.get(instance_id)
         if known is not None:
@@ -134,13 +135,13 @@
         self.note(instance_id, data_centre, generation, taken)
 
     def find(self, instance_id: str) -> Sighting | None:
-        """Return what is known of an instance."""
+        """Return the last known generation of an instance."""
         return self._sightings.get(instance_id)
 
     def pick_rows(
         self, now: float, alive: frozenset[str], source: random.Random
     ) -> tuple[SeenRow, ...]:
-        """Return a random few of the sightings of living members, to pass on."""
+        """Return a random sample of the generations of live members, to relay."""
         known = [name for name in self._sightings if name in alive]
         rows = []
         for name in source.sample(known, min(SEEN_ROWS, len(known))):
@@ -150,12 +151,12 @@
         return tuple(rows)
 
     def confirm(self, generation: int, taken: float) -> None:
-        """Record that a generation was the store's newest at ``taken``."""
+        """Record that a generation was the newest in the store at ``taken``."""
         if self._confirmed is None or (generation, taken) > self._confirmed:
             self._confirmed = (generation, taken)
 
     def get_store_age(self, generation: int, now: float) -> float | None:
-        """Return seconds since ``generation`` was surely the newest, if known."""
+        """Return seconds since ``generation`` was last confirmed as the newest."""
         if self._confirmed is None or self._confirmed[0] != generation:
             return None
         return max(0.0, now - self._confirmed[1])
--- a/packages/greengagelatch/src/greengagelatch/config/head.py
+++ b/packages/greengagelatch/src/greengagelatch/config/head.py
@@ -1,7 +1,7 @@
-"""The head: the one value by which a generation of the configuration is in force.
+"""The head: the root value in the store that defines the current generation.
 
-Changes write new shards first and then swap the head once, so that a change is in
-force as a whole or not at all, and all changes have one order.
+A change writes its new shards first and then replaces the head with a single
+compare-and-swap. Changes are therefore atomic and totally ordered.
 """
 
 from __future__ import annotations
@@ -35,22 +35,23 @@
 HEAD_KEY = "config/head"
 SHARD_PREFIX = "config/shards/"
 
-#: raised when a release writes what an earlier one would misread
+#: version of the format; raised when an earlier release would misread a new one
 HEAD_VERSION = 1
 
-#: changes that are kept in the head whatever their age
+#: latest changes that stay in the head regardless of age
 KEPT_CHANGES = 1024
 
-#: changes that the head can hold at all, which bounds its size to about 300 kB
+#: limit of changes in the head, which bounds its size to about 300 kB
 MAX_CHANGES = 4096
 
-#: seconds for which every change is kept, so that lost answers can be settled
+#: seconds for which every change stays in the head, so that a client whose answer was
+#: lost can look up the outcome
 KEPT_SECONDS = 3600.0
 
-#: generations whose shards are kept, so that they can be put in force again
+#: generations whose shards are kept for rollbacks
 KEPT_GENERATIONS = 256
 
-#: shards waiting to be deleted that the head names at most
+#: limit of the shards awaiting deletion that the head lists
 MAX_GARBAGE = 2048
 
 DIGEST_BYTES = 16
@@ -58,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardRef:
-    """A shard in the store.
+    """Reference to a shard in the store.
 
-    The salt is new for each change, so that no two changes ever write the same key.
-    A key that has left the head then can't come back into it, and deleting it can't
-    take away a shard which a change under way is about to name again.
+    Each change has a random salt, so that no two changes write the same key. A key
+    that the head no longer references is therefore never referenced again, and its
+    deletion can't remove a shard that a concurrent change is about to reference.
     """
 
     digest: bytes
     salt: int
-    #: revision of the store at which it was written
+    #: store revision at which the shard was written
     revision: int = 0
 
     @property
@@ -78,13 +79,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeEntry:
-    """A change that took effect."""
+    """Log entry of a committed change."""
 
     change_id: str
     generation: int
-    #: seconds since the Unix epoch by the clock of the instance that made it
+    #: seconds since the Unix epoch by the clock of the committing instance
     time: float
-    #: digest of what was asked for, to notice an id used for two changes
+    #: digest of the request, to detect an id that is used for two changes
     digest: bytes
     #: shards that the change replaced, by bucket; empty once these are not kept
     previous: Mapping[int, ShardRef | None] = field(default_factory=dict)
@@ -92,13 +93,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Head:
-    """One generation: its shards by bucket, and the changes that led to it."""
+    """One generation: its shards by bucket, and the log of recent changes."""
 
     generation: int = 0
     shards: Mapping[int, ShardRef] = field(default_factory=dict)
     #: oldest first
     changes: tuple[ChangeEntry, ...] = ()
-    #: shards that no kept generation names, oldest first
+    #: shards that no kept generation references, oldest first
     garbage: tuple[ShardRef, ...] = ()
 
 
@@ -106,7 +107,7 @@
 
 
 def find_change(head: Head, change_id: str) -> ChangeEntry | None:
-    """Return the entry of a change; ``None`` if it is not in force or too old."""
+    """Return the log entry of a change, ``None`` if not committed or too old."""
     for entry in reversed(head.changes):
         if entry.change_id == change_id:
             return entry
@@ -138,7 +139,7 @@
 
 
 def list_refs(head: Head) -> frozenset[ShardRef]:
-    """Return all shards that a head names, in whatever role."""
+    """Return all shards that a head references: current, replaced and garbage."""
     refs = {*head.shards.values(), *head.garbage}
     for entry in head.changes:
         refs.update(ref for ref in entry.previous.values() if ref is not None)
@@ -154,15 +155,15 @@
     now: float,
     deleted: frozenset[ShardRef] = frozenset(),
 ) -> Result[Head, str]:
-    """Return the head with one more change; the error says why there is no room.
+    """Return the head with one more change, or an error if its log is full.
 
-    :param shards: new shards of the buckets that the change touches.
+    :param shards: new shards of the buckets that the change modifies.
     :param now: seconds since the Unix epoch.
-    :param deleted: garbage that the store no longer holds.
+    :param deleted: garbage that has been deleted from the store.
     """
     changes = _drop_old(head.changes, now)
     if len(changes) >= MAX_CHANGES:
-        return Err(f"more than {MAX_CHANGES} changes within the hour")
+        return Err(f"more than {MAX_CHANGES} changes within {KEPT_SECONDS:.0f} s")
     previous = {bucket: head.shards.get(bucket) for bucket in shards}
     generation = head.generation + 1
     changes.append(ChangeEntry(change_id, generation, now, digest, previous))
@@ -187,7 +188,7 @@
 
 
 def _drop_previous(changes: list[ChangeEntry]) -> list[ShardRef]:
-    """Forget the shards before the oldest kept generation and return them."""
+    """Remove the references from before the oldest kept generation; return them."""
     position = len(changes) - KEPT_GENERATIONS - 1
     entry = changes[position]
     changes[position] = ChangeEntry(
@@ -197,7 +198,7 @@
 
 
 def encode_head(head: Head) -> bytes:
-    """Return the head's value in the store; equal heads have equal values."""
+    """Encode a head for the store; equal heads have equal encodings."""
     frame = {
         "v": HEAD_VERSION,
         "generation": head.generation,
@@ -209,16 +210,16 @@
 
 
 def decode_head(data: bytes) -> Result[Head, str]:
-    """Read a head's value; the error is a reason in words."""
+    """Decode a head; the error is a readable reason."""
     return _decode(data, _read_head)
 
 
 def encode_delta(head: Head, since: int) -> bytes | None:
-    """Return what leads from generation ``since`` to ``head``.
+    """Encode the difference between generation ``since`` and ``head``.
 
-    A head holds the ids of more than a thousand changes; one change is a few hundred
-    bytes. ``None`` if the changes in between are not all known with what each of
-    them replaced.
+    A head holds more than a thousand log entries, whereas one change is a few hundred
+    bytes. The result is ``None`` unless all changes in between are in the log with
+    the shards that they replaced.
     """
     count = head.generation - since
     if not 0 < count <= min(len(head.changes), KEPT_GENERATIONS):
@@ -236,23 +237,26 @@
 
 
 def apply_delta(head: Head, data: bytes) -> Result[Head, str]:
-    """Return the head that a delta leads to; the error is a reason in words.
+    """Apply a delta to a head; the error is a readable reason.
 
-    The digest of all shards is compared: were the two ends to differ in what a
-    generation holds, one of them would go on with another configuration under the
-    same number, and nothing else would ever show it.
+    The digest of all shard references is verified. If sender and receiver diverged,
+    the receiver would otherwise serve another configuration under the same
+    generation, and no other check would detect it.
     """
     return _decode(data, lambda frame: _follow(head, frame))
 
 
 def _follow(head: Head, frame: Any) -> Head:
     if frame["since"] != head.generation:
-        raise ValueError(f"begins at generation {frame['since']}")
+        raise ValueError(
+            f"delta begins at generation {frame['since']}, the head is at"
+            f" {head.generation}"
+        )
     changes = tuple(_to_change(row) for row in frame["changes"])
     fresh = {key: ShardRef(*row) for key, row in frame["shards"].items()}
     shards = {**head.shards, **fresh}
     if _compute_shards_digest(shards) != frame["digest"]:
-        raise ValueError("leads to other shards than those of the sender")
+        raise ValueError("the digest of the resulting shards differs from the sender's")
     return Head(
         generation=changes[-1].generation,
         shards=shards,
@@ -273,7 +277,9 @@
     try:
         frame = cbor2.loads(data)
         if frame["v"] != HEAD_VERSION:
-            return Err(f"head of version {frame['v']}, known is {HEAD_VERSION}")
+            return Err(
+                f"unsupported head version {frame['v']}, expected {HEAD_VERSION}"
+            )
         return Ok(read(frame))
     except (cbor2.CBORDecodeError, AttributeError) as error:
         return Err(f"not a head: {error}")
--- a/packages/greengagelatch/src/greengagelatch/config/ini.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini.py
@@ -1,8 +1,8 @@
-"""Objects read from INI text, whole or not at all.
+"""Parser of objects in INI text, which accepts a text completely or not at all.
 
-The text is read in two steps: :mod:`configparser` splits it into sections, and each
-section is then read into an object by its kind. All problems of all steps are
-returned together, so that an operator mends a file in one go.
+:mod:`configparser` splits the text into sections, and each section is then parsed
+into an object of its kind. All errors of both steps are returned together, so that an
+operator can fix a file in one pass.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 __all__ = ("parse_in_steps", "parse_objects")
 
-#: longest deadline that a pipeline may give to callers that name none: a day
+#: longest default deadline of a pipeline: one day
 MAX_DEADLINE_MS = 86_400_000
 
-#: ranks of policies lie between the negative of this and this
+#: largest absolute value of a policy's rank
 MAX_RANK = 1_000_000
 
 
@@ -50,21 +50,20 @@
 
 
 def parse_objects(text: str, file: str = "") -> Parsed:
-    """Read all objects of an INI text, or return all that is wrong with it.
+    """Parse all objects of an INI text, or return all errors in it.
 
-    References to objects that the text does not hold are not looked at; see
+    References to objects outside the text are not checked here; see
     :mod:`greengagelatch.config.validation`.
 
-    :param file: name of the file the text is from, for the problems.
+    :param file: name of the source file, for error messages.
     """
     return drain(parse_in_steps(text, file))
 
 
 def parse_in_steps(text: str, file: str = "") -> Generator[None, None, Parsed]:
-    """Do the same, and yield after each section or few.
+    """Parse like :func:`parse_objects`, and yield after every few sections.
 
-    A hundred kilobytes take about a tenth of a second, for which an event loop
-    would stand still.
+    Parsing 100 kB takes about 0.1 s, for which it would block an event loop.
     """
     sections, problems = yield from split_in_steps(text, file)
     objects = yield from _Reader(file, problems).read(sections)
@@ -79,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Key:
-    """How the value of one key is read."""
+    """Parser and default of one key."""
 
     read: Callable[[str], Any]
     required: bool = False
@@ -130,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _StageSection:
-    """A section of a stage; ``stage`` is ``None`` if the section is unsound."""
+    """A section of a stage; ``stage`` is ``None`` if the section is invalid."""
 
     inputs: tuple[str, ...]
     stage: Stage | None
@@ -138,11 +137,11 @@
 
 @dataclass(slots=True)
 class _Reader:
-    """Reads sections into objects and collects what is wrong."""
+    """Parses sections into objects and collects errors."""
 
     file: str
     problems: list[Problem]
-    #: by ``PIPELINE/NAME``, of all sections of stages
+    #: all stage sections by ``PIPELINE/NAME``
     stages: dict[str, _StageSection] = field(default_factory=dict)
 
     def read(
@@ -192,7 +191,7 @@
         self.stages[section.name] = _StageSection(values["inputs"], stage)
 
     def _read_values(self, section: Section) -> dict[str, Any]:
-        """Return the values of the known keys; unsound ones have their default."""
+        """Return the values of the known keys; invalid ones have their default."""
         keys = _KEYS[section.kind]
         values = {key: item.default for key, item in keys.items()}
         for key, text in section.values.items():
@@ -252,7 +251,7 @@
         section = Section(f"stage:{title}", {})
         for name in inputs:
             if name not in earlier:
-                reason = "is no earlier stage of the pipeline"
+                reason = "is not an earlier stage of the pipeline"
                 self._add(section, "inputs", name, reason)
 
     def _check_orphans(self, sections: tuple[Section, ...]) -> None:
@@ -265,7 +264,7 @@
         for section in sections:
             if section.kind != "stage" or section.name in listed:
                 continue
-            reason = "no section [pipeline:NAME] of this text lists it in stages"
+            reason = "no [pipeline:NAME] section lists this stage"
             self._add(section, reason=reason)
 
     def _add(
--- a/packages/greengagelatch/src/greengagelatch/config/ini_writer.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini_writer.py
@@ -1,4 +1,4 @@
-"""Objects written as canonical INI text, which reads back as the same objects."""
+"""Formatter of objects as canonical INI text, which parses to equal objects."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def format_object(item: ConfigObject) -> str:
-    """Return one object as INI text; values that are the default are left out."""
+    """Return one object as INI text without default values."""
     match item:
         case Service():
             fields = {"kind": item.kind.value}
@@ -51,7 +51,7 @@
     if not stage.repeatable:
         fields["repeatable"] = "no"
     if stage.share != 1.0:
-        # the shortest text that reads back as the same number
+        # repr is the shortest text that parses to the same number
         fields["share"] = repr(stage.share)
     if stage.inputs:
         fields["inputs"] = ", ".join(stage.inputs)
--- a/packages/greengagelatch/src/greengagelatch/config/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/config/messages.py
@@ -1,4 +1,4 @@
-"""Messages by which entry instances learn the configuration from each other."""
+"""Peer messages that replicate the configuration between entry instances."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
     "ConfigQuery",
 )
 
-#: bytes of one answer to a fetch, so that no frame holds up heartbeats for long
+#: size in bytes of one chunk, so that no frame delays heartbeats for long
 CHUNK_BYTES = 128 * 1024
 
-#: an instance, its data centre, its generation and the age of that in seconds
+#: instance id, data centre, generation, and age of that observation in seconds
 SeenRow = tuple[str, str, int, float]
 
 _SEEN_TYPES = (str, str, int, (int, float))
@@ -26,11 +26,11 @@
 @register("config-advert")
 @dataclass(frozen=True, slots=True)
 class ConfigAdvert(Message):
-    """What the sender has in force, and what it has heard of others."""
+    """The sender's active generation, and generations it knows of other instances."""
 
     generation: int = 0
     data_centre: str = ""
-    #: seconds since this was the store's newest generation; negative: never known
+    #: seconds since this was last confirmed as the newest in the store; negative: never
     store_age: float = -1.0
     seen: tuple[SeenRow, ...] = ()
 
@@ -48,16 +48,16 @@
 @register("config-query")
 @dataclass(frozen=True, slots=True)
 class ConfigQuery(Message):
-    """Ask for an advert."""
+    """Request for a :class:`ConfigAdvert`."""
 
 
 @register("config-fetch")
 @dataclass(frozen=True, slots=True)
 class ConfigFetch(Message):
-    """Ask for bytes of a shard, or of the head where ``key`` is empty.
+    """Request for bytes of a shard, or of the head if ``key`` is empty.
 
-    For the head, ``generation`` is the one that the asker has: the answer is only
-    what was changed since, if the peer still knows it.
+    For the head, ``generation`` is the requester's: the peer then sends a delta from
+    it if its change log still reaches back that far.
     """
 
     key: str = ""
@@ -73,14 +73,14 @@
 @register("config-chunk")
 @dataclass(frozen=True, slots=True)
 class ConfigChunk(Message):
-    """Bytes from ``offset`` on; ``total`` is 0 if the peer does not hold it."""
+    """Bytes from ``offset`` on; ``total`` is 0 if the peer does not have the value."""
 
     key: str = ""
     generation: int = 0
     offset: int = 0
     total: int = 0
     data: bytes = b""
-    #: whether the bytes are what was changed and not a whole head
+    #: whether the bytes are a delta instead of a complete head
     delta: bool = False
 
     def __post_init__(self) -> None:
--- a/packages/greengagelatch/src/greengagelatch/config/names.py
+++ b/packages/greengagelatch/src/greengagelatch/config/names.py
@@ -1,4 +1,4 @@
-"""Names of objects and the alphabet they are written in."""
+"""Identifiers of objects and the syntax of names."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 _NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9._-]*[A-Za-z0-9])?")
 
-#: any object that is named by itself; a stage is part of its pipeline
+#: any top-level object; stages are part of their pipeline
 ConfigObject = Pipeline | Policy | Service | Workspace
 
 
 class ObjectKind(Enum):
-    """Kinds of objects, in the order in which they are written."""
+    """Kinds of objects, in canonical order."""
 
     SERVICE = "service"
     WORKSPACE = "workspace"
@@ -62,7 +62,7 @@
 
 
 def parse_object_id(text: str) -> Result[ObjectId, str]:
-    """Read ``KIND/NAME``; the error is a reason in words."""
+    """Parse ``KIND/NAME``; the error is a readable reason."""
     kind, slash, name = text.partition("/")
     if not slash:
         return Err("must be KIND/NAME, as in service/stockdesk")
@@ -76,7 +76,7 @@
 
 
 def find_name_fault(name: str) -> str:
-    """Return what is wrong with a name; empty if nothing is."""
+    """Return why a name is invalid, or an empty string if it is valid."""
     if len(name) > MAX_NAME_LENGTH:
         return f"must be at most {MAX_NAME_LENGTH} characters long"
     if not _NAME.fullmatch(name):
--- a/packages/greengagelatch/src/greengagelatch/config/objects.py
+++ b/packages/greengagelatch/src/greengagelatch/config/objects.py
@@ -18,7 +18,7 @@
 
 
 class StageKind(Enum):
-    """What a stage does; it decides which calls a target understands."""
+    """Type of a stage, which determines the protocol that its targets speak."""
 
     ENCODE = "encode"
     RETRIEVE = "retrieve"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A set of interchangeable targets; the instance list says which they are."""
+    """A set of interchangeable targets, which the instance list enumerates."""
 
     name: str
     kind: StageKind
@@ -43,11 +43,11 @@
     name: str
     kind: StageKind
     service: str
-    #: whether a call of this stage may be sent again after it may have run
+    #: whether a call may be retried although an earlier attempt may have run
     repeatable: bool = True
-    #: share of the request's deadline, above 0, relative to the other stages
+    #: weight above 0 by which the request's deadline is divided among the stages
     share: float = 1.0
-    #: names of earlier stages whose results are input; empty: the request's input
+    #: names of earlier stages whose results are the input; empty: the request's input
     inputs: tuple[str, ...] = ()
     labels: Mapping[str, str] = field(default_factory=dict)
 
@@ -58,21 +58,21 @@
 
     name: str
     stages: tuple[Stage, ...]
-    #: deadline in milliseconds for callers that name none; 0: a caller must
+    #: default deadline in milliseconds; 0: each request must state its own
     default_deadline_ms: int = 0
     labels: Mapping[str, str] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Workspace:
-    """A customer on whose behalf requests are made."""
+    """A customer whose requests share policies and quotas."""
 
     name: str
     labels: Mapping[str, str] = field(default_factory=dict)
 
 
 class PolicyEffect(Enum):
-    """What a policy steers."""
+    """What a policy controls."""
 
     SPLIT = "split"
     PRIORITY = "priority"
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Policy:
-    """Steers whatever its selectors pick.
+    """Applies an effect to the traffic that its selectors match.
 
     Selectors are texts such as ``tier in (gold, silver), !trial``; see
     :mod:`greengagelatch.config.selectors`.
@@ -94,7 +94,7 @@
     workspaces: str = ""
     pipelines: str = ""
     services: str = ""
-    #: higher ranks win; equal ranks are ordered by selector size, then by name
+    #: the highest rank wins; ties are broken by selector size, then by name
     rank: int = 0
     #: parameters of the effect, such as ``requests_per_second`` of a quota
     values: Mapping[str, str] = field(default_factory=dict)
--- a/packages/greengagelatch/src/greengagelatch/config/plan.py
+++ b/packages/greengagelatch/src/greengagelatch/config/plan.py
@@ -1,4 +1,4 @@
-"""What a change does to the records in force, and whether it may."""
+"""Computes the effect of a change on the current records and validates it."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Bodies to be written by ``KIND/NAME``; ``None`` deletes the object."""
+    """New bodies by ``KIND/NAME``; ``None`` deletes the object."""
 
     bodies: Mapping[str, Body | None]
 
     @property
     def changed(self) -> tuple[str, ...]:
-        """Ids of the objects that differ afterwards."""
+        """Ids of the objects that the change modifies."""
         return tuple(sorted(self.bodies))
 
 
@@ -51,14 +51,14 @@
     base: int,
     generation: int,
 ) -> Result[Plan, Conflicted | Refused]:
-    """Return what the change does to ``records``.
+    """Return the modifications to ``records``, or the reason for a rejection.
 
-    Objects that already are as asked for are left alone, so that two operators who
-    make the same edit don't get into each other's way.
+    Objects that already have the requested content are skipped, so that two
+    operators who make the same edit don't conflict.
 
     :param objects: the objects that ``records`` hold.
-    :param target: records of the generation that a rollback goes back to.
-    :param base: generation that the operator's edit began from.
+    :param target: records of the generation that a rollback restores.
+    :param base: generation that the operator's edit is based on.
     :param generation: generation of ``records``.
     """
     wanted = _list_wanted(request, records, target)
@@ -84,7 +84,7 @@
 
 
 def describe(plan: Plan, records: Records) -> tuple[Difference, ...]:
-    """Return each changed object as INI before and after."""
+    """Return each modified object as INI text before and after the change."""
     differences = []
     for object_id in plan.changed:
         before = _format(object_id, _get_body(records, object_id))
@@ -96,10 +96,10 @@
 def group_records(
     plan: Plan, records: Records, *, change_id: str, generation: int, oldest: int
 ) -> Mapping[int, Records]:
-    """Return the new records of each bucket that the plan touches.
+    """Return the new records of each bucket that the plan modifies.
 
-    :param generation: generation that the change brings.
-    :param oldest: deletions before this generation are no longer remembered.
+    :param generation: generation that the change creates.
+    :param oldest: tombstones of earlier generations are dropped.
     """
     buckets: dict[int, dict[str, Record]] = {}
     for object_id in plan.bodies:
--- a/packages/greengagelatch/src/greengagelatch/config/precedence.py
+++ b/packages/greengagelatch/src/greengagelatch/config/precedence.py
@@ -1,13 +1,13 @@
-"""The total order of policies: which one wins where several match.
+"""Precedence of policies, a total order.
 
-Of all policies with one effect that match, the first in this order is taken whole;
-nothing is merged from the others:
+For each effect, the first matching policy in this order applies as a whole; nothing is
+merged from the others:
 
-1. the higher ``rank``;
-2. at equal rank the one with more requirements in its three selectors together, as
-   the more specific one;
-3. at equal size the one whose name comes first by code point. Names are unique, so
-   that no two policies are ever equal.
+1. the higher ``rank`` wins;
+2. at equal rank, the policy with more requirements in its three selectors together
+   wins, as it is more specific;
+3. at equal size, the name that sorts first by code point wins. Names are unique, so
+   that no two policies compare equal.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def count_requirements(policy: Policy) -> int:
-    """Return the number of requirements in a policy's selectors together."""
+    """Return the total number of requirements in a policy's selectors."""
     count = 0
     for text in (policy.workspaces, policy.pipelines, policy.services):
         selector = parse_selector(text)
@@ -31,7 +31,7 @@
 
 
 def order_policies(policies: Iterable[Policy]) -> tuple[Policy, ...]:
-    """Return policies so that an earlier one wins over a later one."""
+    """Return policies by descending precedence."""
     return tuple(sorted(policies, key=_get_sort_key))
 
 
--- a/packages/greengagelatch/src/greengagelatch/config/problems.py
+++ b/packages/greengagelatch/src/greengagelatch/config/problems.py
@@ -1,4 +1,4 @@
-"""Problems found in what an operator sent."""
+"""Errors in an operator's input."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 __all__ = ("MAX_SHOWN_VALUE", "Problem")
 
-#: characters of an offending value that are shown
+#: characters of an invalid value that an error message shows
 MAX_SHOWN_VALUE = 200
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """One thing to mend; ``str`` of it is the line shown to operators."""
+    """One error; its ``str`` is the line shown to operators."""
 
     file: str
     section: str = ""
--- a/packages/greengagelatch/src/greengagelatch/config/records.py
+++ b/packages/greengagelatch/src/greengagelatch/config/records.py
@@ -1,4 +1,4 @@
-"""Objects as they are stored: records in shards, each shard one immutable value."""
+"""Storage format of objects: records in shards, each shard an immutable value."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     "to_body",
 )
 
-#: shards among which objects are divided by a hash of their names; never changed, as
-#: instances of neighbouring releases must agree on it
+#: shards that objects are hashed into by name; constant across releases, as instances
+#: of adjacent releases must agree on it
 BUCKETS = 256
 
-#: largest shard in bytes, which leaves room below the store's megabyte
+#: largest shard in bytes, with a margin below the store's limit of 1 MB
 MAX_SHARD_BYTES = 900_000
 
 DIGEST_BYTES = 16
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One object with what last changed it; ``body`` is ``None`` once deleted.
+    """One object and its last change; ``body`` is ``None`` for a tombstone.
 
-    Deleted objects leave a record for a while: an edit that began before the
-    deletion would otherwise bring the object back without a word.
+    Deleted objects leave a tombstone for a while: an edit based on an earlier
+    generation would otherwise restore the object without a conflict.
     """
 
     generation: int
@@ -60,10 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shard:
-    """Records of one bucket by ``KIND/NAME``, with the objects that they hold.
+    """Records of one bucket by ``KIND/NAME``, with the objects parsed from them.
 
-    A record that this release can't read, as one of a later release may be, is kept
-    as it is and has no object.
+    A record that this release can't parse, such as one written by a later release,
+    is kept unchanged and has no object.
     """
 
     records: Mapping[str, Record]
@@ -76,12 +76,12 @@
 
 
 def compute_digest(data: bytes) -> bytes:
-    """Return the digest by which a shard's content is known."""
+    """Return the digest that identifies a shard's content."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
 def encode_shard(records: Mapping[str, Record]) -> bytes:
-    """Return a shard's value; equal records have equal values."""
+    """Encode a shard; equal records have equal encodings."""
     rows = {
         object_id: [record.generation, record.change_id, record.body]
         for object_id, record in records.items()
@@ -90,7 +90,7 @@
 
 
 def decode_shard(data: bytes) -> Result[Shard, str]:
-    """Read a shard's value; the error is a reason in words."""
+    """Decode a shard; the error is a readable reason."""
     try:
         rows = cbor2.loads(data)
         records = {
@@ -103,7 +103,7 @@
 
 
 def to_body(item: ConfigObject) -> Mapping[str, Any]:
-    """Return an object's fields as CBOR holds them, without its name."""
+    """Return an object's fields for CBOR, without its name."""
     body: dict[str, Any] = {"labels": dict(item.labels)}
     match item:
         case Service():
@@ -122,7 +122,7 @@
 
 
 def build_object(object_id: str, body: Mapping[str, Any]) -> ConfigObject | None:
-    """Return the object of a record; ``None`` if this release can't read it."""
+    """Return the object of a record, or ``None`` if this release can't parse it."""
     kind, _, name = object_id.partition("/")
     try:
         return _build(ObjectKind(kind), name, body)
--- a/packages/greengagelatch/src/greengagelatch/config/replica.py
+++ b/packages/greengagelatch/src/greengagelatch/config/replica.py
@@ -1,4 +1,4 @@
-"""What one instance holds of the configuration, moving to higher generations only."""
+"""An instance's replica of the configuration, whose generation never decreases."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 __all__ = ("HeldShard", "Replica", "open_shard")
 
-#: replaced shards kept for peers that still fetch the generation before
+#: replaced shards kept for peers that are still fetching an earlier generation
 KEPT_SHARDS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class HeldShard:
-    """A shard as it was sent and as it was read."""
+    """A shard in encoded and in decoded form."""
 
     data: bytes
     shard: Shard
 
 
 def open_shard(ref: ShardRef, data: bytes) -> HeldShard | None:
-    """Read a shard's value; ``None`` if it is not what the reference names."""
+    """Decode a shard, or return ``None`` if it does not match the reference."""
     if compute_digest(data) != ref.digest:
         return None
     shard = decode_shard(data)
@@ -37,12 +37,12 @@
 
 
 class Replica:
-    """The newest complete generation that this instance has learnt.
+    """The newest complete generation that this instance has received.
 
-    Heads come from the store, from watches and from peers, and any of these may be
-    late. A head is taken over only if its generation is higher than the one in
-    force and all its shards are here; so nothing reverts and no part of a change is
-    ever visible.
+    Heads arrive from the store, from watches and from peers, and any of them may be
+    stale. A head is adopted only if its generation is higher than the active one and
+    all of its shards are present. So the configuration never reverts, and changes
+    become visible atomically.
     """
 
     def __init__(self) -> None:
@@ -53,42 +53,42 @@
 
     @property
     def head(self) -> Head:
-        """Head of the generation in force here."""
+        """Head of the active generation."""
         return self._head
 
     @property
     def generation(self) -> int:
-        """Generation in force here; 0 before any is known."""
+        """Active generation; 0 before the first one is adopted."""
         return self._head.generation
 
     @property
     def snapshot(self) -> Snapshot:
-        """Objects in force here."""
+        """Objects of the active generation."""
         return self._snapshot
 
     @property
     def bytes_held(self) -> int:
-        """Bytes of all shards held."""
+        """Total size of all shards in memory, in bytes."""
         return sum(len(held.data) for held in self._shards.values())
 
     def encode_head(self) -> bytes:
-        """Return the head as peers are sent it."""
+        """Return the encoded head, as it is sent to peers."""
         if self._head_data is None:
             self._head_data = encode_head(self._head)
         return self._head_data
 
     def find_missing(self, refs: Iterable[ShardRef]) -> tuple[ShardRef, ...]:
-        """Return those shards that are not here."""
+        """Return the references whose shards are not present."""
         return tuple(ref for ref in refs if ref.key not in self._shards)
 
     def get(self, key: str) -> HeldShard | None:
-        """Return a shard by its key, if it is here."""
+        """Return a shard by its key, if present."""
         return self._shards.get(key)
 
     def adopt(self, head: Head, fresh: Mapping[ShardRef, HeldShard]) -> bool:
-        """Put a generation in force; ``False`` if it is no higher or incomplete.
+        """Activate a generation; return ``False`` if it is not newer or incomplete.
 
-        :param fresh: shards of it that are not here yet.
+        :param fresh: shards of the generation that are not present yet.
         """
         if head.generation <= self._head.generation:
             return False
@@ -104,7 +104,7 @@
         return True
 
     def list_records(self) -> Mapping[str, Record]:
-        """Return all records in force by ``KIND/NAME``, deleted ones included."""
+        """Return all active records by ``KIND/NAME``, including tombstones."""
         records: dict[str, Record] = {}
         for ref in self._head.shards.values():
             records.update(self._shards[ref.key].shard.records)
--- a/packages/greengagelatch/src/greengagelatch/config/requests.py
+++ b/packages/greengagelatch/src/greengagelatch/config/requests.py
@@ -1,4 +1,4 @@
-"""Changes that operators ask for, and what becomes of them."""
+"""Change requests of operators and their outcomes."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 def is_change_id(text: str) -> bool:
-    """Whether ``text`` can be the id of a change."""
+    """Return whether ``text`` is a valid id of a change."""
     return _CHANGE_ID.fullmatch(text) is not None
 
 
 class ChangeMode(Enum):
-    """What a change does."""
+    """Type of a change."""
 
     APPLY = "apply"
     DELETE = "delete"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ChangeRequest:
-    """A change whose own text is sound; it is yet to be checked against the rest."""
+    """A parsed change; references to other objects are not validated yet."""
 
     change_id: str
     mode: ChangeMode
@@ -57,18 +57,18 @@
     objects: tuple[ConfigObject, ...] = ()
     #: objects to delete
     names: tuple[ObjectId, ...] = ()
-    #: generation whose content is to be in force again
+    #: generation that a rollback restores
     to_generation: int = 0
-    #: generation that the edit began from; ``None``: the one found first
+    #: generation that the edit is based on; ``None``: the first one that is read
     base: int | None = None
-    #: name of the file that the objects are from, for messages
+    #: name of the source file, for error messages
     file: str = ""
-    #: only check it and say what it would change
+    #: validate the change and return the differences without committing it
     dry_run: bool = False
 
     @cached_property
     def digest(self) -> bytes:
-        """Digest of what is asked for; file, base and way of asking left out."""
+        """Digest of the requested content, without file, base and dry run."""
         parts = (
             self.mode.value,
             format_objects(self.objects),
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One object as INI before and after a change; empty where absent."""
+    """One object as INI text before and after a change; empty where absent."""
 
     object_id: str
     before: str
@@ -90,35 +90,35 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflict:
-    """An object that was changed since the operator's edit began."""
+    """An object that another change has modified since the operator's base."""
 
     object_id: str
-    #: generation that the edit began from
+    #: generation that the edit is based on
     base: int
-    #: what the operator sent, as INI; empty for a deletion
+    #: the operator's version as INI text; empty for a deletion
     yours: str
-    #: generation and change that last changed the object
+    #: generation and id of the last change of the object
     generation: int
     change_id: str
-    #: what is in force, as INI; empty if it was deleted
+    #: the active version as INI text; empty if it was deleted
     current: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settled:
-    """The change is in force from ``generation`` on."""
+    """The change is committed as ``generation``."""
 
     generation: int
-    #: whether it was in force before it was asked for this time
+    #: whether an earlier request had already committed it
     repeated: bool = False
     changed: tuple[str, ...] = ()
-    #: newest head that was seen
+    #: newest head that was read or written
     head: Head
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Checked:
-    """A dry run: the change is sound at ``generation``."""
+    """Dry run: the change is valid on top of ``generation``."""
 
     generation: int
     changed: tuple[Difference, ...]
@@ -126,14 +126,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflicted:
-    """Nothing took effect: others changed the same objects."""
+    """Not committed: other changes have modified the same objects."""
 
     generation: int
     conflicts: tuple[Conflict, ...]
 
 
 class RefusedCode(Enum):
-    """Why a change can't be made however often it is asked for."""
+    """Permanent error of a change, which a retry does not fix."""
 
     INVALID = "invalid"
     CHANGE_ID_REUSED = "change-id-reused"
@@ -142,27 +142,30 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """Nothing took effect: the change is not sound."""
+    """Not committed: the change is invalid."""
 
     code: RefusedCode
     message: str
     problems: tuple[Problem, ...] = field(default=())
-    #: oldest generation that can be put in force again
+    #: oldest generation that a rollback can restore
     oldest: int = 0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotApplied:
-    """Nothing took effect, and asking again may help."""
+    """Not committed because of a transient failure; a retry may succeed."""
 
     message: str
-    #: generation to send as the base when asking again; ``None`` if none was read
+    #: generation to send as the base of a retry; ``None`` if none was read
     base: int | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unsettled:
-    """It may have taken effect, or may yet; only reading the store settles it."""
+    """Outcome unknown: the change may be or may yet become committed.
+
+    Only a later read of the store can tell.
+    """
 
     message: str
     base: int | None = None
--- a/packages/greengagelatch/src/greengagelatch/config/sections.py
+++ b/packages/greengagelatch/src/greengagelatch/config/sections.py
@@ -1,4 +1,4 @@
-"""INI text split into sections, with all its syntax errors."""
+"""Splits INI text into sections and collects all syntax errors."""
 
 from __future__ import annotations
 
@@ -11,50 +11,51 @@
 
 __all__ = ("MAX_SYNTAX_ERRORS", "Section", "drain", "split_in_steps", "split_sections")
 
-#: syntax errors reported at once; each costs another pass over the text
+#: syntax errors reported at once; each costs another pass over its part of the text
 MAX_SYNTAX_ERRORS = 20
 
-#: lines read at once; a parser of its own for each section would take thrice as long
+#: least number of lines parsed together; a parser per section would take three times
+#: as long
 PART_LINES = 40
 
 T = TypeVar("T")
 
-#: title given to the second section of one name while the text is read on
+#: replacement title of a duplicate section, so that parsing can continue
 _REPEATED = "repeated section on line "
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A section's title and its values as text, in the order written."""
+    """A section's title and its values as text, in source order."""
 
     title: str
     values: Mapping[str, str]
 
     @property
     def kind(self) -> str:
-        """What stands before the colon of the title."""
+        """Part of the title before the colon."""
         return self.title.partition(":")[0]
 
     @property
     def name(self) -> str:
-        """What stands after the colon of the title; empty without one."""
+        """Part of the title after the colon; empty without one."""
         return self.title.partition(":")[2]
 
 
-#: what was read, and what was wrong
+#: parsed sections and the errors in the text
 Split = tuple[tuple[Section, ...], list[Problem]]
 
 
 def split_sections(text: str, file: str) -> Split:
-    """Return all sections that can be read, and a problem for each syntax error."""
+    """Return all sections that can be parsed, and a problem for each syntax error."""
     return drain(split_in_steps(text, file))
 
 
 def split_in_steps(text: str, file: str) -> Generator[None, None, Split]:
-    """Do the same, and yield after each part of the text.
+    """Split like :func:`split_sections`, and yield after each part of the text.
 
-    The parser stops at the first error of most kinds. The line at fault is then
-    taken out and the part is read again.
+    The parser stops at the first error of most kinds. The invalid line is then
+    blanked and the part is parsed again.
     """
     sections: list[Section] = []
     problems: list[Problem] = []
@@ -75,7 +76,7 @@
 
 
 def drain(steps: Generator[None, None, T]) -> T:
-    """Take all steps at once and return what they lead to."""
+    """Run a generator to its end and return its value."""
     while True:
         try:
             next(steps)
@@ -84,7 +85,7 @@
 
 
 def _cut(text: str) -> list[tuple[int, list[str]]]:
-    """Cut a text before titles; with the number of each part's first line."""
+    """Split a text before section titles into parts with their first line numbers."""
     parts: list[tuple[int, list[str]]] = [(1, [])]
     for number, line in enumerate(text.splitlines(), start=1):
         if line.startswith("[") and len(parts[-1][1]) >= PART_LINES:
@@ -108,8 +109,8 @@
 
 
 def _create_parser() -> configparser.RawConfigParser:
-    # no title is empty, so that no section lends its values to all others; names of
-    # keys are kept as written, as those of labels and parameters are
+    # an empty default section disables inheritance, as no title is empty; the case of
+    # keys is preserved, as labels and parameters are case-sensitive
     parser = configparser.RawConfigParser(
         default_section="",
         delimiters=("=",),
@@ -134,7 +135,10 @@
 def _take_out(
     error: configparser.Error, lines: list[str], offset: int, file: str
 ) -> list[Problem]:
-    """Blank the lines at fault and name them; ``offset`` lines stand before."""
+    """Blank invalid lines and return their problems.
+
+    :param offset: number of lines before the part.
+    """
     match error:
         case configparser.DuplicateSectionError(section=title, lineno=number):
             lines[number - 1] = f"[{_REPEATED}{number}]"
@@ -147,7 +151,7 @@
             return [Problem(file=file, section=title, key=key, reason=reason)]
         case configparser.MissingSectionHeaderError(lineno=number, line=line):
             lines[number - 1] = ""
-            reason = f"line {offset + number}: stands before any section"
+            reason = f"line {offset + number}: is outside of any section"
             return [_report_line(file, line, reason)]
         case configparser.ParsingError(errors=errors):
             problems = []
--- a/packages/greengagelatch/src/greengagelatch/config/selectors.py
+++ b/packages/greengagelatch/src/greengagelatch/config/selectors.py
@@ -1,6 +1,6 @@
-"""Label selectors: which objects a policy or a query picks.
+"""Label selectors of policies and queries.
 
-A selector is a list of requirements joined by commas; all of them must hold:
+A selector is a comma-separated list of requirements, all of which must hold:
 
 ==========================  ======================================================
 ``tier = gold``             the label has that value (``==`` is the same)
@@ -11,7 +11,7 @@
 ``!trial``                  the label is absent
 ==========================  ======================================================
 
-The built-in label ``name`` is the object's name. The empty selector picks all.
+The built-in label ``name`` is the object's name. The empty selector matches all.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 #: built-in label that holds the object's name
 NAME_LABEL = "name"
 
-#: requirements allowed in one selector, which bounds the cost of matching
+#: limit of requirements in one selector, which bounds the cost of matching
 MAX_REQUIREMENTS = 32
 
 _TOKEN = re.compile(r"\s*(?:(==|!=|[=!(),])|([A-Za-z0-9][A-Za-z0-9._/-]*))")
 
 
 class Operator(Enum):
-    """How a requirement compares."""
+    """Comparison operator of a requirement."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One condition on one label; equality is a set of one value."""
+    """One condition on one label; equality is ``IN`` with a single value."""
 
     key: str
     operator: Operator
     values: frozenset[str] = frozenset()
 
     def accepts(self, value: str | None) -> bool:
-        """Whether the label's value satisfies this; ``None`` is an absent label."""
+        """Return whether a label's value satisfies this; ``None``: it is absent."""
         if self.operator is Operator.PRESENT:
             return value is not None
         if self.operator is Operator.ABSENT:
@@ -77,7 +77,7 @@
     requirements: tuple[Requirement, ...] = ()
 
     def matches(self, name: str, labels: Mapping[str, str]) -> bool:
-        """Whether an object with that name and these labels is picked."""
+        """Return whether an object with this name and these labels matches."""
         for requirement in self.requirements:
             key = requirement.key
             value = name if key == NAME_LABEL else labels.get(key)
@@ -88,7 +88,7 @@
 
 @lru_cache(maxsize=4096)
 def parse_selector(text: str) -> Result[Selector, str]:
-    """Parse a selector; the error is a reason in words."""
+    """Parse a selector; the error is a readable reason."""
     try:
         tokens = _split(text)
         return Ok(Selector(_Parser(tokens).parse()))
@@ -110,7 +110,7 @@
 
 
 class _Parser:
-    """Reads requirements from tokens, one token ahead."""
+    """Recursive descent parser of requirements with one token of lookahead."""
 
     def __init__(self, tokens: list[str]) -> None:
         self._tokens = tokens
--- a/packages/greengagelatch/src/greengagelatch/config/snapshot.py
+++ b/packages/greengagelatch/src/greengagelatch/config/snapshot.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """All objects in force together; generations rise with every change."""
+    """All objects of one generation; each change increments the generation."""
 
     generation: int
     change_id: str = ""
@@ -22,5 +22,5 @@
     policies: Mapping[str, Policy] = field(default_factory=dict)
 
 
-#: what an instance holds before it has learnt any configuration
+#: configuration of an instance before it has received any generation
 EMPTY = Snapshot(generation=0)
--- a/packages/greengagelatch/src/greengagelatch/config/steering.py
+++ b/packages/greengagelatch/src/greengagelatch/config/steering.py
@@ -1,4 +1,4 @@
-"""What the policies in force say about one kind of work."""
+"""Resolves the active policies for a workspace, pipeline and service, with a cache."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
     "resolve",
 )
 
-#: snapshots whose policies are kept ready, newest last
+#: snapshots whose parsed policies are cached
 MAX_TABLES = 4
 
-#: answers kept for one snapshot; callers choose the names that are asked for
+#: cached results per snapshot, bounded because callers choose the names in the keys
 MAX_ANSWERS = 16_384
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Steering:
-    """How a workspace's work on a pipeline and service is to be treated."""
+    """Effective policy of a workspace's requests to a pipeline and service."""
 
     #: higher is served first
     priority: int = 0
     #: ``None``: no limit
     quota: Quota | None = None
     weights: Weights = field(default_factory=Weights)
-    #: which pipeline serves a request, by its id; ``None``: the one it names
+    #: chooses the pipeline by the request's id; ``None``: the one the request names
     pipeline_split: Split | None = None
-    #: which service serves a stage, by the request's id; ``None``: the stage's own
+    #: chooses the service of a stage by the request's id; ``None``: the stage's own
     service_split: Split | None = None
     placement: Placement = field(default_factory=Placement)
 
@@ -65,10 +65,10 @@
 def resolve(
     snapshot: Snapshot, workspace: str, pipeline: str = "", service: str = ""
 ) -> Steering:
-    """Return what the policies of ``snapshot`` say, remembered for each snapshot.
+    """Return the effective policy under ``snapshot``; results are cached.
 
-    Without a pipeline or a service, as before a stage is known, only policies that
-    don't select by these are looked at.
+    If no pipeline or service is given, as before the stage is known, policies that
+    select by it don't match.
     """
     key = id(snapshot)
     table = _tables.get(key)
@@ -81,10 +81,11 @@
 
 
 class _Table:
-    """The policies of one snapshot in their order, with remembered answers.
+    """Parsed policies of one snapshot by precedence, with cached results.
 
-    It holds on to the snapshot: an id may be given to another object as soon as the
-    first one is gone, and its policies would be taken for the other's.
+    The table keeps a reference to the snapshot, as the cache is keyed by the
+    snapshot's ``id``: Python may reuse the id of a freed object, and a later snapshot
+    would then get the results of the freed one.
     """
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -130,7 +131,7 @@
             parse_selector(text)
             for text in (policy.workspaces, policy.pipelines, policy.services)
         ]
-        # accepted policies are sound; one from a later release may not be
+        # accepted policies are valid, but a later release may accept others
         if value.is_err() or any(selector.is_err() for selector in selectors):
             continue
         parsed = [selector.ok_value for selector in selectors]
--- a/packages/greengagelatch/src/greengagelatch/config/steps.py
+++ b/packages/greengagelatch/src/greengagelatch/config/steps.py
@@ -1,4 +1,4 @@
-"""Steps of a change: what is to be done with the store next."""
+"""Store operations that a change requests from its driver."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadHead:
-    """Read the head; the answer is ``Result[Entry | None, StoreError]``."""
+    """Read the head; the result is a ``Result[Entry | None, StoreError]``."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadShards:
-    """Read shards; the answer is ``Result[Mapping[ShardRef, Shard], StoreError]``.
+    """Read shards; the result is a ``Result[Mapping[ShardRef, Shard], StoreError]``.
 
-    A shard that the store does not hold is left out of the map.
+    Shards that are not in the store are absent from the mapping.
     """
 
     refs: tuple[ShardRef, ...]
@@ -34,21 +34,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteShards:
-    """Write shards under new keys; the answer is a ``WriteResult`` for each."""
+    """Write shards under new keys; the result is a ``WriteResult`` for each."""
 
     shards: tuple[tuple[ShardRef, bytes], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteShards:
-    """Delete shards that nothing names; the answer is a ``WriteResult`` for each."""
+    """Delete unreferenced shards; the result is a ``WriteResult`` for each."""
 
     refs: tuple[ShardRef, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SwapHead:
-    """Swap the head; the answer is a ``WriteResult``."""
+    """Compare-and-swap the head; the result is a ``WriteResult``."""
 
     value: bytes
     expected: int
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """Wait some seconds; there is no answer."""
+    """Wait for a number of seconds; there is no result."""
 
     seconds: float
 
--- a/packages/greengagelatch/src/greengagelatch/config/validation.py
+++ b/packages/greengagelatch/src/greengagelatch/config/validation.py
@@ -1,4 +1,4 @@
-"""Checks of references between objects, over the whole configuration."""
+"""Validation of references between objects of the whole configuration."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 __all__ = ("find_new_problems", "find_problems")
 
-#: objects by whatever tells them apart
+#: objects by any unique key
 Objects = Mapping[Hashable, ConfigObject]
 
 
 def find_new_problems(before: Objects, after: Objects, file: str) -> list[Problem]:
-    """Return the problems that a change would bring.
+    """Return the problems that a change would introduce.
 
-    Those that were there before are left out: objects accepted by a release with
-    laxer checks must not keep operators from changing anything else.
+    Existing problems are ignored: objects that a release with less strict checks has
+    accepted must not block unrelated changes.
     """
     problems = find_problems(after, file)
     if not problems:
@@ -30,7 +30,7 @@
 
 
 def find_problems(objects: Objects, file: str) -> list[Problem]:
-    """Return every reference in ``objects`` that does not hold."""
+    """Return a problem for each invalid reference in ``objects``."""
     checker = _Checker(objects, file)
     for item in objects.values():
         if isinstance(item, Pipeline):
@@ -90,13 +90,13 @@
                 self._add(section, "to_services", name, "there is no such service")
                 continue
             kinds.add(service.kind)
-        # a call of one kind sent to a target of another would not be understood
+        # a target can't handle calls of another kind of service
         for service in self._find_picked(policy):
             if kinds <= {service.kind}:
                 continue
             reason = (
-                f"the selector services picks {service.name} of kind"
-                f" {service.kind.value}, which the services here do not all have"
+                f"the selector services matches {service.name} of kind"
+                f" {service.kind.value}, but not all services here are of that kind"
             )
             value = policy.values["to_services"]
             self._add(section, "to_services", value, reason)
--- a/packages/greengagelatch/src/greengagelatch/config/values.py
+++ b/packages/greengagelatch/src/greengagelatch/config/values.py
@@ -1,4 +1,4 @@
-"""Readers of values in INI text; each raises ``ValueError`` with a reason in words."""
+"""Parsers of values in INI text; each raises ``ValueError`` with a readable reason."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
     "read_weight",
 )
 
-#: entries allowed in one list of names
+#: limit of entries in one list of names
 MAX_LIST = 64
 
-#: labels allowed on one object
+#: limit of labels on one object
 MAX_LABELS = 64
 
-#: largest of the whole numbers by which a split divides traffic
+#: largest weight of one entry in a traffic split
 MAX_SHARE = 1_000_000
 
 _TRUE = frozenset({"yes", "true", "on", "1"})
 _FALSE = frozenset({"no", "false", "off", "0"})
 
-#: words of selectors, which can't be told from keys there
+#: operators in selectors, which would be ambiguous as label keys
 _RESERVED_KEYS = frozenset({"in", "notin"})
 
 E = TypeVar("E", bound=Enum)
 
 
 def build_choice_reader(choices: type[E]) -> Callable[[str], E]:
-    """Return a reader of the values of an enumeration."""
+    """Return a parser of an enumeration's values."""
 
     def read(text: str) -> E:
         try:
@@ -58,7 +58,7 @@
 
 
 def build_number_reader(low: int, high: int) -> Callable[[str], int]:
-    """Return a reader of whole numbers between two bounds, both allowed."""
+    """Return a parser of integers between two inclusive bounds."""
 
     def read(text: str) -> int:
         try:
@@ -73,7 +73,7 @@
 
 
 def read_bool(text: str) -> bool:
-    """Read ``yes`` or ``no``."""
+    """Parse a boolean such as ``yes`` or ``no``."""
     word = text.lower()
     if word in _TRUE:
         return True
@@ -83,7 +83,7 @@
 
 
 def read_weight(text: str) -> float:
-    """Read a number of at least 0."""
+    """Parse a finite number of at least 0."""
     try:
         value = float(text)
     except ValueError:
@@ -94,7 +94,7 @@
 
 
 def read_positive(text: str) -> float:
-    """Read a number above 0."""
+    """Parse a finite number above 0."""
     try:
         value = float(text)
     except ValueError:
@@ -105,7 +105,7 @@
 
 
 def read_share(text: str) -> float:
-    """Read a number above 0 and at most 1."""
+    """Parse a number above 0 and at most 1."""
     value = read_positive(text)
     if value > 1:
         raise ValueError("must be at most 1")
@@ -113,7 +113,7 @@
 
 
 def read_name(text: str) -> str:
-    """Read one name."""
+    """Parse one name."""
     fault = find_name_fault(text)
     if fault:
         raise ValueError(fault)
@@ -121,17 +121,17 @@
 
 
 def read_names(text: str) -> tuple[str, ...]:
-    """Read names joined by commas: at least one, and none twice."""
+    """Parse comma-separated unique names, at least one."""
     names = tuple(_read_part(part) for part in text.split(","))
     if len(set(names)) < len(names):
-        raise ValueError("holds a name twice")
+        raise ValueError("must not contain a name twice")
     if len(names) > MAX_LIST:
         raise ValueError(f"must hold at most {MAX_LIST} names")
     return names
 
 
 def read_labels(text: str) -> Mapping[str, str]:
-    """Read labels such as ``tier=gold, region=luzon``; there may be none."""
+    """Parse labels such as ``tier=gold, region=luzon``; the text may be empty."""
     labels: dict[str, str] = {}
     if not text:
         return labels
@@ -140,7 +140,7 @@
         if key == NAME_LABEL:
             raise ValueError(f"the label {NAME_LABEL!r} is built in")
         if key in _RESERVED_KEYS:
-            raise ValueError(f"{key!r} is a word of selectors")
+            raise ValueError(f"{key!r} is a reserved word of selectors")
         if key in labels:
             raise ValueError(f"sets {key!r} twice")
         labels[key] = _read_part(value)
@@ -150,7 +150,7 @@
 
 
 def read_shares(text: str) -> tuple[tuple[str, int], ...]:
-    """Read whole shares by name, such as ``quote-a=90, quote-b=10``."""
+    """Parse whole-number weights by name, such as ``quote-a=90, quote-b=10``."""
     read_number = build_number_reader(0, MAX_SHARE)
     shares: dict[str, int] = {}
     for part in text.split(","):
@@ -166,10 +166,10 @@
 
 
 def read_selector(text: str) -> str:
-    """Read a label selector, which is kept as text."""
+    """Validate a label selector and return its text."""
     selector = parse_selector(text)
     if selector.is_err():
-        raise ValueError(f"not a selector: {selector.err_value}")
+        raise ValueError(f"is not a valid selector: {selector.err_value}")
     return text
 
 
--- a/packages/greengagelatch/src/greengagelatch/settings/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon, declared in one table and checked at start."""
+"""Settings of the daemon, declared in one table and validated at startup."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingError:
-    """A setting that stops the start; ``str`` of it is the one line shown."""
+    """An invalid setting, which aborts the startup; its ``str`` is the error line."""
 
     name: str
     value: str
@@ -41,7 +41,7 @@
 
 
 class Settings:
-    """Checked settings, looked up by ``section.key``."""
+    """Validated settings by ``section.key``."""
 
     def __init__(self, values: Mapping[str, Any]) -> None:
         self._values = dict(values)
@@ -55,12 +55,12 @@
 
 
 def split_endpoints(text: str) -> tuple[str, ...]:
-    """Split addresses that have commas between them."""
+    """Split comma-separated addresses."""
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
 
 def load(path: str) -> Result[Settings, SettingError]:
-    """Read and check the INI file at ``path``."""
+    """Load and validate the INI file at ``path``."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -70,7 +70,7 @@
 
 
 def parse(text: str) -> Result[Settings, SettingError]:
-    """Check settings given as INI text; the first error is returned."""
+    """Parse and validate settings in INI text; return the first error, if any."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     try:
         parser.read_string(text)
@@ -137,7 +137,7 @@
         return next(filter(None, faults), "")
     if setting.type not in (int, float):
         return ""
-    # NaN fails both comparisons below, whichever way they are written
+    # NaN passes both range checks below, as its comparisons are false
     if value != value:
         return "must be a number"
     if setting.minimum is not None and value < setting.minimum:
--- a/packages/greengagelatch/src/greengagelatch/settings/declaration.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/declaration.py
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Setting:
-    """One row of the table.
+    """Declaration of one setting.
 
-    ``minimum`` and ``maximum`` bound numbers; ``unit`` and ``meaning`` are for
-    the page made from the table.
+    ``minimum`` and ``maximum`` are inclusive bounds of numbers. ``meaning`` is the
+    description on the documentation page that is generated from the table.
     """
 
     name: str
@@ -26,7 +26,7 @@
     maximum: float | None = None
     required: bool = False
     choices: tuple[str, ...] = ()
-    #: the value is ``host:port`` with an IP address as the host
+    #: whether the value is ``host:port`` with an IP address as the host
     endpoint: bool = False
-    #: the value is any number of these, with commas between them
+    #: whether the value is a comma-separated list of endpoints, possibly empty
     endpoints: bool = False
