--- a/packages/greengagelatch/src/greengagelatch/settings/table.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/table.py
@@ -24,7 +24,8 @@
         name="instance.seed",
         type=int,
         default=0,
-        meaning="Seed of the random source; 0 takes one from the system.",
+        meaning="Seed of the random number generator; 0: the operating system provides"
+        " one.",
     ),
     Setting(
         name="callers.listen",
@@ -40,7 +41,7 @@
         unit="bytes",
         minimum=1024,
         maximum=67108864,
-        meaning="Largest body of a request; a larger one is refused.",
+        meaning="Largest request body; larger ones are refused.",
     ),
     Setting(
         name="callers.max_header_bytes",
@@ -57,7 +58,8 @@
         default=4096,
         minimum=1,
         maximum=100000,
-        meaning="Open connections of callers; further ones are answered and closed.",
+        meaning="Limit of open caller connections; further ones are answered and"
+        " closed.",
     ),
     Setting(
         name="callers.idle_timeout",
@@ -66,8 +68,8 @@
         unit="s",
         minimum=1,
         maximum=3600,
-        meaning="Time after which a connection without a whole request is closed; keep"
-        " it above the balancer's own.",
+        meaning="Time after which a connection without a complete request is closed;"
+        " must exceed the load balancer's own idle timeout.",
     ),
     Setting(
         name="callers.body_timeout",
@@ -76,7 +78,7 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time allowed for the body of a request to arrive.",
+        meaning="Time allowed for receiving the body of a request.",
     ),
     Setting(
         name="callers.write_timeout",
@@ -85,8 +87,8 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time in which a caller must take what is written to it; it then counts"
-        " as gone.",
+        meaning="Time in which a caller must read what is written to it, or else it"
+        " counts as disconnected.",
     ),
     Setting(
         name="callers.max_unwritten_bytes",
@@ -95,7 +97,7 @@
         unit="bytes",
         minimum=4096,
         maximum=16777216,
-        meaning="Part of a streamed answer that may wait for a slow reader.",
+        meaning="Bytes of a streamed response that are buffered for a slow reader.",
     ),
     Setting(
         name="callers.max_deadline_ms",
@@ -104,7 +106,7 @@
         unit="ms",
         minimum=1,
         maximum=86400000,
-        meaning="Longest deadline that a request may name.",
+        meaning="Longest deadline that a request may ask for.",
     ),
     Setting(
         name="operators.listen",
@@ -125,17 +127,17 @@
         type=str,
         default="",
         endpoint=True,
-        meaning="Address that other entry instances are told; empty: the one that is"
-        " listened on.",
+        meaning="Address that is advertised to other entry instances; empty: the"
+        " address listened on.",
     ),
     Setting(
         name="peers.seeds",
         type=str,
         default="",
         endpoints=True,
-        meaning="Peer addresses of some other entry instances, with commas between"
-        " them. They are tried while no other instance is known, so that one can"
-        " start while the platform's list is down.",
+        meaning="Comma-separated peer addresses of other entry instances. They are"
+        " tried while no other instance is known, so that an instance can start while"
+        " the platform's instance list is unavailable.",
     ),
     Setting(
         name="peers.heartbeat",
@@ -154,8 +156,8 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time without a byte after which a link is dropped; several"
-        " heartbeats.",
+        meaning="Time without a byte after which a link is dropped; several times the"
+        " heartbeat interval.",
     ),
     Setting(
         name="peers.rest_factor",
@@ -163,8 +165,8 @@
         default=1.0,
         minimum=1,
         maximum=100,
-        meaning="How many times longer `peers.heartbeat` and `peers.silence` are on a"
-        " link that has carried nothing but probes for two seconds.",
+        meaning="Factor by which `peers.heartbeat` and `peers.silence` are longer on a"
+        " link that has carried only probes for two seconds.",
     ),
     Setting(
         name="peers.open_timeout",
@@ -182,7 +184,7 @@
         unit="s",
         minimum=0.5,
         maximum=3600,
-        meaning="Time after which a link opened on demand and not used is closed.",
+        meaning="Time after which an unused link that was opened on demand is closed.",
     ),
     Setting(
         name="peers.links",
@@ -190,8 +192,9 @@
         default=8,
         minimum=2,
         maximum=1000,
-        meaning="Links that this instance keeps open to other entry instances; up to"
-        " twice as many others it keeps one to all.",
+        meaning="Number of links that this instance keeps open to other entry"
+        " instances; if there are at most twice as many others, it keeps a link to"
+        " each of them.",
     ),
     Setting(
         name="peers.max_links",
@@ -199,7 +202,8 @@
         default=128,
         minimum=4,
         maximum=10000,
-        meaning="Links that may be open at the same time, whoever opened them.",
+        meaning="Limit of links that are open at the same time, whichever side opened"
+        " them.",
     ),
     Setting(
         name="peers.in_work",
@@ -207,8 +211,8 @@
         default=256,
         minimum=16,
         maximum=100000,
-        meaning="Questions of other entry instances in work at the same time; more"
-        " are answered that this one is busy.",
+        meaning="Limit of requests from other entry instances that are processed"
+        " concurrently; further ones are answered as busy.",
     ),
     Setting(
         name="peers.probe_interval",
@@ -217,8 +221,8 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time between two probes of other entry instances; failures are"
-        " noticed in a few of these.",
+        meaning="Interval between probes of other entry instances; failures are"
+        " detected within a few intervals.",
     ),
     Setting(
         name="peers.dead_interval",
@@ -227,8 +231,8 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time between two probes of an entry instance believed dead, by which"
-        " network partitions heal.",
+        meaning="Interval between probes of an entry instance believed dead; these"
+        " probes let network partitions heal.",
     ),
     Setting(
         name="platform.store",
@@ -242,7 +246,7 @@
         type=str,
         required=True,
         endpoint=True,
-        meaning="Address of the platform's list of instances.",
+        meaning="Address of the platform's instance list.",
     ),
     Setting(
         name="platform.timeout",
@@ -251,7 +255,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed for one call to the platform, watches excepted.",
+        meaning="Timeout of one call to the platform, except for watches.",
     ),
     Setting(
         name="platform.instances_interval",
@@ -260,7 +264,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Shortest time between two readings of the list of instances.",
+        meaning="Shortest interval between reads of the instance list.",
     ),
     Setting(
         name="platform.instances_rate",
@@ -269,8 +273,8 @@
         unit="calls/s",
         minimum=0.1,
         maximum=10000,
-        meaning="Readings of the list of instances that all entry instances make"
-        " together; in a large fleet each of them reads it less often.",
+        meaning="Rate at which all entry instances together read the instance list; in"
+        " a large fleet each instance reads it less often.",
     ),
     Setting(
         name="targets.subset",
@@ -278,8 +282,8 @@
         default=20,
         minimum=1,
         maximum=10000,
-        meaning="Targets of one service that this instance uses at least; of a service"
-        " with fewer it uses all.",
+        meaning="Minimum number of targets of one service that this instance uses; of"
+        " a smaller service it uses all.",
     ),
     Setting(
         name="targets.spread",
@@ -287,8 +291,9 @@
         default=8,
         minimum=1,
         maximum=1000,
-        meaning="Entry instances that use each target, on average; where few instances"
-        " share a large service, each uses more than `targets.subset` of it.",
+        meaning="Average number of entry instances that use each target; where few"
+        " instances share a large service, each uses more than `targets.subset` of its"
+        " targets.",
     ),
     Setting(
         name="targets.missing_listings",
@@ -296,7 +301,8 @@
         default=3,
         minimum=1,
         maximum=1000,
-        meaning="Listings in a row without a target until it is given up.",
+        meaning="Number of consecutive listings without a target after which it is"
+        " removed.",
     ),
     Setting(
         name="targets.failures",
@@ -304,8 +310,8 @@
         default=2,
         minimum=1,
         maximum=100,
-        meaning="Times in a row that a target can't be reached until it is kept from"
-        " new work.",
+        meaning="Number of consecutive failures to reach a target after which it gets"
+        " no new calls.",
     ),
     Setting(
         name="targets.minimum",
@@ -313,7 +319,8 @@
         default=1,
         minimum=1,
         maximum=10000,
-        meaning="Targets of a service that are given work even if none can be reached.",
+        meaning="Number of targets of a service that get calls even if none is"
+        " reachable.",
     ),
     Setting(
         name="targets.probe_longest",
@@ -322,7 +329,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Longest time between probes of a target that can't be reached.",
+        meaning="Longest interval between probes of an unreachable target.",
     ),
     Setting(
         name="targets.load_interval",
@@ -331,7 +338,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Time between two load reports of a target in use.",
+        meaning="Interval between load reports of a target in use.",
     ),
     Setting(
         name="targets.load_rate",
@@ -340,8 +347,8 @@
         unit="calls/s",
         minimum=0.1,
         maximum=10000,
-        meaning="Load reports asked for by this instance in all; beyond that each"
-        " target is asked less often.",
+        meaning="Rate of load reports that this instance requests in total; beyond it,"
+        " each target is asked less often.",
     ),
     Setting(
         name="targets.load_timeout",
@@ -350,7 +357,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed for one load report.",
+        meaning="Timeout of one load report.",
     ),
     Setting(
         name="targets.report_life",
@@ -359,7 +366,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Age at which a load report is no longer used.",
+        meaning="Age at which a load report expires.",
     ),
     Setting(
         name="targets.connect_timeout",
@@ -368,7 +375,7 @@
         unit="s",
         minimum=0.01,
         maximum=60,
-        meaning="Time allowed for connecting to a target.",
+        meaning="Timeout for connecting to a target.",
     ),
     Setting(
         name="targets.stall_timeout",
@@ -377,8 +384,9 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time without a first byte of an answer after which a call is given up;"
-        " repeatable calls get a backup far sooner, by measured durations.",
+        meaning="Time without the first byte of a response after which a call is"
+        " abandoned; repeatable calls are hedged far sooner, based on observed"
+        " latencies.",
     ),
     Setting(
         name="targets.gap_timeout",
@@ -387,7 +395,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Time without a further byte of an answer that has begun.",
+        meaning="Longest time between bytes of a response that has begun.",
     ),
     Setting(
         name="targets.idle_timeout",
@@ -405,8 +413,8 @@
         unit="s",
         minimum=0.1,
         maximum=86400,
-        meaning="Age at which connections to a target are replaced, give or take a"
-        " third; one that went silent unnoticed is used no longer than that.",
+        meaning="Age at which connections to a target are replaced, plus or minus a"
+        " third; a connection that has failed silently is used no longer than that.",
     ),
     Setting(
         name="targets.max_answer_bytes",
@@ -415,7 +423,7 @@
         unit="bytes",
         minimum=1024,
         maximum=268435456,
-        meaning="Largest answer of a target; a larger one counts as failed.",
+        meaning="Largest response of a target; a larger one counts as a failure.",
     ),
     Setting(
         name="targets.max_attempts",
@@ -423,7 +431,7 @@
         default=3,
         minimum=1,
         maximum=10,
-        meaning="Attempts at one stage, the first one included.",
+        meaning="Attempts at one stage, including the first one.",
     ),
     Setting(
         name="quotas.hold",
@@ -432,8 +440,8 @@
         unit="s",
         minimum=1.0,
         maximum=86400.0,
-        meaning="Time for which a data centre out of reach keeps its shares of"
-        " quotas; after that, each side of a cut uses whole quotas.",
+        meaning="Time for which an unreachable data centre keeps its quota shares;"
+        " after that, each side of a network partition uses the full quotas.",
     ),
     Setting(
         name="claims.shards",
@@ -441,8 +449,8 @@
         default=32,
         minimum=1,
         maximum=1024,
-        meaning="Shards that keyed requests are spread over; the first instance ever"
-        " to start decides, as a later change would let keys run twice.",
+        meaning="Number of shards for keyed requests; fixed by the first instance that"
+        " ever starts, as a later change could let a key be executed twice.",
     ),
     Setting(
         name="claims.retention",
@@ -451,8 +459,8 @@
         unit="s",
         minimum=2,
         maximum=86400,
-        meaning="Time for which a key is remembered; stated to callers. Requests"
-        " with a key must end within half of it.",
+        meaning="Time for which an idempotency key is stored; reported to callers."
+        " Requests with a key must end within half of it.",
     ),
     Setting(
         name="claims.clock_margin",
@@ -461,7 +469,7 @@
         unit="s",
         minimum=0,
         maximum=3600,
-        meaning="Time by which the wall clocks of instances may differ.",
+        meaning="Largest difference between the wall clocks of instances.",
     ),
     Setting(
         name="claims.interval",
@@ -470,8 +478,9 @@
         unit="s",
         minimum=0,
         maximum=10,
-        meaning="Average time between writes to one shard that is not undercut for"
-        " long; the store's writes a second are at most the shards divided by it.",
+        meaning="Minimum average time between writes to one shard, short bursts"
+        " excepted; the write rate of the store is at most the number of shards"
+        " divided by it.",
     ),
     Setting(
         name="claims.head_claims",
@@ -479,7 +488,8 @@
         default=400,
         minimum=1,
         maximum=8000,
-        meaning="Claims that are written with every swap before they are sealed.",
+        meaning="Number of claims that are rewritten with every swap before they are"
+        " sealed.",
     ),
     Setting(
         name="claims.segment_claims",
@@ -487,7 +497,7 @@
         default=8000,
         minimum=1,
         maximum=12000,
-        meaning="Claims in one sealed segment.",
+        meaning="Number of claims in one sealed segment.",
     ),
     Setting(
         name="claims.segments",
@@ -495,7 +505,8 @@
         default=64,
         minimum=1,
         maximum=256,
-        meaning="Sealed segments of one shard; beyond, keyed requests are refused.",
+        meaning="Limit of sealed segments of one shard; beyond it, keyed requests are"
+        " refused.",
     ),
     Setting(
         name="claims.forward_timeout",
@@ -504,23 +515,25 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed to the usual writer of a shard, at most half of what"
-        " the request has left; then this instance writes by itself.",
+        meaning="Timeout for the usual writer of a shard, at most half of the"
+        " request's remaining time; after it, this instance writes the claim itself.",
     ),
     Setting(
         name="claims.store_down",
         type=str,
         default="refuse-later",
         choices=("refuse", "refuse-later"),
-        meaning="Keyed requests while nobody reaches the store: refuse at once, or"
-        " try again for half of the deadline first while the outage is young.",
+        meaning="Handling of keyed requests while no instance reaches the store:"
+        " refuse immediately, or, early in an outage, retry for half of the deadline"
+        " first.",
     ),
     Setting(
         name="claims.finish",
         type=bool,
         default=True,
-        meaning="Whether a keyed request whose caller has left is run to its end, so"
-        " that a repeat gets its result; else it is cancelled and has none.",
+        meaning="Whether a keyed request whose caller has disconnected runs to"
+        " completion, so that a retry gets its result; otherwise it is cancelled and"
+        " has no result.",
     ),
     Setting(
         name="claims.records",
@@ -528,7 +541,7 @@
         default=20000,
         minimum=1,
         maximum=1000000,
-        meaning="Ended keyed requests that this instance remembers.",
+        meaning="Limit of completed keyed requests that this instance remembers.",
     ),
     Setting(
         name="claims.memory_bytes",
@@ -537,7 +550,7 @@
         unit="bytes",
         minimum=0,
         maximum=1073741824,
-        meaning="Memory for outcomes that are kept for repeats.",
+        meaning="Memory for outcomes that are kept for retries.",
     ),
     Setting(
         name="claims.outcome_bytes",
@@ -546,8 +559,8 @@
         unit="bytes",
         minimum=0,
         maximum=1000000,
-        meaning="Largest outcome that is kept; repeats of others learn only that"
-        " the request ran.",
+        meaning="Largest outcome that is kept; for a larger one, a retry learns only"
+        " that the request ran.",
     ),
     Setting(
         name="claims.handover_bytes",
@@ -556,7 +569,8 @@
         unit="bytes",
         minimum=0,
         maximum=268435456,
-        meaning="Outcomes that a planned stop hands to other instances.",
+        meaning="Limit of outcomes that are handed over to other instances at a"
+        " planned stop.",
     ),
     Setting(
         name="configuration.watch_wait",
@@ -565,8 +579,8 @@
         unit="s",
         minimum=0.1,
         maximum=60,
-        meaning="Time for which one watch of the configuration waits for a change;"
-        " a watch that has gone silent is noticed after it.",
+        meaning="Time for which one watch of the configuration waits for a change; a"
+        " watch that gets no answer is detected after it.",
     ),
     Setting(
         name="configuration.gossip_interval",
@@ -575,8 +589,8 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Mean time between two words to a random peer on the generation in"
-        " force here.",
+        meaning="Mean interval between adverts of the active generation to a random"
+        " peer.",
     ),
     Setting(
         name="configuration.stale_after",
@@ -585,8 +599,8 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time without proof that the generation here is the newest, after"
-        " which an instance that does not watch the store looks there itself.",
+        meaning="Time without confirmation that the active generation is the newest,"
+        " after which an instance that does not watch the store reads it.",
     ),
     Setting(
         name="configuration.change_timeout",
@@ -595,7 +609,7 @@
         unit="s",
         minimum=0.1,
         maximum=300,
-        meaning="Time allowed for one change of the configuration.",
+        meaning="Timeout of one change of the configuration.",
     ),
     Setting(
         name="configuration.fetch_timeout",
@@ -604,7 +618,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed to a peer for one answer on the configuration.",
+        meaning="Timeout of one configuration request to a peer.",
     ),
     Setting(
         name="leases.ttl",
@@ -613,8 +627,8 @@
         unit="s",
         minimum=0.3,
         maximum=3600,
-        meaning="Time after which the store lets a lease lapse that is not renewed; at"
-        " least three times orders.timeout and leases.margin together, which is used"
+        meaning="Time after which the store expires a lease that is not renewed; at"
+        " least three times the sum of orders.timeout and leases.margin, which is used"
         " where this is shorter.",
     ),
     Setting(
@@ -624,8 +638,8 @@
         unit="s",
         minimum=0,
         maximum=600,
-        meaning="Time by which a holder gives a lease up before the store does; more"
-        " than instances' clocks can differ in speed over leases.ttl.",
+        meaning="Time by which a holder gives up a lease before it expires in the"
+        " store; must exceed the drift between instances' clocks over leases.ttl.",
     ),
     Setting(
         name="orders.timeout",
@@ -634,8 +648,8 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Time allowed for one call to an engine; an order that takes longer is"
-        " settled by reading the engine's state.",
+        meaning="Timeout of one call to an engine; the outcome of an order that takes"
+        " longer is determined by reading the engine's state.",
     ),
     Setting(
         name="orders.longest",
@@ -644,9 +658,9 @@
         unit="s",
         minimum=0,
         maximum=7200,
-        meaning="Longest time an engine takes to carry out an order it has received."
-        " Orders without an answer are not repeated earlier, and a new holder waits"
-        " for it where engines don't check fencing numbers.",
+        meaning="Longest time in which an engine executes an order that it has"
+        " received. Orders without an answer are not retried earlier, and a new holder"
+        " waits for this time where engines don't check fencing numbers.",
     ),
     Setting(
         name="orders.interval",
@@ -655,7 +669,7 @@
         unit="s",
         minimum=0.05,
         maximum=3600,
-        meaning="Time between two readings of an engine's state by the holder.",
+        meaning="Interval at which the holder reads an engine's state.",
     ),
     Setting(
         name="orders.loads_per_minute",
@@ -664,16 +678,16 @@
         unit="1/min",
         minimum=0.01,
         maximum=100000,
-        meaning="Models and adapters that orders make the weight store give to one data"
-        " centre, in the long run.",
+        meaning="Long-term rate of models and adapters that the weight store serves to"
+        " one data centre because of orders.",
     ),
     Setting(
         name="statsd.address",
         type=str,
         default="127.0.0.1:8125",
         endpoint=True,
-        meaning="Address of the statsd server; an IP, as names would be resolved"
-        " in the event loop.",
+        meaning="Address of the statsd server; an IP address, as name resolution would"
+        " block the event loop.",
     ),
     Setting(
         name="load.queue",
@@ -681,7 +695,8 @@
         default=2000,
         minimum=1,
         maximum=100000,
-        meaning="Stage calls that may wait for one service; more are refused.",
+        meaning="Limit of stage calls that are queued for one service; further ones"
+        " are refused.",
     ),
     Setting(
         name="load.short_share",
@@ -689,7 +704,8 @@
         default=0.2,
         minimum=0,
         maximum=0.9,
-        meaning="Share of each target's limit that long calls leave to short ones.",
+        meaning="Share of each target's concurrency limit that is reserved for short"
+        " calls.",
     ),
     Setting(
         name="load.late_share",
@@ -697,8 +713,8 @@
         default=0.03,
         minimum=0.001,
         maximum=0.5,
-        meaning="Share of the calls started on busy targets that may yet end too late"
-        " and be for nothing; lower refuses more.",
+        meaning="Accepted share of the calls started on busy targets that end too late"
+        " to be of use; a lower value refuses more calls.",
     ),
     Setting(
         name="load.retry_share",
@@ -706,7 +722,7 @@
         default=0.1,
         minimum=0,
         maximum=1,
-        meaning="Repeated and backup calls for each ordinary one, at most.",
+        meaning="Limit of retries and hedged calls, as a ratio to ordinary calls.",
     ),
     Setting(
         name="load.ejected_share",
@@ -714,8 +730,8 @@
         default=0.5,
         minimum=0,
         maximum=0.9,
-        meaning="Share of a service's targets, rounded up, that may be out of service"
-        " for failing or being slow; the last one never is.",
+        meaning="Share of a service's targets, rounded up, that may be ejected for"
+        " failures or slowness; the last target is never ejected.",
     ),
     Setting(
         name="load.slowness",
@@ -723,8 +739,8 @@
         default=4.0,
         minimum=1.5,
         maximum=100,
-        meaning="Times as long as with the service's other targets that calls take"
-        " until a target counts as slow.",
+        meaning="Ratio of a target's latency to that of the service's other targets at"
+        " which it counts as slow.",
     ),
     Setting(
         name="load.distance",
@@ -732,8 +748,8 @@
         default=0.25,
         minimum=0,
         maximum=100,
-        meaning="Load, as a share of a target's limit, by which one in another data"
-        " centre must be better to be chosen.",
+        meaning="Load difference, as a share of a target's limit, at which a less"
+        " loaded target in another data centre is preferred.",
     ),
     Setting(
         name="load.affinity",
@@ -741,8 +757,8 @@
         default=1.0,
         minimum=0,
         maximum=100,
-        meaning="Load, as a share of a target's limit, that a cached prompt prefix is"
-        " worth.",
+        meaning="Load difference, as a share of a target's limit, that a cached prompt"
+        " prefix outweighs.",
     ),
     Setting(
         name="drain.balancer_lag",
@@ -751,8 +767,8 @@
         unit="s",
         minimum=0,
         maximum=600,
-        meaning="Time for which an instance that is to stop serves on as if nothing"
-        " had happened; longer than the balancer needs to notice it is not ready.",
+        meaning="Time for which a stopping instance keeps serving normally; must"
+        " exceed the time in which the load balancer detects that it is not ready.",
     ),
     Setting(
         name="drain.longest",
@@ -761,16 +777,16 @@
         unit="s",
         minimum=0,
         maximum=3600,
-        meaning="Time allowed to requests in flight after that; at least the"
-        " longest deadline callers may ask for.",
+        meaning="Time allowed for requests in flight after that; at least the longest"
+        " deadline that callers may ask for.",
     ),
     Setting(
         name="log.level",
         type=str,
         default="requests",
         choices=("errors", "requests", "stages"),
-        meaning="What is logged: failures only, one action for each request, or"
-        " also one for each stage call.",
+        meaning="Log detail: failures only, one action for each request, or also one"
+        " for each stage call.",
     ),
     Setting(
         name="log.file",
