--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.clock import SystemClock
-from greengagelatch.config.steering import resolve
+from greengagelatch.config.steering import resolve_policy
 from greengagelatch.events import EventBus
 from greengagelatch.load.admission import AdmissionRule, EstimateAdmission
 from greengagelatch.load.deadlines import DeadlinePlan
@@ -360,10 +360,12 @@
         return informed and not self.drain.draining
 
     def _find_weights(self, workspace: str, pipeline: str) -> Weights:
-        return resolve(self.configuration.snapshot, workspace, pipeline).weights
+        return resolve_policy(self.configuration.snapshot, workspace, pipeline).weights
 
     def _prioritise(self, exchange: Exchange, stage: Stage) -> int:
         request = exchange.request
         snapshot = exchange.notes[SNAPSHOT_NOTE]
-        steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
+        steering = resolve_policy(
+            snapshot, request.workspace, request.pipeline, stage.service
+        )
         return steering.priority
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from greengagelatch.config.steering import resolve
+from greengagelatch.config.steering import resolve_policy
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.request import Answer
 from greengagelatch.verdict import Verdict
@@ -52,7 +52,7 @@
         if known_new == self._claimed:
             return await proceed(exchange)
         snapshot = exchange.notes[SNAPSHOT_NOTE]
-        quota = resolve(snapshot, request.workspace, request.pipeline).quota
+        quota = resolve_policy(snapshot, request.workspace, request.pipeline).quota
         if quota is None:
             return await proceed(exchange)
         admission = self._quotas.admit(quota, request.workspace)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from greengagelatch.config.steering import resolve
+from greengagelatch.config.steering import resolve_policy
 from greengagelatch.load.admission import Arrival
 from greengagelatch.request import Answer
 
@@ -38,7 +38,7 @@
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
         snapshot = exchange.notes[SNAPSHOT_NOTE]
-        steering = resolve(snapshot, request.workspace, request.pipeline)
+        steering = resolve_policy(snapshot, request.workspace, request.pipeline)
         arrival = Arrival(
             workspace=request.workspace,
             pipeline=exchange.notes[PIPELINE_NOTE],
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from greengagelatch.config.steering import resolve
+from greengagelatch.config.steering import resolve_policy
 
 from . import Filter
 from .check import SNAPSHOT_NOTE
@@ -49,14 +49,16 @@
 
 def _choose_pipeline(snapshot: Snapshot, request: Request) -> Pipeline:
     named = snapshot.pipelines[request.pipeline]
-    split = resolve(snapshot, request.workspace, request.pipeline).pipeline_split
+    split = resolve_policy(snapshot, request.workspace, request.pipeline).pipeline_split
     if split is None:
         return named
     return snapshot.pipelines.get(split.pick(request.request_id), named)
 
 
 def _choose_service(snapshot: Snapshot, request: Request, stage: Stage) -> Stage:
-    steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
+    steering = resolve_policy(
+        snapshot, request.workspace, request.pipeline, stage.service
+    )
     split = steering.service_split
     if split is None:
         return stage
--- a/packages/greengagelatch/src/greengagelatch/config/steering.py
+++ b/packages/greengagelatch/src/greengagelatch/config/steering.py
@@ -27,7 +27,7 @@
     "Split",
     "Steering",
     "Weights",
-    "resolve",
+    "resolve_policy",
 )
 
 #: snapshots whose parsed policies are cached
@@ -62,7 +62,7 @@
     value: EffectValue
 
 
-def resolve(
+def resolve_policy(
     snapshot: Snapshot, workspace: str, pipeline: str = "", service: str = ""
 ) -> Steering:
     """Return the effective policy under ``snapshot``; results are cached.
--- a/packages/greengagelatch/src/greengagelatch/placement/wanted.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/wanted.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..config.objects import StageKind
-from ..config.steering import resolve
+from ..config.steering import resolve_policy
 from ..orders import EngineState
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
     for name, service in sorted(snapshot.services.items()):
         if service.kind is not StageKind.GENERATE:
             continue
-        placement = resolve(snapshot, workspace="", service=name).placement
+        placement = resolve_policy(snapshot, workspace="", service=name).placement
         if not (placement.models or placement.adapters or placement.role):
             continue
         found[name] = placement
--- a/tests/test_core/test_config/test_steering.py
+++ b/tests/test_core/test_config/test_steering.py
@@ -11,7 +11,7 @@
 from greengagelatch.config.precedence import order_policies
 from greengagelatch.config.selectors import parse_selector
 from greengagelatch.config.snapshot import Snapshot
-from greengagelatch.config.steering import resolve
+from greengagelatch.config.steering import resolve_policy
 
 LABELS = {"tier": "gold", "region": "luzon"}
 
@@ -112,15 +112,15 @@
 attainment = 3
 cost = 1
 """)
-    steering = resolve(snapshot, "luzon", "shift-plan", "planner-llm")
+    steering = resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm")
     assert steering.quota.policy == "gold"
     assert steering.quota.requests_per_second is None
     assert steering.priority == -3
     assert steering.weights.attainment == 0.75
-    other = resolve(snapshot, "stranger")
+    other = resolve_policy(snapshot, "stranger")
     assert other.quota.policy == "all"
     assert other.weights.attainment == 0.5
-    assert resolve(snapshot, "luzon", "shift-plan", "planner-llm") is steering
+    assert resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm") is steering
 
 
 def test_a_new_snapshot_has_answers_of_its_own():
@@ -131,14 +131,14 @@
     """
     for number in range(20):
         text = f"[policy:p]\neffect = priority\npriority = {number}\n"
-        assert resolve(build_snapshot(text), "w").priority == number
+        assert resolve_policy(build_snapshot(text), "w").priority == number
 
 
 def test_a_split_is_the_same_everywhere_and_follows_its_shares():
     snapshot = build_snapshot(
         "[policy:s]\neffect = split\nto_pipelines = a=90, b=10, c=0\n"
     )
-    split = resolve(snapshot, "w", "a").pipeline_split
+    split = resolve_policy(snapshot, "w", "a").pipeline_split
     picks = [split.pick(f"req-{number}") for number in range(10_000)]
     assert picks == [split.pick(f"req-{number}") for number in range(10_000)]
     assert "c" not in picks
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -17,7 +17,7 @@
     Workspace,
 )
 from greengagelatch.config.snapshot import Snapshot
-from greengagelatch.config.steering import resolve
+from greengagelatch.config.steering import resolve_policy
 from greengagelatch.errors import RefusalCode
 from greengagelatch.request import Answer, Request
 from greengagelatch.settings import parse
@@ -187,7 +187,7 @@
         for name in ("entry-a", "entry-b")
     ]
     entry = Entry(requests_per_second="20")
-    quota = resolve(entry.snapshot, "depot").quota
+    quota = resolve_policy(entry.snapshot, "depot").quota
     for _ in range(20):
         for controller, count in zip(entries, (30, 10), strict=True):
             for _ in range(count):
