--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Any
 
 from greengagelatch.config.requests import NotApplied, Settled
-from greengagelatch.config.snapshot import EMPTY
+from greengagelatch.config.snapshot import EMPTY_SNAPSHOT
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.identity import create_id
 from greengagelatch.instances import InstanceState
@@ -99,7 +99,9 @@
                 markers=bench.markers,
                 handler=self._handle,
                 identifier=Identifier(
-                    clock=clock, random_source=self._random, snapshot=lambda: EMPTY
+                    clock=clock,
+                    random_source=self._random,
+                    snapshot=lambda: EMPTY_SNAPSHOT,
                 ),
                 clock=clock,
                 draining=lambda: self.stopping,
--- a/packages/greengagelatch/src/greengagelatch/config/replica.py
+++ b/packages/greengagelatch/src/greengagelatch/config/replica.py
@@ -10,7 +10,7 @@
 from .names import ConfigObject
 from .objects import Pipeline, Policy, Service, Workspace
 from .records import Record, Shard, compute_digest, decode_shard
-from .snapshot import EMPTY, Snapshot
+from .snapshot import EMPTY_SNAPSHOT, Snapshot
 
 __all__ = ("HeldShard", "Replica", "open_shard")
 
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self._head = EMPTY_HEAD
         self._head_data: bytes | None = None
-        self._snapshot = EMPTY
+        self._snapshot = EMPTY_SNAPSHOT
         self._shards: OrderedDict[str, HeldShard] = OrderedDict()
 
     @property
--- a/packages/greengagelatch/src/greengagelatch/config/snapshot.py
+++ b/packages/greengagelatch/src/greengagelatch/config/snapshot.py
@@ -7,7 +7,7 @@
 
 from .objects import Pipeline, Policy, Service, Workspace
 
-__all__ = ("EMPTY", "Snapshot")
+__all__ = ("EMPTY_SNAPSHOT", "Snapshot")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -23,4 +23,4 @@
 
 
 #: configuration of an instance before it has received any generation
-EMPTY = Snapshot(generation=0)
+EMPTY_SNAPSHOT = Snapshot(generation=0)
