--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.ini_writer import format_object
-from greengagelatch.config.names import find_name_fault
+from greengagelatch.config.names import find_name_error
 
 from ..exits import ExitCode
 from . import UsageError
@@ -79,7 +79,7 @@
             raise UsageError(msg)
         # a comma or a line break in a value would write other labels or keys
         for part in (key, value):
-            fault = "" if part is None else find_name_fault(part)
+            fault = "" if part is None else find_name_error(part)
             if fault:
                 msg = f"label {word!r}: {part!r} {fault}"
                 raise UsageError(msg)
--- a/packages/greengagelatch/src/greengagelatch/config/ini.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from .effects import read_effect
-from .names import ConfigObject, find_name_fault
+from .names import ConfigObject, find_name_error
 from .objects import (
     Pipeline,
     Policy,
@@ -167,7 +167,7 @@
             self._add(section, reason=f"unknown section; known: {known}")
             return None
         before = len(self.problems)
-        fault = find_name_fault(section.name)
+        fault = find_name_error(section.name)
         if fault:
             self._add(section, reason=f"name {fault}")
         values = self._read_values(section)
@@ -182,7 +182,7 @@
     def _read_stage(self, section: Section) -> None:
         before = len(self.problems)
         pipeline, slash, name = section.name.partition("/")
-        fault = find_name_fault(pipeline) or find_name_fault(name)
+        fault = find_name_error(pipeline) or find_name_error(name)
         if not slash or fault:
             self._add(section, reason=f"must be stage:PIPELINE/NAME; names {fault}")
         values = self._read_values(section)
--- a/packages/greengagelatch/src/greengagelatch/config/names.py
+++ b/packages/greengagelatch/src/greengagelatch/config/names.py
@@ -15,7 +15,7 @@
     "ConfigObject",
     "ObjectId",
     "ObjectKind",
-    "find_name_fault",
+    "find_name_error",
     "identify",
     "parse_object_id",
 )
@@ -69,13 +69,13 @@
     kinds = [item.value for item in ObjectKind]
     if kind not in kinds:
         return Err(f"unknown kind {kind!r}; kinds are {', '.join(kinds)}")
-    fault = find_name_fault(name)
+    fault = find_name_error(name)
     if fault:
         return Err(fault)
     return Ok(ObjectId(ObjectKind(kind), name))
 
 
-def find_name_fault(name: str) -> str:
+def find_name_error(name: str) -> str:
     """Return why a name is invalid, or an empty string if it is valid."""
     if len(name) > MAX_NAME_LENGTH:
         return f"must be at most {MAX_NAME_LENGTH} characters long"
--- a/packages/greengagelatch/src/greengagelatch/config/values.py
+++ b/packages/greengagelatch/src/greengagelatch/config/values.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import TypeVar
 
-from .names import find_name_fault
+from .names import find_name_error
 from .selectors import NAME_LABEL, parse_selector
 
 __all__ = (
@@ -114,7 +114,7 @@
 
 def read_name(text: str) -> str:
     """Parse one name."""
-    fault = find_name_fault(text)
+    fault = find_name_error(text)
     if fault:
         raise ValueError(fault)
     return text
@@ -182,7 +182,7 @@
 
 def _read_part(part: str) -> str:
     word = part.strip()
-    fault = find_name_fault(word)
+    fault = find_name_error(word)
     if fault:
         raise ValueError(f"{word!r}: {fault}")
     return word
