--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
@@ -10,7 +10,7 @@
 from greengagelatch.config.ini import Parsed, parse_in_steps
 from greengagelatch.config.names import ConfigObject, ObjectId, parse_object_id
 from greengagelatch.config.problems import MAX_SHOWN_VALUE, Problem
-from greengagelatch.config.requests import ChangeMode, ChangeRequest, is_change_id
+from greengagelatch.config.requests import ChangeMode, ChangeRequest, is_valid_change_id
 
 __all__ = ("MAX_TEXT", "read_change")
 
@@ -85,7 +85,7 @@
 
     def read_change_id(self) -> str:
         value = self._body.get("change_id")
-        if isinstance(value, str) and is_change_id(value):
+        if isinstance(value, str) and is_valid_change_id(value):
             return value
         self._add("change_id", value, "must be 1 to 64 letters, digits, . _ or -")
         return ""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
@@ -12,7 +12,7 @@
 from greengagelatch.config.names import ObjectKind, identify
 from greengagelatch.config.problems import Problem
 from greengagelatch.config.records import to_body
-from greengagelatch.config.requests import is_change_id
+from greengagelatch.config.requests import is_valid_change_id
 from greengagelatch.config.selectors import Selector, parse_selector
 
 from .change_answers import answer_json, describe_outcome, describe_problems
@@ -67,7 +67,7 @@
 
     async def show_change(self, request: web.Request) -> web.Response:
         change_id = request.match_info["change_id"]
-        if not is_change_id(change_id):
+        if not is_valid_change_id(change_id):
             return _refuse(change_id, [_find_fault("change_id", change_id, "no id")])
         answer = await self._controller.find_change(change_id)
         if answer.is_err():
--- a/packages/greengagelatch/src/greengagelatch/config/requests.py
+++ b/packages/greengagelatch/src/greengagelatch/config/requests.py
@@ -26,7 +26,7 @@
     "RefusedCode",
     "Settled",
     "Unsettled",
-    "is_change_id",
+    "is_valid_change_id",
 )
 
 _CHANGE_ID = re.compile(r"[A-Za-z0-9._-]{1,64}")
@@ -34,7 +34,7 @@
 DIGEST_BYTES = 8
 
 
-def is_change_id(text: str) -> bool:
+def is_valid_change_id(text: str) -> bool:
     """Return whether ``text`` is a valid id of a change."""
     return _CHANGE_ID.fullmatch(text) is not None
 
