--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/report.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/report.py
@@ -6,7 +6,7 @@
 
 from greengagelatch.config.head import ChangeEntry, Head
 
-__all__ = ("MemberGeneration", "Sought")
+__all__ = ("MemberGeneration", "ChangeLookup")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sought:
+class ChangeLookup:
     """Result of looking up a change; ``entry`` is ``None`` if the head lacks it."""
 
     head: Head
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -17,7 +17,7 @@
 from ..configuration.driver import ChangeDriver
 from ..configuration.gossip import Gossip
 from ..configuration.learner import Learner
-from ..configuration.report import MemberGeneration, Sought
+from ..configuration.report import ChangeLookup, MemberGeneration
 from ..configuration.serving import ConfigServer
 from ..configuration.shards import ShardReader
 from . import Controller
@@ -174,22 +174,22 @@
         """Make a change and return what became of it."""
         return await self._driver.change(request)
 
-    async def find_change(self, change_id: str) -> Result[Sought, StoreError]:
+    async def find_change(self, change_id: str) -> Result[ChangeLookup, StoreError]:
         """Look for a change: here first, then in the store's newest head."""
         head = self._replica.head
         entry = find_change(head, change_id)
         if entry is not None:
-            return Ok(Sought(head, entry))
+            return Ok(ChangeLookup(head, entry))
         answer = await self._read_head()
         if answer.is_err():
             return Err(answer.err_value)
         if answer.ok_value is None:
-            return Ok(Sought(head, None))
+            return Ok(ChangeLookup(head, None))
         decoded = decode_head(answer.ok_value.value)
         if decoded.is_err():
-            return Ok(Sought(head, None))
+            return Ok(ChangeLookup(head, None))
         newest = decoded.ok_value
-        return Ok(Sought(newest, find_change(newest, change_id)))
+        return Ok(ChangeLookup(newest, find_change(newest, change_id)))
 
     async def list_generations(
         self, *, ask: bool = False
