--- a/packages/greengagelatch/src/greengagelatch/config/ini.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini.py
@@ -37,7 +37,7 @@
     read_selector,
 )
 
-__all__ = ("parse_in_steps", "parse_objects")
+__all__ = ("parse_incrementally", "parse_objects")
 
 #: longest default deadline of a pipeline: one day
 MAX_DEADLINE_MS = 86_400_000
@@ -57,10 +57,10 @@
 
     :param file: name of the source file, for error messages.
     """
-    return drain(parse_in_steps(text, file))
+    return drain(parse_incrementally(text, file))
 
 
-def parse_in_steps(text: str, file: str = "") -> Generator[None, None, Parsed]:
+def parse_incrementally(text: str, file: str = "") -> Generator[None, None, Parsed]:
     """Parse like :func:`parse_objects`, and yield after every few sections.
 
     Parsing 100 kB takes about 0.1 s, for which it would block an event loop.
