--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from greengagelatch.config.ini import Parsed, parse_incrementally
+from greengagelatch.config.ini import ParseResult, parse_incrementally
 from greengagelatch.config.names import ConfigObject, ObjectId, parse_object_id
 from greengagelatch.config.problems import MAX_SHOWN_VALUE, Problem
 from greengagelatch.config.requests import ChangeMode, ChangeRequest, is_valid_change_id
@@ -169,7 +169,7 @@
         )
 
 
-async def _parse(text: str, file: str) -> Parsed:
+async def _parse(text: str, file: str) -> ParseResult:
     steps = parse_incrementally(text, file)
     count = 0
     while True:
--- a/packages/greengagelatch/src/greengagelatch/config/ini.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini.py
@@ -46,10 +46,10 @@
 MAX_RANK = 1_000_000
 
 
-Parsed = Result[tuple[ConfigObject, ...], tuple[Problem, ...]]
+ParseResult = Result[tuple[ConfigObject, ...], tuple[Problem, ...]]
 
 
-def parse_objects(text: str, file: str = "") -> Parsed:
+def parse_objects(text: str, file: str = "") -> ParseResult:
     """Parse all objects of an INI text, or return all errors in it.
 
     References to objects outside the text are not checked here; see
@@ -60,7 +60,9 @@
     return drain(parse_incrementally(text, file))
 
 
-def parse_incrementally(text: str, file: str = "") -> Generator[None, None, Parsed]:
+def parse_incrementally(
+    text: str, file: str = ""
+) -> Generator[None, None, ParseResult]:
     """Parse like :func:`parse_objects`, and yield after every few sections.
 
     Parsing 100 kB takes about 0.1 s, for which it would block an event loop.
