--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
@@ -11,7 +11,7 @@
 from greengagelatch.config.ini_writer import format_object, format_objects
 from greengagelatch.config.names import ObjectKind, identify
 from greengagelatch.config.problems import Problem
-from greengagelatch.config.records import to_body
+from greengagelatch.config.records import encode_body
 from greengagelatch.config.requests import is_valid_change_id
 from greengagelatch.config.selectors import Selector, parse_selector
 
@@ -217,7 +217,7 @@
     object_id = identify(item)
     record = records.get(str(object_id))
     return {
-        **to_body(item),
+        **encode_body(item),
         "kind": object_id.kind.value,
         "name": object_id.name,
         "generation": 0 if record is None else record.generation,
--- a/packages/greengagelatch/src/greengagelatch/config/plan.py
+++ b/packages/greengagelatch/src/greengagelatch/config/plan.py
@@ -11,7 +11,7 @@
 from .ini_writer import format_object
 from .names import ConfigObject, identify
 from .problems import Problem
-from .records import Record, build_object, compute_bucket, to_body
+from .records import Record, build_object, compute_bucket, encode_body
 from .requests import (
     ChangeMode,
     ChangeRequest,
@@ -122,7 +122,7 @@
 ) -> dict[str, Body | None]:
     match request.mode:
         case ChangeMode.APPLY:
-            return {str(identify(item)): to_body(item) for item in request.objects}
+            return {str(identify(item)): encode_body(item) for item in request.objects}
         case ChangeMode.DELETE:
             return {str(name): None for name in request.names}
         case ChangeMode.ROLLBACK:
--- a/packages/greengagelatch/src/greengagelatch/config/records.py
+++ b/packages/greengagelatch/src/greengagelatch/config/records.py
@@ -32,7 +32,7 @@
     "compute_digest",
     "decode_shard",
     "encode_shard",
-    "to_body",
+    "encode_body",
 )
 
 #: shards that objects are hashed into by name; constant across releases, as instances
@@ -102,7 +102,7 @@
     return Ok(Shard(records, _build_objects(records.items())))
 
 
-def to_body(item: ConfigObject) -> Mapping[str, Any]:
+def encode_body(item: ConfigObject) -> Mapping[str, Any]:
     """Return an object's fields for CBOR, without its name."""
     body: dict[str, Any] = {"labels": dict(item.labels)}
     match item:
--- a/tests/test_core/test_config/test_replica.py
+++ b/tests/test_core/test_config/test_replica.py
@@ -24,8 +24,8 @@
     Record,
     compute_bucket,
     compute_digest,
+    encode_body,
     encode_shard,
-    to_body,
 )
 from greengagelatch.config.replica import Replica, open_shard
 from greengagelatch.peers import Member, MemberState
@@ -34,7 +34,7 @@
 
 def build(head, number):
     """Return the next head, which changes one workspace, with its new shard."""
-    body = to_body(Workspace(name="a", labels={"v": str(number)}))
+    body = encode_body(Workspace(name="a", labels={"v": str(number)}))
     change_id = f"c{number}"
     data = encode_shard({"workspace/a": Record(number, change_id, body)})
     ref = ShardRef(compute_digest(data), salt=number, revision=number)
