--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -25,7 +25,7 @@
     from greengagelatch.config.replica import Replica
     from greengagelatch.peers import Member, PeerNetwork
 
-__all__ = ("Gossip",)
+__all__ = ("GenerationGossip",)
 
 #: concurrent queries for the generation of members
 MAX_ASKED_AT_ONCE = 32
@@ -34,7 +34,7 @@
 MAX_ASKED = 1024
 
 
-class Gossip:
+class GenerationGossip:
     """Advertises the active generation to peers and records their generations.
 
     :param fetch_timeout: timeout in seconds of one query to a peer.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -15,7 +15,7 @@
 from greengagelatch.membership.backoff import compute_backoff
 
 from ..configuration.driver import ChangeDriver
-from ..configuration.gossip import Gossip
+from ..configuration.gossip import GenerationGossip
 from ..configuration.learner import Learner
 from ..configuration.report import ChangeLookup, MemberGeneration
 from ..configuration.serving import ConfigServer
@@ -119,7 +119,7 @@
             get_generation=lambda: self._replica.generation,
             on_settled=self._learner.adopt,
         )
-        self._gossip = Gossip(
+        self._gossip = GenerationGossip(
             replica=self._replica,
             peers=peers,
             clock=clock,
