--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.clock import SystemClock
-from greengagelatch.config.steering import resolve_policy
+from greengagelatch.config.policy_resolution import resolve_policy
 from greengagelatch.events import EventBus
 from greengagelatch.load.admission import AdmissionRule, EstimateAdmission
 from greengagelatch.load.deadlines import DeadlinePlan
@@ -60,7 +60,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.config.objects import Stage
-    from greengagelatch.config.steering import Weights
+    from greengagelatch.config.policy_resolution import Weights
     from greengagelatch.settings import Settings
 
     from .filters import Exchange
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from greengagelatch.config.steering import resolve_policy
+from greengagelatch.config.policy_resolution import resolve_policy
 from greengagelatch.errors import Refusal, RefusalCode
 from greengagelatch.request import Answer
 from greengagelatch.verdict import Verdict
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from greengagelatch.config.steering import resolve_policy
+from greengagelatch.config.policy_resolution import resolve_policy
 from greengagelatch.load.admission import Arrival
 from greengagelatch.request import Answer
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from greengagelatch.config.steering import resolve_policy
+from greengagelatch.config.policy_resolution import resolve_policy
 
 from . import Filter
 from .check import SNAPSHOT_NOTE
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from statistics import median
 
-from greengagelatch.config.steering import Weights
+from greengagelatch.config.policy_resolution import Weights
 
 from ..fleets import FLEETS
 from .bound import bound_attainment
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -8,8 +8,8 @@
 from result import Result
 
 from greengagelatch.config.objects import Stage, StageKind
+from greengagelatch.config.policy_resolution import Weights
 from greengagelatch.config.snapshot import Snapshot
-from greengagelatch.config.steering import Weights
 from greengagelatch.errors import Refusal
 from greengagelatch.load import Grant, Outcome, Ticket
 from greengagelatch.load.admission import AdmissionRule, Arrival, EstimateAdmission
--- a/packages/greengagelatch/src/greengagelatch/load/admission.py
+++ b/packages/greengagelatch/src/greengagelatch/load/admission.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ..config.objects import Pipeline, Stage
-from ..config.steering import Weights
+from ..config.policy_resolution import Weights
 from ..errors import Refusal, RefusalCode
 from .deadlines import measure_below
 from .refusals import create_refusal
--- a/packages/greengagelatch/src/greengagelatch/load/scheduler.py
+++ b/packages/greengagelatch/src/greengagelatch/load/scheduler.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from ..config.steering import Weights
+from ..config.policy_resolution import Weights
 from ..errors import Refusal, RefusalCode
 from ..targets.directory import TargetDirectory
 from . import Grant, Outcome, Ticket
--- a/packages/greengagelatch/src/greengagelatch/load/weights.py
+++ b/packages/greengagelatch/src/greengagelatch/load/weights.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..config.steering import Weights
+from ..config.policy_resolution import Weights
 
 __all__ = ("scale_margin", "scale_patience", "weigh_evenly")
 
--- a/packages/greengagelatch/src/greengagelatch/placement/wanted.py
+++ b/packages/greengagelatch/src/greengagelatch/placement/wanted.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..config.objects import StageKind
-from ..config.steering import resolve_policy
+from ..config.policy_resolution import resolve_policy
 from ..orders import EngineState
 
 if TYPE_CHECKING:
--- a/tests/test_core/test_config/test_steering.py
+++ b/tests/test_core/test_config/test_steering.py
@@ -8,10 +8,10 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Policy, PolicyEffect
+from greengagelatch.config.policy_resolution import resolve_policy
 from greengagelatch.config.precedence import order_policies
 from greengagelatch.config.selectors import parse_selector
 from greengagelatch.config.snapshot import Snapshot
-from greengagelatch.config.steering import resolve_policy
 
 LABELS = {"tier": "gold", "region": "luzon"}
 
--- a/tests/test_core/test_load/test_admission.py
+++ b/tests/test_core/test_load/test_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from greengagelatch.config.objects import Pipeline, Stage, StageKind
-from greengagelatch.config.steering import Weights
+from greengagelatch.config.policy_resolution import Weights
 from greengagelatch.errors import RefusalCode
 from greengagelatch.load.admission import AdmissionRule, Arrival, EstimateAdmission
 from greengagelatch.verdict import Verdict
--- a/tests/test_core/test_load/test_scheduler.py
+++ b/tests/test_core/test_load/test_scheduler.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from greengagelatch.config.objects import StageKind
-from greengagelatch.config.steering import Weights
+from greengagelatch.config.policy_resolution import Weights
 from greengagelatch.errors import RefusalCode
 from greengagelatch.load import Grant, Outcome, OutcomeKind, Ticket
 from greengagelatch.load.durations import DurationTracker
--- a/tests/test_entry/test_controllers/test_scheduling.py
+++ b/tests/test_entry/test_controllers/test_scheduling.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.clock import SystemClock
 from greengagelatch.config.objects import StageKind
-from greengagelatch.config.steering import Weights
+from greengagelatch.config.policy_resolution import Weights
 from greengagelatch.errors import RefusalCode
 from greengagelatch.events import EventBus
 from greengagelatch.load import Outcome, OutcomeKind, Ticket
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -16,8 +16,8 @@
     StageKind,
     Workspace,
 )
+from greengagelatch.config.policy_resolution import resolve_policy
 from greengagelatch.config.snapshot import Snapshot
-from greengagelatch.config.steering import resolve_policy
 from greengagelatch.errors import RefusalCode
 from greengagelatch.request import Answer, Request
 from greengagelatch.settings import parse
