--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -94,7 +94,7 @@
                 ahead.append(member.instance_id)
         return ahead
 
-    def tell_one(self) -> None:
+    def advertise_to_random_peer(self) -> None:
         """Send an advert to one random peer, so that lost adverts are made up for."""
         others = [member.instance_id for member in self.list_others()]
         for name in choose_peers(others, self._peers.neighbours(), 1, self._random):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -336,7 +336,7 @@
             share = self._random.uniform(0.5, 1.5)
             await self.sleep(self._gossip_interval * share)
             self._metrics.gauge("configuration.generation", self._replica.generation)
-            self._gossip.tell_one()
+            self._gossip.advertise_to_random_peer()
             fleet = 1 + len(self._gossip.list_others())
             if self._is_stale() and self._random.random() * fleet < 1:
                 # each looks seldom, so that the fleet as a whole asks no more often
