--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -100,7 +100,7 @@
         for name in choose_peers(others, self._peers.neighbours(), 1, self._random):
             self._peers.send(name, self._create_advert())
 
-    def tell_listeners(self) -> None:
+    def advertise_new_generation(self) -> None:
         """Send an advert of a new generation to a few peers immediately."""
         listeners = choose_listeners(
             self._peers.members(),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -370,4 +370,4 @@
         self._metrics.gauge("configuration.generation", generation)
         self._metrics.count("configuration.adopted")
         self._events.emit(CONFIGURATION_CHANGED, self._replica.snapshot)
-        self._gossip.tell_listeners()
+        self._gossip.advertise_new_generation()
