--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -79,7 +79,7 @@
         sighting = self._knowledge.find(instance_id)
         return None if sighting is None else sighting.generation
 
-    def list_others(self) -> list[Member]:
+    def list_reachable_peers(self) -> list[Member]:
         """Return the other instances that are reachable."""
         own_id = self._peers.instance_id
         alive = list_alive(self._peers.members())
@@ -88,7 +88,7 @@
     def list_ahead(self) -> list[str]:
         """Return the ids of instances that have a newer generation than this one."""
         ahead = []
-        for member in self.list_others():
+        for member in self.list_reachable_peers():
             generation = self.find_generation(member.instance_id)
             if generation is not None and generation > self._replica.generation:
                 ahead.append(member.instance_id)
@@ -96,7 +96,7 @@
 
     def advertise_to_random_peer(self) -> None:
         """Send an advert to one random peer, so that lost adverts are made up for."""
-        others = [member.instance_id for member in self.list_others()]
+        others = [member.instance_id for member in self.list_reachable_peers()]
         for name in choose_peers(others, self._peers.neighbours(), 1, self._random):
             self._peers.send(name, self._create_advert())
 
@@ -183,5 +183,5 @@
         )
 
     def _pick_rows(self) -> tuple[SeenRow, ...]:
-        alive = frozenset(member.instance_id for member in self.list_others())
+        alive = frozenset(member.instance_id for member in self.list_reachable_peers())
         return self._knowledge.pick_rows(self._clock.now(), alive, self._random)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -304,13 +304,13 @@
         end = self._clock.now() + PEERS_FIRST
         asked = False
         while not self.ready and self._clock.now() < end:
-            if not asked and self._gossip.list_others():
+            if not asked and self._gossip.list_reachable_peers():
                 asked = True
                 await self._ask_some()
             await self.sleep(START_TICK)
 
     async def _ask_some(self) -> None:
-        others = self._gossip.list_others()
+        others = self._gossip.list_reachable_peers()
         count = min(START_PEERS, len(others))
         await self._gossip.ask(self._random.sample(others, count))
 
@@ -337,7 +337,7 @@
             await self.sleep(self._gossip_interval * share)
             self._metrics.gauge("configuration.generation", self._replica.generation)
             self._gossip.advertise_to_random_peer()
-            fleet = 1 + len(self._gossip.list_others())
+            fleet = 1 + len(self._gossip.list_reachable_peers())
             if self._is_stale() and self._random.random() * fleet < 1:
                 # each looks seldom, so that the fleet as a whole asks no more often
                 # the larger it is
