--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -85,7 +85,7 @@
         alive = list_alive(self._peers.members())
         return [member for member in alive if member.instance_id != own_id]
 
-    def list_ahead(self) -> list[str]:
+    def list_newer_peers(self) -> list[str]:
         """Return the ids of instances that have a newer generation than this one."""
         ahead = []
         for member in self.list_reachable_peers():
@@ -170,7 +170,7 @@
         if advert.store_age >= 0:
             taken = now - advert.store_age
             self._knowledge.confirm(advert.generation, taken)
-        if self.list_ahead():
+        if self.list_newer_peers():
             self._on_news()
 
     def _create_advert(self, *, rows: bool = True) -> ConfigAdvert:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -349,7 +349,7 @@
         failures = 0
         while not self.should_stop:
             await self.wait(self._fetch_wanted)
-            candidates = self._gossip.list_ahead()
+            candidates = self._gossip.list_newer_peers()
             if not candidates:
                 self._fetch_wanted.clear()
                 failures = 0
