--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -114,11 +114,11 @@
         for instance_id in listeners:
             self._peers.send(instance_id, advert)
 
-    async def ask(self, members: Sequence[Member]) -> None:
+    async def query_members(self, members: Sequence[Member]) -> None:
         """Query members for their generations and record the answers."""
         slots = asyncio.Semaphore(MAX_ASKED_AT_ONCE)
 
-        async def ask(instance_id: str) -> None:
+        async def query_members(instance_id: str) -> None:
             async with slots:
                 answer = await self._peers.ask(
                     instance_id, ConfigQuery(), self._fetch_timeout
@@ -133,7 +133,7 @@
             for member in members
             if member.instance_id != own_id and member.state is not MemberState.DEAD
         ]
-        await asyncio.gather(*(ask(name) for name in asked[:MAX_ASKED]))
+        await asyncio.gather(*(query_members(name) for name in asked[:MAX_ASKED]))
 
     def describe(self, member: Member) -> MemberGeneration:
         """Return the known state of a member's generation."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -200,7 +200,7 @@
         """
         members = self._peers.members()
         if ask:
-            await self._gossip.ask(members)
+            await self._gossip.query_members(members)
         return tuple(self._gossip.describe(member) for member in members)
 
     def dump(self) -> dict[str, Any]:
@@ -312,7 +312,7 @@
     async def _ask_some(self) -> None:
         others = self._gossip.list_reachable_peers()
         count = min(START_PEERS, len(others))
-        await self._gossip.ask(self._random.sample(others, count))
+        await self._gossip.query_members(self._random.sample(others, count))
 
     def _is_watcher(self) -> bool:
         watchers = choose_watchers(self._peers.members(), self._data_centre)
