--- a/packages/greengagelatch-lab/src/greengagelatch_lab/pages.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/pages.py
@@ -92,7 +92,7 @@
 
 def _describe_setting(setting: Setting) -> str:
     default = _describe_default(setting)
-    meaning = setting.meaning.replace("|", "\\|")
+    meaning = setting.description.replace("|", "\\|")
     return f"| `{setting.name}` | {default} | {_describe_range(setting)} | {meaning} |"
 
 
--- a/packages/greengagelatch/src/greengagelatch/settings/declaration.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/declaration.py
@@ -12,15 +12,15 @@
 class Setting:
     """Declaration of one setting.
 
-    ``minimum`` and ``maximum`` are inclusive bounds of numbers. ``meaning`` is the
-    description on the documentation page that is generated from the table.
+    ``minimum`` and ``maximum`` are inclusive bounds of numbers. ``description`` is
+    for the documentation page that is generated from the table.
     """
 
     name: str
     type: type
     default: Any = None
     unit: str = ""
-    meaning: str
+    description: str
     affects: str = "restart"
     minimum: float | None = None
     maximum: float | None = None
--- a/packages/greengagelatch/src/greengagelatch/settings/table.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/table.py
@@ -12,27 +12,27 @@
         name="instance.id",
         type=str,
         required=True,
-        meaning="Id of this instance; unique, and new after each replacement.",
+        description="Id of this instance; unique, and new after each replacement.",
     ),
     Setting(
         name="instance.data_centre",
         type=str,
         required=True,
-        meaning="Data centre of this instance.",
+        description="Data centre of this instance.",
     ),
     Setting(
         name="instance.seed",
         type=int,
         default=0,
-        meaning="Seed of the random number generator; 0: the operating system provides"
-        " one.",
+        description="Seed of the random number generator; 0: the operating system"
+        " provides one.",
     ),
     Setting(
         name="callers.listen",
         type=str,
         default="127.0.0.1:8080",
         endpoint=True,
-        meaning="Address on which callers are served.",
+        description="Address on which callers are served.",
     ),
     Setting(
         name="callers.max_body_bytes",
@@ -41,7 +41,7 @@
         unit="bytes",
         minimum=1024,
         maximum=67108864,
-        meaning="Largest request body; larger ones are refused.",
+        description="Largest request body; larger ones are refused.",
     ),
     Setting(
         name="callers.max_header_bytes",
@@ -50,7 +50,7 @@
         unit="bytes",
         minimum=1024,
         maximum=65536,
-        meaning="Longest line and longest header of a request.",
+        description="Longest line and longest header of a request.",
     ),
     Setting(
         name="callers.max_connections",
@@ -58,7 +58,7 @@
         default=4096,
         minimum=1,
         maximum=100000,
-        meaning="Limit of open caller connections; further ones are answered and"
+        description="Limit of open caller connections; further ones are answered and"
         " closed.",
     ),
     Setting(
@@ -68,8 +68,8 @@
         unit="s",
         minimum=1,
         maximum=3600,
-        meaning="Time after which a connection without a complete request is closed;"
-        " must exceed the load balancer's own idle timeout.",
+        description="Time after which a connection without a complete request is"
+        " closed; must exceed the load balancer's own idle timeout.",
     ),
     Setting(
         name="callers.body_timeout",
@@ -78,7 +78,7 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time allowed for receiving the body of a request.",
+        description="Time allowed for receiving the body of a request.",
     ),
     Setting(
         name="callers.write_timeout",
@@ -87,7 +87,7 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time in which a caller must read what is written to it, or else it"
+        description="Time in which a caller must read what is written to it, or else it"
         " counts as disconnected.",
     ),
     Setting(
@@ -97,7 +97,7 @@
         unit="bytes",
         minimum=4096,
         maximum=16777216,
-        meaning="Bytes of a streamed response that are buffered for a slow reader.",
+        description="Bytes of a streamed response that are buffered for a slow reader.",
     ),
     Setting(
         name="callers.max_deadline_ms",
@@ -106,28 +106,28 @@
         unit="ms",
         minimum=1,
         maximum=86400000,
-        meaning="Longest deadline that a request may ask for.",
+        description="Longest deadline that a request may ask for.",
     ),
     Setting(
         name="operators.listen",
         type=str,
         default="127.0.0.1:8081",
         endpoint=True,
-        meaning="Address on which operators are served.",
+        description="Address on which operators are served.",
     ),
     Setting(
         name="peers.listen",
         type=str,
         default="127.0.0.1:8082",
         endpoint=True,
-        meaning="Address on which other entry instances connect.",
+        description="Address on which other entry instances connect.",
     ),
     Setting(
         name="peers.advertise",
         type=str,
         default="",
         endpoint=True,
-        meaning="Address that is advertised to other entry instances; empty: the"
+        description="Address that is advertised to other entry instances; empty: the"
         " address listened on.",
     ),
     Setting(
@@ -135,7 +135,7 @@
         type=str,
         default="",
         endpoints=True,
-        meaning="Comma-separated peer addresses of other entry instances. They are"
+        description="Comma-separated peer addresses of other entry instances. They are"
         " tried while no other instance is known, so that an instance can start while"
         " the platform's instance list is unavailable.",
     ),
@@ -146,7 +146,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time without a message after which each side of a link sends a"
+        description="Time without a message after which each side of a link sends a"
         " heartbeat.",
     ),
     Setting(
@@ -156,8 +156,8 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time without a byte after which a link is dropped; several times the"
-        " heartbeat interval.",
+        description="Time without a byte after which a link is dropped; several times"
+        " the heartbeat interval.",
     ),
     Setting(
         name="peers.rest_factor",
@@ -165,8 +165,8 @@
         default=1.0,
         minimum=1,
         maximum=100,
-        meaning="Factor by which `peers.heartbeat` and `peers.silence` are longer on a"
-        " link that has carried only probes for two seconds.",
+        description="Factor by which `peers.heartbeat` and `peers.silence` are longer"
+        " on a link that has carried only probes for two seconds.",
     ),
     Setting(
         name="peers.open_timeout",
@@ -175,7 +175,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed for opening a link.",
+        description="Time allowed for opening a link.",
     ),
     Setting(
         name="peers.idle",
@@ -184,7 +184,8 @@
         unit="s",
         minimum=0.5,
         maximum=3600,
-        meaning="Time after which an unused link that was opened on demand is closed.",
+        description="Time after which an unused link that was opened on demand is"
+        " closed.",
     ),
     Setting(
         name="peers.links",
@@ -192,9 +193,9 @@
         default=8,
         minimum=2,
         maximum=1000,
-        meaning="Number of links that this instance keeps open to other entry"
-        " instances; if there are at most twice as many others, it keeps a link to"
-        " each of them.",
+        description="Number of links that this instance keeps open to other entry"
+        " instances; if there are at most twice as many others, it keeps a link to each"
+        " of them.",
     ),
     Setting(
         name="peers.max_links",
@@ -202,8 +203,8 @@
         default=128,
         minimum=4,
         maximum=10000,
-        meaning="Limit of links that are open at the same time, whichever side opened"
-        " them.",
+        description="Limit of links that are open at the same time, whichever side"
+        " opened them.",
     ),
     Setting(
         name="peers.in_work",
@@ -211,7 +212,7 @@
         default=256,
         minimum=16,
         maximum=100000,
-        meaning="Limit of requests from other entry instances that are processed"
+        description="Limit of requests from other entry instances that are processed"
         " concurrently; further ones are answered as busy.",
     ),
     Setting(
@@ -221,7 +222,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Interval between probes of other entry instances; failures are"
+        description="Interval between probes of other entry instances; failures are"
         " detected within a few intervals.",
     ),
     Setting(
@@ -231,7 +232,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Interval between probes of an entry instance believed dead; these"
+        description="Interval between probes of an entry instance believed dead; these"
         " probes let network partitions heal.",
     ),
     Setting(
@@ -239,14 +240,14 @@
         type=str,
         required=True,
         endpoint=True,
-        meaning="Address of the platform's key-value service.",
+        description="Address of the platform's key-value service.",
     ),
     Setting(
         name="platform.instances",
         type=str,
         required=True,
         endpoint=True,
-        meaning="Address of the platform's instance list.",
+        description="Address of the platform's instance list.",
     ),
     Setting(
         name="platform.timeout",
@@ -255,7 +256,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Timeout of one call to the platform, except for watches.",
+        description="Timeout of one call to the platform, except for watches.",
     ),
     Setting(
         name="platform.instances_interval",
@@ -264,7 +265,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Shortest interval between reads of the instance list.",
+        description="Shortest interval between reads of the instance list.",
     ),
     Setting(
         name="platform.instances_rate",
@@ -273,8 +274,8 @@
         unit="calls/s",
         minimum=0.1,
         maximum=10000,
-        meaning="Rate at which all entry instances together read the instance list; in"
-        " a large fleet each instance reads it less often.",
+        description="Rate at which all entry instances together read the instance list;"
+        " in a large fleet each instance reads it less often.",
     ),
     Setting(
         name="targets.subset",
@@ -282,8 +283,8 @@
         default=20,
         minimum=1,
         maximum=10000,
-        meaning="Minimum number of targets of one service that this instance uses; of"
-        " a smaller service it uses all.",
+        description="Minimum number of targets of one service that this instance uses;"
+        " of a smaller service it uses all.",
     ),
     Setting(
         name="targets.spread",
@@ -291,7 +292,7 @@
         default=8,
         minimum=1,
         maximum=1000,
-        meaning="Average number of entry instances that use each target; where few"
+        description="Average number of entry instances that use each target; where few"
         " instances share a large service, each uses more than `targets.subset` of its"
         " targets.",
     ),
@@ -301,7 +302,7 @@
         default=3,
         minimum=1,
         maximum=1000,
-        meaning="Number of consecutive listings without a target after which it is"
+        description="Number of consecutive listings without a target after which it is"
         " removed.",
     ),
     Setting(
@@ -310,8 +311,8 @@
         default=2,
         minimum=1,
         maximum=100,
-        meaning="Number of consecutive failures to reach a target after which it gets"
-        " no new calls.",
+        description="Number of consecutive failures to reach a target after which it"
+        " gets no new calls.",
     ),
     Setting(
         name="targets.minimum",
@@ -319,7 +320,7 @@
         default=1,
         minimum=1,
         maximum=10000,
-        meaning="Number of targets of a service that get calls even if none is"
+        description="Number of targets of a service that get calls even if none is"
         " reachable.",
     ),
     Setting(
@@ -329,7 +330,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Longest interval between probes of an unreachable target.",
+        description="Longest interval between probes of an unreachable target.",
     ),
     Setting(
         name="targets.load_interval",
@@ -338,7 +339,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Interval between load reports of a target in use.",
+        description="Interval between load reports of a target in use.",
     ),
     Setting(
         name="targets.load_rate",
@@ -347,8 +348,8 @@
         unit="calls/s",
         minimum=0.1,
         maximum=10000,
-        meaning="Rate of load reports that this instance requests in total; beyond it,"
-        " each target is asked less often.",
+        description="Rate of load reports that this instance requests in total; beyond"
+        " it, each target is asked less often.",
     ),
     Setting(
         name="targets.load_timeout",
@@ -357,7 +358,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Timeout of one load report.",
+        description="Timeout of one load report.",
     ),
     Setting(
         name="targets.report_life",
@@ -366,7 +367,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Age at which a load report expires.",
+        description="Age at which a load report expires.",
     ),
     Setting(
         name="targets.connect_timeout",
@@ -375,7 +376,7 @@
         unit="s",
         minimum=0.01,
         maximum=60,
-        meaning="Timeout for connecting to a target.",
+        description="Timeout for connecting to a target.",
     ),
     Setting(
         name="targets.stall_timeout",
@@ -384,7 +385,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time without the first byte of a response after which a call is"
+        description="Time without the first byte of a response after which a call is"
         " abandoned; repeatable calls are hedged far sooner, based on observed"
         " latencies.",
     ),
@@ -395,7 +396,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Longest time between bytes of a response that has begun.",
+        description="Longest time between bytes of a response that has begun.",
     ),
     Setting(
         name="targets.idle_timeout",
@@ -404,7 +405,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time after which an unused connection to a target is closed.",
+        description="Time after which an unused connection to a target is closed.",
     ),
     Setting(
         name="targets.max_age",
@@ -413,7 +414,7 @@
         unit="s",
         minimum=0.1,
         maximum=86400,
-        meaning="Age at which connections to a target are replaced, plus or minus a"
+        description="Age at which connections to a target are replaced, plus or minus a"
         " third; a connection that has failed silently is used no longer than that.",
     ),
     Setting(
@@ -423,7 +424,7 @@
         unit="bytes",
         minimum=1024,
         maximum=268435456,
-        meaning="Largest response of a target; a larger one counts as a failure.",
+        description="Largest response of a target; a larger one counts as a failure.",
     ),
     Setting(
         name="targets.max_attempts",
@@ -431,7 +432,7 @@
         default=3,
         minimum=1,
         maximum=10,
-        meaning="Attempts at one stage, including the first one.",
+        description="Attempts at one stage, including the first one.",
     ),
     Setting(
         name="quotas.hold",
@@ -440,7 +441,7 @@
         unit="s",
         minimum=1.0,
         maximum=86400.0,
-        meaning="Time for which an unreachable data centre keeps its quota shares;"
+        description="Time for which an unreachable data centre keeps its quota shares;"
         " after that, each side of a network partition uses the full quotas.",
     ),
     Setting(
@@ -449,8 +450,8 @@
         default=32,
         minimum=1,
         maximum=1024,
-        meaning="Number of shards for keyed requests; fixed by the first instance that"
-        " ever starts, as a later change could let a key be executed twice.",
+        description="Number of shards for keyed requests; fixed by the first instance"
+        " that ever starts, as a later change could let a key be executed twice.",
     ),
     Setting(
         name="claims.retention",
@@ -459,7 +460,7 @@
         unit="s",
         minimum=2,
         maximum=86400,
-        meaning="Time for which an idempotency key is stored; reported to callers."
+        description="Time for which an idempotency key is stored; reported to callers."
         " Requests with a key must end within half of it.",
     ),
     Setting(
@@ -469,7 +470,7 @@
         unit="s",
         minimum=0,
         maximum=3600,
-        meaning="Largest difference between the wall clocks of instances.",
+        description="Largest difference between the wall clocks of instances.",
     ),
     Setting(
         name="claims.interval",
@@ -478,9 +479,9 @@
         unit="s",
         minimum=0,
         maximum=10,
-        meaning="Minimum average time between writes to one shard, short bursts"
-        " excepted; the write rate of the store is at most the number of shards"
-        " divided by it.",
+        description="Minimum average time between writes to one shard, short bursts"
+        " excepted; the write rate of the store is at most the number of shards divided"
+        " by it.",
     ),
     Setting(
         name="claims.head_claims",
@@ -488,8 +489,8 @@
         default=400,
         minimum=1,
         maximum=8000,
-        meaning="Number of claims that are rewritten with every swap before they are"
-        " sealed.",
+        description="Number of claims that are rewritten with every swap before they"
+        " are sealed.",
     ),
     Setting(
         name="claims.segment_claims",
@@ -497,7 +498,7 @@
         default=8000,
         minimum=1,
         maximum=12000,
-        meaning="Number of claims in one sealed segment.",
+        description="Number of claims in one sealed segment.",
     ),
     Setting(
         name="claims.segments",
@@ -505,8 +506,8 @@
         default=64,
         minimum=1,
         maximum=256,
-        meaning="Limit of sealed segments of one shard; beyond it, keyed requests are"
-        " refused.",
+        description="Limit of sealed segments of one shard; beyond it, keyed requests"
+        " are refused.",
     ),
     Setting(
         name="claims.forward_timeout",
@@ -515,7 +516,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Timeout for the usual writer of a shard, at most half of the"
+        description="Timeout for the usual writer of a shard, at most half of the"
         " request's remaining time; after it, this instance writes the claim itself.",
     ),
     Setting(
@@ -523,7 +524,7 @@
         type=str,
         default="refuse-later",
         choices=("refuse", "refuse-later"),
-        meaning="Handling of keyed requests while no instance reaches the store:"
+        description="Handling of keyed requests while no instance reaches the store:"
         " refuse immediately, or, early in an outage, retry for half of the deadline"
         " first.",
     ),
@@ -531,7 +532,7 @@
         name="claims.finish",
         type=bool,
         default=True,
-        meaning="Whether a keyed request whose caller has disconnected runs to"
+        description="Whether a keyed request whose caller has disconnected runs to"
         " completion, so that a retry gets its result; otherwise it is cancelled and"
         " has no result.",
     ),
@@ -541,7 +542,7 @@
         default=20000,
         minimum=1,
         maximum=1000000,
-        meaning="Limit of completed keyed requests that this instance remembers.",
+        description="Limit of completed keyed requests that this instance remembers.",
     ),
     Setting(
         name="claims.memory_bytes",
@@ -550,7 +551,7 @@
         unit="bytes",
         minimum=0,
         maximum=1073741824,
-        meaning="Memory for outcomes that are kept for retries.",
+        description="Memory for outcomes that are kept for retries.",
     ),
     Setting(
         name="claims.outcome_bytes",
@@ -559,8 +560,8 @@
         unit="bytes",
         minimum=0,
         maximum=1000000,
-        meaning="Largest outcome that is kept; for a larger one, a retry learns only"
-        " that the request ran.",
+        description="Largest outcome that is kept; for a larger one, a retry learns"
+        " only that the request ran.",
     ),
     Setting(
         name="claims.handover_bytes",
@@ -569,7 +570,7 @@
         unit="bytes",
         minimum=0,
         maximum=268435456,
-        meaning="Limit of outcomes that are handed over to other instances at a"
+        description="Limit of outcomes that are handed over to other instances at a"
         " planned stop.",
     ),
     Setting(
@@ -579,8 +580,8 @@
         unit="s",
         minimum=0.1,
         maximum=60,
-        meaning="Time for which one watch of the configuration waits for a change; a"
-        " watch that gets no answer is detected after it.",
+        description="Time for which one watch of the configuration waits for a change;"
+        " a watch that gets no answer is detected after it.",
     ),
     Setting(
         name="configuration.gossip_interval",
@@ -589,7 +590,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Mean interval between adverts of the active generation to a random"
+        description="Mean interval between adverts of the active generation to a random"
         " peer.",
     ),
     Setting(
@@ -599,8 +600,8 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time without confirmation that the active generation is the newest,"
-        " after which an instance that does not watch the store reads it.",
+        description="Time without confirmation that the active generation is the"
+        " newest, after which an instance that does not watch the store reads it.",
     ),
     Setting(
         name="configuration.change_timeout",
@@ -609,7 +610,7 @@
         unit="s",
         minimum=0.1,
         maximum=300,
-        meaning="Timeout of one change of the configuration.",
+        description="Timeout of one change of the configuration.",
     ),
     Setting(
         name="configuration.fetch_timeout",
@@ -618,7 +619,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Timeout of one configuration request to a peer.",
+        description="Timeout of one configuration request to a peer.",
     ),
     Setting(
         name="leases.ttl",
@@ -627,7 +628,7 @@
         unit="s",
         minimum=0.3,
         maximum=3600,
-        meaning="Time after which the store expires a lease that is not renewed; at"
+        description="Time after which the store expires a lease that is not renewed; at"
         " least three times the sum of orders.timeout and leases.margin, which is used"
         " where this is shorter.",
     ),
@@ -638,7 +639,7 @@
         unit="s",
         minimum=0,
         maximum=600,
-        meaning="Time by which a holder gives up a lease before it expires in the"
+        description="Time by which a holder gives up a lease before it expires in the"
         " store; must exceed the drift between instances' clocks over leases.ttl.",
     ),
     Setting(
@@ -648,8 +649,8 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Timeout of one call to an engine; the outcome of an order that takes"
-        " longer is determined by reading the engine's state.",
+        description="Timeout of one call to an engine; the outcome of an order that"
+        " takes longer is determined by reading the engine's state.",
     ),
     Setting(
         name="orders.longest",
@@ -658,7 +659,7 @@
         unit="s",
         minimum=0,
         maximum=7200,
-        meaning="Longest time in which an engine executes an order that it has"
+        description="Longest time in which an engine executes an order that it has"
         " received. Orders without an answer are not retried earlier, and a new holder"
         " waits for this time where engines don't check fencing numbers.",
     ),
@@ -669,7 +670,7 @@
         unit="s",
         minimum=0.05,
         maximum=3600,
-        meaning="Interval at which the holder reads an engine's state.",
+        description="Interval at which the holder reads an engine's state.",
     ),
     Setting(
         name="orders.loads_per_minute",
@@ -678,16 +679,16 @@
         unit="1/min",
         minimum=0.01,
         maximum=100000,
-        meaning="Long-term rate of models and adapters that the weight store serves to"
-        " one data centre because of orders.",
+        description="Long-term rate of models and adapters that the weight store serves"
+        " to one data centre because of orders.",
     ),
     Setting(
         name="statsd.address",
         type=str,
         default="127.0.0.1:8125",
         endpoint=True,
-        meaning="Address of the statsd server; an IP address, as name resolution would"
-        " block the event loop.",
+        description="Address of the statsd server; an IP address, as name resolution"
+        " would block the event loop.",
     ),
     Setting(
         name="load.queue",
@@ -695,7 +696,7 @@
         default=2000,
         minimum=1,
         maximum=100000,
-        meaning="Limit of stage calls that are queued for one service; further ones"
+        description="Limit of stage calls that are queued for one service; further ones"
         " are refused.",
     ),
     Setting(
@@ -704,8 +705,8 @@
         default=0.2,
         minimum=0,
         maximum=0.9,
-        meaning="Share of each target's concurrency limit that is reserved for short"
-        " calls.",
+        description="Share of each target's concurrency limit that is reserved for"
+        " short calls.",
     ),
     Setting(
         name="load.late_share",
@@ -713,8 +714,8 @@
         default=0.03,
         minimum=0.001,
         maximum=0.5,
-        meaning="Accepted share of the calls started on busy targets that end too late"
-        " to be of use; a lower value refuses more calls.",
+        description="Accepted share of the calls started on busy targets that end too"
+        " late to be of use; a lower value refuses more calls.",
     ),
     Setting(
         name="load.retry_share",
@@ -722,7 +723,7 @@
         default=0.1,
         minimum=0,
         maximum=1,
-        meaning="Limit of retries and hedged calls, as a ratio to ordinary calls.",
+        description="Limit of retries and hedged calls, as a ratio to ordinary calls.",
     ),
     Setting(
         name="load.ejected_share",
@@ -730,7 +731,7 @@
         default=0.5,
         minimum=0,
         maximum=0.9,
-        meaning="Share of a service's targets, rounded up, that may be ejected for"
+        description="Share of a service's targets, rounded up, that may be ejected for"
         " failures or slowness; the last target is never ejected.",
     ),
     Setting(
@@ -739,8 +740,8 @@
         default=4.0,
         minimum=1.5,
         maximum=100,
-        meaning="Ratio of a target's latency to that of the service's other targets at"
-        " which it counts as slow.",
+        description="Ratio of a target's latency to that of the service's other targets"
+        " at which it counts as slow.",
     ),
     Setting(
         name="load.distance",
@@ -748,7 +749,7 @@
         default=0.25,
         minimum=0,
         maximum=100,
-        meaning="Load difference, as a share of a target's limit, at which a less"
+        description="Load difference, as a share of a target's limit, at which a less"
         " loaded target in another data centre is preferred.",
     ),
     Setting(
@@ -757,8 +758,8 @@
         default=1.0,
         minimum=0,
         maximum=100,
-        meaning="Load difference, as a share of a target's limit, that a cached prompt"
-        " prefix outweighs.",
+        description="Load difference, as a share of a target's limit, that a cached"
+        " prompt prefix outweighs.",
     ),
     Setting(
         name="drain.balancer_lag",
@@ -767,7 +768,7 @@
         unit="s",
         minimum=0,
         maximum=600,
-        meaning="Time for which a stopping instance keeps serving normally; must"
+        description="Time for which a stopping instance keeps serving normally; must"
         " exceed the time in which the load balancer detects that it is not ready.",
     ),
     Setting(
@@ -777,21 +778,21 @@
         unit="s",
         minimum=0,
         maximum=3600,
-        meaning="Time allowed for requests in flight after that; at least the longest"
-        " deadline that callers may ask for.",
+        description="Time allowed for requests in flight after that; at least the"
+        " longest deadline that callers may ask for.",
     ),
     Setting(
         name="log.level",
         type=str,
         default="requests",
         choices=("errors", "requests", "stages"),
-        meaning="Log detail: failures only, one action for each request, or also one"
-        " for each stage call.",
+        description="Log detail: failures only, one action for each request, or also"
+        " one for each stage call.",
     ),
     Setting(
         name="log.file",
         type=str,
         default="-",
-        meaning="File that log lines are appended to; - is standard output.",
+        description="File that log lines are appended to; - is standard output.",
     ),
 )
