--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -38,7 +38,7 @@
     """Advertises the active generation to peers and records their generations.
 
     :param fetch_timeout: timeout in seconds of one query to a peer.
-    :param on_news: called when a peer may have a newer generation.
+    :param on_newer_generation: called when a peer may have a newer generation.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         random_source: Random,
         data_centre: str,
         fetch_timeout: float,
-        on_news: Callable[[], None],
+        on_newer_generation: Callable[[], None],
     ) -> None:
         self._replica = replica
         self._peers = peers
@@ -58,7 +58,7 @@
         self._random = random_source
         self._data_centre = data_centre
         self._fetch_timeout = fetch_timeout
-        self._on_news = on_news
+        self._on_newer_generation = on_newer_generation
         self._knowledge = Knowledge()
         peers.handle(ConfigAdvert, self._receive_advert)
         peers.handle(ConfigQuery, self._answer_query)
@@ -171,7 +171,7 @@
             taken = now - advert.store_age
             self._knowledge.confirm(advert.generation, taken)
         if self.list_newer_peers():
-            self._on_news()
+            self._on_newer_generation()
 
     def _create_advert(self, *, rows: bool = True) -> ConfigAdvert:
         age = self.get_store_age()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -126,7 +126,7 @@
             random_source=random_source,
             data_centre=data_centre,
             fetch_timeout=settings["configuration.fetch_timeout"],
-            on_news=self._fetch_wanted.set,
+            on_newer_generation=self._fetch_wanted.set,
         )
         ConfigServer(replica=self._replica, peers=peers, metrics=metrics)
         events.declare(CONFIGURATION_CHANGED)
