--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
@@ -67,7 +67,7 @@
         self._on_adopted()
         return True
 
-    async def learn_entry(self, entry: Entry) -> bool:
+    async def adopt_entry(self, entry: Entry) -> bool:
         """Adopt a head from the store.
 
         :return: whether that generation or a newer one is now active.
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -260,7 +260,7 @@
         async with self._learning:
             if not self.ready:
                 await self._wait_for_peers()
-            learnt = await self._learner.learn_entry(entry)
+            learnt = await self._learner.adopt_entry(entry)
         if not learnt:
             return False
         # only now: a head whose shards could not be read is to be seen again
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -104,7 +104,7 @@
 
     async def learn(self) -> None:
         """Bring the others up to date."""
-        await self.watcher.learner.learn_entry(await self.read_head())
+        await self.watcher.learner.adopt_entry(await self.read_head())
         await self.listener.learner.learn_from_peer("watcher")
 
     def _join(self, name: str) -> _Replica:
@@ -165,7 +165,7 @@
             await trio.change()
         entry = await trio.read_head()
         with measure_cpu() as watched:
-            await trio.watcher.learner.learn_entry(entry)
+            await trio.watcher.learner.adopt_entry(entry)
         head = trio.watcher.replica.head
         missing = trio.listener.replica.find_missing(head.shards.values())
         with measure_cpu() as heard:
@@ -179,7 +179,7 @@
     calls = trio.store.calls - calls
     newcomer = trio._join(f"newcomer-{history}")
     with measure_memory() as memory:
-        await newcomer.learner.learn_entry(await trio.read_head())
+        await newcomer.learner.adopt_entry(await trio.read_head())
     return Point(
         drivers={"workspaces": workspaces, "history": history},
         figures={
