--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
@@ -90,7 +90,7 @@
         self.adopt(head, shards.ok_value)
         return self._replica.generation >= head.generation
 
-    async def learn_from_peer(self, instance_id: str) -> bool:
+    async def adopt_from_peer(self, instance_id: str) -> bool:
         """Adopt a peer's generation; return ``False`` if it could not be fetched."""
         match await self._fetch_head(instance_id):
             case Err(reason):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -354,7 +354,7 @@
                 self._fetch_wanted.clear()
                 failures = 0
                 continue
-            if await self._learner.learn_from_peer(self._random.choice(candidates)):
+            if await self._learner.adopt_from_peer(self._random.choice(candidates)):
                 failures = 0
                 continue
             failures += 1
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -105,7 +105,7 @@
     async def learn(self) -> None:
         """Bring the others up to date."""
         await self.watcher.learner.adopt_entry(await self.read_head())
-        await self.listener.learner.learn_from_peer("watcher")
+        await self.listener.learner.adopt_from_peer("watcher")
 
     def _join(self, name: str) -> _Replica:
         return _Replica(store=self.store, peers=self.switchboard.join(name))
@@ -169,7 +169,7 @@
         head = trio.watcher.replica.head
         missing = trio.listener.replica.find_missing(head.shards.values())
         with measure_cpu() as heard:
-            await trio.listener.learner.learn_from_peer("watcher")
+            await trio.listener.learner.adopt_from_peer("watcher")
         make += made.cpu_ms
         watch += watched.cpu_ms
         fetch += heard.cpu_ms
