--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/driver.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/driver.py
@@ -19,7 +19,7 @@
     run_change,
 )
 from greengagelatch.config.head import HEAD_KEY, Head, ShardRef
-from greengagelatch.config.replica import HeldShard, open_shard
+from greengagelatch.config.replica import LoadedShard, load_shard
 from greengagelatch.config.requests import NotApplied, Settled
 from greengagelatch.store import (
     ABSENT,
@@ -43,12 +43,12 @@
 __all__ = ("ChangeDriver",)
 
 #: concurrent writes and deletions of shards
-MAX_WRITES = 16
+MAX_CONCURRENT_WRITES = 16
 
-_LATE = "the change has exceeded its time limit"
+_TIMEOUT_MESSAGE = "the change has exceeded its time limit"
 
 #: receives the head and the shards of a change that this instance has committed
-SettledListener = Callable[[Head, Mapping[ShardRef, HeldShard]], object]
+CommitCallback = Callable[[Head, Mapping[ShardRef, LoadedShard]], object]
 
 
 class ChangeDriver:
@@ -73,7 +73,7 @@
         metrics: Metrics,
         timeout: float,
         get_generation: Callable[[], int],
-        on_settled: SettledListener,
+        on_settled: CommitCallback,
     ) -> None:
         self._store = store
         self._reader = reader
@@ -83,15 +83,15 @@
         self._timeout = timeout
         self._get_generation = get_generation
         self._on_settled = on_settled
-        self._turn = asyncio.Lock()
-        self._slots = asyncio.Semaphore(MAX_WRITES)
+        self._change_lock = asyncio.Lock()
+        self._slots = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
 
     async def change(self, request: ChangeRequest) -> ChangeOutcome:
         """Commit a change and return its outcome."""
         deadline = self._clock.now() + self._timeout
         try:
             async with asyncio.timeout(self._timeout):
-                await self._turn.acquire()
+                await self._change_lock.acquire()
         except TimeoutError:
             return NotApplied(
                 message=f"earlier changes were not finished within {self._timeout:g} s",
@@ -100,13 +100,13 @@
         try:
             outcome = await self._run(request, deadline)
         finally:
-            self._turn.release()
+            self._change_lock.release()
         kind = type(outcome).__name__.lower()
         self._metrics.count(f"configuration.changes.{kind}")
         return outcome
 
     async def _run(self, request: ChangeRequest, deadline: float) -> ChangeOutcome:
-        fresh: dict[ShardRef, HeldShard] = {}
+        new_shards: dict[ShardRef, LoadedShard] = {}
         process = run_change(request, wall=self._clock.wall, random_source=self._random)
         reply: Any = None
         while True:
@@ -115,51 +115,57 @@
             except StopIteration as stop:
                 outcome = stop.value
                 break
-            reply = await self._perform(step, deadline, fresh)
+            reply = await self._perform(step, deadline, new_shards)
         if isinstance(outcome, Settled):
-            self._on_settled(outcome.head, fresh)
+            self._on_settled(outcome.head, new_shards)
         return outcome
 
     async def _perform(
-        self, step: Step, deadline: float, fresh: dict[ShardRef, HeldShard]
+        self, step: Step, deadline: float, new_shards: dict[ShardRef, LoadedShard]
     ) -> Any:
-        late = self._clock.now() >= deadline
+        expired = self._clock.now() >= deadline
         match step:
             case Pause(seconds=seconds):
-                return await asyncio.sleep(0 if late else seconds)
+                return await asyncio.sleep(0 if expired else seconds)
             case ReadHead():
-                return Err(_fail_late()) if late else await self._read_head()
+                return (
+                    Err(_create_timeout_error()) if expired else await self._read_head()
+                )
             case ReadShards(refs=refs):
-                return Err(_fail_late()) if late else await self._read(refs, fresh)
+                return (
+                    Err(_create_timeout_error())
+                    if expired
+                    else await self._read(refs, new_shards)
+                )
             case WriteShards(shards=shards):
-                if late:
-                    return [_refuse_late()] * len(shards)
+                if expired:
+                    return [_create_timeout_result()] * len(shards)
                 results = await asyncio.gather(
                     *(self._write(ref, data) for ref, data in shards)
                 )
-                _keep_written(shards, results, fresh)
+                _cache_written(shards, results, new_shards)
                 return results
             case DeleteShards(refs=refs):
-                if late:
-                    return [_refuse_late()] * len(refs)
+                if expired:
+                    return [_create_timeout_result()] * len(refs)
                 return await asyncio.gather(*(self._delete(ref) for ref in refs))
             case SwapHead(value=value, expected=expected):
-                if late:
-                    return _refuse_late()
+                if expired:
+                    return _create_timeout_result()
                 return await self._store.swap(HEAD_KEY, value, expected)
 
     async def _read_head(self) -> Result[Entry | None, StoreError]:
         return await self._store.get(HEAD_KEY)
 
     async def _read(
-        self, refs: tuple[ShardRef, ...], fresh: dict[ShardRef, HeldShard]
+        self, refs: tuple[ShardRef, ...], new_shards: dict[ShardRef, LoadedShard]
     ) -> Result[Any, StoreError]:
         answer = await self._reader.read(refs)
         if answer.is_err():
             return answer
-        fresh.update(answer.ok_value)
+        new_shards.update(answer.ok_value)
         return answer.map(
-            lambda found: {ref: held.shard for ref, held in found.items()}
+            lambda found: {ref: loaded.shard for ref, loaded in found.items()}
         )
 
     async def _write(self, ref: ShardRef, data: bytes) -> WriteResult:
@@ -171,24 +177,24 @@
             return await self._store.delete(ref.key, ref.revision)
 
 
-def _keep_written(
+def _cache_written(
     shards: tuple[tuple[ShardRef, bytes], ...],
     results: list[WriteResult],
-    fresh: dict[ShardRef, HeldShard],
+    new_shards: dict[ShardRef, LoadedShard],
 ) -> None:
     """Keep written shards, so that they need not be read back from the store."""
     for (ref, data), result in zip(shards, results, strict=True):
         if result.outcome not in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
             continue
-        named = ShardRef(ref.digest, ref.salt, result.revision)
-        held = open_shard(named, data)
-        if held is not None:
-            fresh[named] = held
+        written_ref = ShardRef(ref.digest, ref.salt, result.revision)
+        loaded = load_shard(written_ref, data)
+        if loaded is not None:
+            new_shards[written_ref] = loaded
 
 
-def _fail_late() -> StoreError:
-    return StoreError(StoreErrorKind.TIMEOUT, _LATE)
+def _create_timeout_error() -> StoreError:
+    return StoreError(StoreErrorKind.TIMEOUT, _TIMEOUT_MESSAGE)
 
 
-def _refuse_late() -> WriteResult:
-    return WriteResult(WriteOutcome.NOT_APPLIED, message=_LATE)
+def _create_timeout_result() -> WriteResult:
+    return WriteResult(WriteOutcome.NOT_APPLIED, message=_TIMEOUT_MESSAGE)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.config.gossip import (
-    Knowledge,
-    choose_listeners,
-    list_alive,
+    GenerationTable,
+    choose_recipients,
+    list_reachable,
 )
 from greengagelatch.config.messages import ConfigAdvert, ConfigQuery
 from greengagelatch.peers import MemberState
@@ -21,17 +21,17 @@
     from random import Random
 
     from greengagelatch.clock import Clock
-    from greengagelatch.config.messages import SeenRow
+    from greengagelatch.config.messages import GenerationRow
     from greengagelatch.config.replica import Replica
     from greengagelatch.peers import Member, PeerNetwork
 
 __all__ = ("GenerationGossip",)
 
 #: concurrent queries for the generation of members
-MAX_ASKED_AT_ONCE = 32
+MAX_CONCURRENT_QUERIES = 32
 
 #: members queried at all in one round
-MAX_ASKED = 1024
+MAX_QUERIES = 1024
 
 
 class GenerationGossip:
@@ -59,30 +59,30 @@
         self._data_centre = data_centre
         self._fetch_timeout = fetch_timeout
         self._on_newer_generation = on_newer_generation
-        self._knowledge = Knowledge()
+        self._generations = GenerationTable()
         peers.handle(ConfigAdvert, self._receive_advert)
         peers.handle(ConfigQuery, self._answer_query)
 
     def confirm_newest(self) -> None:
         """Record that the active generation is the newest in the store."""
-        self._knowledge.confirm(self._replica.generation, self._clock.now())
+        self._generations.confirm(self._replica.generation, self._clock.now())
 
     def get_store_age(self) -> float | None:
         """Return seconds since the active generation was confirmed as the newest."""
         now = self._clock.now()
-        return self._knowledge.get_store_age(self._replica.generation, now)
+        return self._generations.get_store_age(self._replica.generation, now)
 
     def find_generation(self, instance_id: str) -> int | None:
         """Return the last known generation of an instance; ``None``: unknown."""
         if instance_id == self._peers.instance_id:
             return self._replica.generation
-        sighting = self._knowledge.find(instance_id)
-        return None if sighting is None else sighting.generation
+        sample = self._generations.find(instance_id)
+        return None if sample is None else sample.generation
 
     def list_reachable_peers(self) -> list[Member]:
         """Return the other instances that are reachable."""
         own_id = self._peers.instance_id
-        alive = list_alive(self._peers.members())
+        alive = list_reachable(self._peers.members())
         return [member for member in alive if member.instance_id != own_id]
 
     def list_newer_peers(self) -> list[str]:
@@ -102,7 +102,7 @@
 
     def advertise_new_generation(self) -> None:
         """Send an advert of a new generation to a few peers immediately."""
-        listeners = choose_listeners(
+        recipients = choose_recipients(
             self._peers.members(),
             self._peers.neighbours(),
             self._peers.instance_id,
@@ -111,39 +111,39 @@
         )
         # without generations of others, which would make up most of the bytes
         advert = self._create_advert(rows=False)
-        for instance_id in listeners:
+        for instance_id in recipients:
             self._peers.send(instance_id, advert)
 
     async def query_members(self, members: Sequence[Member]) -> None:
         """Query members for their generations and record the answers."""
-        slots = asyncio.Semaphore(MAX_ASKED_AT_ONCE)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-        async def query_members(instance_id: str) -> None:
+        async def query_one(instance_id: str) -> None:
             async with slots:
                 answer = await self._peers.ask(
                     instance_id, ConfigQuery(), self._fetch_timeout
                 )
             advert = answer.ok()
             if isinstance(advert, ConfigAdvert):
-                self._take_in(instance_id, advert)
+                self._apply_advert(instance_id, advert)
 
         own_id = self._peers.instance_id
-        asked = [
+        queried = [
             member.instance_id
             for member in members
             if member.instance_id != own_id and member.state is not MemberState.DEAD
         ]
-        await asyncio.gather(*(query_members(name) for name in asked[:MAX_ASKED]))
+        await asyncio.gather(*(query_one(name) for name in queried[:MAX_QUERIES]))
 
     def describe(self, member: Member) -> MemberGeneration:
         """Return the known state of a member's generation."""
         own = member.instance_id == self._peers.instance_id
-        sighting = self._knowledge.find(member.instance_id)
+        sample = self._generations.find(member.instance_id)
         age = None
         if own:
             age = 0.0
-        elif sighting is not None:
-            age = max(0.0, self._clock.now() - sighting.taken)
+        elif sample is not None:
+            age = max(0.0, self._clock.now() - sample.observed_at)
         return MemberGeneration(
             instance_id=member.instance_id,
             data_centre=self._data_centre if own else member.data_centre,
@@ -153,7 +153,7 @@
         )
 
     def _receive_advert(self, sender: str, advert: ConfigAdvert) -> None:
-        self._take_in(sender, advert)
+        self._apply_advert(sender, advert)
         if advert.generation < self._replica.generation:
             # the sender then fetches the newer generation
             self._peers.send(sender, self._create_advert())
@@ -161,15 +161,17 @@
     def _answer_query(self, sender: str, query: ConfigQuery) -> ConfigAdvert:
         return self._create_advert()
 
-    def _take_in(self, sender: str, advert: ConfigAdvert) -> None:
+    def _apply_advert(self, sender: str, advert: ConfigAdvert) -> None:
         now = self._clock.now()
         for instance_id, data_centre, generation, age in advert.seen:
-            taken = now - age
-            self._knowledge.note_hearsay(instance_id, data_centre, generation, taken)
-        self._knowledge.note(sender, advert.data_centre, advert.generation, now)
+            observed_at = now - age
+            self._generations.record_relayed(
+                instance_id, data_centre, generation, observed_at
+            )
+        self._generations.record(sender, advert.data_centre, advert.generation, now)
         if advert.store_age >= 0:
-            taken = now - advert.store_age
-            self._knowledge.confirm(advert.generation, taken)
+            observed_at = now - advert.store_age
+            self._generations.confirm(advert.generation, observed_at)
         if self.list_newer_peers():
             self._on_newer_generation()
 
@@ -179,9 +181,9 @@
             generation=self._replica.generation,
             data_centre=self._data_centre,
             store_age=-1.0 if age is None else age,
-            seen=self._pick_rows() if rows else (),
+            seen=self._sample_rows() if rows else (),
         )
 
-    def _pick_rows(self) -> tuple[SeenRow, ...]:
+    def _sample_rows(self) -> tuple[GenerationRow, ...]:
         alive = frozenset(member.instance_id for member in self.list_reachable_peers())
-        return self._knowledge.pick_rows(self._clock.now(), alive, self._random)
+        return self._generations.sample_rows(self._clock.now(), alive, self._random)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/learner.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.config.head import ShardRef, apply_delta, decode_head
 from greengagelatch.config.messages import ConfigChunk, ConfigFetch
-from greengagelatch.config.replica import HeldShard, open_shard
+from greengagelatch.config.replica import LoadedShard, load_shard
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Mapping
@@ -28,7 +28,7 @@
 logger = logging.getLogger(__name__)
 
 #: concurrent shard fetches from one peer
-MAX_FETCHES = 8
+MAX_CONCURRENT_FETCHES = 8
 
 #: largest value in bytes that is accepted from a peer, the same as in the store
 MAX_VALUE_BYTES = 1024 * 1024
@@ -60,9 +60,9 @@
         self._fetch_timeout = fetch_timeout
         self._on_adopted = on_adopted
 
-    def adopt(self, head: Head, fresh: Mapping[ShardRef, HeldShard]) -> bool:
+    def adopt(self, head: Head, new_shards: Mapping[ShardRef, LoadedShard]) -> bool:
         """Activate a generation whose shards are all present."""
-        if not self._replica.adopt(head, fresh):
+        if not self._replica.adopt(head, new_shards):
             return False
         self._on_adopted()
         return True
@@ -94,16 +94,16 @@
         """Adopt a peer's generation; return ``False`` if it could not be fetched."""
         match await self._fetch_head(instance_id):
             case Err(reason):
-                self._note_failure(instance_id, reason)
+                self._record_failure(instance_id, reason)
                 return False
             case Ok(head):
                 pass
         if head.generation <= self._replica.generation:
             return True
-        fresh = await self._fetch_shards(instance_id, head)
-        if fresh is None:
+        new_shards = await self._fetch_shards(instance_id, head)
+        if new_shards is None:
             return False
-        self.adopt(head, fresh)
+        self.adopt(head, new_shards)
         return self._replica.generation >= head.generation
 
     async def _fetch_head(self, instance_id: str) -> Result[Head, str]:
@@ -127,18 +127,18 @@
 
     async def _fetch_shards(
         self, instance_id: str, head: Head
-    ) -> Mapping[ShardRef, HeldShard] | None:
+    ) -> Mapping[ShardRef, LoadedShard] | None:
         missing = self._replica.find_missing(head.shards.values())
-        slots = asyncio.Semaphore(MAX_FETCHES)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
 
-        async def fetch(ref: ShardRef) -> HeldShard | None:
+        async def fetch(ref: ShardRef) -> LoadedShard | None:
             async with slots:
                 _, data = await self._fetch(instance_id, ref.key, 0)
-            return open_shard(ref, data)
+            return load_shard(ref, data)
 
         shards = await _gather(fetch, missing)
         if any(shard is None for shard in shards):
-            self._note_failure(instance_id, "missing or invalid shards")
+            self._record_failure(instance_id, "missing or invalid shards")
             return None
         return dict(zip(missing, shards, strict=True))
 
@@ -149,8 +149,8 @@
         first: ConfigChunk | None = None
         data = b""
         while first is None or len(data) < first.total:
-            question = ConfigFetch(key, generation, len(data))
-            answer = await self._peers.ask(instance_id, question, self._fetch_timeout)
+            request = ConfigFetch(key, generation, len(data))
+            answer = await self._peers.ask(instance_id, request, self._fetch_timeout)
             chunk = answer.ok()
             if not isinstance(chunk, ConfigChunk) or not chunk.data:
                 return None, b""
@@ -161,7 +161,7 @@
             data += chunk.data
         return first, data
 
-    def _note_failure(self, instance_id: str, reason: str) -> None:
+    def _record_failure(self, instance_id: str, reason: str) -> None:
         self._metrics.count("configuration.failed_fetches")
         logger.info("configuration fetch from %s failed: %s", instance_id, reason)
 
@@ -180,7 +180,7 @@
 
 
 async def _gather(
-    fetch: Callable[[ShardRef], Awaitable[HeldShard | None]],
+    fetch: Callable[[ShardRef], Awaitable[LoadedShard | None]],
     refs: tuple[ShardRef, ...],
-) -> list[HeldShard | None]:
+) -> list[LoadedShard | None]:
     return list(await asyncio.gather(*(fetch(ref) for ref in refs)))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/serving.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/serving.py
@@ -43,8 +43,8 @@
 
     def _find(self, fetch: ConfigFetch) -> tuple[bytes, bool]:
         if fetch.key:
-            held = self._replica.get(fetch.key)
-            return (b"" if held is None else held.data), False
+            loaded = self._replica.get(fetch.key)
+            return (b"" if loaded is None else loaded.data), False
         if self._replica.generation == 0:
             return b"", False
         if fetch.generation:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/shards.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/shards.py
@@ -8,7 +8,7 @@
 
 from result import Err, Ok, Result
 
-from greengagelatch.config.replica import HeldShard, open_shard
+from greengagelatch.config.replica import LoadedShard, load_shard
 
 if TYPE_CHECKING:
     from greengagelatch.config.head import ShardRef
@@ -20,7 +20,7 @@
 __all__ = ("ShardReader",)
 
 #: concurrent shard reads from the store
-MAX_READS = 16
+MAX_CONCURRENT_READS = 16
 
 
 class ShardReader:
@@ -30,30 +30,30 @@
         self._store = store
         self._replica = replica
         self._metrics = metrics
-        self._slots = asyncio.Semaphore(MAX_READS)
+        self._slots = asyncio.Semaphore(MAX_CONCURRENT_READS)
 
     async def read(
         self, refs: Iterable[ShardRef]
-    ) -> Result[Mapping[ShardRef, HeldShard], StoreError]:
+    ) -> Result[Mapping[ShardRef, LoadedShard], StoreError]:
         """Return shards; missing or invalid ones are left out."""
-        found: dict[ShardRef, HeldShard] = {}
+        found: dict[ShardRef, LoadedShard] = {}
         missing = []
         for ref in refs:
-            held = self._replica.get(ref.key)
-            if held is None:
+            loaded = self._replica.get(ref.key)
+            if loaded is None:
                 missing.append(ref)
                 continue
-            found[ref] = held
+            found[ref] = loaded
         answers = await asyncio.gather(*(self._read_one(ref) for ref in missing))
         for ref, answer in zip(missing, answers, strict=True):
             match answer:
                 case Err(error):
                     return Err(error)
-                case Ok(HeldShard() as held):
-                    found[ref] = held
+                case Ok(LoadedShard() as loaded):
+                    found[ref] = loaded
         return Ok(found)
 
-    async def _read_one(self, ref: ShardRef) -> Result[HeldShard | None, StoreError]:
+    async def _read_one(self, ref: ShardRef) -> Result[LoadedShard | None, StoreError]:
         async with self._slots:
             answer = await self._store.get(ref.key)
         if answer.is_err():
@@ -61,7 +61,7 @@
         entry = answer.ok_value
         if entry is None:
             return Ok(None)
-        held = open_shard(ref, entry.value)
-        if held is None:
+        loaded = load_shard(ref, entry.value)
+        if loaded is None:
             self._metrics.count("configuration.bad_shards")
-        return Ok(held)
+        return Ok(loaded)
--- a/packages/greengagelatch/src/greengagelatch/config/changes.py
+++ b/packages/greengagelatch/src/greengagelatch/config/changes.py
@@ -27,7 +27,7 @@
     EMPTY_HEAD,
     Head,
     ShardRef,
-    advance,
+    append_change,
     decode_head,
     encode_head,
     find_change,
@@ -36,7 +36,7 @@
     list_refs,
 )
 from .names import ConfigObject
-from .plan import Plan, build_plan, describe, group_records
+from .plan import Plan, build_plan, group_records, list_differences
 from .records import (
     MAX_SHARD_BYTES,
     Record,
@@ -77,16 +77,16 @@
 )
 
 #: attempts at one change; each of them reads the head
-MAX_ROUNDS = 24
+MAX_ATTEMPTS = 24
 
 #: attempts to write one shard, the first one included
-MAX_SHARD_WRITES = 3
+MAX_WRITE_ATTEMPTS = 3
 
 #: unreferenced shards deleted during one change; bounds the time this adds to it
 MAX_DELETES = 8
 
 #: longest back-off in seconds after another writer's swap has won
-MAX_PAUSE = 0.2
+MAX_BACKOFF_SECONDS = 0.2
 
 SALT_BITS = 64
 
@@ -99,16 +99,16 @@
     *,
     wall: Callable[[], float],
     random_source: random.Random,
-    known: int = 0,
+    min_generation: int = 0,
 ) -> Process:
     """Commit a change; the generator returns its outcome.
 
     :param wall: returns seconds since the Unix epoch, for the change's log entry.
-    :param known: generation that is active at this instance. No change is made on top
-        of a lower one: instances never move to a lower generation, so the change
-        would be committed and never become active.
+    :param min_generation: generation that is active at this instance. No change is
+        made on top of a lower one: instances never move to a lower generation, so the
+        change would be committed and never become active.
     """
-    return _Change(request, wall, random_source, known).run()
+    return _Change(request, wall, random_source, min_generation).run()
 
 
 class _Change:
@@ -119,59 +119,65 @@
         request: ChangeRequest,
         wall: Callable[[], float],
         random_source: random.Random,
-        known: int,
+        min_generation: int,
     ) -> None:
         self._request = request
-        self._known = known
+        self._min_generation = min_generation
         self._wall = wall
         self._random = random_source
         self._base = request.base
         #: highest revision expected by a swap without an answer; ``None``: no such swap
-        self._unanswered: int | None = None
+        self._unanswered_revision: int | None = None
         #: objects changed by the latest swap
         self._changed: tuple[str, ...] = ()
         #: shards written for the next swap
-        self._written: list[ShardRef] = []
+        self._new_refs: list[ShardRef] = []
         #: shards written for swaps without an answer
-        self._in_doubt: list[ShardRef] = []
+        self._unconfirmed_refs: list[ShardRef] = []
 
     def run(self) -> Process:
         reason = ""
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_ATTEMPTS):
             reading = yield ReadHead()
             if reading.is_err():
-                return self._give_up(f"store: {reading.err_value.message}")
-            revision, decoded = _open_head(reading.ok_value)
+                return self._fail(f"store: {reading.err_value.message}")
+            revision, decoded = _decode_entry(reading.ok_value)
             if decoded.is_err():
-                return self._give_up(decoded.err_value)
+                return self._fail(decoded.err_value)
             head = decoded.ok_value
-            if head.generation < self._known:
+            if head.generation < self._min_generation:
                 # a stale read, or a store that was restored from an old backup
                 reason = (
                     f"the store shows generation {head.generation}, lower than"
-                    f" generation {self._known} that is active here"
+                    f" generation {self._min_generation} that is active here"
                 )
-                yield Pause(self._random.uniform(0, MAX_PAUSE))
+                yield Pause(self._random.uniform(0, MAX_BACKOFF_SECONDS))
                 continue
-            if self._unanswered is not None and revision > self._unanswered:
+            if (
+                self._unanswered_revision is not None
+                and revision > self._unanswered_revision
+            ):
                 # the head has moved on: a swap without an answer has either taken
                 # effect by now or never will
-                yield from self._withdraw(self._in_doubt, head)
-            found = self._find_self(head)
+                yield from self._delete_unreferenced(self._unconfirmed_refs, head)
+            found = self._find_own_entry(head)
             if found is not None:
                 return found
-            if self._unanswered is not None and revision > self._unanswered:
-                self._unanswered = None
+            if (
+                self._unanswered_revision is not None
+                and revision > self._unanswered_revision
+            ):
+                self._unanswered_revision = None
             if self._base is None:
                 self._base = head.generation
-            outcome = yield from self._try(head, revision)
+            outcome = yield from self._attempt(head, revision)
             if outcome is not None:
                 return outcome
             reason = "too many concurrent changes"
-            yield Pause(self._random.uniform(0, MAX_PAUSE))
-        return self._give_up(reason)
+            yield Pause(self._random.uniform(0, MAX_BACKOFF_SECONDS))
+        return self._fail(reason)
 
-    def _find_self(self, head: Head) -> ChangeOutcome | None:
+    def _find_own_entry(self, head: Head) -> ChangeOutcome | None:
         entry = find_change(head, self._request.change_id)
         if entry is None:
             return None
@@ -183,56 +189,58 @@
                     f" generation {entry.generation}"
                 ),
             )
-        mine = self._unanswered is not None
+        own = self._unanswered_revision is not None
         return Settled(
             generation=entry.generation,
-            repeated=not mine,
-            changed=self._changed if mine else (),
+            repeated=not own,
+            changed=self._changed if own else (),
             head=head,
         )
 
-    def _give_up(self, message: str) -> ChangeOutcome:
-        if self._unanswered is not None:
+    def _fail(self, message: str) -> ChangeOutcome:
+        if self._unanswered_revision is not None:
             return Unsettled(message=message, base=self._base)
         return NotApplied(message=message, base=self._base)
 
-    def _try(
+    def _attempt(
         self, head: Head, revision: int
     ) -> Generator[Step, Any, ChangeOutcome | None]:
         """Commit the change on top of ``head``; return ``None`` to retry."""
         request = self._request
-        target_refs: Mapping[int, ShardRef] = {}
+        rollback_refs: Mapping[int, ShardRef] = {}
         if request.mode is ChangeMode.ROLLBACK:
-            found = _find_target(head, request.to_generation)
+            found = _find_rollback_refs(head, request.to_generation)
             if isinstance(found, Refused):
                 return found
-            target_refs = found
-        refs = tuple({*head.shards.values(), *target_refs.values()})
+            rollback_refs = found
+        refs = tuple({*head.shards.values(), *rollback_refs.values()})
         reading = yield ReadShards(refs)
         if reading.is_err():
-            return self._give_up(f"store: {reading.err_value.message}")
+            return self._fail(f"store: {reading.err_value.message}")
         shards = reading.ok_value
         if len(shards) < len(refs):
             # another change has replaced the head, and its old shards are deleted
             return None
-        records = _merge(shards, head.shards)
+        records = _merge_records(shards, head.shards)
         planned = build_plan(
             request,
             records,
             _merge_objects(shards, head.shards),
-            _merge(shards, target_refs),
+            _merge_records(shards, rollback_refs),
             base=self._base or 0,
             generation=head.generation,
         )
         if planned.is_err():
             # while a swap has no answer, a conflict with the old head is not final:
             # the swap may still take effect
-            if self._unanswered is not None:
-                return self._give_up("a write to the store has not been answered yet")
+            if self._unanswered_revision is not None:
+                return self._fail("a write to the store has not been answered yet")
             return planned.err_value
         plan = planned.ok_value
         if request.dry_run:
-            return Checked(generation=head.generation, changed=describe(plan, records))
+            return Checked(
+                generation=head.generation, changed=list_differences(plan, records)
+            )
         return (yield from self._write(head, revision, plan, records))
 
     def _write(
@@ -245,19 +253,19 @@
             generation=head.generation + 1,
             oldest=head.changes[0].generation if head.changes else 0,
         )
-        fresh = {}
+        new_shards = {}
         for bucket, content in buckets.items():
             data = encode_shard(content)
             if len(data) > MAX_SHARD_BYTES:
-                return self._refuse_size(len(data))
+                return self._reject_size(len(data))
             salt = self._random.getrandbits(SALT_BITS)
-            fresh[bucket] = (ShardRef(compute_digest(data), salt), data)
-        written = yield from self._write_shards(fresh)
+            new_shards[bucket] = (ShardRef(compute_digest(data), salt), data)
+        written = yield from self._write_shards(new_shards)
         if written.is_err():
-            yield from self._withdraw(self._written, head)
-            return self._give_up(written.err_value)
+            yield from self._delete_unreferenced(self._new_refs, head)
+            return self._fail(written.err_value)
         deleted = yield from self._delete_garbage(head)
-        advanced = advance(
+        advanced = append_change(
             head,
             change_id=self._request.change_id,
             digest=self._request.digest,
@@ -266,8 +274,8 @@
             deleted=deleted,
         )
         if advanced.is_err():
-            yield from self._withdraw(self._written, head)
-            return self._give_up(advanced.err_value)
+            yield from self._delete_unreferenced(self._new_refs, head)
+            return self._fail(advanced.err_value)
         return (yield from self._swap(advanced.ok_value, revision, plan.changed))
 
     def _swap(
@@ -278,37 +286,37 @@
         if result.outcome is WriteOutcome.APPLIED:
             return Settled(generation=head.generation, changed=changed, head=head)
         if result.outcome is WriteOutcome.UNKNOWN:
-            self._unanswered = revision
-            self._in_doubt.extend(self._written)
+            self._unanswered_revision = revision
+            self._unconfirmed_refs.extend(self._new_refs)
             return None
-        yield from self._withdraw(self._written, EMPTY_HEAD)
+        yield from self._delete_unreferenced(self._new_refs, EMPTY_HEAD)
         if result.outcome is WriteOutcome.CONFLICT:
             return None
-        return self._give_up(f"store: {result.message}")
+        return self._fail(f"store: {result.message}")
 
     def _write_shards(
-        self, fresh: Mapping[int, tuple[ShardRef, bytes]]
+        self, new_shards: Mapping[int, tuple[ShardRef, bytes]]
     ) -> Generator[Step, Any, Result[Mapping[int, ShardRef], str]]:
         """Write all shards and return their references with revisions."""
-        left = dict(fresh)
-        self._written = []
+        pending = dict(new_shards)
+        self._new_refs = []
         written: dict[int, ShardRef] = {}
-        for _ in range(MAX_SHARD_WRITES):
-            if not left:
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if not pending:
                 break
-            results = yield WriteShards(tuple(left.values()))
-            for bucket, result in zip(tuple(left), results, strict=True):
+            results = yield WriteShards(tuple(pending.values()))
+            for bucket, result in zip(tuple(pending), results, strict=True):
                 # the keys are unique to this change: a conflict means that an earlier
                 # attempt was written and its answer was lost
                 if result.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
-                    ref, _ = left.pop(bucket)
+                    ref, _ = pending.pop(bucket)
                     ref = ShardRef(ref.digest, ref.salt, result.revision)
                     written[bucket] = ref
-                    self._written.append(ref)
-        if left:
+                    self._new_refs.append(ref)
+        if pending:
             return Err(
-                f"store: {len(left)} of {len(fresh)} shards could not be written"
-                f" in {MAX_SHARD_WRITES} attempts"
+                f"store: {len(pending)} of {len(new_shards)} shards could not be"
+                f" written in {MAX_WRITE_ATTEMPTS} attempts"
             )
         return Ok(written)
 
@@ -317,14 +325,16 @@
         if not refs:
             return frozenset()
         results = yield DeleteShards(refs)
-        gone = (WriteOutcome.APPLIED, WriteOutcome.CONFLICT)
+        absent = (WriteOutcome.APPLIED, WriteOutcome.CONFLICT)
         return frozenset(
             ref
             for ref, result in zip(refs, results, strict=True)
-            if result.outcome in gone
+            if result.outcome in absent
         )
 
-    def _withdraw(self, refs: list[ShardRef], head: Head) -> Generator[Step, Any, None]:
+    def _delete_unreferenced(
+        self, refs: list[ShardRef], head: Head
+    ) -> Generator[Step, Any, None]:
         """Delete shards of finished swaps that ``head`` does not reference.
 
         A shard left by a writer that crashed is never referenced by any head: it
@@ -336,20 +346,22 @@
         if unused:
             yield DeleteShards(unused)
 
-    def _refuse_size(self, size: int) -> ChangeOutcome:
+    def _reject_size(self, size: int) -> ChangeOutcome:
         message = f"a shard would have {size} bytes; the limit is {MAX_SHARD_BYTES}"
-        if self._unanswered is not None:
-            return self._give_up(message)
+        if self._unanswered_revision is not None:
+            return self._fail(message)
         return Refused(code=RefusedCode.INVALID, message=message)
 
 
-def _open_head(entry: Entry | None) -> tuple[int, Result[Head, str]]:
+def _decode_entry(entry: Entry | None) -> tuple[int, Result[Head, str]]:
     if entry is None:
         return ABSENT, Ok(EMPTY_HEAD)
     return entry.revision, decode_head(entry.value)
 
 
-def _find_target(head: Head, generation: int) -> Mapping[int, ShardRef] | Refused:
+def _find_rollback_refs(
+    head: Head, generation: int
+) -> Mapping[int, ShardRef] | Refused:
     shards = find_shards_at(head, generation) if generation > 0 else None
     if shards is not None:
         return shards
@@ -363,7 +375,7 @@
     )
 
 
-def _merge(
+def _merge_records(
     shards: Mapping[ShardRef, Shard], refs: Mapping[int, ShardRef]
 ) -> Mapping[str, Record]:
     records: dict[str, Record] = {}
--- a/packages/greengagelatch/src/greengagelatch/config/effects.py
+++ b/packages/greengagelatch/src/greengagelatch/config/effects.py
@@ -11,26 +11,26 @@
 from result import Err, Ok, Result
 
 from .objects import Policy, PolicyEffect
-from .values import (
-    build_number_reader,
-    read_name,
-    read_names,
-    read_positive,
-    read_share,
-    read_shares,
-    read_weight,
+from .value_parsers import (
+    build_number_parser,
+    parse_name,
+    parse_names,
+    parse_positive,
+    parse_share,
+    parse_shares,
+    parse_weight,
 )
 
 __all__ = (
-    "EFFECT_PARAMETERS",
-    "EffectFault",
+    "PARAMETER_PARSERS",
     "EffectValue",
+    "ParameterError",
     "Placement",
     "Priority",
     "Quota",
-    "Split",
+    "TrafficSplit",
     "Weights",
-    "read_effect",
+    "parse_effect",
 )
 
 #: largest absolute value of a priority
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Split:
+class TrafficSplit:
     """Weighted traffic split among names; the weights are whole numbers."""
 
     policy: str
@@ -102,18 +102,18 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Splits:
+class PolicySplits:
     """The traffic splits of one policy."""
 
-    pipelines: Split | None = None
-    services: Split | None = None
+    pipelines: TrafficSplit | None = None
+    services: TrafficSplit | None = None
 
 
-EffectValue = Placement | Priority | Quota | Splits | Weights
+EffectValue = Placement | Priority | Quota | PolicySplits | Weights
 
 
 @dataclass(frozen=True, slots=True)
-class EffectFault:
+class ParameterError:
     """An invalid parameter of a policy."""
 
     key: str
@@ -121,59 +121,59 @@
     reason: str
 
 
-_read_priority = build_number_reader(-MAX_PRIORITY, MAX_PRIORITY)
+_parse_priority = build_number_parser(-MAX_PRIORITY, MAX_PRIORITY)
 
 #: parsers of each effect's parameters; all parameters are optional, but a policy must
 #: have at least one
-EFFECT_PARAMETERS: Mapping[PolicyEffect, Mapping[str, Callable[[str], Any]]] = {
-    PolicyEffect.SPLIT: {"to_pipelines": read_shares, "to_services": read_shares},
+PARAMETER_PARSERS: Mapping[PolicyEffect, Mapping[str, Callable[[str], Any]]] = {
+    PolicyEffect.SPLIT: {"to_pipelines": parse_shares, "to_services": parse_shares},
     PolicyEffect.PRIORITY: {
-        "priority": build_number_reader(-MAX_PRIORITY, MAX_PRIORITY)
+        "priority": build_number_parser(-MAX_PRIORITY, MAX_PRIORITY)
     },
     PolicyEffect.QUOTA: {
-        "requests_per_second": read_positive,
-        "tokens_per_second": read_positive,
-        "burst_seconds": read_positive,
-        "concurrency_share": read_share,
+        "requests_per_second": parse_positive,
+        "tokens_per_second": parse_positive,
+        "burst_seconds": parse_positive,
+        "concurrency_share": parse_share,
     },
     PolicyEffect.PLACEMENT: {
-        "data_centres": read_names,
-        "models": read_names,
-        "adapters": read_names,
-        "role": read_name,
+        "data_centres": parse_names,
+        "models": parse_names,
+        "adapters": parse_names,
+        "role": parse_name,
     },
-    PolicyEffect.WEIGHTS: {"attainment": read_weight, "cost": read_weight},
+    PolicyEffect.WEIGHTS: {"attainment": parse_weight, "cost": parse_weight},
 }
 
 
-def read_effect(policy: Policy) -> Result[EffectValue, tuple[EffectFault, ...]]:
+def parse_effect(policy: Policy) -> Result[EffectValue, tuple[ParameterError, ...]]:
     """Parse the parameters of a policy, or return all errors in them."""
-    readers = EFFECT_PARAMETERS[policy.effect]
+    parsers = PARAMETER_PARSERS[policy.effect]
     values: dict[str, Any] = {}
-    faults = []
+    errors = []
     for key, text in policy.values.items():
-        reader = readers.get(key)
-        if reader is None:
-            known = ", ".join(readers)
+        parser = parsers.get(key)
+        if parser is None:
+            known = ", ".join(parsers)
             reason = f"unknown parameter of {policy.effect.value}; known: {known}"
-            faults.append(EffectFault(key, text, reason))
+            errors.append(ParameterError(key, text, reason))
             continue
         try:
-            values[key] = reader(text)
+            values[key] = parser(text)
         except ValueError as error:
-            faults.append(EffectFault(key, text, str(error)))
-    if faults:
-        return Err(tuple(faults))
+            errors.append(ParameterError(key, text, str(error)))
+    if errors:
+        return Err(tuple(errors))
     return _build(policy, values)
 
 
 def _build(
     policy: Policy, values: dict[str, Any]
-) -> Result[EffectValue, tuple[EffectFault, ...]]:
-    needed = set(EFFECT_PARAMETERS[policy.effect]) - {"burst_seconds"}
+) -> Result[EffectValue, tuple[ParameterError, ...]]:
+    needed = set(PARAMETER_PARSERS[policy.effect]) - {"burst_seconds"}
     if not needed & set(values):
         reason = f"needs at least one of {', '.join(sorted(needed))}"
-        return Err((EffectFault("effect", policy.effect.value, reason),))
+        return Err((ParameterError("effect", policy.effect.value, reason),))
     match policy.effect:
         case PolicyEffect.PRIORITY:
             return Ok(Priority(values["priority"]))
@@ -183,7 +183,7 @@
             return Ok(Placement(**values))
         case PolicyEffect.SPLIT:
             return Ok(
-                Splits(
+                PolicySplits(
                     pipelines=_build_split(policy, values.get("to_pipelines")),
                     services=_build_split(policy, values.get("to_services")),
                 )
@@ -194,19 +194,19 @@
 
 def _build_split(
     policy: Policy, shares: tuple[tuple[str, int], ...] | None
-) -> Split | None:
+) -> TrafficSplit | None:
     if shares is None:
         return None
-    return Split(policy.name, shares)
+    return TrafficSplit(policy.name, shares)
 
 
 def _build_weights(
     values: dict[str, float],
-) -> Result[EffectValue, tuple[EffectFault, ...]]:
+) -> Result[EffectValue, tuple[ParameterError, ...]]:
     attainment = values.get("attainment", 0.0)
     cost = values.get("cost", 0.0)
     total = attainment + cost
     if not (total > 0 and math.isfinite(total)):
         reason = "attainment and cost must not both be 0"
-        return Err((EffectFault("attainment", str(attainment), reason),))
+        return Err((ParameterError("attainment", str(attainment), reason),))
     return Ok(Weights(attainment / total, cost / total))
--- a/packages/greengagelatch/src/greengagelatch/config/gossip.py
+++ b/packages/greengagelatch/src/greengagelatch/config/gossip.py
@@ -9,14 +9,14 @@
 import xxhash
 
 from ..peers import Member, MemberState
-from .messages import SeenRow
+from .messages import GenerationRow
 
 __all__ = (
-    "Knowledge",
-    "Sighting",
-    "choose_listeners",
+    "GenerationSample",
+    "GenerationTable",
+    "choose_recipients",
     "choose_watchers",
-    "list_alive",
+    "list_reachable",
 )
 
 #: instances in each data centre that watch the head; two, as one may be partitioned
@@ -24,16 +24,16 @@
 WATCHERS = 2
 
 #: members of the local data centre that are notified of a new generation immediately
-FANOUT = 3
+LOCAL_FANOUT = 3
 
 #: generations of other instances that one advert relays
-SEEN_ROWS = 8
+ROWS_PER_ADVERT = 8
 
 #: instances whose generations are stored
-MAX_SIGHTINGS = 4096
+MAX_SAMPLES = 4096
 
 
-def list_alive(members: Iterable[Member]) -> tuple[Member, ...]:
+def list_reachable(members: Iterable[Member]) -> tuple[Member, ...]:
     """Return reachable members, including suspects, most of which are alive."""
     usable = (MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
     return tuple(member for member in members if member.state in usable)
@@ -56,7 +56,7 @@
     return tuple(candidates[:WATCHERS])
 
 
-def choose_listeners(
+def choose_recipients(
     members: Sequence[Member],
     neighbours: Sequence[str],
     own_id: str,
@@ -74,86 +74,90 @@
     Without open connections, the recipients are a few members of the local data
     centre and one of each other data centre.
     """
-    usable = [member for member in list_alive(members) if member.instance_id != own_id]
-    kept = frozenset(neighbours)
-    linked = [one.instance_id for one in usable if one.instance_id in kept]
-    if linked:
-        return tuple(linked)
-    near = []
-    far: dict[str, list[str]] = {}
+    usable = [
+        member for member in list_reachable(members) if member.instance_id != own_id
+    ]
+    neighbour_ids = frozenset(neighbours)
+    connected = [one.instance_id for one in usable if one.instance_id in neighbour_ids]
+    if connected:
+        return tuple(connected)
+    local = []
+    remote: dict[str, list[str]] = {}
     for member in usable:
         if member.data_centre == data_centre:
-            near.append(member.instance_id)
+            local.append(member.instance_id)
         else:
-            far.setdefault(member.data_centre, []).append(member.instance_id)
-    chosen = source.sample(near, min(FANOUT, len(near)))
-    for name in sorted(far):
-        chosen.append(source.choice(far[name]))
+            remote.setdefault(member.data_centre, []).append(member.instance_id)
+    chosen = source.sample(local, min(LOCAL_FANOUT, len(local)))
+    for name in sorted(remote):
+        chosen.append(source.choice(remote[name]))
     return tuple(chosen)
 
 
 @dataclass(frozen=True, slots=True)
-class Sighting:
+class GenerationSample:
     """The last known generation of an instance."""
 
     data_centre: str
     generation: int
     #: monotonic seconds of this instance at which it was true
-    taken: float
+    observed_at: float
 
 
-class Knowledge:
+class GenerationTable:
     """Known generations of other instances, and the newest confirmed by the store."""
 
     def __init__(self) -> None:
-        self._sightings: dict[str, Sighting] = {}
+        self._samples: dict[str, GenerationSample] = {}
         self._confirmed: tuple[int, float] | None = None
 
-    def note(
-        self, instance_id: str, data_centre: str, generation: int, taken: float
+    def record(
+        self, instance_id: str, data_centre: str, generation: int, observed_at: float
     ) -> None:
         """Record the generation that an instance reports of itself."""
         # newest last, so that the oldest is evicted first
-        self._sightings.pop(instance_id, None)
-        self._sightings[instance_id] = Sighting(data_centre, generation, taken)
-        if len(self._sightings) > MAX_SIGHTINGS:
-            del self._sightings[next(iter(self._sightings))]
-
-    def note_hearsay(
-        self, instance_id: str, data_centre: str, generation: int, taken: float
+        self._samples.pop(instance_id, None)
+        self._samples[instance_id] = GenerationSample(
+            data_centre, generation, observed_at
+        )
+        if len(self._samples) > MAX_SAMPLES:
+            del self._samples[next(iter(self._samples))]
+
+    def record_relayed(
+        self, instance_id: str, data_centre: str, generation: int, observed_at: float
     ) -> None:
         """Record a generation that another instance relays.
 
         The transmission time of the message makes it look newer than it is, so a
         lower generation does not replace a higher one.
         """
-        known = self._sightings.get(instance_id)
+        known = self._samples.get(instance_id)
         if known is not None:
-            if known.taken >= taken:
+            if known.observed_at >= observed_at:
                 return
             generation = max(generation, known.generation)
-        self.note(instance_id, data_centre, generation, taken)
+        self.record(instance_id, data_centre, generation, observed_at)
 
-    def find(self, instance_id: str) -> Sighting | None:
+    def find(self, instance_id: str) -> GenerationSample | None:
         """Return the last known generation of an instance."""
-        return self._sightings.get(instance_id)
+        return self._samples.get(instance_id)
 
-    def pick_rows(
+    def sample_rows(
         self, now: float, alive: frozenset[str], source: random.Random
-    ) -> tuple[SeenRow, ...]:
+    ) -> tuple[GenerationRow, ...]:
         """Return a random sample of the generations of live members, to relay."""
-        known = [name for name in self._sightings if name in alive]
+        known = [name for name in self._samples if name in alive]
         rows = []
-        for name in source.sample(known, min(SEEN_ROWS, len(known))):
-            seen = self._sightings[name]
-            age = round(max(0.0, now - seen.taken), 1)
+        for name in source.sample(known, min(ROWS_PER_ADVERT, len(known))):
+            seen = self._samples[name]
+            age = round(max(0.0, now - seen.observed_at), 1)
             rows.append((name, seen.data_centre, seen.generation, age))
         return tuple(rows)
 
-    def confirm(self, generation: int, taken: float) -> None:
-        """Record that a generation was the newest in the store at ``taken``."""
-        if self._confirmed is None or (generation, taken) > self._confirmed:
-            self._confirmed = (generation, taken)
+    def confirm(self, generation: int, observed_at: float) -> None:
+        """Record that a generation was the newest in the store at ``observed_at``."""
+        if self._confirmed is None or (generation, observed_at) > self._confirmed:
+            self._confirmed = (generation, observed_at)
 
     def get_store_age(self, generation: int, now: float) -> float | None:
         """Return seconds since ``generation`` was last confirmed as the newest."""
--- a/packages/greengagelatch/src/greengagelatch/config/head.py
+++ b/packages/greengagelatch/src/greengagelatch/config/head.py
@@ -21,7 +21,7 @@
     "ChangeEntry",
     "Head",
     "ShardRef",
-    "advance",
+    "append_change",
     "apply_delta",
     "decode_head",
     "encode_delta",
@@ -39,17 +39,17 @@
 HEAD_VERSION = 1
 
 #: latest changes that stay in the head regardless of age
-KEPT_CHANGES = 1024
+MIN_CHANGES = 1024
 
 #: limit of changes in the head, which bounds its size to about 300 kB
 MAX_CHANGES = 4096
 
 #: seconds for which every change stays in the head, so that a client whose answer was
 #: lost can look up the outcome
-KEPT_SECONDS = 3600.0
+RETENTION_SECONDS = 3600.0
 
 #: generations whose shards are kept for rollbacks
-KEPT_GENERATIONS = 256
+ROLLBACK_GENERATIONS = 256
 
 #: limit of the shards awaiting deletion that the head lists
 MAX_GARBAGE = 2048
@@ -117,7 +117,7 @@
 def get_oldest_generation(head: Head) -> int:
     """Return the oldest generation whose shards are kept."""
     oldest = head.generation
-    for entry in reversed(head.changes[-KEPT_GENERATIONS:]):
+    for entry in reversed(head.changes[-ROLLBACK_GENERATIONS:]):
         oldest = entry.generation - 1
     return oldest
 
@@ -146,7 +146,7 @@
     return frozenset(refs)
 
 
-def advance(
+def append_change(
     head: Head,
     *,
     change_id: str,
@@ -161,15 +161,15 @@
     :param now: seconds since the Unix epoch.
     :param deleted: garbage that has been deleted from the store.
     """
-    changes = _drop_old(head.changes, now)
+    changes = _drop_expired(head.changes, now)
     if len(changes) >= MAX_CHANGES:
-        return Err(f"more than {MAX_CHANGES} changes within {KEPT_SECONDS:.0f} s")
+        return Err(f"more than {MAX_CHANGES} changes within {RETENTION_SECONDS:.0f} s")
     previous = {bucket: head.shards.get(bucket) for bucket in shards}
     generation = head.generation + 1
     changes.append(ChangeEntry(change_id, generation, now, digest, previous))
     garbage = [ref for ref in head.garbage if ref not in deleted]
-    if len(changes) > KEPT_GENERATIONS:
-        garbage.extend(_drop_previous(changes))
+    if len(changes) > ROLLBACK_GENERATIONS:
+        garbage.extend(_clear_previous(changes))
     return Ok(
         Head(
             generation=generation,
@@ -180,16 +180,16 @@
     )
 
 
-def _drop_old(changes: tuple[ChangeEntry, ...], now: float) -> list[ChangeEntry]:
+def _drop_expired(changes: tuple[ChangeEntry, ...], now: float) -> list[ChangeEntry]:
     kept = list(changes)
-    while len(kept) >= KEPT_CHANGES and now - kept[0].time > KEPT_SECONDS:
+    while len(kept) >= MIN_CHANGES and now - kept[0].time > RETENTION_SECONDS:
         del kept[0]
     return kept
 
 
-def _drop_previous(changes: list[ChangeEntry]) -> list[ShardRef]:
+def _clear_previous(changes: list[ChangeEntry]) -> list[ShardRef]:
     """Remove the references from before the oldest kept generation; return them."""
-    position = len(changes) - KEPT_GENERATIONS - 1
+    position = len(changes) - ROLLBACK_GENERATIONS - 1
     entry = changes[position]
     changes[position] = ChangeEntry(
         entry.change_id, entry.generation, entry.time, entry.digest
@@ -202,16 +202,16 @@
     frame = {
         "v": HEAD_VERSION,
         "generation": head.generation,
-        "shards": {bucket: _to_row(ref) for bucket, ref in head.shards.items()},
-        "changes": [_to_change_row(entry) for entry in head.changes],
-        "garbage": [_to_row(ref) for ref in head.garbage],
+        "shards": {bucket: _encode_ref(ref) for bucket, ref in head.shards.items()},
+        "changes": [_encode_change(entry) for entry in head.changes],
+        "garbage": [_encode_ref(ref) for ref in head.garbage],
     }
     return cbor2.dumps(frame, canonical=True)
 
 
 def decode_head(data: bytes) -> Result[Head, str]:
     """Decode a head; the error is a readable reason."""
-    return _decode(data, _read_head)
+    return _decode(data, _parse_head)
 
 
 def encode_delta(head: Head, since: int) -> bytes | None:
@@ -222,15 +222,15 @@
     the shards that they replaced.
     """
     count = head.generation - since
-    if not 0 < count <= min(len(head.changes), KEPT_GENERATIONS):
+    if not 0 < count <= min(len(head.changes), ROLLBACK_GENERATIONS):
         return None
     changes = head.changes[-count:]
     buckets = {bucket for entry in changes for bucket in entry.previous}
     frame = {
         "v": HEAD_VERSION,
         "since": since,
-        "shards": {bucket: _to_row(head.shards[bucket]) for bucket in buckets},
-        "changes": [_to_change_row(entry) for entry in changes],
+        "shards": {bucket: _encode_ref(head.shards[bucket]) for bucket in buckets},
+        "changes": [_encode_change(entry) for entry in changes],
         "digest": _compute_shards_digest(head.shards),
     }
     return cbor2.dumps(frame, canonical=True)
@@ -243,18 +243,18 @@
     the receiver would otherwise serve another configuration under the same
     generation, and no other check would detect it.
     """
-    return _decode(data, lambda frame: _follow(head, frame))
+    return _decode(data, lambda frame: _apply_frame(head, frame))
 
 
-def _follow(head: Head, frame: Any) -> Head:
+def _apply_frame(head: Head, frame: Any) -> Head:
     if frame["since"] != head.generation:
         raise ValueError(
             f"delta begins at generation {frame['since']}, the head is at"
             f" {head.generation}"
         )
-    changes = tuple(_to_change(row) for row in frame["changes"])
-    fresh = {key: ShardRef(*row) for key, row in frame["shards"].items()}
-    shards = {**head.shards, **fresh}
+    changes = tuple(_parse_change(row) for row in frame["changes"])
+    new_shards = {key: ShardRef(*row) for key, row in frame["shards"].items()}
+    shards = {**head.shards, **new_shards}
     if _compute_shards_digest(shards) != frame["digest"]:
         raise ValueError("the digest of the resulting shards differs from the sender's")
     return Head(
@@ -264,23 +264,23 @@
     )
 
 
-def _read_head(frame: Any) -> Head:
+def _parse_head(frame: Any) -> Head:
     return Head(
         generation=int(frame["generation"]),
         shards={key: ShardRef(*row) for key, row in frame["shards"].items()},
-        changes=tuple(_to_change(row) for row in frame["changes"]),
+        changes=tuple(_parse_change(row) for row in frame["changes"]),
         garbage=tuple(ShardRef(*row) for row in frame["garbage"]),
     )
 
 
-def _decode(data: bytes, read: Callable[[Any], Head]) -> Result[Head, str]:
+def _decode(data: bytes, parse: Callable[[Any], Head]) -> Result[Head, str]:
     try:
         frame = cbor2.loads(data)
         if frame["v"] != HEAD_VERSION:
             return Err(
                 f"unsupported head version {frame['v']}, expected {HEAD_VERSION}"
             )
-        return Ok(read(frame))
+        return Ok(parse(frame))
     except (cbor2.CBORDecodeError, AttributeError) as error:
         return Err(f"not a head: {error}")
     except (ValueError, TypeError, LookupError) as error:
@@ -292,12 +292,12 @@
     return hashlib.blake2b(cbor2.dumps(rows), digest_size=DIGEST_BYTES).digest()
 
 
-def _to_change_row(entry: ChangeEntry) -> list[Any]:
-    previous = {bucket: _to_row(ref) for bucket, ref in entry.previous.items()}
+def _encode_change(entry: ChangeEntry) -> list[Any]:
+    previous = {bucket: _encode_ref(ref) for bucket, ref in entry.previous.items()}
     return [entry.change_id, entry.generation, entry.time, entry.digest, previous]
 
 
-def _to_change(row: list[Any]) -> ChangeEntry:
+def _parse_change(row: list[Any]) -> ChangeEntry:
     change_id, generation, time, digest, previous = row
     refs = {
         bucket: None if ref is None else ShardRef(*ref)
@@ -306,7 +306,7 @@
     return ChangeEntry(change_id, generation, time, digest, refs)
 
 
-def _to_row(ref: ShardRef | None) -> list | None:
+def _encode_ref(ref: ShardRef | None) -> list | None:
     if ref is None:
         return None
     return [ref.digest, ref.salt, ref.revision]
--- a/packages/greengagelatch/src/greengagelatch/config/ini.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini.py
@@ -13,7 +13,7 @@
 
 from result import Err, Ok, Result
 
-from .effects import read_effect
+from .effects import parse_effect
 from .names import ConfigObject, find_name_error
 from .objects import (
     Pipeline,
@@ -25,16 +25,16 @@
     Workspace,
 )
 from .problems import MAX_SHOWN_VALUE, Problem
-from .sections import Section, drain, split_in_steps
-from .values import (
-    build_choice_reader,
-    build_number_reader,
-    read_bool,
-    read_labels,
-    read_name,
-    read_names,
-    read_positive,
-    read_selector,
+from .sections import Section, run_to_end, split_incrementally
+from .value_parsers import (
+    build_choice_parser,
+    build_number_parser,
+    parse_bool,
+    parse_labels,
+    parse_name,
+    parse_names,
+    parse_positive,
+    parse_selector_text,
 )
 
 __all__ = ("parse_incrementally", "parse_objects")
@@ -57,7 +57,7 @@
 
     :param file: name of the source file, for error messages.
     """
-    return drain(parse_incrementally(text, file))
+    return run_to_end(parse_incrementally(text, file))
 
 
 def parse_incrementally(
@@ -67,55 +67,57 @@
 
     Parsing 100 kB takes about 0.1 s, for which it would block an event loop.
     """
-    sections, problems = yield from split_in_steps(text, file)
-    objects = yield from _Reader(file, problems).read(sections)
+    sections, problems = yield from split_incrementally(text, file)
+    objects = yield from _ObjectParser(file, problems).parse(sections)
     if problems:
         return Err(tuple(problems))
     return Ok(objects)
 
 
-def _read_inputs(text: str) -> tuple[str, ...]:
-    return read_names(text) if text else ()
+def _parse_inputs(text: str) -> tuple[str, ...]:
+    return parse_names(text) if text else ()
 
 
 @dataclass(frozen=True, slots=True)
-class _Key:
+class _KeySpec:
     """Parser and default of one key."""
 
-    read: Callable[[str], Any]
+    parse: Callable[[str], Any]
     required: bool = False
     default: Any = None
 
 
-_KIND = _Key(build_choice_reader(StageKind), required=True)
-_LABELS = _Key(read_labels, default={})
-_SELECTOR = _Key(read_selector, default="")
+_KIND = _KeySpec(build_choice_parser(StageKind), required=True)
+_LABELS = _KeySpec(parse_labels, default={})
+_SELECTOR = _KeySpec(parse_selector_text, default="")
 
-_KEYS: Mapping[str, Mapping[str, _Key]] = {
+_KEY_SPECS: Mapping[str, Mapping[str, _KeySpec]] = {
     "service": {
         "kind": _KIND,
         "labels": _LABELS,
     },
     "workspace": {"labels": _LABELS},
     "pipeline": {
-        "stages": _Key(read_names, required=True),
-        "default_deadline_ms": _Key(build_number_reader(0, MAX_DEADLINE_MS), default=0),
+        "stages": _KeySpec(parse_names, required=True),
+        "default_deadline_ms": _KeySpec(
+            build_number_parser(0, MAX_DEADLINE_MS), default=0
+        ),
         "labels": _LABELS,
     },
     "stage": {
         "kind": _KIND,
-        "service": _Key(read_name, required=True),
-        "repeatable": _Key(read_bool, default=True),
-        "share": _Key(read_positive, default=1.0),
-        "inputs": _Key(_read_inputs, default=()),
+        "service": _KeySpec(parse_name, required=True),
+        "repeatable": _KeySpec(parse_bool, default=True),
+        "share": _KeySpec(parse_positive, default=1.0),
+        "inputs": _KeySpec(_parse_inputs, default=()),
         "labels": _LABELS,
     },
     "policy": {
-        "effect": _Key(build_choice_reader(PolicyEffect), required=True),
+        "effect": _KeySpec(build_choice_parser(PolicyEffect), required=True),
         "workspaces": _SELECTOR,
         "pipelines": _SELECTOR,
         "services": _SELECTOR,
-        "rank": _Key(build_number_reader(-MAX_RANK, MAX_RANK), default=0),
+        "rank": _KeySpec(build_number_parser(-MAX_RANK, MAX_RANK), default=0),
         "labels": _LABELS,
     },
 }
@@ -138,7 +140,7 @@
 
 
 @dataclass(slots=True)
-class _Reader:
+class _ObjectParser:
     """Parses sections into objects and collects errors."""
 
     file: str
@@ -146,55 +148,55 @@
     #: all stage sections by ``PIPELINE/NAME``
     stages: dict[str, _StageSection] = field(default_factory=dict)
 
-    def read(
+    def parse(
         self, sections: tuple[Section, ...]
     ) -> Generator[None, None, tuple[ConfigObject, ...]]:
         objects: list[ConfigObject | None] = []
         # stages come first, as a pipeline may stand before its stages
         for section in sections:
             if section.kind == "stage":
-                self._read_stage(section)
+                self._parse_stage(section)
                 yield
         for section in sections:
             if section.kind == "stage":
                 continue
-            objects.append(self._read_object(section))
+            objects.append(self._parse_object(section))
             yield
         self._check_orphans(sections)
         return tuple(item for item in objects if item is not None)
 
-    def _read_object(self, section: Section) -> ConfigObject | None:
-        if section.kind not in _KEYS:
-            known = ", ".join(f"{kind}:NAME" for kind in _KEYS)
+    def _parse_object(self, section: Section) -> ConfigObject | None:
+        if section.kind not in _KEY_SPECS:
+            known = ", ".join(f"{kind}:NAME" for kind in _KEY_SPECS)
             self._add(section, reason=f"unknown section; known: {known}")
             return None
         before = len(self.problems)
-        fault = find_name_error(section.name)
-        if fault:
-            self._add(section, reason=f"name {fault}")
-        values = self._read_values(section)
+        error = find_name_error(section.name)
+        if error:
+            self._add(section, reason=f"name {error}")
+        values = self._parse_values(section)
         if section.kind == "pipeline":
             values["stages"] = self._collect_stages(section, values["stages"] or ())
         if section.kind == "policy":
-            values["values"] = self._read_parameters(section, values)
+            values["values"] = self._parse_parameters(section, values)
         if len(self.problems) > before:
             return None
         return _OBJECTS[section.kind](name=section.name, **values)
 
-    def _read_stage(self, section: Section) -> None:
+    def _parse_stage(self, section: Section) -> None:
         before = len(self.problems)
         pipeline, slash, name = section.name.partition("/")
-        fault = find_name_error(pipeline) or find_name_error(name)
-        if not slash or fault:
-            self._add(section, reason=f"must be stage:PIPELINE/NAME; names {fault}")
-        values = self._read_values(section)
-        sound = len(self.problems) == before
-        stage = Stage(name=name, **values) if sound else None
+        error = find_name_error(pipeline) or find_name_error(name)
+        if not slash or error:
+            self._add(section, reason=f"must be stage:PIPELINE/NAME; names {error}")
+        values = self._parse_values(section)
+        valid = len(self.problems) == before
+        stage = Stage(name=name, **values) if valid else None
         self.stages[section.name] = _StageSection(values["inputs"], stage)
 
-    def _read_values(self, section: Section) -> dict[str, Any]:
+    def _parse_values(self, section: Section) -> dict[str, Any]:
         """Return the values of the known keys; invalid ones have their default."""
-        keys = _KEYS[section.kind]
+        keys = _KEY_SPECS[section.kind]
         values = {key: item.default for key, item in keys.items()}
         for key, text in section.values.items():
             item = keys.get(key)
@@ -204,7 +206,7 @@
                     self._add(section, key, text, f"unknown key of a {section.kind}")
                 continue
             try:
-                values[key] = item.read(text)
+                values[key] = item.parse(text)
             except ValueError as error:
                 self._add(section, key, text, str(error))
         for key, item in keys.items():
@@ -212,10 +214,10 @@
                 self._add(section, key, reason="is required")
         return values
 
-    def _read_parameters(
+    def _parse_parameters(
         self, section: Section, values: dict[str, Any]
     ) -> Mapping[str, str]:
-        known = _KEYS["policy"]
+        known = _KEY_SPECS["policy"]
         parameters = {
             key: text for key, text in section.values.items() if key not in known
         }
@@ -223,10 +225,10 @@
         if effect is None:
             return parameters
         policy = Policy(name=section.name, effect=effect, values=parameters)
-        match read_effect(policy):
-            case Err(faults):
-                for fault in faults:
-                    self._add(section, fault.key, fault.value, fault.reason)
+        match parse_effect(policy):
+            case Err(errors):
+                for error in errors:
+                    self._add(section, error.key, error.value, error.reason)
         return parameters
 
     def _collect_stages(
--- a/packages/greengagelatch/src/greengagelatch/config/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/config/messages.py
@@ -18,9 +18,9 @@
 CHUNK_BYTES = 128 * 1024
 
 #: instance id, data centre, generation, and age of that observation in seconds
-SeenRow = tuple[str, str, int, float]
+GenerationRow = tuple[str, str, int, float]
 
-_SEEN_TYPES = (str, str, int, (int, float))
+_ROW_TYPES = (str, str, int, (int, float))
 
 
 @register("config-advert")
@@ -32,7 +32,7 @@
     data_centre: str = ""
     #: seconds since this was last confirmed as the newest in the store; negative: never
     store_age: float = -1.0
-    seen: tuple[SeenRow, ...] = ()
+    seen: tuple[GenerationRow, ...] = ()
 
     def __post_init__(self) -> None:
         check_type(self.generation, int)
@@ -41,7 +41,7 @@
         check_type(self.seen, tuple)
         for row in self.seen:
             check_type(row, tuple)
-            for value, kind in zip(row, _SEEN_TYPES, strict=True):
+            for value, kind in zip(row, _ROW_TYPES, strict=True):
                 check_type(value, kind)
 
 
--- a/packages/greengagelatch/src/greengagelatch/config/names.py
+++ b/packages/greengagelatch/src/greengagelatch/config/names.py
@@ -69,9 +69,9 @@
     kinds = [item.value for item in ObjectKind]
     if kind not in kinds:
         return Err(f"unknown kind {kind!r}; kinds are {', '.join(kinds)}")
-    fault = find_name_error(name)
-    if fault:
-        return Err(fault)
+    error = find_name_error(name)
+    if error:
+        return Err(error)
     return Ok(ObjectId(ObjectKind(kind), name))
 
 
--- a/packages/greengagelatch/src/greengagelatch/config/plan.py
+++ b/packages/greengagelatch/src/greengagelatch/config/plan.py
@@ -23,7 +23,7 @@
 )
 from .validation import find_new_problems
 
-__all__ = ("Plan", "build_plan", "describe", "group_records")
+__all__ = ("Plan", "build_plan", "group_records", "list_differences")
 
 Body = Mapping[str, Any]
 Records = Mapping[str, Record]
@@ -46,7 +46,7 @@
     request: ChangeRequest,
     records: Records,
     objects: Objects,
-    target: Records,
+    rollback_records: Records,
     *,
     base: int,
     generation: int,
@@ -57,14 +57,14 @@
     operators who make the same edit don't conflict.
 
     :param objects: the objects that ``records`` hold.
-    :param target: records of the generation that a rollback restores.
+    :param rollback_records: records of the generation that a rollback restores.
     :param base: generation that the operator's edit is based on.
     :param generation: generation of ``records``.
     """
-    wanted = _list_wanted(request, records, target)
+    desired = _list_desired(request, records, rollback_records)
     bodies = {
         object_id: body
-        for object_id, body in wanted.items()
+        for object_id, body in desired.items()
         if _get_body(records, object_id) != body
     }
     conflicts = _find_conflicts(bodies, records, base)
@@ -83,7 +83,7 @@
     return Ok(Plan(bodies))
 
 
-def describe(plan: Plan, records: Records) -> tuple[Difference, ...]:
+def list_differences(plan: Plan, records: Records) -> tuple[Difference, ...]:
     """Return each modified object as INI text before and after the change."""
     differences = []
     for object_id in plan.changed:
@@ -117,8 +117,8 @@
     return buckets
 
 
-def _list_wanted(
-    request: ChangeRequest, records: Records, target: Records
+def _list_desired(
+    request: ChangeRequest, records: Records, rollback_records: Records
 ) -> dict[str, Body | None]:
     match request.mode:
         case ChangeMode.APPLY:
@@ -126,9 +126,11 @@
         case ChangeMode.DELETE:
             return {str(name): None for name in request.names}
         case ChangeMode.ROLLBACK:
-            wanted: dict[str, Body | None] = dict.fromkeys(records)
-            wanted.update((name, record.body) for name, record in target.items())
-            return wanted
+            desired: dict[str, Body | None] = dict.fromkeys(records)
+            desired.update(
+                (name, record.body) for name, record in rollback_records.items()
+            )
+            return desired
 
 
 def _find_conflicts(
--- a/packages/greengagelatch/src/greengagelatch/config/policy_resolution.py
+++ b/packages/greengagelatch/src/greengagelatch/config/policy_resolution.py
@@ -9,12 +9,12 @@
 from .effects import (
     EffectValue,
     Placement,
+    PolicySplits,
     Priority,
     Quota,
-    Split,
-    Splits,
+    TrafficSplit,
     Weights,
-    read_effect,
+    parse_effect,
 )
 from .objects import Policy, PolicyEffect
 from .precedence import order_policies
@@ -22,23 +22,23 @@
 from .snapshot import Snapshot
 
 __all__ = (
+    "EffectivePolicy",
     "Placement",
     "Quota",
-    "Split",
-    "Steering",
+    "TrafficSplit",
     "Weights",
     "resolve_policy",
 )
 
 #: snapshots whose parsed policies are cached
-MAX_TABLES = 4
+MAX_CACHED_SNAPSHOTS = 4
 
 #: cached results per snapshot, bounded because callers choose the names in the keys
-MAX_ANSWERS = 16_384
+MAX_CACHED_RESULTS = 16_384
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Steering:
+class EffectivePolicy:
     """Effective policy of a workspace's requests to a pipeline and service."""
 
     #: higher is served first
@@ -47,14 +47,14 @@
     quota: Quota | None = None
     weights: Weights = field(default_factory=Weights)
     #: chooses the pipeline by the request's id; ``None``: the one the request names
-    pipeline_split: Split | None = None
+    pipeline_split: TrafficSplit | None = None
     #: chooses the service of a stage by the request's id; ``None``: the stage's own
-    service_split: Split | None = None
+    service_split: TrafficSplit | None = None
     placement: Placement = field(default_factory=Placement)
 
 
 @dataclass(frozen=True, slots=True)
-class _Rule:
+class _ParsedPolicy:
     policy: Policy
     workspaces: Selector
     pipelines: Selector
@@ -64,7 +64,7 @@
 
 def resolve_policy(
     snapshot: Snapshot, workspace: str, pipeline: str = "", service: str = ""
-) -> Steering:
+) -> EffectivePolicy:
     """Return the effective policy under ``snapshot``; results are cached.
 
     If no pipeline or service is given, as before the stage is known, policies that
@@ -73,14 +73,14 @@
     key = id(snapshot)
     table = _tables.get(key)
     if table is None:
-        table = _Table(snapshot)
+        table = _PolicyTable(snapshot)
         _tables[key] = table
-        if len(_tables) > MAX_TABLES:
+        if len(_tables) > MAX_CACHED_SNAPSHOTS:
             _tables.popitem(last=False)
     return table.resolve(workspace, pipeline, service)
 
 
-class _Table:
+class _PolicyTable:
     """Parsed policies of one snapshot by precedence, with cached results.
 
     The table keeps a reference to the snapshot, as the cache is keyed by the
@@ -90,43 +90,43 @@
 
     def __init__(self, snapshot: Snapshot) -> None:
         self._snapshot = snapshot
-        self._rules = _build_rules(snapshot)
-        self._answers: dict[tuple[str, str, str], Steering] = {}
+        self._policies = _parse_policies(snapshot)
+        self._results: dict[tuple[str, str, str], EffectivePolicy] = {}
 
-    def resolve(self, workspace: str, pipeline: str, service: str) -> Steering:
+    def resolve(self, workspace: str, pipeline: str, service: str) -> EffectivePolicy:
         key = (workspace, pipeline, service)
-        steering = self._answers.get(key)
-        if steering is None:
-            steering = self._compute(workspace, pipeline, service)
-            if len(self._answers) >= MAX_ANSWERS:
-                self._answers.clear()
-            self._answers[key] = steering
-        return steering
-
-    def _compute(self, workspace: str, pipeline: str, service: str) -> Steering:
+        effective = self._results.get(key)
+        if effective is None:
+            effective = self._compute(workspace, pipeline, service)
+            if len(self._results) >= MAX_CACHED_RESULTS:
+                self._results.clear()
+            self._results[key] = effective
+        return effective
+
+    def _compute(self, workspace: str, pipeline: str, service: str) -> EffectivePolicy:
         snapshot = self._snapshot
-        found: dict[PolicyEffect, EffectValue] = {}
-        for rule in self._rules:
-            effect = rule.policy.effect
-            if effect in found:
+        effects: dict[PolicyEffect, EffectValue] = {}
+        for parsed_policy in self._policies:
+            effect = parsed_policy.policy.effect
+            if effect in effects:
                 continue
-            if not _picks(rule.workspaces, workspace, snapshot.workspaces):
+            if not _matches(parsed_policy.workspaces, workspace, snapshot.workspaces):
                 continue
-            if not _picks(rule.pipelines, pipeline, snapshot.pipelines):
+            if not _matches(parsed_policy.pipelines, pipeline, snapshot.pipelines):
                 continue
-            if not _picks(rule.services, service, snapshot.services):
+            if not _matches(parsed_policy.services, service, snapshot.services):
                 continue
-            found[effect] = rule.value
-        return _combine(found)
+            effects[effect] = parsed_policy.value
+        return _combine(effects)
 
 
-_tables: OrderedDict[int, _Table] = OrderedDict()
+_tables: OrderedDict[int, _PolicyTable] = OrderedDict()
 
 
-def _build_rules(snapshot: Snapshot) -> tuple[_Rule, ...]:
-    rules = []
+def _parse_policies(snapshot: Snapshot) -> tuple[_ParsedPolicy, ...]:
+    parsed_policies = []
     for policy in order_policies(snapshot.policies.values()):
-        value = read_effect(policy)
+        value = parse_effect(policy)
         selectors = [
             parse_selector(text)
             for text in (policy.workspaces, policy.pipelines, policy.services)
@@ -135,11 +135,11 @@
         if value.is_err() or any(selector.is_err() for selector in selectors):
             continue
         parsed = [selector.ok_value for selector in selectors]
-        rules.append(_Rule(policy, *parsed, value.ok_value))
-    return tuple(rules)
+        parsed_policies.append(_ParsedPolicy(policy, *parsed, value.ok_value))
+    return tuple(parsed_policies)
 
 
-def _picks(selector: Selector, name: str, objects: Mapping) -> bool:
+def _matches(selector: Selector, name: str, objects: Mapping) -> bool:
     if not selector.requirements:
         return True
     if not name:
@@ -149,14 +149,14 @@
     return selector.matches(name, labels)
 
 
-def _combine(found: Mapping[PolicyEffect, EffectValue]) -> Steering:
-    priority = found.get(PolicyEffect.PRIORITY, Priority(0))
-    splits = found.get(PolicyEffect.SPLIT, Splits())
-    return Steering(
+def _combine(effects: Mapping[PolicyEffect, EffectValue]) -> EffectivePolicy:
+    priority = effects.get(PolicyEffect.PRIORITY, Priority(0))
+    splits = effects.get(PolicyEffect.SPLIT, PolicySplits())
+    return EffectivePolicy(
         priority=priority.priority,
-        quota=found.get(PolicyEffect.QUOTA),
-        weights=found.get(PolicyEffect.WEIGHTS, Weights()),
+        quota=effects.get(PolicyEffect.QUOTA),
+        weights=effects.get(PolicyEffect.WEIGHTS, Weights()),
         pipeline_split=splits.pipelines,
         service_split=splits.services,
-        placement=found.get(PolicyEffect.PLACEMENT, Placement()),
+        placement=effects.get(PolicyEffect.PLACEMENT, Placement()),
     )
--- a/packages/greengagelatch/src/greengagelatch/config/records.py
+++ b/packages/greengagelatch/src/greengagelatch/config/records.py
@@ -23,7 +23,7 @@
 )
 
 __all__ = (
-    "BUCKETS",
+    "BUCKET_COUNT",
     "MAX_SHARD_BYTES",
     "Record",
     "Shard",
@@ -37,7 +37,7 @@
 
 #: shards that objects are hashed into by name; constant across releases, as instances
 #: of adjacent releases must agree on it
-BUCKETS = 256
+BUCKET_COUNT = 256
 
 #: largest shard in bytes, with a margin below the store's limit of 1 MB
 MAX_SHARD_BYTES = 900_000
@@ -72,7 +72,7 @@
 
 def compute_bucket(object_id: str) -> int:
     """Return the bucket of the object ``KIND/NAME``."""
-    return xxhash.xxh64_intdigest(object_id.encode()) % BUCKETS
+    return xxhash.xxh64_intdigest(object_id.encode()) % BUCKET_COUNT
 
 
 def compute_digest(data: bytes) -> bytes:
@@ -110,7 +110,7 @@
             body["kind"] = item.kind.value
         case Pipeline():
             body["default_deadline_ms"] = item.default_deadline_ms
-            body["stages"] = [_to_stage_body(stage) for stage in item.stages]
+            body["stages"] = [_encode_stage_body(stage) for stage in item.stages]
         case Policy():
             body["effect"] = item.effect.value
             body["workspaces"] = item.workspaces
@@ -168,7 +168,7 @@
             )
 
 
-def _to_stage_body(stage: Stage) -> dict[str, Any]:
+def _encode_stage_body(stage: Stage) -> dict[str, Any]:
     return {
         "name": stage.name,
         "kind": stage.kind.value,
--- a/packages/greengagelatch/src/greengagelatch/config/replica.py
+++ b/packages/greengagelatch/src/greengagelatch/config/replica.py
@@ -12,28 +12,28 @@
 from .records import Record, Shard, compute_digest, decode_shard
 from .snapshot import EMPTY_SNAPSHOT, Snapshot
 
-__all__ = ("HeldShard", "Replica", "open_shard")
+__all__ = ("LoadedShard", "Replica", "load_shard")
 
 #: replaced shards kept for peers that are still fetching an earlier generation
-KEPT_SHARDS = 64
+MAX_UNUSED_SHARDS = 64
 
 
 @dataclass(frozen=True, slots=True)
-class HeldShard:
+class LoadedShard:
     """A shard in encoded and in decoded form."""
 
     data: bytes
     shard: Shard
 
 
-def open_shard(ref: ShardRef, data: bytes) -> HeldShard | None:
+def load_shard(ref: ShardRef, data: bytes) -> LoadedShard | None:
     """Decode a shard, or return ``None`` if it does not match the reference."""
     if compute_digest(data) != ref.digest:
         return None
     shard = decode_shard(data)
     if shard.is_err():
         return None
-    return HeldShard(data, shard.ok_value)
+    return LoadedShard(data, shard.ok_value)
 
 
 class Replica:
@@ -49,7 +49,7 @@
         self._head = EMPTY_HEAD
         self._head_data: bytes | None = None
         self._snapshot = EMPTY_SNAPSHOT
-        self._shards: OrderedDict[str, HeldShard] = OrderedDict()
+        self._shards: OrderedDict[str, LoadedShard] = OrderedDict()
 
     @property
     def head(self) -> Head:
@@ -69,7 +69,7 @@
     @property
     def bytes_held(self) -> int:
         """Total size of all shards in memory, in bytes."""
-        return sum(len(held.data) for held in self._shards.values())
+        return sum(len(loaded.data) for loaded in self._shards.values())
 
     def encode_head(self) -> bytes:
         """Return the encoded head, as it is sent to peers."""
@@ -81,22 +81,22 @@
         """Return the references whose shards are not present."""
         return tuple(ref for ref in refs if ref.key not in self._shards)
 
-    def get(self, key: str) -> HeldShard | None:
+    def get(self, key: str) -> LoadedShard | None:
         """Return a shard by its key, if present."""
         return self._shards.get(key)
 
-    def adopt(self, head: Head, fresh: Mapping[ShardRef, HeldShard]) -> bool:
+    def adopt(self, head: Head, new_shards: Mapping[ShardRef, LoadedShard]) -> bool:
         """Activate a generation; return ``False`` if it is not newer or incomplete.
 
-        :param fresh: shards of the generation that are not present yet.
+        :param new_shards: shards of the generation that are not present yet.
         """
         if head.generation <= self._head.generation:
             return False
         missing = self.find_missing(head.shards.values())
-        if any(ref not in fresh for ref in missing):
+        if any(ref not in new_shards for ref in missing):
             return False
         for ref in missing:
-            self._shards[ref.key] = fresh[ref]
+            self._shards[ref.key] = new_shards[ref]
         self._head = head
         self._head_data = None
         self._snapshot = self._build_snapshot(head)
@@ -115,7 +115,7 @@
         services: dict[str, Service] = {}
         workspaces: dict[str, Workspace] = {}
         policies: dict[str, Policy] = {}
-        places: Mapping[type, dict[str, ConfigObject]] = {
+        objects_by_type: Mapping[type, dict[str, ConfigObject]] = {
             Pipeline: pipelines,
             Service: services,
             Workspace: workspaces,
@@ -123,7 +123,7 @@
         }
         for ref in head.shards.values():
             for item in self._shards[ref.key].shard.objects.values():
-                places[type(item)][item.name] = item
+                objects_by_type[type(item)][item.name] = item
         change_id = head.changes[-1].change_id if head.changes else ""
         return Snapshot(
             generation=head.generation,
@@ -137,5 +137,5 @@
     def _drop_unused(self) -> None:
         used = {ref.key for ref in self._head.shards.values()}
         unused = [key for key in self._shards if key not in used]
-        for key in unused[: max(0, len(unused) - KEPT_SHARDS)]:
+        for key in unused[: max(0, len(unused) - MAX_UNUSED_SHARDS)]:
             del self._shards[key]
--- a/packages/greengagelatch/src/greengagelatch/config/sections.py
+++ b/packages/greengagelatch/src/greengagelatch/config/sections.py
@@ -9,19 +9,25 @@
 
 from .problems import MAX_SHOWN_VALUE, Problem
 
-__all__ = ("MAX_SYNTAX_ERRORS", "Section", "drain", "split_in_steps", "split_sections")
+__all__ = (
+    "MAX_SYNTAX_ERRORS",
+    "Section",
+    "run_to_end",
+    "split_incrementally",
+    "split_sections",
+)
 
 #: syntax errors reported at once; each costs another pass over its part of the text
 MAX_SYNTAX_ERRORS = 20
 
 #: least number of lines parsed together; a parser per section would take three times
 #: as long
-PART_LINES = 40
+MIN_PART_LINES = 40
 
 T = TypeVar("T")
 
 #: replacement title of a duplicate section, so that parsing can continue
-_REPEATED = "repeated section on line "
+_DUPLICATE_TITLE = "repeated section on line "
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,15 +49,15 @@
 
 
 #: parsed sections and the errors in the text
-Split = tuple[tuple[Section, ...], list[Problem]]
+SplitResult = tuple[tuple[Section, ...], list[Problem]]
 
 
-def split_sections(text: str, file: str) -> Split:
+def split_sections(text: str, file: str) -> SplitResult:
     """Return all sections that can be parsed, and a problem for each syntax error."""
-    return drain(split_in_steps(text, file))
+    return run_to_end(split_incrementally(text, file))
 
 
-def split_in_steps(text: str, file: str) -> Generator[None, None, Split]:
+def split_incrementally(text: str, file: str) -> Generator[None, None, SplitResult]:
     """Split like :func:`split_sections`, and yield after each part of the text.
 
     The parser stops at the first error of most kinds. The invalid line is then
@@ -60,8 +66,8 @@
     sections: list[Section] = []
     problems: list[Problem] = []
     titles: set[str] = set()
-    for first, lines in _cut(text):
-        for section in _read_lines(lines, first, file, problems):
+    for first, lines in _split_parts(text):
+        for section in _parse_part(lines, first, file, problems):
             if section.title in titles:
                 reason = "the section appears twice"
                 problem = Problem(file=file, section=section.title, reason=reason)
@@ -75,7 +81,7 @@
     return tuple(sections), problems
 
 
-def drain(steps: Generator[None, None, T]) -> T:
+def run_to_end(steps: Generator[None, None, T]) -> T:
     """Run a generator to its end and return its value."""
     while True:
         try:
@@ -84,17 +90,17 @@
             return stop.value
 
 
-def _cut(text: str) -> list[tuple[int, list[str]]]:
+def _split_parts(text: str) -> list[tuple[int, list[str]]]:
     """Split a text before section titles into parts with their first line numbers."""
     parts: list[tuple[int, list[str]]] = [(1, [])]
     for number, line in enumerate(text.splitlines(), start=1):
-        if line.startswith("[") and len(parts[-1][1]) >= PART_LINES:
+        if line.startswith("[") and len(parts[-1][1]) >= MIN_PART_LINES:
             parts.append((number, []))
         parts[-1][1].append(line)
     return parts
 
 
-def _read_lines(
+def _parse_part(
     lines: list[str], first: int, file: str, problems: list[Problem]
 ) -> tuple[Section, ...]:
     while len(problems) < MAX_SYNTAX_ERRORS:
@@ -102,9 +108,9 @@
         try:
             parser.read_string("\n".join(lines))
         except configparser.Error as error:
-            problems.extend(_take_out(error, lines, first - 1, file))
+            problems.extend(_blank_invalid_lines(error, lines, first - 1, file))
             continue
-        return _collect(parser)
+        return _build_sections(parser)
     return ()
 
 
@@ -122,17 +128,17 @@
     return parser
 
 
-def _collect(parser: configparser.RawConfigParser) -> tuple[Section, ...]:
+def _build_sections(parser: configparser.RawConfigParser) -> tuple[Section, ...]:
     sections = []
     for title in parser.sections():
-        if title.startswith(_REPEATED):
+        if title.startswith(_DUPLICATE_TITLE):
             continue
         values = {key: " ".join(value.split()) for key, value in parser.items(title)}
         sections.append(Section(title.strip(), values))
     return tuple(sections)
 
 
-def _take_out(
+def _blank_invalid_lines(
     error: configparser.Error, lines: list[str], offset: int, file: str
 ) -> list[Problem]:
     """Blank invalid lines and return their problems.
@@ -141,7 +147,7 @@
     """
     match error:
         case configparser.DuplicateSectionError(section=title, lineno=number):
-            lines[number - 1] = f"[{_REPEATED}{number}]"
+            lines[number - 1] = f"[{_DUPLICATE_TITLE}{number}]"
             reason = f"line {offset + number}: the section appears twice"
             return [Problem(file=file, section=title, reason=reason)]
         case configparser.DuplicateOptionError(section=title, option=key):
@@ -152,17 +158,17 @@
         case configparser.MissingSectionHeaderError(lineno=number, line=line):
             lines[number - 1] = ""
             reason = f"line {offset + number}: is outside of any section"
-            return [_report_line(file, line, reason)]
+            return [_create_line_problem(file, line, reason)]
         case configparser.ParsingError(errors=errors):
             problems = []
             for number, line in errors:
                 reason = f"line {offset + number}: is not KEY = VALUE"
-                problems.append(_report_line(file, line, reason))
+                problems.append(_create_line_problem(file, line, reason))
                 lines[number - 1] = ""
             return problems
     raise error
 
 
-def _report_line(file: str, line: str, reason: str) -> Problem:
+def _create_line_problem(file: str, line: str, reason: str) -> Problem:
     text = line.strip().strip("'")[:MAX_SHOWN_VALUE]
     return Problem(file=file, value=text, reason=reason)
--- a/packages/greengagelatch/src/greengagelatch/config/selectors.py
+++ b/packages/greengagelatch/src/greengagelatch/config/selectors.py
@@ -90,13 +90,13 @@
 def parse_selector(text: str) -> Result[Selector, str]:
     """Parse a selector; the error is a readable reason."""
     try:
-        tokens = _split(text)
+        tokens = _tokenize(text)
         return Ok(Selector(_Parser(tokens).parse()))
     except ValueError as error:
         return Err(str(error))
 
 
-def _split(text: str) -> list[str]:
+def _tokenize(text: str) -> list[str]:
     tokens = []
     position = 0
     end = len(text.rstrip())
@@ -128,27 +128,27 @@
 
     def _parse_requirement(self) -> Requirement:
         if self._peek() == "!":
-            self._take()
-            return Requirement(self._take_word(), Operator.ABSENT)
-        key = self._take_word()
+            self._next()
+            return Requirement(self._next_word(), Operator.ABSENT)
+        key = self._next_word()
         sign = self._peek()
         if sign in ("", ","):
             return Requirement(key, Operator.PRESENT)
-        self._take()
+        self._next()
         if sign in ("=", "=="):
-            return Requirement(key, Operator.IN, frozenset({self._take_word()}))
+            return Requirement(key, Operator.IN, frozenset({self._next_word()}))
         if sign == "!=":
-            return Requirement(key, Operator.NOT_IN, frozenset({self._take_word()}))
+            return Requirement(key, Operator.NOT_IN, frozenset({self._next_word()}))
         if sign in ("in", "notin"):
             return Requirement(key, Operator(sign), self._parse_values())
         raise ValueError(f"unexpected {sign!r} after {key!r}")
 
     def _parse_values(self) -> frozenset[str]:
         self._expect("(")
-        values = {self._take_word()}
+        values = {self._next_word()}
         while self._peek() == ",":
-            self._take()
-            values.add(self._take_word())
+            self._next()
+            values.add(self._next_word())
         self._expect(")")
         return frozenset(values)
 
@@ -157,18 +157,18 @@
             return ""
         return self._tokens[self._position]
 
-    def _take(self) -> str:
+    def _next(self) -> str:
         token = self._peek()
         self._position += 1
         return token
 
-    def _take_word(self) -> str:
-        token = self._take()
+    def _next_word(self) -> str:
+        token = self._next()
         if not token or not token[0].isalnum():
             raise ValueError(f"expected a word, found {token or 'the end'!r}")
         return token
 
-    def _expect(self, wanted: str) -> None:
-        token = self._take()
-        if token != wanted:
-            raise ValueError(f"expected {wanted!r}, found {token or 'the end'!r}")
+    def _expect(self, expected: str) -> None:
+        token = self._next()
+        if token != expected:
+            raise ValueError(f"expected {expected!r}, found {token or 'the end'!r}")
--- a/packages/greengagelatch/src/greengagelatch/config/validation.py
+++ b/packages/greengagelatch/src/greengagelatch/config/validation.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Hashable, Mapping
 
-from .effects import Split, Splits, read_effect
+from .effects import PolicySplits, TrafficSplit, parse_effect
 from .names import ConfigObject
 from .objects import Pipeline, Policy, PolicyEffect, Service, Stage
 from .problems import Problem
@@ -67,8 +67,8 @@
         self._add(section, "kind", stage.kind.value, reason)
 
     def check_split_policy(self, policy: Policy) -> None:
-        effect = read_effect(policy)
-        if effect.is_err() or not isinstance(effect.ok_value, Splits):
+        effect = parse_effect(policy)
+        if effect.is_err() or not isinstance(effect.ok_value, PolicySplits):
             return
         section = f"policy:{policy.name}"
         if effect.ok_value.pipelines is not None:
@@ -76,13 +76,15 @@
         if effect.ok_value.services is not None:
             self._check_services(section, policy, effect.ok_value.services)
 
-    def _check_pipelines(self, section: str, split: Split) -> None:
+    def _check_pipelines(self, section: str, split: TrafficSplit) -> None:
         for name, _ in split.shares:
             if name in self._pipelines:
                 continue
             self._add(section, "to_pipelines", name, "there is no such pipeline")
 
-    def _check_services(self, section: str, policy: Policy, split: Split) -> None:
+    def _check_services(
+        self, section: str, policy: Policy, split: TrafficSplit
+    ) -> None:
         kinds = set()
         for name, _ in split.shares:
             service = self._services.get(name)
@@ -91,7 +93,7 @@
                 continue
             kinds.add(service.kind)
         # a target can't handle calls of another kind of service
-        for service in self._find_picked(policy):
+        for service in self._find_matching(policy):
             if kinds <= {service.kind}:
                 continue
             reason = (
@@ -101,15 +103,15 @@
             value = policy.values["to_services"]
             self._add(section, "to_services", value, reason)
 
-    def _find_picked(self, policy: Policy) -> list[Service]:
+    def _find_matching(self, policy: Policy) -> list[Service]:
         selector = parse_selector(policy.services)
         if selector.is_err():
             return []
-        picked = []
+        matching = []
         for service in self._services.values():
             if selector.ok_value.matches(service.name, service.labels):
-                picked.append(service)
-        return picked
+                matching.append(service)
+        return matching
 
     def _add(self, section: str, key: str, value: str, reason: str) -> None:
         problem = Problem(
--- a/packages/greengagelatch/src/greengagelatch/config/values.py
+++ b/packages/greengagelatch/src/greengagelatch/config/value_parsers.py
@@ -12,22 +12,22 @@
 
 __all__ = (
     "MAX_LABELS",
-    "MAX_LIST",
-    "build_choice_reader",
-    "build_number_reader",
-    "read_bool",
-    "read_labels",
-    "read_name",
-    "read_names",
-    "read_positive",
-    "read_selector",
-    "read_share",
-    "read_shares",
-    "read_weight",
+    "MAX_LIST_ENTRIES",
+    "build_choice_parser",
+    "build_number_parser",
+    "parse_bool",
+    "parse_labels",
+    "parse_name",
+    "parse_names",
+    "parse_positive",
+    "parse_selector_text",
+    "parse_share",
+    "parse_shares",
+    "parse_weight",
 )
 
 #: limit of entries in one list of names
-MAX_LIST = 64
+MAX_LIST_ENTRIES = 64
 
 #: limit of labels on one object
 MAX_LABELS = 64
@@ -44,23 +44,23 @@
 E = TypeVar("E", bound=Enum)
 
 
-def build_choice_reader(choices: type[E]) -> Callable[[str], E]:
+def build_choice_parser(choices: type[E]) -> Callable[[str], E]:
     """Return a parser of an enumeration's values."""
 
-    def read(text: str) -> E:
+    def parse(text: str) -> E:
         try:
             return choices(text)
         except ValueError:
             known = ", ".join(item.value for item in choices)
             raise ValueError(f"must be one of {known}") from None
 
-    return read
+    return parse
 
 
-def build_number_reader(low: int, high: int) -> Callable[[str], int]:
+def build_number_parser(low: int, high: int) -> Callable[[str], int]:
     """Return a parser of integers between two inclusive bounds."""
 
-    def read(text: str) -> int:
+    def parse(text: str) -> int:
         try:
             value = int(text)
         except ValueError:
@@ -69,20 +69,20 @@
             raise ValueError(f"must be between {low} and {high}")
         return value
 
-    return read
+    return parse
 
 
-def read_bool(text: str) -> bool:
+def parse_bool(text: str) -> bool:
     """Parse a boolean such as ``yes`` or ``no``."""
-    word = text.lower()
-    if word in _TRUE:
+    lowered = text.lower()
+    if lowered in _TRUE:
         return True
-    if word in _FALSE:
+    if lowered in _FALSE:
         return False
     raise ValueError("must be yes or no")
 
 
-def read_weight(text: str) -> float:
+def parse_weight(text: str) -> float:
     """Parse a finite number of at least 0."""
     try:
         value = float(text)
@@ -93,7 +93,7 @@
     return value
 
 
-def read_positive(text: str) -> float:
+def parse_positive(text: str) -> float:
     """Parse a finite number above 0."""
     try:
         value = float(text)
@@ -104,68 +104,68 @@
     return value
 
 
-def read_share(text: str) -> float:
+def parse_share(text: str) -> float:
     """Parse a number above 0 and at most 1."""
-    value = read_positive(text)
+    value = parse_positive(text)
     if value > 1:
         raise ValueError("must be at most 1")
     return value
 
 
-def read_name(text: str) -> str:
+def parse_name(text: str) -> str:
     """Parse one name."""
-    fault = find_name_error(text)
-    if fault:
-        raise ValueError(fault)
+    error = find_name_error(text)
+    if error:
+        raise ValueError(error)
     return text
 
 
-def read_names(text: str) -> tuple[str, ...]:
+def parse_names(text: str) -> tuple[str, ...]:
     """Parse comma-separated unique names, at least one."""
-    names = tuple(_read_part(part) for part in text.split(","))
+    names = tuple(_parse_entry(part) for part in text.split(","))
     if len(set(names)) < len(names):
         raise ValueError("must not contain a name twice")
-    if len(names) > MAX_LIST:
-        raise ValueError(f"must hold at most {MAX_LIST} names")
+    if len(names) > MAX_LIST_ENTRIES:
+        raise ValueError(f"must hold at most {MAX_LIST_ENTRIES} names")
     return names
 
 
-def read_labels(text: str) -> Mapping[str, str]:
+def parse_labels(text: str) -> Mapping[str, str]:
     """Parse labels such as ``tier=gold, region=luzon``; the text may be empty."""
     labels: dict[str, str] = {}
     if not text:
         return labels
     for part in text.split(","):
-        key, value = _read_pair(part, "tier=gold, region=luzon")
+        key, value = _parse_pair(part, "tier=gold, region=luzon")
         if key == NAME_LABEL:
             raise ValueError(f"the label {NAME_LABEL!r} is built in")
         if key in _RESERVED_KEYS:
             raise ValueError(f"{key!r} is a reserved word of selectors")
         if key in labels:
             raise ValueError(f"sets {key!r} twice")
-        labels[key] = _read_part(value)
+        labels[key] = _parse_entry(value)
     if len(labels) > MAX_LABELS:
         raise ValueError(f"must hold at most {MAX_LABELS} labels")
     return labels
 
 
-def read_shares(text: str) -> tuple[tuple[str, int], ...]:
+def parse_shares(text: str) -> tuple[tuple[str, int], ...]:
     """Parse whole-number weights by name, such as ``quote-a=90, quote-b=10``."""
-    read_number = build_number_reader(0, MAX_SHARE)
+    parse_number = build_number_parser(0, MAX_SHARE)
     shares: dict[str, int] = {}
     for part in text.split(","):
-        name, value = _read_pair(part, "quote-a=90, quote-b=10")
+        name, value = _parse_pair(part, "quote-a=90, quote-b=10")
         if name in shares:
             raise ValueError(f"sets {name!r} twice")
-        shares[name] = read_number(value)
-    if len(shares) > MAX_LIST:
-        raise ValueError(f"must hold at most {MAX_LIST} names")
+        shares[name] = parse_number(value)
+    if len(shares) > MAX_LIST_ENTRIES:
+        raise ValueError(f"must hold at most {MAX_LIST_ENTRIES} names")
     if not sum(shares.values()):
         raise ValueError("at least one share must be above 0")
     return tuple(shares.items())
 
 
-def read_selector(text: str) -> str:
+def parse_selector_text(text: str) -> str:
     """Validate a label selector and return its text."""
     selector = parse_selector(text)
     if selector.is_err():
@@ -173,16 +173,16 @@
     return text
 
 
-def _read_pair(part: str, example: str) -> tuple[str, str]:
+def _parse_pair(part: str, example: str) -> tuple[str, str]:
     key, sign, value = (piece.strip() for piece in part.partition("="))
     if not sign:
         raise ValueError(f"must be a list such as {example}")
-    return _read_part(key), value
+    return _parse_entry(key), value
 
 
-def _read_part(part: str) -> str:
-    word = part.strip()
-    fault = find_name_error(word)
-    if fault:
-        raise ValueError(f"{word!r}: {fault}")
-    return word
+def _parse_entry(part: str) -> str:
+    name = part.strip()
+    error = find_name_error(name)
+    if error:
+        raise ValueError(f"{name!r}: {error}")
+    return name
--- a/packages/greengagelatch/src/greengagelatch/settings/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/__init__.py
@@ -88,7 +88,7 @@
             return Err(SettingError(name, given[name], "unknown setting"))
     values = {}
     for setting in SETTINGS:
-        match _read(setting, given.get(setting.name)):
+        match _parse_value(setting, given.get(setting.name)):
             case Ok(value):
                 values[setting.name] = value
             case Err(error):
@@ -96,7 +96,7 @@
     return Ok(Settings(values))
 
 
-def _read(setting: Setting, text: str | None) -> Result[Any, SettingError]:
+def _parse_value(setting: Setting, text: str | None) -> Result[Any, SettingError]:
     if text is None:
         if setting.required:
             return Err(SettingError(setting.name, "", "is required"))
@@ -108,7 +108,7 @@
     except ValueError as error:
         reason = str(error)
     if not reason:
-        reason = _find_fault(setting, value)
+        reason = _find_error(setting, value)
     if reason:
         return Err(SettingError(setting.name, text, reason))
     return Ok(value)
@@ -125,16 +125,16 @@
     raise ValueError("must be yes or no")
 
 
-def _find_fault(setting: Setting, value: Any) -> str:
+def _find_error(setting: Setting, value: Any) -> str:
     if setting.required and value == "":
         return "must not be empty"
     if setting.choices and value not in setting.choices:
         return f"must be one of {', '.join(setting.choices)}"
     if setting.endpoint:
-        return _find_endpoint_fault(value)
+        return _find_endpoint_error(value)
     if setting.endpoints:
-        faults = map(_find_endpoint_fault, split_endpoints(value))
-        return next(filter(None, faults), "")
+        errors = map(_find_endpoint_error, split_endpoints(value))
+        return next(filter(None, errors), "")
     if setting.type not in (int, float):
         return ""
     # NaN passes both range checks below, as its comparisons are false
@@ -147,7 +147,7 @@
     return ""
 
 
-def _find_endpoint_fault(value: str) -> str:
+def _find_endpoint_error(value: str) -> str:
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/tests/test_core/test_config/test_changes.py
+++ b/tests/test_core/test_config/test_changes.py
@@ -40,7 +40,7 @@
 )
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.names import ObjectId, ObjectKind
-from greengagelatch.config.replica import Replica, open_shard
+from greengagelatch.config.replica import Replica, load_shard
 from greengagelatch.config.requests import (
     ChangeMode,
     ChangeRequest,
@@ -77,7 +77,7 @@
 
     def read_shard(self, ref):
         entry = self.wait(self.store.get(ref.key)).unwrap()
-        return None if entry is None else open_shard(ref, entry.value)
+        return None if entry is None else load_shard(ref, entry.value)
 
     def perform(self, step):
         match step:
@@ -85,7 +85,9 @@
                 return self.wait(self.store.get(HEAD_KEY))
             case ReadShards(refs=refs):
                 found = {ref: self.read_shard(ref) for ref in refs}
-                return Ok({ref: held.shard for ref, held in found.items() if held})
+                return Ok(
+                    {ref: loaded.shard for ref, loaded in found.items() if loaded}
+                )
             case WriteShards(shards=shards):
                 return [
                     self.wait(self.store.swap(ref.key, data, ABSENT))
@@ -104,14 +106,17 @@
 class Writer:
     """One change under way, advanced step by step."""
 
-    def __init__(self, world, request, seed=0, known=0):
+    def __init__(self, world, request, seed=0, min_generation=0):
         self.world = world
         self.request = request
         self.outcome = None
         self.late = []
         source = random.Random(seed)
         self._process = run_change(
-            request, wall=world.clock.wall, random_source=source, known=known
+            request,
+            wall=world.clock.wall,
+            random_source=source,
+            min_generation=min_generation,
         )
         self.step = next(self._process)
 
@@ -307,7 +312,7 @@
     An edit began before the deletion and is applied after it, and after a change of
     another object in the same shard.
     """
-    monkeypatch.setattr(records_module, "BUCKETS", 1)
+    monkeypatch.setattr(records_module, "BUCKET_COUNT", 1)
     Writer(world, label("c1", "a", 1)).finish()
     names = (ObjectId(ObjectKind.WORKSPACE, "a"),)
     delete = ChangeRequest(change_id="c2", mode=ChangeMode.DELETE, names=names)
@@ -382,12 +387,12 @@
     More changes than the head holds were made within the hour. Those of an hour ago
     may go, those of the last may not.
     """
-    monkeypatch.setattr(head_module, "KEPT_CHANGES", 2)
+    monkeypatch.setattr(head_module, "MIN_CHANGES", 2)
     monkeypatch.setattr(head_module, "MAX_CHANGES", 4)
     for number in range(4):
         Writer(world, label(f"c{number}", "a", number)).finish()
     assert isinstance(Writer(world, label("c4", "a", 4)).finish(), NotApplied)
-    world.clock.advance(head_module.KEPT_SECONDS + 1)
+    world.clock.advance(head_module.RETENTION_SECONDS + 1)
     assert Writer(world, label("c4", "a", 4)).finish().generation == 5
     assert find_change(world.read_head(), "c3") is not None
 
@@ -399,7 +404,7 @@
     they have, and the change would get one that is lower.
     """
     Writer(world, label("c1", "a", 1)).finish()
-    outcome = Writer(world, label("c2", "a", 2), known=7).finish()
+    outcome = Writer(world, label("c2", "a", 2), min_generation=7).finish()
     assert isinstance(outcome, NotApplied)
     assert world.read_head().generation == 1
 
@@ -410,7 +415,7 @@
     Every change replaces one; those of generations that can't be put in force again
     are of no use, and neither are those of swaps that failed.
     """
-    monkeypatch.setattr(head_module, "KEPT_GENERATIONS", 3)
+    monkeypatch.setattr(head_module, "ROLLBACK_GENERATIONS", 3)
     for number in range(20):
         loser = Writer(world, label(f"l{number}", "a", 99), seed=100 + number)
         loser.advance_to(SwapHead)
@@ -434,8 +439,8 @@
         self.patches = pytest.MonkeyPatch()
         # few buckets and generations, so that objects share shards and old shards
         # are deleted while others still look at them
-        self.patches.setattr(records_module, "BUCKETS", 2)
-        self.patches.setattr(head_module, "KEPT_GENERATIONS", 3)
+        self.patches.setattr(records_module, "BUCKET_COUNT", 2)
+        self.patches.setattr(head_module, "ROLLBACK_GENERATIONS", 3)
         self.world = World()
         self.started = []
         self.in_flight = []
@@ -567,12 +572,12 @@
 
     def learn(self, replica, head, peer=None):
         before = replica.generation
-        fresh = {}
+        new_shards = {}
         for ref in replica.find_missing(head.shards.values()):
-            held = peer.get(ref.key) if peer else self.world.read_shard(ref)
-            if held is not None:
-                fresh[ref] = held
-        replica.adopt(head, fresh)
+            loaded = peer.get(ref.key) if peer else self.world.read_shard(ref)
+            if loaded is not None:
+                new_shards[ref] = loaded
+        replica.adopt(head, new_shards)
         assert replica.generation >= before
 
     @invariant()
@@ -586,9 +591,9 @@
     def check_landing(self, head):
         records = {}
         for ref in head.shards.values():
-            held = self.world.read_shard(ref)
-            assert held is not None, "the head names a shard that is gone"
-            records.update(held.shard.records)
+            loaded = self.world.read_shard(ref)
+            assert loaded is not None, "the head names a shard that is gone"
+            records.update(loaded.shard.records)
         live = {name: row for name, row in records.items() if row.body is not None}
         change_id = head.changes[-1].change_id
         ids = [entry.change_id for entry in head.changes]
@@ -606,11 +611,11 @@
         for item in request.objects:
             name = f"workspace/{item.name}"
             assert live[name].body["labels"] == dict(item.labels)
-            held = before.get(name)
-            if request.base is None or held is None:
+            previous = before.get(name)
+            if request.base is None or previous is None:
                 continue
-            unchanged = held[1]["labels"] == dict(item.labels)
-            assert unchanged or held[0] <= request.base, "an edit was overwritten"
+            unchanged = previous[1]["labels"] == dict(item.labels)
+            assert unchanged or previous[0] <= request.base, "an edit was overwritten"
         for name in request.names:
             assert str(name) not in live
         if request.to_generation in self.history:
--- a/tests/test_core/test_config/test_gossip.py
+++ b/tests/test_core/test_config/test_gossip.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from greengagelatch.config.gossip import choose_listeners
+from greengagelatch.config.gossip import choose_recipients
 from greengagelatch.membership.overlay import choose_neighbours
 from greengagelatch.membership.records import MemberRecord
 from greengagelatch.peers import Member, MemberState
@@ -47,19 +47,21 @@
     return found
 
 
-def spread(members, neighbours, start):
+def propagate(members, neighbours, start):
     """Return who hears of a generation, if each that does tells its listeners."""
     source = random.Random(1)
     places = {member.instance_id: member.data_centre for member in members}
-    heard, waiting = {start}, [start]
+    reached, waiting = {start}, [start]
     while waiting:
         own = waiting.pop()
-        told = choose_listeners(members, neighbours[own], own, places[own], source)
-        assert len(told) <= LINKS
-        news = set(told) - heard
-        heard |= news
-        waiting.extend(news)
-    return heard
+        recipients = choose_recipients(
+            members, neighbours[own], own, places[own], source
+        )
+        assert len(recipients) <= LINKS
+        newly_reached = set(recipients) - reached
+        reached |= newly_reached
+        waiting.extend(newly_reached)
+    return reached
 
 
 def test_a_change_reaches_every_instance_over_open_links(members, neighbours):
@@ -68,7 +70,7 @@
     Each instance that learns it tells members picked anew, to whom no link is open;
     the handshakes of all of them keep all of them busy.
     """
-    assert len(spread(members, neighbours, "i-000")) == MEMBERS
+    assert len(propagate(members, neighbours, "i-000")) == MEMBERS
 
 
 def test_a_change_reaches_every_instance_of_a_data_centre_that_is_cut_off(
@@ -79,5 +81,5 @@
     The data centre is cut off from the others, so that only links within it are left.
     """
     inside = [one for one in members if one.data_centre == "centre-3"]
-    heard = spread(inside, neighbours, inside[0].instance_id)
-    assert len(heard) == len(inside)
+    reached = propagate(inside, neighbours, inside[0].instance_id)
+    assert len(reached) == len(inside)
--- a/tests/test_core/test_config/test_replica.py
+++ b/tests/test_core/test_config/test_replica.py
@@ -8,14 +8,14 @@
 import pytest
 
 from greengagelatch.config.gossip import (
-    Knowledge,
-    choose_listeners,
+    GenerationTable,
+    choose_recipients,
     choose_watchers,
 )
 from greengagelatch.config.head import (
     Head,
     ShardRef,
-    advance,
+    append_change,
     apply_delta,
     encode_delta,
 )
@@ -27,7 +27,7 @@
     encode_body,
     encode_shard,
 )
-from greengagelatch.config.replica import Replica, open_shard
+from greengagelatch.config.replica import Replica, load_shard
 from greengagelatch.peers import Member, MemberState
 from greengagelatch.peers.codec import PROTOCOL_VERSION, decode
 
@@ -39,10 +39,10 @@
     data = encode_shard({"workspace/a": Record(number, change_id, body)})
     ref = ShardRef(compute_digest(data), salt=number, revision=number)
     bucket = compute_bucket("workspace/a")
-    following = advance(
+    next_head = append_change(
         head, change_id=change_id, digest=b"", shards={bucket: ref}, now=number
     )
-    return following.unwrap(), {ref: open_shard(ref, data)}
+    return next_head.unwrap(), {ref: load_shard(ref, data)}
 
 
 @pytest.fixture
@@ -50,8 +50,8 @@
     built = []
     head = Head()
     for number in range(1, 6):
-        head, fresh = build(head, number)
-        built.append((head, fresh))
+        head, new_shards = build(head, number)
+        built.append((head, new_shards))
     return built
 
 
@@ -86,15 +86,19 @@
     """
     [(_, other)] = [generations[0]]
     [ref] = generations[1][1]
-    [held] = other.values()
-    assert open_shard(ref, held.data) is None
+    [loaded] = other.values()
+    assert load_shard(ref, loaded.data) is None
 
 
 def test_a_delta_leads_to_the_same_generation_as_the_head(generations):
     first, last = generations[0][0], generations[4][0]
     delta = encode_delta(last, 1)
-    led = apply_delta(first, delta).unwrap()
-    assert (led.generation, led.shards, led.changes) == (5, last.shards, last.changes)
+    result = apply_delta(first, delta).unwrap()
+    assert (result.generation, result.shards, result.changes) == (
+        5,
+        last.shards,
+        last.changes,
+    )
     assert apply_delta(generations[1][0], delta).is_err()
     assert encode_delta(last, 5) is None
 
@@ -127,9 +131,9 @@
     for count in (4, 40, 400):
         members = create_members(count)
         assert len(choose_watchers(members, "north")) == 2
-        told = choose_listeners(members, (), "i-0", "south", random.Random(1))
-        assert len(told) <= 4
-        assert "i-0" not in told
+        recipients = choose_recipients(members, (), "i-0", "south", random.Random(1))
+        assert len(recipients) <= 4
+        assert "i-0" not in recipients
     assert choose_watchers(create_members(4), "nowhere") == ()
 
 
@@ -138,13 +142,13 @@
 
     What another instance heard earlier arrives later than the instance's own word.
     """
-    knowledge = Knowledge()
-    knowledge.note("a", "north", 5, 10.0)
-    knowledge.note_hearsay("a", "north", 4, 10.2)
-    assert knowledge.find("a").generation == 5
+    table = GenerationTable()
+    table.record("a", "north", 5, 10.0)
+    table.record_relayed("a", "north", 4, 10.2)
+    assert table.find("a").generation == 5
     # a new process of the same name has nothing yet, and says so itself
-    knowledge.note("a", "north", 0, 11.0)
-    assert knowledge.find("a").generation == 0
+    table.record("a", "north", 0, 11.0)
+    assert table.find("a").generation == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_core/test_config/test_steering.py
+++ b/tests/test_core/test_config/test_steering.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "picked"),
+    ("text", "matches"),
     [
         ("", True),
         ("tier = gold", True),
@@ -40,8 +40,8 @@
         ("!name", False),
     ],
 )
-def test_selectors(text, picked):
-    assert parse_selector(text).unwrap().matches("lathe", LABELS) is picked
+def test_selectors(text, matches):
+    assert parse_selector(text).unwrap().matches("lathe", LABELS) is matches
 
 
 @pytest.mark.parametrize(
@@ -112,15 +112,15 @@
 attainment = 3
 cost = 1
 """)
-    steering = resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm")
-    assert steering.quota.policy == "gold"
-    assert steering.quota.requests_per_second is None
-    assert steering.priority == -3
-    assert steering.weights.attainment == 0.75
+    effective = resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm")
+    assert effective.quota.policy == "gold"
+    assert effective.quota.requests_per_second is None
+    assert effective.priority == -3
+    assert effective.weights.attainment == 0.75
     other = resolve_policy(snapshot, "stranger")
     assert other.quota.policy == "all"
     assert other.weights.attainment == 0.5
-    assert resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm") is steering
+    assert resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm") is effective
 
 
 def test_a_new_snapshot_has_answers_of_its_own():
