--- a/tests/test_core/test_config/test_changes.py
+++ b/tests/test_core/test_config/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes against a store that loses, delays and reorders what it is asked."""
+"""Commit protocol of changes on a store that loses, delays and reorders operations."""
 
 from __future__ import annotations
 
@@ -54,11 +54,11 @@
 from greengagelatch.store import ABSENT, WriteOutcome, WriteResult
 from greengagelatch_lab.standins.memory import MemoryStore
 
-LOST = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
+LOST_ANSWER = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
 
 
 class World:
-    """A store, reached step by step; a test may lose, delay or drop any step."""
+    """A store that executes steps one by one; tests may lose, delay or drop any."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -104,7 +104,7 @@
 
 
 class Writer:
-    """One change under way, advanced step by step."""
+    """One change in progress, advanced step by step."""
 
     def __init__(self, world, request, seed=0, min_generation=0):
         self.world = world
@@ -121,7 +121,7 @@
         self.step = next(self._process)
 
     def advance(self, perform=None):
-        """Carry out the next step, or have ``perform`` answer it."""
+        """Execute the next step, or have ``perform`` answer it."""
         reply = (perform or self.world.perform)(self.step)
         self.send(reply)
 
@@ -141,15 +141,15 @@
             self.advance()
         return self.outcome
 
-    def lose_answer(self):
-        """Carry out the swap, and lose its answer."""
+    def execute_and_lose_answer(self):
+        """Execute the swap and lose its answer."""
         self.world.perform(self.step)
-        self.send(LOST)
+        self.send(LOST_ANSWER)
 
-    def delay(self):
-        """Leave the swap on its way; the returned call lets it arrive."""
+    def leave_in_flight(self):
+        """Leave the swap in flight; the returned function executes it."""
         step = self.step
-        self.send(LOST)
+        self.send(LOST_ANSWER)
         return lambda: self.world.perform(step)
 
 
@@ -173,7 +173,7 @@
 
 
 def read_values(world):
-    """Return the label of each workspace in force."""
+    """Return the label of each workspace in the current generation."""
     head = world.read_head()
     values = {}
     for ref in head.shards.values():
@@ -182,14 +182,14 @@
     return values
 
 
-def test_a_lost_answer_is_settled_by_reading_back(world):
-    """An operator is told that a change failed, and it is in force.
+def test_a_lost_answer_is_resolved_by_reading_the_head(world):
+    """Guards against reporting a committed change as failed.
 
-    The swap of the head takes effect and its answer is lost.
+    The swap of the head takes effect, but its answer is lost.
     """
     writer = Writer(world, label("c1", "a", 1))
     writer.advance_to(SwapHead)
-    writer.lose_answer()
+    writer.execute_and_lose_answer()
     outcome = writer.finish()
     assert (outcome.generation, outcome.repeated) == (1, False)
     assert outcome.changed == ("workspace/a",)
@@ -199,72 +199,71 @@
 
 
 def test_a_lost_answer_is_found_under_a_later_generation(world):
-    """A change that took effect is made a second time, over a later one.
+    """Guards against committing a change twice, the second time over a later one.
 
-    The swap takes effect, its answer is lost, and another operator's change comes
-    before the head is read back: the newest change is then not the one sought. What
-    was written for a swap that failed is deleted, and this one did not fail.
+    The swap takes effect, its answer is lost, and another operator's change is
+    committed before the head is read back, so that the newest log entry is not the
+    change in question. Shards are deleted only for failed swaps, which this is not.
     """
     writer = Writer(world, label("c1", "a", 1))
     writer.advance_to(SwapHead)
-    writer.lose_answer()
+    writer.execute_and_lose_answer()
     Writer(world, label("c2", "b", 2), seed=1).finish()
     assert writer.finish().generation == 1
     assert read_values(world) == {"a": "1", "b": "2"}
 
 
-def test_a_swap_that_lands_late_takes_effect_once(world):
-    """A change is reported as not applied and is in force a moment later.
+def test_a_delayed_swap_takes_effect_once(world):
+    """Guards against reporting a change as not applied that is committed later.
 
-    The swap is still on its way when the head is read back, which shows it unmoved.
-    Reading once more would prove nothing either, so the swap is made again; the
-    first one then arrives and must not count a second time.
+    The swap is still in flight when the head is read back unchanged. Another read
+    would prove nothing either, so the swap is retried; the first one then arrives
+    and must have no effect.
     """
     writer = Writer(world, label("c1", "a", 1))
     writer.advance_to(SwapHead)
-    arrive = writer.delay()
+    deliver = writer.leave_in_flight()
     outcome = writer.finish()
     assert isinstance(outcome, Settled)
-    assert arrive().outcome is WriteOutcome.CONFLICT
+    assert deliver().outcome is WriteOutcome.CONFLICT
     assert [entry.change_id for entry in world.read_head().changes] == ["c1"]
 
 
-def test_a_change_without_any_answer_stays_unknown(world):
-    """An operator is told "not applied", sends another change and loses it.
+def test_a_change_without_any_answer_is_unsettled(world):
+    """Guards against reporting a change as not applied that may still commit.
 
-    The swap has no answer and the store can't be read after it.
+    The swap has no answer, and the store can't be read after it.
     """
     writer = Writer(world, label("c1", "a", 1))
     writer.advance_to(SwapHead)
-    arrive = writer.delay()
+    deliver = writer.leave_in_flight()
     world.store.faults.outage = True
     assert isinstance(writer.finish(), Unsettled)
     world.store.faults.outage = False
-    assert arrive().outcome is WriteOutcome.APPLIED
+    assert deliver().outcome is WriteOutcome.APPLIED
     assert Writer(world, label("c1", "a", 1)).finish().repeated
 
 
-def test_a_swap_on_its_way_outweighs_a_later_refusal(world):
-    """An operator is told "not applied", and the change is in force a moment later.
+def test_a_swap_in_flight_outweighs_a_later_refusal(world):
+    """Guards against reporting a change as not applied that is committed later.
 
-    The swap is on its way, the head is read back unmoved, and the store then refuses
-    the second swap: that one took no effect, the first one still may.
+    The swap is in flight, the head is read back unchanged, and the store then refuses
+    the second swap: the second had no effect, but the first one still may.
     """
     writer = Writer(world, label("c1", "a", 1))
     writer.advance_to(SwapHead)
-    arrive = writer.delay()
+    deliver = writer.leave_in_flight()
     writer.advance_to(SwapHead)
     world.store.faults.refuse_calls = 1
     assert isinstance(writer.finish(), Unsettled)
-    assert arrive().outcome is WriteOutcome.APPLIED
+    assert deliver().outcome is WriteOutcome.APPLIED
 
 
 def test_one_change_sent_through_two_instances(world):
-    """The head names a shard that is gone, and no instance can read it any more.
+    """Guards against a head that references a deleted shard and can't be loaded.
 
-    An operator sends a change again through another instance while the first one is
-    at work. Both write the same content; the one that loses the swap deletes what it
-    has written.
+    An operator retries a change through another instance while the first one is in
+    progress. Both write the same content; the one whose swap fails deletes its shards.
     """
     first = Writer(world, label("c1", "a", 1), seed=1)
     second = Writer(world, label("c1", "a", 1), seed=2)
@@ -274,20 +273,20 @@
     assert read_values(world) == {"a": "1"}
 
 
-def test_a_store_that_was_never_written_to_leaves_nothing_unknown(world):
-    """An operator has to look for a change that was never sent.
+def test_a_change_without_any_swap_is_not_applied(world):
+    """Guards against an unknown outcome of a change that was never sent.
 
-    The store is down from the start, so no swap was made.
+    The store is unavailable from the start, so no swap was sent.
     """
     world.store.faults.outage = True
     assert isinstance(Writer(world, label("c1", "a", 1)).finish(), NotApplied)
 
 
 def test_two_operators_on_the_same_object(world):
-    """An operator's edit is gone without a word.
+    """Guards against a lost update.
 
-    Two read the same generation; the second one's swap fails, reads the head again
-    and would put its own object over the first one's.
+    Two operators edit the same generation. The second one's swap fails, and its retry
+    on the new head would overwrite the first one's object.
     """
     first = Writer(world, label("c1", "a", 1))
     second = Writer(world, label("c2", "a", 2), seed=1)
@@ -306,11 +305,11 @@
     assert read_values(world) == {"a": "1"}
 
 
-def test_a_deletion_is_a_change_of_the_object(world, monkeypatch):
-    """An object that was deleted is back.
+def test_a_deletion_conflicts_with_an_earlier_edit(world, monkeypatch):
+    """Guards against an edit that restores a deleted object.
 
-    An edit began before the deletion and is applied after it, and after a change of
-    another object in the same shard.
+    The edit is based on a generation before the deletion and is applied after it, and
+    after a change of another object in the same shard.
     """
     monkeypatch.setattr(records_module, "BUCKET_COUNT", 1)
     Writer(world, label("c1", "a", 1)).finish()
@@ -324,10 +323,10 @@
 
 
 def test_two_operators_on_different_objects(world):
-    """One of two unrelated changes is refused, or is gone.
+    """Guards against refusing or losing one of two unrelated changes.
 
-    Both read the same generation; the second one's swap fails and must be made again
-    on top of the first one's.
+    Both edit the same generation; the second one's swap fails and must be retried on
+    top of the first one.
     """
     first = Writer(world, label("c1", "a", 1))
     second = Writer(world, label("c2", "b", 2), seed=1)
@@ -337,11 +336,11 @@
     assert read_values(world) == {"a": "1", "b": "2"}
 
 
-def test_references_are_checked_again_after_a_lost_swap(world):
-    """A pipeline names a service that does not exist.
+def test_references_are_validated_again_after_a_failed_swap(world):
+    """Guards against a pipeline that references a deleted service.
 
-    One operator deletes a service while another's pipeline that uses it is under
-    way: each change is sound on the generation that it has read.
+    One operator deletes a service while another adds a pipeline that uses it: each
+    change is valid on top of the generation that it has read.
     """
     Writer(world, apply("c1", "[service:s]\nkind = plain\n")).finish()
     text = "[pipeline:p]\nstages = x\n[stage:p/x]\nkind = plain\nservice = s\n"
@@ -357,35 +356,35 @@
 
 
 def test_an_id_is_used_for_one_change_only(world):
-    """A change is reported as settled and nothing of it is in force.
+    """Guards against reporting a change as settled that was never committed.
 
-    Its id was used before, for a change of something else.
+    Its id was used before, for a change with other content.
     """
     Writer(world, label("c1", "a", 1)).finish()
     outcome = Writer(world, label("c1", "a", 2)).finish()
     assert outcome.code is RefusedCode.CHANGE_ID_REUSED
 
 
-def test_a_rollback_is_a_change_that_others_conflict_with(world):
-    """An operator's edit undoes part of a rollback.
+def test_a_rollback_conflicts_with_an_earlier_edit(world):
+    """Guards against an edit that undoes part of a rollback.
 
-    The edit began before the rollback, which put an old object in force again: were
-    that object's record as old as its content, the edit would seem to be newer.
+    The edit is based on a generation before the rollback, which restores an old
+    object. If the restored record kept its old generation, there would be no conflict.
     """
     for number in (1, 2, 3):
         Writer(world, label(f"c{number}", "a", number)).finish()
     back = ChangeRequest(change_id="r", mode=ChangeMode.ROLLBACK, to_generation=1)
     assert Writer(world, back).finish().generation == 4
     assert read_values(world) == {"a": "1"}
-    late = Writer(world, label("c4", "a", 4, base=3)).finish()
-    assert isinstance(late, Conflicted)
+    delayed = Writer(world, label("c4", "a", 4, base=3)).finish()
+    assert isinstance(delayed, Conflicted)
 
 
-def test_a_full_ring_refuses_rather_than_forgets(world, monkeypatch):
-    """A lost answer can't be settled, as the change is no longer in the head.
+def test_a_full_change_log_refuses_changes(world, monkeypatch):
+    """Guards against dropping recent log entries, which lost answers depend on.
 
-    More changes than the head holds were made within the hour. Those of an hour ago
-    may go, those of the last may not.
+    More changes than the head can hold are committed within the retention period.
+    Entries older than that may be dropped, younger ones may not.
     """
     monkeypatch.setattr(head_module, "MIN_CHANGES", 2)
     monkeypatch.setattr(head_module, "MAX_CHANGES", 4)
@@ -398,10 +397,10 @@
 
 
 def test_no_change_is_made_on_top_of_a_lower_generation(world):
-    """A change is accepted and is never in force anywhere.
+    """Guards against accepting a change that never becomes active.
 
-    The store was put back to a time long past: instances keep the generation that
-    they have, and the change would get one that is lower.
+    The store was restored from an old backup: instances keep their higher generation,
+    and the change would get a lower one.
     """
     Writer(world, label("c1", "a", 1)).finish()
     outcome = Writer(world, label("c2", "a", 2), min_generation=7).finish()
@@ -410,10 +409,10 @@
 
 
 def test_old_shards_are_deleted(world, monkeypatch):
-    """The store fills up with shards that no generation names.
+    """Guards against a store that fills up with unreferenced shards.
 
-    Every change replaces one; those of generations that can't be put in force again
-    are of no use, and neither are those of swaps that failed.
+    Every change replaces a shard. Shards of generations beyond the rollback limit are
+    garbage, and so are those of failed swaps.
     """
     monkeypatch.setattr(head_module, "ROLLBACK_GENERATIONS", 3)
     for number in range(20):
@@ -427,9 +426,9 @@
 
 
 class ChangesMachine(RuleBasedStateMachine):
-    """Writers and readers whose steps interleave, with a naive model beside them.
+    """Interleaves the steps of writers and readers and compares with a simple model.
 
-    The model is the list of all configurations that the store's head ever named.
+    The model is the list of all configurations that the store's head has referenced.
     """
 
     writers = Bundle("writers")
@@ -438,7 +437,7 @@
         super().__init__()
         self.patches = pytest.MonkeyPatch()
         # few buckets and generations, so that objects share shards and old shards
-        # are deleted while others still look at them
+        # are deleted while readers still use them
         self.patches.setattr(records_module, "BUCKET_COUNT", 2)
         self.patches.setattr(head_module, "ROLLBACK_GENERATIONS", 3)
         self.world = World()
@@ -454,14 +453,14 @@
 
     def teardown(self):
         try:
-            self.settle()
+            self.finish_all()
         finally:
             self.world.close()
             self.patches.undo()
 
-    def settle(self):
-        for arrive in self.in_flight:
-            arrive()
+    def finish_all(self):
+        for deliver in self.in_flight:
+            deliver()
         self.check_all()
         for writer in self.started:
             if not writer.crashed:
@@ -536,9 +535,9 @@
         while not writer.crashed and writer.step is not None:
             if isinstance(writer.step, SwapHead):
                 if late:
-                    self.in_flight.append(writer.delay())
+                    self.in_flight.append(writer.leave_in_flight())
                 else:
-                    writer.lose_answer()
+                    writer.execute_and_lose_answer()
                 return
             writer.advance()
             self.check_all()
@@ -585,14 +584,14 @@
         head = self.world.read_head()
         if head is None or head.generation in self.history:
             return
-        self.check_landing(head)
+        self.check_commit(head)
         self.seen_heads.append(head)
 
-    def check_landing(self, head):
+    def check_commit(self, head):
         records = {}
         for ref in head.shards.values():
             loaded = self.world.read_shard(ref)
-            assert loaded is not None, "the head names a shard that is gone"
+            assert loaded is not None, "the head references a deleted shard"
             records.update(loaded.shard.records)
         live = {name: row for name, row in records.items() if row.body is not None}
         change_id = head.changes[-1].change_id
@@ -651,15 +650,15 @@
                         for other in self.started
                         if other.request.change_id == writer.request.change_id
                     ]
-                    # only another writer with the same id may have made it
+                    # only another writer with the same change id may have committed it
                     assert entry is None or len(others) > 1
 
 
 def test_no_interleaving_reverts_doubles_or_splits_a_change():
-    """The configuration depends on who asked when and on which answers were lost.
+    """Guards against outcomes that depend on timing or lost answers.
 
-    Several writers, each paused, crashed or left without an answer at any step, and
-    readers that learn from old heads and from each other.
+    Several writers are paused, crash or lose an answer at any step, while readers
+    learn from old heads and from each other.
     """
     run_state_machine_as_test(
         ChangesMachine,
@@ -668,7 +667,7 @@
             stateful_step_count=30,
             deadline=None,
             derandomize=True,
-            # without shrinking a failure is told within seconds
+            # without shrinking, a failure is reported within seconds
             phases=(Phase.explicit, Phase.generate),
             suppress_health_check=list(HealthCheck),
         ),
--- a/tests/test_core/test_config/test_gossip.py
+++ b/tests/test_core/test_config/test_gossip.py
@@ -1,3 +1,5 @@
+"""Propagation of a new generation over open connections."""
+
 import random
 
 import pytest
@@ -27,7 +29,7 @@
 
 @pytest.fixture(scope="module")
 def neighbours(members):
-    """Neighbours of each member, as the links are chosen."""
+    """Neighbours of each member in the overlay network."""
     found = {}
     for own in members:
         others = [
@@ -48,7 +50,7 @@
 
 
 def propagate(members, neighbours, start):
-    """Return who hears of a generation, if each that does tells its listeners."""
+    """Return the members that a generation reaches if each notifies its recipients."""
     source = random.Random(1)
     places = {member.instance_id: member.data_centre for member in members}
     reached, waiting = {start}, [start]
@@ -65,10 +67,10 @@
 
 
 def test_a_change_reaches_every_instance_over_open_links(members, neighbours):
-    """A change takes seconds to be in force, and instances are suspected meanwhile.
+    """Guards against changes that take seconds to activate and cause false suspicions.
 
-    Each instance that learns it tells members picked anew, to whom no link is open;
-    the handshakes of all of them keep all of them busy.
+    If each instance notified random members without an open connection, the
+    handshakes would keep all instances busy.
     """
     assert len(propagate(members, neighbours, "i-000")) == MEMBERS
 
@@ -76,9 +78,10 @@
 def test_a_change_reaches_every_instance_of_a_data_centre_that_is_cut_off(
     members, neighbours
 ):
-    """Some instances of a data centre never hear of a change.
+    """Guards against instances of a data centre that a change never reaches.
 
-    The data centre is cut off from the others, so that only links within it are left.
+    The data centre is partitioned from the others, so that only links within it
+    remain.
     """
     inside = [one for one in members if one.data_centre == "centre-3"]
     reached = propagate(inside, neighbours, inside[0].instance_id)
--- a/tests/test_core/test_config/test_ini.py
+++ b/tests/test_core/test_config/test_ini.py
@@ -1,4 +1,4 @@
-"""Objects written as INI and read back, and all that can be wrong with them."""
+"""Round trip of objects through INI text, and the errors in invalid text."""
 
 from __future__ import annotations
 
@@ -102,17 +102,17 @@
 @given(
     st.lists(st.one_of(services, workspaces, policies, pipelines()), unique_by=identify)
 )
-def test_canonical_text_reads_back_as_the_same_objects(objects):
+def test_canonical_text_parses_to_equal_objects(objects):
     read = parse_objects(format_objects(objects)).unwrap()
     assert order_objects(read) == order_objects(objects)
     assert format_objects(read) == format_objects(objects)
 
 
-def test_every_problem_is_named_with_its_place():
-    """An operator mends one error, sends the file again and learns of the next.
+def test_all_problems_are_reported_with_section_and_key():
+    """Guards against reporting one error per attempt.
 
-    The text has errors of syntax, of names, of values and of references between its
-    sections, several of each.
+    The text has several errors each of syntax, names, values and references between
+    sections.
     """
     text = """stray = 1
 [service:a]
@@ -167,10 +167,11 @@
     assert all(problem.file == "site.ini" for problem in problems)
 
 
-def test_errors_are_named_by_their_lines_in_the_text():
-    """An operator looks for an error at a line that has nothing to do with it.
+def test_errors_have_line_numbers_of_the_whole_text():
+    """Guards against wrong line numbers in errors.
 
-    A long text is read in parts, and each part counts its lines from one.
+    A long text is parsed in parts, and the parser counts the lines of each part from
+    one.
     """
     filler = "".join(f"[workspace:f{number}]\n" for number in range(100))
     text = f"{filler}[workspace:b]\nlabels = x=y\nnonsense\n[workspace:f1]\n"
@@ -185,7 +186,7 @@
     return {str(identify(item)): item for item in parse_objects(text).unwrap()}
 
 
-def test_references_are_checked_over_the_whole_configuration():
+def test_references_are_validated_over_the_whole_configuration():
     objects = index(TEXT)
     assert find_problems(objects, "") == []
     gone = dict(objects)
@@ -196,7 +197,7 @@
         "service",
         "stockdesk",
     )
-    # a fault that was there before keeps no one from changing something else
+    # an existing problem does not block unrelated changes
     more = gone | index("[workspace:new]\n")
     assert find_new_problems(gone, more, "f") == []
 
@@ -209,11 +210,11 @@
         ("to_services = stockdesk=1", "to_services", "stockdesk=1"),
     ],
 )
-def test_a_split_leads_only_to_what_can_serve_the_calls(policy, key, value):
-    """Calls of a generation stage reach a plain service, which can't answer them.
+def test_a_split_leads_only_to_services_of_the_same_kind(policy, key, value):
+    """Guards against calls of a generation stage to a plain service.
 
-    A split whose selector also picks services of another kind is accepted, and the
-    calls to these are split as well.
+    A split whose selector also matches services of another kind would redirect the
+    calls to these as well.
     """
     objects = index(TEXT)
     after = objects | index(f"[policy:s]\neffect = split\n{policy}\n")
--- a/tests/test_core/test_config/test_steering.py
+++ b/tests/test_core/test_config/test_policy_resolution.py
@@ -1,4 +1,4 @@
-"""Selectors, the order of policies, and what they say of one kind of work."""
+"""Selectors, the precedence of policies and the resolution of the effective policy."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         ("!name", False),
     ],
 )
-def test_selectors(text, matches):
+def test_selectors_match_names_and_labels(text, matches):
     assert parse_selector(text).unwrap().matches("lathe", LABELS) is matches
 
 
@@ -48,7 +48,7 @@
     "text",
     ["=", "a =", "a in", "a in b", "a in ()", "a in (b", "a, ,b", "a b", "!", "a=b c"],
 )
-def test_unsound_selectors(text):
+def test_invalid_selectors_are_rejected(text):
     assert parse_selector(text).is_err()
 
 
@@ -66,9 +66,9 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(policies, unique_by=lambda item: item.name), st.randoms())
 def test_the_order_of_policies_is_total(items, source):
-    """Two instances serve the same request with different priorities.
+    """Guards against different priorities of one request on two instances.
 
-    They hold the same policies, but in another order.
+    They hold the same policies in a different order.
     """
     ordered = order_policies(items)
     shuffled = list(items)
@@ -87,7 +87,7 @@
     )
 
 
-def test_the_first_policy_that_matches_wins_whole():
+def test_the_first_matching_policy_applies_as_a_whole():
     snapshot = build_snapshot("""
 [workspace:luzon]
 labels = tier=gold
@@ -123,18 +123,18 @@
     assert resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm") is effective
 
 
-def test_a_new_snapshot_has_answers_of_its_own():
-    """A change of a policy has no effect on workspaces that were asked for before.
+def test_a_new_snapshot_has_its_own_cached_results():
+    """Guards against stale cached results after a change of a policy.
 
-    Answers are remembered by the identity of a snapshot, which may be reused for a
-    later one as soon as the earlier is gone.
+    Results are cached by the ``id`` of a snapshot, which Python may reuse for a later
+    snapshot once the earlier one is freed.
     """
     for number in range(20):
         text = f"[policy:p]\neffect = priority\npriority = {number}\n"
         assert resolve_policy(build_snapshot(text), "w").priority == number
 
 
-def test_a_split_is_the_same_everywhere_and_follows_its_shares():
+def test_a_split_is_deterministic_and_follows_its_shares():
     snapshot = build_snapshot(
         "[policy:s]\neffect = split\nto_pipelines = a=90, b=10, c=0\n"
     )
--- a/tests/test_core/test_config/test_replica.py
+++ b/tests/test_core/test_config/test_replica.py
@@ -1,4 +1,4 @@
-"""What an instance holds of the configuration, whoever it hears from and when."""
+"""Replica of the configuration with stale, partial and corrupt sources."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from greengagelatch.peers.codec import PROTOCOL_VERSION, decode
 
 
-def build(head, number):
-    """Return the next head, which changes one workspace, with its new shard."""
+def build_generation(head, number):
+    """Return the next head, which changes one workspace, and its new shard."""
     body = encode_body(Workspace(name="a", labels={"v": str(number)}))
     change_id = f"c{number}"
     data = encode_shard({"workspace/a": Record(number, change_id, body)})
@@ -50,15 +50,15 @@
     built = []
     head = Head()
     for number in range(1, 6):
-        head, new_shards = build(head, number)
+        head, new_shards = build_generation(head, number)
         built.append((head, new_shards))
     return built
 
 
 def test_a_stale_watch_or_peer_reverts_nothing(generations):
-    """A change that was in force is gone on some instances.
+    """Guards against reverting an active change on some instances.
 
-    A watch or a peer answers late, with the generation before.
+    A watch or a peer answers late, with an earlier generation.
     """
     replica = Replica()
     assert replica.adopt(*generations[2])
@@ -68,10 +68,10 @@
     assert replica.snapshot.workspaces["a"].labels == {"v": "3"}
 
 
-def test_a_generation_without_all_its_shards_is_not_in_force(generations):
-    """Some objects of a change are in force and others are not.
+def test_a_generation_without_all_its_shards_is_not_activated(generations):
+    """Guards against activating a change partially.
 
-    The head was read, and the store goes away before its shards are.
+    The head has been read, but the store becomes unavailable before its shards are.
     """
     replica = Replica()
     replica.adopt(*generations[0])
@@ -79,10 +79,10 @@
     assert replica.snapshot.workspaces["a"].labels == {"v": "1"}
 
 
-def test_a_shard_that_is_not_what_the_head_names_is_not_read(generations):
-    """An instance serves objects that no operator has made.
+def test_a_shard_with_another_digest_is_rejected(generations):
+    """Guards against serving objects that are not part of the configuration.
 
-    A peer sends other bytes than those asked for.
+    A peer sends other bytes than the requested shard.
     """
     [(_, other)] = [generations[0]]
     [ref] = generations[1][1]
@@ -103,10 +103,10 @@
     assert encode_delta(last, 5) is None
 
 
-def test_a_delta_that_leads_elsewhere_is_refused(generations):
-    """Two instances hold different configurations under one generation.
+def test_a_delta_with_another_digest_is_rejected(generations):
+    """Guards against different configurations under the same generation.
 
-    What one of them has of the generation before is not what the sender had.
+    The receiver's earlier generation differs from the sender's.
     """
     first, last = generations[0][0], generations[4][0]
     frame = cbor2.loads(encode_delta(last, 1))
@@ -126,8 +126,8 @@
     ]
 
 
-def test_few_watch_and_few_are_told_however_large_the_fleet():
-    """The store is asked, and each instance told, more the larger the fleet is."""
+def test_watchers_and_recipients_do_not_grow_with_the_fleet():
+    """Guards against load on store and instances that grows with the fleet."""
     for count in (4, 40, 400):
         members = create_members(count)
         assert len(choose_watchers(members, "north")) == 2
@@ -137,16 +137,16 @@
     assert choose_watchers(create_members(4), "nowhere") == ()
 
 
-def test_hearsay_does_not_lower_what_an_instance_said():
-    """A change that is in force is shown as not in force somewhere.
+def test_a_relayed_generation_does_not_lower_a_reported_one():
+    """Guards against showing an active change as inactive on some instance.
 
-    What another instance heard earlier arrives later than the instance's own word.
+    A relayed older generation arrives after the instance's own newer report.
     """
     table = GenerationTable()
     table.record("a", "north", 5, 10.0)
     table.record_relayed("a", "north", 4, 10.2)
     assert table.find("a").generation == 5
-    # a new process of the same name has nothing yet, and says so itself
+    # a restarted process under the same id has no generation yet and reports that
     table.record("a", "north", 0, 11.0)
     assert table.find("a").generation == 0
 
@@ -161,8 +161,8 @@
         ("config-fetch", {"offset": None}),
     ],
 )
-def test_a_message_of_other_types_is_a_bad_frame(kind, body):
-    """One odd message ends the task that all learning depends on.
+def test_a_message_with_invalid_field_types_is_rejected(kind, body):
+    """Guards against one malformed message ending the task that receives generations.
 
     A peer sends a field of another type than this release expects.
     """
--- a/tests/test_core/test_settings.py
+++ b/tests/test_core/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: each wrong one gives one clear line."""
+"""Settings: each invalid one yields a one-line error message."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _write(**changes):
-    """Return INI text; names are given with ``__`` for the dot."""
+    """Return INI text; ``__`` in names stands for the dot."""
     values = dict(REQUIRED)
     for name, value in changes.items():
         values[name.replace("__", ".")] = value
@@ -56,7 +56,7 @@
         ("instance.id", "", "must not be empty"),
     ],
 )
-def test_wrong_setting_is_named_with_its_value(name, value, reason):
+def test_invalid_setting_is_reported_with_its_value(name, value, reason):
     error = parse(_write(**{name: value})).unwrap_err()
     line = str(error)
     assert line.startswith(f"setting {name} = {value!r}: ")
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(REQUIRED))
-def test_missing_required_setting(name):
+def test_missing_required_setting_is_reported(name):
     error = parse(_write(**{name: None})).unwrap_err()
     assert str(error) == f"setting {name} = '': is required"
 
@@ -74,23 +74,23 @@
     "text",
     ["id = 1", "[instance", "[instance]\nid = 1\nid = 2", "[a]\n[a]", "[instance]\nid"],
 )
-def test_text_that_is_no_ini_takes_one_line(text):
+def test_invalid_ini_syntax_yields_a_one_line_error(text):
     line = str(parse(text).unwrap_err())
     assert "\n" not in line
     assert line.startswith("setting ")
 
 
-def test_values_of_a_default_section_are_no_back_door():
-    """Symptom: a setting takes effect that no section of the file holds.
+def test_keys_of_the_default_section_are_rejected():
+    """Guards against unknown settings that take effect through [DEFAULT].
 
-    The file has a section [DEFAULT], which the INI parser adds to all others.
-    Cause: an unknown key from there was not told from one of a section.
+    The INI parser merges [DEFAULT] into all sections, so that a key from there also
+    appears in sections where it is no known setting.
     """
     error = parse(_write() + "\n[DEFAULT]\nseed = 3\n").unwrap_err()
     assert error.value == "3"
 
 
-def test_file_that_can_not_be_read(tmp_path):
+def test_unreadable_file_is_reported_with_its_path(tmp_path):
     path = str(tmp_path / "absent.ini")
     line = str(load(path).unwrap_err())
     assert path in line
