--- a/packages/greengagelatch/src/greengagelatch/config/head.py
+++ b/packages/greengagelatch/src/greengagelatch/config/head.py
@@ -181,10 +181,10 @@
 
 
 def _drop_expired(changes: tuple[ChangeEntry, ...], now: float) -> list[ChangeEntry]:
-    kept = list(changes)
-    while len(kept) >= MIN_CHANGES and now - kept[0].time > RETENTION_SECONDS:
-        del kept[0]
-    return kept
+    remaining = list(changes)
+    while len(remaining) >= MIN_CHANGES and now - remaining[0].time > RETENTION_SECONDS:
+        del remaining[0]
+    return remaining
 
 
 def _clear_previous(changes: list[ChangeEntry]) -> list[ShardRef]:
--- a/packages/greengagelatch/src/greengagelatch/settings/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/__init__.py
@@ -117,10 +117,10 @@
 def _convert(setting: Setting, text: str) -> Any:
     if setting.type is not bool:
         return setting.type(text)
-    word = text.lower()
-    if word in _TRUE:
+    lowered = text.lower()
+    if lowered in _TRUE:
         return True
-    if word in _FALSE:
+    if lowered in _FALSE:
         return False
     raise ValueError("must be yes or no")
 
--- a/tests/test_core/test_config/test_changes.py
+++ b/tests/test_core/test_config/test_changes.py
@@ -618,9 +618,9 @@
         for name in request.names:
             assert str(name) not in live
         if request.to_generation in self.history:
-            wanted = self.history[request.to_generation]
+            expected = self.history[request.to_generation]
             assert {key: row.body for key, row in live.items()} == {
-                key: body for key, (_, body) in wanted.items()
+                key: body for key, (_, body) in expected.items()
             }
 
     @invariant()
@@ -628,12 +628,12 @@
         for replica in self.replicas:
             if replica.generation == 0:
                 continue
-            wanted = self.history[replica.generation]
+            expected = self.history[replica.generation]
             found = {
                 f"workspace/{item.name}": dict(item.labels)
                 for item in replica.snapshot.workspaces.values()
             }
-            assert found == {key: row[1]["labels"] for key, row in wanted.items()}
+            assert found == {key: row[1]["labels"] for key, row in expected.items()}
 
     @invariant()
     def check_outcomes(self):
--- a/tests/test_core/test_config/test_ini.py
+++ b/tests/test_core/test_config/test_ini.py
@@ -189,17 +189,17 @@
 def test_references_are_validated_over_the_whole_configuration():
     objects = index(TEXT)
     assert find_problems(objects, "") == []
-    gone = dict(objects)
-    del gone["service/stockdesk"]
-    [problem] = find_new_problems(objects, gone, "f")
+    without_service = dict(objects)
+    del without_service["service/stockdesk"]
+    [problem] = find_new_problems(objects, without_service, "f")
     assert (problem.section, problem.key, problem.value) == (
         "stage:quote/hold",
         "service",
         "stockdesk",
     )
     # an existing problem does not block unrelated changes
-    more = gone | index("[workspace:new]\n")
-    assert find_new_problems(gone, more, "f") == []
+    extended = without_service | index("[workspace:new]\n")
+    assert find_new_problems(without_service, extended, "f") == []
 
 
 @pytest.mark.parametrize(
@@ -220,6 +220,6 @@
     after = objects | index(f"[policy:s]\neffect = split\n{policy}\n")
     [problem] = find_new_problems(objects, after, "")
     assert (problem.section, problem.key, problem.value) == ("policy:s", key, value)
-    kept = f"[policy:s]\neffect = split\nservices = name = stockdesk\n{policy}\n"
+    same_kind = f"[policy:s]\neffect = split\nservices = name = stockdesk\n{policy}\n"
     if "nowhere" not in policy:
-        assert find_new_problems(objects, objects | index(kept), "") == []
+        assert find_new_problems(objects, objects | index(same_kind), "") == []
