--- a/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/configuration/gossip.py
@@ -1,4 +1,4 @@
-"""What is told to peers of generations, and what is heard from them."""
+"""Gossip of configuration generations between entry instances."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from typing import TYPE_CHECKING
 
 from greengagelatch.config.gossip import (
-    Knowledge,
-    choose_listeners,
-    list_alive,
+    GenerationTable,
+    choose_recipients,
+    list_reachable,
 )
 from greengagelatch.config.messages import ConfigAdvert, ConfigQuery
 from greengagelatch.peers import MemberState
@@ -21,22 +21,24 @@
     from random import Random
 
     from greengagelatch.clock import Clock
-    from greengagelatch.config.messages import SeenRow
+    from greengagelatch.config.messages import GenerationRow
     from greengagelatch.config.replica import Replica
     from greengagelatch.peers import Member, PeerNetwork
 
-__all__ = ("Gossip",)
+__all__ = ("GenerationGossip",)
 
-#: members asked side by side, and at all, for the generation that they have
-MAX_ASKED_AT_ONCE = 32
-MAX_ASKED = 1024
+#: concurrent queries for the generation of members
+MAX_CONCURRENT_QUERIES = 32
 
+#: members queried at all in one round
+MAX_QUERIES = 1024
 
-class Gossip:
-    """Tells peers which generation is in force here and remembers what they tell.
 
-    :param fetch_timeout: seconds that a peer is given for one answer.
-    :param on_news: called when a peer may have a newer generation.
+class GenerationGossip:
+    """Advertises the active generation to peers and records their generations.
+
+    :param fetch_timeout: timeout in seconds of one query to a peer.
+    :param on_newer_generation: called when a peer may have a newer generation.
     """
 
     def __init__(
@@ -48,7 +50,7 @@
         random_source: Random,
         data_centre: str,
         fetch_timeout: float,
-        on_news: Callable[[], None],
+        on_newer_generation: Callable[[], None],
     ) -> None:
         self._replica = replica
         self._peers = peers
@@ -56,92 +58,92 @@
         self._random = random_source
         self._data_centre = data_centre
         self._fetch_timeout = fetch_timeout
-        self._on_news = on_news
-        self._knowledge = Knowledge()
+        self._on_newer_generation = on_newer_generation
+        self._generations = GenerationTable()
         peers.handle(ConfigAdvert, self._receive_advert)
         peers.handle(ConfigQuery, self._answer_query)
 
     def confirm_newest(self) -> None:
-        """Record that the store holds nothing newer than what is in force here."""
-        self._knowledge.confirm(self._replica.generation, self._clock.now())
+        """Record that the active generation is the newest in the store."""
+        self._generations.confirm(self._replica.generation, self._clock.now())
 
     def get_store_age(self) -> float | None:
-        """Return seconds since the generation here was surely the newest."""
+        """Return seconds since the active generation was confirmed as the newest."""
         now = self._clock.now()
-        return self._knowledge.get_store_age(self._replica.generation, now)
+        return self._generations.get_store_age(self._replica.generation, now)
 
     def find_generation(self, instance_id: str) -> int | None:
-        """Return the generation an instance is known to have; ``None``: unknown."""
+        """Return the last known generation of an instance; ``None``: unknown."""
         if instance_id == self._peers.instance_id:
             return self._replica.generation
-        sighting = self._knowledge.find(instance_id)
-        return None if sighting is None else sighting.generation
+        sample = self._generations.find(instance_id)
+        return None if sample is None else sample.generation
 
-    def list_others(self) -> list[Member]:
-        """Return the other instances that can be talked to."""
+    def list_reachable_peers(self) -> list[Member]:
+        """Return the other instances that are reachable."""
         own_id = self._peers.instance_id
-        alive = list_alive(self._peers.members())
+        alive = list_reachable(self._peers.members())
         return [member for member in alive if member.instance_id != own_id]
 
-    def list_ahead(self) -> list[str]:
-        """Return the instances that have a newer generation than this one."""
+    def list_newer_peers(self) -> list[str]:
+        """Return the ids of instances that have a newer generation than this one."""
         ahead = []
-        for member in self.list_others():
+        for member in self.list_reachable_peers():
             generation = self.find_generation(member.instance_id)
             if generation is not None and generation > self._replica.generation:
                 ahead.append(member.instance_id)
         return ahead
 
-    def tell_one(self) -> None:
-        """Tell one of the others, so that whatever was missed is heard at last."""
-        others = [member.instance_id for member in self.list_others()]
+    def advertise_to_random_peer(self) -> None:
+        """Send an advert to one random peer, so that lost adverts are made up for."""
+        others = [member.instance_id for member in self.list_reachable_peers()]
         for name in choose_peers(others, self._peers.neighbours(), 1, self._random):
             self._peers.send(name, self._create_advert())
 
-    def tell_listeners(self) -> None:
-        """Tell a few at once that a newer generation is in force here."""
-        listeners = choose_listeners(
+    def advertise_new_generation(self) -> None:
+        """Send an advert of a new generation to a few peers immediately."""
+        recipients = choose_recipients(
             self._peers.members(),
             self._peers.neighbours(),
             self._peers.instance_id,
             self._data_centre,
             self._random,
         )
-        # without what was heard of others: that many of them would be most of the cost
+        # without generations of others, which would make up most of the bytes
         advert = self._create_advert(rows=False)
-        for instance_id in listeners:
+        for instance_id in recipients:
             self._peers.send(instance_id, advert)
 
-    async def ask(self, members: Sequence[Member]) -> None:
-        """Ask members which generation they have in force, and take that in."""
-        slots = asyncio.Semaphore(MAX_ASKED_AT_ONCE)
+    async def query_members(self, members: Sequence[Member]) -> None:
+        """Query members for their generations and record the answers."""
+        slots = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-        async def ask(instance_id: str) -> None:
+        async def query_one(instance_id: str) -> None:
             async with slots:
                 answer = await self._peers.ask(
                     instance_id, ConfigQuery(), self._fetch_timeout
                 )
             advert = answer.ok()
             if isinstance(advert, ConfigAdvert):
-                self._take_in(instance_id, advert)
+                self._apply_advert(instance_id, advert)
 
         own_id = self._peers.instance_id
-        asked = [
+        queried = [
             member.instance_id
             for member in members
             if member.instance_id != own_id and member.state is not MemberState.DEAD
         ]
-        await asyncio.gather(*(ask(name) for name in asked[:MAX_ASKED]))
+        await asyncio.gather(*(query_one(name) for name in queried[:MAX_QUERIES]))
 
     def describe(self, member: Member) -> MemberGeneration:
-        """Return what is known of a member's generation."""
+        """Return the known state of a member's generation."""
         own = member.instance_id == self._peers.instance_id
-        sighting = self._knowledge.find(member.instance_id)
+        sample = self._generations.find(member.instance_id)
         age = None
         if own:
             age = 0.0
-        elif sighting is not None:
-            age = max(0.0, self._clock.now() - sighting.taken)
+        elif sample is not None:
+            age = max(0.0, self._clock.now() - sample.observed_at)
         return MemberGeneration(
             instance_id=member.instance_id,
             data_centre=self._data_centre if own else member.data_centre,
@@ -151,25 +153,27 @@
         )
 
     def _receive_advert(self, sender: str, advert: ConfigAdvert) -> None:
-        self._take_in(sender, advert)
+        self._apply_advert(sender, advert)
         if advert.generation < self._replica.generation:
-            # it will fetch what it has missed
+            # the sender then fetches the newer generation
             self._peers.send(sender, self._create_advert())
 
     def _answer_query(self, sender: str, query: ConfigQuery) -> ConfigAdvert:
         return self._create_advert()
 
-    def _take_in(self, sender: str, advert: ConfigAdvert) -> None:
+    def _apply_advert(self, sender: str, advert: ConfigAdvert) -> None:
         now = self._clock.now()
         for instance_id, data_centre, generation, age in advert.seen:
-            taken = now - age
-            self._knowledge.note_hearsay(instance_id, data_centre, generation, taken)
-        self._knowledge.note(sender, advert.data_centre, advert.generation, now)
+            observed_at = now - age
+            self._generations.record_relayed(
+                instance_id, data_centre, generation, observed_at
+            )
+        self._generations.record(sender, advert.data_centre, advert.generation, now)
         if advert.store_age >= 0:
-            taken = now - advert.store_age
-            self._knowledge.confirm(advert.generation, taken)
-        if self.list_ahead():
-            self._on_news()
+            observed_at = now - advert.store_age
+            self._generations.confirm(advert.generation, observed_at)
+        if self.list_newer_peers():
+            self._on_newer_generation()
 
     def _create_advert(self, *, rows: bool = True) -> ConfigAdvert:
         age = self.get_store_age()
@@ -177,9 +181,9 @@
             generation=self._replica.generation,
             data_centre=self._data_centre,
             store_age=-1.0 if age is None else age,
-            seen=self._pick_rows() if rows else (),
+            seen=self._sample_rows() if rows else (),
         )
 
-    def _pick_rows(self) -> tuple[SeenRow, ...]:
-        alive = frozenset(member.instance_id for member in self.list_others())
-        return self._knowledge.pick_rows(self._clock.now(), alive, self._random)
+    def _sample_rows(self) -> tuple[GenerationRow, ...]:
+        alive = frozenset(member.instance_id for member in self.list_reachable_peers())
+        return self._generations.sample_rows(self._clock.now(), alive, self._random)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -15,9 +15,9 @@
 from greengagelatch.membership.backoff import compute_backoff
 
 from ..configuration.driver import ChangeDriver
-from ..configuration.gossip import Gossip
+from ..configuration.gossip import GenerationGossip
 from ..configuration.learner import Learner
-from ..configuration.report import MemberGeneration, Sought
+from ..configuration.report import ChangeLookup, MemberGeneration
 from ..configuration.serving import ConfigServer
 from ..configuration.shards import ShardReader
 from . import Controller
@@ -119,14 +119,14 @@
             get_generation=lambda: self._replica.generation,
             on_settled=self._learner.adopt,
         )
-        self._gossip = Gossip(
+        self._gossip = GenerationGossip(
             replica=self._replica,
             peers=peers,
             clock=clock,
             random_source=random_source,
             data_centre=data_centre,
             fetch_timeout=settings["configuration.fetch_timeout"],
-            on_news=self._fetch_wanted.set,
+            on_newer_generation=self._fetch_wanted.set,
         )
         ConfigServer(replica=self._replica, peers=peers, metrics=metrics)
         events.declare(CONFIGURATION_CHANGED)
@@ -174,22 +174,22 @@
         """Make a change and return what became of it."""
         return await self._driver.change(request)
 
-    async def find_change(self, change_id: str) -> Result[Sought, StoreError]:
+    async def find_change(self, change_id: str) -> Result[ChangeLookup, StoreError]:
         """Look for a change: here first, then in the store's newest head."""
         head = self._replica.head
         entry = find_change(head, change_id)
         if entry is not None:
-            return Ok(Sought(head, entry))
+            return Ok(ChangeLookup(head, entry))
         answer = await self._read_head()
         if answer.is_err():
             return Err(answer.err_value)
         if answer.ok_value is None:
-            return Ok(Sought(head, None))
+            return Ok(ChangeLookup(head, None))
         decoded = decode_head(answer.ok_value.value)
         if decoded.is_err():
-            return Ok(Sought(head, None))
+            return Ok(ChangeLookup(head, None))
         newest = decoded.ok_value
-        return Ok(Sought(newest, find_change(newest, change_id)))
+        return Ok(ChangeLookup(newest, find_change(newest, change_id)))
 
     async def list_generations(
         self, *, ask: bool = False
@@ -200,7 +200,7 @@
         """
         members = self._peers.members()
         if ask:
-            await self._gossip.ask(members)
+            await self._gossip.query_members(members)
         return tuple(self._gossip.describe(member) for member in members)
 
     def dump(self) -> dict[str, Any]:
@@ -260,7 +260,7 @@
         async with self._learning:
             if not self.ready:
                 await self._wait_for_peers()
-            learnt = await self._learner.learn_entry(entry)
+            learnt = await self._learner.adopt_entry(entry)
         if not learnt:
             return False
         # only now: a head whose shards could not be read is to be seen again
@@ -304,15 +304,15 @@
         end = self._clock.now() + PEERS_FIRST
         asked = False
         while not self.ready and self._clock.now() < end:
-            if not asked and self._gossip.list_others():
+            if not asked and self._gossip.list_reachable_peers():
                 asked = True
                 await self._ask_some()
             await self.sleep(START_TICK)
 
     async def _ask_some(self) -> None:
-        others = self._gossip.list_others()
+        others = self._gossip.list_reachable_peers()
         count = min(START_PEERS, len(others))
-        await self._gossip.ask(self._random.sample(others, count))
+        await self._gossip.query_members(self._random.sample(others, count))
 
     def _is_watcher(self) -> bool:
         watchers = choose_watchers(self._peers.members(), self._data_centre)
@@ -336,8 +336,8 @@
             share = self._random.uniform(0.5, 1.5)
             await self.sleep(self._gossip_interval * share)
             self._metrics.gauge("configuration.generation", self._replica.generation)
-            self._gossip.tell_one()
-            fleet = 1 + len(self._gossip.list_others())
+            self._gossip.advertise_to_random_peer()
+            fleet = 1 + len(self._gossip.list_reachable_peers())
             if self._is_stale() and self._random.random() * fleet < 1:
                 # each looks seldom, so that the fleet as a whole asks no more often
                 # the larger it is
@@ -349,12 +349,12 @@
         failures = 0
         while not self.should_stop:
             await self.wait(self._fetch_wanted)
-            candidates = self._gossip.list_ahead()
+            candidates = self._gossip.list_newer_peers()
             if not candidates:
                 self._fetch_wanted.clear()
                 failures = 0
                 continue
-            if await self._learner.learn_from_peer(self._random.choice(candidates)):
+            if await self._learner.adopt_from_peer(self._random.choice(candidates)):
                 failures = 0
                 continue
             failures += 1
@@ -370,4 +370,4 @@
         self._metrics.gauge("configuration.generation", generation)
         self._metrics.count("configuration.adopted")
         self._events.emit(CONFIGURATION_CHANGED, self._replica.snapshot)
-        self._gossip.tell_listeners()
+        self._gossip.advertise_new_generation()
--- a/packages/greengagelatch/src/greengagelatch/config/changes.py
+++ b/packages/greengagelatch/src/greengagelatch/config/changes.py
@@ -1,16 +1,17 @@
-"""How a change is made: which store call comes next, given the answers so far.
+"""Commit protocol of a configuration change, as a generator of store operations.
 
-The process is a generator: it yields the next step and is sent the answer to it. It
-has no socket and no clock, so that tests can lose any answer at any step.
+The generator yields the next step and is sent its result. It does no I/O and reads no
+clock, so that tests can lose any result at any step.
 
-What is known of a change at each moment:
+The protocol:
 
-- shards are written under keys of their own, which nothing names yet;
-- one compare-and-swap of the head then puts the change in force;
-- a swap without an answer may take effect at any later moment, as long as the head
-  is still at the revision it expects. So the change is not given up as "not applied"
-  while the head stands still: the swap is made again, of which at most one takes
-  effect, or the head has moved on and then names the change or never will.
+- the new shards are written under unique keys that no head references yet;
+- a single compare-and-swap of the head then commits the change;
+- a swap without an answer may still take effect as long as the head is at the
+  revision that the swap expects. The change is therefore not reported as "not
+  applied" while the head is unchanged. The swap is retried, and at most one of the
+  attempts takes effect; once the head has moved on, it either lists the change or
+  never will.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
     EMPTY_HEAD,
     Head,
     ShardRef,
-    advance,
+    append_change,
     decode_head,
     encode_head,
     find_change,
@@ -35,7 +36,7 @@
     list_refs,
 )
 from .names import ConfigObject
-from .plan import Plan, build_plan, describe, group_records
+from .plan import Plan, build_plan, group_records, list_differences
 from .records import (
     MAX_SHARD_BYTES,
     Record,
@@ -75,17 +76,17 @@
     "run_change",
 )
 
-#: times that the head is read for one change
-MAX_ROUNDS = 24
+#: attempts at one change; each of them reads the head
+MAX_ATTEMPTS = 24
 
-#: times that one shard is written, the first one included
-MAX_SHARD_WRITES = 3
+#: attempts to write one shard, the first one included
+MAX_WRITE_ATTEMPTS = 3
 
-#: shards deleted alongside one change, so that garbage shrinks and a change is quick
+#: unreferenced shards deleted during one change; bounds the time this adds to it
 MAX_DELETES = 8
 
-#: longest pause in seconds after losing a swap to another writer
-MAX_PAUSE = 0.2
+#: longest back-off in seconds after another writer's swap has won
+MAX_BACKOFF_SECONDS = 0.2
 
 SALT_BITS = 64
 
@@ -98,132 +99,148 @@
     *,
     wall: Callable[[], float],
     random_source: random.Random,
-    known: int = 0,
+    min_generation: int = 0,
 ) -> Process:
-    """Make a change; the generator's value is what became of it.
+    """Commit a change; the generator returns its outcome.
 
-    :param wall: seconds since the Unix epoch, for the record of the change.
-    :param known: generation in force at this instance. On top of a lower one no
-        change is made: instances don't go back, so it would be accepted and never
-        be in force.
+    :param wall: returns seconds since the Unix epoch, for the change's log entry.
+    :param min_generation: generation that is active at this instance. No change is
+        made on top of a lower one: instances never move to a lower generation, so the
+        change would be committed and never become active.
     """
-    return _Change(request, wall, random_source, known).run()
+    return _Change(request, wall, random_source, min_generation).run()
 
 
 class _Change:
-    """One change under way."""
+    """State of one change in progress."""
 
     def __init__(
         self,
         request: ChangeRequest,
         wall: Callable[[], float],
         random_source: random.Random,
-        known: int,
+        min_generation: int,
     ) -> None:
         self._request = request
-        self._known = known
+        self._min_generation = min_generation
         self._wall = wall
         self._random = random_source
         self._base = request.base
-        #: highest revision expected by a swap without an answer; ``None``: no such
-        self._unanswered: int | None = None
-        #: objects changed by the swap that was made last
+        #: highest revision expected by a swap without an answer; ``None``: no such swap
+        self._unanswered_revision: int | None = None
+        #: objects changed by the latest swap
         self._changed: tuple[str, ...] = ()
-        #: shards written for the swap that is next
-        self._written: list[ShardRef] = []
-        #: shards written for swaps that have no answer
-        self._in_doubt: list[ShardRef] = []
+        #: shards written for the next swap
+        self._new_refs: list[ShardRef] = []
+        #: shards written for swaps without an answer
+        self._unconfirmed_refs: list[ShardRef] = []
 
     def run(self) -> Process:
         reason = ""
-        for _ in range(MAX_ROUNDS):
+        for _ in range(MAX_ATTEMPTS):
             reading = yield ReadHead()
             if reading.is_err():
-                return self._give_up(f"store: {reading.err_value.message}")
-            revision, decoded = _open_head(reading.ok_value)
+                return self._fail(f"store: {reading.err_value.message}")
+            revision, decoded = _decode_entry(reading.ok_value)
             if decoded.is_err():
-                return self._give_up(decoded.err_value)
+                return self._fail(decoded.err_value)
             head = decoded.ok_value
-            if head.generation < self._known:
-                # a slow read, or a store that was put back to a time long past
-                reason = f"the store shows generation {head.generation}"
-                yield Pause(self._random.uniform(0, MAX_PAUSE))
+            if head.generation < self._min_generation:
+                # a stale read, or a store that was restored from an old backup
+                reason = (
+                    f"the store shows generation {head.generation}, lower than"
+                    f" generation {self._min_generation} that is active here"
+                )
+                yield Pause(self._random.uniform(0, MAX_BACKOFF_SECONDS))
                 continue
-            if self._unanswered is not None and revision > self._unanswered:
-                # whatever has no answer has taken effect by now or never will
-                yield from self._withdraw(self._in_doubt, head)
-            found = self._find_self(head)
+            if (
+                self._unanswered_revision is not None
+                and revision > self._unanswered_revision
+            ):
+                # the head has moved on: a swap without an answer has either taken
+                # effect by now or never will
+                yield from self._delete_unreferenced(self._unconfirmed_refs, head)
+            found = self._find_own_entry(head)
             if found is not None:
                 return found
-            if self._unanswered is not None and revision > self._unanswered:
-                self._unanswered = None
+            if (
+                self._unanswered_revision is not None
+                and revision > self._unanswered_revision
+            ):
+                self._unanswered_revision = None
             if self._base is None:
                 self._base = head.generation
-            outcome = yield from self._try(head, revision)
+            outcome = yield from self._attempt(head, revision)
             if outcome is not None:
                 return outcome
-            reason = "too many other changes at the same time"
-            yield Pause(self._random.uniform(0, MAX_PAUSE))
-        return self._give_up(reason)
+            reason = "too many concurrent changes"
+            yield Pause(self._random.uniform(0, MAX_BACKOFF_SECONDS))
+        return self._fail(reason)
 
-    def _find_self(self, head: Head) -> ChangeOutcome | None:
+    def _find_own_entry(self, head: Head) -> ChangeOutcome | None:
         entry = find_change(head, self._request.change_id)
         if entry is None:
             return None
         if entry.digest != self._request.digest:
             return Refused(
                 code=RefusedCode.CHANGE_ID_REUSED,
-                message=f"generation {entry.generation} has this id",
+                message=(
+                    f"change id {self._request.change_id!r} is already used by"
+                    f" generation {entry.generation}"
+                ),
             )
-        mine = self._unanswered is not None
+        own = self._unanswered_revision is not None
         return Settled(
             generation=entry.generation,
-            repeated=not mine,
-            changed=self._changed if mine else (),
+            repeated=not own,
+            changed=self._changed if own else (),
             head=head,
         )
 
-    def _give_up(self, message: str) -> ChangeOutcome:
-        if self._unanswered is not None:
+    def _fail(self, message: str) -> ChangeOutcome:
+        if self._unanswered_revision is not None:
             return Unsettled(message=message, base=self._base)
         return NotApplied(message=message, base=self._base)
 
-    def _try(
+    def _attempt(
         self, head: Head, revision: int
     ) -> Generator[Step, Any, ChangeOutcome | None]:
-        """Make the change on top of ``head``; ``None`` to read the head again."""
+        """Commit the change on top of ``head``; return ``None`` to retry."""
         request = self._request
-        target_refs: Mapping[int, ShardRef] = {}
+        rollback_refs: Mapping[int, ShardRef] = {}
         if request.mode is ChangeMode.ROLLBACK:
-            found = _find_target(head, request.to_generation)
+            found = _find_rollback_refs(head, request.to_generation)
             if isinstance(found, Refused):
                 return found
-            target_refs = found
-        refs = tuple({*head.shards.values(), *target_refs.values()})
+            rollback_refs = found
+        refs = tuple({*head.shards.values(), *rollback_refs.values()})
         reading = yield ReadShards(refs)
         if reading.is_err():
-            return self._give_up(f"store: {reading.err_value.message}")
+            return self._fail(f"store: {reading.err_value.message}")
         shards = reading.ok_value
         if len(shards) < len(refs):
-            # the head has moved on and its old shards are being deleted
+            # another change has replaced the head, and its old shards are deleted
             return None
-        records = _merge(shards, head.shards)
+        records = _merge_records(shards, head.shards)
         planned = build_plan(
             request,
             records,
             _merge_objects(shards, head.shards),
-            _merge(shards, target_refs),
+            _merge_records(shards, rollback_refs),
             base=self._base or 0,
             generation=head.generation,
         )
         if planned.is_err():
-            # with a swap unanswered, a check against the old head proves nothing
-            if self._unanswered is not None:
-                return self._give_up("a write has no answer yet")
+            # while a swap has no answer, a conflict with the old head is not final:
+            # the swap may still take effect
+            if self._unanswered_revision is not None:
+                return self._fail("a write to the store has not been answered yet")
             return planned.err_value
         plan = planned.ok_value
         if request.dry_run:
-            return Checked(generation=head.generation, changed=describe(plan, records))
+            return Checked(
+                generation=head.generation, changed=list_differences(plan, records)
+            )
         return (yield from self._write(head, revision, plan, records))
 
     def _write(
@@ -236,19 +253,19 @@
             generation=head.generation + 1,
             oldest=head.changes[0].generation if head.changes else 0,
         )
-        fresh = {}
+        new_shards = {}
         for bucket, content in buckets.items():
             data = encode_shard(content)
             if len(data) > MAX_SHARD_BYTES:
-                return self._refuse_size(len(data))
+                return self._reject_size(len(data))
             salt = self._random.getrandbits(SALT_BITS)
-            fresh[bucket] = (ShardRef(compute_digest(data), salt), data)
-        written = yield from self._write_shards(fresh)
+            new_shards[bucket] = (ShardRef(compute_digest(data), salt), data)
+        written = yield from self._write_shards(new_shards)
         if written.is_err():
-            yield from self._withdraw(self._written, head)
-            return self._give_up(written.err_value)
+            yield from self._delete_unreferenced(self._new_refs, head)
+            return self._fail(written.err_value)
         deleted = yield from self._delete_garbage(head)
-        advanced = advance(
+        advanced = append_change(
             head,
             change_id=self._request.change_id,
             digest=self._request.digest,
@@ -257,8 +274,8 @@
             deleted=deleted,
         )
         if advanced.is_err():
-            yield from self._withdraw(self._written, head)
-            return self._give_up(advanced.err_value)
+            yield from self._delete_unreferenced(self._new_refs, head)
+            return self._fail(advanced.err_value)
         return (yield from self._swap(advanced.ok_value, revision, plan.changed))
 
     def _swap(
@@ -269,35 +286,38 @@
         if result.outcome is WriteOutcome.APPLIED:
             return Settled(generation=head.generation, changed=changed, head=head)
         if result.outcome is WriteOutcome.UNKNOWN:
-            self._unanswered = revision
-            self._in_doubt.extend(self._written)
+            self._unanswered_revision = revision
+            self._unconfirmed_refs.extend(self._new_refs)
             return None
-        yield from self._withdraw(self._written, EMPTY_HEAD)
+        yield from self._delete_unreferenced(self._new_refs, EMPTY_HEAD)
         if result.outcome is WriteOutcome.CONFLICT:
             return None
-        return self._give_up(f"store: {result.message}")
+        return self._fail(f"store: {result.message}")
 
     def _write_shards(
-        self, fresh: Mapping[int, tuple[ShardRef, bytes]]
+        self, new_shards: Mapping[int, tuple[ShardRef, bytes]]
     ) -> Generator[Step, Any, Result[Mapping[int, ShardRef], str]]:
-        """Write all shards; the references then hold their revisions."""
-        left = dict(fresh)
-        self._written = []
+        """Write all shards and return their references with revisions."""
+        pending = dict(new_shards)
+        self._new_refs = []
         written: dict[int, ShardRef] = {}
-        for _ in range(MAX_SHARD_WRITES):
-            if not left:
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if not pending:
                 break
-            results = yield WriteShards(tuple(left.values()))
-            for bucket, result in zip(tuple(left), results, strict=True):
-                # nobody else writes these keys: a conflict is an earlier write of
-                # this one whose answer was lost
+            results = yield WriteShards(tuple(pending.values()))
+            for bucket, result in zip(tuple(pending), results, strict=True):
+                # the keys are unique to this change: a conflict means that an earlier
+                # attempt was written and its answer was lost
                 if result.outcome in (WriteOutcome.APPLIED, WriteOutcome.CONFLICT):
-                    ref, _ = left.pop(bucket)
+                    ref, _ = pending.pop(bucket)
                     ref = ShardRef(ref.digest, ref.salt, result.revision)
                     written[bucket] = ref
-                    self._written.append(ref)
-        if left:
-            return Err("store: shards could not be written")
+                    self._new_refs.append(ref)
+        if pending:
+            return Err(
+                f"store: {len(pending)} of {len(new_shards)} shards could not be"
+                f" written in {MAX_WRITE_ATTEMPTS} attempts"
+            )
         return Ok(written)
 
     def _delete_garbage(self, head: Head) -> Generator[Step, Any, frozenset[ShardRef]]:
@@ -305,18 +325,20 @@
         if not refs:
             return frozenset()
         results = yield DeleteShards(refs)
-        gone = (WriteOutcome.APPLIED, WriteOutcome.CONFLICT)
+        absent = (WriteOutcome.APPLIED, WriteOutcome.CONFLICT)
         return frozenset(
             ref
             for ref, result in zip(refs, results, strict=True)
-            if result.outcome in gone
+            if result.outcome in absent
         )
 
-    def _withdraw(self, refs: list[ShardRef], head: Head) -> Generator[Step, Any, None]:
-        """Delete shards written for swaps that are over, but for those in ``head``.
+    def _delete_unreferenced(
+        self, refs: list[ShardRef], head: Head
+    ) -> Generator[Step, Any, None]:
+        """Delete shards of finished swaps that ``head`` does not reference.
 
-        A shard left behind by a writer that died is never named by any head: it
-        costs room and nothing else.
+        A shard left by a writer that crashed is never referenced by any head: it
+        takes up space and has no other effect.
         """
         named = list_refs(head)
         unused = tuple(ref for ref in refs if ref not in named)
@@ -324,32 +346,36 @@
         if unused:
             yield DeleteShards(unused)
 
-    def _refuse_size(self, size: int) -> ChangeOutcome:
-        message = f"a shard would be {size} bytes large, allowed: {MAX_SHARD_BYTES}"
-        if self._unanswered is not None:
-            return self._give_up(message)
+    def _reject_size(self, size: int) -> ChangeOutcome:
+        message = f"a shard would have {size} bytes; the limit is {MAX_SHARD_BYTES}"
+        if self._unanswered_revision is not None:
+            return self._fail(message)
         return Refused(code=RefusedCode.INVALID, message=message)
 
 
-def _open_head(entry: Entry | None) -> tuple[int, Result[Head, str]]:
+def _decode_entry(entry: Entry | None) -> tuple[int, Result[Head, str]]:
     if entry is None:
         return ABSENT, Ok(EMPTY_HEAD)
     return entry.revision, decode_head(entry.value)
 
 
-def _find_target(head: Head, generation: int) -> Mapping[int, ShardRef] | Refused:
+def _find_rollback_refs(
+    head: Head, generation: int
+) -> Mapping[int, ShardRef] | Refused:
     shards = find_shards_at(head, generation) if generation > 0 else None
     if shards is not None:
         return shards
     oldest = max(1, get_oldest_generation(head))
     return Refused(
         code=RefusedCode.UNKNOWN_GENERATION,
-        message=f"generation {generation} is not kept",
+        message=(
+            f"generation {generation} is no longer stored; the oldest is {oldest}"
+        ),
         oldest=oldest,
     )
 
 
-def _merge(
+def _merge_records(
     shards: Mapping[ShardRef, Shard], refs: Mapping[int, ShardRef]
 ) -> Mapping[str, Record]:
     records: dict[str, Record] = {}
--- a/packages/greengagelatch/src/greengagelatch/config/effects.py
+++ b/packages/greengagelatch/src/greengagelatch/config/effects.py
@@ -1,4 +1,4 @@
-"""Effects of policies and their typed parameters."""
+"""Effects of policies and the parsing of their parameters."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from result import Err, Ok, Result
 
 from .objects import Policy, PolicyEffect
-from .values import (
-    build_number_reader,
-    read_name,
-    read_names,
-    read_positive,
-    read_share,
-    read_shares,
-    read_weight,
+from .value_parsers import (
+    build_number_parser,
+    parse_name,
+    parse_names,
+    parse_positive,
+    parse_share,
+    parse_shares,
+    parse_weight,
 )
 
 __all__ = (
-    "EFFECT_PARAMETERS",
-    "EffectFault",
+    "PARAMETER_PARSERS",
     "EffectValue",
+    "ParameterError",
     "Placement",
     "Priority",
     "Quota",
-    "Split",
+    "TrafficSplit",
     "Weights",
-    "read_effect",
+    "parse_effect",
 )
 
-#: priorities lie between the negative of this and this
+#: largest absolute value of a priority
 MAX_PRIORITY = 100
 
 
 @dataclass(frozen=True, slots=True)
 class Priority:
-    """Order of service; higher is served first."""
+    """Scheduling priority; higher is served first."""
 
     priority: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Quota:
-    """What each matched workspace may use, over all instances together."""
+    """Limits for each matching workspace, over all instances together."""
 
-    #: name of the policy; use is counted for each workspace and policy
+    #: name of the policy; usage is counted for each pair of workspace and policy
     policy: str
     requests_per_second: float | None = None
     tokens_per_second: float | None = None
-    #: seconds' worth of the rates that may be used at once
+    #: size of a burst, in seconds at the configured rates
     burst_seconds: float = 1.0
     #: share of the concurrency of the targets, above 0 and at most 1
     concurrency_share: float | None = None
@@ -60,24 +60,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """What counts more, attainment or cost by stage; the two add up to 1."""
+    """Relative weights of deadline attainment and of cost; they add up to 1."""
 
     attainment: float = 0.5
     cost: float = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Split:
-    """Traffic divided among names by whole shares, as written by the operator."""
+class TrafficSplit:
+    """Weighted traffic split among names; the weights are whole numbers."""
 
     policy: str
     shares: tuple[tuple[str, int], ...]
 
     def pick(self, request_id: str) -> str:
-        """Return the name for a request: the same on every instance and attempt.
+        """Return the name for a request, the same on every instance and attempt.
 
-        The policy's name is part of what is hashed, so that two splits of the same
-        traffic are independent of each other.
+        The policy's name is part of the hash input, so that two splits of the same
+        traffic are statistically independent.
         """
         total = sum(share for _, share in self.shares)
         text = f"{self.policy}\n{request_id}"
@@ -86,94 +86,94 @@
             if point < share:
                 return name
             point -= share
-        raise AssertionError("shares add up to their total")
+        raise AssertionError(f"no share of policy {self.policy!r} was chosen")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Placement:
-    """Where work should run, and what the engines there should hold."""
+    """Where work runs, and which models and adapters the engines there load."""
 
-    #: preferred first; others are used when none of these can serve
+    #: in order of preference; others are used when none of these can serve
     data_centres: tuple[str, ...] = ()
     models: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
-    #: wanted role of the engines; empty: any
+    #: role of the engines; empty: any
     role: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Splits:
-    """The divisions that one policy asks for."""
+class PolicySplits:
+    """The traffic splits of one policy."""
 
-    pipelines: Split | None = None
-    services: Split | None = None
+    pipelines: TrafficSplit | None = None
+    services: TrafficSplit | None = None
 
 
-EffectValue = Placement | Priority | Quota | Splits | Weights
+EffectValue = Placement | Priority | Quota | PolicySplits | Weights
 
 
 @dataclass(frozen=True, slots=True)
-class EffectFault:
-    """A parameter that can't be used; ``key`` is empty if one is missing."""
+class ParameterError:
+    """An invalid parameter of a policy."""
 
     key: str
     value: str
     reason: str
 
 
-_read_priority = build_number_reader(-MAX_PRIORITY, MAX_PRIORITY)
+_parse_priority = build_number_parser(-MAX_PRIORITY, MAX_PRIORITY)
 
-#: parameters of each effect, with what reads them; all are optional, but a policy
-#: must have at least one
-EFFECT_PARAMETERS: Mapping[PolicyEffect, Mapping[str, Callable[[str], Any]]] = {
-    PolicyEffect.SPLIT: {"to_pipelines": read_shares, "to_services": read_shares},
+#: parsers of each effect's parameters; all parameters are optional, but a policy must
+#: have at least one
+PARAMETER_PARSERS: Mapping[PolicyEffect, Mapping[str, Callable[[str], Any]]] = {
+    PolicyEffect.SPLIT: {"to_pipelines": parse_shares, "to_services": parse_shares},
     PolicyEffect.PRIORITY: {
-        "priority": build_number_reader(-MAX_PRIORITY, MAX_PRIORITY)
+        "priority": build_number_parser(-MAX_PRIORITY, MAX_PRIORITY)
     },
     PolicyEffect.QUOTA: {
-        "requests_per_second": read_positive,
-        "tokens_per_second": read_positive,
-        "burst_seconds": read_positive,
-        "concurrency_share": read_share,
+        "requests_per_second": parse_positive,
+        "tokens_per_second": parse_positive,
+        "burst_seconds": parse_positive,
+        "concurrency_share": parse_share,
     },
     PolicyEffect.PLACEMENT: {
-        "data_centres": read_names,
-        "models": read_names,
-        "adapters": read_names,
-        "role": read_name,
+        "data_centres": parse_names,
+        "models": parse_names,
+        "adapters": parse_names,
+        "role": parse_name,
     },
-    PolicyEffect.WEIGHTS: {"attainment": read_weight, "cost": read_weight},
+    PolicyEffect.WEIGHTS: {"attainment": parse_weight, "cost": parse_weight},
 }
 
 
-def read_effect(policy: Policy) -> Result[EffectValue, tuple[EffectFault, ...]]:
-    """Return the typed parameters of a policy, or all that is wrong with them."""
-    readers = EFFECT_PARAMETERS[policy.effect]
+def parse_effect(policy: Policy) -> Result[EffectValue, tuple[ParameterError, ...]]:
+    """Parse the parameters of a policy, or return all errors in them."""
+    parsers = PARAMETER_PARSERS[policy.effect]
     values: dict[str, Any] = {}
-    faults = []
+    errors = []
     for key, text in policy.values.items():
-        reader = readers.get(key)
-        if reader is None:
-            known = ", ".join(readers)
-            reason = f"is no parameter of {policy.effect.value}; known: {known}"
-            faults.append(EffectFault(key, text, reason))
+        parser = parsers.get(key)
+        if parser is None:
+            known = ", ".join(parsers)
+            reason = f"unknown parameter of {policy.effect.value}; known: {known}"
+            errors.append(ParameterError(key, text, reason))
             continue
         try:
-            values[key] = reader(text)
+            values[key] = parser(text)
         except ValueError as error:
-            faults.append(EffectFault(key, text, str(error)))
-    if faults:
-        return Err(tuple(faults))
+            errors.append(ParameterError(key, text, str(error)))
+    if errors:
+        return Err(tuple(errors))
     return _build(policy, values)
 
 
 def _build(
     policy: Policy, values: dict[str, Any]
-) -> Result[EffectValue, tuple[EffectFault, ...]]:
-    needed = set(EFFECT_PARAMETERS[policy.effect]) - {"burst_seconds"}
+) -> Result[EffectValue, tuple[ParameterError, ...]]:
+    needed = set(PARAMETER_PARSERS[policy.effect]) - {"burst_seconds"}
     if not needed & set(values):
         reason = f"needs at least one of {', '.join(sorted(needed))}"
-        return Err((EffectFault("effect", policy.effect.value, reason),))
+        return Err((ParameterError("effect", policy.effect.value, reason),))
     match policy.effect:
         case PolicyEffect.PRIORITY:
             return Ok(Priority(values["priority"]))
@@ -183,7 +183,7 @@
             return Ok(Placement(**values))
         case PolicyEffect.SPLIT:
             return Ok(
-                Splits(
+                PolicySplits(
                     pipelines=_build_split(policy, values.get("to_pipelines")),
                     services=_build_split(policy, values.get("to_services")),
                 )
@@ -194,19 +194,19 @@
 
 def _build_split(
     policy: Policy, shares: tuple[tuple[str, int], ...] | None
-) -> Split | None:
+) -> TrafficSplit | None:
     if shares is None:
         return None
-    return Split(policy.name, shares)
+    return TrafficSplit(policy.name, shares)
 
 
 def _build_weights(
     values: dict[str, float],
-) -> Result[EffectValue, tuple[EffectFault, ...]]:
+) -> Result[EffectValue, tuple[ParameterError, ...]]:
     attainment = values.get("attainment", 0.0)
     cost = values.get("cost", 0.0)
     total = attainment + cost
     if not (total > 0 and math.isfinite(total)):
         reason = "attainment and cost must not both be 0"
-        return Err((EffectFault("attainment", str(attainment), reason),))
+        return Err((ParameterError("attainment", str(attainment), reason),))
     return Ok(Weights(attainment / total, cost / total))
--- a/packages/greengagelatch/src/greengagelatch/config/ini.py
+++ b/packages/greengagelatch/src/greengagelatch/config/ini.py
@@ -1,8 +1,8 @@
-"""Objects read from INI text, whole or not at all.
+"""Parser of objects in INI text, which accepts a text completely or not at all.
 
-The text is read in two steps: :mod:`configparser` splits it into sections, and each
-section is then read into an object by its kind. All problems of all steps are
-returned together, so that an operator mends a file in one go.
+:mod:`configparser` splits the text into sections, and each section is then parsed
+into an object of its kind. All errors of both steps are returned together, so that an
+operator can fix a file in one pass.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from result import Err, Ok, Result
 
-from .effects import read_effect
-from .names import ConfigObject, find_name_fault
+from .effects import parse_effect
+from .names import ConfigObject, find_name_error
 from .objects import (
     Pipeline,
     Policy,
@@ -25,96 +25,99 @@
     Workspace,
 )
 from .problems import MAX_SHOWN_VALUE, Problem
-from .sections import Section, drain, split_in_steps
-from .values import (
-    build_choice_reader,
-    build_number_reader,
-    read_bool,
-    read_labels,
-    read_name,
-    read_names,
-    read_positive,
-    read_selector,
+from .sections import Section, run_to_end, split_incrementally
+from .value_parsers import (
+    build_choice_parser,
+    build_number_parser,
+    parse_bool,
+    parse_labels,
+    parse_name,
+    parse_names,
+    parse_positive,
+    parse_selector_text,
 )
 
-__all__ = ("parse_in_steps", "parse_objects")
+__all__ = ("parse_incrementally", "parse_objects")
 
-#: longest deadline that a pipeline may give to callers that name none: a day
+#: longest default deadline of a pipeline: one day
 MAX_DEADLINE_MS = 86_400_000
 
-#: ranks of policies lie between the negative of this and this
+#: largest absolute value of a policy's rank
 MAX_RANK = 1_000_000
 
 
-Parsed = Result[tuple[ConfigObject, ...], tuple[Problem, ...]]
+ParseResult = Result[tuple[ConfigObject, ...], tuple[Problem, ...]]
 
 
-def parse_objects(text: str, file: str = "") -> Parsed:
-    """Read all objects of an INI text, or return all that is wrong with it.
+def parse_objects(text: str, file: str = "") -> ParseResult:
+    """Parse all objects of an INI text, or return all errors in it.
 
-    References to objects that the text does not hold are not looked at; see
+    References to objects outside the text are not checked here; see
     :mod:`greengagelatch.config.validation`.
 
-    :param file: name of the file the text is from, for the problems.
+    :param file: name of the source file, for error messages.
     """
-    return drain(parse_in_steps(text, file))
+    return run_to_end(parse_incrementally(text, file))
 
 
-def parse_in_steps(text: str, file: str = "") -> Generator[None, None, Parsed]:
-    """Do the same, and yield after each section or few.
+def parse_incrementally(
+    text: str, file: str = ""
+) -> Generator[None, None, ParseResult]:
+    """Parse like :func:`parse_objects`, and yield after every few sections.
 
-    A hundred kilobytes take about a tenth of a second, for which an event loop
-    would stand still.
+    Parsing 100 kB takes about 0.1 s, for which it would block an event loop.
     """
-    sections, problems = yield from split_in_steps(text, file)
-    objects = yield from _Reader(file, problems).read(sections)
+    sections, problems = yield from split_incrementally(text, file)
+    objects = yield from _ObjectParser(file, problems).parse(sections)
     if problems:
         return Err(tuple(problems))
     return Ok(objects)
 
 
-def _read_inputs(text: str) -> tuple[str, ...]:
-    return read_names(text) if text else ()
+def _parse_inputs(text: str) -> tuple[str, ...]:
+    return parse_names(text) if text else ()
 
 
 @dataclass(frozen=True, slots=True)
-class _Key:
-    """How the value of one key is read."""
+class _KeySpec:
+    """Parser and default of one key."""
 
-    read: Callable[[str], Any]
+    parse: Callable[[str], Any]
     required: bool = False
     default: Any = None
 
 
-_KIND = _Key(build_choice_reader(StageKind), required=True)
-_LABELS = _Key(read_labels, default={})
-_SELECTOR = _Key(read_selector, default="")
+_KIND = _KeySpec(build_choice_parser(StageKind), required=True)
+_LABELS = _KeySpec(parse_labels, default={})
+_SELECTOR = _KeySpec(parse_selector_text, default="")
 
-_KEYS: Mapping[str, Mapping[str, _Key]] = {
+_KEY_SPECS: Mapping[str, Mapping[str, _KeySpec]] = {
     "service": {
         "kind": _KIND,
         "labels": _LABELS,
     },
     "workspace": {"labels": _LABELS},
     "pipeline": {
-        "stages": _Key(read_names, required=True),
-        "default_deadline_ms": _Key(build_number_reader(0, MAX_DEADLINE_MS), default=0),
+        "stages": _KeySpec(parse_names, required=True),
+        "default_deadline_ms": _KeySpec(
+            build_number_parser(0, MAX_DEADLINE_MS), default=0
+        ),
         "labels": _LABELS,
     },
     "stage": {
         "kind": _KIND,
-        "service": _Key(read_name, required=True),
-        "repeatable": _Key(read_bool, default=True),
-        "share": _Key(read_positive, default=1.0),
-        "inputs": _Key(_read_inputs, default=()),
+        "service": _KeySpec(parse_name, required=True),
+        "repeatable": _KeySpec(parse_bool, default=True),
+        "share": _KeySpec(parse_positive, default=1.0),
+        "inputs": _KeySpec(_parse_inputs, default=()),
         "labels": _LABELS,
     },
     "policy": {
-        "effect": _Key(build_choice_reader(PolicyEffect), required=True),
+        "effect": _KeySpec(build_choice_parser(PolicyEffect), required=True),
         "workspaces": _SELECTOR,
         "pipelines": _SELECTOR,
         "services": _SELECTOR,
-        "rank": _Key(build_number_reader(-MAX_RANK, MAX_RANK), default=0),
+        "rank": _KeySpec(build_number_parser(-MAX_RANK, MAX_RANK), default=0),
         "labels": _LABELS,
     },
 }
@@ -130,70 +133,70 @@
 
 @dataclass(frozen=True, slots=True)
 class _StageSection:
-    """A section of a stage; ``stage`` is ``None`` if the section is unsound."""
+    """A section of a stage; ``stage`` is ``None`` if the section is invalid."""
 
     inputs: tuple[str, ...]
     stage: Stage | None
 
 
 @dataclass(slots=True)
-class _Reader:
-    """Reads sections into objects and collects what is wrong."""
+class _ObjectParser:
+    """Parses sections into objects and collects errors."""
 
     file: str
     problems: list[Problem]
-    #: by ``PIPELINE/NAME``, of all sections of stages
+    #: all stage sections by ``PIPELINE/NAME``
     stages: dict[str, _StageSection] = field(default_factory=dict)
 
-    def read(
+    def parse(
         self, sections: tuple[Section, ...]
     ) -> Generator[None, None, tuple[ConfigObject, ...]]:
         objects: list[ConfigObject | None] = []
         # stages come first, as a pipeline may stand before its stages
         for section in sections:
             if section.kind == "stage":
-                self._read_stage(section)
+                self._parse_stage(section)
                 yield
         for section in sections:
             if section.kind == "stage":
                 continue
-            objects.append(self._read_object(section))
+            objects.append(self._parse_object(section))
             yield
         self._check_orphans(sections)
         return tuple(item for item in objects if item is not None)
 
-    def _read_object(self, section: Section) -> ConfigObject | None:
-        if section.kind not in _KEYS:
-            known = ", ".join(f"{kind}:NAME" for kind in _KEYS)
+    def _parse_object(self, section: Section) -> ConfigObject | None:
+        if section.kind not in _KEY_SPECS:
+            known = ", ".join(f"{kind}:NAME" for kind in _KEY_SPECS)
             self._add(section, reason=f"unknown section; known: {known}")
             return None
         before = len(self.problems)
-        fault = find_name_fault(section.name)
-        if fault:
-            self._add(section, reason=f"name {fault}")
-        values = self._read_values(section)
+        error = find_name_error(section.name)
+        if error:
+            self._add(section, reason=f"name {error}")
+        values = self._parse_values(section)
         if section.kind == "pipeline":
             values["stages"] = self._collect_stages(section, values["stages"] or ())
         if section.kind == "policy":
-            values["values"] = self._read_parameters(section, values)
+            values["values"] = self._parse_parameters(section, values)
         if len(self.problems) > before:
             return None
         return _OBJECTS[section.kind](name=section.name, **values)
 
-    def _read_stage(self, section: Section) -> None:
+    def _parse_stage(self, section: Section) -> None:
         before = len(self.problems)
         pipeline, slash, name = section.name.partition("/")
-        fault = find_name_fault(pipeline) or find_name_fault(name)
-        if not slash or fault:
-            self._add(section, reason=f"must be stage:PIPELINE/NAME; names {fault}")
-        values = self._read_values(section)
-        sound = len(self.problems) == before
-        stage = Stage(name=name, **values) if sound else None
+        error = find_name_error(pipeline) or find_name_error(name)
+        if not slash or error:
+            self._add(section, reason=f"must be stage:PIPELINE/NAME; names {error}")
+        values = self._parse_values(section)
+        valid = len(self.problems) == before
+        stage = Stage(name=name, **values) if valid else None
         self.stages[section.name] = _StageSection(values["inputs"], stage)
 
-    def _read_values(self, section: Section) -> dict[str, Any]:
-        """Return the values of the known keys; unsound ones have their default."""
-        keys = _KEYS[section.kind]
+    def _parse_values(self, section: Section) -> dict[str, Any]:
+        """Return the values of the known keys; invalid ones have their default."""
+        keys = _KEY_SPECS[section.kind]
         values = {key: item.default for key, item in keys.items()}
         for key, text in section.values.items():
             item = keys.get(key)
@@ -203,7 +206,7 @@
                     self._add(section, key, text, f"unknown key of a {section.kind}")
                 continue
             try:
-                values[key] = item.read(text)
+                values[key] = item.parse(text)
             except ValueError as error:
                 self._add(section, key, text, str(error))
         for key, item in keys.items():
@@ -211,10 +214,10 @@
                 self._add(section, key, reason="is required")
         return values
 
-    def _read_parameters(
+    def _parse_parameters(
         self, section: Section, values: dict[str, Any]
     ) -> Mapping[str, str]:
-        known = _KEYS["policy"]
+        known = _KEY_SPECS["policy"]
         parameters = {
             key: text for key, text in section.values.items() if key not in known
         }
@@ -222,10 +225,10 @@
         if effect is None:
             return parameters
         policy = Policy(name=section.name, effect=effect, values=parameters)
-        match read_effect(policy):
-            case Err(faults):
-                for fault in faults:
-                    self._add(section, fault.key, fault.value, fault.reason)
+        match parse_effect(policy):
+            case Err(errors):
+                for error in errors:
+                    self._add(section, error.key, error.value, error.reason)
         return parameters
 
     def _collect_stages(
@@ -252,7 +255,7 @@
         section = Section(f"stage:{title}", {})
         for name in inputs:
             if name not in earlier:
-                reason = "is no earlier stage of the pipeline"
+                reason = "is not an earlier stage of the pipeline"
                 self._add(section, "inputs", name, reason)
 
     def _check_orphans(self, sections: tuple[Section, ...]) -> None:
@@ -265,7 +268,7 @@
         for section in sections:
             if section.kind != "stage" or section.name in listed:
                 continue
-            reason = "no section [pipeline:NAME] of this text lists it in stages"
+            reason = "no [pipeline:NAME] section lists this stage"
             self._add(section, reason=reason)
 
     def _add(
--- a/packages/greengagelatch/src/greengagelatch/config/plan.py
+++ b/packages/greengagelatch/src/greengagelatch/config/plan.py
@@ -1,4 +1,4 @@
-"""What a change does to the records in force, and whether it may."""
+"""Computes the effect of a change on the current records and validates it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .ini_writer import format_object
 from .names import ConfigObject, identify
 from .problems import Problem
-from .records import Record, build_object, compute_bucket, to_body
+from .records import Record, build_object, compute_bucket, encode_body
 from .requests import (
     ChangeMode,
     ChangeRequest,
@@ -23,7 +23,7 @@
 )
 from .validation import find_new_problems
 
-__all__ = ("Plan", "build_plan", "describe", "group_records")
+__all__ = ("Plan", "build_plan", "group_records", "list_differences")
 
 Body = Mapping[str, Any]
 Records = Mapping[str, Record]
@@ -32,13 +32,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Bodies to be written by ``KIND/NAME``; ``None`` deletes the object."""
+    """New bodies by ``KIND/NAME``; ``None`` deletes the object."""
 
     bodies: Mapping[str, Body | None]
 
     @property
     def changed(self) -> tuple[str, ...]:
-        """Ids of the objects that differ afterwards."""
+        """Ids of the objects that the change modifies."""
         return tuple(sorted(self.bodies))
 
 
@@ -46,25 +46,25 @@
     request: ChangeRequest,
     records: Records,
     objects: Objects,
-    target: Records,
+    rollback_records: Records,
     *,
     base: int,
     generation: int,
 ) -> Result[Plan, Conflicted | Refused]:
-    """Return what the change does to ``records``.
+    """Return the modifications to ``records``, or the reason for a rejection.
 
-    Objects that already are as asked for are left alone, so that two operators who
-    make the same edit don't get into each other's way.
+    Objects that already have the requested content are skipped, so that two
+    operators who make the same edit don't conflict.
 
     :param objects: the objects that ``records`` hold.
-    :param target: records of the generation that a rollback goes back to.
-    :param base: generation that the operator's edit began from.
+    :param rollback_records: records of the generation that a rollback restores.
+    :param base: generation that the operator's edit is based on.
     :param generation: generation of ``records``.
     """
-    wanted = _list_wanted(request, records, target)
+    desired = _list_desired(request, records, rollback_records)
     bodies = {
         object_id: body
-        for object_id, body in wanted.items()
+        for object_id, body in desired.items()
         if _get_body(records, object_id) != body
     }
     conflicts = _find_conflicts(bodies, records, base)
@@ -83,8 +83,8 @@
     return Ok(Plan(bodies))
 
 
-def describe(plan: Plan, records: Records) -> tuple[Difference, ...]:
-    """Return each changed object as INI before and after."""
+def list_differences(plan: Plan, records: Records) -> tuple[Difference, ...]:
+    """Return each modified object as INI text before and after the change."""
     differences = []
     for object_id in plan.changed:
         before = _format(object_id, _get_body(records, object_id))
@@ -96,10 +96,10 @@
 def group_records(
     plan: Plan, records: Records, *, change_id: str, generation: int, oldest: int
 ) -> Mapping[int, Records]:
-    """Return the new records of each bucket that the plan touches.
+    """Return the new records of each bucket that the plan modifies.
 
-    :param generation: generation that the change brings.
-    :param oldest: deletions before this generation are no longer remembered.
+    :param generation: generation that the change creates.
+    :param oldest: tombstones of earlier generations are dropped.
     """
     buckets: dict[int, dict[str, Record]] = {}
     for object_id in plan.bodies:
@@ -117,18 +117,20 @@
     return buckets
 
 
-def _list_wanted(
-    request: ChangeRequest, records: Records, target: Records
+def _list_desired(
+    request: ChangeRequest, records: Records, rollback_records: Records
 ) -> dict[str, Body | None]:
     match request.mode:
         case ChangeMode.APPLY:
-            return {str(identify(item)): to_body(item) for item in request.objects}
+            return {str(identify(item)): encode_body(item) for item in request.objects}
         case ChangeMode.DELETE:
             return {str(name): None for name in request.names}
         case ChangeMode.ROLLBACK:
-            wanted: dict[str, Body | None] = dict.fromkeys(records)
-            wanted.update((name, record.body) for name, record in target.items())
-            return wanted
+            desired: dict[str, Body | None] = dict.fromkeys(records)
+            desired.update(
+                (name, record.body) for name, record in rollback_records.items()
+            )
+            return desired
 
 
 def _find_conflicts(
--- a/packages/greengagelatch/src/greengagelatch/config/selectors.py
+++ b/packages/greengagelatch/src/greengagelatch/config/selectors.py
@@ -1,6 +1,6 @@
-"""Label selectors: which objects a policy or a query picks.
+"""Label selectors of policies and queries.
 
-A selector is a list of requirements joined by commas; all of them must hold:
+A selector is a comma-separated list of requirements, all of which must hold:
 
 ==========================  ======================================================
 ``tier = gold``             the label has that value (``==`` is the same)
@@ -11,7 +11,7 @@
 ``!trial``                  the label is absent
 ==========================  ======================================================
 
-The built-in label ``name`` is the object's name. The empty selector picks all.
+The built-in label ``name`` is the object's name. The empty selector matches all.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 #: built-in label that holds the object's name
 NAME_LABEL = "name"
 
-#: requirements allowed in one selector, which bounds the cost of matching
+#: limit of requirements in one selector, which bounds the cost of matching
 MAX_REQUIREMENTS = 32
 
 _TOKEN = re.compile(r"\s*(?:(==|!=|[=!(),])|([A-Za-z0-9][A-Za-z0-9._/-]*))")
 
 
 class Operator(Enum):
-    """How a requirement compares."""
+    """Comparison operator of a requirement."""
 
     IN = "in"
     NOT_IN = "notin"
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Requirement:
-    """One condition on one label; equality is a set of one value."""
+    """One condition on one label; equality is ``IN`` with a single value."""
 
     key: str
     operator: Operator
     values: frozenset[str] = frozenset()
 
     def accepts(self, value: str | None) -> bool:
-        """Whether the label's value satisfies this; ``None`` is an absent label."""
+        """Return whether a label's value satisfies this; ``None``: it is absent."""
         if self.operator is Operator.PRESENT:
             return value is not None
         if self.operator is Operator.ABSENT:
@@ -77,7 +77,7 @@
     requirements: tuple[Requirement, ...] = ()
 
     def matches(self, name: str, labels: Mapping[str, str]) -> bool:
-        """Whether an object with that name and these labels is picked."""
+        """Return whether an object with this name and these labels matches."""
         for requirement in self.requirements:
             key = requirement.key
             value = name if key == NAME_LABEL else labels.get(key)
@@ -88,15 +88,15 @@
 
 @lru_cache(maxsize=4096)
 def parse_selector(text: str) -> Result[Selector, str]:
-    """Parse a selector; the error is a reason in words."""
+    """Parse a selector; the error is a readable reason."""
     try:
-        tokens = _split(text)
+        tokens = _tokenize(text)
         return Ok(Selector(_Parser(tokens).parse()))
     except ValueError as error:
         return Err(str(error))
 
 
-def _split(text: str) -> list[str]:
+def _tokenize(text: str) -> list[str]:
     tokens = []
     position = 0
     end = len(text.rstrip())
@@ -110,7 +110,7 @@
 
 
 class _Parser:
-    """Reads requirements from tokens, one token ahead."""
+    """Recursive descent parser of requirements with one token of lookahead."""
 
     def __init__(self, tokens: list[str]) -> None:
         self._tokens = tokens
@@ -128,27 +128,27 @@
 
     def _parse_requirement(self) -> Requirement:
         if self._peek() == "!":
-            self._take()
-            return Requirement(self._take_word(), Operator.ABSENT)
-        key = self._take_word()
+            self._next()
+            return Requirement(self._next_word(), Operator.ABSENT)
+        key = self._next_word()
         sign = self._peek()
         if sign in ("", ","):
             return Requirement(key, Operator.PRESENT)
-        self._take()
+        self._next()
         if sign in ("=", "=="):
-            return Requirement(key, Operator.IN, frozenset({self._take_word()}))
+            return Requirement(key, Operator.IN, frozenset({self._next_word()}))
         if sign == "!=":
-            return Requirement(key, Operator.NOT_IN, frozenset({self._take_word()}))
+            return Requirement(key, Operator.NOT_IN, frozenset({self._next_word()}))
         if sign in ("in", "notin"):
             return Requirement(key, Operator(sign), self._parse_values())
         raise ValueError(f"unexpected {sign!r} after {key!r}")
 
     def _parse_values(self) -> frozenset[str]:
         self._expect("(")
-        values = {self._take_word()}
+        values = {self._next_word()}
         while self._peek() == ",":
-            self._take()
-            values.add(self._take_word())
+            self._next()
+            values.add(self._next_word())
         self._expect(")")
         return frozenset(values)
 
@@ -157,18 +157,18 @@
             return ""
         return self._tokens[self._position]
 
-    def _take(self) -> str:
+    def _next(self) -> str:
         token = self._peek()
         self._position += 1
         return token
 
-    def _take_word(self) -> str:
-        token = self._take()
+    def _next_word(self) -> str:
+        token = self._next()
         if not token or not token[0].isalnum():
             raise ValueError(f"expected a word, found {token or 'the end'!r}")
         return token
 
-    def _expect(self, wanted: str) -> None:
-        token = self._take()
-        if token != wanted:
-            raise ValueError(f"expected {wanted!r}, found {token or 'the end'!r}")
+    def _expect(self, expected: str) -> None:
+        token = self._next()
+        if token != expected:
+            raise ValueError(f"expected {expected!r}, found {token or 'the end'!r}")
--- a/packages/greengagelatch/src/greengagelatch/config/validation.py
+++ b/packages/greengagelatch/src/greengagelatch/config/validation.py
@@ -1,10 +1,10 @@
-"""Checks of references between objects, over the whole configuration."""
+"""Validation of references between objects of the whole configuration."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable, Mapping
 
-from .effects import Split, Splits, read_effect
+from .effects import PolicySplits, TrafficSplit, parse_effect
 from .names import ConfigObject
 from .objects import Pipeline, Policy, PolicyEffect, Service, Stage
 from .problems import Problem
@@ -12,15 +12,15 @@
 
 __all__ = ("find_new_problems", "find_problems")
 
-#: objects by whatever tells them apart
+#: objects by any unique key
 Objects = Mapping[Hashable, ConfigObject]
 
 
 def find_new_problems(before: Objects, after: Objects, file: str) -> list[Problem]:
-    """Return the problems that a change would bring.
+    """Return the problems that a change would introduce.
 
-    Those that were there before are left out: objects accepted by a release with
-    laxer checks must not keep operators from changing anything else.
+    Existing problems are ignored: objects that a release with less strict checks has
+    accepted must not block unrelated changes.
     """
     problems = find_problems(after, file)
     if not problems:
@@ -30,7 +30,7 @@
 
 
 def find_problems(objects: Objects, file: str) -> list[Problem]:
-    """Return every reference in ``objects`` that does not hold."""
+    """Return a problem for each invalid reference in ``objects``."""
     checker = _Checker(objects, file)
     for item in objects.values():
         if isinstance(item, Pipeline):
@@ -67,8 +67,8 @@
         self._add(section, "kind", stage.kind.value, reason)
 
     def check_split_policy(self, policy: Policy) -> None:
-        effect = read_effect(policy)
-        if effect.is_err() or not isinstance(effect.ok_value, Splits):
+        effect = parse_effect(policy)
+        if effect.is_err() or not isinstance(effect.ok_value, PolicySplits):
             return
         section = f"policy:{policy.name}"
         if effect.ok_value.pipelines is not None:
@@ -76,13 +76,15 @@
         if effect.ok_value.services is not None:
             self._check_services(section, policy, effect.ok_value.services)
 
-    def _check_pipelines(self, section: str, split: Split) -> None:
+    def _check_pipelines(self, section: str, split: TrafficSplit) -> None:
         for name, _ in split.shares:
             if name in self._pipelines:
                 continue
             self._add(section, "to_pipelines", name, "there is no such pipeline")
 
-    def _check_services(self, section: str, policy: Policy, split: Split) -> None:
+    def _check_services(
+        self, section: str, policy: Policy, split: TrafficSplit
+    ) -> None:
         kinds = set()
         for name, _ in split.shares:
             service = self._services.get(name)
@@ -90,26 +92,26 @@
                 self._add(section, "to_services", name, "there is no such service")
                 continue
             kinds.add(service.kind)
-        # a call of one kind sent to a target of another would not be understood
-        for service in self._find_picked(policy):
+        # a target can't handle calls of another kind of service
+        for service in self._find_matching(policy):
             if kinds <= {service.kind}:
                 continue
             reason = (
-                f"the selector services picks {service.name} of kind"
-                f" {service.kind.value}, which the services here do not all have"
+                f"the selector services matches {service.name} of kind"
+                f" {service.kind.value}, but not all services here are of that kind"
             )
             value = policy.values["to_services"]
             self._add(section, "to_services", value, reason)
 
-    def _find_picked(self, policy: Policy) -> list[Service]:
+    def _find_matching(self, policy: Policy) -> list[Service]:
         selector = parse_selector(policy.services)
         if selector.is_err():
             return []
-        picked = []
+        matching = []
         for service in self._services.values():
             if selector.ok_value.matches(service.name, service.labels):
-                picked.append(service)
-        return picked
+                matching.append(service)
+        return matching
 
     def _add(self, section: str, key: str, value: str, reason: str) -> None:
         problem = Problem(
--- a/packages/greengagelatch/src/greengagelatch/settings/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon, declared in one table and checked at start."""
+"""Settings of the daemon, declared in one table and validated at startup."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingError:
-    """A setting that stops the start; ``str`` of it is the one line shown."""
+    """An invalid setting, which aborts the startup; its ``str`` is the error line."""
 
     name: str
     value: str
@@ -41,7 +41,7 @@
 
 
 class Settings:
-    """Checked settings, looked up by ``section.key``."""
+    """Validated settings by ``section.key``."""
 
     def __init__(self, values: Mapping[str, Any]) -> None:
         self._values = dict(values)
@@ -55,12 +55,12 @@
 
 
 def split_endpoints(text: str) -> tuple[str, ...]:
-    """Split addresses that have commas between them."""
+    """Split comma-separated addresses."""
     return tuple(part.strip() for part in text.split(",") if part.strip())
 
 
 def load(path: str) -> Result[Settings, SettingError]:
-    """Read and check the INI file at ``path``."""
+    """Load and validate the INI file at ``path``."""
     try:
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -70,7 +70,7 @@
 
 
 def parse(text: str) -> Result[Settings, SettingError]:
-    """Check settings given as INI text; the first error is returned."""
+    """Parse and validate settings in INI text; return the first error, if any."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     try:
         parser.read_string(text)
@@ -88,7 +88,7 @@
             return Err(SettingError(name, given[name], "unknown setting"))
     values = {}
     for setting in SETTINGS:
-        match _read(setting, given.get(setting.name)):
+        match _parse_value(setting, given.get(setting.name)):
             case Ok(value):
                 values[setting.name] = value
             case Err(error):
@@ -96,7 +96,7 @@
     return Ok(Settings(values))
 
 
-def _read(setting: Setting, text: str | None) -> Result[Any, SettingError]:
+def _parse_value(setting: Setting, text: str | None) -> Result[Any, SettingError]:
     if text is None:
         if setting.required:
             return Err(SettingError(setting.name, "", "is required"))
@@ -108,7 +108,7 @@
     except ValueError as error:
         reason = str(error)
     if not reason:
-        reason = _find_fault(setting, value)
+        reason = _find_error(setting, value)
     if reason:
         return Err(SettingError(setting.name, text, reason))
     return Ok(value)
@@ -117,27 +117,27 @@
 def _convert(setting: Setting, text: str) -> Any:
     if setting.type is not bool:
         return setting.type(text)
-    word = text.lower()
-    if word in _TRUE:
+    lowered = text.lower()
+    if lowered in _TRUE:
         return True
-    if word in _FALSE:
+    if lowered in _FALSE:
         return False
     raise ValueError("must be yes or no")
 
 
-def _find_fault(setting: Setting, value: Any) -> str:
+def _find_error(setting: Setting, value: Any) -> str:
     if setting.required and value == "":
         return "must not be empty"
     if setting.choices and value not in setting.choices:
         return f"must be one of {', '.join(setting.choices)}"
     if setting.endpoint:
-        return _find_endpoint_fault(value)
+        return _find_endpoint_error(value)
     if setting.endpoints:
-        faults = map(_find_endpoint_fault, split_endpoints(value))
-        return next(filter(None, faults), "")
+        errors = map(_find_endpoint_error, split_endpoints(value))
+        return next(filter(None, errors), "")
     if setting.type not in (int, float):
         return ""
-    # NaN fails both comparisons below, whichever way they are written
+    # NaN passes both range checks below, as its comparisons are false
     if value != value:
         return "must be a number"
     if setting.minimum is not None and value < setting.minimum:
@@ -147,7 +147,7 @@
     return ""
 
 
-def _find_endpoint_fault(value: str) -> str:
+def _find_endpoint_error(value: str) -> str:
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/packages/greengagelatch/src/greengagelatch/settings/table.py
+++ b/packages/greengagelatch/src/greengagelatch/settings/table.py
@@ -12,26 +12,27 @@
         name="instance.id",
         type=str,
         required=True,
-        meaning="Id of this instance; unique, and new after each replacement.",
+        description="Id of this instance; unique, and new after each replacement.",
     ),
     Setting(
         name="instance.data_centre",
         type=str,
         required=True,
-        meaning="Data centre of this instance.",
+        description="Data centre of this instance.",
     ),
     Setting(
         name="instance.seed",
         type=int,
         default=0,
-        meaning="Seed of the random source; 0 takes one from the system.",
+        description="Seed of the random number generator; 0: the operating system"
+        " provides one.",
     ),
     Setting(
         name="callers.listen",
         type=str,
         default="127.0.0.1:8080",
         endpoint=True,
-        meaning="Address on which callers are served.",
+        description="Address on which callers are served.",
     ),
     Setting(
         name="callers.max_body_bytes",
@@ -40,7 +41,7 @@
         unit="bytes",
         minimum=1024,
         maximum=67108864,
-        meaning="Largest body of a request; a larger one is refused.",
+        description="Largest request body; larger ones are refused.",
     ),
     Setting(
         name="callers.max_header_bytes",
@@ -49,7 +50,7 @@
         unit="bytes",
         minimum=1024,
         maximum=65536,
-        meaning="Longest line and longest header of a request.",
+        description="Longest line and longest header of a request.",
     ),
     Setting(
         name="callers.max_connections",
@@ -57,7 +58,8 @@
         default=4096,
         minimum=1,
         maximum=100000,
-        meaning="Open connections of callers; further ones are answered and closed.",
+        description="Limit of open caller connections; further ones are answered and"
+        " closed.",
     ),
     Setting(
         name="callers.idle_timeout",
@@ -66,8 +68,8 @@
         unit="s",
         minimum=1,
         maximum=3600,
-        meaning="Time after which a connection without a whole request is closed; keep"
-        " it above the balancer's own.",
+        description="Time after which a connection without a complete request is"
+        " closed; must exceed the load balancer's own idle timeout.",
     ),
     Setting(
         name="callers.body_timeout",
@@ -76,7 +78,7 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time allowed for the body of a request to arrive.",
+        description="Time allowed for receiving the body of a request.",
     ),
     Setting(
         name="callers.write_timeout",
@@ -85,8 +87,8 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time in which a caller must take what is written to it; it then counts"
-        " as gone.",
+        description="Time in which a caller must read what is written to it, or else it"
+        " counts as disconnected.",
     ),
     Setting(
         name="callers.max_unwritten_bytes",
@@ -95,7 +97,7 @@
         unit="bytes",
         minimum=4096,
         maximum=16777216,
-        meaning="Part of a streamed answer that may wait for a slow reader.",
+        description="Bytes of a streamed response that are buffered for a slow reader.",
     ),
     Setting(
         name="callers.max_deadline_ms",
@@ -104,38 +106,38 @@
         unit="ms",
         minimum=1,
         maximum=86400000,
-        meaning="Longest deadline that a request may name.",
+        description="Longest deadline that a request may ask for.",
     ),
     Setting(
         name="operators.listen",
         type=str,
         default="127.0.0.1:8081",
         endpoint=True,
-        meaning="Address on which operators are served.",
+        description="Address on which operators are served.",
     ),
     Setting(
         name="peers.listen",
         type=str,
         default="127.0.0.1:8082",
         endpoint=True,
-        meaning="Address on which other entry instances connect.",
+        description="Address on which other entry instances connect.",
     ),
     Setting(
         name="peers.advertise",
         type=str,
         default="",
         endpoint=True,
-        meaning="Address that other entry instances are told; empty: the one that is"
-        " listened on.",
+        description="Address that is advertised to other entry instances; empty: the"
+        " address listened on.",
     ),
     Setting(
         name="peers.seeds",
         type=str,
         default="",
         endpoints=True,
-        meaning="Peer addresses of some other entry instances, with commas between"
-        " them. They are tried while no other instance is known, so that one can"
-        " start while the platform's list is down.",
+        description="Comma-separated peer addresses of other entry instances. They are"
+        " tried while no other instance is known, so that an instance can start while"
+        " the platform's instance list is unavailable.",
     ),
     Setting(
         name="peers.heartbeat",
@@ -144,7 +146,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time without a message after which each side of a link sends a"
+        description="Time without a message after which each side of a link sends a"
         " heartbeat.",
     ),
     Setting(
@@ -154,8 +156,8 @@
         unit="s",
         minimum=0.1,
         maximum=600,
-        meaning="Time without a byte after which a link is dropped; several"
-        " heartbeats.",
+        description="Time without a byte after which a link is dropped; several times"
+        " the heartbeat interval.",
     ),
     Setting(
         name="peers.rest_factor",
@@ -163,8 +165,8 @@
         default=1.0,
         minimum=1,
         maximum=100,
-        meaning="How many times longer `peers.heartbeat` and `peers.silence` are on a"
-        " link that has carried nothing but probes for two seconds.",
+        description="Factor by which `peers.heartbeat` and `peers.silence` are longer"
+        " on a link that has carried only probes for two seconds.",
     ),
     Setting(
         name="peers.open_timeout",
@@ -173,7 +175,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed for opening a link.",
+        description="Time allowed for opening a link.",
     ),
     Setting(
         name="peers.idle",
@@ -182,7 +184,8 @@
         unit="s",
         minimum=0.5,
         maximum=3600,
-        meaning="Time after which a link opened on demand and not used is closed.",
+        description="Time after which an unused link that was opened on demand is"
+        " closed.",
     ),
     Setting(
         name="peers.links",
@@ -190,8 +193,9 @@
         default=8,
         minimum=2,
         maximum=1000,
-        meaning="Links that this instance keeps open to other entry instances; up to"
-        " twice as many others it keeps one to all.",
+        description="Number of links that this instance keeps open to other entry"
+        " instances; if there are at most twice as many others, it keeps a link to each"
+        " of them.",
     ),
     Setting(
         name="peers.max_links",
@@ -199,7 +203,8 @@
         default=128,
         minimum=4,
         maximum=10000,
-        meaning="Links that may be open at the same time, whoever opened them.",
+        description="Limit of links that are open at the same time, whichever side"
+        " opened them.",
     ),
     Setting(
         name="peers.in_work",
@@ -207,8 +212,8 @@
         default=256,
         minimum=16,
         maximum=100000,
-        meaning="Questions of other entry instances in work at the same time; more"
-        " are answered that this one is busy.",
+        description="Limit of requests from other entry instances that are processed"
+        " concurrently; further ones are answered as busy.",
     ),
     Setting(
         name="peers.probe_interval",
@@ -217,8 +222,8 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time between two probes of other entry instances; failures are"
-        " noticed in a few of these.",
+        description="Interval between probes of other entry instances; failures are"
+        " detected within a few intervals.",
     ),
     Setting(
         name="peers.dead_interval",
@@ -227,22 +232,22 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time between two probes of an entry instance believed dead, by which"
-        " network partitions heal.",
+        description="Interval between probes of an entry instance believed dead; these"
+        " probes let network partitions heal.",
     ),
     Setting(
         name="platform.store",
         type=str,
         required=True,
         endpoint=True,
-        meaning="Address of the platform's key-value service.",
+        description="Address of the platform's key-value service.",
     ),
     Setting(
         name="platform.instances",
         type=str,
         required=True,
         endpoint=True,
-        meaning="Address of the platform's list of instances.",
+        description="Address of the platform's instance list.",
     ),
     Setting(
         name="platform.timeout",
@@ -251,7 +256,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed for one call to the platform, watches excepted.",
+        description="Timeout of one call to the platform, except for watches.",
     ),
     Setting(
         name="platform.instances_interval",
@@ -260,7 +265,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Shortest time between two readings of the list of instances.",
+        description="Shortest interval between reads of the instance list.",
     ),
     Setting(
         name="platform.instances_rate",
@@ -269,8 +274,8 @@
         unit="calls/s",
         minimum=0.1,
         maximum=10000,
-        meaning="Readings of the list of instances that all entry instances make"
-        " together; in a large fleet each of them reads it less often.",
+        description="Rate at which all entry instances together read the instance list;"
+        " in a large fleet each instance reads it less often.",
     ),
     Setting(
         name="targets.subset",
@@ -278,8 +283,8 @@
         default=20,
         minimum=1,
         maximum=10000,
-        meaning="Targets of one service that this instance uses at least; of a service"
-        " with fewer it uses all.",
+        description="Minimum number of targets of one service that this instance uses;"
+        " of a smaller service it uses all.",
     ),
     Setting(
         name="targets.spread",
@@ -287,8 +292,9 @@
         default=8,
         minimum=1,
         maximum=1000,
-        meaning="Entry instances that use each target, on average; where few instances"
-        " share a large service, each uses more than `targets.subset` of it.",
+        description="Average number of entry instances that use each target; where few"
+        " instances share a large service, each uses more than `targets.subset` of its"
+        " targets.",
     ),
     Setting(
         name="targets.missing_listings",
@@ -296,7 +302,8 @@
         default=3,
         minimum=1,
         maximum=1000,
-        meaning="Listings in a row without a target until it is given up.",
+        description="Number of consecutive listings without a target after which it is"
+        " removed.",
     ),
     Setting(
         name="targets.failures",
@@ -304,8 +311,8 @@
         default=2,
         minimum=1,
         maximum=100,
-        meaning="Times in a row that a target can't be reached until it is kept from"
-        " new work.",
+        description="Number of consecutive failures to reach a target after which it"
+        " gets no new calls.",
     ),
     Setting(
         name="targets.minimum",
@@ -313,7 +320,8 @@
         default=1,
         minimum=1,
         maximum=10000,
-        meaning="Targets of a service that are given work even if none can be reached.",
+        description="Number of targets of a service that get calls even if none is"
+        " reachable.",
     ),
     Setting(
         name="targets.probe_longest",
@@ -322,7 +330,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Longest time between probes of a target that can't be reached.",
+        description="Longest interval between probes of an unreachable target.",
     ),
     Setting(
         name="targets.load_interval",
@@ -331,7 +339,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Time between two load reports of a target in use.",
+        description="Interval between load reports of a target in use.",
     ),
     Setting(
         name="targets.load_rate",
@@ -340,8 +348,8 @@
         unit="calls/s",
         minimum=0.1,
         maximum=10000,
-        meaning="Load reports asked for by this instance in all; beyond that each"
-        " target is asked less often.",
+        description="Rate of load reports that this instance requests in total; beyond"
+        " it, each target is asked less often.",
     ),
     Setting(
         name="targets.load_timeout",
@@ -350,7 +358,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed for one load report.",
+        description="Timeout of one load report.",
     ),
     Setting(
         name="targets.report_life",
@@ -359,7 +367,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Age at which a load report is no longer used.",
+        description="Age at which a load report expires.",
     ),
     Setting(
         name="targets.connect_timeout",
@@ -368,7 +376,7 @@
         unit="s",
         minimum=0.01,
         maximum=60,
-        meaning="Time allowed for connecting to a target.",
+        description="Timeout for connecting to a target.",
     ),
     Setting(
         name="targets.stall_timeout",
@@ -377,8 +385,9 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time without a first byte of an answer after which a call is given up;"
-        " repeatable calls get a backup far sooner, by measured durations.",
+        description="Time without the first byte of a response after which a call is"
+        " abandoned; repeatable calls are hedged far sooner, based on observed"
+        " latencies.",
     ),
     Setting(
         name="targets.gap_timeout",
@@ -387,7 +396,7 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Time without a further byte of an answer that has begun.",
+        description="Longest time between bytes of a response that has begun.",
     ),
     Setting(
         name="targets.idle_timeout",
@@ -396,7 +405,7 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time after which an unused connection to a target is closed.",
+        description="Time after which an unused connection to a target is closed.",
     ),
     Setting(
         name="targets.max_age",
@@ -405,8 +414,8 @@
         unit="s",
         minimum=0.1,
         maximum=86400,
-        meaning="Age at which connections to a target are replaced, give or take a"
-        " third; one that went silent unnoticed is used no longer than that.",
+        description="Age at which connections to a target are replaced, plus or minus a"
+        " third; a connection that has failed silently is used no longer than that.",
     ),
     Setting(
         name="targets.max_answer_bytes",
@@ -415,7 +424,7 @@
         unit="bytes",
         minimum=1024,
         maximum=268435456,
-        meaning="Largest answer of a target; a larger one counts as failed.",
+        description="Largest response of a target; a larger one counts as a failure.",
     ),
     Setting(
         name="targets.max_attempts",
@@ -423,7 +432,7 @@
         default=3,
         minimum=1,
         maximum=10,
-        meaning="Attempts at one stage, the first one included.",
+        description="Attempts at one stage, including the first one.",
     ),
     Setting(
         name="quotas.hold",
@@ -432,8 +441,8 @@
         unit="s",
         minimum=1.0,
         maximum=86400.0,
-        meaning="Time for which a data centre out of reach keeps its shares of"
-        " quotas; after that, each side of a cut uses whole quotas.",
+        description="Time for which an unreachable data centre keeps its quota shares;"
+        " after that, each side of a network partition uses the full quotas.",
     ),
     Setting(
         name="claims.shards",
@@ -441,8 +450,8 @@
         default=32,
         minimum=1,
         maximum=1024,
-        meaning="Shards that keyed requests are spread over; the first instance ever"
-        " to start decides, as a later change would let keys run twice.",
+        description="Number of shards for keyed requests; fixed by the first instance"
+        " that ever starts, as a later change could let a key be executed twice.",
     ),
     Setting(
         name="claims.retention",
@@ -451,8 +460,8 @@
         unit="s",
         minimum=2,
         maximum=86400,
-        meaning="Time for which a key is remembered; stated to callers. Requests"
-        " with a key must end within half of it.",
+        description="Time for which an idempotency key is stored; reported to callers."
+        " Requests with a key must end within half of it.",
     ),
     Setting(
         name="claims.clock_margin",
@@ -461,7 +470,7 @@
         unit="s",
         minimum=0,
         maximum=3600,
-        meaning="Time by which the wall clocks of instances may differ.",
+        description="Largest difference between the wall clocks of instances.",
     ),
     Setting(
         name="claims.interval",
@@ -470,8 +479,9 @@
         unit="s",
         minimum=0,
         maximum=10,
-        meaning="Average time between writes to one shard that is not undercut for"
-        " long; the store's writes a second are at most the shards divided by it.",
+        description="Minimum average time between writes to one shard, short bursts"
+        " excepted; the write rate of the store is at most the number of shards divided"
+        " by it.",
     ),
     Setting(
         name="claims.head_claims",
@@ -479,7 +489,8 @@
         default=400,
         minimum=1,
         maximum=8000,
-        meaning="Claims that are written with every swap before they are sealed.",
+        description="Number of claims that are rewritten with every swap before they"
+        " are sealed.",
     ),
     Setting(
         name="claims.segment_claims",
@@ -487,7 +498,7 @@
         default=8000,
         minimum=1,
         maximum=12000,
-        meaning="Claims in one sealed segment.",
+        description="Number of claims in one sealed segment.",
     ),
     Setting(
         name="claims.segments",
@@ -495,7 +506,8 @@
         default=64,
         minimum=1,
         maximum=256,
-        meaning="Sealed segments of one shard; beyond, keyed requests are refused.",
+        description="Limit of sealed segments of one shard; beyond it, keyed requests"
+        " are refused.",
     ),
     Setting(
         name="claims.forward_timeout",
@@ -504,23 +516,25 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed to the usual writer of a shard, at most half of what"
-        " the request has left; then this instance writes by itself.",
+        description="Timeout for the usual writer of a shard, at most half of the"
+        " request's remaining time; after it, this instance writes the claim itself.",
     ),
     Setting(
         name="claims.store_down",
         type=str,
         default="refuse-later",
         choices=("refuse", "refuse-later"),
-        meaning="Keyed requests while nobody reaches the store: refuse at once, or"
-        " try again for half of the deadline first while the outage is young.",
+        description="Handling of keyed requests while no instance reaches the store:"
+        " refuse immediately, or, early in an outage, retry for half of the deadline"
+        " first.",
     ),
     Setting(
         name="claims.finish",
         type=bool,
         default=True,
-        meaning="Whether a keyed request whose caller has left is run to its end, so"
-        " that a repeat gets its result; else it is cancelled and has none.",
+        description="Whether a keyed request whose caller has disconnected runs to"
+        " completion, so that a retry gets its result; otherwise it is cancelled and"
+        " has no result.",
     ),
     Setting(
         name="claims.records",
@@ -528,7 +542,7 @@
         default=20000,
         minimum=1,
         maximum=1000000,
-        meaning="Ended keyed requests that this instance remembers.",
+        description="Limit of completed keyed requests that this instance remembers.",
     ),
     Setting(
         name="claims.memory_bytes",
@@ -537,7 +551,7 @@
         unit="bytes",
         minimum=0,
         maximum=1073741824,
-        meaning="Memory for outcomes that are kept for repeats.",
+        description="Memory for outcomes that are kept for retries.",
     ),
     Setting(
         name="claims.outcome_bytes",
@@ -546,8 +560,8 @@
         unit="bytes",
         minimum=0,
         maximum=1000000,
-        meaning="Largest outcome that is kept; repeats of others learn only that"
-        " the request ran.",
+        description="Largest outcome that is kept; for a larger one, a retry learns"
+        " only that the request ran.",
     ),
     Setting(
         name="claims.handover_bytes",
@@ -556,7 +570,8 @@
         unit="bytes",
         minimum=0,
         maximum=268435456,
-        meaning="Outcomes that a planned stop hands to other instances.",
+        description="Limit of outcomes that are handed over to other instances at a"
+        " planned stop.",
     ),
     Setting(
         name="configuration.watch_wait",
@@ -565,8 +580,8 @@
         unit="s",
         minimum=0.1,
         maximum=60,
-        meaning="Time for which one watch of the configuration waits for a change;"
-        " a watch that has gone silent is noticed after it.",
+        description="Time for which one watch of the configuration waits for a change;"
+        " a watch that gets no answer is detected after it.",
     ),
     Setting(
         name="configuration.gossip_interval",
@@ -575,8 +590,8 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Mean time between two words to a random peer on the generation in"
-        " force here.",
+        description="Mean interval between adverts of the active generation to a random"
+        " peer.",
     ),
     Setting(
         name="configuration.stale_after",
@@ -585,8 +600,8 @@
         unit="s",
         minimum=0.1,
         maximum=3600,
-        meaning="Time without proof that the generation here is the newest, after"
-        " which an instance that does not watch the store looks there itself.",
+        description="Time without confirmation that the active generation is the"
+        " newest, after which an instance that does not watch the store reads it.",
     ),
     Setting(
         name="configuration.change_timeout",
@@ -595,7 +610,7 @@
         unit="s",
         minimum=0.1,
         maximum=300,
-        meaning="Time allowed for one change of the configuration.",
+        description="Timeout of one change of the configuration.",
     ),
     Setting(
         name="configuration.fetch_timeout",
@@ -604,7 +619,7 @@
         unit="s",
         minimum=0.05,
         maximum=60,
-        meaning="Time allowed to a peer for one answer on the configuration.",
+        description="Timeout of one configuration request to a peer.",
     ),
     Setting(
         name="leases.ttl",
@@ -613,8 +628,8 @@
         unit="s",
         minimum=0.3,
         maximum=3600,
-        meaning="Time after which the store lets a lease lapse that is not renewed; at"
-        " least three times orders.timeout and leases.margin together, which is used"
+        description="Time after which the store expires a lease that is not renewed; at"
+        " least three times the sum of orders.timeout and leases.margin, which is used"
         " where this is shorter.",
     ),
     Setting(
@@ -624,8 +639,8 @@
         unit="s",
         minimum=0,
         maximum=600,
-        meaning="Time by which a holder gives a lease up before the store does; more"
-        " than instances' clocks can differ in speed over leases.ttl.",
+        description="Time by which a holder gives up a lease before it expires in the"
+        " store; must exceed the drift between instances' clocks over leases.ttl.",
     ),
     Setting(
         name="orders.timeout",
@@ -634,8 +649,8 @@
         unit="s",
         minimum=0.05,
         maximum=600,
-        meaning="Time allowed for one call to an engine; an order that takes longer is"
-        " settled by reading the engine's state.",
+        description="Timeout of one call to an engine; the outcome of an order that"
+        " takes longer is determined by reading the engine's state.",
     ),
     Setting(
         name="orders.longest",
@@ -644,9 +659,9 @@
         unit="s",
         minimum=0,
         maximum=7200,
-        meaning="Longest time an engine takes to carry out an order it has received."
-        " Orders without an answer are not repeated earlier, and a new holder waits"
-        " for it where engines don't check fencing numbers.",
+        description="Longest time in which an engine executes an order that it has"
+        " received. Orders without an answer are not retried earlier, and a new holder"
+        " waits for this time where engines don't check fencing numbers.",
     ),
     Setting(
         name="orders.interval",
@@ -655,7 +670,7 @@
         unit="s",
         minimum=0.05,
         maximum=3600,
-        meaning="Time between two readings of an engine's state by the holder.",
+        description="Interval at which the holder reads an engine's state.",
     ),
     Setting(
         name="orders.loads_per_minute",
@@ -664,16 +679,16 @@
         unit="1/min",
         minimum=0.01,
         maximum=100000,
-        meaning="Models and adapters that orders make the weight store give to one data"
-        " centre, in the long run.",
+        description="Long-term rate of models and adapters that the weight store serves"
+        " to one data centre because of orders.",
     ),
     Setting(
         name="statsd.address",
         type=str,
         default="127.0.0.1:8125",
         endpoint=True,
-        meaning="Address of the statsd server; an IP, as names would be resolved"
-        " in the event loop.",
+        description="Address of the statsd server; an IP address, as name resolution"
+        " would block the event loop.",
     ),
     Setting(
         name="load.queue",
@@ -681,7 +696,8 @@
         default=2000,
         minimum=1,
         maximum=100000,
-        meaning="Stage calls that may wait for one service; more are refused.",
+        description="Limit of stage calls that are queued for one service; further ones"
+        " are refused.",
     ),
     Setting(
         name="load.short_share",
@@ -689,7 +705,8 @@
         default=0.2,
         minimum=0,
         maximum=0.9,
-        meaning="Share of each target's limit that long calls leave to short ones.",
+        description="Share of each target's concurrency limit that is reserved for"
+        " short calls.",
     ),
     Setting(
         name="load.late_share",
@@ -697,8 +714,8 @@
         default=0.03,
         minimum=0.001,
         maximum=0.5,
-        meaning="Share of the calls started on busy targets that may yet end too late"
-        " and be for nothing; lower refuses more.",
+        description="Accepted share of the calls started on busy targets that end too"
+        " late to be of use; a lower value refuses more calls.",
     ),
     Setting(
         name="load.retry_share",
@@ -706,7 +723,7 @@
         default=0.1,
         minimum=0,
         maximum=1,
-        meaning="Repeated and backup calls for each ordinary one, at most.",
+        description="Limit of retries and hedged calls, as a ratio to ordinary calls.",
     ),
     Setting(
         name="load.ejected_share",
@@ -714,8 +731,8 @@
         default=0.5,
         minimum=0,
         maximum=0.9,
-        meaning="Share of a service's targets, rounded up, that may be out of service"
-        " for failing or being slow; the last one never is.",
+        description="Share of a service's targets, rounded up, that may be ejected for"
+        " failures or slowness; the last target is never ejected.",
     ),
     Setting(
         name="load.slowness",
@@ -723,8 +740,8 @@
         default=4.0,
         minimum=1.5,
         maximum=100,
-        meaning="Times as long as with the service's other targets that calls take"
-        " until a target counts as slow.",
+        description="Ratio of a target's latency to that of the service's other targets"
+        " at which it counts as slow.",
     ),
     Setting(
         name="load.distance",
@@ -732,8 +749,8 @@
         default=0.25,
         minimum=0,
         maximum=100,
-        meaning="Load, as a share of a target's limit, by which one in another data"
-        " centre must be better to be chosen.",
+        description="Load difference, as a share of a target's limit, at which a less"
+        " loaded target in another data centre is preferred.",
     ),
     Setting(
         name="load.affinity",
@@ -741,8 +758,8 @@
         default=1.0,
         minimum=0,
         maximum=100,
-        meaning="Load, as a share of a target's limit, that a cached prompt prefix is"
-        " worth.",
+        description="Load difference, as a share of a target's limit, that a cached"
+        " prompt prefix outweighs.",
     ),
     Setting(
         name="drain.balancer_lag",
@@ -751,8 +768,8 @@
         unit="s",
         minimum=0,
         maximum=600,
-        meaning="Time for which an instance that is to stop serves on as if nothing"
-        " had happened; longer than the balancer needs to notice it is not ready.",
+        description="Time for which a stopping instance keeps serving normally; must"
+        " exceed the time in which the load balancer detects that it is not ready.",
     ),
     Setting(
         name="drain.longest",
@@ -761,21 +778,21 @@
         unit="s",
         minimum=0,
         maximum=3600,
-        meaning="Time allowed to requests in flight after that; at least the"
-        " longest deadline callers may ask for.",
+        description="Time allowed for requests in flight after that; at least the"
+        " longest deadline that callers may ask for.",
     ),
     Setting(
         name="log.level",
         type=str,
         default="requests",
         choices=("errors", "requests", "stages"),
-        meaning="What is logged: failures only, one action for each request, or"
-        " also one for each stage call.",
+        description="Log detail: failures only, one action for each request, or also"
+        " one for each stage call.",
     ),
     Setting(
         name="log.file",
         type=str,
         default="-",
-        meaning="File that log lines are appended to; - is standard output.",
+        description="File that log lines are appended to; - is standard output.",
     ),
 )
--- a/tests/test_core/test_config/test_steering.py
+++ b/tests/test_core/test_config/test_policy_resolution.py
@@ -1,4 +1,4 @@
-"""Selectors, the order of policies, and what they say of one kind of work."""
+"""Selectors, the precedence of policies and the resolution of the effective policy."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Policy, PolicyEffect
+from greengagelatch.config.policy_resolution import resolve_policy
 from greengagelatch.config.precedence import order_policies
 from greengagelatch.config.selectors import parse_selector
 from greengagelatch.config.snapshot import Snapshot
-from greengagelatch.config.steering import resolve
 
 LABELS = {"tier": "gold", "region": "luzon"}
 
 
 @pytest.mark.parametrize(
-    ("text", "picked"),
+    ("text", "matches"),
     [
         ("", True),
         ("tier = gold", True),
@@ -40,15 +40,15 @@
         ("!name", False),
     ],
 )
-def test_selectors(text, picked):
-    assert parse_selector(text).unwrap().matches("lathe", LABELS) is picked
+def test_selectors_match_names_and_labels(text, matches):
+    assert parse_selector(text).unwrap().matches("lathe", LABELS) is matches
 
 
 @pytest.mark.parametrize(
     "text",
     ["=", "a =", "a in", "a in b", "a in ()", "a in (b", "a, ,b", "a b", "!", "a=b c"],
 )
-def test_unsound_selectors(text):
+def test_invalid_selectors_are_rejected(text):
     assert parse_selector(text).is_err()
 
 
@@ -66,9 +66,9 @@
 @settings(max_examples=60, deadline=None)
 @given(st.lists(policies, unique_by=lambda item: item.name), st.randoms())
 def test_the_order_of_policies_is_total(items, source):
-    """Two instances serve the same request with different priorities.
+    """Guards against different priorities of one request on two instances.
 
-    They hold the same policies, but in another order.
+    They hold the same policies in a different order.
     """
     ordered = order_policies(items)
     shuffled = list(items)
@@ -87,7 +87,7 @@
     )
 
 
-def test_the_first_policy_that_matches_wins_whole():
+def test_the_first_matching_policy_applies_as_a_whole():
     snapshot = build_snapshot("""
 [workspace:luzon]
 labels = tier=gold
@@ -112,33 +112,33 @@
 attainment = 3
 cost = 1
 """)
-    steering = resolve(snapshot, "luzon", "shift-plan", "planner-llm")
-    assert steering.quota.policy == "gold"
-    assert steering.quota.requests_per_second is None
-    assert steering.priority == -3
-    assert steering.weights.attainment == 0.75
-    other = resolve(snapshot, "stranger")
+    effective = resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm")
+    assert effective.quota.policy == "gold"
+    assert effective.quota.requests_per_second is None
+    assert effective.priority == -3
+    assert effective.weights.attainment == 0.75
+    other = resolve_policy(snapshot, "stranger")
     assert other.quota.policy == "all"
     assert other.weights.attainment == 0.5
-    assert resolve(snapshot, "luzon", "shift-plan", "planner-llm") is steering
+    assert resolve_policy(snapshot, "luzon", "shift-plan", "planner-llm") is effective
 
 
-def test_a_new_snapshot_has_answers_of_its_own():
-    """A change of a policy has no effect on workspaces that were asked for before.
+def test_a_new_snapshot_has_its_own_cached_results():
+    """Guards against stale cached results after a change of a policy.
 
-    Answers are remembered by the identity of a snapshot, which may be reused for a
-    later one as soon as the earlier is gone.
+    Results are cached by the ``id`` of a snapshot, which Python may reuse for a later
+    snapshot once the earlier one is freed.
     """
     for number in range(20):
         text = f"[policy:p]\neffect = priority\npriority = {number}\n"
-        assert resolve(build_snapshot(text), "w").priority == number
+        assert resolve_policy(build_snapshot(text), "w").priority == number
 
 
-def test_a_split_is_the_same_everywhere_and_follows_its_shares():
+def test_a_split_is_deterministic_and_follows_its_shares():
     snapshot = build_snapshot(
         "[policy:s]\neffect = split\nto_pipelines = a=90, b=10, c=0\n"
     )
-    split = resolve(snapshot, "w", "a").pipeline_split
+    split = resolve_policy(snapshot, "w", "a").pipeline_split
     picks = [split.pick(f"req-{number}") for number in range(10_000)]
     assert picks == [split.pick(f"req-{number}") for number in range(10_000)]
     assert "c" not in picks
