--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/__init__.py
@@ -1,4 +1,4 @@
-"""Controllers: the parts of the daemon that hold state."""
+"""Base class of the controllers, the stateful services of the entry process."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Controller(Service):
-    """A part of the daemon with state of its own, started and stopped with it.
+    """A stateful service that starts and stops with the process.
 
     Controllers are wired by the composition root only; they reach each other
-    through interfaces given to their constructors and through named events.
-    Background work is a method marked ``@Service.task``.
+    through interfaces passed to their constructors and through named events.
+    A background task is a method decorated with ``@Service.task``.
     """
 
-    # tells mode that the class itself is never started
+    # mode never starts a class marked as abstract
     abstract: ClassVar[bool] = True
 
     #: key of this controller in the state dump
@@ -33,10 +33,10 @@
         """Return the state as JSON-compatible values, bounded in size."""
 
     async def crash(self, reason: BaseException) -> None:
-        """Record a failed background task and report it.
+        """Record a failed background task and notify the application.
 
-        The other controllers would go on without this one, serving with a state
-        that no longer changes, so the application is told and ends the process.
+        The other controllers would keep serving from state that is no longer
+        updated, so the application terminates the process.
         """
         await super().crash(reason)
         if self.crash_listener is not None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""The operator configuration of this instance: learns it, passes it on, changes it."""
+"""Replication of the operator configuration to this instance."""
 
 from __future__ import annotations
 
@@ -41,33 +41,34 @@
 
 logger = logging.getLogger(__name__)
 
-#: emitted with the snapshot each time a newer one is in force here
+#: emitted with the snapshot whenever this instance adopts a newer generation
 CONFIGURATION_CHANGED = "configuration-changed"
 
-#: seconds between two looks at whether this instance is to watch the head
+#: seconds between two checks whether this instance watches the head in the store
 WATCH_TICK = 1.0
 
-#: shortest and longest delay in seconds after a failed call
+#: minimum and maximum back-off in seconds after a failed call
 RETRY_BASE = 0.2
 RETRY_LONGEST = 5.0
 
-#: seconds that peers are given before an instance that knows no configuration reads
-#: it from the store, and before one that is not to watch the store asks there at all
+#: seconds to wait for peers before an instance without a configuration reads the
+#: shards from the store, and before one that is not a watcher queries the store at all
 PEERS_FIRST = 1.0
 START_PATIENCE = 3.0
 START_TICK = 0.1
 
-#: peers asked at once by an instance that knows no configuration
+#: peers queried at the same time by an instance without a configuration
 START_PEERS = 2
 
 
 class ConfigurationController(Controller):
-    """Holds the newest configuration that this instance has learnt.
+    """Holds the newest generation of the configuration known to this instance.
 
-    A few instances of each data centre watch the head in the store; the others hear
-    of a new generation from peers, and fetch it there. An instance that has long had
-    no word of what is newest looks for itself: those that watch may be cut off from
-    the store while it is not.
+    A few instances of each data centre, the watchers, watch the head in the store.
+    The others learn of a new generation by gossip and fetch it from a peer. An
+    instance whose configuration has not been confirmed as the newest for
+    ``configuration.stale_after`` seconds reads the head itself, because the watchers
+    may be partitioned from the store while it is not.
     """
 
     name = "configuration"
@@ -96,7 +97,7 @@
         self._gossip_interval: float = settings["configuration.gossip_interval"]
         self._stale_after: float = settings["configuration.stale_after"]
         self._replica = Replica()
-        #: revision of the newest head seen in the store
+        #: store revision of the newest head that was applied
         self._revision = 0
         self._fetch_wanted = asyncio.Event()
         self._learning = asyncio.Lock()
@@ -131,11 +132,11 @@
         ConfigServer(replica=self._replica, peers=peers, metrics=metrics)
         events.declare(CONFIGURATION_CHANGED)
 
-    # what others ask
+    # queries and changes
 
     @property
     def snapshot(self) -> Snapshot:
-        """Objects in force here; empty before any are known."""
+        """Objects in force on this instance; empty before the first generation."""
         return self._replica.snapshot
 
     @property
@@ -145,7 +146,7 @@
 
     @property
     def head(self) -> Head:
-        """Head of the generation in force here."""
+        """Head of the generation in force on this instance."""
         return self._replica.head
 
     @property
@@ -163,19 +164,19 @@
         return self._replica.list_records()
 
     def find_generation(self, instance_id: str) -> int | None:
-        """Return the generation an instance is known to have; ``None``: unknown."""
+        """Return the last reported generation of an instance; ``None`` if unknown."""
         return self._gossip.find_generation(instance_id)
 
     def get_store_age(self) -> float | None:
-        """Return seconds since the generation here was surely the newest."""
+        """Return seconds since this generation was last confirmed as the newest."""
         return self._gossip.get_store_age()
 
     async def change(self, request: ChangeRequest) -> ChangeOutcome:
-        """Make a change and return what became of it."""
+        """Apply a change and return its outcome."""
         return await self._driver.change(request)
 
     async def find_change(self, change_id: str) -> Result[Sought, StoreError]:
-        """Look for a change: here first, then in the store's newest head."""
+        """Look up a change in the local head, then in the newest head of the store."""
         head = self._replica.head
         entry = find_change(head, change_id)
         if entry is not None:
@@ -194,9 +195,9 @@
     async def list_generations(
         self, *, ask: bool = False
     ) -> tuple[MemberGeneration, ...]:
-        """Return every known entry instance with the generation it has in force.
+        """Return every known entry instance with its generation in force.
 
-        :param ask: ask all members anew instead of telling what is known.
+        :param ask: query all members instead of returning their last reports.
         """
         members = self._peers.members()
         if ask:
@@ -221,7 +222,7 @@
             "watching": self._is_watcher(),
         }
 
-    # learning from the store
+    # replication from the store
 
     @Service.task
     async def _watch_forever(self) -> None:
@@ -235,8 +236,8 @@
             seen = self._revision
             if await self._watch_once():
                 failures = 0
-                # a store that answers at once without news, as it may while there is
-                # no head, must not be asked in a tight loop: it counts each call
+                # a watch may return at once without a change, for example while no
+                # head exists; avoid a tight loop, as the store meters each call
                 tick = min(WATCH_TICK, self._watch_wait)
                 if self._revision == seen and self._clock.now() - begun < tick:
                     await self.sleep(tick)
@@ -256,14 +257,14 @@
         return await self._learn_entry(entry)
 
     async def _learn_entry(self, entry: Entry) -> bool:
-        # one at a time, or the watch and the start would each read all shards
+        # serialised, or the watch and the start-up would each read all shards
         async with self._learning:
             if not self.ready:
                 await self._wait_for_peers()
             learnt = await self._learner.learn_entry(entry)
         if not learnt:
             return False
-        # only now: a head whose shards could not be read is to be seen again
+        # advance only now, so that a head with unreadable shards is watched again
         if entry.revision >= self._revision:
             self._revision = entry.revision
             self._gossip.confirm_newest()
@@ -288,18 +289,19 @@
                 continue
             answer = await self._read_head()
             if answer.is_ok() and answer.ok_value is None:
-                # there is no configuration yet; the watch will tell of the first
+                # no configuration exists yet; the watch reports the first one
                 return
             failures += 1
             if not self.ready:
                 await self._wait_to_retry(failures)
 
     async def _wait_for_peers(self) -> None:
-        """Let peers give the first configuration, if any are there in time.
+        """Wait a bounded time for a peer to provide the first configuration.
 
-        The store holds it in up to 256 shards and counts the reading of each. When a
-        data centre comes back, all its instances would read them side by side: seen
-        as seconds in which the store answers nobody else in time.
+        The store holds the configuration in up to 256 shards and meters each read.
+        When a data centre restarts, all its instances would read the shards at the
+        same time, and the store would miss the deadlines of all other calls for
+        several seconds.
         """
         end = self._clock.now() + PEERS_FIRST
         asked = False
@@ -316,7 +318,7 @@
 
     def _is_watcher(self) -> bool:
         watchers = choose_watchers(self._peers.members(), self._data_centre)
-        # an instance that no view of its own shows as alive still has to look
+        # without any watcher in its view, an instance has to watch the head itself
         return not watchers or self.instance_id in watchers
 
     async def _wait_to_retry(self, failures: int) -> None:
@@ -328,7 +330,7 @@
         )
         await self.sleep(delay)
 
-    # learning from peers
+    # replication from peers
 
     @Service.task
     async def _gossip_forever(self) -> None:
@@ -339,8 +341,8 @@
             self._gossip.tell_one()
             fleet = 1 + len(self._gossip.list_others())
             if self._is_stale() and self._random.random() * fleet < 1:
-                # each looks seldom, so that the fleet as a whole asks no more often
-                # the larger it is
+                # the probability falls with the fleet size, which keeps the read rate
+                # of the whole fleet independent of its size
                 self._metrics.count("configuration.stale_reads")
                 await self._read_head()
 
@@ -366,7 +368,7 @@
 
     def _note_adopted(self) -> None:
         generation = self._replica.generation
-        logger.info("configuration generation %s is in force", generation)
+        logger.info("adopted configuration generation %s", generation)
         self._metrics.gauge("configuration.generation", generation)
         self._metrics.count("configuration.adopted")
         self._events.emit(CONFIGURATION_CHANGED, self._replica.snapshot)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -1,4 +1,4 @@
-"""Graceful stop: leave the balancer's rotation, finish what runs, then end."""
+"""Graceful shutdown: leave the load balancer, drain requests, then stop."""
 
 from __future__ import annotations
 
@@ -22,43 +22,44 @@
 
 logger = logging.getLogger(__name__)
 
-#: emitted without arguments as soon as this instance is to stop
+#: emitted without arguments when a graceful shutdown is requested
 DRAIN_STARTED = "drain-started"
 
 
 class DrainState(Enum):
-    """How far a stop has come; states only move down this list."""
+    """Phase of a graceful shutdown; phases only advance in this order."""
 
     SERVING = "serving"
-    #: not ready, but still serving what the balancer goes on sending
+    #: reported as not ready, but still accepting connections and requests
     LEAVING = "leaving"
-    #: no new connections; requests in flight are finished
+    #: no new connections; requests in flight run to completion
     FINISHING = "finishing"
-    #: requests in flight are broken off and get their final answers
+    #: requests in flight are aborted and get their final responses
     ENDING = "ending"
     STOPPED = "stopped"
 
 
-#: seconds for the final answers to requests that are broken off; some times the
-#: longest pause of a processor whose share is used up (0.1 s)
+#: seconds to write the final responses of aborted requests; a few times the longest
+#: pause of a process that is throttled by its CPU quota (0.1 s)
 LAST_ANSWERS = 0.3
 
 
 class DrainController(Controller):
-    """Runs the steps of a planned stop.
-
-    The balancer learns with a lag that an instance is not ready and keeps its open
-    connections until it does. An instance that stopped listening at once would cut
-    the requests sent meanwhile, which callers see as resets during every rollout.
-    So it first only reports itself not ready, serves on for ``balancer_lag``
-    seconds, and then finishes what is in flight for at most ``longest`` seconds.
-    What is not finished by then is broken off and answered: left to the end of the
-    process, callers would see closed connections that tell them nothing.
-
-    :param close_listener: stops taking new connections.
+    """Runs the phases of a graceful shutdown.
+
+    The load balancer notices with a delay that an instance is not ready, and reuses
+    its open connections until then. Closing the listener at once would reset the
+    requests sent meanwhile, and callers would see connection resets during every
+    rollout. The instance therefore first reports itself not ready, keeps serving for
+    ``balancer_lag`` seconds, and then lets the requests in flight finish for at most
+    ``longest`` seconds. Requests that are still running then are aborted and
+    answered: if they were left to the exit of the process, callers would see closed
+    connections without a status.
+
+    :param close_listener: stops accepting connections.
     :param wait_idle: waits until no request is in flight, at most the given
         seconds; returns whether none is left.
-    :param break_off: breaks off the requests in flight, so that each is answered.
+    :param break_off: aborts the requests in flight, so that each is answered.
     """
 
     name = "drain"
@@ -92,45 +93,48 @@
 
     @property
     def state(self) -> DrainState:
-        """How far the stop has come."""
+        """Current phase of the shutdown."""
         return self._state
 
     @property
     def draining(self) -> bool:
-        """Whether a stop has begun."""
+        """Whether a shutdown was requested."""
         return self._state is not DrainState.SERVING
 
     @property
     def started_at(self) -> float | None:
-        """Monotonic seconds at which the stop was requested; ``None`` before."""
+        """Monotonic time in seconds of the shutdown request; ``None`` before it."""
         return self._started_at
 
     @property
     def ends_at(self) -> float:
-        """Monotonic seconds at which requests are broken off; infinite if never."""
+        """Monotonic time in seconds at which requests are aborted; else infinite."""
         if self._started_at is None:
             return math.inf
         return self._started_at + self._balancer_lag + self._longest
 
     def request_stop(self) -> None:
-        """Begin a planned stop; a second call ends it without waiting."""
+        """Start a graceful shutdown; a second call skips the remaining waits."""
         if self._requested.is_set():
-            logger.warning("second stop request: ending without finishing requests")
+            logger.warning("second shutdown request: aborting requests in flight")
             self._abandoned.set()
             return
         self._started_at = self._clock.now()
         self._state = DrainState.LEAVING
         self._requested.set()
-        logger.info("stop requested: serving on for %s s", self._balancer_lag)
+        logger.info("shutdown requested: serving for another %s s", self._balancer_lag)
         self._events.emit(DRAIN_STARTED)
 
     def start_drain(self) -> None:
-        """Begin a planned stop unless one has begun; repeating it is harmless."""
+        """Start a graceful shutdown unless one was requested; idempotent."""
         if not self._requested.is_set():
             self.request_stop()
 
     async def wait(self) -> bool:
-        """Wait for a stop and carry it out; whether every request was finished."""
+        """Wait for a shutdown request and execute it.
+
+        :return: whether every request in flight was completed.
+        """
         await self._requested.wait()
         work = asyncio.create_task(self._finish())
         abandoned = asyncio.create_task(self._abandoned.wait())
@@ -142,8 +146,8 @@
         self._state = DrainState.STOPPED
         finished = results[0] is True
         self._metrics.count("drain.finished" if finished else "drain.cut")
-        ending = "every request is finished" if finished else "requests broken off"
-        logger.info("%s, %.2f s after the stop request", ending, self._find_elapsed())
+        ending = "all requests completed" if finished else "requests aborted"
+        logger.info("%s %.2f s after shutdown request", ending, self._find_elapsed())
         return finished
 
     async def _finish(self) -> bool:
@@ -151,7 +155,7 @@
             if await self._finish_requests():
                 return True
         except Exception:
-            logger.exception("a step of the stop failed")
+            logger.exception("graceful shutdown failed; aborting requests in flight")
         self._state = DrainState.ENDING
         self._break_off()
         await self._wait_idle(LAST_ANSWERS)
@@ -161,7 +165,7 @@
         await asyncio.sleep(self._balancer_lag)
         self._state = DrainState.FINISHING
         await self._close_listener()
-        # from the request on: a process that stood still meanwhile has less time left
+        # counted from the request, so that a suspended process does not overrun it
         return await self._wait_idle(max(0.0, self.ends_at - self._clock.now()))
 
     def dump(self) -> dict[str, Any]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -1,4 +1,4 @@
-"""Leases of this instance: gets, keeps and gives them up."""
+"""Leases of this instance: acquires, renews and releases them."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 logger = logging.getLogger(__name__)
 
-#: first part of the keys of leases in the store
+#: key prefix of the leases in the store
 PREFIX = "leases"
 
-#: seconds between two looks at which calls are due
+#: seconds between two checks for due calls
 TICK = 0.1
 
 #: groups shown in the state dump
@@ -42,12 +42,12 @@
 
 
 class LeasesController(Controller):
-    """Holds leases for groups that other controllers ask for.
+    """Holds the leases of the groups that other controllers request.
 
-    Nothing is called as long as nobody wants a group. Each group has one call to the
-    store under way at most.
+    Without a requested group, the store is not called. Each group has at most one
+    call to the store in flight.
 
-    :param longest_action: seconds that one guarded action takes at most
+    :param longest_action: maximum duration in seconds of an action under a lease
     """
 
     name = "leases"
@@ -78,34 +78,34 @@
         self._busy: frozenset[str] = frozenset()
         self._tenures: dict[str, LeaseState] = {}
         self._calls: dict[str, asyncio.Task[None]] = {}
-        #: members as last seen, and what follows from them for each group: to work
-        #: it out takes a hash for each member, far too many for every tick
+        #: members for which the intents by group are cached; computing an intent
+        #: hashes every member, which is too expensive for each tick
         self._ranked: tuple[Member, ...] = ()
         self._wishes: dict[str, LeaseIntent] = {}
-        #: number of leases held, as last reported
+        #: last reported number of held leases
         self._held = 0
-        #: last failed call by group, for the state dump
+        #: error of the last call by group, for the state dump
         self._errors: dict[str, str] = {}
 
     def want(self, groups: Set[str], *, busy: Set[str]) -> None:
-        """Say which groups' leases are wanted.
+        """Set the groups whose leases this instance tries to hold.
 
-        :param busy: groups whose lease, if held, is not to be given up now, as what
-            is done under it may not have ended yet
+        :param busy: groups whose lease, if held, is not released now, because an
+            action under it may still be running
         """
         self._wanted = frozenset(groups)
         self._busy = frozenset(busy)
 
     def find(self, group: str) -> LeaseState | None:
-        """Return what is known of a group's lease at this moment.
+        """Return the current state of a group's lease.
 
-        The lease may lapse at any later one, so whoever acts under it asks anew
-        right before.
+        The lease may expire at any time, so callers query it again immediately
+        before each action under it.
         """
         return self._tenures.get(group)
 
     def give_up(self, group: str) -> None:
-        """Stop acting for a group at once, and try for its lease anew later."""
+        """Abandon the lease of a group at once; it is requested again later."""
         tenure = self._tenures.get(group)
         if tenure is None:
             return
@@ -113,7 +113,7 @@
         self._tenures[group] = tenure.leave()
 
     async def on_stop(self) -> None:
-        """Give up what is held, or others would have to wait for it to lapse."""
+        """Release held leases, so that others need not wait for their expiry."""
         self.want(frozenset(), busy=self._busy)
         await self._wait_calls()
         self._plan()
@@ -136,12 +136,12 @@
     async def _run_forever(self) -> None:
         while not self.should_stop:
             self._plan()
-            # the service's own sleep starts a task each time
+            # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
     async def _wait_calls(self) -> None:
         if self._calls:
-            # what is not answered by then lapses by itself
+            # the leases of calls without an answer expire by their TTL
             await asyncio.wait(self._calls.values(), timeout=self._timeout)
 
     def _plan(self) -> None:
@@ -196,7 +196,7 @@
         return wish
 
     async def _call(self, group: str) -> None:
-        """Make the calls of a group until none is due."""
+        """Make the store calls of a group until none is due."""
         while True:
             tenure = self._tenures[group].begin(read_instant(self._clock))
             if tenure.step is LeaseStep.IDLE:
@@ -204,7 +204,7 @@
             self._tenures[group] = tenure
             after = await self._make_call(group, tenure)
             if self._tenures[group].step is not tenure.step:
-                # given up meanwhile; the answer must not bring the lease back
+                # abandoned meanwhile; the answer must not restore the lease
                 after = self._tenures[group]
             self._note_change(group, tenure, after)
             self._tenures[group] = after
@@ -248,7 +248,7 @@
     def _note_change(self, group: str, before: LeaseState, after: LeaseState) -> None:
         if after.held and not before.held:
             self._metrics.count("leases.acquired")
-            logger.info("lease of %s acquired, number %d", group, after.fence)
+            logger.info("acquired lease of %s, fencing token %d", group, after.fence)
         if before.held and not after.held:
             self._metrics.count("leases.ended")
-            logger.info("lease of %s ended, number %d", group, before.fence)
+            logger.info("lost lease of %s, fencing token %d", group, before.fence)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
@@ -1,4 +1,4 @@
-"""Reading of the platform's list of instances, for all parts that need it."""
+"""Polling of the platform's list of instances on behalf of all controllers."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 __all__ = ("LISTING_RECEIVED", "ListingController")
 
-#: emitted with a :class:`~greengagelatch.instances.Listing` after each reading,
-#: also where it has not changed
+#: emitted with a :class:`~greengagelatch.instances.Listing` after each poll, even if
+#: the list is unchanged
 LISTING_RECEIVED = "listing-received"
 
-#: share of an interval by which it is spread, so that readings don't fall together
+#: jitter as a fraction of the interval, so that instances do not poll in lockstep
 JITTER = 0.25
 
 
 class ListingController(Controller):
-    """Reads the list at an interval that grows with the fleet.
+    """Polls the list of instances at an interval that grows with the fleet.
 
-    The platform counts each call, and what it bears grows more slowly than the
-    fleet. So all entry instances together make ``platform.instances_rate`` calls a
-    second at most; what one of them learns of leaving instances, it passes on.
+    The platform meters each call, and its capacity grows more slowly than the fleet.
+    All entry instances together therefore make at most ``platform.instances_rate``
+    calls per second; each of them gossips the leaving instances that it discovers.
 
-    An instance that can't read the list asks a peer for it instead. So a data centre
-    cut off from the platform still sees new targets through the others, and an
-    instance started while the platform is down finds targets at all.
+    An instance that cannot read the list requests it from a peer. A data centre
+    partitioned from the platform thus still discovers new targets, and so does an
+    instance that is started during an outage of the platform.
     """
 
     name = "listing"
@@ -81,11 +81,11 @@
 
     @property
     def listing(self) -> Listing | None:
-        """The newest listing that was read, or learnt from a peer."""
+        """The newest listing, from the platform or from a peer."""
         return self._newest
 
     async def refresh(self) -> None:
-        """Read the list once; if that fails, ask a peer for it."""
+        """Read the list once, falling back to a peer."""
         match await self._instance_list.fetch():
             case Ok(listing):
                 self._error = ""
@@ -97,7 +97,7 @@
                 await self._ask_peer()
 
     def compute_interval(self) -> float:
-        """Return the seconds until the next reading, without jitter."""
+        """Return the seconds until the next poll, without jitter."""
         sharing = sum(
             member.state in (MemberState.ALIVE, MemberState.SUSPECT)
             for member in self._peers.members()
@@ -130,7 +130,7 @@
 
     def _take(self, listing: Listing) -> None:
         if self._newest is not None and listing.as_of < self._newest.as_of:
-            # replicas of the list may lag behind each other
+            # the replicas that serve the list may lag behind each other
             self._metrics.count("instances.older_listings")
             return
         self._newest = listing
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -1,4 +1,4 @@
-"""Which entry instances there are, kept up to date by probing a few of them."""
+"""Membership of the entry instances, maintained by failure detection and gossip."""
 
 from __future__ import annotations
 
@@ -41,38 +41,38 @@
 
 __all__ = ("MEMBERS_CHANGED", "MembershipController", "is_probe")
 
-#: emitted without arguments once ``members`` has changed
+#: emitted without arguments after a change of the members
 MEMBERS_CHANGED = "members-changed"
 
-#: seconds between two looks at what is due
+#: seconds between two advances of the failure detector
 TICK = 0.2
 
-#: seconds between two comparisons of all that is known with one peer
+#: seconds between two anti-entropy exchanges of the member table with a random peer
 SYNC_INTERVAL = 60.0
 
-#: the same until the first one succeeds
+#: seconds between two exchanges until the first one succeeds
 FIRST_SYNC_INTERVAL = 1.0
 
 SYNC_TIMEOUT = 3.0
 
-#: seconds for which an instance that left is still shown
+#: seconds for which a leaving instance is still listed as a member
 LEAVING_SHOWN = 600.0
 
-#: seconds for which an unchanged list of members is shown
+#: seconds for which the list of members is cached
 SHOWN_LIFE = 1.0
 
 _PROBES = (Probe, ProbeAck, ProbeRequest)
 
 
 def is_probe(message: Message) -> bool:
-    """Whether a message is part of failure detection, and no use of a link."""
+    """Whether a message belongs to failure detection and does not use a link."""
     return isinstance(message, _PROBES)
 
 
 class MembershipController(Controller):
-    """Runs the failure detector: gives it time and messages, sends what it says.
+    """Drives the failure detector: feeds it time and messages, sends its output.
 
-    It is created and started by the network of peers that it is part of.
+    It is created and started by the peer network that it belongs to.
     """
 
     name = "membership"
@@ -103,12 +103,12 @@
             instance_id=settings["instance.id"],
             data_centre=settings["instance.data_centre"],
             address=settings["peers.advertise"] or settings["peers.listen"],
-            # later processes of the same id must have higher ones
+            # each later process with the same id needs a higher incarnation
             incarnation=int(clock.wall()),
             capacity=capacity,
         )
         self._detector = self._create_detector()
-        #: members as last shown; asked for by each request, and made from many
+        #: cached members, which every request reads and a large fleet makes costly
         self._shown: tuple[Member, ...] | None = None
         self._shown_until = 0.0
         events.declare(MEMBERS_CHANGED)
@@ -126,17 +126,17 @@
         return self._identity.instance_id
 
     def begin(self, address: str) -> None:
-        """Set the address of this instance, once it is known."""
+        """Set the address of this instance after its listener is bound."""
         if address == self._identity.address:
             return
         self._identity = replace(self._identity, address=address)
         self._detector = self._create_detector()
         self._shown = None
 
-    # questions
+    # queries
 
     def members(self) -> tuple[Member, ...]:
-        """Return all known entry instances, this one included, by id."""
+        """Return all known entry instances, including this one, sorted by id."""
         now = self._clock.now()
         if self._shown is not None and now < self._shown_until:
             return self._shown
@@ -161,16 +161,16 @@
         return tuple(sorted(found, key=lambda member: member.instance_id))
 
     def list_neighbours(self) -> tuple[str, ...]:
-        """Return the instances to which a link should be open by now."""
+        """Return the ids of the instances to keep a link to, sorted."""
         return tuple(sorted(self._detector.list_neighbours()))
 
     def find_address(self, instance_id: str) -> str:
-        """Return where to reach an instance, empty if it is not known."""
+        """Return the address of an instance; empty if unknown."""
         record = self._detector.table.find(instance_id)
         return "" if record is None else record.address
 
     def describe(self) -> Hello:
-        """Return what this instance says of itself."""
+        """Return the hello message of this instance."""
         own = self._detector.own
         return Hello(
             instance_id=own.instance_id,
@@ -182,18 +182,18 @@
         )
 
     def find_fault(self, hello: Hello, linked_address: str) -> str:
-        """Return why a peer's word on itself can't be true, empty if it can.
+        """Return why the hello of a peer is rejected; empty if it is valid.
 
-        Two processes under one id would each get messages meant for the other, and
-        each would refute what the other says. One notices it by an instance that
-        changes its address to and fro. So whoever came first keeps the id.
+        Two processes with the same id would receive each other's messages and refute
+        each other's updates, visible as an instance whose address flaps. The process
+        that used the id first therefore keeps it.
 
-        :param linked_address: address of the peer of that id with an open link.
+        :param linked_address: address of the peer with this id and an open link.
         """
         if not _is_readable(hello):
-            return "a hello that can't be read"
+            return "malformed hello"
         if hello.instance_id == self.instance_id:
-            return f"id {hello.instance_id!r} is this instance's own"
+            return f"id {hello.instance_id!r} is the id of this instance"
         if linked_address and linked_address != hello.address:
             return f"id {hello.instance_id!r} is in use at {linked_address}"
         record = self._detector.table.find(hello.instance_id)
@@ -201,7 +201,7 @@
             return ""
         if record.state is not MemberState.ALIVE or not record.address:
             return ""
-        # if the known one is gone, as after a restart elsewhere, this shows it
+        # probe the known one, which is gone if it was restarted at another address
         self.note_link_lost(hello.instance_id)
         return f"id {hello.instance_id!r} is in use at {record.address}"
 
@@ -226,16 +226,16 @@
             },
         }
 
-    # inputs
+    # observations
 
     def meet(self, identity: Identity, *, leaving: bool) -> None:
-        """Take in what a peer says of itself when a link to it is opened."""
+        """Register a peer from the hello of a newly opened link."""
         self._do(
             self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
         )
 
     def note_link_lost(self, instance_id: str) -> None:
-        """Take note that a link broke."""
+        """Report a lost link to the failure detector."""
         self._do(self._detector.handle_link_loss(self._clock.now(), instance_id))
 
     def _apply_listing(self, listing: Listing) -> None:
@@ -259,7 +259,7 @@
     async def _advance_forever(self) -> None:
         while not self.should_stop:
             self._do(self._detector.advance(self._clock.now()))
-            # cheaper than the service's own sleep, which starts a task each time
+            # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
     @Service.task
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engines of this data centre, given by the holder of their lease."""
+"""Placement orders to the engines of this data centre, sent by the lease holder."""
 
 from __future__ import annotations
 
@@ -39,17 +39,18 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds between two looks at what is due
+#: seconds between two planning rounds
 TICK = 0.25
 
 
 class OrdersController(Controller):
-    """Brings engines to the state that placement policies name.
+    """Reconciles engines with the state that the placement policies specify.
 
-    Without such a policy it makes no call. It serves no request: what it can't do
-    while the store or an engine is out of reach changes nothing for callers.
+    Without a placement policy it makes no call. It is not on the request path:
+    callers are unaffected while the store or an engine is unreachable.
 
-    :param get_store_age: seconds since the configuration here was surely the newest
+    :param get_store_age: returns the seconds since the configuration of this
+        instance was last confirmed as the newest
     """
 
     name = "orders"
@@ -100,7 +101,7 @@
         events.connect(DRAIN_STARTED, self._note_drain)
 
     async def on_stop(self) -> None:
-        """Stop waiting for engines; an order under way keeps its lease to the end."""
+        """Cancel calls to engines; a group with an order in flight keeps its lease."""
         for call in self._calls:
             call.cancel()
         await asyncio.gather(*self._calls, return_exceptions=True)
@@ -131,11 +132,11 @@
             self._tell_leases()
             for group in self._groups.list_groups():
                 self._serve(group)
-            # the service's own sleep starts a task each time
+            # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
     def _note_drain(self) -> None:
-        # at once, and not at the next tick: no order begins after this
+        # immediately rather than on the next tick, so that no new order is sent
         self._draining = True
         self._tell_leases()
 
@@ -184,16 +185,16 @@
         return has_turn(tenure, now, rules=self._rules, fencing=fencing)
 
     def _is_current(self, tenure: LeaseState) -> bool:
-        """Whether the configuration was the newest at some time of this tenure.
+        """Whether the configuration was confirmed as the newest under this lease.
 
-        The former holder may have acted on a newer one than this instance knows as
-        yet. Its orders would be undone, and the engines would go back to what an
-        operator has replaced, until this instance learns of the change too.
+        The previous holder may have acted on a newer generation than this instance
+        has. Orders from the older one would revert the engines to a state that an
+        operator has replaced, until this instance learns of the change as well.
         """
         age = self._get_store_age()
         if age is None:
             return False
-        # an age is too low by as long as the proof was on its way
+        # the age is too low by the latency of the call that confirmed it
         return self._clock.now() - age >= tenure.acquired + self._margin
 
     def _read_fencing(self, group: Group) -> Fencing:
@@ -204,7 +205,7 @@
         target = group.targets.get(step.target_id)
         try:
             if target is None:
-                # it has left since, and its record goes with the next plan
+                # it has left since; the next plan removes its record
                 engines.fail(self._clock.now(), step, self._rules.interval)
             elif step.order is None:
                 group.error = await self._caller.read(engines, step, target)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -1,4 +1,4 @@
-"""Quotas of workspaces: tells peers of demand and follows theirs."""
+"""Distributed quotas of workspaces, shared out by the demand on each instance."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 #: seconds between two rounds
 ROUND = 1.0
-#: peers that are told in a round
+#: peers that receive a demand report in a round
 LISTENERS = 2
-#: keys that are computed before other work gets its turn
+#: keys that are refreshed before control returns to the event loop
 BATCH = 64
-#: keys that the dump lists at most
+#: maximum number of keys in the state dump
 DUMPED = 100
 
 
 class QuotasController(Controller):
     """Admits requests within the quotas of their workspaces.
 
-    Each instance uses a share of a quota that follows its part of all demand; no
-    request waits for another instance or the store.
+    Each instance admits a share of a quota in proportion to its part of the total
+    demand, so that no request waits for another instance or the store.
     """
 
     name = "quotas"
@@ -69,28 +69,28 @@
         peers.handle(DemandReport, self._receive)
 
     def admit(self, quota: Quota, workspace: str) -> Admission:
-        """Charge a request, or tell when to ask again."""
+        """Charge a request to its quota, or return when to retry."""
         admission = self._ledger.ask(quota, workspace, self._clock.now())
         word = "admitted" if admission.admitted else "refused"
         self._metrics.count(f"quotas.{word}")
         return admission
 
     def give_back(self, quota: Quota, workspace: str) -> None:
-        """Undo the charge of a request that has used nothing."""
+        """Refund the charge of a request that was not executed."""
         use = self._ledger.find(QuotaKey(quota.policy, workspace))
         if use is not None:
             use.charge_request(-1.0)
             self._metrics.count("quotas.given_back")
 
     def charge_tokens(self, quota: Quota, workspace: str, count: int) -> None:
-        """Charge tokens that were made for a request."""
+        """Charge the tokens generated for a request."""
         use = self._ledger.find(QuotaKey(quota.policy, workspace))
         if use is not None:
             use.charge_tokens(count)
             self._metrics.count("quotas.tokens", count)
 
     async def run_round(self) -> None:
-        """Compute all shares anew and tell a few peers."""
+        """Recompute all shares and send demand reports to a few peers."""
         ledger = self._ledger
         ledger.begin_round(self._peers.members(), self._clock.now())
         work = [(ledger.expire, digest) for digest in ledger.list_digests()]
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -1,4 +1,4 @@
-"""Scheduling of stage calls: makes callers wait for the scheduler's decisions."""
+"""Scheduling of stage calls: queues callers until the scheduler decides."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 __all__ = ("TARGET_LEAVING", "SchedulingController", "read_scheduler_rule")
 
-#: emitted with a target's id as soon as it is known to be leaving
+#: emitted with the id of a target when it is known to be leaving
 TARGET_LEAVING = "target-leaving"
 
-#: services and targets that the dump lists at most
+#: maximum number of services, and of targets per service, in the state dump
 DUMPED = 100
-#: seconds between two rounds of gauges
+#: seconds between two updates of the gauges
 GAUGE_INTERVAL = 1.0
 
 
 def read_scheduler_rule(settings: Settings) -> SchedulerRule:
-    """Return the parameters of scheduling."""
+    """Return the scheduler parameters from the settings."""
     return SchedulerRule(
         breaker=BreakerRule(
             slowness=settings["load.slowness"],
@@ -56,13 +56,13 @@
 
 
 class SchedulingController(Dispatcher, Controller):
-    """Lets stage calls wait until the scheduler has decided on them.
+    """Queues stage calls until the scheduler has decided on them.
 
-    Each waiting call has a future. The scheduler is polled after whatever may have
-    made room, and by a timer while calls wait, as load reports and deadlines make
-    no event. A caller that goes away takes its call out of the queue, and a grant
-    that came at the same moment is given back: otherwise the target's room would
-    be taken up by nobody, seen as a limit that is never reached again.
+    Each queued call has a future. The scheduler is polled after each event that may
+    have freed capacity, and by a timer while calls are queued, because load reports
+    and deadlines emit no event. When a caller is cancelled, its call leaves the queue,
+    and a grant made at the same moment is released: otherwise it would occupy a slot
+    of the target for good, visible as a limit that is never reached again.
     """
 
     name = "scheduling"
@@ -97,9 +97,9 @@
             target_id = grant.target.target_id
             if self._directory.accepts(target_id):
                 return result
-            # it began to leave between the decision and this task's turn. A grant
-            # comes without a wait while there is room, so that a call given to the
-            # same target again would keep the event loop from ever going on
+            # the target began to leave between the decision and this wake-up. While
+            # capacity is free, a grant does not suspend this task, so retrying the
+            # same target would block the event loop
             ticket = replace(ticket, excluded=ticket.excluded | {target_id})
             self._metrics.count("scheduling.moved")
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
@@ -114,7 +114,7 @@
         self._poll(now)
 
     async def on_stop(self) -> None:
-        """Refuse what still waits, so that no caller hangs until its deadline."""
+        """Refuse queued calls, so that no caller hangs until its deadline."""
         self._refusing = True
         if self._timer is not None:
             self._timer.cancel()
@@ -150,7 +150,7 @@
         if self._refusing:
             message = "this instance is stopping"
             return Err(create_refusal(RefusalCode.NOT_READY, message, 0))
-        # one moment for both, as what the scheduler works out holds for one moment
+        # one timestamp for both calls: the scheduler's estimates hold for that instant
         now = self._clock.now()
         waiting_id = self._scheduler.submit(ticket, now)
         future = asyncio.get_running_loop().create_future()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -1,4 +1,4 @@
-"""What this instance knows of the targets, kept up to date."""
+"""Directory of targets, kept up to date by polling and gossip."""
 
 from __future__ import annotations
 
@@ -40,60 +40,61 @@
 
 __all__ = ("TARGETS_CHANGED", "TARGET_LEAVING", "TargetsController")
 
-#: emitted with the target's id once it is known to be leaving
+#: emitted with the id of a target when it is known to be leaving
 TARGET_LEAVING = "target-leaving"
 
-#: emitted with a service's name once its candidates may have changed
+#: emitted with the name of a service when its candidates may have changed
 TARGETS_CHANGED = "targets-changed"
 
-#: seconds between two looks at which polls are due
+#: seconds between two checks for due polls
 TICK = 0.2
 
-#: polls under way at the same time
+#: maximum number of concurrent polls
 MAX_POLLS = 32
 
-#: a longer load report is not read
+#: maximum size of a load report in bytes; larger ones are discarded
 MAX_REPORT_BYTES = 65_536
 
-#: seconds after which a service that nobody asked for counts as unused
+#: seconds after its last request from which a service counts as unused
 USED_LATELY = 60.0
 
-#: an unused service's targets are polled this many times less often
+#: factor by which the poll interval of an unused service's targets is longer
 UNUSED_FACTOR = 10
 
-#: peers told at once of what this instance has found out: all in a small fleet
+#: gossip fan-out for leaving targets that this instance detected; a small fleet is
+#: covered completely
 FANOUT_FOUND = 16
 
-#: peers told at once of what this instance has heard from another
+#: gossip fan-out for leaving targets that a peer reported
 FANOUT_HEARD = 3
 
-#: ids of leaving targets in one message
+#: maximum number of target ids in one gossip message
 MAX_TOLD = 500
 
-#: seconds between reminders of what has lately begun to leave
+#: mean seconds between two gossip repeats of recently leaving targets
 REMIND_INTERVAL = 1.0
 
-#: reminders of one leaving target that each instance sends, to one peer each
+#: gossip repeats that each instance sends for one leaving target, to one peer each
 REMINDERS = 6
 
-#: ids of leaving targets that a new instance is told
+#: maximum number of target ids in the answer to a new instance
 MAX_ANSWERED = 5000
 
-#: longer ids are not taken from peers
+#: maximum length of a target id from a peer; longer ones are ignored
 MAX_ID = 255
 
 QUERY_TIMEOUT = 2.0
 
-#: delay before the first probe of a target that can't be reached, in seconds
+#: back-off base in seconds for polls of an unreachable target
 PROBE_BASE = 0.5
 
 
 class TargetsController(Controller, TargetDirectory):
-    """Joins the list, load reports, calls and peers into one directory.
+    """Merges listings, load reports, call results and gossip into one directory.
 
-    It needs no started service to answer; until the first listing it knows no
-    target. A leaving target is passed on to peers at once, and reminders repair
-    what was lost on the way.
+    It answers queries before it is started, and has no targets until the first
+    listing. A leaving target is gossiped to peers at once; repeated messages
+    compensate for lost ones.
     """
 
     name = "targets"
@@ -123,13 +124,13 @@
         self._schedule = PollSchedule(
             rate=settings["targets.load_rate"], random_source=random_source
         )
-        #: seconds between polls of each watched target
+        #: poll interval in seconds by target
         self._intervals: Mapping[str, float] = {}
         self._polls: set[asyncio.Task[None]] = set()
         self._session: aiohttp.ClientSession | None = None
-        #: leaving targets not yet passed on, by whether a peer told of them
+        #: leaving targets not yet gossiped, by whether a peer reported them
         self._untold: dict[bool, list[str]] = {False: [], True: []}
-        #: reminders still to be sent, by leaving target
+        #: remaining gossip repeats by leaving target
         self._reminders: dict[str, int] = {}
         self._next_expiry = 0.0
         events.declare(TARGET_LEAVING)
@@ -158,19 +159,19 @@
         self._take(self._ledger.record_failure(target_id))
 
     def estimate_users(self, service: str) -> float:
-        """Return how many entry instances use one target of ``service``."""
+        """Estimate how many entry instances share one target of ``service``."""
         return self._ledger.estimate_users(service)
 
     def list_targets(self) -> tuple[tuple[Target, bool], ...]:
-        """Return all targets not leaving, each with whether it is set aside."""
+        """Return all targets that are not leaving, each with whether it is ejected."""
         return self._ledger.list_targets()
 
     def list_leaving_targets(self) -> tuple[Target, ...]:
-        """Return the leaving targets that the platform's list still shows."""
+        """Return the leaving targets that are still in the platform's list."""
         return self._ledger.list_leaving_targets()
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take in a listing of the platform."""
+        """Apply a listing of the platform."""
         change = self._ledger.apply_listing(listing)
         if change.stale:
             self._metrics.count("targets.stale_listings")
@@ -200,8 +201,8 @@
         while not self.should_stop:
             self._start_polls()
             self._tell_peers()
-            # the service's own sleep starts a task each time, which costs more
-            # than the work; a stop cancels this one
+            # Service.sleep would create a task on each tick, which costs more than
+            # the work itself; a stop cancels this sleep
             await asyncio.sleep(TICK)
 
     @Service.task
@@ -263,7 +264,7 @@
             self._plan_poll(target.target_id)
 
     async def _fetch_report(self, target: Target) -> bytes:
-        # a hidden second try by the client is harmless here: a poll has no effect
+        # an implicit retry by the HTTP client is harmless, as a poll is idempotent
         assert self._session is not None
         url = f"http://{target.address}/load"
         async with self._session.get(url, allow_redirects=False) as response:
@@ -298,7 +299,7 @@
             )
         self._schedule.reschedule(self._clock.now(), target_id, delay)
 
-    # peers
+    # gossip
 
     def _take(self, change: TargetRegistryChange, *, heard: bool = False) -> None:
         for target_id in change.leaving:
@@ -310,7 +311,7 @@
             self._events.emit(TARGETS_CHANGED, service)
 
     def _hear_leaving(self, sender: str, message: TargetsLeaving) -> None:
-        # what a peer sends is remembered for long, so it is bounded
+        # reported ids are retained for long, so their number and length are bounded
         ids = [
             item
             for item in message.target_ids[:MAX_ANSWERED]
