--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -55,6 +55,7 @@
 #: shards from the store, and before one that is not a watcher queries the store at all
 PEERS_FIRST = 1.0
 START_PATIENCE = 3.0
+#: seconds between two checks for a configuration from peers at start-up
 START_TICK = 0.1
 
 #: peers queried at the same time by an instance without a configuration
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -251,4 +251,4 @@
             logger.info("acquired lease of %s, fencing token %d", group, after.fence)
         if before.held and not after.held:
             self._metrics.count("leases.ended")
-            logger.info("lost lease of %s, fencing token %d", group, before.fence)
+            logger.info("lease of %s ended, fencing token %d", group, before.fence)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -53,6 +53,7 @@
 #: seconds between two exchanges until the first one succeeds
 FIRST_SYNC_INTERVAL = 1.0
 
+#: seconds to wait for the answer of the peer in such an exchange
 SYNC_TIMEOUT = 3.0
 
 #: seconds for which a leaving instance is still listed as a member
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -83,6 +83,7 @@
 #: maximum length of a target id from a peer; longer ones are ignored
 MAX_ID = 255
 
+#: seconds to wait for a peer's list of leaving targets
 QUERY_TIMEOUT = 2.0
 
 #: back-off base in seconds for polls of an unreachable target
