--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -193,7 +193,7 @@
     async def on_start(self) -> None:
         host, _, port = self._listen.rpartition(":")
         await self._links.start(host.strip("[]"), int(port))
-        self._membership.begin(self._advertise or f"{host}:{self.port}")
+        self._membership.set_address(self._advertise or f"{host}:{self.port}")
 
     async def on_stop(self) -> None:
         await self._calls.stop()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -126,7 +126,7 @@
         """Id of this instance."""
         return self._identity.instance_id
 
-    def begin(self, address: str) -> None:
+    def set_address(self, address: str) -> None:
         """Set the address of this instance after its listener is bound."""
         if address == self._identity.address:
             return
