--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -263,7 +263,7 @@
             incarnation=hello.incarnation,
             capacity=hello.capacity,
         )
-        self._membership.meet(identity, leaving=hello.leaving)
+        self._membership.register_peer(identity, leaving=hello.leaving)
 
     def note_closed(self, link: Link) -> None:
         self._questions.abandon(link)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -229,7 +229,7 @@
 
     # observations
 
-    def meet(self, identity: Identity, *, leaving: bool) -> None:
+    def register_peer(self, identity: Identity, *, leaving: bool) -> None:
         """Register a peer from the hello of a newly opened link."""
         self._do(
             self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -278,7 +278,7 @@
             address=hello.address,
             incarnation=hello.incarnation,
         )
-        self._membership.meet(identity, leaving=hello.leaving)
+        self._membership.register_peer(identity, leaving=hello.leaving)
 
     def describe(self) -> Any:
         """Return what this instance says of itself."""
