--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -268,7 +268,7 @@
     def note_closed(self, link: Link) -> None:
         self._questions.abandon(link)
         if not link.ended_in_order:
-            self._membership.note_link_lost(link.instance_id)
+            self._membership.handle_link_loss(link.instance_id)
 
     def receive(self, link: Link, data: bytes) -> None:
         match decode(data):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -203,7 +203,7 @@
         if record.state is not MemberState.ALIVE or not record.address:
             return ""
         # probe the known one, which is gone if it was restarted at another address
-        self.note_link_lost(hello.instance_id)
+        self.handle_link_loss(hello.instance_id)
         return f"id {hello.instance_id!r} is in use at {record.address}"
 
     def dump(self) -> dict[str, Any]:
@@ -235,7 +235,7 @@
             self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
         )
 
-    def note_link_lost(self, instance_id: str) -> None:
+    def handle_link_loss(self, instance_id: str) -> None:
         """Report a lost link to the failure detector."""
         self._do(self._detector.handle_link_loss(self._clock.now(), instance_id))
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -289,7 +289,7 @@
         for used, answer in self._questions.values():
             if used is link and not answer.done():
                 answer.set_exception(ConnectionResetError())
-        self._membership.note_link_lost(instance_id)
+        self._membership.handle_link_loss(instance_id)
 
     def receive(self, link: _Link, frame: bytes) -> None:
         """Take in a frame."""
