--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -252,7 +252,7 @@
     def find_fault(self, hello: Hello) -> str:
         held = self._links.find(hello.instance_id)
         linked_address = "" if held is None else held.peer.address
-        return self._membership.find_fault(hello, linked_address)
+        return self._membership.check_hello(hello, linked_address)
 
     def note_open(self, link: Link) -> None:
         hello = link.peer
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -182,7 +182,7 @@
             capacity=self._identity.capacity,
         )
 
-    def find_fault(self, hello: Hello, linked_address: str) -> str:
+    def check_hello(self, hello: Hello, linked_address: str) -> str:
         """Return why the hello of a peer is rejected; empty if it is valid.
 
         Two processes with the same id would receive each other's messages and refute
