--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -230,7 +230,7 @@
     def _dial_seed(self) -> None:
         """Try to meet others by one of the addresses given in the settings."""
         known = {link.peer.address for link in self._links.list_links()}
-        known.add(self._membership.describe().address)
+        known.add(self._membership.create_hello().address)
         seeds = [address for address in self._seeds if address not in known]
         if not seeds:
             return
@@ -247,7 +247,7 @@
     # what links need
 
     def describe(self) -> Hello:
-        return self._membership.describe()
+        return self._membership.create_hello()
 
     def find_fault(self, hello: Hello) -> str:
         held = self._links.find(hello.instance_id)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -170,7 +170,7 @@
         record = self._detector.table.find(instance_id)
         return "" if record is None else record.address
 
-    def describe(self) -> Hello:
+    def create_hello(self) -> Hello:
         """Return the hello message of this instance."""
         own = self._detector.own
         return Hello(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -282,7 +282,7 @@
 
     def describe(self) -> Any:
         """Return what this instance says of itself."""
-        return self._membership.describe()
+        return self._membership.create_hello()
 
     def note_closed(self, link: _Link, instance_id: str) -> None:
         """Take note that a link was closed."""
