--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -87,7 +87,7 @@
         #: error of the last call by group, for the state dump
         self._errors: dict[str, str] = {}
 
-    def want(self, groups: Set[str], *, busy: Set[str]) -> None:
+    def set_desired_groups(self, groups: Set[str], *, busy: Set[str]) -> None:
         """Set the groups whose leases this instance tries to hold.
 
         :param busy: groups whose lease, if held, is not released now, because an
@@ -114,7 +114,7 @@
 
     async def on_stop(self) -> None:
         """Release held leases, so that others need not wait for their expiry."""
-        self.want(frozenset(), busy=self._busy)
+        self.set_desired_groups(frozenset(), busy=self._busy)
         await self._wait_calls()
         self._plan()
         await self._wait_calls()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -148,7 +148,7 @@
                 busy.add(group.name)
             if group.placed and not self._draining:
                 wanted.add(group.name)
-        self._leases.want(wanted, busy=busy)
+        self._leases.set_desired_groups(wanted, busy=busy)
 
     # one group
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
@@ -100,7 +100,7 @@
         controllers.append(_create(store, peers, settings))
     for controller in controllers:
         await controller.start()
-        controller.want(names, busy=frozenset())
+        controller.set_desired_groups(names, busy=frozenset())
     try:
         await asyncio.sleep(START)
         before, begun = store.calls.copy(), time.monotonic()
