--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -104,7 +104,7 @@
         """
         return self._tenures.get(group)
 
-    def give_up(self, group: str) -> None:
+    def abandon(self, group: str) -> None:
         """Abandon the lease of a group at once; it is requested again later."""
         tenure = self._tenures.get(group)
         if tenure is None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -118,7 +118,7 @@
             case OrderOutcome.OLD_FENCE:
                 # there is a newer holder, whatever this instance's clocks say
                 engines.end_order(now, step, settled=True)
-                self._leases.give_up(group)
+                self._leases.abandon(group)
             case _:
                 delay = self._choose_delay(engines, step)
                 engines.fail(now, step, delay)
