--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -107,7 +107,7 @@
         return self._started_at
 
     @property
-    def ends_at(self) -> float:
+    def drain_deadline(self) -> float:
         """Monotonic time in seconds at which requests are aborted; else infinite."""
         if self._started_at is None:
             return math.inf
@@ -166,7 +166,7 @@
         self._state = DrainState.FINISHING
         await self._close_listener()
         # counted from the request, so that a suspended process does not overrun it
-        return await self._wait_idle(max(0.0, self.ends_at - self._clock.now()))
+        return await self._wait_idle(max(0.0, self.drain_deadline - self._clock.now()))
 
     def dump(self) -> dict[str, Any]:
         elapsed = None if self._started_at is None else self._find_elapsed()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -290,7 +290,7 @@
         )
 
         def find_stop_deadline() -> float:
-            return self.drain.ends_at
+            return self.drain.drain_deadline
 
         filters = (
             ObserveFilter(
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -156,6 +156,6 @@
 
 def test_end_of_a_stop_is_known_once_it_is_requested():
     drain = create_drain(Listener(), lag=2.0)
-    assert drain.ends_at == math.inf
+    assert drain.drain_deadline == math.inf
     drain.request_stop()
-    assert drain.ends_at == drain.started_at + 2.0 + PATIENCE
+    assert drain.drain_deadline == drain.started_at + 2.0 + PATIENCE
