--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -35,7 +35,7 @@
     #: no new connections; requests in flight run to completion
     FINISHING = "finishing"
     #: requests in flight are aborted and get their final responses
-    ENDING = "ending"
+    ABORTING = "ending"
     STOPPED = "stopped"
 
 
@@ -156,7 +156,7 @@
                 return True
         except Exception:
             logger.exception("graceful shutdown failed; aborting requests in flight")
-        self._state = DrainState.ENDING
+        self._state = DrainState.ABORTING
         self._break_off()
         await self._wait_idle(LAST_ANSWERS)
         return False
