--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -75,7 +75,7 @@
         self._metrics.count(f"quotas.{word}")
         return admission
 
-    def give_back(self, quota: Quota, workspace: str) -> None:
+    def refund(self, quota: Quota, workspace: str) -> None:
         """Refund the charge of a request that was not executed."""
         use = self._ledger.find(QuotaKey(quota.policy, workspace))
         if use is not None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -73,7 +73,7 @@
             return answer
         finally:
             if unused:
-                self._quotas.give_back(quota, workspace)
+                self._quotas.refund(quota, workspace)
             elif tokens.count:
                 self._quotas.charge_tokens(quota, workspace, tokens.count)
 
