--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -59,7 +59,7 @@
     :param close_listener: stops accepting connections.
     :param wait_idle: waits until no request is in flight, at most the given
         seconds; returns whether none is left.
-    :param break_off: aborts the requests in flight, so that each is answered.
+    :param abort_requests: aborts the requests in flight, so that each is answered.
     """
 
     name = "drain"
@@ -74,7 +74,7 @@
         longest: float,
         close_listener: Callable[[], Awaitable[None]],
         wait_idle: Callable[[float], Awaitable[bool]],
-        break_off: Callable[[], None],
+        abort_requests: Callable[[], None],
     ) -> None:
         super().__init__()
         self._clock = clock
@@ -84,7 +84,7 @@
         self._longest = longest
         self._close_listener = close_listener
         self._wait_idle = wait_idle
-        self._break_off = break_off
+        self._abort_requests = abort_requests
         self._state = DrainState.SERVING
         self._started_at: float | None = None
         self._requested = asyncio.Event()
@@ -157,7 +157,7 @@
         except Exception:
             logger.exception("graceful shutdown failed; aborting requests in flight")
         self._state = DrainState.ABORTING
-        self._break_off()
+        self._abort_requests()
         await self._wait_idle(LAST_ANSWERS)
         return False
 
--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -71,7 +71,7 @@
         longest=PATIENCE,
         close_listener=do_nothing,
         wait_idle=find_nothing,
-        break_off=lambda: None,
+        abort_requests=lambda: None,
     )
     wired = SimpleNamespace(
         controllers=(*parts, drain),
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -50,7 +50,7 @@
         longest=PATIENCE,
         close_listener=listener.close,
         wait_idle=listener.wait_idle,
-        break_off=listener.break_off,
+        abort_requests=listener.break_off,
     )
 
 
