--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -298,7 +298,7 @@
             events=self.events,
             metrics=self.metrics,
             balancer_lag=self.settings["drain.balancer_lag"],
-            longest=self.settings["drain.longest"],
+            max_drain_seconds=self.settings["drain.longest"],
             close_listener=self.callers.close_listener,
             wait_idle=self.callers.wait_idle,
             abort_requests=self.in_flight.break_off,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -52,7 +52,7 @@
     requests sent meanwhile, and callers would see connection resets during every
     rollout. The instance therefore first reports itself not ready, keeps serving for
     ``balancer_lag`` seconds, and then lets the requests in flight finish for at most
-    ``longest`` seconds. Requests that are still running then are aborted and
+    ``max_drain_seconds`` seconds. Requests that are still running then are aborted and
     answered: if they were left to the exit of the process, callers would see closed
     connections without a status.
 
@@ -71,7 +71,7 @@
         events: EventBus,
         metrics: Metrics,
         balancer_lag: float,
-        longest: float,
+        max_drain_seconds: float,
         close_listener: Callable[[], Awaitable[None]],
         wait_idle: Callable[[float], Awaitable[bool]],
         abort_requests: Callable[[], None],
@@ -81,7 +81,7 @@
         self._events = events
         self._metrics = metrics
         self._balancer_lag = balancer_lag
-        self._longest = longest
+        self._max_drain_seconds = max_drain_seconds
         self._close_listener = close_listener
         self._wait_idle = wait_idle
         self._abort_requests = abort_requests
@@ -111,7 +111,7 @@
         """Monotonic time in seconds at which requests are aborted; else infinite."""
         if self._started_at is None:
             return math.inf
-        return self._started_at + self._balancer_lag + self._longest
+        return self._started_at + self._balancer_lag + self._max_drain_seconds
 
     def request_stop(self) -> None:
         """Start a graceful shutdown; a second call skips the remaining waits."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -325,7 +325,7 @@
             events=self.events,
             metrics=self.metrics,
             balancer_lag=self.settings.balancer_lag,
-            longest=self.settings.longest_drain,
+            max_drain_seconds=self.settings.longest_drain,
             close_listener=self.front.close_listener,
             wait_idle=self._wait_idle,
             abort_requests=self.in_flight.break_off,
--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -68,7 +68,7 @@
         events=EventBus(),
         metrics=Metrics("127.0.0.1:9"),
         balancer_lag=0.0,
-        longest=PATIENCE,
+        max_drain_seconds=PATIENCE,
         close_listener=do_nothing,
         wait_idle=find_nothing,
         abort_requests=lambda: None,
