--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
@@ -83,7 +83,9 @@
                 "oldest_time": head.changes[0].time if head.changes else None,
             }
             return answer_json(body, status=404)
-        members = await self._controller.list_generations(ask=_wants_asking(request))
+        members = await self._controller.list_generations(
+            refresh=_wants_asking(request)
+        )
         body = {
             "state": "settled",
             "change_id": change_id,
@@ -134,7 +136,7 @@
         text = request.query.get("at", "")
         if text and not text.isdecimal():
             return _refuse("", [_find_fault("at", text, "must be a generation")])
-        members = await controller.list_generations(ask=_wants_asking(request))
+        members = await controller.list_generations(refresh=_wants_asking(request))
         # read only now: it may have risen while members were asked
         head = controller.head
         at = int(text) if text else head.generation
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -194,14 +194,14 @@
         return Ok(Sought(newest, find_change(newest, change_id)))
 
     async def list_generations(
-        self, *, ask: bool = False
+        self, *, refresh: bool = False
     ) -> tuple[MemberGeneration, ...]:
         """Return every known entry instance with its generation in force.
 
-        :param ask: query all members instead of returning their last reports.
+        :param refresh: query all members instead of returning their last reports.
         """
         members = self._peers.members()
-        if ask:
+        if refresh:
             await self._gossip.ask(members)
         return tuple(self._gossip.describe(member) for member in members)
 
--- a/tests/test_entry/test_controllers/test_configuration.py
+++ b/tests/test_entry/test_controllers/test_configuration.py
@@ -141,7 +141,7 @@
         assert all(seen in ([1, 2], [2]) for seen in fleet.seen.values())
         watching = [name for name, view in fleet.views.items() if view.calls["watch"]]
         assert len(watching) == 6
-        asked = await fleet.instances["south-1"].list_generations(ask=True)
+        asked = await fleet.instances["south-1"].list_generations(refresh=True)
         assert [one.generation for one in asked] == [2] * 12
 
 
