--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -45,21 +45,21 @@
 CONFIGURATION_CHANGED = "configuration-changed"
 
 #: seconds between two checks whether this instance watches the head in the store
-WATCH_TICK = 1.0
+WATCHER_CHECK_INTERVAL = 1.0
 
 #: minimum and maximum back-off in seconds after a failed call
 RETRY_BASE = 0.2
-RETRY_LONGEST = 5.0
+RETRY_MAX = 5.0
 
 #: seconds to wait for peers before an instance without a configuration reads the
 #: shards from the store, and before one that is not a watcher queries the store at all
-PEERS_FIRST = 1.0
-START_PATIENCE = 3.0
+PEER_WAIT = 1.0
+STORE_FALLBACK_DELAY = 3.0
 #: seconds between two checks for a configuration from peers at start-up
-START_TICK = 0.1
+START_CHECK_INTERVAL = 0.1
 
 #: peers queried at the same time by an instance without a configuration
-START_PEERS = 2
+START_FANOUT = 2
 
 
 class ConfigurationController(Controller):
@@ -100,8 +100,8 @@
         self._replica = Replica()
         #: store revision of the newest head that was applied
         self._revision = 0
-        self._fetch_wanted = asyncio.Event()
-        self._learning = asyncio.Lock()
+        self._fetch_needed = asyncio.Event()
+        self._learn_lock = asyncio.Lock()
         reader = ShardReader(store=store, replica=self._replica, metrics=metrics)
         self._learner = Learner(
             replica=self._replica,
@@ -109,7 +109,7 @@
             peers=peers,
             metrics=metrics,
             fetch_timeout=settings["configuration.fetch_timeout"],
-            on_adopted=self._note_adopted,
+            on_adopted=self._handle_adopted,
         )
         self._driver = ChangeDriver(
             store=store,
@@ -128,7 +128,7 @@
             random_source=random_source,
             data_centre=data_centre,
             fetch_timeout=settings["configuration.fetch_timeout"],
-            on_news=self._fetch_wanted.set,
+            on_news=self._fetch_needed.set,
         )
         ConfigServer(replica=self._replica, peers=peers, metrics=metrics)
         events.declare(CONFIGURATION_CHANGED)
@@ -231,20 +231,23 @@
         while not self.should_stop:
             if not self._is_watcher():
                 failures = 0
-                await self.sleep(WATCH_TICK)
+                await self.sleep(WATCHER_CHECK_INTERVAL)
                 continue
-            begun = self._clock.now()
-            seen = self._revision
+            started_at = self._clock.now()
+            previous_revision = self._revision
             if await self._watch_once():
                 failures = 0
                 # a watch may return at once without a change, for example while no
                 # head exists; avoid a tight loop, as the store meters each call
-                tick = min(WATCH_TICK, self._watch_wait)
-                if self._revision == seen and self._clock.now() - begun < tick:
-                    await self.sleep(tick)
+                min_interval = min(WATCHER_CHECK_INTERVAL, self._watch_wait)
+                if (
+                    self._revision == previous_revision
+                    and self._clock.now() - started_at < min_interval
+                ):
+                    await self.sleep(min_interval)
                 continue
             failures += 1
-            await self._wait_to_retry(failures)
+            await self._back_off(failures)
 
     async def _watch_once(self) -> bool:
         answer = await self._store.watch(HEAD_KEY, self._revision, self._watch_wait)
@@ -259,7 +262,7 @@
 
     async def _learn_entry(self, entry: Entry) -> bool:
         # serialised, or the watch and the start-up would each read all shards
-        async with self._learning:
+        async with self._learn_lock:
             if not self.ready:
                 await self._wait_for_peers()
             learnt = await self._learner.learn_entry(entry)
@@ -279,14 +282,14 @@
         return answer
 
     @Service.task
-    async def _start_up(self) -> None:
+    async def _bootstrap(self) -> None:
         failures = 0
-        begun = self._clock.now()
+        started_at = self._clock.now()
         while not self.should_stop and not self.ready:
-            await self._ask_some()
-            patient = self._clock.now() - begun < START_PATIENCE
-            if patient and not self._is_watcher():
-                await self.sleep(START_TICK)
+            await self._query_peers()
+            prefers_peers = self._clock.now() - started_at < STORE_FALLBACK_DELAY
+            if prefers_peers and not self._is_watcher():
+                await self.sleep(START_CHECK_INTERVAL)
                 continue
             answer = await self._read_head()
             if answer.is_ok() and answer.ok_value is None:
@@ -294,7 +297,7 @@
                 return
             failures += 1
             if not self.ready:
-                await self._wait_to_retry(failures)
+                await self._back_off(failures)
 
     async def _wait_for_peers(self) -> None:
         """Wait a bounded time for a peer to provide the first configuration.
@@ -304,17 +307,17 @@
         same time, and the store would miss the deadlines of all other calls for
         several seconds.
         """
-        end = self._clock.now() + PEERS_FIRST
-        asked = False
+        end = self._clock.now() + PEER_WAIT
+        queried = False
         while not self.ready and self._clock.now() < end:
-            if not asked and self._gossip.list_others():
-                asked = True
-                await self._ask_some()
-            await self.sleep(START_TICK)
+            if not queried and self._gossip.list_others():
+                queried = True
+                await self._query_peers()
+            await self.sleep(START_CHECK_INTERVAL)
 
-    async def _ask_some(self) -> None:
+    async def _query_peers(self) -> None:
         others = self._gossip.list_others()
-        count = min(START_PEERS, len(others))
+        count = min(START_FANOUT, len(others))
         await self._gossip.ask(self._random.sample(others, count))
 
     def _is_watcher(self) -> bool:
@@ -322,11 +325,11 @@
         # without any watcher in its view, an instance has to watch the head itself
         return not watchers or self.instance_id in watchers
 
-    async def _wait_to_retry(self, failures: int) -> None:
+    async def _back_off(self, failures: int) -> None:
         delay = compute_backoff(
             failures,
             base=RETRY_BASE,
-            longest=RETRY_LONGEST,
+            longest=RETRY_MAX,
             random_source=self._random,
         )
         await self.sleep(delay)
@@ -336,12 +339,12 @@
     @Service.task
     async def _gossip_forever(self) -> None:
         while not self.should_stop:
-            share = self._random.uniform(0.5, 1.5)
-            await self.sleep(self._gossip_interval * share)
+            jitter = self._random.uniform(0.5, 1.5)
+            await self.sleep(self._gossip_interval * jitter)
             self._metrics.gauge("configuration.generation", self._replica.generation)
             self._gossip.tell_one()
-            fleet = 1 + len(self._gossip.list_others())
-            if self._is_stale() and self._random.random() * fleet < 1:
+            fleet_size = 1 + len(self._gossip.list_others())
+            if self._is_stale() and self._random.random() * fleet_size < 1:
                 # the probability falls with the fleet size, which keeps the read rate
                 # of the whole fleet independent of its size
                 self._metrics.count("configuration.stale_reads")
@@ -351,23 +354,23 @@
     async def _fetch_forever(self) -> None:
         failures = 0
         while not self.should_stop:
-            await self.wait(self._fetch_wanted)
+            await self.wait(self._fetch_needed)
             candidates = self._gossip.list_ahead()
             if not candidates:
-                self._fetch_wanted.clear()
+                self._fetch_needed.clear()
                 failures = 0
                 continue
             if await self._learner.learn_from_peer(self._random.choice(candidates)):
                 failures = 0
                 continue
             failures += 1
-            await self._wait_to_retry(failures)
+            await self._back_off(failures)
 
     def _is_stale(self) -> bool:
         age = self.get_store_age()
         return age is None or age > self._stale_after
 
-    def _note_adopted(self) -> None:
+    def _handle_adopted(self) -> None:
         generation = self._replica.generation
         logger.info("adopted configuration generation %s", generation)
         self._metrics.gauge("configuration.generation", generation)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -41,7 +41,7 @@
 
 #: seconds to write the final responses of aborted requests; a few times the longest
 #: pause of a process that is throttled by its CPU quota (0.1 s)
-LAST_ANSWERS = 0.3
+ABORT_RESPONSE_SECONDS = 0.3
 
 
 class DrainController(Controller):
@@ -52,7 +52,7 @@
     requests sent meanwhile, and callers would see connection resets during every
     rollout. The instance therefore first reports itself not ready, keeps serving for
     ``balancer_lag`` seconds, and then lets the requests in flight finish for at most
-    ``max_drain_seconds`` seconds. Requests that are still running then are aborted and
+    ``max_drain_seconds``. Requests that are still running then are aborted and
     answered: if they were left to the exit of the process, callers would see closed
     connections without a status.
 
@@ -87,8 +87,8 @@
         self._abort_requests = abort_requests
         self._state = DrainState.SERVING
         self._started_at: float | None = None
-        self._requested = asyncio.Event()
-        self._abandoned = asyncio.Event()
+        self._shutdown_requested = asyncio.Event()
+        self._abort_requested = asyncio.Event()
         events.declare(DRAIN_STARTED)
 
     @property
@@ -115,19 +115,19 @@
 
     def request_stop(self) -> None:
         """Start a graceful shutdown; a second call skips the remaining waits."""
-        if self._requested.is_set():
+        if self._shutdown_requested.is_set():
             logger.warning("second shutdown request: aborting requests in flight")
-            self._abandoned.set()
+            self._abort_requested.set()
             return
         self._started_at = self._clock.now()
         self._state = DrainState.LEAVING
-        self._requested.set()
+        self._shutdown_requested.set()
         logger.info("shutdown requested: serving for another %s s", self._balancer_lag)
         self._events.emit(DRAIN_STARTED)
 
     def start_drain(self) -> None:
         """Start a graceful shutdown unless one was requested; idempotent."""
-        if not self._requested.is_set():
+        if not self._shutdown_requested.is_set():
             self.request_stop()
 
     async def wait(self) -> bool:
@@ -135,33 +135,35 @@
 
         :return: whether every request in flight was completed.
         """
-        await self._requested.wait()
-        work = asyncio.create_task(self._finish())
-        abandoned = asyncio.create_task(self._abandoned.wait())
-        await asyncio.wait({work, abandoned}, return_when=asyncio.FIRST_COMPLETED)
-        abandoned.cancel()
-        if not work.done():
-            work.cancel()
-        results = await asyncio.gather(work, return_exceptions=True)
+        await self._shutdown_requested.wait()
+        drain_task = asyncio.create_task(self._drain())
+        abort_task = asyncio.create_task(self._abort_requested.wait())
+        await asyncio.wait(
+            {drain_task, abort_task}, return_when=asyncio.FIRST_COMPLETED
+        )
+        abort_task.cancel()
+        if not drain_task.done():
+            drain_task.cancel()
+        results = await asyncio.gather(drain_task, return_exceptions=True)
         self._state = DrainState.STOPPED
         finished = results[0] is True
         self._metrics.count("drain.finished" if finished else "drain.cut")
-        ending = "all requests completed" if finished else "requests aborted"
-        logger.info("%s %.2f s after shutdown request", ending, self._find_elapsed())
+        outcome = "all requests completed" if finished else "requests aborted"
+        logger.info("%s %.2f s after shutdown request", outcome, self._find_elapsed())
         return finished
 
-    async def _finish(self) -> bool:
+    async def _drain(self) -> bool:
         try:
-            if await self._finish_requests():
+            if await self._drain_requests():
                 return True
         except Exception:
             logger.exception("graceful shutdown failed; aborting requests in flight")
         self._state = DrainState.ABORTING
         self._abort_requests()
-        await self._wait_idle(LAST_ANSWERS)
+        await self._wait_idle(ABORT_RESPONSE_SECONDS)
         return False
 
-    async def _finish_requests(self) -> bool:
+    async def _drain_requests(self) -> bool:
         await asyncio.sleep(self._balancer_lag)
         self._state = DrainState.FINISHING
         await self._close_listener()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -32,13 +32,13 @@
 logger = logging.getLogger(__name__)
 
 #: key prefix of the leases in the store
-PREFIX = "leases"
+KEY_PREFIX = "leases"
 
 #: seconds between two checks for due calls
 TICK = 0.1
 
 #: groups shown in the state dump
-MAX_SHOWN = 200
+MAX_DUMPED_GROUPS = 200
 
 
 class LeasesController(Controller):
@@ -74,16 +74,16 @@
             longest_action=longest_action,
         )
         self._timeout: float = settings["platform.timeout"]
-        self._wanted: frozenset[str] = frozenset()
+        self._desired: frozenset[str] = frozenset()
         self._busy: frozenset[str] = frozenset()
-        self._tenures: dict[str, LeaseState] = {}
+        self._states: dict[str, LeaseState] = {}
         self._calls: dict[str, asyncio.Task[None]] = {}
         #: members for which the intents by group are cached; computing an intent
         #: hashes every member, which is too expensive for each tick
-        self._ranked: tuple[Member, ...] = ()
-        self._wishes: dict[str, LeaseIntent] = {}
+        self._ranked_members: tuple[Member, ...] = ()
+        self._intents: dict[str, LeaseIntent] = {}
         #: last reported number of held leases
-        self._held = 0
+        self._reported_held = 0
         #: error of the last call by group, for the state dump
         self._errors: dict[str, str] = {}
 
@@ -93,7 +93,7 @@
         :param busy: groups whose lease, if held, is not released now, because an
             action under it may still be running
         """
-        self._wanted = frozenset(groups)
+        self._desired = frozenset(groups)
         self._busy = frozenset(busy)
 
     def find(self, group: str) -> LeaseState | None:
@@ -102,15 +102,15 @@
         The lease may expire at any time, so callers query it again immediately
         before each action under it.
         """
-        return self._tenures.get(group)
+        return self._states.get(group)
 
     def abandon(self, group: str) -> None:
         """Abandon the lease of a group at once; it is requested again later."""
-        tenure = self._tenures.get(group)
-        if tenure is None:
+        lease_state = self._states.get(group)
+        if lease_state is None:
             return
         self._metrics.count("leases.given_up")
-        self._tenures[group] = tenure.leave()
+        self._states[group] = lease_state.leave()
 
     async def on_stop(self) -> None:
         """Release held leases, so that others need not wait for their expiry."""
@@ -122,12 +122,12 @@
     def dump(self) -> dict[str, Any]:
         now = read_instant(self._clock)
         groups = {}
-        for group, tenure in sorted(self._tenures.items())[:MAX_SHOWN]:
+        for group, lease_state in sorted(self._states.items())[:MAX_DUMPED_GROUPS]:
             groups[group] = {
-                "wish": self._choose_wish(group).value,
-                "step": tenure.step.value,
-                "fence": tenure.fence,
-                "seconds_left": tenure.compute_remaining(now),
+                "wish": self._choose_intent(group).value,
+                "step": lease_state.step.value,
+                "fence": lease_state.fence,
+                "seconds_left": lease_state.compute_remaining(now),
                 "last_error": self._errors.get(group, ""),
             }
         return {"ttl": self._rules.ttl, "margin": self._rules.margin, "groups": groups}
@@ -146,22 +146,22 @@
 
     def _plan(self) -> None:
         now = read_instant(self._clock)
-        for group in sorted(self._wanted | self._tenures.keys()):
+        for group in sorted(self._desired | self._states.keys()):
             if group in self._calls:
                 continue
-            tenure = self._tenures.get(group)
-            if tenure is None:
-                tenure = LeaseState(
+            lease_state = self._states.get(group)
+            if lease_state is None:
+                lease_state = LeaseState(
                     instance_id=self._peers.instance_id, rules=self._rules
                 )
-            wish = self._choose_wish(group)
-            tenure = tenure.plan(now, wish)
-            if wish is LeaseIntent.RELEASE and not tenure.lease_id:
-                self._tenures.pop(group, None)
+            intent = self._choose_intent(group)
+            lease_state = lease_state.plan(now, intent)
+            if intent is LeaseIntent.RELEASE and not lease_state.lease_id:
+                self._states.pop(group, None)
                 self._errors.pop(group, None)
                 continue
-            self._tenures[group] = tenure
-            if tenure.step is LeaseStep.IDLE:
+            self._states[group] = lease_state
+            if lease_state.step is LeaseStep.IDLE:
                 continue
             call = asyncio.create_task(self._call(group))
             self._calls[group] = call
@@ -170,74 +170,77 @@
 
     def _report_held(self, now: Instant) -> None:
         held = sum(
-            tenure.compute_remaining(now) > 0 for tenure in self._tenures.values()
+            lease_state.compute_remaining(now) > 0
+            for lease_state in self._states.values()
         )
-        if held != self._held:
-            self._held = held
+        if held != self._reported_held:
+            self._reported_held = held
             self._metrics.gauge("leases.held", held)
 
-    def _choose_wish(self, group: str) -> LeaseIntent:
+    def _choose_intent(self, group: str) -> LeaseIntent:
         if group in self._busy:
             return LeaseIntent.HOLD
-        if group not in self._wanted:
+        if group not in self._desired:
             return LeaseIntent.RELEASE
         members = self._peers.members()
-        if members is not self._ranked:
-            self._ranked = members
-            self._wishes.clear()
-        wish = self._wishes.get(group)
-        if wish is None:
-            wish = self._wishes[group] = choose_intent(
+        if members is not self._ranked_members:
+            self._ranked_members = members
+            self._intents.clear()
+        intent = self._intents.get(group)
+        if intent is None:
+            intent = self._intents[group] = choose_intent(
                 group,
                 members,
                 data_centre=self._data_centre,
                 instance_id=self._peers.instance_id,
             )
-        return wish
+        return intent
 
     async def _call(self, group: str) -> None:
         """Make the store calls of a group until none is due."""
         while True:
-            tenure = self._tenures[group].begin(read_instant(self._clock))
-            if tenure.step is LeaseStep.IDLE:
+            lease_state = self._states[group].begin(read_instant(self._clock))
+            if lease_state.step is LeaseStep.IDLE:
                 return
-            self._tenures[group] = tenure
-            after = await self._make_call(group, tenure)
-            if self._tenures[group].step is not tenure.step:
+            self._states[group] = lease_state
+            after = await self._make_call(group, lease_state)
+            if self._states[group].step is not lease_state.step:
                 # abandoned meanwhile; the answer must not restore the lease
-                after = self._tenures[group]
-            self._note_change(group, tenure, after)
-            self._tenures[group] = after
+                after = self._states[group]
+            self._record_transition(group, lease_state, after)
+            self._states[group] = after
 
-    async def _make_call(self, group: str, tenure: LeaseState) -> LeaseState:
-        key = f"{PREFIX}/{group}"
-        match tenure.step:
+    async def _make_call(self, group: str, lease_state: LeaseState) -> LeaseState:
+        key = f"{KEY_PREFIX}/{group}"
+        match lease_state.step:
             case LeaseStep.CHECK:
                 found = await self._store.get(key)
-                self._note_error(group, found)
-                wish = self._choose_wish(group)
-                return tenure.handle_check(found, read_instant(self._clock), wish)
+                self._record_error(group, found)
+                intent = self._choose_intent(group)
+                return lease_state.handle_check(
+                    found, read_instant(self._clock), intent
+                )
             case LeaseStep.GRANT:
                 granted = await self._store.grant_lease(self._rules.ttl)
-                self._note_error(group, granted)
-                return tenure.handle_grant(granted, read_instant(self._clock))
+                self._record_error(group, granted)
+                return lease_state.handle_grant(granted, read_instant(self._clock))
             case LeaseStep.ACQUIRE:
                 written = await self._store.swap(
-                    key, tenure.value, ABSENT, lease_id=tenure.lease_id
+                    key, lease_state.value, ABSENT, lease_id=lease_state.lease_id
                 )
-                return tenure.handle_acquire(written, read_instant(self._clock))
+                return lease_state.handle_acquire(written, read_instant(self._clock))
             case LeaseStep.VERIFY:
                 found = await self._store.get(key)
-                self._note_error(group, found)
-                return tenure.handle_verify(found, read_instant(self._clock))
+                self._record_error(group, found)
+                return lease_state.handle_verify(found, read_instant(self._clock))
             case LeaseStep.RENEW:
-                kept = await self._store.renew_lease(tenure.lease_id)
-                self._note_error(group, kept)
-                return tenure.handle_renew(kept, read_instant(self._clock))
-        await self._store.revoke_lease(tenure.lease_id)
-        return tenure.handle_revoke(read_instant(self._clock))
+                renewed = await self._store.renew_lease(lease_state.lease_id)
+                self._record_error(group, renewed)
+                return lease_state.handle_renew(renewed, read_instant(self._clock))
+        await self._store.revoke_lease(lease_state.lease_id)
+        return lease_state.handle_revoke(read_instant(self._clock))
 
-    def _note_error(self, group: str, answer: Any) -> None:
+    def _record_error(self, group: str, answer: Any) -> None:
         if answer.is_ok():
             self._errors.pop(group, None)
             return
@@ -245,7 +248,9 @@
         self._errors[group] = f"{error.kind.value}: {error.message}"
         self._metrics.count(f"leases.errors.{error.kind.value}")
 
-    def _note_change(self, group: str, before: LeaseState, after: LeaseState) -> None:
+    def _record_transition(
+        self, group: str, before: LeaseState, after: LeaseState
+    ) -> None:
         if after.held and not before.held:
             self._metrics.count("leases.acquired")
             logger.info("acquired lease of %s, fencing token %d", group, after.fence)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
@@ -68,7 +68,7 @@
         self._interval = settings["platform.instances_interval"]
         self._rate = settings["platform.instances_rate"]
         self._newest: Listing | None = None
-        self._received = clock.now()
+        self._received_at = clock.now()
         self._error = ""
         self._exchange = ListingExchange(
             peers=peers,
@@ -89,46 +89,46 @@
         match await self._instance_list.fetch():
             case Ok(listing):
                 self._error = ""
-                self._received = self._clock.now()
-                self._take(listing)
+                self._received_at = self._clock.now()
+                self._apply(listing)
             case Err(error):
                 self._error = f"{error.kind.value}: {error.message}"
                 self._metrics.count(f"instances.errors.{error.kind.value}")
-                await self._ask_peer()
+                await self._fetch_from_peer()
 
     def compute_interval(self) -> float:
         """Return the seconds until the next poll, without jitter."""
-        sharing = sum(
+        fleet_size = sum(
             member.state in (MemberState.ALIVE, MemberState.SUSPECT)
             for member in self._peers.members()
         )
-        return max(self._interval, sharing / self._rate)
+        return max(self._interval, fleet_size / self._rate)
 
     def dump(self) -> dict[str, Any]:
         newest = self._newest
         return {
             "as_of": None if newest is None else newest.as_of,
             "instances": 0 if newest is None else len(newest.instances),
-            "seconds_since_reading": self._clock.now() - self._received,
+            "seconds_since_reading": self._clock.now() - self._received_at,
             "interval": self.compute_interval(),
             "last_error": self._error,
             "learnt_from": self._exchange.learnt_from,
         }
 
     @Service.task
-    async def _read_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while not self.should_stop:
             await self.refresh()
-            spread = 1 - JITTER + 2 * JITTER * self._random.random()
-            await self.sleep(self.compute_interval() * spread)
+            factor = 1 - JITTER + 2 * JITTER * self._random.random()
+            await self.sleep(self.compute_interval() * factor)
 
-    async def _ask_peer(self) -> None:
+    async def _fetch_from_peer(self) -> None:
         listing = await self._exchange.fetch()
         if listing is not None:
             self._metrics.count("instances.learnt_from_peers")
-            self._take(listing)
+            self._apply(listing)
 
-    def _take(self, listing: Listing) -> None:
+    def _apply(self, listing: Listing) -> None:
         if self._newest is not None and listing.as_of < self._newest.as_of:
             # the replicas that serve the list may lag behind each other
             self._metrics.count("instances.older_listings")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -57,10 +57,10 @@
 SYNC_TIMEOUT = 3.0
 
 #: seconds for which a leaving instance is still listed as a member
-LEAVING_SHOWN = 600.0
+LEAVING_VISIBLE_SECONDS = 600.0
 
 #: seconds for which the list of members is cached
-SHOWN_LIFE = 1.0
+MEMBERS_CACHE_SECONDS = 1.0
 
 _PROBES = (Probe, ProbeAck, ProbeRequest)
 
@@ -110,8 +110,8 @@
         )
         self._detector = self._create_detector()
         #: cached members, which every request reads and a large fleet makes costly
-        self._shown: tuple[Member, ...] | None = None
-        self._shown_until = 0.0
+        self._cached_members: tuple[Member, ...] | None = None
+        self._cache_expires_at = 0.0
         events.declare(MEMBERS_CHANGED)
         events.declare(LISTING_RECEIVED)
         events.declare(DRAIN_STARTED)
@@ -132,22 +132,22 @@
             return
         self._identity = replace(self._identity, address=address)
         self._detector = self._create_detector()
-        self._shown = None
+        self._cached_members = None
 
     # queries
 
     def members(self) -> tuple[Member, ...]:
         """Return all known entry instances, including this one, sorted by id."""
         now = self._clock.now()
-        if self._shown is not None and now < self._shown_until:
-            return self._shown
-        self._shown = self._list_members(now)
-        self._shown_until = now + SHOWN_LIFE
-        return self._shown
+        if self._cached_members is not None and now < self._cache_expires_at:
+            return self._cached_members
+        self._cached_members = self._list_members(now)
+        self._cache_expires_at = now + MEMBERS_CACHE_SECONDS
+        return self._cached_members
 
     def _list_members(self, now: float) -> tuple[Member, ...]:
         own = self._detector.own
-        found = [
+        members = [
             Member(
                 instance_id=own.instance_id,
                 data_centre=own.data_centre,
@@ -157,9 +157,9 @@
             )
         ]
         for record in self._detector.table:
-            if _is_shown(record, now):
-                found.append(_show(record))
-        return tuple(sorted(found, key=lambda member: member.instance_id))
+            if _is_visible(record, now):
+                members.append(_create_member(record))
+        return tuple(sorted(members, key=lambda member: member.instance_id))
 
     def list_neighbours(self) -> tuple[str, ...]:
         """Return the ids of the instances to keep a link to, sorted."""
@@ -191,7 +191,7 @@
 
         :param linked_address: address of the peer with this id and an open link.
         """
-        if not _is_readable(hello):
+        if not _is_well_formed(hello):
             return "malformed hello"
         if hello.instance_id == self.instance_id:
             return f"id {hello.instance_id!r} is the id of this instance"
@@ -208,7 +208,9 @@
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
-        shown = [record for record in self._detector.table if _is_shown(record, now)]
+        visible = [
+            record for record in self._detector.table if _is_visible(record, now)
+        ]
         return {
             "incarnation": self._detector.own.incarnation,
             "leaving": self._detector.own.leaving,
@@ -223,7 +225,7 @@
                     "seconds_in_state": now - record.since,
                     "listed": record.listed,
                 }
-                for record in shown[:1000]
+                for record in visible[:1000]
             },
         }
 
@@ -231,22 +233,24 @@
 
     def register_peer(self, identity: Identity, *, leaving: bool) -> None:
         """Register a peer from the hello of a newly opened link."""
-        self._do(
+        self._apply_output(
             self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
         )
 
     def handle_link_loss(self, instance_id: str) -> None:
         """Report a lost link to the failure detector."""
-        self._do(self._detector.handle_link_loss(self._clock.now(), instance_id))
+        self._apply_output(
+            self._detector.handle_link_loss(self._clock.now(), instance_id)
+        )
 
     def _apply_listing(self, listing: Listing) -> None:
-        self._do(self._detector.apply_listing(self._clock.now(), listing))
+        self._apply_output(self._detector.apply_listing(self._clock.now(), listing))
 
     def _leave(self) -> None:
-        self._do(self._detector.leave(self._clock.now()))
+        self._apply_output(self._detector.leave(self._clock.now()))
 
     def _receive(self, sender: str, message: Message) -> None:
-        self._do(self._detector.receive(self._clock.now(), sender, message))
+        self._apply_output(self._detector.receive(self._clock.now(), sender, message))
 
     def _answer_query(self, sender: str, message: MembersQuery) -> MembersTable:
         if message.digest == self._detector.compute_digest():
@@ -259,7 +263,7 @@
     @Service.task
     async def _advance_forever(self) -> None:
         while not self.should_stop:
-            self._do(self._detector.advance(self._clock.now()))
+            self._apply_output(self._detector.advance(self._clock.now()))
             # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
@@ -272,15 +276,15 @@
             await self.sleep(interval * (0.75 + 0.5 * self._random.random()))
 
     async def _sync(self) -> bool:
-        up = [
+        alive = [
             member.instance_id
             for member in self.members()
             if member.state is MemberState.ALIVE
             and member.instance_id != self.instance_id
         ]
-        if not up:
+        if not alive:
             return False
-        peer = self._random.choice(up)
+        peer = self._random.choice(alive)
         query = MembersQuery(self._detector.compute_digest())
         match await self._peers.ask(peer, query, SYNC_TIMEOUT):
             case Ok(MembersTable() as table):
@@ -293,17 +297,17 @@
             identity=self._identity, rules=self._rules, random_source=self._random
         )
 
-    def _do(self, step: DetectorOutput) -> None:
-        if step.changed:
-            self._shown = None
-        for item in step.sends:
+    def _apply_output(self, output: DetectorOutput) -> None:
+        if output.changed:
+            self._cached_members = None
+        for item in output.sends:
             if not self._peers.send(item.instance_id, item.message):
                 self._metrics.count("peers.probes_unsent")
-        if step.changed:
+        if output.changed:
             self._events.emit(MEMBERS_CHANGED)
 
 
-def _is_readable(hello: Hello) -> bool:
+def _is_well_formed(hello: Hello) -> bool:
     texts = (hello.instance_id, hello.data_centre, hello.address)
     if not all(isinstance(text, str) and 0 < len(text) <= MAX_TEXT for text in texts):
         return False
@@ -313,15 +317,15 @@
     return type(hello.incarnation) is int and hello.incarnation > 0
 
 
-def _is_shown(record: MemberRecord, now: float) -> bool:
+def _is_visible(record: MemberRecord, now: float) -> bool:
     if not record.confirmed or record.is_gone(now):
         return False
     if record.state is not MemberState.LEAVING:
         return True
-    return now - record.since < LEAVING_SHOWN
+    return now - record.since < LEAVING_VISIBLE_SECONDS
 
 
-def _show(record: MemberRecord) -> Member:
+def _create_member(record: MemberRecord) -> Member:
     return Member(
         instance_id=record.instance_id,
         data_centre=record.data_centre,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -98,14 +98,14 @@
         self._calls: set[asyncio.Task[None]] = set()
         self._draining = False
         events.declare(DRAIN_STARTED)
-        events.connect(DRAIN_STARTED, self._note_drain)
+        events.connect(DRAIN_STARTED, self._handle_drain)
 
     async def on_stop(self) -> None:
         """Cancel calls to engines; a group with an order in flight keeps its lease."""
         for call in self._calls:
             call.cancel()
         await asyncio.gather(*self._calls, return_exceptions=True)
-        self._tell_leases()
+        self._update_leases()
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
@@ -129,62 +129,64 @@
     async def _run_forever(self) -> None:
         while not self.should_stop:
             self._groups.update(self._clock.now(), self._snapshot())
-            self._tell_leases()
+            self._update_leases()
             for group in self._groups.list_groups():
-                self._serve(group)
+                self._reconcile(group)
             # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
-    def _note_drain(self) -> None:
+    def _handle_drain(self) -> None:
         # immediately rather than on the next tick, so that no new order is sent
         self._draining = True
-        self._tell_leases()
+        self._update_leases()
 
-    def _tell_leases(self) -> None:
-        wanted = set()
+    def _update_leases(self) -> None:
+        desired = set()
         busy = set()
         for group in self._groups.list_groups():
             if group.ordering:
                 busy.add(group.name)
             if group.placed and not self._draining:
-                wanted.add(group.name)
-        self._leases.set_desired_groups(wanted, busy=busy)
+                desired.add(group.name)
+        self._leases.set_desired_groups(desired, busy=busy)
 
     # one group
 
-    def _serve(self, group: Group) -> None:
-        tenure = self._leases.find(group.name)
-        if tenure is None or not tenure.held:
+    def _reconcile(self, group: Group) -> None:
+        lease_state = self._leases.find(group.name)
+        if lease_state is None or not lease_state.held:
             group.engines = None
             group.current = False
             return
         now = self._clock.now()
-        if group.engines is None or group.engines.fence != tenure.fence:
+        if group.engines is None or group.engines.fence != lease_state.fence:
             group.current = False
-            group.engines = EngineGroup(fence=tenure.fence, rules=self._rules, now=now)
+            group.engines = EngineGroup(
+                fence=lease_state.fence, rules=self._rules, now=now
+            )
         steps = group.engines.plan(
             now,
             group.targets,
             group.placement,
             loads_per_minute=self._loads_per_minute / len(self._groups),
-            may_order=self._may_order(group, tenure),
+            may_order=self._may_order(group, lease_state),
         )
         for step in steps:
             call = asyncio.create_task(self._call(group, group.engines, step))
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
 
-    def _may_order(self, group: Group, tenure: LeaseState) -> bool:
+    def _may_order(self, group: Group, lease_state: LeaseState) -> bool:
         if self._draining or not group.placed:
             return False
-        group.current = group.current or self._is_current(tenure)
+        group.current = group.current or self._is_current(lease_state)
         if not group.current:
             return False
         now = read_instant(self._clock)
         fencing = self._read_fencing(group)
-        return has_turn(tenure, now, rules=self._rules, fencing=fencing)
+        return has_turn(lease_state, now, rules=self._rules, fencing=fencing)
 
-    def _is_current(self, tenure: LeaseState) -> bool:
+    def _is_current(self, lease_state: LeaseState) -> bool:
         """Whether the configuration was confirmed as the newest under this lease.
 
         The previous holder may have acted on a newer generation than this instance
@@ -195,7 +197,7 @@
         if age is None:
             return False
         # the age is too low by the latency of the call that confirmed it
-        return self._clock.now() - age >= tenure.acquired + self._margin
+        return self._clock.now() - age >= lease_state.acquired + self._margin
 
     def _read_fencing(self, group: Group) -> Fencing:
         service = self._snapshot().services.get(group.service)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -28,13 +28,13 @@
 __all__ = ("QuotasController",)
 
 #: seconds between two rounds
-ROUND = 1.0
+ROUND_INTERVAL = 1.0
 #: peers that receive a demand report in a round
-LISTENERS = 2
+REPORT_FANOUT = 2
 #: keys that are refreshed before control returns to the event loop
-BATCH = 64
+REFRESH_BATCH = 64
 #: maximum number of keys in the state dump
-DUMPED = 100
+MAX_DUMPED_KEYS = 100
 
 
 class QuotasController(Controller):
@@ -71,35 +71,35 @@
     def admit(self, quota: Quota, workspace: str) -> Admission:
         """Charge a request to its quota, or return when to retry."""
         admission = self._ledger.ask(quota, workspace, self._clock.now())
-        word = "admitted" if admission.admitted else "refused"
-        self._metrics.count(f"quotas.{word}")
+        verdict = "admitted" if admission.admitted else "refused"
+        self._metrics.count(f"quotas.{verdict}")
         return admission
 
     def refund(self, quota: Quota, workspace: str) -> None:
         """Refund the charge of a request that was not executed."""
-        use = self._ledger.find(QuotaKey(quota.policy, workspace))
-        if use is not None:
-            use.charge_request(-1.0)
+        usage = self._ledger.find(QuotaKey(quota.policy, workspace))
+        if usage is not None:
+            usage.charge_request(-1.0)
             self._metrics.count("quotas.given_back")
 
     def charge_tokens(self, quota: Quota, workspace: str, count: int) -> None:
         """Charge the tokens generated for a request."""
-        use = self._ledger.find(QuotaKey(quota.policy, workspace))
-        if use is not None:
-            use.charge_tokens(count)
+        usage = self._ledger.find(QuotaKey(quota.policy, workspace))
+        if usage is not None:
+            usage.charge_tokens(count)
             self._metrics.count("quotas.tokens", count)
 
     async def run_round(self) -> None:
         """Recompute all shares and send demand reports to a few peers."""
         ledger = self._ledger
         ledger.begin_round(self._peers.members(), self._clock.now())
-        work = [(ledger.expire, digest) for digest in ledger.list_digests()]
-        work += [(ledger.refresh, key) for key, _ in ledger.list_uses()]
-        for number, (step, key) in enumerate(work):
-            if number % BATCH == BATCH - 1:
+        steps = [(ledger.expire, digest) for digest in ledger.list_digests()]
+        steps += [(ledger.refresh, key) for key, _ in ledger.list_uses()]
+        for index, (step, key) in enumerate(steps):
+            if index % REFRESH_BATCH == REFRESH_BATCH - 1:
                 await asyncio.sleep(0)
             step(key, self._clock.now())
-        self._tell()
+        self._send_reports()
         self._metrics.gauge("quotas.keys", len(ledger))
         self._metrics.gauge("quotas.rows", ledger.rows)
 
@@ -113,11 +113,11 @@
             "keys": len(ledger),
             "uses": {
                 f"{key.policy}/{key.workspace}": {
-                    "share": round(use.share, 4),
-                    "demand": round(use.meter.rate, 2),
-                    "kept_share": round(sum(use.kept.values()), 4),
+                    "share": round(usage.share, 4),
+                    "demand": round(usage.meter.rate, 2),
+                    "kept_share": round(sum(usage.kept.values()), 4),
                 }
-                for key, use in ledger.list_uses()[:DUMPED]
+                for key, usage in ledger.list_uses()[:MAX_DUMPED_KEYS]
             },
         }
 
@@ -125,9 +125,9 @@
     async def _run_rounds(self) -> None:
         while not self.should_stop:
             await self.run_round()
-            await self.sleep(ROUND)
+            await self.sleep(ROUND_INTERVAL)
 
-    def _tell(self) -> None:
+    def _send_reports(self) -> None:
         if not self._ledger.rows:
             return
         own_id = self._peers.instance_id
@@ -137,7 +137,9 @@
             if member.state is MemberState.ALIVE and member.instance_id != own_id
         ]
         neighbours = self._peers.neighbours()
-        for instance_id in choose_peers(others, neighbours, LISTENERS, self._random):
+        for instance_id in choose_peers(
+            others, neighbours, REPORT_FANOUT, self._random
+        ):
             report = self._ledger.create_report(self._clock.now())
             self._peers.send(instance_id, report)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -33,7 +33,7 @@
 TARGET_LEAVING = "target-leaving"
 
 #: maximum number of services, and of targets per service, in the state dump
-DUMPED = 100
+MAX_DUMPED = 100
 #: seconds between two updates of the gauges
 GAUGE_INTERVAL = 1.0
 
@@ -81,15 +81,15 @@
         self._directory = directory
         self._clock = clock
         self._metrics = metrics
-        self._callers: dict[int, asyncio.Future[Result[Grant, Refusal]]] = {}
+        self._waiters: dict[int, asyncio.Future[Result[Grant, Refusal]]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._refusing = False
         events.declare(TARGET_LEAVING)
-        events.connect(TARGET_LEAVING, self._note_leaving)
+        events.connect(TARGET_LEAVING, self._handle_leaving)
 
     async def acquire(self, ticket: Ticket) -> Result[Grant, Refusal]:
         while True:
-            result = await self._wait(ticket)
+            result = await self._queue_call(ticket)
             if isinstance(result, Err):
                 self._metrics.count(f"scheduling.refused.{result.err_value.code.value}")
                 return result
@@ -119,8 +119,8 @@
         if self._timer is not None:
             self._timer.cancel()
         refusal = create_refusal(RefusalCode.NOT_READY, "this instance is stopping", 0)
-        for waiting_id, future in tuple(self._callers.items()):
-            self._scheduler.withdraw(waiting_id)
+        for ticket_id, future in tuple(self._waiters.items()):
+            self._scheduler.withdraw(ticket_id)
             if not future.done():
                 future.set_result(Err(refusal))
 
@@ -128,7 +128,7 @@
     async def _send_gauges(self) -> None:
         while not self.should_stop:
             self._metrics.gauge("scheduling.waiting", self._scheduler.waiting)
-            for service in self._scheduler.list_services()[:DUMPED]:
+            for service in self._scheduler.list_services()[:MAX_DUMPED]:
                 name = service.name
                 self._metrics.gauge(f"scheduling.{name}.waiting", len(service.queue))
                 self._metrics.gauge(f"scheduling.{name}.in_flight", service.in_flight)
@@ -142,32 +142,32 @@
             "retries": {"granted": retries.granted, "denied": retries.denied},
             "services": {
                 service.name: _dump_service(service, now)
-                for service in self._scheduler.list_services()[:DUMPED]
+                for service in self._scheduler.list_services()[:MAX_DUMPED]
             },
         }
 
-    async def _wait(self, ticket: Ticket) -> Result[Grant, Refusal]:
+    async def _queue_call(self, ticket: Ticket) -> Result[Grant, Refusal]:
         if self._refusing:
             message = "this instance is stopping"
             return Err(create_refusal(RefusalCode.NOT_READY, message, 0))
         # one timestamp for both calls: the scheduler's estimates hold for that instant
         now = self._clock.now()
-        waiting_id = self._scheduler.submit(ticket, now)
+        ticket_id = self._scheduler.submit(ticket, now)
         future = asyncio.get_running_loop().create_future()
-        self._callers[waiting_id] = future
+        self._waiters[ticket_id] = future
         self._poll(now)
         try:
             return await future
         except asyncio.CancelledError:
-            self._give_up(waiting_id, future)
+            self._cancel_call(ticket_id, future)
             raise
         finally:
-            self._callers.pop(waiting_id, None)
+            self._waiters.pop(ticket_id, None)
 
-    def _give_up(
-        self, waiting_id: int, future: asyncio.Future[Result[Grant, Refusal]]
+    def _cancel_call(
+        self, ticket_id: int, future: asyncio.Future[Result[Grant, Refusal]]
     ) -> None:
-        self._scheduler.withdraw(waiting_id)
+        self._scheduler.withdraw(ticket_id)
         self._metrics.count("scheduling.given_up")
         if not future.done() or future.cancelled():
             return
@@ -177,7 +177,7 @@
 
     def _poll(self, now: float) -> None:
         for decision in self._scheduler.poll(now):
-            future = self._callers.get(decision.waiting_id)
+            future = self._waiters.get(decision.waiting_id)
             if future is not None and not future.done():
                 future.set_result(decision.result)
                 continue
@@ -202,9 +202,9 @@
         self._scheduler.expire(now)
         self._poll(now)
 
-    def _note_leaving(self, *_target: Any) -> None:
+    def _handle_leaving(self, *_target: Any) -> None:
         self._scheduler.touch()
-        if self._callers:
+        if self._waiters:
             self._poll(self._clock.now())
 
 
@@ -219,7 +219,7 @@
                 "slowness": round(load.breaker.slowness, 2),
                 "breaker": load.breaker.read_state(now).value,
             }
-            for target_id, load in tuple(service.targets.items())[:DUMPED]
+            for target_id, load in tuple(service.targets.items())[:MAX_DUMPED]
             if load.mine or load.breaker.read_state(now) is not BreakerState.CLOSED
         },
     }
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -56,32 +56,32 @@
 MAX_REPORT_BYTES = 65_536
 
 #: seconds after its last request from which a service counts as unused
-USED_LATELY = 60.0
+UNUSED_AFTER = 60.0
 
 #: factor by which the poll interval of an unused service's targets is longer
-UNUSED_FACTOR = 10
+UNUSED_INTERVAL_FACTOR = 10
 
 #: gossip fan-out for leaving targets that this instance detected; a small fleet is
 #: covered completely
-FANOUT_FOUND = 16
+DETECTED_FANOUT = 16
 
 #: gossip fan-out for leaving targets that a peer reported
-FANOUT_HEARD = 3
+REPORTED_FANOUT = 3
 
 #: maximum number of target ids in one gossip message
-MAX_TOLD = 500
+MAX_MESSAGE_IDS = 500
 
 #: mean seconds between two gossip repeats of recently leaving targets
-REMIND_INTERVAL = 1.0
+GOSSIP_REPEAT_INTERVAL = 1.0
 
 #: gossip repeats that each instance sends for one leaving target, to one peer each
-REMINDERS = 6
+GOSSIP_REPEATS = 6
 
 #: maximum number of target ids in the answer to a new instance
-MAX_ANSWERED = 5000
+MAX_ANSWER_IDS = 5000
 
 #: maximum length of a target id from a peer; longer ones are ignored
-MAX_ID = 255
+MAX_ID_LENGTH = 255
 
 #: seconds to wait for a peer's list of leaving targets
 QUERY_TIMEOUT = 2.0
@@ -117,9 +117,9 @@
         self._events = events
         self._metrics = metrics
         self._interval = settings["targets.load_interval"]
-        self._probe_longest = settings["targets.probe_longest"]
+        self._max_probe_delay = settings["targets.probe_longest"]
         self._timeout = aiohttp.ClientTimeout(total=settings["targets.load_timeout"])
-        self._ledger = TargetRegistry(
+        self._registry = TargetRegistry(
             instance_id=peers.instance_id, rules=_read_rules(settings)
         )
         self._schedule = PollSchedule(
@@ -130,56 +130,56 @@
         self._polls: set[asyncio.Task[None]] = set()
         self._session: aiohttp.ClientSession | None = None
         #: leaving targets not yet gossiped, by whether a peer reported them
-        self._untold: dict[bool, list[str]] = {False: [], True: []}
+        self._pending_gossip: dict[bool, list[str]] = {False: [], True: []}
         #: remaining gossip repeats by leaving target
-        self._reminders: dict[str, int] = {}
+        self._gossip_repeats: dict[str, int] = {}
         self._next_expiry = 0.0
         events.declare(TARGET_LEAVING)
         events.declare(TARGETS_CHANGED)
         events.declare(LISTING_RECEIVED)
         events.connect(LISTING_RECEIVED, self.apply_listing)
-        peers.handle(TargetsLeaving, self._hear_leaving)
+        peers.handle(TargetsLeaving, self._receive_leaving)
         peers.handle(LeavingQuery, self._answer_query)
 
     # target directory
 
     def candidates(self, service: str) -> tuple[Candidate, ...]:
-        return self._ledger.list_candidates(self._clock.now(), service)
+        return self._registry.list_candidates(self._clock.now(), service)
 
     def accepts(self, target_id: str) -> bool:
-        return self._ledger.accepts(target_id)
+        return self._registry.accepts(target_id)
 
     def mark_leaving(self, target_id: str) -> None:
-        self._take(self._ledger.mark_leaving((target_id,)))
+        self._apply_change(self._registry.mark_leaving((target_id,)))
 
     def record_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
-            self._take(self._ledger.record_success(target_id))
+            self._apply_change(self._registry.record_success(target_id))
             return
         self._metrics.count("targets.unreached_calls")
-        self._take(self._ledger.record_failure(target_id))
+        self._apply_change(self._registry.record_failure(target_id))
 
     def estimate_users(self, service: str) -> float:
         """Estimate how many entry instances share one target of ``service``."""
-        return self._ledger.estimate_users(service)
+        return self._registry.estimate_users(service)
 
     def list_targets(self) -> tuple[tuple[Target, bool], ...]:
         """Return all targets that are not leaving, each with whether it is ejected."""
-        return self._ledger.list_targets()
+        return self._registry.list_targets()
 
     def list_leaving_targets(self) -> tuple[Target, ...]:
         """Return the leaving targets that are still in the platform's list."""
-        return self._ledger.list_leaving_targets()
+        return self._registry.list_leaving_targets()
 
     def apply_listing(self, listing: Listing) -> None:
         """Apply a listing of the platform."""
-        change = self._ledger.apply_listing(listing)
+        change = self._registry.apply_listing(listing)
         if change.stale:
             self._metrics.count("targets.stale_listings")
-        self._take(change)
+        self._apply_change(change)
 
     def dump(self) -> dict[str, Any]:
-        return {**self._ledger.dump(), "polls": len(self._polls)}
+        return {**self._registry.dump(), "polls": len(self._polls)}
 
     # service
 
@@ -201,25 +201,25 @@
     async def _poll_forever(self) -> None:
         while not self.should_stop:
             self._start_polls()
-            self._tell_peers()
+            self._gossip_leaving()
             # Service.sleep would create a task on each tick, which costs more than
             # the work itself; a stop cancels this sleep
             await asyncio.sleep(TICK)
 
     @Service.task
-    async def _remind_forever(self) -> None:
+    async def _repeat_gossip_forever(self) -> None:
         while not self.should_stop:
-            await self.sleep(REMIND_INTERVAL * (0.5 + self._random.random()))
-            self._remind_peer()
+            await self.sleep(GOSSIP_REPEAT_INTERVAL * (0.5 + self._random.random()))
+            self._repeat_gossip()
 
     @Service.task
-    async def _query_once(self) -> None:
+    async def _query_leaving(self) -> None:
         while not self.should_stop:
             for peer in self._pick_peers(1):
                 answer = await self._peers.ask(peer, LeavingQuery(), QUERY_TIMEOUT)
                 match answer:
                     case Ok(TargetsLeaving() as message):
-                        self._hear_leaving(peer, message)
+                        self._receive_leaving(peer, message)
                         return
             await self.sleep(1.0)
 
@@ -229,21 +229,21 @@
         now = self._clock.now()
         if now >= self._next_expiry:
             self._next_expiry = now + 1.0
-            self._count_instances()
-            self._ledger.expire_reports(now)
-            self._watch(now)
-        room = MAX_POLLS - len(self._polls)
-        for target_id in self._schedule.take_due(now, room):
-            target = self._ledger.find_target(target_id)
+            self._update_instance_count()
+            self._registry.expire_reports(now)
+            self._update_intervals(now)
+        free_slots = MAX_POLLS - len(self._polls)
+        for target_id in self._schedule.take_due(now, free_slots):
+            target = self._registry.find_target(target_id)
             if target is None:
                 continue
             task = asyncio.create_task(self._poll(target))
             self._polls.add(task)
             task.add_done_callback(self._polls.discard)
 
-    def _watch(self, now: float) -> None:
-        watched = self._ledger.list_watched(now - USED_LATELY)
-        unused = self._interval * UNUSED_FACTOR
+    def _update_intervals(self, now: float) -> None:
+        watched = self._registry.list_watched(now - UNUSED_AFTER)
+        unused = self._interval * UNUSED_INTERVAL_FACTOR
         intervals = {
             target_id: self._interval if used else unused
             for target_id, used in watched.items()
@@ -252,17 +252,17 @@
         self._schedule.watch(now, intervals)
 
     async def _poll(self, target: Target) -> None:
-        asked = self._clock.now()
+        requested_at = self._clock.now()
         self._metrics.count("targets.polls")
         try:
             body = await self._fetch_report(target)
         except (TimeoutError, aiohttp.ClientError, OSError):
             self._metrics.count("targets.poll_failures")
-            self._take(self._ledger.record_failure(target.target_id))
+            self._apply_change(self._registry.record_failure(target.target_id))
         else:
-            self._take_report(target, body, asked)
+            self._apply_report(target, body, requested_at)
         finally:
-            self._plan_poll(target.target_id)
+            self._reschedule_poll(target.target_id)
 
     async def _fetch_report(self, target: Target) -> bytes:
         # an implicit retry by the HTTP client is harmless, as a poll is idempotent
@@ -278,85 +278,89 @@
                     return b""
             return bytes(body) if response.status == 200 else b""
 
-    def _take_report(self, target: Target, body: bytes, asked: float) -> None:
+    def _apply_report(self, target: Target, body: bytes, requested_at: float) -> None:
         try:
             data = json.loads(body)
         except (ValueError, RecursionError):
             data = None
-        report = parse_report(data, asked)
+        report = parse_report(data, requested_at)
         if report.leaving:
             self.mark_leaving(target.target_id)
-        self._take(self._ledger.apply_report(target.target_id, report.load))
+        self._apply_change(self._registry.apply_report(target.target_id, report.load))
 
-    def _plan_poll(self, target_id: str) -> None:
-        failures = self._ledger.count_failures(target_id)
+    def _reschedule_poll(self, target_id: str) -> None:
+        failures = self._registry.count_failures(target_id)
         delay = self._intervals.get(target_id, self._interval)
         if failures:
             delay = compute_backoff(
                 failures,
                 base=PROBE_BASE,
-                longest=self._probe_longest,
+                longest=self._max_probe_delay,
                 random_source=self._random,
             )
         self._schedule.reschedule(self._clock.now(), target_id, delay)
 
     # gossip
 
-    def _take(self, change: TargetRegistryChange, *, heard: bool = False) -> None:
+    def _apply_change(
+        self, change: TargetRegistryChange, *, from_peer: bool = False
+    ) -> None:
         for target_id in change.leaving:
             self._metrics.count("targets.leaving")
-            self._untold[heard].append(target_id)
-            self._reminders[target_id] = REMINDERS
+            self._pending_gossip[from_peer].append(target_id)
+            self._gossip_repeats[target_id] = GOSSIP_REPEATS
             self._events.emit(TARGET_LEAVING, target_id)
         for service in change.services:
             self._events.emit(TARGETS_CHANGED, service)
 
-    def _hear_leaving(self, sender: str, message: TargetsLeaving) -> None:
+    def _receive_leaving(self, sender: str, message: TargetsLeaving) -> None:
         # reported ids are retained for long, so their number and length are bounded
         ids = [
             item
-            for item in message.target_ids[:MAX_ANSWERED]
-            if isinstance(item, str) and len(item) <= MAX_ID
+            for item in message.target_ids[:MAX_ANSWER_IDS]
+            if isinstance(item, str) and len(item) <= MAX_ID_LENGTH
         ]
-        self._take(self._ledger.mark_leaving(ids), heard=True)
+        self._apply_change(self._registry.mark_leaving(ids), from_peer=True)
 
     def _answer_query(self, sender: str, message: LeavingQuery) -> TargetsLeaving:
-        return TargetsLeaving(self._ledger.list_leaving(MAX_ANSWERED))
+        return TargetsLeaving(self._registry.list_leaving(MAX_ANSWER_IDS))
 
-    def _tell_peers(self) -> None:
-        for heard, untold in self._untold.items():
-            if not untold:
+    def _gossip_leaving(self) -> None:
+        for from_peer, pending in self._pending_gossip.items():
+            if not pending:
                 continue
-            message = TargetsLeaving(tuple(untold[:MAX_TOLD]))
-            del untold[:MAX_TOLD]
-            for peer in self._pick_peers(FANOUT_HEARD if heard else FANOUT_FOUND):
+            message = TargetsLeaving(tuple(pending[:MAX_MESSAGE_IDS]))
+            del pending[:MAX_MESSAGE_IDS]
+            for peer in self._pick_peers(
+                REPORTED_FANOUT if from_peer else DETECTED_FANOUT
+            ):
                 self._peers.send(peer, message)
 
-    def _remind_peer(self) -> None:
+    def _repeat_gossip(self) -> None:
         peers = self._pick_peers(1)
-        if not peers or not self._reminders:
+        if not peers or not self._gossip_repeats:
             return
-        chosen = list(self._reminders)[:MAX_TOLD]
+        chosen = list(self._gossip_repeats)[:MAX_MESSAGE_IDS]
         self._peers.send(peers[0], TargetsLeaving(tuple(chosen)))
         for target_id in chosen:
-            self._reminders[target_id] -= 1
-            if self._reminders[target_id] <= 0:
-                del self._reminders[target_id]
+            self._gossip_repeats[target_id] -= 1
+            if self._gossip_repeats[target_id] <= 0:
+                del self._gossip_repeats[target_id]
 
-    def _count_instances(self) -> None:
-        working = (MemberState.ALIVE, MemberState.SUSPECT)
+    def _update_instance_count(self) -> None:
+        counted_states = (MemberState.ALIVE, MemberState.SUSPECT)
         states = [member.state for member in self._peers.members()]
-        number = sum(state in working for state in states)
-        self._take(self._ledger.set_instance_count(number))
+        count = sum(state in counted_states for state in states)
+        self._apply_change(self._registry.set_instance_count(count))
 
-    def _pick_peers(self, number: int) -> list[str]:
+    def _pick_peers(self, count: int) -> list[str]:
         reachable = [
             member.instance_id
             for member in self._peers.members()
             if member.state is not MemberState.DEAD
             and member.instance_id != self._peers.instance_id
         ]
-        return self._random.sample(reachable, min(number, len(reachable)))
+        return self._random.sample(reachable, min(count, len(reachable)))
 
 
 def _read_rules(settings: Settings) -> TargetRegistryRules:
--- a/tests/test_entry/test_controllers/test_targets.py
+++ b/tests/test_entry/test_controllers/test_targets.py
@@ -202,7 +202,7 @@
     switchboard.cut = {("e-0", "e-2"), ("e-1", "e-2")}
     fleet[0].directory.mark_leaving("t-1")
     await wait_until(lambda: fleet[1].left == ["t-1"])
-    await wait_until(lambda: not any(fleet[1].directory._untold.values()))
+    await wait_until(lambda: not any(fleet[1].directory._pending_gossip.values()))
     switchboard.cut = set()
     await wait_until(lambda: fleet[2].left == ["t-1"])
 
@@ -216,8 +216,8 @@
     switchboard = Switchboard()
     old = await begin(switchboard.join("e-1"))
     old.directory.mark_leaving("t-1")
-    await wait_until(lambda: not any(old.directory._untold.values()))
-    old.directory._reminders.clear()
+    await wait_until(lambda: not any(old.directory._pending_gossip.values()))
+    old.directory._gossip_repeats.clear()
     new = await begin(switchboard.join("e-2"), seed=2)
     new.events.emit(LISTING_RECEIVED, make_listing(1, Desk(address="127.0.0.1:1")))
     await wait_until(lambda: new.left == ["t-1"])
