--- a/tests/test_entry/test_controllers/test_configuration.py
+++ b/tests/test_entry/test_controllers/test_configuration.py
@@ -1,4 +1,4 @@
-"""Instances that learn the configuration from the store and from each other."""
+"""Tests of the replication of the configuration from the store and from peers."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 """
 
 
-class View(StoreView):
-    """A view of the store that can also show an entry of the past."""
+class FaultyStoreView(StoreView):
+    """A view of the store whose watch can return a stale entry."""
 
     def __init__(self, store):
         super().__init__(store)
@@ -55,31 +55,32 @@
 
 
 class Fleet:
-    """Instances by name, each with its own way to one store."""
+    """Instances by name, each with its own view of a shared store."""
 
     def __init__(self):
         self.store = MemoryStore(clock=CLOCK)
         self.switchboard = Switchboard()
         self.views = {}
         self.instances = {}
-        self.seen = {}
+        self.generations = {}
 
-    async def start(self, name, place="north", switchboard=None):
-        self.views.setdefault(name, View(self.store))
+    async def start(self, name, data_centre="north", switchboard=None):
+        self.views.setdefault(name, FaultyStoreView(self.store))
         events = EventBus()
         controller = ConfigurationController(
             store=self.views[name],
-            peers=(switchboard or self.switchboard).join(name, place),
+            peers=(switchboard or self.switchboard).join(name, data_centre),
             clock=CLOCK,
             random_source=random.Random(name),
             events=events,
-            settings=parse(SETTINGS.format(name=name, place=place)).unwrap(),
+            settings=parse(SETTINGS.format(name=name, place=data_centre)).unwrap(),
             metrics=Metrics("127.0.0.1:9"),
-            data_centre=place,
+            data_centre=data_centre,
         )
-        seen = self.seen[name] = []
+        generations = self.generations[name] = []
         events.connect(
-            CONFIGURATION_CHANGED, lambda snapshot: seen.append(snapshot.generation)
+            CONFIGURATION_CHANGED,
+            lambda snapshot: generations.append(snapshot.generation),
         )
         self.instances[name] = controller
         await controller.start()
@@ -89,13 +90,15 @@
         for name in names or self.instances:
             controller = self.instances[name]
             await wait_until(
-                lambda one=controller: one.snapshot.generation >= generation,
+                lambda instance=controller: instance.snapshot.generation >= generation,
                 what=f"generation {generation} at {name}",
             )
 
-    def cut_off(self, names):
+    def partition(self, names):
         for name in names:
-            self.views.setdefault(name, View(self.store)).faults.outage = True
+            self.views.setdefault(
+                name, FaultyStoreView(self.store)
+            ).faults.outage = True
 
 
 @asynccontextmanager
@@ -108,7 +111,7 @@
             await controller.stop()
 
 
-async def label(controller, change_id, value, count=1):
+async def apply_labels(controller, change_id, value, count=1):
     text = "".join(
         f"[workspace:w{number}]\nlabels = v={value}\n" for number in range(count)
     )
@@ -122,52 +125,58 @@
     return outcome
 
 
-def get_value(controller):
+def get_label(controller):
     return controller.snapshot.workspaces["w0"].labels["v"]
 
 
-async def test_a_change_is_in_force_everywhere_and_few_watch():
-    """Each instance watches the head, and the store's limit is the fleet's limit."""
+async def test_change_is_adopted_everywhere_with_few_watchers():
+    """Every instance would watch the head, so that the store limits the fleet size.
+
+    Only two watchers in each data centre call the store; the others learn of a change
+    from peers.
+    """
     async with run_fleet() as fleet:
-        for place in ("north", "south", "west"):
+        for data_centre in ("north", "south", "west"):
             for number in range(4):
-                await fleet.start(f"{place}-{number}", place)
-        assert not any(one.ready for one in fleet.instances.values())
-        await label(fleet.instances["west-0"], "c1", 1)
+                await fleet.start(f"{data_centre}-{number}", data_centre)
+        assert not any(instance.ready for instance in fleet.instances.values())
+        await apply_labels(fleet.instances["west-0"], "c1", 1)
         await fleet.wait_for(1)
-        await label(fleet.instances["north-1"], "c2", 2)
+        await apply_labels(fleet.instances["north-1"], "c2", 2)
         await fleet.wait_for(2)
-        assert {get_value(one) for one in fleet.instances.values()} == {"2"}
-        assert all(seen in ([1, 2], [2]) for seen in fleet.seen.values())
-        watching = [name for name, view in fleet.views.items() if view.calls["watch"]]
-        assert len(watching) == 6
-        asked = await fleet.instances["south-1"].list_generations(refresh=True)
-        assert [one.generation for one in asked] == [2] * 12
+        assert {get_label(instance) for instance in fleet.instances.values()} == {"2"}
+        assert all(
+            generations in ([1, 2], [2]) for generations in fleet.generations.values()
+        )
+        watchers = [name for name, view in fleet.views.items() if view.calls["watch"]]
+        assert len(watchers) == 6
+        reported = await fleet.instances["south-1"].list_generations(refresh=True)
+        assert [instance.generation for instance in reported] == [2] * 12
 
 
-async def test_an_instance_that_starts_during_an_outage():
-    """A replaced instance is not ready for as long as the store is down.
+async def test_instance_starts_during_a_store_outage():
+    """A replaced instance would not become ready during an outage of the store.
 
-    The store goes down, and an instance starts that knows no configuration.
+    An instance without a configuration starts while the store is down.
     """
     async with run_fleet() as fleet:
         await fleet.start("a")
-        await label(fleet.instances["a"], "c1", 1)
-        fleet.cut_off(["a", "b"])
+        await apply_labels(fleet.instances["a"], "c1", 1)
+        fleet.partition(["a", "b"])
         await fleet.start("b")
         await fleet.wait_for(1)
         assert fleet.instances["b"].ready
-        assert get_value(fleet.instances["b"]) == "1"
+        assert get_label(fleet.instances["b"]) == "1"
 
 
-async def test_instances_that_start_learn_from_peers():
-    """The store answers nobody in time while a data centre comes back.
+async def test_starting_instances_fetch_from_peers():
+    """The store would be overloaded while a data centre restarts.
 
-    All its instances start at once, and each reads every shard from the store.
+    All its instances start at the same time, and each would read every shard.
     """
     async with run_fleet() as fleet:
         await fleet.start("a")
-        await label(fleet.instances["a"], "c1", 1, count=60)
+        await apply_labels(fleet.instances["a"], "c1", 1, count=60)
         for number in range(6):
             await fleet.start(f"b-{number}")
         await fleet.wait_for(1)
@@ -177,61 +186,60 @@
             assert calls["get"] + calls["watch"] < 10
 
 
-async def test_a_lone_instance_that_starts_reads_the_store():
-    """An instance waits for peers for good, as it is the only one."""
+async def test_single_instance_reads_the_store_at_start():
+    """The only instance of a fleet would wait for peers for ever."""
     async with run_fleet() as fleet:
         first = await fleet.start("a")
-        await label(first, "c1", 1, count=60)
+        await apply_labels(first, "c1", 1, count=60)
         await fleet.start("apart", switchboard=Switchboard())
         await fleet.wait_for(1)
 
 
-async def test_a_data_centre_cut_off_from_the_platform():
-    """A data centre goes on with an old configuration for as long as it is cut off.
+async def test_data_centre_partitioned_from_the_store():
+    """A partitioned data centre would keep an old configuration.
 
     None of its instances reaches the store; those of other data centres do.
     """
     async with run_fleet() as fleet:
         north = ["north-0", "north-1", "north-2"]
-        fleet.cut_off(north)
+        fleet.partition(north)
         for name in north:
             await fleet.start(name, "north")
         await fleet.start("south-0", "south")
-        await label(fleet.instances["south-0"], "c1", 1)
+        await apply_labels(fleet.instances["south-0"], "c1", 1)
         await fleet.wait_for(1)
 
 
-async def test_the_watchers_alone_are_cut_off():
-    """No instance learns of a change, though most could read the store.
+async def test_only_the_watchers_are_partitioned():
+    """A change would go unnoticed although most instances reach the store.
 
-    Those that the choice has watch the head are cut off from the store; the change
-    is made where none of the instances hears of it.
+    Only the watchers are partitioned from the store, and the change is made by an
+    instance that is not in their peer network.
     """
     async with run_fleet() as fleet:
         for number in range(5):
             await fleet.start(f"n-{number}")
-        apart = await fleet.start("apart", "east", Switchboard())
+        isolated = await fleet.start("apart", "east", Switchboard())
         members = fleet.switchboard.join("x").members()
         fleet.switchboard.leave("x")
         watchers = choose_watchers(members, "north")
-        await label(apart, "c1", 1)
+        await apply_labels(isolated, "c1", 1)
         await fleet.wait_for(1)
-        fleet.cut_off(watchers)
-        await label(apart, "c2", 2)
+        fleet.partition(watchers)
+        await apply_labels(isolated, "c2", 2)
         await fleet.wait_for(2)
 
 
-async def test_a_stale_watch_and_a_stale_peer_revert_nothing():
-    """A change that was in force is gone, and comes back a little later.
+async def test_stale_watch_and_stale_peer_are_ignored():
+    """A change in force would be reverted and reapplied later.
 
-    A watch answers with the head before, and a peer says that it has a generation
-    that is long past.
+    A watch returns the previous head, and a peer advertises an older generation.
     """
     async with run_fleet() as fleet:
         await fleet.start("a")
-        await label(fleet.instances["a"], "c1", 1)
+        await apply_labels(fleet.instances["a"], "c1", 1)
         old = (await fleet.store.get(HEAD_KEY)).unwrap()
-        await label(fleet.instances["a"], "c2", 2)
+        await apply_labels(fleet.instances["a"], "c2", 2)
         fleet.views["a"].stale = old
         peer = fleet.switchboard.join("p", "north")
         peer.handle(ConfigAdvert, lambda sender, advert: None)
@@ -239,42 +247,42 @@
         calls = fleet.views["a"].calls
         before = calls["watch"]
         await wait_until(lambda: calls["watch"] >= before + 3, what="stale watches")
-        assert fleet.seen["a"] == [1, 2]
+        assert fleet.generations["a"] == [1, 2]
         fleet.views["a"].stale = None
-        apart = await fleet.start("apart", "east", Switchboard())
-        await label(apart, "c3", 3)
+        isolated = await fleet.start("apart", "east", Switchboard())
+        await apply_labels(isolated, "c3", 3)
         await fleet.wait_for(3)
-        assert fleet.seen["a"] == [1, 2, 3]
+        assert fleet.generations["a"] == [1, 2, 3]
 
 
-async def test_a_peer_that_never_answers_is_not_waited_for_again():
-    """An instance stays behind, as it fetches from a peer that has gone silent.
+async def test_fetch_falls_back_from_a_mute_peer():
+    """An instance would stay on an old generation while it fetches from a mute peer.
 
     Two peers have the newer generation; the answers of one of them are lost.
     """
     async with run_fleet() as fleet:
         await fleet.start("a")
         await fleet.start("b")
-        await label(fleet.instances["a"], "c1", 1)
+        await apply_labels(fleet.instances["a"], "c1", 1)
         await fleet.wait_for(1)
-        fleet.cut_off(["a", "b", "c"])
+        fleet.partition(["a", "b", "c"])
         fleet.switchboard.mute.add(("c", "a"))
         await fleet.start("c")
         await fleet.wait_for(1)
 
 
 async def test_a_generation_is_fetched_in_chunks(monkeypatch):
-    """A large head or shard holds up the heartbeats of a link, or is never sent."""
+    """A large head or shard would delay the heartbeats of a link, or never be sent."""
     monkeypatch.setattr(serving, "CHUNK_BYTES", 64)
     async with run_fleet() as fleet:
         await fleet.start("a")
-        await label(fleet.instances["a"], "c1", 1, count=40)
-        fleet.cut_off(["b"])
+        await apply_labels(fleet.instances["a"], "c1", 1, count=40)
+        fleet.partition(["b"])
         await fleet.start("b")
         await fleet.wait_for(1)
         snapshot = fleet.instances["b"].snapshot
         assert len(snapshot.workspaces) == 40
-        # the next generation comes as a delta
-        await label(fleet.instances["a"], "c2", 2)
+        # the next generation is fetched as a delta
+        await apply_labels(fleet.instances["a"], "c2", 2)
         await fleet.wait_for(2)
         assert fleet.instances["b"].head.changes == fleet.instances["a"].head.changes
--- a/tests/test_entry/test_controllers/test_listing.py
+++ b/tests/test_entry/test_controllers/test_listing.py
@@ -1,4 +1,4 @@
-"""Tests of reading the list, and of learning it from peers."""
+"""Tests of polling the list of instances and of fetching it from peers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @dataclass
 class FakeList(InstanceList):
-    """The platform's list as one instance can read it; ``None``: it can't."""
+    """The platform's list as seen by one instance; unreachable if ``None``."""
 
     listing: Listing | None = None
 
@@ -58,8 +58,8 @@
         return DOWN if self.listing is None else Ok(self.listing)
 
 
-class JumpClock(SystemClock):
-    """A clock that can be put forward."""
+class OffsetClock(SystemClock):
+    """A clock that can be advanced."""
 
     offset = 0.0
 
@@ -70,7 +70,7 @@
 @dataclass
 class Reader:
     controller: ListingController
-    clock: JumpClock
+    clock: OffsetClock
     source: FakeList
     metrics: Metrics
     received: list[Listing] = field(default_factory=list)
@@ -83,7 +83,7 @@
 
 def join(switchboard: Switchboard, name: str, listing: Listing | None) -> Reader:
     events, metrics, source = EventBus(), Metrics("127.0.0.1:9"), FakeList(listing)
-    clock = JumpClock()
+    clock = OffsetClock()
     controller = ListingController(
         instance_list=source,
         peers=switchboard.join(name),
@@ -98,12 +98,11 @@
     return reader
 
 
-async def test_list_out_of_reach_is_learnt_from_a_peer(switchboard):
-    """
-    Symptom: instances started while the platform is down never become ready, and a
-    data centre cut off from it sees no new targets. Sequence: the list can't be
-    read; the peers have read it, or learnt it from others. Cause: nobody passed a
-    listing on.
+async def test_unreachable_list_is_fetched_from_a_peer(switchboard):
+    """Without the platform, an instance would find no new targets.
+
+    The instance starts during an outage of the platform, or is partitioned from it,
+    while its peers have a listing.
     """
     newest = make_listing(5, rows=2 * PAGE_ROWS + 1)
     old = join(switchboard, "e-1", newest)
@@ -112,26 +111,25 @@
     await new.controller.refresh()
     assert new.received == [newest]
     assert new.controller.listing == newest
-    # nothing newer is known to anybody
-    asked = switchboard.asked["listing-query"]
+    # no peer has a newer listing
+    queries = switchboard.asked["listing-query"]
     await new.controller.refresh()
     assert new.received == [newest]
     old.source.listing = make_listing(6)
     await old.controller.refresh()
-    # what was sent is paid off first
+    # the transfer budget has to recover before the next query
     await new.controller.refresh()
-    assert switchboard.asked["listing-query"] == asked
+    assert switchboard.asked["listing-query"] == queries
     new.clock.offset = 1000.0
     await new.controller.refresh()
     assert new.received[-1] == make_listing(6)
-    assert switchboard.asked["listing-query"] == asked + 1
+    assert switchboard.asked["listing-query"] == queries + 1
 
 
-async def test_older_word_of_a_peer_is_ignored(switchboard):
-    """
-    Symptom: targets that are gone come back. Sequence: one instance has read the
-    list, another only an older one, which it tells. Cause: whoever spoke last was
-    believed.
+async def test_older_listing_of_a_peer_is_ignored(switchboard):
+    """Removed targets would come back with an older listing.
+
+    An instance that has read the list receives an older listing from a peer.
     """
     reader = join(switchboard, "e-1", make_listing(5))
     await reader.controller.refresh()
@@ -143,7 +141,7 @@
     assert len(reader.received) == 1
 
 
-async def test_peers_are_not_asked_while_the_list_answers(switchboard):
+async def test_peers_are_not_queried_while_the_list_is_reachable(switchboard):
     join(switchboard, "e-1", make_listing(9))
     reader = join(switchboard, "e-2", make_listing(1))
     await reader.controller.refresh()
@@ -153,26 +151,25 @@
 @pytest.mark.parametrize(
     "answers",
     [
-        # it goes on with another listing than it began
+        # the second page belongs to another listing than the first
         [ListingPage(5, 3, 0, (("t-0",),)), ListingPage(6, 3, 1, (("t-1",),))],
-        # it never ends
+        # the pages make no progress
         [ListingPage(5, 3, 0, (("t-0",),)), ListingPage(5, 3, 1, ())],
         [ListingPage(5, 3, 0, (("t-0",),)), ListingPage(5, 3, 0, (("t-0",),))],
-        # it is larger than any listing
+        # the announced size exceeds any listing
         [ListingPage(5, 10**9, 0, (("t-0",),))],
     ],
 )
-async def test_pages_that_do_not_fit_are_dropped(switchboard, answers):
-    """
-    Symptom: a listing that never was, of which targets are missing, or an instance
-    that asks for ever. Sequence: the peer reads a newer listing between two pages,
-    or is of another mind. Cause: pages were joined without a look.
+async def test_inconsistent_pages_are_discarded(switchboard, answers):
+    """Unvalidated pages would yield an incomplete listing or an endless query.
+
+    The peer reads a newer listing between two pages, or sends invalid pages.
     """
     peer = switchboard.join("e-1")
-    rest = iter(answers)
-    peer.handle(ListingQuery, lambda sender, message: next(rest))
+    remaining = iter(answers)
+    peer.handle(ListingQuery, lambda sender, message: next(remaining))
     reader = join(switchboard, "e-2", None)
     await reader.controller.refresh()
     assert reader.received == []
-    assert list(rest) == []
+    assert list(remaining) == []
     assert reader.metrics.value("instances.failed_questions") == 1
--- a/tests/test_entry/test_controllers/test_orders.py
+++ b/tests/test_entry/test_controllers/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of leases and orders over an in-process store, in injected time."""
+"""Tests of leases and orders with an in-memory store and simulated time."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 async def wait_for(condition, seconds=200.0):
-    """Wait in loop time, which costs next to nothing."""
+    """Wait for a condition in simulated time."""
     await wait_until(condition, timeout=seconds)
 
 
-async def test_engines_reach_the_wanted_state_in_turn():
+async def test_engines_reach_the_desired_state_in_turn():
     async with OrdersFleet(engines=3) as fleet:
         holder = await fleet.add("a")
         await wait_for(lambda: fleet.find_models("engine-2") == ("draft-1",))
-        wanted = [(holder.fence, ("draft-1",))]
+        desired = [(holder.fence, ("draft-1",))]
         for number in range(3):
-            assert fleet.list_orders(f"engine-{number}") == wanted
+            assert fleet.list_orders(f"engine-{number}") == desired
         await asyncio.sleep(100)
         assert len(fleet.list_orders()) == 1
         assert fleet.engines.reads > 3 * 20
@@ -42,11 +42,11 @@
         assert fleet.engines.reads == 0
 
 
-async def test_a_new_holder_waits_for_what_the_former_one_began():
-    """An engine that ignores numbers goes back to a former holder's state.
+async def test_new_holder_waits_for_orders_of_the_previous_one():
+    """An engine without fencing would revert to the state of the previous holder.
 
-    The holder dies with an order under way, which the engine carries out after the
-    next holder's. The cause would be a holder that begins as soon as it has the lease.
+    The holder crashes with an order in flight, which the engine executes after an
+    order of the next holder, unless that one waits after it acquires the lease.
     """
     async with OrdersFleet() as fleet:
         fleet.engines.duration = 19.0
@@ -64,38 +64,38 @@
         ]
 
 
-async def test_engines_that_check_need_no_wait():
+async def test_engines_with_fencing_need_no_wait():
     async with OrdersFleet(checks=True) as fleet:
         holder = await fleet.add("a")
         await wait_for(lambda: fleet.find_models() == ("draft-1",))
         assert holder.sent_at[0] < holder.leases.find(GROUP).acquired + 20
 
 
-async def test_an_order_is_withheld_after_a_halt():
-    """An order is sent under a lease that is long over.
+async def test_order_is_withheld_after_a_suspension():
+    """An order would be sent under a lease that expired long ago.
 
-    The whole instance is halted while the connection is made, as when the platform
-    moves it: its monotonic clock stands still, and only the wall clock shows it. The
-    cause would be a lease that is counted by one clock alone.
+    The instance is suspended while the connection is made, as in a live migration:
+    its monotonic clock stops, and only the wall clock advances. A lease measured by
+    the monotonic clock alone would seem valid.
     """
     async with OrdersFleet() as fleet:
         holder = await fleet.add("a")
 
-        async def halt(order):
+        async def suspend(order):
             holder.clock.lead += 60
 
-        fleet.engines.before_send = halt
+        fleet.engines.before_send = suspend
         await wait_for(lambda: holder.metrics.value("orders.withheld") > 0)
         assert fleet.list_orders() == []
         fleet.engines.before_send = None
         await wait_for(lambda: fleet.find_models() == ("draft-1",))
 
 
-async def test_no_order_is_given_while_the_store_is_out_of_reach():
-    """A holder goes on ordering while another data centre's view has moved on.
+async def test_no_order_is_sent_while_the_store_is_unreachable():
+    """A holder would keep sending orders after its lease has expired.
 
-    The store is down or cut off for longer than the lease lasts. The cause would be
-    a holder that takes silence for consent.
+    The store is unreachable for longer than the TTL of the lease, and the holder
+    must not treat a missing answer as a renewal.
     """
     async with OrdersFleet() as fleet:
         holder = await fleet.add("a")
@@ -113,11 +113,11 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "drop_writes", "lose_lease_answers"])
-async def test_a_lost_answer_of_the_store_is_settled(fault):
-    """Two instances hold one lease, or none ever does.
+async def test_lost_store_answer_is_verified(fault):
+    """Two instances would hold the same lease, or none would ever acquire it.
 
-    The answer to the write that takes the lease, or to the grant before, is lost.
-    The cause would be an outcome that is guessed instead of read.
+    The answer to the write that acquires the lease, or to the grant before it, is
+    lost. The holder reads the outcome from the store instead of assuming one.
     """
     async with OrdersFleet() as fleet:
         setattr(fleet.store.faults, fault, 1)
@@ -146,29 +146,29 @@
         ]
 
 
-async def test_a_refused_number_makes_the_holder_stop():
-    """A former holder goes on although an engine tells it of a newer one.
+async def test_refused_fencing_token_makes_the_holder_stop():
+    """A previous holder would continue although an engine reports a newer one.
 
-    The engine has had an order with a higher number. The cause would be a refusal
-    that is taken for a failure of that engine alone.
+    The engine has received an order with a higher fencing token. The refusal must
+    not be treated as a failure of that engine alone.
     """
     async with OrdersFleet(checks=True) as fleet:
-        book = fleet.engines.find("engine-0")
-        book.duration = 0.0
-        newer = 1000
-        await book.carry_out(newer, book.state)
+        engine = fleet.engines.find("engine-0")
+        engine.duration = 0.0
+        newer_token = 1000
+        await engine.carry_out(newer_token, engine.state)
         holder = await fleet.add("a")
         await wait_for(lambda: holder.metrics.value("leases.given_up") == 1)
-        refused = fleet.list_orders()[-1][0]
-        await wait_for(lambda: holder.fence > refused)
+        refused_token = fleet.list_orders()[-1][0]
+        await wait_for(lambda: holder.fence > refused_token)
         assert fleet.find_models() == ()
 
 
-async def test_a_leaving_target_gets_no_order():
-    """A target that is leaving is told to load weights.
+async def test_leaving_target_gets_no_order():
+    """A leaving target would receive an order to load weights.
 
-    It begins to leave while the connection for the order is made. The cause would be
-    a check when the order is planned only.
+    It begins to leave while the connection for the order is made, after the check
+    at planning time.
     """
     async with OrdersFleet(engines=2) as fleet:
         holder = await fleet.add("a")
@@ -182,31 +182,31 @@
         assert holder.metrics.value("orders.withheld") == 1
 
 
-async def test_a_stop_gives_the_lease_up_once_the_order_has_ended():
-    """The next holder of a stopped instance's lease begins too early, or too late.
+async def test_drain_releases_the_lease_after_the_order():
+    """The holder after a stopped instance would start too early or too late.
 
-    The instance is drained with an order under way. The causes would be a lease that
-    is given up before the order has ended, or kept until it lapses.
+    The instance is drained with an order in flight. Its lease must not be released
+    before the order has ended, nor be left to expire.
     """
     async with OrdersFleet() as fleet:
         fleet.engines.duration = 4.0
         first = await fleet.add("a")
         await wait_for(lambda: first.metrics.value("orders.sent") == 1)
-        carried_out = []
+        models_at_revoke = []
 
-        async def note_revoke(kind, key):
+        async def record_revoke(kind, key):
             if kind == "revoke":
-                carried_out.append(fleet.find_models())
+                models_at_revoke.append(fleet.find_models())
 
-        fleet.store.faults.before_call = note_revoke
+        fleet.store.faults.before_call = record_revoke
         first.events.emit(DRAIN_STARTED)
-        await wait_for(lambda: carried_out)
-        assert carried_out == [("draft-1",)]
+        await wait_for(lambda: models_at_revoke)
+        assert models_at_revoke == [("draft-1",)]
         await wait_for(lambda: not first.leases.dump()["groups"])
 
 
-async def test_a_lease_is_kept_until_the_order_under_way_has_ended():
-    """As above, but the policy is deleted instead."""
+async def test_lease_is_held_until_the_order_in_flight_has_ended():
+    """A lease is not released before its order has ended if the policy is deleted."""
     async with OrdersFleet() as fleet:
         fleet.engines.duration = 4.0
         holder = await fleet.add("a")
@@ -219,11 +219,11 @@
         assert fleet.find_models() == ("draft-1",)
 
 
-async def test_no_order_is_given_on_a_configuration_that_may_be_old():
-    """Engines go back to a model that an operator has replaced.
+async def test_no_order_is_sent_on_an_unconfirmed_configuration():
+    """Engines would revert to a model that an operator has replaced.
 
-    The former holder acted on a newer generation than the new one knows as yet. The
-    cause would be a holder that does not make sure it knows the newest.
+    The previous holder acted on a newer generation than the new one has. The new
+    holder must confirm that its generation is the newest before it sends orders.
     """
     async with OrdersFleet() as fleet:
         holder = await fleet.add("a")
@@ -235,16 +235,16 @@
         await wait_for(lambda: fleet.find_models() == ("draft-1",))
 
 
-async def test_orders_keep_to_the_rate_of_the_weight_store():
+async def test_orders_respect_the_rate_of_the_weight_store():
     async with OrdersFleet(engines=6, models="a, b", adapters="c") as fleet:
         holder = await fleet.add("a")
         await wait_for(lambda: fleet.find_models("engine-5"))
-        begun = holder.sent_at[0]
-        # three loads each, one a second: the sixth has to wait for fifteen others
-        assert holder.sent_at[5] - begun >= 14
+        started_at = holder.sent_at[0]
+        # three loads per engine, one per second: the sixth engine waits for fifteen
+        assert holder.sent_at[5] - started_at >= 14
 
 
-async def test_an_engine_out_of_reach_does_not_hold_up_the_others():
+async def test_unreachable_engine_does_not_delay_the_others():
     async with OrdersFleet(engines=2) as fleet:
         fleet.engines.unreachable.add("engine-0")
         await fleet.add("a")
@@ -262,13 +262,13 @@
         await asyncio.sleep(60)
         fleet.store.calls.clear()
         await asyncio.sleep(300)
-        # one renews and one looks, each every few seconds
+        # one renews and one standby checks, each every few seconds
         assert set(fleet.store.calls) <= {"keep", "get"}
         assert sum(fleet.store.calls.values()) <= 2 * 300 / (30 * 0.25)
         assert sum(instance.fence > 0 for instance in fleet.instances) == 1
 
 
-async def test_engines_elsewhere_follow_when_work_overflows():
+async def test_remote_engines_are_placed_on_overflow():
     placement = {"models": "draft-1", "data_centres": "south"}
     async with OrdersFleet(**placement) as fleet:
         fleet.add_target("far-engine", "south")
--- a/tests/test_entry/test_controllers/test_scheduling.py
+++ b/tests/test_entry/test_controllers/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.controllers.scheduling."""
+"""Tests of the queueing of stage calls."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 DONE = Outcome(OutcomeKind.SUCCESS, 0.01)
 
 
-class OneTarget(TargetDirectory):
-    """One target with room for one call; it may be leaving."""
+class SingleTargetDirectory(TargetDirectory):
+    """One target with a concurrency of one, which may be leaving."""
 
     def __init__(self) -> None:
         self.leaving = False
@@ -50,11 +50,11 @@
         pass
 
 
-class World:
+class Harness:
     def __init__(self) -> None:
         self.clock = SystemClock()
         self.events = EventBus()
-        self.directory = OneTarget()
+        self.directory = SingleTargetDirectory()
         self.scheduler = Scheduler(
             directory=self.directory,
             rule=SchedulerRule(),
@@ -94,71 +94,70 @@
 
 
 @pytest.fixture
-async def world():
-    world = World()
-    await world.controller.start()
-    yield world
-    await world.controller.stop()
+async def harness():
+    harness = Harness()
+    await harness.controller.start()
+    yield harness
+    await harness.controller.stop()
 
 
-async def test_cancelled_caller_leaves_no_room_taken(world):
-    """A target's room shrinks until it gets no calls at all.
+async def test_cancelled_caller_releases_its_grant(harness):
+    """The capacity of a target would leak until it gets no calls.
 
-    A caller goes away in the same turn of the loop in which its call is granted.
-    A grant that nobody receives and nobody releases is the cause.
+    A caller is cancelled in the same iteration of the event loop in which its call
+    is granted, and nobody receives or releases the grant.
     """
-    first = (await world.acquire("r1")).ok_value
-    given_up = world.acquire("r2")
+    first = (await harness.acquire("r1")).ok_value
+    cancelled = harness.acquire("r2")
     await asyncio.sleep(0)
-    world.controller.release(first, DONE)
-    given_up.cancel()
+    harness.controller.release(first, DONE)
+    cancelled.cancel()
     with pytest.raises(asyncio.CancelledError):
-        await given_up
-    third = (await asyncio.wait_for(world.acquire("r3"), 10)).ok_value
-    world.controller.release(third, DONE)
-    assert world.scheduler.waiting == 0
-    assert world.scheduler.find_service("desk").in_flight == 0
+        await cancelled
+    third = (await asyncio.wait_for(harness.acquire("r3"), 10)).ok_value
+    harness.controller.release(third, DONE)
+    assert harness.scheduler.waiting == 0
+    assert harness.scheduler.find_service("desk").in_flight == 0
 
 
-async def test_waiting_call_is_refused_when_its_target_leaves(world):
-    """A caller hangs until its deadline after the last target began to leave.
+async def test_queued_call_is_refused_when_its_target_leaves(harness):
+    """A caller would hang until its deadline after the last target began to leave.
 
-    The target holds one call and another one waits; the target begins to leave.
-    Nobody telling the queue would be the cause.
+    One call is in flight and another one is queued when the target begins to leave,
+    and the queue is not notified.
     """
-    first = (await world.acquire("r1")).ok_value
-    waiting = world.acquire("r2")
+    first = (await harness.acquire("r1")).ok_value
+    queued = harness.acquire("r2")
     await asyncio.sleep(0)
-    world.directory.mark_leaving("t0")
-    world.events.emit(TARGET_LEAVING, "t0")
-    refusal = (await asyncio.wait_for(waiting, 10)).err_value
+    harness.directory.mark_leaving("t0")
+    harness.events.emit(TARGET_LEAVING, "t0")
+    refusal = (await asyncio.wait_for(queued, 10)).err_value
     assert refusal.code is RefusalCode.NO_TARGET
-    world.controller.release(first, DONE)
+    harness.controller.release(first, DONE)
 
 
-async def test_call_without_a_chance_is_refused_by_the_timer(world):
-    """A caller is held until its deadline although nothing can be done in time.
+async def test_call_that_cannot_meet_its_deadline_is_refused(harness):
+    """A call that cannot finish in time would be queued until its deadline.
 
-    The target is busy and nothing else happens until the waiting call is too late.
-    A queue that only looks up on events would be the cause.
+    The target is busy and no event occurs until the queued call is too late, so
+    only a timer can refuse it.
     """
-    first = (await world.acquire("r1")).ok_value
-    refusal = (await asyncio.wait_for(world.acquire("r2", budget=0.1), 10)).err_value
+    first = (await harness.acquire("r1")).ok_value
+    refusal = (await asyncio.wait_for(harness.acquire("r2", budget=0.1), 10)).err_value
     assert refusal.code is RefusalCode.OVERLOADED
     assert refusal.retry_after_ms > 0
-    world.controller.release(first, DONE)
+    harness.controller.release(first, DONE)
 
 
-async def test_stop_refuses_what_waits():
-    """Callers hang while the instance stops.
+async def test_stop_refuses_queued_calls():
+    """Callers would hang during the shutdown of an instance.
 
-    A call waits as the controller is stopped. A future that nobody completes is
-    the cause.
+    A call is queued when the controller is stopped, and its future is not resolved.
     """
-    world = World()
-    await world.controller.start()
-    await world.acquire("r1")
-    waiting = world.acquire("r2")
+    harness = Harness()
+    await harness.controller.start()
+    await harness.acquire("r1")
+    queued = harness.acquire("r2")
     await asyncio.sleep(0)
-    await world.controller.stop()
-    assert (await waiting).err_value.code is RefusalCode.NOT_READY
+    await harness.controller.stop()
+    assert (await queued).err_value.code is RefusalCode.NOT_READY
--- a/tests/test_entry/test_controllers/test_scheduling_moves.py
+++ b/tests/test_entry/test_controllers/test_scheduling_moves.py
@@ -1,4 +1,4 @@
-"""What becomes of a call whose target does not accept it any more."""
+"""Tests of calls whose target stops accepting them after the grant."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class DisagreeingDirectory(FixedDirectory):
-    """Its candidates hold targets that it does not accept."""
+    """A directory whose candidates include targets that it does not accept."""
 
     def __init__(self, refused: set[str]) -> None:
         super().__init__(TARGETS)
-        self.asked = 0
+        self.checks = 0
         self._refused = refused
 
     def accepts(self, target_id: str) -> bool:
-        self.asked += 1
-        assert self.asked < 50, "the call is moved for ever"
+        self.checks += 1
+        assert self.checks < 50, "the call is rescheduled endlessly"
         return target_id not in self._refused
 
 
@@ -72,17 +72,16 @@
 
 
 async def test_call_goes_to_a_target_that_accepts_it():
-    """An instance stood still for good while its data centre was cut off.
+    """An instance would block for ever while its data centre is partitioned.
 
-    Sequence: a target was set aside, but was still among the candidates; a call was
-    given to it at once, given back, and given to it again. Cause: the call was
-    moved without the event loop ever getting a turn, and to the same target.
+    A target is ejected but still among the candidates. A call is granted to it,
+    released, and granted to it again, without yielding to the event loop.
     """
     clock = SystemClock()
     directory = DisagreeingDirectory({"t1"})
     controller = create_controller(directory, clock)
     for _ in range(5):
-        directory.asked = 0
+        directory.checks = 0
         result = await controller.acquire(create_ticket(clock, 5.0))
         assert result.ok_value.target.target_id == "t2"
 
--- a/tests/test_entry/test_controllers/test_targets.py
+++ b/tests/test_entry/test_controllers/test_targets.py
@@ -1,4 +1,4 @@
-"""Tests of the target directory against targets over loopback."""
+"""Tests of the target directory with targets on the loopback interface."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 
 
 @dataclass
-class Desk:
-    """A target's load page."""
+class LoadEndpoint:
+    """The load report endpoint of a target."""
 
     address: str = ""
     state: str = "live"
@@ -60,11 +60,11 @@
 
 
 @dataclass
-class Directory:
+class ObservedDirectory:
     directory: TargetsController
     events: EventBus
     metrics: Metrics
-    left: list[str]
+    left_ids: list[str]
 
     def list_ids(self) -> list[str]:
         candidates = self.directory.candidates("stockdesk")
@@ -75,14 +75,14 @@
 async def serve():
     runners = []
 
-    async def start(desk: Desk, port: int = 0) -> web.AppRunner:
+    async def start(endpoint: LoadEndpoint, port: int = 0) -> web.AppRunner:
         application = web.Application()
-        application.router.add_get("/load", desk.answer)
+        application.router.add_get("/load", endpoint.answer)
         runner = web.AppRunner(application)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", port).start()
         host, port = runner.addresses[0]
-        desk.address = f"{host}:{port}"
+        endpoint.address = f"{host}:{port}"
         runners.append(runner)
         return runner
 
@@ -92,11 +92,11 @@
 
 
 @pytest.fixture
-async def begin():
+async def create_directory():
     started = []
 
-    async def create(peers: MemoryPeers, seed: int = 1) -> Directory:
-        events, metrics, left = EventBus(), Metrics("127.0.0.1:9"), []
+    async def create(peers: MemoryPeers, seed: int = 1) -> ObservedDirectory:
+        events, metrics, left_ids = EventBus(), Metrics("127.0.0.1:9"), []
         directory = TargetsController(
             peers=peers,
             clock=SystemClock(),
@@ -105,145 +105,152 @@
             settings=parse(SETTINGS).unwrap(),
             metrics=metrics,
         )
-        events.connect(TARGET_LEAVING, left.append)
+        events.connect(TARGET_LEAVING, left_ids.append)
         await directory.start()
         started.append(directory)
-        return Directory(directory, events, metrics, left)
+        return ObservedDirectory(directory, events, metrics, left_ids)
 
     yield create
     for directory in started:
         await directory.stop()
 
 
-def make_listing(as_of: int, *desks: Desk) -> Listing:
+def make_listing(as_of: int, *endpoints: LoadEndpoint) -> Listing:
     rows = [
         Instance(
             instance_id=f"t-{number}",
             kind=InstanceKind.TARGET,
             data_centre="fukuoka-a",
-            address=desk.address,
+            address=endpoint.address,
             state=InstanceState.LIVE,
             service="stockdesk",
         )
-        for number, desk in enumerate(desks, start=1)
+        for number, endpoint in enumerate(endpoints, start=1)
     ]
     return Listing(as_of, tuple(rows))
 
 
-async def test_load_report_is_polled_and_tells_of_leaving(serve, begin):
-    desk = Desk()
-    await serve(desk)
-    one = await begin(Switchboard().join("e-1"))
-    one.events.emit(LISTING_RECEIVED, make_listing(1, desk))
-    await wait_until(lambda: one.directory.candidates("stockdesk")[0].report)
-    assert one.directory.candidates("stockdesk")[0].report.in_flight == 3
-    desk.state = "leaving"
-    await wait_until(lambda: one.left == ["t-1"])
-    assert one.list_ids() == []
+async def test_polled_load_report_shows_leaving(serve, create_directory):
+    endpoint = LoadEndpoint()
+    await serve(endpoint)
+    instance = await create_directory(Switchboard().join("e-1"))
+    instance.events.emit(LISTING_RECEIVED, make_listing(1, endpoint))
+    await wait_until(lambda: instance.directory.candidates("stockdesk")[0].report)
+    assert instance.directory.candidates("stockdesk")[0].report.in_flight == 3
+    endpoint.state = "leaving"
+    await wait_until(lambda: instance.left_ids == ["t-1"])
+    assert instance.list_ids() == []
 
 
-async def test_targets_that_nobody_uses_are_polled_seldom(serve, begin):
-    """Load reports of targets in use are too old to choose by.
+async def test_unused_targets_are_polled_less_often(serve, create_directory):
+    """Load reports of targets in use would be too old for load balancing.
 
-    Others, which no request needs, are polled as often, and take up the common rate.
+    Targets of unused services would be polled as often and use up the shared rate.
     """
-    used, unused = Desk(), Desk()
+    used, unused = LoadEndpoint(), LoadEndpoint()
     await serve(used)
     await serve(unused)
     rows = make_listing(1, used, unused).instances
     rows = (rows[0], dataclasses.replace(rows[1], service="notify"))
-    one = await begin(Switchboard().join("e-1"))
-    one.events.emit(LISTING_RECEIVED, Listing(1, rows))
-    await wait_until(lambda: one.list_ids() and used.polls >= 20)
+    instance = await create_directory(Switchboard().join("e-1"))
+    instance.events.emit(LISTING_RECEIVED, Listing(1, rows))
+    await wait_until(lambda: instance.list_ids() and used.polls >= 20)
     assert 1 <= unused.polls < used.polls / 2
-    assert one.directory.candidates("notify")
+    assert instance.directory.candidates("notify")
     before = unused.polls
     await wait_until(lambda: unused.polls >= before + 10)
 
 
-async def test_header_of_a_failed_poll_tells_of_leaving(serve, begin):
-    desk = Desk(status=503, headers={"X-Target-State": "leaving"})
-    await serve(desk)
-    one = await begin(Switchboard().join("e-1"))
-    one.events.emit(LISTING_RECEIVED, make_listing(1, desk))
-    await wait_until(lambda: one.left == ["t-1"])
+async def test_header_of_a_failed_poll_shows_leaving(serve, create_directory):
+    endpoint = LoadEndpoint(status=503, headers={"X-Target-State": "leaving"})
+    await serve(endpoint)
+    instance = await create_directory(Switchboard().join("e-1"))
+    instance.events.emit(LISTING_RECEIVED, make_listing(1, endpoint))
+    await wait_until(lambda: instance.left_ids == ["t-1"])
 
 
-async def test_leaving_is_passed_on_and_sticks_everywhere(begin):
-    """
-    Symptom: one instance goes on using a target that told another that it leaves.
-    Sequence: the word comes on an answer to one of twelve instances; the lists of
-    the others show the target as live for as long as they like. Cause: what one
-    instance learns stays with it.
+async def test_leaving_is_gossiped_and_permanent(create_directory):
+    """Other instances would keep using a target that one instance saw leaving.
+
+    One of twelve instances learns it from a response, while the listings of all of
+    them still show the target as live.
     """
     switchboard = Switchboard()
-    fleet = [await begin(switchboard.join(f"e-{n}"), seed=n) for n in range(12)]
-    desks = [Desk(address="127.0.0.1:1"), Desk(address="127.0.0.1:1")]
-    for one in fleet:
-        one.events.emit(LISTING_RECEIVED, make_listing(1, *desks))
+    fleet = [
+        await create_directory(switchboard.join(f"e-{n}"), seed=n) for n in range(12)
+    ]
+    endpoints = [
+        LoadEndpoint(address="127.0.0.1:1"),
+        LoadEndpoint(address="127.0.0.1:1"),
+    ]
+    for instance in fleet:
+        instance.events.emit(LISTING_RECEIVED, make_listing(1, *endpoints))
     fleet[0].directory.mark_leaving("t-1")
     assert fleet[0].list_ids() == ["t-2"]
-    await wait_until(lambda: all(one.left == ["t-1"] for one in fleet))
-    for one in fleet:
-        one.events.emit(LISTING_RECEIVED, make_listing(2, *desks))
-        assert one.list_ids() == ["t-2"]
-        assert not one.directory.accepts("t-1")
+    await wait_until(lambda: all(instance.left_ids == ["t-1"] for instance in fleet))
+    for instance in fleet:
+        instance.events.emit(LISTING_RECEIVED, make_listing(2, *endpoints))
+        assert instance.list_ids() == ["t-2"]
+        assert not instance.directory.accepts("t-1")
 
 
-async def test_reminders_repair_what_was_lost(begin):
-    """
-    Symptom: one instance of many goes on using a leaving target. Sequence: it is
-    out of reach when the word goes round, and back a moment later. Cause: each
-    instance passes a word on just once.
+async def test_repeated_gossip_reaches_an_instance_that_missed_it(create_directory):
+    """An instance that missed the gossip would keep using a leaving target.
+
+    It is unreachable while the others exchange the message, and reconnects a moment
+    later.
     """
     switchboard = Switchboard()
-    fleet = [await begin(switchboard.join(f"e-{n}"), seed=n) for n in range(3)]
+    fleet = [
+        await create_directory(switchboard.join(f"e-{n}"), seed=n) for n in range(3)
+    ]
     await wait_until(lambda: switchboard.asked["leaving-query"] == 3)
     switchboard.cut = {("e-0", "e-2"), ("e-1", "e-2")}
     fleet[0].directory.mark_leaving("t-1")
-    await wait_until(lambda: fleet[1].left == ["t-1"])
+    await wait_until(lambda: fleet[1].left_ids == ["t-1"])
     await wait_until(lambda: not any(fleet[1].directory._pending_gossip.values()))
     switchboard.cut = set()
-    await wait_until(lambda: fleet[2].left == ["t-1"])
+    await wait_until(lambda: fleet[2].left_ids == ["t-1"])
 
 
-async def test_new_instance_asks_what_is_leaving(begin):
-    """
-    Symptom: a fresh instance sends work to a target that left its peers' books
-    long ago. Sequence: it starts from a list that lags. Cause: it was not there
-    when the word was passed on.
+async def test_new_instance_queries_leaving_targets(create_directory):
+    """A new instance would send calls to a target that its peers know as leaving.
+
+    It starts from an outdated listing, after the leaving target was gossiped.
     """
     switchboard = Switchboard()
-    old = await begin(switchboard.join("e-1"))
+    old = await create_directory(switchboard.join("e-1"))
     old.directory.mark_leaving("t-1")
     await wait_until(lambda: not any(old.directory._pending_gossip.values()))
     old.directory._gossip_repeats.clear()
-    new = await begin(switchboard.join("e-2"), seed=2)
-    new.events.emit(LISTING_RECEIVED, make_listing(1, Desk(address="127.0.0.1:1")))
-    await wait_until(lambda: new.left == ["t-1"])
+    new = await create_directory(switchboard.join("e-2"), seed=2)
+    new.events.emit(
+        LISTING_RECEIVED, make_listing(1, LoadEndpoint(address="127.0.0.1:1"))
+    )
+    await wait_until(lambda: new.left_ids == ["t-1"])
     assert new.list_ids() == []
 
 
-async def test_unreachable_target_is_set_aside_and_comes_back(serve, begin):
-    """
-    Symptom: a target that was out of reach for a moment gets no work for good.
-    Sequence: nothing listens on its port; then something does again. Cause: no
-    call is ever made to find out, as calls are what it is kept from.
+async def test_unreachable_target_is_ejected_and_recovers(serve, create_directory):
+    """A target that was briefly unreachable would stay ejected for ever.
+
+    Its port is closed and opened again. An ejected target gets no calls, so only
+    polls can show that it has recovered.
     """
-    lost, kept = Desk(), Desk()
-    runner = await serve(lost)
-    await serve(kept)
-    one = await begin(Switchboard().join("e-1"))
-    one.events.emit(LISTING_RECEIVED, make_listing(1, lost, kept))
+    unreachable, reachable = LoadEndpoint(), LoadEndpoint()
+    runner = await serve(unreachable)
+    await serve(reachable)
+    instance = await create_directory(Switchboard().join("e-1"))
+    instance.events.emit(LISTING_RECEIVED, make_listing(1, unreachable, reachable))
     await runner.cleanup()
-    await wait_until(lambda: one.list_ids() == ["t-2"])
-    assert one.left == []
-    failures = one.metrics.value("targets.poll_failures")
+    await wait_until(lambda: instance.list_ids() == ["t-2"])
+    assert instance.left_ids == []
+    failures = instance.metrics.value("targets.poll_failures")
     await wait_until(
-        lambda: one.metrics.value("targets.poll_failures") >= failures + 12
+        lambda: instance.metrics.value("targets.poll_failures") >= failures + 12
     )
-    await serve(lost, port=int(lost.address.rpartition(":")[2]))
-    await wait_until(lambda: one.list_ids() == ["t-1", "t-2"])
+    await serve(unreachable, port=int(unreachable.address.rpartition(":")[2]))
+    await wait_until(lambda: instance.list_ids() == ["t-1", "t-2"])
 
 
 async def test_list_is_read_less_often_in_a_large_fleet():
@@ -262,5 +269,5 @@
     assert listing.compute_interval() == 0.5
     for number in range(99):
         switchboard.join(f"f-{number}")
-    # a hundred instances may make ten calls a second together
+    # one hundred instances share ten calls per second
     assert listing.compute_interval() == 10.0
