--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -101,7 +101,7 @@
         #: store revision of the newest head that was applied
         self._revision = 0
         self._fetch_needed = asyncio.Event()
-        self._learn_lock = asyncio.Lock()
+        self._adopt_lock = asyncio.Lock()
         reader = ShardReader(store=store, replica=self._replica, metrics=metrics)
         self._learner = Learner(
             replica=self._replica,
@@ -258,15 +258,15 @@
         if entry is None:
             self._gossip.confirm_newest()
             return True
-        return await self._learn_entry(entry)
+        return await self._adopt_entry(entry)
 
-    async def _learn_entry(self, entry: Entry) -> bool:
+    async def _adopt_entry(self, entry: Entry) -> bool:
         # serialised, or the watch and the start-up would each read all shards
-        async with self._learn_lock:
+        async with self._adopt_lock:
             if not self.ready:
                 await self._wait_for_peers()
-            learnt = await self._learner.learn_entry(entry)
-        if not learnt:
+            adopted = await self._learner.learn_entry(entry)
+        if not adopted:
             return False
         # advance only now, so that a head with unreadable shards is watched again
         if entry.revision >= self._revision:
@@ -278,7 +278,7 @@
         answer = await self._store.get(HEAD_KEY)
         entry = answer.ok()
         if entry is not None:
-            await self._learn_entry(entry)
+            await self._adopt_entry(entry)
         return answer
 
     @Service.task
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/drain.py
@@ -88,7 +88,7 @@
         self._state = DrainState.SERVING
         self._started_at: float | None = None
         self._shutdown_requested = asyncio.Event()
-        self._abort_requested = asyncio.Event()
+        self._exit_requested = asyncio.Event()
         events.declare(DRAIN_STARTED)
 
     @property
@@ -114,10 +114,10 @@
         return self._started_at + self._balancer_lag + self._max_drain_seconds
 
     def request_stop(self) -> None:
-        """Start a graceful shutdown; a second call skips the remaining waits."""
+        """Start a graceful shutdown; a second call ends it without waiting."""
         if self._shutdown_requested.is_set():
-            logger.warning("second shutdown request: aborting requests in flight")
-            self._abort_requested.set()
+            logger.warning("second shutdown request: exiting with requests in flight")
+            self._exit_requested.set()
             return
         self._started_at = self._clock.now()
         self._state = DrainState.LEAVING
@@ -137,11 +137,9 @@
         """
         await self._shutdown_requested.wait()
         drain_task = asyncio.create_task(self._drain())
-        abort_task = asyncio.create_task(self._abort_requested.wait())
-        await asyncio.wait(
-            {drain_task, abort_task}, return_when=asyncio.FIRST_COMPLETED
-        )
-        abort_task.cancel()
+        exit_task = asyncio.create_task(self._exit_requested.wait())
+        await asyncio.wait({drain_task, exit_task}, return_when=asyncio.FIRST_COMPLETED)
+        exit_task.cancel()
         if not drain_task.done():
             drain_task.cancel()
         results = await asyncio.gather(drain_task, return_exceptions=True)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/leases.py
@@ -105,7 +105,7 @@
         return self._states.get(group)
 
     def abandon(self, group: str) -> None:
-        """Abandon the lease of a group at once; it is requested again later."""
+        """Stop acting under the lease of a group at once and acquire it anew later."""
         lease_state = self._states.get(group)
         if lease_state is None:
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -66,7 +66,7 @@
 
 
 def is_probe(message: Message) -> bool:
-    """Whether a message belongs to failure detection and does not use a link."""
+    """Whether a message is a probe, which does not count as use of a link."""
     return isinstance(message, _PROBES)
 
 
@@ -109,7 +109,8 @@
             capacity=capacity,
         )
         self._detector = self._create_detector()
-        #: cached members, which every request reads and a large fleet makes costly
+        #: cached result of ``members()``, which every request reads and which is
+        #: expensive to build for a large fleet
         self._cached_members: tuple[Member, ...] | None = None
         self._cache_expires_at = 0.0
         events.declare(MEMBERS_CHANGED)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -102,8 +102,8 @@
 
     async def on_stop(self) -> None:
         """Cancel calls to engines; a group with an order in flight keeps its lease."""
-        for call in self._calls:
-            call.cancel()
+        for task in self._calls:
+            task.cancel()
         await asyncio.gather(*self._calls, return_exceptions=True)
         self._update_leases()
 
@@ -164,17 +164,17 @@
             group.engines = EngineGroup(
                 fence=lease_state.fence, rules=self._rules, now=now
             )
-        steps = group.engines.plan(
+        engine_calls = group.engines.plan(
             now,
             group.targets,
             group.placement,
             loads_per_minute=self._loads_per_minute / len(self._groups),
             may_order=self._may_order(group, lease_state),
         )
-        for step in steps:
-            call = asyncio.create_task(self._call(group, group.engines, step))
-            self._calls.add(call)
-            call.add_done_callback(self._calls.discard)
+        for engine_call in engine_calls:
+            task = asyncio.create_task(self._call(group, group.engines, engine_call))
+            self._calls.add(task)
+            task.add_done_callback(self._calls.discard)
 
     def _may_order(self, group: Group, lease_state: LeaseState) -> bool:
         if self._draining or not group.placed:
@@ -203,18 +203,20 @@
         service = self._snapshot().services.get(group.service)
         return Fencing.IGNORED if service is None else read_fencing(service)
 
-    async def _call(self, group: Group, engines: EngineGroup, step: EngineStep) -> None:
-        target = group.targets.get(step.target_id)
+    async def _call(
+        self, group: Group, engines: EngineGroup, engine_call: EngineStep
+    ) -> None:
+        target = group.targets.get(engine_call.target_id)
         try:
             if target is None:
                 # it has left since; the next plan removes its record
-                engines.fail(self._clock.now(), step, self._rules.interval)
-            elif step.order is None:
-                group.error = await self._caller.read(engines, step, target)
+                engines.fail(self._clock.now(), engine_call, self._rules.interval)
+            elif engine_call.order is None:
+                group.error = await self._caller.read(engines, engine_call, target)
             else:
                 group.error = await self._caller.order(
-                    group.name, self._read_fencing(group), engines, step, target
+                    group.name, self._read_fencing(group), engines, engine_call, target
                 )
         except Exception:
-            logger.exception("call to engine %s failed", step.target_id)
-            engines.end_order(self._clock.now(), step, settled=False)
+            logger.exception("call to engine %s failed", engine_call.target_id)
+            engines.end_order(self._clock.now(), engine_call, settled=False)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/quotas.py
@@ -40,7 +40,7 @@
 class QuotasController(Controller):
     """Admits requests within the quotas of their workspaces.
 
-    Each instance admits a share of a quota in proportion to its part of the total
+    Each instance admits a share of a quota that follows its part of the total
     demand, so that no request waits for another instance or the store.
     """
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/targets.py
@@ -55,7 +55,7 @@
 #: maximum size of a load report in bytes; larger ones are discarded
 MAX_REPORT_BYTES = 65_536
 
-#: seconds after its last request from which a service counts as unused
+#: seconds without a request after which a service counts as unused
 UNUSED_AFTER = 60.0
 
 #: factor by which the poll interval of an unused service's targets is longer
