--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -193,7 +193,7 @@
     async def on_start(self) -> None:
         host, _, port = self._listen.rpartition(":")
         await self._links.start(host.strip("[]"), int(port))
-        self._membership.begin(self._advertise or f"{host}:{self.port}")
+        self._membership.set_address(self._advertise or f"{host}:{self.port}")
 
     async def on_stop(self) -> None:
         await self._calls.stop()
@@ -230,7 +230,7 @@
     def _dial_seed(self) -> None:
         """Try to meet others by one of the addresses given in the settings."""
         known = {link.peer.address for link in self._links.list_links()}
-        known.add(self._membership.describe().address)
+        known.add(self._membership.create_hello().address)
         seeds = [address for address in self._seeds if address not in known]
         if not seeds:
             return
@@ -247,12 +247,12 @@
     # what links need
 
     def describe(self) -> Hello:
-        return self._membership.describe()
+        return self._membership.create_hello()
 
     def find_fault(self, hello: Hello) -> str:
         held = self._links.find(hello.instance_id)
         linked_address = "" if held is None else held.peer.address
-        return self._membership.find_fault(hello, linked_address)
+        return self._membership.check_hello(hello, linked_address)
 
     def note_open(self, link: Link) -> None:
         hello = link.peer
@@ -263,12 +263,12 @@
             incarnation=hello.incarnation,
             capacity=hello.capacity,
         )
-        self._membership.meet(identity, leaving=hello.leaving)
+        self._membership.register_peer(identity, leaving=hello.leaving)
 
     def note_closed(self, link: Link) -> None:
         self._questions.abandon(link)
         if not link.ended_in_order:
-            self._membership.note_link_lost(link.instance_id)
+            self._membership.handle_link_loss(link.instance_id)
 
     def receive(self, link: Link, data: bytes) -> None:
         match decode(data):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/configuration.py
@@ -1,4 +1,4 @@
-"""The operator configuration of this instance: learns it, passes it on, changes it."""
+"""Replication of the operator configuration to this instance."""
 
 from __future__ import annotations
 
@@ -41,33 +41,35 @@
 
 logger = logging.getLogger(__name__)
 
-#: emitted with the snapshot each time a newer one is in force here
+#: emitted with the snapshot whenever this instance adopts a newer generation
 CONFIGURATION_CHANGED = "configuration-changed"
 
-#: seconds between two looks at whether this instance is to watch the head
-WATCH_TICK = 1.0
+#: seconds between two checks whether this instance watches the head in the store
+WATCHER_CHECK_INTERVAL = 1.0
 
-#: shortest and longest delay in seconds after a failed call
+#: minimum and maximum back-off in seconds after a failed call
 RETRY_BASE = 0.2
-RETRY_LONGEST = 5.0
+RETRY_MAX = 5.0
 
-#: seconds that peers are given before an instance that knows no configuration reads
-#: it from the store, and before one that is not to watch the store asks there at all
-PEERS_FIRST = 1.0
-START_PATIENCE = 3.0
-START_TICK = 0.1
+#: seconds to wait for peers before an instance without a configuration reads the
+#: shards from the store, and before one that is not a watcher queries the store at all
+PEER_WAIT = 1.0
+STORE_FALLBACK_DELAY = 3.0
+#: seconds between two checks for a configuration from peers at start-up
+START_CHECK_INTERVAL = 0.1
 
-#: peers asked at once by an instance that knows no configuration
-START_PEERS = 2
+#: peers queried at the same time by an instance without a configuration
+START_FANOUT = 2
 
 
 class ConfigurationController(Controller):
-    """Holds the newest configuration that this instance has learnt.
+    """Holds the newest generation of the configuration known to this instance.
 
-    A few instances of each data centre watch the head in the store; the others hear
-    of a new generation from peers, and fetch it there. An instance that has long had
-    no word of what is newest looks for itself: those that watch may be cut off from
-    the store while it is not.
+    A few instances of each data centre, the watchers, watch the head in the store.
+    The others learn of a new generation by gossip and fetch it from a peer. An
+    instance whose configuration has not been confirmed as the newest for
+    ``configuration.stale_after`` seconds reads the head itself, because the watchers
+    may be partitioned from the store while it is not.
     """
 
     name = "configuration"
@@ -96,10 +98,10 @@
         self._gossip_interval: float = settings["configuration.gossip_interval"]
         self._stale_after: float = settings["configuration.stale_after"]
         self._replica = Replica()
-        #: revision of the newest head seen in the store
+        #: store revision of the newest head that was applied
         self._revision = 0
-        self._fetch_wanted = asyncio.Event()
-        self._learning = asyncio.Lock()
+        self._fetch_needed = asyncio.Event()
+        self._adopt_lock = asyncio.Lock()
         reader = ShardReader(store=store, replica=self._replica, metrics=metrics)
         self._learner = Learner(
             replica=self._replica,
@@ -107,7 +109,7 @@
             peers=peers,
             metrics=metrics,
             fetch_timeout=settings["configuration.fetch_timeout"],
-            on_adopted=self._note_adopted,
+            on_adopted=self._handle_adopted,
         )
         self._driver = ChangeDriver(
             store=store,
@@ -126,16 +128,16 @@
             random_source=random_source,
             data_centre=data_centre,
             fetch_timeout=settings["configuration.fetch_timeout"],
-            on_newer_generation=self._fetch_wanted.set,
+            on_newer_generation=self._fetch_needed.set,
         )
         ConfigServer(replica=self._replica, peers=peers, metrics=metrics)
         events.declare(CONFIGURATION_CHANGED)
 
-    # what others ask
+    # queries and changes
 
     @property
     def snapshot(self) -> Snapshot:
-        """Objects in force here; empty before any are known."""
+        """Objects in force on this instance; empty before the first generation."""
         return self._replica.snapshot
 
     @property
@@ -145,7 +147,7 @@
 
     @property
     def head(self) -> Head:
-        """Head of the generation in force here."""
+        """Head of the generation in force on this instance."""
         return self._replica.head
 
     @property
@@ -163,19 +165,19 @@
         return self._replica.list_records()
 
     def find_generation(self, instance_id: str) -> int | None:
-        """Return the generation an instance is known to have; ``None``: unknown."""
+        """Return the last reported generation of an instance; ``None`` if unknown."""
         return self._gossip.find_generation(instance_id)
 
     def get_store_age(self) -> float | None:
-        """Return seconds since the generation here was surely the newest."""
+        """Return seconds since this generation was last confirmed as the newest."""
         return self._gossip.get_store_age()
 
     async def change(self, request: ChangeRequest) -> ChangeOutcome:
-        """Make a change and return what became of it."""
+        """Apply a change and return its outcome."""
         return await self._driver.change(request)
 
     async def find_change(self, change_id: str) -> Result[ChangeLookup, StoreError]:
-        """Look for a change: here first, then in the store's newest head."""
+        """Look up a change in the local head, then in the newest head of the store."""
         head = self._replica.head
         entry = find_change(head, change_id)
         if entry is not None:
@@ -192,14 +194,14 @@
         return Ok(ChangeLookup(newest, find_change(newest, change_id)))
 
     async def list_generations(
-        self, *, ask: bool = False
+        self, *, refresh: bool = False
     ) -> tuple[MemberGeneration, ...]:
-        """Return every known entry instance with the generation it has in force.
+        """Return every known entry instance with its generation in force.
 
-        :param ask: ask all members anew instead of telling what is known.
+        :param refresh: query all members instead of returning their last reports.
         """
         members = self._peers.members()
-        if ask:
+        if refresh:
             await self._gossip.query_members(members)
         return tuple(self._gossip.describe(member) for member in members)
 
@@ -221,7 +223,7 @@
             "watching": self._is_watcher(),
         }
 
-    # learning from the store
+    # replication from the store
 
     @Service.task
     async def _watch_forever(self) -> None:
@@ -229,20 +231,23 @@
         while not self.should_stop:
             if not self._is_watcher():
                 failures = 0
-                await self.sleep(WATCH_TICK)
+                await self.sleep(WATCHER_CHECK_INTERVAL)
                 continue
-            begun = self._clock.now()
-            seen = self._revision
+            started_at = self._clock.now()
+            previous_revision = self._revision
             if await self._watch_once():
                 failures = 0
-                # a store that answers at once without news, as it may while there is
-                # no head, must not be asked in a tight loop: it counts each call
-                tick = min(WATCH_TICK, self._watch_wait)
-                if self._revision == seen and self._clock.now() - begun < tick:
-                    await self.sleep(tick)
+                # a watch may return at once without a change, for example while no
+                # head exists; avoid a tight loop, as the store meters each call
+                min_interval = min(WATCHER_CHECK_INTERVAL, self._watch_wait)
+                if (
+                    self._revision == previous_revision
+                    and self._clock.now() - started_at < min_interval
+                ):
+                    await self.sleep(min_interval)
                 continue
             failures += 1
-            await self._wait_to_retry(failures)
+            await self._back_off(failures)
 
     async def _watch_once(self) -> bool:
         answer = await self._store.watch(HEAD_KEY, self._revision, self._watch_wait)
@@ -253,17 +258,17 @@
         if entry is None:
             self._gossip.confirm_newest()
             return True
-        return await self._learn_entry(entry)
+        return await self._adopt_entry(entry)
 
-    async def _learn_entry(self, entry: Entry) -> bool:
-        # one at a time, or the watch and the start would each read all shards
-        async with self._learning:
+    async def _adopt_entry(self, entry: Entry) -> bool:
+        # serialised, or the watch and the start-up would each read all shards
+        async with self._adopt_lock:
             if not self.ready:
                 await self._wait_for_peers()
-            learnt = await self._learner.adopt_entry(entry)
-        if not learnt:
+            adopted = await self._learner.adopt_entry(entry)
+        if not adopted:
             return False
-        # only now: a head whose shards could not be read is to be seen again
+        # advance only now, so that a head with unreadable shards is watched again
         if entry.revision >= self._revision:
             self._revision = entry.revision
             self._gossip.confirm_newest()
@@ -273,74 +278,72 @@
         answer = await self._store.get(HEAD_KEY)
         entry = answer.ok()
         if entry is not None:
-            await self._learn_entry(entry)
+            await self._adopt_entry(entry)
         return answer
 
     @Service.task
-    async def _start_up(self) -> None:
+    async def _bootstrap(self) -> None:
         failures = 0
-        begun = self._clock.now()
+        started_at = self._clock.now()
         while not self.should_stop and not self.ready:
-            await self._ask_some()
-            patient = self._clock.now() - begun < START_PATIENCE
-            if patient and not self._is_watcher():
-                await self.sleep(START_TICK)
+            await self._query_peers()
+            prefers_peers = self._clock.now() - started_at < STORE_FALLBACK_DELAY
+            if prefers_peers and not self._is_watcher():
+                await self.sleep(START_CHECK_INTERVAL)
                 continue
             answer = await self._read_head()
             if answer.is_ok() and answer.ok_value is None:
-                # there is no configuration yet; the watch will tell of the first
+                # no configuration exists yet; the watch reports the first one
                 return
             failures += 1
             if not self.ready:
-                await self._wait_to_retry(failures)
+                await self._back_off(failures)
 
     async def _wait_for_peers(self) -> None:
-        """Let peers give the first configuration, if any are there in time.
+        """Wait a bounded time for a peer to provide the first configuration.
 
-        The store holds it in up to 256 shards and counts the reading of each. When a
-        data centre comes back, all its instances would read them side by side: seen
-        as seconds in which the store answers nobody else in time.
+        The store holds the configuration in up to 256 shards and meters each read.
+        When a data centre restarts, all its instances would read the shards at the
+        same time, and the store would miss the deadlines of all other calls for
+        several seconds.
         """
-        end = self._clock.now() + PEERS_FIRST
-        asked = False
+        end = self._clock.now() + PEER_WAIT
+        queried = False
         while not self.ready and self._clock.now() < end:
-            if not asked and self._gossip.list_reachable_peers():
-                asked = True
-                await self._ask_some()
-            await self.sleep(START_TICK)
+            if not queried and self._gossip.list_reachable_peers():
+                queried = True
+                await self._query_peers()
+            await self.sleep(START_CHECK_INTERVAL)
 
-    async def _ask_some(self) -> None:
+    async def _query_peers(self) -> None:
         others = self._gossip.list_reachable_peers()
-        count = min(START_PEERS, len(others))
+        count = min(START_FANOUT, len(others))
         await self._gossip.query_members(self._random.sample(others, count))
 
     def _is_watcher(self) -> bool:
         watchers = choose_watchers(self._peers.members(), self._data_centre)
-        # an instance that no view of its own shows as alive still has to look
+        # without any watcher in its view, an instance has to watch the head itself
         return not watchers or self.instance_id in watchers
 
-    async def _wait_to_retry(self, failures: int) -> None:
+    async def _back_off(self, failures: int) -> None:
         delay = compute_backoff(
-            failures,
-            base=RETRY_BASE,
-            longest=RETRY_LONGEST,
-            random_source=self._random,
+            failures, base=RETRY_BASE, longest=RETRY_MAX, random_source=self._random
         )
         await self.sleep(delay)
 
-    # learning from peers
+    # replication from peers
 
     @Service.task
     async def _gossip_forever(self) -> None:
         while not self.should_stop:
-            share = self._random.uniform(0.5, 1.5)
-            await self.sleep(self._gossip_interval * share)
+            jitter = self._random.uniform(0.5, 1.5)
+            await self.sleep(self._gossip_interval * jitter)
             self._metrics.gauge("configuration.generation", self._replica.generation)
             self._gossip.advertise_to_random_peer()
-            fleet = 1 + len(self._gossip.list_reachable_peers())
-            if self._is_stale() and self._random.random() * fleet < 1:
-                # each looks seldom, so that the fleet as a whole asks no more often
-                # the larger it is
+            fleet_size = 1 + len(self._gossip.list_reachable_peers())
+            if self._is_stale() and self._random.random() * fleet_size < 1:
+                # the probability falls with the fleet size, which keeps the read rate
+                # of the whole fleet independent of its size
                 self._metrics.count("configuration.stale_reads")
                 await self._read_head()
 
@@ -348,25 +351,25 @@
     async def _fetch_forever(self) -> None:
         failures = 0
         while not self.should_stop:
-            await self.wait(self._fetch_wanted)
+            await self.wait(self._fetch_needed)
             candidates = self._gossip.list_newer_peers()
             if not candidates:
-                self._fetch_wanted.clear()
+                self._fetch_needed.clear()
                 failures = 0
                 continue
             if await self._learner.adopt_from_peer(self._random.choice(candidates)):
                 failures = 0
                 continue
             failures += 1
-            await self._wait_to_retry(failures)
+            await self._back_off(failures)
 
     def _is_stale(self) -> bool:
         age = self.get_store_age()
         return age is None or age > self._stale_after
 
-    def _note_adopted(self) -> None:
+    def _handle_adopted(self) -> None:
         generation = self._replica.generation
-        logger.info("configuration generation %s is in force", generation)
+        logger.info("adopted configuration generation %s", generation)
         self._metrics.gauge("configuration.generation", generation)
         self._metrics.count("configuration.adopted")
         self._events.emit(CONFIGURATION_CHANGED, self._replica.snapshot)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
@@ -1,4 +1,4 @@
-"""Reading of the platform's list of instances, for all parts that need it."""
+"""Polling of the platform's list of instances on behalf of all controllers."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
 
 __all__ = ("LISTING_RECEIVED", "ListingController")
 
-#: emitted with a :class:`~greengagelatch.instances.Listing` after each reading,
-#: also where it has not changed
+#: emitted with a :class:`~greengagelatch.instances.Listing` after each poll, even if
+#: the list is unchanged
 LISTING_RECEIVED = "listing-received"
 
-#: share of an interval by which it is spread, so that readings don't fall together
+#: jitter as a fraction of the interval, so that instances do not poll in lockstep
 JITTER = 0.25
 
 
 class ListingController(Controller):
-    """Reads the list at an interval that grows with the fleet.
+    """Polls the list of instances at an interval that grows with the fleet.
 
-    The platform counts each call, and what it bears grows more slowly than the
-    fleet. So all entry instances together make ``platform.instances_rate`` calls a
-    second at most; what one of them learns of leaving instances, it passes on.
+    The platform meters each call, and its capacity grows more slowly than the fleet.
+    All entry instances together therefore make at most ``platform.instances_rate``
+    calls per second; each of them gossips the leaving instances that it discovers.
 
-    An instance that can't read the list asks a peer for it instead. So a data centre
-    cut off from the platform still sees new targets through the others, and an
-    instance started while the platform is down finds targets at all.
+    An instance that cannot read the list requests it from a peer. A data centre
+    partitioned from the platform thus still discovers new targets, and so does an
+    instance that is started during an outage of the platform.
     """
 
     name = "listing"
@@ -68,7 +68,7 @@
         self._interval = settings["platform.instances_interval"]
         self._rate = settings["platform.instances_rate"]
         self._newest: Listing | None = None
-        self._received = clock.now()
+        self._received_at = clock.now()
         self._error = ""
         self._exchange = ListingExchange(
             peers=peers,
@@ -81,56 +81,56 @@
 
     @property
     def listing(self) -> Listing | None:
-        """The newest listing that was read, or learnt from a peer."""
+        """The newest listing, from the platform or from a peer."""
         return self._newest
 
     async def refresh(self) -> None:
-        """Read the list once; if that fails, ask a peer for it."""
+        """Read the list once, falling back to a peer."""
         match await self._instance_list.fetch():
             case Ok(listing):
                 self._error = ""
-                self._received = self._clock.now()
-                self._take(listing)
+                self._received_at = self._clock.now()
+                self._apply(listing)
             case Err(error):
                 self._error = f"{error.kind.value}: {error.message}"
                 self._metrics.count(f"instances.errors.{error.kind.value}")
-                await self._ask_peer()
+                await self._fetch_from_peer()
 
     def compute_interval(self) -> float:
-        """Return the seconds until the next reading, without jitter."""
-        sharing = sum(
+        """Return the seconds until the next poll, without jitter."""
+        fleet_size = sum(
             member.state in (MemberState.ALIVE, MemberState.SUSPECT)
             for member in self._peers.members()
         )
-        return max(self._interval, sharing / self._rate)
+        return max(self._interval, fleet_size / self._rate)
 
     def dump(self) -> dict[str, Any]:
         newest = self._newest
         return {
             "as_of": None if newest is None else newest.as_of,
             "instances": 0 if newest is None else len(newest.instances),
-            "seconds_since_reading": self._clock.now() - self._received,
+            "seconds_since_reading": self._clock.now() - self._received_at,
             "interval": self.compute_interval(),
             "last_error": self._error,
             "learnt_from": self._exchange.learnt_from,
         }
 
     @Service.task
-    async def _read_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while not self.should_stop:
             await self.refresh()
-            spread = 1 - JITTER + 2 * JITTER * self._random.random()
-            await self.sleep(self.compute_interval() * spread)
+            factor = 1 - JITTER + 2 * JITTER * self._random.random()
+            await self.sleep(self.compute_interval() * factor)
 
-    async def _ask_peer(self) -> None:
+    async def _fetch_from_peer(self) -> None:
         listing = await self._exchange.fetch()
         if listing is not None:
             self._metrics.count("instances.learnt_from_peers")
-            self._take(listing)
+            self._apply(listing)
 
-    def _take(self, listing: Listing) -> None:
+    def _apply(self, listing: Listing) -> None:
         if self._newest is not None and listing.as_of < self._newest.as_of:
-            # replicas of the list may lag behind each other
+            # the replicas that serve the list may lag behind each other
             self._metrics.count("instances.older_listings")
             return
         self._newest = listing
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/membership.py
@@ -1,4 +1,4 @@
-"""Which entry instances there are, kept up to date by probing a few of them."""
+"""Membership of the entry instances, maintained by failure detection and gossip."""
 
 from __future__ import annotations
 
@@ -41,38 +41,39 @@
 
 __all__ = ("MEMBERS_CHANGED", "MembershipController", "is_probe")
 
-#: emitted without arguments once ``members`` has changed
+#: emitted without arguments after a change of the members
 MEMBERS_CHANGED = "members-changed"
 
-#: seconds between two looks at what is due
+#: seconds between two advances of the failure detector
 TICK = 0.2
 
-#: seconds between two comparisons of all that is known with one peer
+#: seconds between two anti-entropy exchanges of the member table with a random peer
 SYNC_INTERVAL = 60.0
 
-#: the same until the first one succeeds
+#: seconds between two exchanges until the first one succeeds
 FIRST_SYNC_INTERVAL = 1.0
 
+#: seconds to wait for the answer of the peer in such an exchange
 SYNC_TIMEOUT = 3.0
 
-#: seconds for which an instance that left is still shown
-LEAVING_SHOWN = 600.0
+#: seconds for which a leaving instance is still listed as a member
+LEAVING_VISIBLE_SECONDS = 600.0
 
-#: seconds for which an unchanged list of members is shown
-SHOWN_LIFE = 1.0
+#: seconds for which the list of members is cached
+MEMBERS_CACHE_SECONDS = 1.0
 
 _PROBES = (Probe, ProbeAck, ProbeRequest)
 
 
 def is_probe(message: Message) -> bool:
-    """Whether a message is part of failure detection, and no use of a link."""
+    """Whether a message is a probe, which does not count as use of a link."""
     return isinstance(message, _PROBES)
 
 
 class MembershipController(Controller):
-    """Runs the failure detector: gives it time and messages, sends what it says.
+    """Drives the failure detector: feeds it time and messages, sends its output.
 
-    It is created and started by the network of peers that it is part of.
+    It is created and started by the peer network that it belongs to.
     """
 
     name = "membership"
@@ -103,14 +104,15 @@
             instance_id=settings["instance.id"],
             data_centre=settings["instance.data_centre"],
             address=settings["peers.advertise"] or settings["peers.listen"],
-            # later processes of the same id must have higher ones
+            # each later process with the same id needs a higher incarnation
             incarnation=int(clock.wall()),
             capacity=capacity,
         )
         self._detector = self._create_detector()
-        #: members as last shown; asked for by each request, and made from many
-        self._shown: tuple[Member, ...] | None = None
-        self._shown_until = 0.0
+        #: cached result of ``members()``, which every request reads and which is
+        #: expensive to build for a large fleet
+        self._cached_members: tuple[Member, ...] | None = None
+        self._cache_expires_at = 0.0
         events.declare(MEMBERS_CHANGED)
         events.declare(LISTING_RECEIVED)
         events.declare(DRAIN_STARTED)
@@ -125,28 +127,28 @@
         """Id of this instance."""
         return self._identity.instance_id
 
-    def begin(self, address: str) -> None:
-        """Set the address of this instance, once it is known."""
+    def set_address(self, address: str) -> None:
+        """Set the address of this instance after its listener is bound."""
         if address == self._identity.address:
             return
         self._identity = replace(self._identity, address=address)
         self._detector = self._create_detector()
-        self._shown = None
+        self._cached_members = None
 
-    # questions
+    # queries
 
     def members(self) -> tuple[Member, ...]:
-        """Return all known entry instances, this one included, by id."""
+        """Return all known entry instances, including this one, sorted by id."""
         now = self._clock.now()
-        if self._shown is not None and now < self._shown_until:
-            return self._shown
-        self._shown = self._list_members(now)
-        self._shown_until = now + SHOWN_LIFE
-        return self._shown
+        if self._cached_members is not None and now < self._cache_expires_at:
+            return self._cached_members
+        self._cached_members = self._list_members(now)
+        self._cache_expires_at = now + MEMBERS_CACHE_SECONDS
+        return self._cached_members
 
     def _list_members(self, now: float) -> tuple[Member, ...]:
         own = self._detector.own
-        found = [
+        members = [
             Member(
                 instance_id=own.instance_id,
                 data_centre=own.data_centre,
@@ -156,21 +158,21 @@
             )
         ]
         for record in self._detector.table:
-            if _is_shown(record, now):
-                found.append(_show(record))
-        return tuple(sorted(found, key=lambda member: member.instance_id))
+            if _is_visible(record, now):
+                members.append(_create_member(record))
+        return tuple(sorted(members, key=lambda member: member.instance_id))
 
     def list_neighbours(self) -> tuple[str, ...]:
-        """Return the instances to which a link should be open by now."""
+        """Return the ids of the instances to keep a link to, sorted."""
         return tuple(sorted(self._detector.list_neighbours()))
 
     def find_address(self, instance_id: str) -> str:
-        """Return where to reach an instance, empty if it is not known."""
+        """Return the address of an instance; empty if unknown."""
         record = self._detector.table.find(instance_id)
         return "" if record is None else record.address
 
-    def describe(self) -> Hello:
-        """Return what this instance says of itself."""
+    def create_hello(self) -> Hello:
+        """Return the hello message of this instance."""
         own = self._detector.own
         return Hello(
             instance_id=own.instance_id,
@@ -181,19 +183,19 @@
             capacity=self._identity.capacity,
         )
 
-    def find_fault(self, hello: Hello, linked_address: str) -> str:
-        """Return why a peer's word on itself can't be true, empty if it can.
+    def check_hello(self, hello: Hello, linked_address: str) -> str:
+        """Return why the hello of a peer is rejected; empty if it is valid.
 
-        Two processes under one id would each get messages meant for the other, and
-        each would refute what the other says. One notices it by an instance that
-        changes its address to and fro. So whoever came first keeps the id.
+        Two processes with the same id would receive each other's messages and refute
+        each other's updates, visible as an instance whose address flaps. The process
+        that used the id first therefore keeps it.
 
-        :param linked_address: address of the peer of that id with an open link.
+        :param linked_address: address of the peer with this id and an open link.
         """
-        if not _is_readable(hello):
-            return "a hello that can't be read"
+        if not _is_well_formed(hello):
+            return "malformed hello"
         if hello.instance_id == self.instance_id:
-            return f"id {hello.instance_id!r} is this instance's own"
+            return f"id {hello.instance_id!r} is the id of this instance"
         if linked_address and linked_address != hello.address:
             return f"id {hello.instance_id!r} is in use at {linked_address}"
         record = self._detector.table.find(hello.instance_id)
@@ -201,13 +203,15 @@
             return ""
         if record.state is not MemberState.ALIVE or not record.address:
             return ""
-        # if the known one is gone, as after a restart elsewhere, this shows it
-        self.note_link_lost(hello.instance_id)
+        # probe the known one, which is gone if it was restarted at another address
+        self.handle_link_loss(hello.instance_id)
         return f"id {hello.instance_id!r} is in use at {record.address}"
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
-        shown = [record for record in self._detector.table if _is_shown(record, now)]
+        visible = [
+            record for record in self._detector.table if _is_visible(record, now)
+        ]
         return {
             "incarnation": self._detector.own.incarnation,
             "leaving": self._detector.own.leaving,
@@ -222,30 +226,32 @@
                     "seconds_in_state": now - record.since,
                     "listed": record.listed,
                 }
-                for record in shown[:1000]
+                for record in visible[:1000]
             },
         }
 
-    # inputs
+    # observations
 
-    def meet(self, identity: Identity, *, leaving: bool) -> None:
-        """Take in what a peer says of itself when a link to it is opened."""
-        self._do(
+    def register_peer(self, identity: Identity, *, leaving: bool) -> None:
+        """Register a peer from the hello of a newly opened link."""
+        self._apply_output(
             self._detector.register_peer(self._clock.now(), identity, leaving=leaving)
         )
 
-    def note_link_lost(self, instance_id: str) -> None:
-        """Take note that a link broke."""
-        self._do(self._detector.handle_link_loss(self._clock.now(), instance_id))
+    def handle_link_loss(self, instance_id: str) -> None:
+        """Report a lost link to the failure detector."""
+        self._apply_output(
+            self._detector.handle_link_loss(self._clock.now(), instance_id)
+        )
 
     def _apply_listing(self, listing: Listing) -> None:
-        self._do(self._detector.apply_listing(self._clock.now(), listing))
+        self._apply_output(self._detector.apply_listing(self._clock.now(), listing))
 
     def _leave(self) -> None:
-        self._do(self._detector.leave(self._clock.now()))
+        self._apply_output(self._detector.leave(self._clock.now()))
 
     def _receive(self, sender: str, message: Message) -> None:
-        self._do(self._detector.receive(self._clock.now(), sender, message))
+        self._apply_output(self._detector.receive(self._clock.now(), sender, message))
 
     def _answer_query(self, sender: str, message: MembersQuery) -> MembersTable:
         if message.digest == self._detector.compute_digest():
@@ -258,8 +264,8 @@
     @Service.task
     async def _advance_forever(self) -> None:
         while not self.should_stop:
-            self._do(self._detector.advance(self._clock.now()))
-            # cheaper than the service's own sleep, which starts a task each time
+            self._apply_output(self._detector.advance(self._clock.now()))
+            # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
     @Service.task
@@ -271,15 +277,15 @@
             await self.sleep(interval * (0.75 + 0.5 * self._random.random()))
 
     async def _sync(self) -> bool:
-        up = [
+        alive = [
             member.instance_id
             for member in self.members()
             if member.state is MemberState.ALIVE
             and member.instance_id != self.instance_id
         ]
-        if not up:
+        if not alive:
             return False
-        peer = self._random.choice(up)
+        peer = self._random.choice(alive)
         query = MembersQuery(self._detector.compute_digest())
         match await self._peers.ask(peer, query, SYNC_TIMEOUT):
             case Ok(MembersTable() as table):
@@ -292,17 +298,17 @@
             identity=self._identity, rules=self._rules, random_source=self._random
         )
 
-    def _do(self, step: DetectorOutput) -> None:
-        if step.changed:
-            self._shown = None
-        for item in step.sends:
+    def _apply_output(self, output: DetectorOutput) -> None:
+        if output.changed:
+            self._cached_members = None
+        for item in output.sends:
             if not self._peers.send(item.instance_id, item.message):
                 self._metrics.count("peers.probes_unsent")
-        if step.changed:
+        if output.changed:
             self._events.emit(MEMBERS_CHANGED)
 
 
-def _is_readable(hello: Hello) -> bool:
+def _is_well_formed(hello: Hello) -> bool:
     texts = (hello.instance_id, hello.data_centre, hello.address)
     if not all(isinstance(text, str) and 0 < len(text) <= MAX_TEXT for text in texts):
         return False
@@ -312,15 +318,15 @@
     return type(hello.incarnation) is int and hello.incarnation > 0
 
 
-def _is_shown(record: MemberRecord, now: float) -> bool:
+def _is_visible(record: MemberRecord, now: float) -> bool:
     if not record.confirmed or record.is_gone(now):
         return False
     if record.state is not MemberState.LEAVING:
         return True
-    return now - record.since < LEAVING_SHOWN
+    return now - record.since < LEAVING_VISIBLE_SECONDS
 
 
-def _show(record: MemberRecord) -> Member:
+def _create_member(record: MemberRecord) -> Member:
     return Member(
         instance_id=record.instance_id,
         data_centre=record.data_centre,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -1,4 +1,4 @@
-"""Orders to the engines of this data centre, given by the holder of their lease."""
+"""Placement orders to the engines of this data centre, sent by the lease holder."""
 
 from __future__ import annotations
 
@@ -39,17 +39,18 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds between two looks at what is due
+#: seconds between two planning rounds
 TICK = 0.25
 
 
 class OrdersController(Controller):
-    """Brings engines to the state that placement policies name.
+    """Reconciles engines with the state that the placement policies specify.
 
-    Without such a policy it makes no call. It serves no request: what it can't do
-    while the store or an engine is out of reach changes nothing for callers.
+    Without a placement policy it makes no call. It is not on the request path:
+    callers are unaffected while the store or an engine is unreachable.
 
-    :param get_store_age: seconds since the configuration here was surely the newest
+    :param get_store_age: returns the seconds since the configuration of this
+        instance was last confirmed as the newest
     """
 
     name = "orders"
@@ -97,14 +98,14 @@
         self._calls: set[asyncio.Task[None]] = set()
         self._draining = False
         events.declare(DRAIN_STARTED)
-        events.connect(DRAIN_STARTED, self._note_drain)
+        events.connect(DRAIN_STARTED, self._handle_drain)
 
     async def on_stop(self) -> None:
-        """Stop waiting for engines; an order under way keeps its lease to the end."""
-        for call in self._calls:
-            call.cancel()
+        """Cancel calls to engines; a group with an order in flight keeps its lease."""
+        for task in self._calls:
+            task.cancel()
         await asyncio.gather(*self._calls, return_exceptions=True)
-        self._tell_leases()
+        self._update_leases()
 
     def dump(self) -> dict[str, Any]:
         now = self._clock.now()
@@ -128,90 +129,94 @@
     async def _run_forever(self) -> None:
         while not self.should_stop:
             self._groups.update(self._clock.now(), self._snapshot())
-            self._tell_leases()
+            self._update_leases()
             for group in self._groups.list_groups():
-                self._serve(group)
-            # the service's own sleep starts a task each time
+                self._reconcile(group)
+            # Service.sleep would create a task on each tick
             await asyncio.sleep(TICK)
 
-    def _note_drain(self) -> None:
-        # at once, and not at the next tick: no order begins after this
+    def _handle_drain(self) -> None:
+        # immediately rather than on the next tick, so that no new order is sent
         self._draining = True
-        self._tell_leases()
+        self._update_leases()
 
-    def _tell_leases(self) -> None:
-        wanted = set()
+    def _update_leases(self) -> None:
+        desired = set()
         busy = set()
         for group in self._groups.list_groups():
             if group.ordering:
                 busy.add(group.name)
             if group.placed and not self._draining:
-                wanted.add(group.name)
-        self._leases.want(wanted, busy=busy)
+                desired.add(group.name)
+        self._leases.set_desired_groups(desired, busy=busy)
 
     # one group
 
-    def _serve(self, group: Group) -> None:
-        tenure = self._leases.find(group.name)
-        if tenure is None or not tenure.held:
+    def _reconcile(self, group: Group) -> None:
+        lease_state = self._leases.find(group.name)
+        if lease_state is None or not lease_state.held:
             group.engines = None
             group.current = False
             return
         now = self._clock.now()
-        if group.engines is None or group.engines.fence != tenure.fence:
+        if group.engines is None or group.engines.fence != lease_state.fence:
             group.current = False
-            group.engines = EngineGroup(fence=tenure.fence, rules=self._rules, now=now)
-        steps = group.engines.plan(
+            group.engines = EngineGroup(
+                fence=lease_state.fence, rules=self._rules, now=now
+            )
+        engine_calls = group.engines.plan(
             now,
             group.targets,
             group.placement,
             loads_per_minute=self._loads_per_minute / len(self._groups),
-            may_order=self._may_order(group, tenure),
+            may_order=self._may_order(group, lease_state),
         )
-        for step in steps:
-            call = asyncio.create_task(self._call(group, group.engines, step))
-            self._calls.add(call)
-            call.add_done_callback(self._calls.discard)
+        for engine_call in engine_calls:
+            task = asyncio.create_task(self._call(group, group.engines, engine_call))
+            self._calls.add(task)
+            task.add_done_callback(self._calls.discard)
 
-    def _may_order(self, group: Group, tenure: LeaseState) -> bool:
+    def _may_order(self, group: Group, lease_state: LeaseState) -> bool:
         if self._draining or not group.placed:
             return False
-        group.current = group.current or self._is_current(tenure)
+        group.current = group.current or self._is_current(lease_state)
         if not group.current:
             return False
         now = read_instant(self._clock)
         fencing = self._read_fencing(group)
-        return has_turn(tenure, now, rules=self._rules, fencing=fencing)
+        return has_turn(lease_state, now, rules=self._rules, fencing=fencing)
 
-    def _is_current(self, tenure: LeaseState) -> bool:
-        """Whether the configuration was the newest at some time of this tenure.
+    def _is_current(self, lease_state: LeaseState) -> bool:
+        """Whether the configuration was confirmed as the newest under this lease.
 
-        The former holder may have acted on a newer one than this instance knows as
-        yet. Its orders would be undone, and the engines would go back to what an
-        operator has replaced, until this instance learns of the change too.
+        The previous holder may have acted on a newer generation than this instance
+        has. Orders from the older one would revert the engines to a state that an
+        operator has replaced, until this instance learns of the change as well.
         """
         age = self._get_store_age()
         if age is None:
             return False
-        # an age is too low by as long as the proof was on its way
-        return self._clock.now() - age >= tenure.acquired + self._margin
+        # the age is too low by the latency of the call that confirmed it
+        return self._clock.now() - age >= lease_state.acquired + self._margin
 
     def _read_fencing(self, group: Group) -> Fencing:
         service = self._snapshot().services.get(group.service)
         return Fencing.IGNORED if service is None else read_fencing(service)
 
-    async def _call(self, group: Group, engines: EngineGroup, step: EngineStep) -> None:
-        target = group.targets.get(step.target_id)
+    async def _call(
+        self, group: Group, engines: EngineGroup, engine_call: EngineStep
+    ) -> None:
+        target = group.targets.get(engine_call.target_id)
         try:
             if target is None:
-                # it has left since, and its record goes with the next plan
-                engines.fail(self._clock.now(), step, self._rules.interval)
-            elif step.order is None:
-                group.error = await self._caller.read(engines, step, target)
+                # it has left since; the next plan removes its record
+                engines.fail(self._clock.now(), engine_call, self._rules.interval)
+            elif engine_call.order is None:
+                group.error = await self._caller.read(engines, engine_call, target)
             else:
                 group.error = await self._caller.order(
-                    group.name, self._read_fencing(group), engines, step, target
+                    group.name, self._read_fencing(group), engines, engine_call, target
                 )
         except Exception:
-            logger.exception("call to engine %s failed", step.target_id)
-            engines.end_order(self._clock.now(), step, settled=False)
+            logger.exception("call to engine %s failed", engine_call.target_id)
+            engines.end_order(self._clock.now(), engine_call, settled=False)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/scheduling.py
@@ -1,4 +1,4 @@
-"""Scheduling of stage calls: makes callers wait for the scheduler's decisions."""
+"""Scheduling of stage calls: queues callers until the scheduler decides."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 __all__ = ("TARGET_LEAVING", "SchedulingController", "read_scheduler_rule")
 
-#: emitted with a target's id as soon as it is known to be leaving
+#: emitted with the id of a target when it is known to be leaving
 TARGET_LEAVING = "target-leaving"
 
-#: services and targets that the dump lists at most
-DUMPED = 100
-#: seconds between two rounds of gauges
+#: maximum number of services, and of targets per service, in the state dump
+MAX_DUMPED = 100
+#: seconds between two updates of the gauges
 GAUGE_INTERVAL = 1.0
 
 
 def read_scheduler_rule(settings: Settings) -> SchedulerRule:
-    """Return the parameters of scheduling."""
+    """Return the scheduler parameters from the settings."""
     return SchedulerRule(
         breaker=BreakerRule(
             slowness=settings["load.slowness"],
@@ -56,13 +56,13 @@
 
 
 class SchedulingController(Dispatcher, Controller):
-    """Lets stage calls wait until the scheduler has decided on them.
+    """Queues stage calls until the scheduler has decided on them.
 
-    Each waiting call has a future. The scheduler is polled after whatever may have
-    made room, and by a timer while calls wait, as load reports and deadlines make
-    no event. A caller that goes away takes its call out of the queue, and a grant
-    that came at the same moment is given back: otherwise the target's room would
-    be taken up by nobody, seen as a limit that is never reached again.
+    Each queued call has a future. The scheduler is polled after each event that may
+    have freed capacity, and by a timer while calls are queued, because load reports
+    and deadlines emit no event. When a caller is cancelled, its call leaves the queue,
+    and a grant made at the same moment is released: otherwise it would occupy a slot
+    of the target for good, visible as a limit that is never reached again.
     """
 
     name = "scheduling"
@@ -81,15 +81,15 @@
         self._directory = directory
         self._clock = clock
         self._metrics = metrics
-        self._callers: dict[int, asyncio.Future[Result[Grant, Refusal]]] = {}
+        self._waiters: dict[int, asyncio.Future[Result[Grant, Refusal]]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._refusing = False
         events.declare(TARGET_LEAVING)
-        events.connect(TARGET_LEAVING, self._note_leaving)
+        events.connect(TARGET_LEAVING, self._handle_leaving)
 
     async def acquire(self, ticket: Ticket) -> Result[Grant, Refusal]:
         while True:
-            result = await self._wait(ticket)
+            result = await self._queue_call(ticket)
             if isinstance(result, Err):
                 self._metrics.count(f"scheduling.refused.{result.err_value.code.value}")
                 return result
@@ -97,9 +97,9 @@
             target_id = grant.target.target_id
             if self._directory.accepts(target_id):
                 return result
-            # it began to leave between the decision and this task's turn. A grant
-            # comes without a wait while there is room, so that a call given to the
-            # same target again would keep the event loop from ever going on
+            # the target began to leave between the decision and this wake-up. While
+            # capacity is free, a grant does not suspend this task, so retrying the
+            # same target would block the event loop
             ticket = replace(ticket, excluded=ticket.excluded | {target_id})
             self._metrics.count("scheduling.moved")
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
@@ -114,13 +114,13 @@
         self._poll(now)
 
     async def on_stop(self) -> None:
-        """Refuse what still waits, so that no caller hangs until its deadline."""
+        """Refuse queued calls, so that no caller hangs until its deadline."""
         self._refusing = True
         if self._timer is not None:
             self._timer.cancel()
         refusal = create_refusal(RefusalCode.NOT_READY, "this instance is stopping", 0)
-        for waiting_id, future in tuple(self._callers.items()):
-            self._scheduler.cancel(waiting_id)
+        for ticket_id, future in tuple(self._waiters.items()):
+            self._scheduler.cancel(ticket_id)
             if not future.done():
                 future.set_result(Err(refusal))
 
@@ -128,7 +128,7 @@
     async def _send_gauges(self) -> None:
         while not self.should_stop:
             self._metrics.gauge("scheduling.waiting", self._scheduler.waiting)
-            for service in self._scheduler.list_services()[:DUMPED]:
+            for service in self._scheduler.list_services()[:MAX_DUMPED]:
                 name = service.name
                 self._metrics.gauge(f"scheduling.{name}.waiting", len(service.queue))
                 self._metrics.gauge(f"scheduling.{name}.in_flight", service.in_flight)
@@ -142,32 +142,32 @@
             "retries": {"granted": retries.granted, "denied": retries.denied},
             "services": {
                 service.name: _dump_service(service, now)
-                for service in self._scheduler.list_services()[:DUMPED]
+                for service in self._scheduler.list_services()[:MAX_DUMPED]
             },
         }
 
-    async def _wait(self, ticket: Ticket) -> Result[Grant, Refusal]:
+    async def _queue_call(self, ticket: Ticket) -> Result[Grant, Refusal]:
         if self._refusing:
             message = "this instance is stopping"
             return Err(create_refusal(RefusalCode.NOT_READY, message, 0))
-        # one moment for both, as what the scheduler works out holds for one moment
+        # one timestamp for both calls: the scheduler's estimates hold for that instant
         now = self._clock.now()
-        waiting_id = self._scheduler.submit(ticket, now)
+        ticket_id = self._scheduler.submit(ticket, now)
         future = asyncio.get_running_loop().create_future()
-        self._callers[waiting_id] = future
+        self._waiters[ticket_id] = future
         self._poll(now)
         try:
             return await future
         except asyncio.CancelledError:
-            self._give_up(waiting_id, future)
+            self._cancel_call(ticket_id, future)
             raise
         finally:
-            self._callers.pop(waiting_id, None)
+            self._waiters.pop(ticket_id, None)
 
-    def _give_up(
-        self, waiting_id: int, future: asyncio.Future[Result[Grant, Refusal]]
+    def _cancel_call(
+        self, ticket_id: int, future: asyncio.Future[Result[Grant, Refusal]]
     ) -> None:
-        self._scheduler.cancel(waiting_id)
+        self._scheduler.cancel(ticket_id)
         self._metrics.count("scheduling.given_up")
         if not future.done() or future.cancelled():
             return
@@ -177,7 +177,7 @@
 
     def _poll(self, now: float) -> None:
         for decision in self._scheduler.poll(now):
-            future = self._callers.get(decision.ticket_id)
+            future = self._waiters.get(decision.ticket_id)
             if future is not None and not future.done():
                 future.set_result(decision.result)
                 continue
@@ -202,9 +202,9 @@
         self._scheduler.expire(now)
         self._poll(now)
 
-    def _note_leaving(self, *_target: Any) -> None:
+    def _handle_leaving(self, *_target: Any) -> None:
         self._scheduler.mark_all_dirty()
-        if self._callers:
+        if self._waiters:
             self._poll(self._clock.now())
 
 
@@ -219,7 +219,7 @@
                 "slowness": round(load.breaker.slowness, 2),
                 "breaker": load.breaker.read_state(now).value,
             }
-            for target_id, load in tuple(service.targets.items())[:DUMPED]
+            for target_id, load in tuple(service.targets.items())[:MAX_DUMPED]
             if load.own_in_flight
             or load.breaker.read_state(now) is not BreakerState.CLOSED
         },
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -290,7 +290,7 @@
         )
 
         def find_stop_deadline() -> float:
-            return self.drain.ends_at
+            return self.drain.drain_deadline
 
         filters = (
             ObserveFilter(
@@ -325,10 +325,10 @@
             events=self.events,
             metrics=self.metrics,
             balancer_lag=self.settings.balancer_lag,
-            longest=self.settings.longest_drain,
+            max_drain_seconds=self.settings.longest_drain,
             close_listener=self.front.close_listener,
             wait_idle=self._wait_idle,
-            break_off=self.in_flight.break_off,
+            abort_requests=self.in_flight.break_off,
         )
         self.readiness = ReadinessServer(
             listen=self.settings.readiness_listen,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -278,18 +278,18 @@
             address=hello.address,
             incarnation=hello.incarnation,
         )
-        self._membership.meet(identity, leaving=hello.leaving)
+        self._membership.register_peer(identity, leaving=hello.leaving)
 
     def describe(self) -> Any:
         """Return what this instance says of itself."""
-        return self._membership.describe()
+        return self._membership.create_hello()
 
     def note_closed(self, link: _Link, instance_id: str) -> None:
         """Take note that a link was closed."""
         for used, answer in self._questions.values():
             if used is link and not answer.done():
                 answer.set_exception(ConnectionResetError())
-        self._membership.note_link_lost(instance_id)
+        self._membership.handle_link_loss(instance_id)
 
     def receive(self, link: _Link, frame: bytes) -> None:
         """Take in a frame."""
