--- a/packages/greengagelatch/src/greengagelatch/claims/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/__init__.py
@@ -1,14 +1,14 @@
-"""Claims: at most one run of a keyed request, whichever instance it reaches.
+"""Claims on idempotency keys: a keyed request runs at most once in all instances.
 
-A claim counts once a compare-and-swap of its shard's head that contains it has
-succeeded, and on nothing else. The modules, from the inside out:
+A claim takes effect when a compare-and-swap of its shard's head that contains it
+succeeds, and not before. The modules, from the lowest layer up:
 
-- :mod:`.packing`, :mod:`.head` and :mod:`.encoding`: what a shard holds, as bytes;
-- :mod:`.operations`: what a batch of operations changes in a head;
-- :mod:`.commit`: the steps that bring a batch into the store;
-- :mod:`.attempt`: the steps by which an instance gets a claim for a request;
-- :mod:`.registry`: what an instance knows of its own attempts;
-- :mod:`.outage`: what to do when no claim can be had.
+- :mod:`.packing`, :mod:`.head` and :mod:`.encoding`: a shard's data and its format;
+- :mod:`.operations`: applies a batch of operations to a head;
+- :mod:`.commit`: the state machine that commits a batch to the store;
+- :mod:`.attempt`: the state machine that acquires a claim for a request;
+- :mod:`.registry`: the attempts of one process and their outcomes;
+- :mod:`.outage`: the policies for requests while the store is unreachable.
 """
 
 from __future__ import annotations
@@ -20,19 +20,21 @@
 
 
 class ClaimState(IntEnum):
-    """Whether a claim still holds its key."""
+    """State of a claim record."""
 
     CLAIMED = 0
-    #: nothing was sent; kept only to override an older record in a sealed segment
+    #: the attempt sent nothing and has released its key; the record is a tombstone
+    #: that overrides an older record in a sealed segment
     GIVEN_BACK = 1
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Token:
-    """Identifies one attempt to run a keyed request; never used twice.
+    """Identifies one attempt to run a keyed request; never reused.
 
-    ``incarnation`` is drawn at random when a process starts: an instance that was
-    restarted under its old id knows nothing of its earlier attempts.
+    ``incarnation`` is a random number drawn when a process starts. It separates the
+    attempts of a restarted instance from those of the process before, whose state
+    is lost.
     """
 
     instance: str
@@ -42,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The right of one attempt to run the request under a key."""
+    """Record that grants one attempt the exclusive right to run a keyed request."""
 
     #: digest of workspace, pipeline and the caller's key
     key: bytes
-    #: digest of what was asked for under the key
+    #: digest of the request that the key was first used for
     digest: bytes
     token: Token
-    #: wall-clock seconds after which the claim may be forgotten
+    #: wall-clock seconds after which the claim may be dropped
     forget_at: int
     state: ClaimState = ClaimState.CLAIMED
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -1,4 +1,4 @@
-"""The steps by which an instance gets a claim for a request, or learns of another."""
+"""State machine that acquires a claim for a request, or finds the one that exists."""
 
 from __future__ import annotations
 
@@ -12,68 +12,69 @@
 
 __all__ = ("Action", "Attempt", "choose_ways", "describe_holder")
 
-#: how often a key may be found given back and then lost to yet another attempt
+#: times that an attempt may find the key's holder given back and then lose the key
+#: to another attempt
 MAX_ROUNDS = 8
 
-#: instances asked to write for one that can't reach the store, its own choice of
-#: the usual writer not counted
+#: fallback instances asked to commit for one that can't reach the store, besides
+#: the shard's preferred writer
 MAX_RELAYS = 2
 
 
 class Action(Enum):
-    """What an attempt has to do next."""
+    """Next action of an attempt."""
 
-    #: find out which instances may commit the operation
+    #: choose the instances that may commit the operation
     CHOOSE_WAYS = "choose-ways"
-    #: have the operation committed by the instance :attr:`Attempt.way`
+    #: send the operation to the instance :attr:`Attempt.way`, which commits it
     ACQUIRE = "acquire"
     #: ask the instance of :attr:`Attempt.holder` for its outcome
     ASK_HOLDER = "ask-holder"
     RUN = "run"
-    #: answer with the outcome of the holder
+    #: answer with the holder's stored outcome
     REPLAY = "replay"
-    #: another attempt is running, and the time to wait for it is over
+    #: another attempt is still running at the end of the wait
     REFUSE_IN_PROGRESS = "refuse-in-progress"
-    #: another attempt may have run, and nobody knows its outcome
+    #: another attempt may have run, and its outcome is lost
     REFUSE_UNSETTLED = "refuse-unsettled"
     REFUSE_KEY_REUSED = "refuse-key-reused"
-    #: the shard has no room for claims
+    #: the shard is at its limit of claims
     REFUSE_FULL = "refuse-full"
-    #: nobody could reach the store
+    #: no instance that was tried could reach the store
     OUT_OF_REACH = "out-of-reach"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """An attempt on its way to a claim; every answer returns the next state."""
+    """State of an attempt to acquire a claim; each method returns the next state."""
 
     operation: Acquire
-    #: instances that may commit the operation, in the order of trying
+    #: instances that may commit the operation, in order of preference
     ways: tuple[str, ...] = ()
     tried: int = 0
     action: Action = Action.CHOOSE_WAYS
     holder: Token | None = None
     outcome: bytes = b""
     rounds: int = 0
-    #: whether the claim may be in the store although no answer says so
+    #: whether the claim may be in the store without a confirmation
     doubtful: bool = False
 
     @property
     def way(self) -> str:
-        """The instance that is to commit the operation now."""
+        """Instance that is asked to commit the operation now."""
         return self.ways[self.tried]
 
     def take_ways(self, ways: tuple[str, ...]) -> Attempt:
-        """Go on with the instances that may commit; empty: none can."""
+        """Start with the instances that may commit; an empty tuple means none can."""
         if not ways:
             return self._turn(Action.OUT_OF_REACH)
         return dataclasses.replace(self, action=Action.ACQUIRE, ways=ways, tried=0)
 
     def take_result(self, result: OperationResult | None) -> Attempt:
-        """Go on with what became of the operation; ``None``: no answer.
+        """Handle the result of the operation; ``None`` means that no answer came.
 
-        An operation without an answer may still be committed later. The next
-        instance may commit it all the same: a head holds an attempt only once.
+        An unanswered operation may still be committed later. Sending it to the
+        next instance is safe: it is idempotent, as a head holds each attempt once.
         """
         kind = result.kind if result else ResultKind.UNSETTLED
         match kind:
@@ -95,7 +96,7 @@
         return state._turn(Action.OUT_OF_REACH)
 
     def take_holder(self, record: Record | None) -> Attempt:
-        """Go on with what is known of the holder's attempt; ``None``: nothing."""
+        """Handle the record of the holder's attempt; ``None`` means it is unknown."""
         if record is None:
             return self._turn(Action.REFUSE_UNSETTLED)
         match record.state:
@@ -116,7 +117,7 @@
         return self._turn(Action.REFUSE_IN_PROGRESS)
 
     def try_again(self) -> Attempt:
-        """Begin anew with the first way."""
+        """Start again with a new choice of instances."""
         return self._turn(Action.CHOOSE_WAYS)
 
     def _turn(self, action: Action) -> Attempt:
@@ -124,11 +125,12 @@
 
 
 def choose_ways(own: str, ranked: tuple[str, ...]) -> tuple[str, ...]:
-    """Return the instances that may write for ``own``, in the order of trying.
+    """Return the instances that may commit for ``own``, in order of preference.
 
-    First the usual writer, which groups many claims into one write; then the
-    instance itself, which settles what the writer left open by reading the store;
-    then others, in case this data centre alone is cut off from the store.
+    The shard's preferred writer comes first, as it batches many claims into one
+    write. The instance itself comes next: it reads the store, which resolves an
+    operation that the writer did not answer. Other instances follow, in case only
+    this data centre is disconnected from the store.
     """
     usual = ranked[0] if ranked else own
     ways = [usual]
@@ -139,10 +141,10 @@
 
 
 def describe_holder(record: Record | None) -> Record | None:
-    """Return what another instance may be told of an attempt of this one.
+    """Return the record of an attempt as it is reported to others.
 
-    An attempt that still seeks its claim may be granted it at any moment, so it
-    counts as running.
+    A pending attempt may be granted its claim at any moment, so it is reported as
+    running.
     """
     if record is not None and record.state is AttemptState.PENDING:
         return dataclasses.replace(record, state=AttemptState.RUNNING)
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -1,4 +1,4 @@
-"""The steps that bring a batch of operations into a shard's head."""
+"""State machine that commits a batch of operations to a shard's head."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 __all__ = ("Commit", "Step", "begin")
 
-#: reads of the head for one batch, before its operations are given up; each means
-#: that other writers have moved the head meanwhile
+#: reads of the head for one batch before its operations fail; each further read means
+#: that another writer has swapped the head or that a swap was not confirmed
 MAX_READS = 12
 
 Read = Result[Entry | None, StoreError]
 
 
 class Step(Enum):
-    """What has to be done next, and then told to the commit."""
+    """Next call to the store, and the method that handles its result."""
 
     #: read the head: :meth:`Commit.take_head`
     READ_HEAD = "read-head"
@@ -38,17 +38,17 @@
     READ_SEGMENT = "read-segment"
     #: write the segment of the plan: :meth:`Commit.take_sealed`
     WRITE_SEGMENT = "write-segment"
-    #: read what stands in the segment's place: :meth:`Commit.take_obstacle`
+    #: read the entry that conflicts with the segment: :meth:`Commit.take_obstacle`
     READ_OBSTACLE = "read-obstacle"
     #: swap in the head of the plan: :meth:`Commit.take_swapped`
     SWAP_HEAD = "swap-head"
-    #: nothing: :attr:`Commit.results` are final
+    #: no further call: :attr:`Commit.results` are final
     DONE = "done"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Commit:
-    """A batch on its way into the head; every step returns the next state."""
+    """State of a batch that is being committed; each method returns the next state."""
 
     batch_id: bytes
     operations: tuple[Operation, ...]
@@ -57,25 +57,25 @@
     limits: Limits
     deleted: frozenset[int] = frozenset()
     step: Step = Step.READ_HEAD
-    #: what is known of the shard; ``None`` once it is known to be outdated
+    #: cached state of the shard; ``None`` if it is known to be stale
     view: View | None = None
-    #: segments already read, which are good for any later head that names them
+    #: segments already read; they are immutable, so they stay valid for later heads
     segments: tuple[tuple[SegmentRef, Segment], ...] = ()
-    #: whether the view was read since the batch began
+    #: whether the view was read after the batch began
     fresh: bool = False
-    #: whether older claims may be sealed; given up if that does not work at once
+    #: whether older claims may be sealed; cleared if writing the segment fails
     seal: bool = True
-    #: revision of the entry that the segment replaces
+    #: expected revision of the entry that the segment replaces
     segment_expected: int = ABSENT
     plan: Plan | None = None
-    #: whether a swap of the plan was sent and not seen to succeed
+    #: whether a swap of the plan was sent without a confirmation
     unsettled: bool = False
     reads: int = 0
     results: tuple[OperationResult, ...] = ()
 
     @property
     def missing(self) -> SegmentRef | None:
-        """The first segment that is needed and was not read yet."""
+        """First needed segment that has not been read yet."""
         known = {ref for ref, _ in self.segments}
         for ref in self._needed():
             if ref not in known:
@@ -83,7 +83,7 @@
         return None
 
     def take_head(self, answer: Read) -> Commit:
-        """Go on with the head that was read."""
+        """Handle the result of reading the head."""
         reads = self.reads + 1
         if reads > MAX_READS:
             return self._fail()
@@ -95,7 +95,7 @@
             case Ok(entry):
                 match decode_head(entry.value):
                     case Err(_):
-                        # written by a release that this one does not understand
+                        # written in a format that this release does not support
                         return self._fail()
                     case Ok(head):
                         revision = entry.revision
@@ -104,8 +104,8 @@
             if is_applied(self.plan, self.batch_id, head):
                 return state._finish(self.plan, View(head, revision))
             if revision == self.view.revision:
-                # the lost swap may still be on its way: sending it again at the
-                # same revision lets only one of the two succeed
+                # the unconfirmed swap may still arrive: a second one with the same
+                # expected revision lets only one of the two succeed
                 return dataclasses.replace(state, step=Step.SWAP_HEAD)
             if is_beyond_ring(self.plan, head):
                 return state._fail()
@@ -114,13 +114,13 @@
         return state._load()
 
     def take_segment(self, answer: Read) -> Commit:
-        """Go on with the segment that was read."""
+        """Handle the result of reading a segment."""
         ref = self.missing
         match answer:
             case Ok(Entry(revision=ref.revision) as entry):
                 pass
             case Ok(_):
-                # dropped since the head was read
+                # deleted since the head was read
                 return dataclasses.replace(self, step=Step.READ_HEAD)
             case Err(_):
                 return self._fail()
@@ -133,7 +133,7 @@
         return state._load()
 
     def take_sealed(self, answer: WriteResult) -> Commit:
-        """Go on after the segment was written."""
+        """Handle the result of writing the segment."""
         if answer.outcome is WriteOutcome.APPLIED:
             head = self.plan.head
             ref = dataclasses.replace(head.segments[-1], revision=answer.revision)
@@ -145,7 +145,7 @@
         return dataclasses.replace(self, seal=False)._evaluate()
 
     def take_obstacle(self, answer: Read) -> Commit:
-        """Go on with what stands in the place of the segment."""
+        """Handle the result of reading the entry that conflicts with the segment."""
         match answer:
             case Ok(Entry() as entry):
                 found = decode_segment(entry.value)
@@ -158,15 +158,15 @@
         )
 
     def take_swapped(self, answer: WriteResult) -> Commit:
-        """Go on after the head was swapped, or not."""
+        """Handle the result of swapping the head."""
         match answer.outcome:
             case WriteOutcome.APPLIED:
                 view = View(self.plan.head, answer.revision)
                 return self._finish(self.plan, view)
             case WriteOutcome.NOT_APPLIED:
                 return self._fail()
-        # a conflict is looked into as well: whatever repeats a write on its way to
-        # the store makes the second one conflict with the first
+        # a conflict does not prove failure: if a layer below retries the write, the
+        # second copy conflicts with the first, which took effect
         return dataclasses.replace(self, step=Step.READ_HEAD, unsettled=True)
 
     def _load(self) -> Commit:
@@ -235,10 +235,10 @@
     segments: tuple[tuple[SegmentRef, Segment], ...] = (),
     deleted: frozenset[int] = frozenset(),
 ) -> Commit:
-    """Begin to commit a batch.
+    """Create the commit of a batch.
 
-    ``view`` and ``segments`` are those that an earlier commit of the shard left;
-    with them a batch usually takes a single call to the store.
+    ``view`` and ``segments`` are the cached state left by an earlier commit of the
+    shard; with them a batch usually takes a single call to the store.
     """
     commit = Commit(
         batch_id=batch_id,
@@ -253,33 +253,33 @@
 
 
 def is_applied(plan: Plan, batch_id: bytes, head: Head) -> bool:
-    """Whether a swap whose answer was lost took effect.
+    """Whether an unconfirmed swap took effect.
 
-    Without this, the batch would be applied once more: a claim of it that was
-    given back meanwhile would hold its key again, for an attempt that is over.
+    Without this check the batch would be applied a second time: a claim that was
+    given back in between would hold its key again, for an attempt that has ended.
     """
     return head.sequence >= plan.head.sequence and batch_id in head.batches
 
 
 def is_beyond_ring(plan: Plan, head: Head) -> bool:
-    """Whether so many swaps came after a lost one that its id may be gone."""
+    """Whether the batch id of an unconfirmed swap may have been evicted from the head."""
     return head.sequence - plan.head.sequence >= len(head.batches)
 
 
 def must_confirm(fresh: bool) -> bool:
-    """Whether a refusal rests on a head that was read before the batch began.
+    """Whether a refusal has to be checked against a newly read head.
 
-    Such a head may be outdated. A caller would be told that its key was used for
-    another request, with nothing run, when that claim was given back long since
-    and its own request has run.
+    A head cached before the batch began may be stale. A caller would be told that
+    its key was used for another request and that nothing ran, although that claim
+    was given back long ago and the caller's own request has run.
     """
     return not fresh
 
 
 def may_overwrite(found: Segment, view: View) -> bool:
-    """Whether a segment was left behind by a writer that lost its swap.
+    """Whether a segment is an orphan of a writer whose swap failed.
 
-    It was made for a head that is no longer the current one, so no swap that
-    names it can succeed any more.
+    It was created for a head that is no longer current, so no swap that refers to
+    it can succeed.
     """
     return found.base < view.revision
--- a/packages/greengagelatch/src/greengagelatch/claims/encoding.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/encoding.py
@@ -1,4 +1,4 @@
-"""Heads and segments as bounded CBOR."""
+"""Encodes and decodes heads and segments as size-limited CBOR."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     "encode_segment",
 )
 
-#: a later release with another format must not be misread by this one
+#: lets a release reject values that a later one wrote in another format
 FORMAT_VERSION = 1
 
-#: what the store takes for one value
+#: largest value that the store accepts, in bytes
 MAX_VALUE_BYTES = 1_048_576
 
 
 def encode_head(head: Head) -> bytes:
-    """Return the bytes of a head."""
+    """Encode a head."""
     incarnations, packed = pack_claims(head.claims)
     return cbor2.dumps(
         [
@@ -44,7 +44,7 @@
 
 
 def decode_head(data: bytes) -> Result[Head, str]:
-    """Read a head; the error says what is wrong with it."""
+    """Decode a head; the error is the reason why it is invalid."""
     match _load(data, 9):
         case Err(reason):
             return Err(reason)
@@ -63,18 +63,18 @@
             )
         )
     except (TypeError, ValueError) as error:
-        return Err(f"not a head of claims: {error}")
+        return Err(f"malformed head of a claims shard: {error}")
 
 
 def encode_segment(segment: Segment) -> bytes:
-    """Return the bytes of a segment."""
+    """Encode a segment."""
     return cbor2.dumps(
         [FORMAT_VERSION, segment.base, segment.incarnations, segment.packed]
     )
 
 
 def decode_segment(data: bytes) -> Result[Segment, str]:
-    """Read a segment; the error says what is wrong with it."""
+    """Decode a segment; the error is the reason why it is invalid."""
     match _load(data, 4):
         case Err(reason):
             return Err(reason)
@@ -83,23 +83,28 @@
     try:
         packed = bytes(fields[3])
         if len(packed) % RECORD_BYTES:
-            return Err("a segment of claims is cut")
+            return Err(
+                f"segment of claims truncated: {len(packed)} bytes"
+                f" are no multiple of the record size, {RECORD_BYTES}"
+            )
         return Ok(Segment(int(fields[1]), _read_incarnations(fields[2]), packed))
     except (TypeError, ValueError) as error:
-        return Err(f"not a segment of claims: {error}")
+        return Err(f"malformed segment of claims: {error}")
 
 
 def _load(data: bytes, length: int) -> Result[list[Any], str]:
     if len(data) > MAX_VALUE_BYTES:
-        return Err(f"value of {len(data)} bytes is too large")
+        return Err(
+            f"value of {len(data)} bytes exceeds the limit of {MAX_VALUE_BYTES} bytes"
+        )
     try:
         fields = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError) as error:
-        return Err(f"not CBOR: {error}")
+        return Err(f"invalid CBOR: {error}")
     if not isinstance(fields, list) or len(fields) != length:
-        return Err("value does not have the expected fields")
+        return Err(f"value is not a list of {length} fields")
     if fields[0] != FORMAT_VERSION:
-        return Err(f"format version {fields[0]!r} is not known")
+        return Err(f"unsupported format version {fields[0]!r}")
     return Ok(fields)
 
 
--- a/packages/greengagelatch/src/greengagelatch/claims/head.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/head.py
@@ -1,4 +1,4 @@
-"""What a shard of claims holds: one head and the sealed segments it names."""
+"""Data model of a shard of claims: one head and its sealed segments."""
 
 from __future__ import annotations
 
@@ -18,50 +18,51 @@
 
 __all__ = ("RING_SIZE", "Head", "Limits", "Segment", "SegmentRef", "View")
 
-#: batch ids a head remembers; a writer that reads the head back later than that
-#: many swaps after its own can't tell any more whether its batch took effect
+#: number of recent batch ids in a head; a writer that reads the head back more than
+#: that many swaps after its own can't tell whether its batch took effect
 RING_SIZE = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """Bounds of a shard."""
+    """Limits of a shard."""
 
     #: seconds for which a claim is kept
     retention: int
-    #: seconds by which the wall clocks of instances may differ
+    #: largest difference between the wall clocks of instances, in seconds
     clock_margin: int
-    #: claims in a head before the older half is sealed
+    #: claims in a head above which the older half is sealed into a segment
     head_claims: int
-    #: claims in one sealed segment
+    #: maximum number of claims in one sealed segment
     segment_claims: int
-    #: sealed segments of a shard; beyond, new claims are refused
+    #: maximum number of sealed segments; once it is reached and the head is full, new
+    #: claims are refused
     segments: int
 
 
 @dataclass(frozen=True, slots=True)
 class SegmentRef:
-    """A sealed segment, as named by the head."""
+    """Reference from the head to a sealed segment."""
 
     number: int
     #: revision of the segment's entry in the store, which never changes
     revision: int
     claims: int
-    #: wall-clock seconds after which no claim in it holds
+    #: wall-clock seconds after which all its claims have expired
     forget_at: int
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """Older claims of a shard, written once.
+    """Immutable block of older claims of a shard.
 
-    A shard may have a few hundred thousand of them. They stay packed and are found
-    by bisection: a writer that takes over a shard reads them all, and must neither
-    stop its event loop for that nor hold an object for each.
+    A shard may have a few hundred thousand claims. They stay packed and are looked
+    up by binary search: a writer that takes over a shard reads all segments, and
+    unpacking them would block its event loop and allocate an object per claim.
     """
 
-    #: revision of the head for which it was made: once the head has moved on
-    #: without naming it, it never will be named
+    #: revision of the head that the segment was created for; a later head that does
+    #: not refer to it shows that no head ever will
     base: int
     incarnations: Incarnations
     #: records sorted by key
@@ -73,7 +74,7 @@
 
     @classmethod
     def create(cls, base: int, claims: Iterable[Claim]) -> Segment:
-        """Return a segment of ``claims``, of which each has a key of its own."""
+        """Create a segment of ``claims``, whose keys must be distinct."""
         return cls(base, *pack_claims(sorted(claims, key=_get_key)))
 
     def __len__(self) -> int:
@@ -81,36 +82,36 @@
 
     @property
     def claims(self) -> tuple[Claim, ...]:
-        """All claims, by key."""
+        """All claims, sorted by key."""
         return unpack_claims(self.incarnations, self.packed)
 
     def find(self, key: bytes) -> Claim | None:
-        """Return the claim under ``key``."""
+        """Return the claim on ``key``, if there is one."""
         return find_record(self.incarnations, self.packed, self._prefixes, key)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Head:
-    """The value that is swapped: newest claims, and what else there is."""
+    """Root of a shard, replaced by compare-and-swap: newest claims and segment list."""
 
-    #: number of swaps that made this head
+    #: number of swaps so far
     sequence: int = 0
-    #: highest wall-clock reading of any writer, in seconds
+    #: highest wall-clock time that any writer has recorded, in seconds
     written_at: int = 0
-    #: newest claims, in the order in which they were made
+    #: newest claims, in order of acquisition
     claims: tuple[Claim, ...] = ()
     #: sealed segments, oldest first; a newer claim overrides an older one
     segments: tuple[SegmentRef, ...] = ()
-    #: segments no longer needed, which may still have to be deleted
+    #: segments that are no longer needed and may not have been deleted yet
     retired: tuple[SegmentRef, ...] = ()
     next_segment: int = 1
-    #: ids of the newest batches, the latest last
+    #: ids of the most recent batches, newest last
     batches: tuple[bytes, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """A head at one revision, and those of its segments that are still needed."""
+    """A head at one revision, with the contents of its unexpired segments."""
 
     head: Head
     revision: int
--- a/packages/greengagelatch/src/greengagelatch/claims/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/messages.py
@@ -20,7 +20,7 @@
     "OutcomeQuestion",
 )
 
-#: a token as it is sent: instance, incarnation, serial; empty for none
+#: encoded token: instance, incarnation, serial; empty if there is none
 WireToken = tuple[str, int, int] | tuple[()]
 
 UNKNOWN = "unknown"
@@ -29,7 +29,7 @@
 @register("claim")
 @dataclass(frozen=True, slots=True)
 class ClaimQuestion(Message):
-    """Asks the usual writer of a shard to commit one operation."""
+    """Asks the preferred writer of a shard to commit one operation."""
 
     #: whether the claim is to be given back instead of acquired
     give_back: bool = False
@@ -37,12 +37,12 @@
     digest: bytes = b""
     token: WireToken = ()
     replaces: WireToken = ()
-    #: milliseconds after which the answer is of no use
+    #: time budget of the sender, in milliseconds
     budget_ms: int = 0
 
     @classmethod
     def wrap(cls, operation: Operation, budget_ms: int) -> ClaimQuestion:
-        """Return the message for an operation."""
+        """Create the message for an operation."""
         if isinstance(operation, GiveBack):
             return cls(
                 give_back=True,
@@ -62,7 +62,7 @@
         """Return the operation; :exc:`ValueError` if the message is malformed."""
         token = _unpack(self.token)
         if token is None:
-            raise ValueError("a claim needs a token")
+            raise ValueError("claim message without a token")
         if self.give_back:
             return GiveBack(self.key, token)
         return Acquire(self.key, self.digest, token, _unpack(self.replaces))
@@ -71,18 +71,18 @@
 @register("claim-answer")
 @dataclass(frozen=True, slots=True)
 class ClaimAnswer(Message):
-    """Says what became of an operation."""
+    """Reports the result of an operation."""
 
     kind: str = ResultKind.UNSETTLED.value
     holder: WireToken = ()
 
     @classmethod
     def wrap(cls, result: OperationResult) -> ClaimAnswer:
-        """Return the message for a result."""
+        """Create the message for a result."""
         return cls(result.kind.value, _pack(result.holder))
 
     def unwrap(self) -> OperationResult:
-        """Return the result; one of a later release counts as unsettled."""
+        """Return the result; an unknown kind, as of a later release, is unsettled."""
         try:
             return OperationResult(ResultKind(self.kind), _unpack(self.holder))
         except (TypeError, ValueError):
@@ -92,14 +92,14 @@
 @register("outcome")
 @dataclass(frozen=True, slots=True)
 class OutcomeQuestion(Message):
-    """Asks what is known of an attempt, and waits while it is running."""
+    """Asks for the state of an attempt; the receiver waits while it is running."""
 
     token: WireToken = ()
     wait_ms: int = 0
 
     @classmethod
     def wrap(cls, token: Token, wait_ms: int) -> OutcomeQuestion:
-        """Return the message for an attempt."""
+        """Create the message for an attempt."""
         return cls(_pack(token), wait_ms)
 
     def unwrap(self) -> Token | None:
@@ -110,20 +110,20 @@
 @register("outcome-answer")
 @dataclass(frozen=True, slots=True)
 class OutcomeAnswer(Message):
-    """Says what is known of an attempt."""
+    """Reports the state and outcome of an attempt."""
 
     state: str = UNKNOWN
     outcome: bytes = b""
 
     @classmethod
     def wrap(cls, record: Record | None) -> OutcomeAnswer:
-        """Return the message for a record."""
+        """Create the message for a record."""
         if record is None:
             return cls()
         return cls(record.state.value, record.outcome)
 
     def unwrap(self) -> Record | None:
-        """Return the record; ``None`` if nothing is known."""
+        """Return the record; ``None`` if the attempt is unknown."""
         try:
             return Record(AttemptState(self.state), self.outcome)
         except ValueError:
@@ -133,14 +133,14 @@
 @register("outcome-handover")
 @dataclass(frozen=True, slots=True)
 class HandoverQuestion(Message):
-    """Hands an outcome to another instance, as the sender is about to stop."""
+    """Transfers an outcome to another instance before the sender stops."""
 
     token: WireToken = ()
     outcome: bytes = b""
 
     @classmethod
     def wrap(cls, token: Token, outcome: bytes) -> HandoverQuestion:
-        """Return the message for an outcome."""
+        """Create the message for an outcome."""
         return cls(_pack(token), outcome)
 
     def unwrap(self) -> Token | None:
@@ -151,7 +151,7 @@
 @register("outcome-handover-answer")
 @dataclass(frozen=True, slots=True)
 class HandoverAnswer(Message):
-    """Says that an outcome was taken over."""
+    """Reports whether an outcome was stored."""
 
     taken: bool = False
 
@@ -165,7 +165,7 @@
 @register("claim-layout-answer")
 @dataclass(frozen=True, slots=True)
 class LayoutAnswer(Message):
-    """Gives the number of shards, 0 if it is not known."""
+    """Reports the number of shards; 0 if it is unknown."""
 
     shards: int = 0
 
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -1,4 +1,4 @@
-"""What a batch of operations changes in a shard of claims."""
+"""Applies a batch of operations to a shard of claims."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Claim a key for the attempt ``token``."""
+    """Claims a key for the attempt ``token``."""
 
     key: bytes
     digest: bytes
     token: Token
-    #: attempt whose instance has said that it never ran and never will
+    #: former holder, whose instance has confirmed that it never ran and never will
     replaces: Token | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """Free a key, as nothing was sent for the attempt ``token``."""
+    """Releases a key for which the attempt ``token`` sent nothing."""
 
     key: bytes
     token: Token
@@ -45,7 +45,7 @@
 
 
 class ResultKind(Enum):
-    """What became of an operation."""
+    """Result of an operation."""
 
     GRANTED = "granted"
     #: another attempt holds the key
@@ -53,17 +53,17 @@
     #: the key was used for another request
     KEY_REUSED = "key-reused"
     GIVEN_BACK = "given-back"
-    #: the shard has no room
+    #: the shard is at its limit of claims
     FULL = "full"
-    #: the store gave no answer; the operation did not take effect
+    #: the store could not be reached; the operation did not take effect
     UNREACHABLE = "unreachable"
-    #: the store gave no answer; the operation may have taken effect
+    #: the result is unknown: the operation may have taken effect
     UNSETTLED = "unsettled"
 
 
 @dataclass(frozen=True, slots=True)
 class OperationResult:
-    """What became of an operation; ``holder`` is set if another attempt holds."""
+    """Result of an operation; ``holder`` is set if another attempt holds the key."""
 
     kind: ResultKind
     holder: Token | None = None
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A head to be swapped in, and what its success will mean."""
+    """The head to swap in, and the results of its operations once that succeeds."""
 
     head: Head
     #: results in the order of the operations
     results: tuple[OperationResult, ...]
     #: whether the operations change anything
     changed: bool
-    #: segment that must be written before ``head`` may name it
+    #: segment to write before the head that refers to it
     segment: Segment | None = None
 
 
@@ -94,12 +94,14 @@
 ) -> Plan:
     """Apply ``operations`` in order to a copy of the head.
 
-    ``now`` is wall-clock seconds. Without ``seal`` the head may grow to twice its
-    bound before claims are refused. ``deleted`` numbers retired segments that no
-    longer exist.
+    The head may grow to twice its limit before claims are refused.
+
+    :param now: wall-clock seconds
+    :param seal: whether older claims may be moved to a segment
+    :param deleted: numbers of retired segments that no longer exist
     """
     head = view.head
-    # a writer whose clock is behind would let claims be forgotten too early
+    # a writer whose clock is behind would make claims expire too early
     stamp = max(now, head.written_at)
     claims = {claim.key: claim for claim in head.claims}
     results = []
@@ -137,7 +139,7 @@
 
 
 def find_claim(claims: dict[bytes, Claim], view: View, key: bytes) -> Claim | None:
-    """Return the newest record under ``key``, in the head or a sealed segment."""
+    """Return the newest record of ``key``, from the head or a sealed segment."""
     current = claims.get(key)
     if current is not None:
         return current
@@ -145,24 +147,24 @@
 
 
 def is_forgotten(claim: Claim, now: int, limits: Limits) -> bool:
-    """Whether a claim is past its time by any instance's clock.
+    """Whether a claim has expired by the clock of every instance.
 
-    An instance whose clock is fast would forget a claim while its key may still
-    be asked again, and the request would run twice. The margin covers that.
+    Without the margin, an instance whose clock is fast would drop a claim whose key
+    may still be repeated, and the request would run twice.
     """
     return now > claim.forget_at + limits.clock_margin
 
 
 def is_needed(ref: SegmentRef, now: int, limits: Limits) -> bool:
-    """Whether a sealed segment holds a claim that is not forgotten."""
+    """Whether a sealed segment may contain an unexpired claim."""
     return now <= ref.forget_at + limits.clock_margin
 
 
 def may_acquire(operation: Acquire, current: Claim | None) -> bool:
-    """Whether a key is free for an attempt.
+    """Whether an attempt may claim a key.
 
-    A key whose attempt never ran is freed by the word of that attempt's instance;
-    it counts only for that one attempt, as another may hold the key by now.
+    The holder's instance may have confirmed that its attempt never ran. That
+    frees the key from this one attempt only: a newer one may hold it by now.
     """
     if current is None or current.state is ClaimState.GIVEN_BACK:
         return True
@@ -172,8 +174,8 @@
 def may_give_back(operation: GiveBack, current: Claim | None) -> bool:
     """Whether a key is still held by the attempt that gives it back.
 
-    A give-back that arrives late would else free the claim of a newer attempt,
-    which is running, and let a third one run beside it.
+    Otherwise a delayed give-back would release the claim of a newer attempt that
+    is running, and a third attempt could run concurrently with it.
     """
     return (
         current is not None
@@ -183,12 +185,12 @@
 
 
 def is_same_request(operation: Acquire, current: Claim) -> bool:
-    """Whether a key is asked again for what it was first used for."""
+    """Whether a key is repeated with the request that it was first used for."""
     return operation.digest == current.digest
 
 
 def is_sealed(view: View, key: bytes) -> bool:
-    """Whether a sealed segment holds a record under ``key``."""
+    """Whether a sealed segment contains a record of ``key``."""
     return _find_sealed(view, key) is not None
 
 
@@ -202,7 +204,7 @@
 ) -> tuple[OperationResult, bool]:
     """Return the result, and whether a claim was added."""
     if current is not None and current.token == operation.token:
-        # an earlier try of the same attempt took effect, its answer was lost
+        # the same operation was committed before, but its answer was lost
         if current.state is ClaimState.CLAIMED:
             return OperationResult(ResultKind.GRANTED), False
         return OperationResult(ResultKind.HELD, current.token), False
@@ -212,7 +214,7 @@
         return OperationResult(ResultKind.HELD, current.token), False
     if not room:
         return OperationResult(ResultKind.FULL), False
-    # put in anew, so that the order of the map stays the order of the claims
+    # reinserted at the end, so that the map stays in order of acquisition
     claims.pop(operation.key, None)
     claims[operation.key] = Claim(
         operation.key, operation.digest, operation.token, stamp + limits.retention
@@ -227,8 +229,8 @@
         return OperationResult(ResultKind.HELD, current.token if current else None)
     claims.pop(operation.key, None)
     if is_sealed(view, operation.key):
-        # segments are never changed: without this record the sealed claim would
-        # come to light again
+        # segments are immutable: without this tombstone the sealed claim would be
+        # visible again
         claims[operation.key] = dataclasses.replace(
             current, state=ClaimState.GIVEN_BACK
         )
@@ -244,7 +246,7 @@
 
 
 def _seal(plan: Plan, view: View, now: int, limits: Limits) -> Plan:
-    """Move the older half of the claims to a segment, joined with the newest one."""
+    """Move the older half of the claims to a segment, merged with the newest one."""
     head = plan.head
     half = len(head.claims) - limits.head_claims // 2
     sealed = {claim.key: claim for claim in head.claims[:half]}
--- a/packages/greengagelatch/src/greengagelatch/claims/outage.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outage.py
@@ -1,4 +1,4 @@
-"""What to do with a keyed request while nobody can reach the store."""
+"""Policies for keyed requests while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -17,56 +17,57 @@
     "create_policy",
 )
 
-#: milliseconds after which a caller that was refused may ask again
+#: milliseconds after which a refused caller may retry
 RETRY_AFTER_MS = 1000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outage:
-    """A request that found no way to the store."""
+    """A request whose claim could not be committed by any instance."""
 
-    #: whether the caller declares that it has not sent this key before
+    #: whether the caller declares that it sends this key for the first time
     first_attempt: bool
     #: seconds since the request was received
     elapsed: float
     #: seconds until its deadline
     remaining: float
-    #: seconds since this instance last had an answer from the store
+    #: seconds since the store last answered this instance
     down_for: float
 
 
 @dataclass(frozen=True, slots=True)
 class TryAgain:
-    """The decision to try all ways once more after ``delay`` seconds."""
+    """Decision to try all instances again after ``delay`` seconds."""
 
     delay: float
 
 
 class OutagePolicy(ABC):
-    """Decides on a keyed request without a claim.
+    """Decides on a keyed request that has no claim.
 
-    No policy runs such a request. Whoever runs a declared first attempt without a
-    claim doubles it as soon as its repeat reaches an instance for which the store
-    is there: that instance finds no record and runs it, too.
+    No policy runs such a request, not even a declared first attempt: if its repeat
+    reached an instance that can use the store, that instance would find no claim
+    and run it a second time.
     """
 
     @abstractmethod
     def decide(self, outage: Outage) -> TryAgain | Refusal:
-        """Return the refusal to answer with, or that it is worth another try."""
+        """Return the refusal to answer with, or the decision to try again."""
 
 
 class RefuseAtOnce(OutagePolicy):
-    """Refuses, and says when to come back."""
+    """Refuses immediately, with a time after which to retry."""
 
     def decide(self, outage: Outage) -> TryAgain | Refusal:
         return refuse(outage)
 
 
 class RefuseLater(OutagePolicy):
-    """Tries again for a part of the time left, then refuses.
+    """Retries for a share of the request's time budget, then refuses.
 
-    Once the store has been away for longer than ``patience`` seconds, requests are
-    refused at once: each would else hold its caller and its memory for nothing.
+    Once the store has been unreachable for longer than ``patience`` seconds,
+    requests are refused immediately: otherwise each would occupy memory and its
+    caller's connection to no effect.
     """
 
     def __init__(
@@ -88,21 +89,21 @@
 def refuse(outage: Outage) -> Refusal:
     """Return the refusal of a request whose earlier attempts can't be looked up.
 
-    Nothing of this attempt ran. But only a declared first attempt has no earlier
-    one, which may have run: a caller that is told "not run" about a repeat might
-    order once more under a new key.
+    This attempt did not run, but an earlier one may have, unless the caller
+    declares this one the first. A caller that gets the verdict "not run" for a
+    repeat could send the request again under a new key and run it twice.
     """
     verdict = Verdict.NOT_RUN if outage.first_attempt else Verdict.MAY_HAVE_RUN
     return Refusal(
         code=RefusalCode.STORE_UNREACHABLE,
-        message="the key can't be claimed now; nothing was run for this attempt",
+        message="the key can't be claimed: store unreachable; this attempt did not run",
         verdict=verdict,
         retry_after_ms=RETRY_AFTER_MS,
     )
 
 
 def create_policy(name: str) -> OutagePolicy:
-    """Return the policy that the setting ``claims.store_down`` names."""
+    """Create the policy that the setting ``claims.store_down`` names."""
     if name == "refuse-later":
         return RefuseLater()
     return RefuseAtOnce()
--- a/packages/greengagelatch/src/greengagelatch/claims/outcome.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of a request, as kept for its repeats and sent to other instances."""
+"""Outcome of a request, as stored for its repeats and sent to other instances."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """What a repeat is answered with; the repeat's own request id is added to it."""
+    """Stored answer to a keyed request, without the request id of each repeat."""
 
     verdict: Verdict
     result: Any = None
@@ -35,7 +35,7 @@
 
 
 def encode_outcome(outcome: Outcome) -> bytes:
-    """Return the bytes of an outcome."""
+    """Encode an outcome."""
     refusal = outcome.refusal
     fields = None
     if refusal is not None:
@@ -51,13 +51,13 @@
 
 
 def decode_outcome(data: bytes) -> Result[Outcome, str]:
-    """Read an outcome; the error says what is wrong with it."""
+    """Decode an outcome; the error is the reason why it is invalid."""
     try:
         verdict, result, fields = cbor2.loads(data)
         refusal = None if fields is None else _read_refusal(*fields)
         return Ok(Outcome(verdict=Verdict(verdict), result=result, refusal=refusal))
     except (cbor2.CBORDecodeError, TypeError, ValueError, RecursionError) as error:
-        return Err(f"not an outcome: {error}")
+        return Err(f"malformed outcome: {error}")
 
 
 def _read_refusal(
--- a/packages/greengagelatch/src/greengagelatch/claims/packing.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/packing.py
@@ -1,4 +1,4 @@
-"""Claims as records of fixed size."""
+"""Packs claims into records of fixed size."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "unpack_claims",
 )
 
-#: instances with their incarnations, which records name by index
+#: table of instances and incarnations, to which records refer by index
 Incarnations = tuple[tuple[str, int], ...]
 
 #: key, digest, index of the incarnation, serial, forget_at, state
@@ -27,7 +27,7 @@
 
 RECORD_BYTES = _RECORD.size
 
-#: leading bytes of a key by which records are searched
+#: leading bytes of a key that the binary search compares
 PREFIX_BYTES = 8
 _PREFIX = struct.Struct(f">Q{RECORD_BYTES - PREFIX_BYTES}x")
 
@@ -35,7 +35,7 @@
 
 
 def pack_claims(claims: Iterable[Claim]) -> tuple[Incarnations, bytes]:
-    """Return the records of claims, in their order, and the table they refer to."""
+    """Return the table of incarnations and the records of ``claims``, in order."""
     indexes: dict[tuple[str, int], int] = {}
     packed = bytearray()
     for claim in claims:
@@ -54,25 +54,25 @@
 
 
 def unpack_claims(incarnations: Incarnations, packed: bytes) -> tuple[Claim, ...]:
-    """Return the claims of records; :exc:`ValueError` if they are malformed."""
+    """Unpack all records; :exc:`ValueError` if they are malformed."""
     try:
         return tuple(
             _build(incarnations, *fields) for fields in _RECORD.iter_unpack(packed)
         )
     except (IndexError, struct.error) as error:
-        msg = f"malformed records of claims: {error}"
+        msg = f"malformed claim records: {error}"
         raise ValueError(msg) from error
 
 
 def list_prefixes(packed: bytes) -> array[int]:
-    """Return the first bytes of the key of each record, as whole numbers."""
+    """Return the key prefix of each record, as an integer."""
     return array("Q", (prefix for (prefix,) in _PREFIX.iter_unpack(packed)))
 
 
 def find_record(
     incarnations: Incarnations, packed: bytes, prefixes: array[int], key: bytes
 ) -> Claim | None:
-    """Return the claim under ``key``; the records must be sorted by their keys."""
+    """Return the claim on ``key``; the records must be sorted by key."""
     prefix = int.from_bytes(key[:PREFIX_BYTES])
     place = bisect_left(prefixes, prefix)
     while place < len(prefixes) and prefixes[place] == prefix:
--- a/packages/greengagelatch/src/greengagelatch/claims/refusals.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of keyed requests."""
+"""Error answers to keyed requests."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "X-Deadline-Ms"
 
-#: milliseconds after which a running first attempt may be over
+#: milliseconds after which a running earlier attempt may have finished
 IN_PROGRESS_RETRY_MS = 500
-#: milliseconds after which the instance of an earlier attempt may be found again
+#: milliseconds after which the instance of an earlier attempt may be reachable again
 UNSETTLED_RETRY_MS = 2000
-#: milliseconds after which a key may be claimed within its deadline
+#: milliseconds after which a claim may succeed within the deadline again
 LATE_RETRY_MS = 1000
-#: milliseconds after which a slow store or writer may be quick again
+#: milliseconds after which a slow store or writer may have recovered
 LATE_RETRY_MS = 1000
-#: milliseconds after which a shard may have room again
+#: milliseconds after which a shard may accept claims again
 FULL_RETRY_MS = 2000
 
 
 def refuse_attempt(action: Action, key: str) -> Refusal:
-    """Return the refusal with which an attempt ends."""
+    """Return the refusal for an attempt that ends with ``action``."""
     match action:
         case Action.REFUSE_KEY_REUSED:
             return Refusal(
@@ -36,7 +36,7 @@
         case Action.REFUSE_FULL:
             return Refusal(
                 code=RefusalCode.OVERLOADED,
-                message="no room for another claim",
+                message="too many claims on idempotency keys",
                 retry_after_ms=FULL_RETRY_MS,
             )
         case Action.REFUSE_IN_PROGRESS:
@@ -74,18 +74,18 @@
 
 
 def refuse_cut(verdict: Verdict) -> Refusal:
-    """Return what repeats are told if the first attempt was broken off."""
+    """Return the refusal of repeats whose first attempt was cancelled."""
     return Refusal(
         code=RefusalCode.REPEAT_UNSETTLED,
-        message="the first attempt with this key was broken off",
+        message="the first attempt with this key was cancelled",
         verdict=verdict,
     )
 
 
 def refuse_lost(verdict: Verdict) -> Refusal:
-    """Return what repeats are told if the first one's result can't be kept."""
+    """Return the refusal of repeats whose first attempt has too large a result."""
     return Refusal(
         code=RefusalCode.REPEAT_UNSETTLED,
-        message="the first attempt with this key ran; its result is too large to keep",
+        message="the first attempt with this key ran; its result is too large to store",
         verdict=verdict,
     )
--- a/packages/greengagelatch/src/greengagelatch/claims/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/registry.py
@@ -1,4 +1,4 @@
-"""What an instance knows of its own attempts at keyed requests."""
+"""Registry of the attempts of one process and of outcomes handed over to it."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class AttemptState(Enum):
-    """Where an attempt stands; it only moves down this list, or stays."""
+    """State of an attempt; it only moves down this list."""
 
-    #: a claim is being sought; nothing was sent
+    #: the claim is being acquired; nothing was sent
     PENDING = "pending"
     #: stage calls may have been sent
     RUNNING = "running"
-    #: it ran, or may have; there is an outcome
+    #: ran, or may have run; there is an outcome
     FINISHED = "finished"
-    #: nothing was sent, and nothing ever will be
+    #: ended without sending anything; will never run
     GIVEN_BACK = "given-back"
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """State of one attempt; ``outcome`` is empty if it is not kept (any more)."""
+    """State of one attempt; ``outcome`` is empty unless it is stored."""
 
     state: AttemptState
     outcome: bytes = b""
@@ -41,9 +41,9 @@
 def may_run(state: AttemptState | None) -> bool:
     """Whether stage calls may be made for an attempt.
 
-    A claim may be granted after its attempt was given up, by a writer that was
-    slow or paused. The attempt's word that it never ran has been given by then,
-    and another instance may be running the request on the strength of it.
+    A slow or paused writer may grant a claim after its attempt was abandoned. By
+    then the attempt may have been reported as never run, and another instance may
+    be running the request because of that.
     """
     return state is AttemptState.PENDING
 
@@ -51,8 +51,8 @@
 class Registry:
     """Attempts of this process, bounded in number, bytes and time.
 
-    An attempt that is not known (any more) has to be taken for one that may have
-    run, so that forgetting early costs an answer but never doubles a run.
+    An unknown attempt counts as one that may have run, so early eviction can lose
+    an answer but never cause a second run.
     """
 
     def __init__(self, *, retention: float, max_records: int, max_bytes: int) -> None:
@@ -61,13 +61,13 @@
         self._max_bytes = max_bytes
         self._open: dict[Token, Record] = {}
         self._closed: OrderedDict[Token, Record] = OrderedDict()
-        #: attempts that were granted their claims and did not give them back
+        #: attempts that were granted their claims and have not given them back, by key
         self._granted: dict[bytes, Token] = {}
         self._bytes = 0
 
     @property
     def size(self) -> int:
-        """Bytes of all outcomes that are kept."""
+        """Total size of the stored outcomes, in bytes."""
         return self._bytes
 
     @property
@@ -76,19 +76,19 @@
         return len(self._open), len(self._closed)
 
     def find(self, token: Token) -> Record | None:
-        """Return what is known of an attempt."""
+        """Return the record of an attempt, if there is one."""
         return self._open.get(token) or self._closed.get(token)
 
     def find_granted(self, key: bytes) -> Token | None:
-        """Return the attempt of this process that holds a key, if it is known."""
+        """Return the attempt of this process that holds a key, if there is one."""
         return self._granted.get(key)
 
     def open(self, token: Token, key: bytes, digest: bytes, now: float) -> None:
-        """Add a new attempt, which is pending."""
+        """Add a new attempt as pending."""
         self._open[token] = Record(AttemptState.PENDING, b"", now, key, digest)
 
     def start(self, token: Token, now: float) -> bool:
-        """Whether the attempt may run; it counts as running from now on."""
+        """Mark an attempt as running; return whether it may run."""
         record = self.find(token)
         if not may_run(record.state if record else None):
             return False
@@ -99,7 +99,7 @@
         return True
 
     def give_back(self, token: Token, now: float) -> None:
-        """Close an attempt for which nothing was sent."""
+        """Close an attempt that sent nothing."""
         record = self._open.pop(token)
         self._drop_granted(token, record)
         self._close(
@@ -108,7 +108,7 @@
         )
 
     def finish(self, token: Token, outcome: bytes, now: float) -> None:
-        """Close an attempt that ran or may have, here or on another instance."""
+        """Close an attempt that ran or may have run, here or on another instance."""
         record = self._open.pop(token, Record(AttemptState.FINISHED))
         self._close(
             token,
@@ -118,7 +118,7 @@
         )
 
     def expire(self, now: float) -> None:
-        """Forget closed attempts whose time is over."""
+        """Drop closed attempts that are older than the retention period."""
         while self._closed:
             token, record = next(iter(self._closed.items()))
             if now - record.since <= self._retention:
@@ -126,7 +126,7 @@
             self._forget(token)
 
     def list_finished(self) -> tuple[tuple[Token, bytes], ...]:
-        """Return the attempts whose outcomes are kept, the newest first."""
+        """Return the attempts with stored outcomes, newest first."""
         return tuple(
             (token, record.outcome)
             for token, record in reversed(self._closed.items())
--- a/packages/greengagelatch/src/greengagelatch/claims/scope.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/scope.py
@@ -1,4 +1,4 @@
-"""Digests of keys and requests, shards, and which instance usually writes one."""
+"""Digests of keys and requests, and the mapping of keys to shards and writers."""
 
 from __future__ import annotations
 
@@ -20,50 +20,50 @@
 KEY_BYTES = 16
 DIGEST_BYTES = 8
 PREFIX = "claims"
-#: the store's key for the number of shards
+#: key of the number of shards in the store
 LAYOUT_KEY = f"{PREFIX}/shards"
 
 
 def create_key(workspace: str, pipeline: str, key: str) -> bytes:
     """Return the digest of a caller's key within its workspace and pipeline.
 
-    Callers choose their keys, so the digest has to resist collisions made on
-    purpose: they would give one caller's result to another.
+    Callers choose their keys, so the hash has to be collision-resistant: a collision
+    would give one caller's result to another.
     """
     hasher = hashlib.blake2b(digest_size=KEY_BYTES)
     for part in (workspace, pipeline, key):
         data = part.encode()
-        # lengths keep "ab" + "c" apart from "a" + "bc"
+        # length prefixes distinguish "ab" + "c" from "a" + "bc"
         hasher.update(len(data).to_bytes(4))
         hasher.update(data)
     return hasher.digest()
 
 
 def create_digest(text: str) -> bytes:
-    """Return a short digest of a request's own digest, of fixed length."""
+    """Return a digest of fixed length of a request's own digest."""
     return hashlib.blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def choose_shard(key: bytes, shards: int) -> int:
-    """Return the shard that a key belongs to."""
+    """Return the shard of a key."""
     return xxhash.xxh64_intdigest(key) % shards
 
 
 def name_head(shard: int) -> str:
-    """Return the store's key for the head of a shard."""
+    """Return the key of a shard's head in the store."""
     return f"{PREFIX}/{shard}/head"
 
 
 def name_segment(shard: int, number: int) -> str:
-    """Return the store's key for a sealed segment of a shard."""
+    """Return the key of a sealed segment in the store."""
     return f"{PREFIX}/{shard}/segment/{number}"
 
 
 def rank_instances(name: str, instance_ids: Iterable[str]) -> tuple[str, ...]:
-    """Order instances by rendezvous hashing for ``name``, the first choice first.
+    """Rank instances by rendezvous hashing for ``name``, the first choice first.
 
-    Instances that see the same members choose the same one without having to
-    agree, and a change of one member moves only what that member had.
+    Instances with the same membership view choose the same one without
+    coordination, and a change of one member moves only what that member had.
     """
     return tuple(
         sorted(
