--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the claims controller that do input and output."""
+"""I/O layer of the claims controller."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -1,4 +1,4 @@
-"""Has operations on claims committed, here or by the usual writer of their shard."""
+"""Routes operations on claims to a writer of their shard, local or on a peer."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
 
 __all__ = ("Committer",)
 
-#: share of the time left that may be spent on asking another instance
+#: share of the remaining time that may be spent on asking another instance
 FORWARD_SHARE = 0.5
-#: seconds for which this instance does not write for itself after it failed to
+#: seconds for which this instance does not write as a fallback after a failure
 PAUSE_AFTER_FAILURE = 1.0
-#: give-backs under way at a time; a key that is not given back is freed all the
-#: same by asking this instance, for as long as it runs
+#: concurrent give-backs; a key whose give-back is dropped can still be taken over
+#: while this instance runs, since it reports that the attempt never ran
 MAX_GIVE_BACKS = 1024
-#: seconds for which an instance that gave no answer is not asked again: a paused one
-#: counts as alive for a while, and would cost each request the whole time-out
+#: seconds for which an unresponsive instance is avoided: a paused one counts as alive
+#: for a while, and would cost each request the whole timeout
 AVOID_SILENT = 5.0
-#: seconds for which a give-back is tried, and between two tries
+#: seconds for which a give-back is retried, and between two retries
 GIVE_BACK_TIME = 30.0
 GIVE_BACK_DELAY = 1.0
-#: instances that are tried for a give-back
+#: instances that are tried in each round of a give-back
 GIVE_BACK_WAYS = 2
-#: seconds that a planned stop waits for give-backs, and for writes
+#: seconds that a planned stop waits for give-backs, and then for writes
 STOP_TIME = 3.0
-#: seconds after which a shard's state is dropped if nothing was written
+#: seconds without operations after which the cached state of a shard is dropped
 IDLE_TIME = 60.0
 
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
 
 class Committer:
-    """Brings operations to whoever usually writes their shard, or writes itself."""
+    """Commits operations through the preferred writer of their shard, or itself."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         self._give_backs: set[asyncio.Task[None]] = set()
         self._reached_at = clock.now()
         self._failed_at = float("-inf")
-        #: monotonic seconds at which an instance last gave no answer
+        #: monotonic seconds at which an instance last failed to answer
         self._silent: dict[str, float] = {}
         if peers is not None:
             peers.handle(ClaimQuestion, self._answer_claim)
@@ -104,21 +104,24 @@
 
     @property
     def writing(self) -> tuple[int, ...]:
-        """Shards that this instance has lately written."""
+        """Shards that this instance has written recently."""
         return tuple(sorted(self._writers))
 
     @property
     def giving_back(self) -> int:
-        """Number of claims that are being given back."""
+        """Number of give-backs in progress."""
         return len(self._give_backs)
 
     @property
     def down_for(self) -> float:
-        """Seconds since this instance last had an answer from the store."""
+        """Seconds since the store last answered this instance."""
         return self._clock.now() - self._find_reached()
 
     async def find_ways(self, key: bytes, deadline: float) -> tuple[str, ...]:
-        """Return who may write for a key, in the order of trying; empty: nobody."""
+        """Return the instances that may commit for a key, in order of preference.
+
+        The result is empty if the number of shards is unknown.
+        """
         shards = await self._layout.learn(deadline - self._clock.now())
         if shards is None:
             return ()
@@ -127,7 +130,7 @@
     async def commit(
         self, way: str, operation: Operation, deadline: float
     ) -> OperationResult | None:
-        """Have the instance ``way`` commit an operation; ``None``: no answer."""
+        """Have the instance ``way`` commit an operation; ``None`` means no answer."""
         if way == self._instance_id:
             return await self._commit_here(operation, deadline)
         remaining = deadline - self._clock.now()
@@ -147,7 +150,7 @@
         return UNREACHABLE
 
     def give_back(self, operation: GiveBack) -> None:
-        """Free a key in the background."""
+        """Release a key in the background."""
         if len(self._give_backs) >= MAX_GIVE_BACKS:
             self._metrics.count("claims.give_back_dropped")
             return
@@ -156,7 +159,7 @@
         task.add_done_callback(self._give_backs.discard)
 
     def sweep(self) -> None:
-        """Drop the state of shards that this instance no longer writes."""
+        """Drop the state of shards and peers that is no longer needed."""
         now = self._clock.now()
         self._reached_at = self._find_reached()
         for way, since in list(self._silent.items()):
@@ -167,7 +170,7 @@
                 del self._writers[shard]
 
     async def close(self) -> None:
-        """Finish give-backs and writes, within a few seconds."""
+        """Finish give-backs and writes, each within a few seconds."""
         tasks = set(self._give_backs)
         if tasks:
             await asyncio.wait(tasks, timeout=STOP_TIME)
@@ -188,8 +191,8 @@
         usual = self._rank_ways(shard)[0] == self._instance_id
         paused_for = self._clock.now() - self._failed_at
         if not usual and paused_for < PAUSE_AFTER_FAILURE:
-            # a slow store makes usual writers late, which sends every instance
-            # here: the store's load must not grow with their number just then
+            # a slow store delays the preferred writers, so that every instance falls
+            # back to writing; the pause keeps that from adding load to the store
             return UNREACHABLE
         writer = self._get_writer(shard)
         result = await writer.submit(operation, deadline, fresh=not usual)
@@ -254,5 +257,5 @@
 
 
 def is_settled(result: OperationResult) -> bool:
-    """Whether a give-back is over: done, or the key is no longer held by it."""
+    """Whether a give-back is complete, or its attempt no longer holds the key."""
     return result.kind in (ResultKind.GIVEN_BACK, ResultKind.HELD)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -1,4 +1,4 @@
-"""Asks other instances for the outcomes of attempts, and answers them."""
+"""Exchanges the outcomes of attempts with other instances."""
 
 from __future__ import annotations
 
@@ -32,37 +32,37 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds that one question waits for a running attempt, before it is asked anew;
-#: short, so that the loss of the other instance is noticed
+#: seconds that one query waits for a running attempt before it is sent again; short,
+#: so that the loss of the other instance is detected
 WAIT = 2.0
-#: share of the time left that it waits at most, so that an answer is still of use
+#: maximum share of the remaining time that one query waits, so that its answer comes
+#: before the deadline
 WAIT_SHARE = 0.8
-#: seconds left at which it is too late for another question
+#: remaining seconds below which no further query is sent
 LAST_ANSWER = 0.02
-#: seconds allowed for an answer beyond the wait
+#: seconds allowed for the answer in addition to the wait
 GRACE = 1.0
-#: questions without an answer, one after the other, before an instance counts as
-#: gone
+#: consecutive unanswered queries after which an instance counts as lost
 MAX_SILENT = 2
-#: questions turned away, one after the other, before an instance counts as gone
+#: consecutive refused queries after which an instance counts as lost
 MAX_REFUSED = 20
-#: seconds between two questions to an instance that did not make them wait
+#: minimum seconds between two queries to the same instance
 PAUSE = 0.2
-#: questions of other instances that wait here at a time; a link takes only so many
-#: questions, and those for claims must not find them all taken
+#: queries of other instances that may wait here at a time; the number of open
+#: queries per link is limited, and some must remain for the commits of claims
 MAX_WAITING = 64
-#: instances that are asked for what a stopped one may have handed over
+#: instances that may have received the outcomes of a stopped one
 SUCCESSORS = 2
-#: outcomes that are handed over at the same time
+#: outcomes that are handed over concurrently
 HANDOVER_PARALLEL = 8
-#: seconds for handing over everything
+#: seconds allowed for the whole handover
 HANDOVER_TIME = 5.0
 
 OPEN_STATES = (AttemptState.PENDING, AttemptState.RUNNING)
 
 
 class Holders:
-    """Finds out what became of attempts, in this process or another one."""
+    """Looks up the outcomes of attempts, in this process or on other instances."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         self._instance_id = instance_id
         self._incarnation = incarnation
         self._handover_bytes = handover_bytes
-        #: questions of other instances that are waiting
+        #: number of queries of other instances that are waiting
         self._answering = 0
         self._waiting: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
         if peers is not None:
@@ -90,15 +90,15 @@
             peers.handle(HandoverQuestion, self._answer_handover)
 
     def notify(self, token: Token) -> None:
-        """Wake whoever waits for the end of an attempt of this process."""
+        """Wake the waiters for the end of an attempt of this process."""
         for event in self._waiting.pop(token, ()):
             event.set()
 
     async def find(self, token: Token, deadline: float) -> Record | None:
-        """Return what is known of an attempt; wait for its end by ``deadline``.
+        """Return the record of an attempt; wait for its end until ``deadline``.
 
-        ``None`` means that nobody can tell: its process is gone and handed nothing
-        over, or can't be reached, or has forgotten.
+        ``None`` means that no instance knows it: its process has ended without
+        handing over the outcome, is unreachable, or has dropped the record.
         """
         own = token.instance == self._instance_id
         if own and token.incarnation == self._incarnation:
@@ -120,10 +120,10 @@
         return None
 
     async def hand_over(self) -> int:
-        """Give outcomes to other instances as this one stops; how many were taken.
+        """Send outcomes to other instances before a stop; return how many were stored.
 
-        Newest first and bounded in bytes and time: an outcome that is not handed
-        over costs its repeats the result, but they are still not run again.
+        The newest come first, with a limit on bytes and time. Repeats of a request
+        whose outcome is not handed over get no result, but do not run again.
         """
         if self._peers is None:
             return 0
@@ -172,7 +172,7 @@
     async def _ask(
         self, instance_id: str, token: Token, deadline: float
     ) -> Record | None:
-        """Ask one instance, again and again while the attempt is running."""
+        """Ask one instance, repeatedly while the attempt is running."""
         silent = 0
         refused = 0
         record = None
@@ -195,7 +195,7 @@
                 case Err(PeerError(kind=PeerErrorKind.REFUSED)):
                     refused += 1
                 case _:
-                    # the link may be about to be made anew
+                    # the link may be about to be re-established
                     silent += 1
                     self._metrics.count("claims.holder_silent")
             waited = self._clock.now() - started
@@ -224,8 +224,8 @@
     ) -> bool:
         question = HandoverQuestion.wrap(token, outcome)
         async with free:
-            # the first choice may have died without having been noticed yet; it
-            # must not cost each outcome its time-out
+            # the first choice may have crashed without having been detected yet;
+            # only the first outcomes wait for its timeout
             for successor in self._rank_successors(token)[:SUCCESSORS]:
                 if successor in silent:
                     continue
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
@@ -1,4 +1,4 @@
-"""The number of shards that all instances use, as kept in the store."""
+"""Number of shards that all instances use, as recorded in the store."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds allowed for a peer's answer
+#: seconds allowed for the answer of a peer
 ASK_TIMEOUT = 0.5
-#: peers asked if the store can't be reached
+#: peers that are asked if the store is unreachable
 MAX_ASKED = 2
 
 
 class Layout:
-    """Learns the number of shards once, from the store or from a peer.
+    """Determines the number of shards once, from the store or from a peer.
 
-    Two instances with different numbers would look for one key in two places, and
-    both would run the request. So the first instance ever to start writes its
-    setting to the store, and all others take what stands there.
+    Two instances with different numbers would map one key to two shards, and both
+    would run the request. The first instance that finds no number in the store
+    therefore writes its setting there, and all others use the recorded number.
     """
 
     def __init__(
@@ -49,17 +49,17 @@
             peers.handle(LayoutQuestion, self._answer)
 
     async def learn(self, timeout: float) -> int | None:
-        """Return the number of shards; ``None`` if nobody tells it in time."""
+        """Return the number of shards; ``None`` if it is not found in time."""
         if self.shards is not None:
             return self.shards
         if self._task is None:
             self._task = asyncio.create_task(self._learn())
-        # not cancelled by a request that is over: others may be waiting for it
+        # not cancelled at a request's timeout: other requests may be waiting for it
         await asyncio.wait({self._task}, timeout=max(0.0, timeout))
         return self.shards
 
     async def close(self) -> None:
-        """Stop learning."""
+        """Cancel the lookup."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -71,7 +71,7 @@
             self._task = None
         if self.shards not in (None, self._wanted):
             logger.warning(
-                "claims.shards is %d, but %d is in use and kept",
+                "setting claims.shards is %d, but the store records %d, which is used",
                 self._wanted,
                 self.shards,
             )
@@ -83,7 +83,7 @@
             written = await self._store.swap(LAYOUT_KEY, value, ABSENT)
             if written.outcome is WriteOutcome.APPLIED:
                 return self._wanted
-            # written by another one, or by this one with its answer lost
+            # written by another instance, or by this one with a lost answer
             found = await self._store.get(LAYOUT_KEY)
         match found:
             case Ok(Entry(value=value)):
@@ -112,6 +112,6 @@
 def _parse(value: bytes) -> int | None:
     text = value.decode("ascii", "replace")
     if not text.isdecimal() or not int(text):
-        logger.error("the store holds no number of shards at %s", LAYOUT_KEY)
+        logger.error("invalid number of shards in the store at %s", LAYOUT_KEY)
         return None
     return int(text)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -1,4 +1,4 @@
-"""Commits operations on one shard of claims, many in one write."""
+"""Commits operations on one shard of claims in batches."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: operations in one swap
+#: maximum number of operations in one swap
 MAX_BATCH = 256
-#: operations that wait for a swap; beyond, new ones are turned away at once
+#: maximum number of queued operations; further ones are refused immediately
 MAX_QUEUE = 4096
-#: swaps that may follow each other at once after a quiet time
+#: swaps that may follow each other without a delay after an idle period
 BURST = 4
-#: retired segments deleted after one commit
+#: maximum number of retired segments deleted after one commit
 MAX_DELETES = 4
 
 BATCH_ID_BITS = 96
@@ -48,17 +48,17 @@
 @dataclass(slots=True)
 class _Waiting:
     operation: Operation
-    #: monotonic seconds after which nobody wants the result
+    #: monotonic seconds after which the result is no longer needed
     expires: float
     result: asyncio.Future[OperationResult]
 
 
 class ShardWriter:
-    """Brings operations on one shard into the store.
+    """Commits operations on one shard to the store.
 
-    An operation that finds the writer idle is committed at once; what arrives
-    while a swap is under way goes into the next one. ``interval`` is the average
-    number of seconds between swaps that is not undercut for long.
+    An operation that finds the writer idle is committed immediately; those that
+    arrive during a swap go into the next batch. ``interval`` limits the rate: it is
+    the minimum average number of seconds between swaps, except in short bursts.
     """
 
     def __init__(
@@ -85,22 +85,22 @@
         self._segments: tuple[tuple[SegmentRef, Segment], ...] = ()
         self._deleted: frozenset[int] = frozenset()
         self._paced = clock.now() - BURST * interval
-        #: monotonic seconds of the last operation
+        #: monotonic seconds of the last submitted operation
         self.used_at = clock.now()
         #: monotonic seconds of the last answer from the store
         self.answered_at = clock.now()
 
     @property
     def idle(self) -> bool:
-        """Whether no operation waits or is under way."""
+        """Whether no operation is queued or in progress."""
         return self._task is None
 
     async def submit(
         self, operation: Operation, expires: float, *, fresh: bool = False
     ) -> OperationResult:
-        """Commit an operation; what became of it if that is known by ``expires``.
+        """Commit an operation and return its result; unsettled if not by ``expires``.
 
-        :param fresh: begin by reading the head, as someone else usually writes it
+        :param fresh: read the head first, as another instance usually writes it
         """
         now = self._clock.now()
         self.used_at = now
@@ -115,13 +115,13 @@
             self._task = asyncio.create_task(self._drain())
         await asyncio.wait({waiting.result}, timeout=max(0.0, expires - now))
         if not waiting.result.done():
-            # it may be in a swap that is under way, and stays in the queue otherwise
-            # until its turn, where it is dropped
+            # it may be part of a swap in progress; otherwise it stays in the queue
+            # and is dropped when its batch is taken
             return UNSETTLED
         return waiting.result.result()
 
     async def close(self, timeout: float) -> None:
-        """Finish what waits within ``timeout`` seconds, then stop."""
+        """Finish queued operations within ``timeout`` seconds, then stop."""
         task = self._task
         if task is None:
             return
@@ -143,7 +143,10 @@
                 batch = []
                 await self._delete_retired()
         except Exception:
-            logger.exception("shard %s: a batch of claims failed", self._shard)
+            logger.exception(
+                "shard %s: unexpected error while committing a batch of claims",
+                self._shard,
+            )
             self._view = None
         finally:
             self._task = None
@@ -161,7 +164,7 @@
 
     def _take_batch(self) -> list[_Waiting]:
         now = self._clock.now()
-        # a head has room for one more batch of this size before it is sealed
+        # above its sealing limit a head has room for another ``head_claims`` claims
         size = min(MAX_BATCH, self._limits.head_claims)
         taken = self._queue[:size]
         del self._queue[:size]
@@ -231,10 +234,10 @@
         return written
 
     async def _delete_retired(self) -> None:
-        """Delete segments that the head no longer needs.
+        """Delete segments that the head no longer refers to.
 
-        Only the head says which, so a writer that dies before this leaves nothing
-        behind: the next one reads the same list.
+        The head lists them, so nothing leaks if a writer crashes before this: the
+        next writer finds the same list.
         """
         if self._view is None:
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -1,4 +1,4 @@
-"""Claims of keyed requests: gets them, keeps outcomes and gives claims back."""
+"""Controller that claims keyed requests and stores their outcomes for repeats."""
 
 from __future__ import annotations
 
@@ -55,26 +55,26 @@
 logger = logging.getLogger(__name__)
 
 INCARNATION_BITS = 63
-#: share of the retention within which a keyed request has to end
+#: share of the retention within which a keyed request must end
 LONGEST_SHARE = 0.5
-#: actions after which more time is needed before anything can run
+#: actions that still need time before the request can run
 UNFINISHED = (Action.CHOOSE_WAYS, Action.ACQUIRE, Action.OUT_OF_REACH)
-#: runs without a caller at a time; more are cancelled
+#: concurrent runs whose callers have disconnected; further ones are cancelled
 MAX_LEFT = 512
-#: seconds between two sweeps of what is no longer needed
+#: seconds between two removals of expired state
 SWEEP_INTERVAL = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """The right to run a keyed request, once; it must be settled."""
+    """Right to run a keyed request once; it must be settled."""
 
     token: Token
     key: bytes
 
 
 class ClaimsController(Controller):
-    """Lets a keyed request run at most once, whichever instance it reaches."""
+    """Ensures that a keyed request runs at most once, on whichever instance."""
 
     name = "claims"
 
@@ -93,14 +93,14 @@
         self._clock = clock
         self._metrics = metrics
         self._instance_id = instance_id
-        # not from the seeded source: a restarted process would give its attempts
-        # the tokens of earlier ones, and take their claims for its own
+        # not from the seeded source: a restarted process would reuse the tokens of
+        # earlier attempts and treat their claims as its own
         self._incarnation = secrets.randbits(INCARNATION_BITS)
         self._serial = 0
         self._longest = settings["claims.retention"] * LONGEST_SHARE
         self._longest_stop: float = settings["drain.longest"]
         self._finish_left: bool = settings["claims.finish"]
-        #: runs whose callers have left
+        #: runs whose callers have disconnected
         self._left: set[asyncio.Task[Answer]] = set()
         self._outcome_bytes: int = settings["claims.outcome_bytes"]
         self._policy = create_policy(settings["claims.store_down"])
@@ -129,7 +129,7 @@
         )
 
     async def seek(self, request: Request) -> Permit | Answer:
-        """Claim the request's key; else return the answer it gets instead."""
+        """Claim the request's key, or return the answer to send without a run."""
         if request.deadline - self._clock.now() > self._longest:
             return self._refuse(request, refuse_long(self._longest))
         key = create_key(request.workspace, request.pipeline, request.key)
@@ -141,11 +141,12 @@
         try:
             attempt, answer = await self._pursue(attempt, request)
         except BaseException:
-            # the operation under way may still be committed
+            # the operation in progress may still be committed
             self._abandon(token, key, doubtful=True)
             raise
         now = self._clock.now()
-        # a process that was paused must not begin what its caller has given up
+        # after a pause of the process the deadline may have passed, and the caller
+        # may have given up
         timely = answer is None and now < request.deadline
         if timely and self._registry.start(token, now):
             return Permit(token, key)
@@ -153,7 +154,7 @@
         return answer or self._refuse_late(attempt, request)
 
     def settle(self, permit: Permit, answer: Answer, verdict: Verdict) -> None:
-        """Keep the outcome of a run, or give its claim back if nothing ran."""
+        """Store the outcome of a run, or give its claim back if nothing ran."""
         outcome = Outcome(
             verdict=verdict.raise_to(answer.verdict),
             result=answer.result,
@@ -162,11 +163,11 @@
         self._settle(permit, outcome)
 
     def settle_cut(self, permit: Permit, verdict: Verdict) -> None:
-        """Settle a run that ended without an answer, as its caller has left."""
+        """Settle a run that was cancelled after its caller had disconnected."""
         self._settle(permit, Outcome(verdict=verdict, refusal=refuse_cut(verdict)))
 
     def adopt(self, run: asyncio.Task[Answer]) -> None:
-        """Let a run end whose caller has left, so that a repeat gets its result."""
+        """Finish a run whose caller has disconnected; its repeats get the result."""
         if not self._finish_left or len(self._left) >= MAX_LEFT:
             run.cancel()
         else:
@@ -180,7 +181,9 @@
             await asyncio.wait(self._left, timeout=self._longest_stop)
         await self._committer.close()
         taken = await self._holders.hand_over()
-        logger.info("handed over %d outcomes", taken)
+        logger.info(
+            "handed over %d outcomes of keyed requests to other instances", taken
+        )
 
     def dump(self) -> dict[str, Any]:
         open_attempts, closed_attempts = self._registry.counts
@@ -205,7 +208,7 @@
             self._metrics.gauge("claims.outcome_bytes", self._registry.size)
 
     def _begin(self, operation: Acquire) -> Attempt:
-        """Begin an attempt; a key that this process holds needs no look-up."""
+        """Begin an attempt; a key that this process holds needs no store call."""
         attempt = Attempt(operation=operation)
         holder = self._registry.find_granted(operation.key)
         if holder is None:
@@ -217,7 +220,7 @@
     async def _pursue(
         self, attempt: Attempt, request: Request
     ) -> tuple[Attempt, Answer | None]:
-        """Take the attempt to its end; without an answer it may run."""
+        """Take the attempt to its last action; without an answer it may run."""
         while True:
             late = self._clock.now() >= request.deadline
             if late and attempt.action in UNFINISHED:
@@ -262,7 +265,9 @@
     def _drop_left(self, run: asyncio.Task[Answer]) -> None:
         self._left.discard(run)
         if not run.cancelled() and run.exception() is not None:
-            logger.error("a run whose caller had left failed: %r", run.exception())
+            logger.error(
+                "run failed after its caller had disconnected: %r", run.exception()
+            )
 
     def _settle(self, permit: Permit, outcome: Outcome) -> None:
         if outcome.verdict is Verdict.NOT_RUN:
@@ -273,7 +278,7 @@
         self._holders.notify(permit.token)
 
     def _abandon(self, token: Token, key: bytes, *, doubtful: bool) -> None:
-        """Close an attempt that never runs, and free its key if it may hold it."""
+        """Close an attempt that never runs, and release its key if it may hold it."""
         self._registry.give_back(token, self._clock.now())
         self._holders.notify(token)
         if doubtful:
@@ -283,7 +288,7 @@
         try:
             data = encode_outcome(outcome)
         except (cbor2.CBOREncodeError, ValueError) as error:
-            logger.warning("an outcome can't be kept: %s", error)
+            logger.warning("outcome of a keyed request can't be encoded: %s", error)
         else:
             if len(data) <= self._outcome_bytes:
                 return data
@@ -300,7 +305,7 @@
         return self._refuse(request, refusal)
 
     def _refuse_late(self, attempt: Attempt, request: Request) -> Answer:
-        # a granted claim shows that no earlier attempt holds the key
+        # a granted claim proves that no earlier attempt holds the key
         alone = request.first_attempt or attempt.action is Action.RUN
         return self._refuse(request, refuse_late(alone))
 
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -262,7 +262,7 @@
 
 
 def is_beyond_ring(plan: Plan, head: Head) -> bool:
-    """Whether the batch id of an unconfirmed swap may have been evicted from the head."""
+    """Whether the batch id of an unconfirmed swap may have left the head."""
     return head.sequence - plan.head.sequence >= len(head.batches)
 
 
