--- a/packages/greengagelatch/src/greengagelatch/orders/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: what they should hold, and what they answer."""
+"""Orders to engines: the models and the role that each is to have."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineState:
-    """What an engine holds, and its role; a version is part of a model's name."""
+    """Loaded models and adapters, and the role; model names include the version."""
 
     models: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
     role: str = ""
 
     def equals(self, other: EngineState) -> bool:
-        """Whether both mean the same; the order of names does not matter."""
+        """Compare two states, ignoring the order of names."""
         return (
             set(self.models) == set(other.models)
             and set(self.adapters) == set(other.adapters)
@@ -43,58 +43,58 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """An engine's own word on its state, and the number of the last order."""
+    """State that an engine reports, and the fencing number of its last order."""
 
     state: EngineState
-    #: fencing number of the order that led to ``state``; 0: none
+    #: fencing number of the order that led to ``state``; 0 if there was none
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """The state an engine is to bring about; giving it twice is harmless."""
+    """Desired state of an engine; applying an order is idempotent."""
 
     fence: int
     wanted: EngineState
 
 
 class OrderOutcome(Enum):
-    """What is known of an order."""
+    """Outcome of an order, as far as it is known."""
 
-    #: the engine says that it was carried out
+    #: the engine confirms that it was carried out
     DONE = "done"
-    #: the engine has had an order with a higher number
+    #: the engine has received an order with a higher fencing number
     OLD_FENCE = "old-fence"
-    #: the engine can't carry it out, and did nothing
+    #: the engine can't carry it out and changed nothing
     REFUSED = "refused"
-    #: certainly not sent: the guard forbade it, or there was no connection
+    #: not sent: the guard rejected it, or there was no connection
     NOT_SENT = "not-sent"
-    #: the answer is lost or can't be read; only reading back can settle it
+    #: the answer is lost or invalid; only reading the engine's state can resolve it
     UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderAnswer:
-    """Outcome of an order."""
+    """Outcome of an order, with the engine's message or the error."""
 
     outcome: OrderOutcome
     message: str = ""
 
 
-#: asked right before the first byte of an order is handed to a socket; ``False``
-#: forbids it
+#: called immediately before the first byte of an order is written to a socket;
+#: ``False`` prevents that
 OrderGuard = Callable[[], bool]
 
 
 class OrderClient(ABC):
-    """Gives orders to engines; an implementation never repeats one by itself."""
+    """Sends orders to engines; implementations must never retry one."""
 
     @abstractmethod
     async def give(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
-        """Give one order, unless ``guard`` forbids it at the moment of sending."""
+        """Send one order, unless ``guard`` rejects it at the moment of sending."""
 
     @abstractmethod
     async def read(self, target: Target) -> Result[EngineReport, str]:
-        """Return an engine's state; the error is a reason in words."""
+        """Return an engine's state; the error is a reason for people to read."""
--- a/packages/greengagelatch/src/greengagelatch/orders/budget.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/budget.py
@@ -1,4 +1,4 @@
-"""The share of the weight store's rate that one holder may use."""
+"""Rate limit on loads of weights that one lease holder may cause."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadBudget:
-    """A token bucket of loads that begins empty.
+    """Token bucket of loads that starts empty.
 
-    A new holder does not know what the former one had loaded a moment ago. With a
-    full bucket each change of holder would let one burst more through, just when
-    holders change often.
+    A new holder does not know which loads the former one caused just before. With a
+    full bucket, each change of holder would allow another burst, and the weight
+    store would be overloaded when holders change often.
     """
 
     #: monotonic seconds of ``level``
     at: float
-    #: loads that may be ordered; below 0 after an order of several
+    #: available loads; negative after an order that causes several
     level: float = 0.0
 
     def refill(self, now: float, per_minute: float) -> LoadBudget:
-        """Add what has come in since; at most one load is saved up."""
+        """Add the tokens earned since the last refill; the capacity is one load."""
         earned = max(0.0, now - self.at) * per_minute / SECONDS_PER_MINUTE
         return LoadBudget(at=now, level=min(1.0, self.level + earned))
 
     def allows(self, loads: int) -> bool:
-        """Whether an order that causes ``loads`` loads may be given now.
+        """Whether an order that causes ``loads`` loads may be sent now.
 
-        One of several loads goes ahead as soon as one is allowed, and those after it
-        wait for the rest; it could never be given otherwise.
+        An order of several loads is sent as soon as one load is available, since
+        the bucket never holds more; later orders wait until the debt is repaid.
         """
         return loads == 0 or self.level >= 1.0
 
     def spend(self, loads: int) -> LoadBudget:
-        """Take out the loads of an order that is given."""
+        """Remove the loads of an order that is being sent."""
         return dataclasses.replace(self, level=self.level - loads)
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -1,4 +1,4 @@
-"""One engine as the holder of its group's lease knows it."""
+"""State of one engine as seen by the holder of its group's lease."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EngineAction(Enum):
-    """What is due with an engine."""
+    """Next call to an engine, if any."""
 
     REST = "rest"
     READ = "read"
@@ -24,32 +24,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineRecord:
-    """What is known of an engine under one tenure; a new holder begins anew.
+    """Immutable state of an engine under one lease; a new holder starts empty.
 
     All times are monotonic seconds.
     """
 
     report: EngineReport | None = None
-    #: whether ``report`` was read after the last order had ended
+    #: whether ``report`` was read after the last order ended
     current: bool = False
-    #: an order that may still be under way, since its answer is lost
+    #: an order that may still take effect: it has no answer yet, or its answer is lost
     unsettled: Order | None = None
     #: when that order was sent
     sent: float = 0.0
-    #: when the engine is to be read again
+    #: when the engine is due to be read again
     due: float = 0.0
-    #: calls in a row that came to nothing
+    #: consecutive failed calls
     failures: int = 0
 
     def plan(self, now: float, wanted: EngineState, *, may_order: bool) -> EngineAction:
-        """Choose what to do next.
+        """Choose the next call.
 
-        An order follows only on a state that was read under this tenure, and never
-        on another one that may still be under way: an engine that takes its time
-        could carry out the older of the two last. It goes before a reading that is
-        due again, or a short interval would leave no room for any order.
+        An order requires a state that was read under this lease, and no earlier
+        order that may still take effect: a slow engine could carry out the older of
+        the two last. An order takes precedence over a read that is due, otherwise a
+        short interval would starve orders.
 
-        :param may_order: whether an order may be given to this engine now
+        :param may_order: whether an order may be sent to this engine now
         """
         if may_order and self._needs_order(wanted):
             return EngineAction.ORDER
@@ -61,28 +61,28 @@
         return self.current and not self.report.state.equals(wanted)
 
     def note_sending(self, now: float, order: Order) -> EngineRecord:
-        """Record that the first byte of an order is about to be sent."""
+        """Record that an order is about to be sent."""
         return dataclasses.replace(self, unsettled=order, sent=now, current=False)
 
     def note_ended(self, now: float) -> EngineRecord:
-        """Record that the engine answered an order; it is read back at once."""
+        """Record that the engine answered an order; a read is due immediately."""
         return dataclasses.replace(self, unsettled=None, due=now, failures=0)
 
     def note_unanswered(self, now: float) -> EngineRecord:
-        """Record that the answer to an order is lost; the engine is read at once."""
+        """Record that the answer to an order is lost; a read is due immediately."""
         return dataclasses.replace(self, due=now)
 
     def note_failed(self, now: float, delay: float) -> EngineRecord:
-        """Record that the engine could not be reached; ``delay`` is in seconds."""
+        """Record a failed call; the next one is due in ``delay`` seconds."""
         return dataclasses.replace(self, due=now + delay, failures=self.failures + 1)
 
     def note_read(
         self, now: float, report: EngineReport, rules: OrderRules
     ) -> EngineRecord:
-        """Take in the engine's state, and settle an order without an answer.
+        """Record the engine's state, and resolve an order without an answer.
 
-        Such an order is over once the engine shows its number and its state, or when
-        it has had the longest time that an order can take.
+        Such an order has ended once the engine reports both its fencing number and
+        its state, or after the longest time that an order can take.
         """
         unsettled = self.unsettled
         if unsettled is not None:
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -1,4 +1,4 @@
-"""The engines of one group under one tenure of its lease."""
+"""Schedules the orders to the engines of one group while its lease is held."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 
 __all__ = ("EngineGroup", "EngineStep")
 
-#: engines of one group that are read at the same time
+#: concurrent calls to the engines of one group from which on no further read starts
 MAX_READS = 8
 
-#: state of an engine that was not read yet
+#: assumed state of an engine that has not been read yet
 UNREAD = EngineState()
 
 
 @dataclass(frozen=True, slots=True)
 class EngineStep:
-    """A call that is due; ``order`` is ``None`` for a reading."""
+    """A call to an engine that is due; ``order`` is ``None`` for a read."""
 
     target_id: str
     order: Order | None = None
-    #: what the order makes the weight store give
+    #: loads from the weight store that the order causes
     loads: int = 0
 
 
 class EngineGroup:
-    """Says which engine is read or given an order next.
+    """Plans the reads and orders of the engines of one group.
 
-    One order at a time: engines that load are slow to serve, and a wrong placement
-    is noticed before all of them follow it. An order without an answer counts until
-    it is settled.
+    One order at a time is in progress: engines are slow while they load, and a wrong
+    placement can be noticed before all engines have applied it. An order without an
+    answer counts as in progress until it is resolved.
 
-    :param fence: fencing number of the tenure
+    :param fence: fencing number of the lease
     :param now: monotonic seconds
     """
 
@@ -56,7 +56,7 @@
 
     @property
     def ordering(self) -> bool:
-        """Whether an order is under way, or may still be."""
+        """Whether an order is in progress or may still take effect."""
         if any(step.order is not None for step in self._under_way.values()):
             return True
         return any(record.unsettled is not None for record in self._records.values())
@@ -70,9 +70,9 @@
         loads_per_minute: float,
         may_order: bool,
     ) -> tuple[EngineStep, ...]:
-        """Return the calls that are due; each is taken as begun.
+        """Return the calls that are due and mark them as started.
 
-        :param target_ids: the engines that are neither leaving nor gone
+        :param target_ids: the engines that are registered and not leaving
         :param loads_per_minute: this group's share of the weight store's rate
         """
         self._budget = self._budget.refill(now, loads_per_minute)
@@ -89,7 +89,7 @@
         return tuple(steps)
 
     def note_sending(self, now: float, step: EngineStep) -> None:
-        """Record that the first byte of an order is about to be sent."""
+        """Record that an order is about to be sent."""
         if step.order is None:
             return
         self._budget = self._budget.spend(step.loads)
@@ -98,10 +98,10 @@
     def end_read(
         self, now: float, step: EngineStep, report: EngineReport | None, delay: float
     ) -> None:
-        """Take in a reading.
+        """Record the result of a read.
 
         :param report: ``None`` if the engine could not be read
-        :param delay: seconds after which it is tried again in that case
+        :param delay: seconds until the retry in that case
         """
         self._under_way.pop(step.target_id, None)
         if report is None:
@@ -111,9 +111,9 @@
         self._update(step.target_id, lambda r: r.note_read(now, report, rules))
 
     def end_order(self, now: float, step: EngineStep, *, settled: bool) -> None:
-        """Take in the end of an order's call; the engine is read back next.
+        """Record the end of an order's call; a read of the engine is due next.
 
-        :param settled: whether the order certainly is not under way any longer
+        :param settled: whether the order can no longer take effect
         """
         self._under_way.pop(step.target_id, None)
         if settled:
@@ -122,7 +122,7 @@
         self._update(step.target_id, lambda r: r.note_unanswered(now))
 
     def fail(self, now: float, step: EngineStep, delay: float) -> None:
-        """Take in that a call certainly had no effect; the next waits ``delay``."""
+        """Record that a call had no effect; the next is due in ``delay`` seconds."""
         self._under_way.pop(step.target_id, None)
         self._update(
             step.target_id,
@@ -130,12 +130,12 @@
         )
 
     def count_failures(self, target_id: str) -> int:
-        """Return how many calls in a row to an engine came to nothing."""
+        """Return the number of consecutive failed calls to an engine."""
         record = self._records.get(target_id)
         return 0 if record is None else record.failures
 
     def dump(self, now: float, placement: Placement) -> dict[str, Any]:
-        """Return the engines' states by id."""
+        """Return the states of the engines by target id."""
         engines = {}
         for target_id, record in self._records.items():
             present = UNREAD if record.report is None else record.report.state
@@ -182,5 +182,5 @@
     def _update(self, target_id: str, change: Any) -> None:
         record = self._records.get(target_id)
         if record is not None:
-            # it may have begun to leave while the call was under way
+            # the engine may have been removed during the call
             self._records[target_id] = change(record)
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -1,4 +1,4 @@
-"""Whether an order may be sent at this very moment."""
+"""Checks whether a lease permits an order to be sent now."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 def has_turn(
     tenure: Tenure, now: Instant, *, rules: OrderRules, fencing: Fencing
 ) -> bool:
-    """Whether the holder of ``tenure`` may give orders.
+    """Whether the holder of ``tenure`` may send orders.
 
-    What is left of the lease must cover the call, so that an order has reached its
-    engine, or never will, by the time the next holder can begin. An engine that
-    ignores numbers may still be carrying out the former holder's order then, and it
-    would undo the new holder's one: hence the wait.
+    The remaining time of the lease must cover the call, so that an order reaches its
+    engine before the next holder can start, or never. An engine that ignores fencing
+    numbers may still be carrying out the former holder's order at that time, which
+    would overwrite the new holder's; a new holder therefore waits for it to end.
     """
     if not tenure.covers(now, rules.timeout):
         return False
@@ -40,8 +40,8 @@
 ) -> bool:
     """Whether ``order`` may be sent now, under the lease it was planned for.
 
-    It is asked right before the first byte: a process may have been paused since
-    the order was planned, and another instance may have become the holder.
+    The check is made immediately before the first byte is sent: the process may have
+    been paused since the order was planned, and another instance may hold the lease.
     """
     if tenure is None or not tenure.held or tenure.fence != order.fence:
         return False
--- a/packages/greengagelatch/src/greengagelatch/orders/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/rules.py
@@ -1,4 +1,4 @@
-"""Times that orders go by, and which engines check fencing numbers."""
+"""Timing rules of orders, and which engines check fencing numbers."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 #: label of a service that says whether its engines check fencing numbers
 FENCING_LABEL = "fencing"
 
-#: share of the interval after which an unsettled order is looked for again
+#: share of the interval after which an engine with an unsettled order is read again
 SETTLE_SHARE = 0.2
 
 
 class Fencing(Enum):
-    """What engines do about an order with an old number."""
+    """How engines treat an order with an old fencing number."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -29,32 +29,33 @@
 class OrderRules:
     """Durations in seconds."""
 
-    #: longest time that one call to an engine takes; an order that did not reach the
-    #: engine by then never does
+    #: timeout of one call to an engine; an order that has not reached the engine by
+    #: then never does
     timeout: float
-    #: longest time from an order's arrival until it is carried out, if it ever is
+    #: longest time from the arrival of an order at an engine until it is carried out
     longest: float
-    #: time between two readings of an engine that is as it should be
+    #: time between two reads of an engine without an unsettled order
     interval: float
-    #: what this instance's clock may be fast by over the two times above
+    #: clock drift of this instance that is allowed for over the two times above
     margin: float
 
     @property
     def patience(self) -> float:
-        """Time after which an order without an answer is surely over."""
+        """Time after which an unanswered order can no longer take effect."""
         return self.timeout + self.longest + self.margin
 
     @property
     def settle_interval(self) -> float:
-        """Time between two readings of an engine with an unsettled order."""
+        """Time between two reads of an engine with an unsettled order."""
         return self.interval * SETTLE_SHARE
 
 
 def read_fencing(service: Service) -> Fencing:
-    """Return what the engines of a service do about old numbers.
+    """Return how the engines of a service treat old fencing numbers.
 
-    Anything but the word that they check counts as ignoring: waiting in vain costs
-    time, and trusting an engine that does not check loses an operator's decision.
+    Any label value other than "checked" counts as "ignored". A needless wait only
+    costs time, but an order that is sent without the wait to an engine that does not
+    check may be overwritten by an older one, which undoes an operator's decision.
     """
     if service.labels.get(FENCING_LABEL) == Fencing.CHECKED.value:
         return Fencing.CHECKED
