--- a/packages/greengagelatch/src/greengagelatch/orders/budget.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/budget.py
@@ -21,7 +21,7 @@
 
     #: monotonic seconds of ``level``
     at: float
-    #: available loads; negative after an order that causes several
+    #: available loads; below 0 after an order that causes several
     level: float = 0.0
 
     def refill(self, now: float, per_minute: float) -> LoadBudget:
