--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -230,7 +230,7 @@
                     ways = await self._committer.find_ways(
                         attempt.operation.key, request.deadline
                     )
-                    attempt = attempt.take_ways(ways)
+                    attempt = attempt.handle_candidates(ways)
                 case Action.ACQUIRE:
                     result = await self._committer.commit(
                         attempt.way, attempt.operation, request.deadline
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -327,7 +327,7 @@
         current = slot.attempt
         seeker = self._seekers[number]
         if current.action is Action.CHOOSE_WAYS:
-            current = current.take_ways(tuple(str(way) for way in seeker.ways))
+            current = current.handle_candidates(tuple(str(way) for way in seeker.ways))
         slot = dataclasses.replace(slot, attempt=current, awaited=0)
         match current.action:
             case Action.ACQUIRE:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -64,7 +64,7 @@
         """Instance that is asked to commit the operation now."""
         return self.ways[self.tried]
 
-    def take_ways(self, ways: tuple[str, ...]) -> Attempt:
+    def handle_candidates(self, ways: tuple[str, ...]) -> Attempt:
         """Start with the instances that may commit; an empty tuple means none can."""
         if not ways:
             return self._turn(Action.OUT_OF_REACH)
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -19,7 +19,7 @@
 
 
 def begin(*ways: str) -> Attempt:
-    return Attempt(operation=Acquire(KEY, b"d" * 8, OWN)).take_ways(ways)
+    return Attempt(operation=Acquire(KEY, b"d" * 8, OWN)).handle_candidates(ways)
 
 
 def create_registry(**changes: object) -> Registry:
@@ -55,7 +55,7 @@
         attempt = attempt.take_result(HELD)
         attempt = attempt.take_holder(Record(AttemptState.GIVEN_BACK))
         assert attempt.operation.replaces == OTHER
-        attempt = attempt.take_ways(("a",))
+        attempt = attempt.handle_candidates(("a",))
     attempt = attempt.take_result(HELD)
     attempt = attempt.take_holder(Record(AttemptState.GIVEN_BACK))
     assert attempt.action is Action.REFUSE_UNSETTLED
