--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -215,7 +215,7 @@
             return attempt
         same = self._registry.find(holder).digest == operation.digest
         kind = ResultKind.HELD if same else ResultKind.KEY_REUSED
-        return attempt.take_result(OperationResult(kind, holder))
+        return attempt.handle_result(OperationResult(kind, holder))
 
     async def _pursue(
         self, attempt: Attempt, request: Request
@@ -235,7 +235,7 @@
                     result = await self._committer.commit(
                         attempt.way, attempt.operation, request.deadline
                     )
-                    attempt = attempt.take_result(result)
+                    attempt = attempt.handle_result(result)
                 case Action.ASK_HOLDER:
                     record = await self._holders.find(attempt.holder, request.deadline)
                     attempt = attempt.take_holder(record)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -359,7 +359,7 @@
         self, state: World, number: int, result: OperationResult | None
     ) -> World:
         slot = state.slots[number]
-        taken = slot.attempt.take_result(result)
+        taken = slot.attempt.handle_result(result)
         return self._advance(state, number, dataclasses.replace(slot, attempt=taken))
 
     def _ask_holder(self, state: World, number: int) -> Iterator[tuple[str, World]]:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -70,7 +70,7 @@
             return self._turn(Action.OUT_OF_REACH)
         return dataclasses.replace(self, action=Action.ACQUIRE, ways=ways, tried=0)
 
-    def take_result(self, result: OperationResult | None) -> Attempt:
+    def handle_result(self, result: OperationResult | None) -> Attempt:
         """Handle the result of the operation; ``None`` means that no answer came.
 
         An unanswered operation may still be committed later. Sending it to the
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -41,9 +41,9 @@
 
 def test_all_ways_are_tried_before_the_store_counts_as_out_of_reach():
     attempt = begin("b", "a")
-    attempt = attempt.take_result(None)
+    attempt = attempt.handle_result(None)
     assert (attempt.action, attempt.way) == (Action.ACQUIRE, "a")
-    attempt = attempt.take_result(OperationResult(ResultKind.UNREACHABLE))
+    attempt = attempt.handle_result(OperationResult(ResultKind.UNREACHABLE))
     assert attempt.action is Action.OUT_OF_REACH
     # the first instance may still commit it
     assert attempt.doubtful
@@ -52,11 +52,11 @@
 def test_key_that_is_lost_again_and_again_is_given_up():
     attempt = begin("a")
     for _ in range(MAX_ROUNDS):
-        attempt = attempt.take_result(HELD)
+        attempt = attempt.handle_result(HELD)
         attempt = attempt.take_holder(Record(AttemptState.GIVEN_BACK))
         assert attempt.operation.replaces == OTHER
         attempt = attempt.handle_candidates(("a",))
-    attempt = attempt.take_result(HELD)
+    attempt = attempt.handle_result(HELD)
     attempt = attempt.take_holder(Record(AttemptState.GIVEN_BACK))
     assert attempt.action is Action.REFUSE_UNSETTLED
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_repeat_ends_by_what_is_known_of_the_holder(record, action):
-    assert begin("a").take_result(HELD).take_holder(record).action is action
+    assert begin("a").handle_result(HELD).take_holder(record).action is action
 
 
 def test_attempt_that_was_given_up_never_starts():
