--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -238,7 +238,7 @@
                     attempt = attempt.handle_result(result)
                 case Action.ASK_HOLDER:
                     record = await self._holders.find(attempt.holder, request.deadline)
-                    attempt = attempt.take_holder(record)
+                    attempt = attempt.handle_holder(record)
                 case Action.OUT_OF_REACH:
                     decision = self._policy.decide(self._describe_outage(request))
                     if isinstance(decision, Refusal):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -366,7 +366,7 @@
         slot = state.slots[number]
         holder = slot.attempt.holder
         for label, record in self._list_answers(state, holder):
-            taken = slot.attempt.take_holder(record)
+            taken = slot.attempt.handle_holder(record)
             asked = dataclasses.replace(slot, attempt=taken)
             text = f"seeker {number} asks the holder: {label}"
             yield text, self._advance(state, number, asked)
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -95,7 +95,7 @@
             return dataclasses.replace(state, tried=self.tried + 1)
         return state._turn(Action.OUT_OF_REACH)
 
-    def take_holder(self, record: Record | None) -> Attempt:
+    def handle_holder(self, record: Record | None) -> Attempt:
         """Handle the record of the holder's attempt; ``None`` means it is unknown."""
         if record is None:
             return self._turn(Action.REFUSE_UNSETTLED)
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -53,11 +53,11 @@
     attempt = begin("a")
     for _ in range(MAX_ROUNDS):
         attempt = attempt.handle_result(HELD)
-        attempt = attempt.take_holder(Record(AttemptState.GIVEN_BACK))
+        attempt = attempt.handle_holder(Record(AttemptState.GIVEN_BACK))
         assert attempt.operation.replaces == OTHER
         attempt = attempt.handle_candidates(("a",))
     attempt = attempt.handle_result(HELD)
-    attempt = attempt.take_holder(Record(AttemptState.GIVEN_BACK))
+    attempt = attempt.handle_holder(Record(AttemptState.GIVEN_BACK))
     assert attempt.action is Action.REFUSE_UNSETTLED
 
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_repeat_ends_by_what_is_known_of_the_holder(record, action):
-    assert begin("a").handle_result(HELD).take_holder(record).action is action
+    assert begin("a").handle_result(HELD).handle_holder(record).action is action
 
 
 def test_attempt_that_was_given_up_never_starts():
