--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -233,7 +233,7 @@
                     attempt = attempt.handle_candidates(ways)
                 case Action.ACQUIRE:
                     result = await self._committer.commit(
-                        attempt.way, attempt.operation, request.deadline
+                        attempt.candidate, attempt.operation, request.deadline
                     )
                     attempt = attempt.handle_result(result)
                 case Action.ASK_HOLDER:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -295,7 +295,7 @@
             )
             yield f"seeker {number} ends", _put_slot(state, number, ended)
             return
-        if slot.awaited and int(slot.attempt.way) != seeker.instance:
+        if slot.awaited and int(slot.attempt.candidate) != seeker.instance:
             yield from self._time_out(state, number)
         if slot.awaited and budget.give_ups:
             spent = state.change(budget=_spend(budget, "give_ups"))
@@ -311,7 +311,7 @@
                 yield f"seeker {number} is refused with nothing sent", refused
 
     def _time_out(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        way = int(state.slots[number].attempt.way)
+        way = int(state.slots[number].attempt.candidate)
         budget = state.budget
         # an instance that has died never answers, which costs no fault of its own
         if state.writers[way].alive:
@@ -335,7 +335,9 @@
                 slot = dataclasses.replace(slot, tries=tries, awaited=tries)
                 state = _put_slot(state, number, slot)
                 letter = Letter(current.operation, number, tries)
-                return self._post(state, seeker.instance, int(current.way), letter)
+                return self._post(
+                    state, seeker.instance, int(current.candidate), letter
+                )
             case Action.RUN | Action.ASK_HOLDER:
                 return _put_slot(state, number, slot)
         state = _put_slot(state, number, slot)
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -60,7 +60,7 @@
     doubtful: bool = False
 
     @property
-    def way(self) -> str:
+    def candidate(self) -> str:
         """Instance that is asked to commit the operation now."""
         return self.ways[self.tried]
 
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -42,7 +42,7 @@
 def test_all_ways_are_tried_before_the_store_counts_as_out_of_reach():
     attempt = begin("b", "a")
     attempt = attempt.handle_result(None)
-    assert (attempt.action, attempt.way) == (Action.ACQUIRE, "a")
+    assert (attempt.action, attempt.candidate) == (Action.ACQUIRE, "a")
     attempt = attempt.handle_result(OperationResult(ResultKind.UNREACHABLE))
     assert attempt.action is Action.OUT_OF_REACH
     # the first instance may still commit it
