--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -50,7 +50,7 @@
 
     operation: Acquire
     #: instances that may commit the operation, in order of preference
-    ways: tuple[str, ...] = ()
+    candidates: tuple[str, ...] = ()
     tried: int = 0
     action: Action = Action.CHOOSE_WAYS
     holder: Token | None = None
@@ -62,13 +62,13 @@
     @property
     def candidate(self) -> str:
         """Instance that is asked to commit the operation now."""
-        return self.ways[self.tried]
+        return self.candidates[self.tried]
 
     def handle_candidates(self, ways: tuple[str, ...]) -> Attempt:
         """Start with the instances that may commit; an empty tuple means none can."""
         if not ways:
             return self._turn(Action.OUT_OF_REACH)
-        return dataclasses.replace(self, action=Action.ACQUIRE, ways=ways, tried=0)
+        return dataclasses.replace(self, action=Action.ACQUIRE, candidates=ways, tried=0)
 
     def handle_result(self, result: OperationResult | None) -> Attempt:
         """Handle the result of the operation; ``None`` means that no answer came.
@@ -91,7 +91,7 @@
         state = self
         if kind is ResultKind.UNSETTLED:
             state = dataclasses.replace(self, doubtful=True)
-        if self.tried + 1 < len(self.ways):
+        if self.tried + 1 < len(self.candidates):
             return dataclasses.replace(state, tried=self.tried + 1)
         return state._turn(Action.OUT_OF_REACH)
 
