--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -58,7 +58,7 @@
 #: share of the retention within which a keyed request must end
 LONGEST_SHARE = 0.5
 #: actions that still need time before the request can run
-UNFINISHED = (Action.CHOOSE_WAYS, Action.ACQUIRE, Action.OUT_OF_REACH)
+UNFINISHED = (Action.CHOOSE_CANDIDATES, Action.ACQUIRE, Action.OUT_OF_REACH)
 #: concurrent runs whose callers have disconnected; further ones are cancelled
 MAX_LEFT = 512
 #: seconds between two removals of expired state
@@ -226,7 +226,7 @@
             if late and attempt.action in UNFINISHED:
                 return attempt, self._refuse_late(attempt, request)
             match attempt.action:
-                case Action.CHOOSE_WAYS:
+                case Action.CHOOSE_CANDIDATES:
                     ways = await self._committer.find_ways(
                         attempt.operation.key, request.deadline
                     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -326,7 +326,7 @@
         """Do what needs no other process after an attempt has changed."""
         current = slot.attempt
         seeker = self._seekers[number]
-        if current.action is Action.CHOOSE_WAYS:
+        if current.action is Action.CHOOSE_CANDIDATES:
             current = current.handle_candidates(tuple(str(way) for way in seeker.ways))
         slot = dataclasses.replace(slot, attempt=current, awaited=0)
         match current.action:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -25,7 +25,7 @@
     """Next action of an attempt."""
 
     #: choose the instances that may commit the operation
-    CHOOSE_WAYS = "choose-ways"
+    CHOOSE_CANDIDATES = "choose-ways"
     #: send the operation to the instance :attr:`Attempt.way`, which commits it
     ACQUIRE = "acquire"
     #: ask the instance of :attr:`Attempt.holder` for its outcome
@@ -52,7 +52,7 @@
     #: instances that may commit the operation, in order of preference
     candidates: tuple[str, ...] = ()
     tried: int = 0
-    action: Action = Action.CHOOSE_WAYS
+    action: Action = Action.CHOOSE_CANDIDATES
     holder: Token | None = None
     outcome: bytes = b""
     rounds: int = 0
@@ -108,7 +108,7 @@
             case AttemptState.GIVEN_BACK if self.rounds < MAX_ROUNDS:
                 return dataclasses.replace(
                     self,
-                    action=Action.CHOOSE_WAYS,
+                    action=Action.CHOOSE_CANDIDATES,
                     operation=dataclasses.replace(self.operation, replaces=self.holder),
                     rounds=self.rounds + 1,
                 )
@@ -118,7 +118,7 @@
 
     def try_again(self) -> Attempt:
         """Start again with a new choice of instances."""
-        return self._turn(Action.CHOOSE_WAYS)
+        return self._turn(Action.CHOOSE_CANDIDATES)
 
     def _turn(self, action: Action) -> Attempt:
         return dataclasses.replace(self, action=action)
