--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.claims.attempt import choose_ways
+from greengagelatch.claims.attempt import choose_candidates
 from greengagelatch.claims.head import Limits
 from greengagelatch.claims.messages import ClaimAnswer, ClaimQuestion
 from greengagelatch.claims.operations import GiveBack, OperationResult, ResultKind
@@ -245,7 +245,7 @@
                 and not self._is_silent(member.instance_id)
             )
         ranked = rank_instances(name_head(shard), members)
-        return choose_ways(self._instance_id, ranked)
+        return choose_candidates(self._instance_id, ranked)
 
     def _is_silent(self, instance_id: str) -> bool:
         since = self._silent.get(instance_id)
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -10,7 +10,7 @@
 from .operations import Acquire, OperationResult, ResultKind
 from .registry import AttemptState, Record
 
-__all__ = ("Action", "Attempt", "choose_ways", "describe_holder")
+__all__ = ("Action", "Attempt", "choose_candidates", "describe_holder")
 
 #: times that an attempt may find the key's holder given back and then lose the key
 #: to another attempt
@@ -124,7 +124,7 @@
         return dataclasses.replace(self, action=action)
 
 
-def choose_ways(own: str, ranked: tuple[str, ...]) -> tuple[str, ...]:
+def choose_candidates(own: str, ranked: tuple[str, ...]) -> tuple[str, ...]:
     """Return the instances that may commit for ``own``, in order of preference.
 
     The shard's preferred writer comes first, as it batches many claims into one
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -5,7 +5,7 @@
 import pytest
 
 from greengagelatch.claims import Token
-from greengagelatch.claims.attempt import MAX_ROUNDS, Action, Attempt, choose_ways
+from greengagelatch.claims.attempt import MAX_ROUNDS, Action, Attempt, choose_candidates
 from greengagelatch.claims.operations import Acquire, OperationResult, ResultKind
 from greengagelatch.claims.outage import Outage, RefuseLater, TryAgain
 from greengagelatch.claims.registry import AttemptState, Record, Registry
@@ -36,7 +36,7 @@
     ],
 )
 def test_ways_begin_with_the_usual_writer(ranked, ways):
-    assert choose_ways("a", ranked) == ways
+    assert choose_candidates("a", ranked) == ways
 
 
 def test_all_ways_are_tried_before_the_store_counts_as_out_of_reach():
