--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -58,7 +58,7 @@
 #: share of the retention within which a keyed request must end
 LONGEST_SHARE = 0.5
 #: actions that still need time before the request can run
-UNFINISHED = (Action.CHOOSE_CANDIDATES, Action.ACQUIRE, Action.OUT_OF_REACH)
+UNFINISHED = (Action.CHOOSE_CANDIDATES, Action.ACQUIRE, Action.STORE_UNREACHABLE)
 #: concurrent runs whose callers have disconnected; further ones are cancelled
 MAX_LEFT = 512
 #: seconds between two removals of expired state
@@ -239,7 +239,7 @@
                 case Action.ASK_HOLDER:
                     record = await self._holders.find(attempt.holder, request.deadline)
                     attempt = attempt.handle_holder(record)
-                case Action.OUT_OF_REACH:
+                case Action.STORE_UNREACHABLE:
                     decision = self._policy.decide(self._describe_outage(request))
                     if isinstance(decision, Refusal):
                         return attempt, self._refuse(request, decision)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -52,7 +52,11 @@
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
 #: actions that tell a caller that nothing of its request ran
-NOT_RUN_ACTIONS = (Action.REFUSE_KEY_REUSED, Action.REFUSE_FULL, Action.OUT_OF_REACH)
+NOT_RUN_ACTIONS = (
+    Action.REFUSE_KEY_REUSED,
+    Action.REFUSE_FULL,
+    Action.STORE_UNREACHABLE,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -299,7 +303,7 @@
             yield from self._time_out(state, number)
         if slot.awaited and budget.give_ups:
             spent = state.change(budget=_spend(budget, "give_ups"))
-            given_up = self._abandon(spent, number, Action.OUT_OF_REACH)
+            given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
             yield f"seeker {number} is given up", given_up
         if slot.attempt.action is Action.ASK_HOLDER:
             yield from self._ask_holder(state, number)
@@ -307,7 +311,7 @@
             yield f"seeker {number} runs", self._run(state, number)
             if budget.not_run:
                 spent = state.change(budget=_spend(budget, "not_run"))
-                refused = self._abandon(spent, number, Action.OUT_OF_REACH)
+                refused = self._abandon(spent, number, Action.STORE_UNREACHABLE)
                 yield f"seeker {number} is refused with nothing sent", refused
 
     def _time_out(self, state: World, number: int) -> Iterator[tuple[str, World]]:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -41,7 +41,7 @@
     #: the shard is at its limit of claims
     REFUSE_FULL = "refuse-full"
     #: no instance that was tried could reach the store
-    OUT_OF_REACH = "out-of-reach"
+    STORE_UNREACHABLE = "out-of-reach"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -67,7 +67,7 @@
     def handle_candidates(self, ways: tuple[str, ...]) -> Attempt:
         """Start with the instances that may commit; an empty tuple means none can."""
         if not ways:
-            return self._turn(Action.OUT_OF_REACH)
+            return self._turn(Action.STORE_UNREACHABLE)
         return dataclasses.replace(self, action=Action.ACQUIRE, candidates=ways, tried=0)
 
     def handle_result(self, result: OperationResult | None) -> Attempt:
@@ -93,7 +93,7 @@
             state = dataclasses.replace(self, doubtful=True)
         if self.tried + 1 < len(self.candidates):
             return dataclasses.replace(state, tried=self.tried + 1)
-        return state._turn(Action.OUT_OF_REACH)
+        return state._turn(Action.STORE_UNREACHABLE)
 
     def handle_holder(self, record: Record | None) -> Attempt:
         """Handle the record of the holder's attempt; ``None`` means it is unknown."""
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -44,7 +44,7 @@
     attempt = attempt.handle_result(None)
     assert (attempt.action, attempt.candidate) == (Action.ACQUIRE, "a")
     attempt = attempt.handle_result(OperationResult(ResultKind.UNREACHABLE))
-    assert attempt.action is Action.OUT_OF_REACH
+    assert attempt.action is Action.STORE_UNREACHABLE
     # the first instance may still commit it
     assert attempt.doubtful
 
