--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -244,7 +244,7 @@
                     if isinstance(decision, Refusal):
                         return attempt, self._refuse(request, decision)
                     await asyncio.sleep(decision.delay)
-                    attempt = attempt.try_again()
+                    attempt = attempt.restart()
                 case Action.RUN:
                     return attempt, None
                 case Action.REPLAY:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -116,7 +116,7 @@
                 return self._turn(Action.REFUSE_UNSETTLED)
         return self._turn(Action.REFUSE_IN_PROGRESS)
 
-    def try_again(self) -> Attempt:
+    def restart(self) -> Attempt:
         """Start again with a new choice of instances."""
         return self._turn(Action.CHOOSE_CANDIDATES)
 
