--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -150,7 +150,7 @@
         timely = answer is None and now < request.deadline
         if timely and self._registry.start(token, now):
             return Permit(token, key)
-        self._abandon(token, key, doubtful=attempt.doubtful)
+        self._abandon(token, key, doubtful=attempt.maybe_committed)
         return answer or self._refuse_late(attempt, request)
 
     def settle(self, permit: Permit, answer: Answer, verdict: Verdict) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -396,7 +396,7 @@
 
     def _abandon(self, state: World, number: int, action: Action) -> World:
         slot = state.slots[number]
-        doubtful = slot.awaited or slot.attempt.doubtful
+        doubtful = slot.awaited or slot.attempt.maybe_committed
         slot = dataclasses.replace(
             slot, state=AttemptState.GIVEN_BACK, told=action, awaited=0
         )
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -57,7 +57,7 @@
     outcome: bytes = b""
     rounds: int = 0
     #: whether the claim may be in the store without a confirmation
-    doubtful: bool = False
+    maybe_committed: bool = False
 
     @property
     def candidate(self) -> str:
@@ -68,7 +68,9 @@
         """Start with the instances that may commit; an empty tuple means none can."""
         if not ways:
             return self._turn(Action.STORE_UNREACHABLE)
-        return dataclasses.replace(self, action=Action.ACQUIRE, candidates=ways, tried=0)
+        return dataclasses.replace(
+            self, action=Action.ACQUIRE, candidates=ways, tried=0
+        )
 
     def handle_result(self, result: OperationResult | None) -> Attempt:
         """Handle the result of the operation; ``None`` means that no answer came.
@@ -79,7 +81,9 @@
         kind = result.kind if result else ResultKind.UNSETTLED
         match kind:
             case ResultKind.GRANTED:
-                return dataclasses.replace(self, action=Action.RUN, doubtful=True)
+                return dataclasses.replace(
+                    self, action=Action.RUN, maybe_committed=True
+                )
             case ResultKind.HELD if result.holder != self.operation.token:
                 return dataclasses.replace(
                     self, action=Action.ASK_HOLDER, holder=result.holder
@@ -90,7 +94,7 @@
                 return self._turn(Action.REFUSE_FULL)
         state = self
         if kind is ResultKind.UNSETTLED:
-            state = dataclasses.replace(self, doubtful=True)
+            state = dataclasses.replace(self, maybe_committed=True)
         if self.tried + 1 < len(self.candidates):
             return dataclasses.replace(state, tried=self.tried + 1)
         return state._turn(Action.STORE_UNREACHABLE)
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -46,7 +46,7 @@
     attempt = attempt.handle_result(OperationResult(ResultKind.UNREACHABLE))
     assert attempt.action is Action.STORE_UNREACHABLE
     # the first instance may still commit it
-    assert attempt.doubtful
+    assert attempt.maybe_committed
 
 
 def test_key_that_is_lost_again_and_again_is_given_up():
