--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -9,7 +9,7 @@
 
 from result import Err, Ok
 
-from greengagelatch.claims.attempt import describe_holder
+from greengagelatch.claims.attempt import mask_pending
 from greengagelatch.claims.messages import (
     HandoverAnswer,
     HandoverQuestion,
@@ -154,7 +154,7 @@
         record = self._registry.find(token)
         remaining = deadline - self._clock.now()
         if record is None or record.state not in OPEN_STATES or remaining <= 0:
-            return describe_holder(record)
+            return mask_pending(record)
         event = asyncio.Event()
         self._waiting[token].add(event)
         try:
@@ -167,7 +167,7 @@
             events.discard(event)
             if not events:
                 self._waiting.pop(token, None)
-        return describe_holder(self._registry.find(token))
+        return mask_pending(self._registry.find(token))
 
     async def _ask(
         self, instance_id: str, token: Token, deadline: float
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -385,7 +385,7 @@
             return
         slot = state.slots[holder.serial - 1]
         record = Record(slot.state, OUTCOME)
-        yield slot.state.value, attempt.describe_holder(record)
+        yield slot.state.value, attempt.mask_pending(record)
 
     def _run(self, state: World, number: int) -> World:
         slot = state.slots[number]
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -10,7 +10,7 @@
 from .operations import Acquire, OperationResult, ResultKind
 from .registry import AttemptState, Record
 
-__all__ = ("Action", "Attempt", "choose_candidates", "describe_holder")
+__all__ = ("Action", "Attempt", "choose_candidates", "mask_pending")
 
 #: times that an attempt may find the key's holder given back and then lose the key
 #: to another attempt
@@ -144,7 +144,7 @@
     return (*ways, *relays[:MAX_RELAYS])
 
 
-def describe_holder(record: Record | None) -> Record | None:
+def mask_pending(record: Record | None) -> Record | None:
     """Return the record of an attempt as it is reported to others.
 
     A pending attempt may be granted its claim at any moment, so it is reported as
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -157,9 +157,7 @@
     ),
     (
         create_forwarded,
-        Mutation(
-            "pending is free", attempt, "describe_holder", describe_pending_as_free
-        ),
+        Mutation("pending is free", attempt, "mask_pending", describe_pending_as_free),
     ),
     (create_reused, Mutation("no digest", operations, "is_same_request", always)),
     (create_reused, Mutation("outdated head", commit, "must_confirm", never)),
