--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -199,7 +199,7 @@
     async def _advance(self, commit: Commit) -> Commit:
         match commit.step:
             case Step.READ_HEAD:
-                return commit.take_head(await self._read(name_head(self._shard)))
+                return commit.handle_head(await self._read(name_head(self._shard)))
             case Step.READ_SEGMENT:
                 key = name_segment(self._shard, commit.missing.number)
                 return commit.take_segment(await self._read(key))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -462,7 +462,7 @@
         match commit.step:
             case Step.READ_HEAD:
                 answer = Ok(state.find(HEAD_KEY))
-                yield label, self._go_on(state, number, commit.take_head(answer))
+                yield label, self._go_on(state, number, commit.handle_head(answer))
                 return
             case Step.READ_SEGMENT:
                 answer = Ok(state.find(commit.missing.number))
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -32,7 +32,7 @@
 class Step(Enum):
     """Next call to the store, and the method that handles its result."""
 
-    #: read the head: :meth:`Commit.take_head`
+    #: read the head: :meth:`Commit.handle_head`
     READ_HEAD = "read-head"
     #: read the segment :attr:`Commit.missing`: :meth:`Commit.take_segment`
     READ_SEGMENT = "read-segment"
@@ -82,7 +82,7 @@
                 return ref
         return None
 
-    def take_head(self, answer: Read) -> Commit:
+    def handle_head(self, answer: Read) -> Commit:
         """Handle the result of reading the head."""
         reads = self.reads + 1
         if reads > MAX_READS:
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -160,7 +160,7 @@
     def advance(self, commit, fate):
         match commit.step:
             case Step.READ_HEAD:
-                return commit.take_head(Ok(self.entries.get(HEAD)))
+                return commit.handle_head(Ok(self.entries.get(HEAD)))
             case Step.READ_SEGMENT:
                 found = self.entries.get(str(commit.missing.number))
                 return commit.take_segment(Ok(found))
@@ -249,7 +249,7 @@
         while commit.step is not Step.DONE:
             steps.append(commit.step)
             if commit.step is Step.READ_HEAD:
-                commit = commit.take_head(Ok(entries.get(HEAD)))
+                commit = commit.handle_head(Ok(entries.get(HEAD)))
                 continue
             applied = WriteResult(WriteOutcome.APPLIED, len(steps))
             commit = commit.take_swapped(applied)
@@ -278,6 +278,6 @@
         limits=LIMITS,
     )
     newer = encode_head(Head()).replace(b"\x01", b"\x02", 1)
-    commit = commit.take_head(Ok(Entry(HEAD, newer, 5)))
+    commit = commit.handle_head(Ok(Entry(HEAD, newer, 5)))
     assert commit.step is Step.DONE
     assert commit.results[0].kind is ResultKind.UNREACHABLE
