--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -202,7 +202,7 @@
                 return commit.handle_head(await self._read(name_head(self._shard)))
             case Step.READ_SEGMENT:
                 key = name_segment(self._shard, commit.missing.number)
-                return commit.take_segment(await self._read(key))
+                return commit.handle_segment(await self._read(key))
             case Step.READ_OBSTACLE:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
                 return commit.take_obstacle(await self._read(key))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -466,7 +466,7 @@
                 return
             case Step.READ_SEGMENT:
                 answer = Ok(state.find(commit.missing.number))
-                yield label, self._go_on(state, number, commit.take_segment(answer))
+                yield label, self._go_on(state, number, commit.handle_segment(answer))
                 return
             case Step.READ_OBSTACLE:
                 answer = Ok(state.find(commit.plan.head.next_segment - 1))
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -34,7 +34,7 @@
 
     #: read the head: :meth:`Commit.handle_head`
     READ_HEAD = "read-head"
-    #: read the segment :attr:`Commit.missing`: :meth:`Commit.take_segment`
+    #: read the segment :attr:`Commit.missing`: :meth:`Commit.handle_segment`
     READ_SEGMENT = "read-segment"
     #: write the segment of the plan: :meth:`Commit.take_sealed`
     WRITE_SEGMENT = "write-segment"
@@ -113,7 +113,7 @@
         state = dataclasses.replace(state, view=view, plan=None, unsettled=False)
         return state._load()
 
-    def take_segment(self, answer: Read) -> Commit:
+    def handle_segment(self, answer: Read) -> Commit:
         """Handle the result of reading a segment."""
         ref = self.missing
         match answer:
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -163,7 +163,7 @@
                 return commit.handle_head(Ok(self.entries.get(HEAD)))
             case Step.READ_SEGMENT:
                 found = self.entries.get(str(commit.missing.number))
-                return commit.take_segment(Ok(found))
+                return commit.handle_segment(Ok(found))
             case Step.READ_OBSTACLE:
                 number = commit.plan.head.next_segment - 1
                 return commit.take_obstacle(Ok(self.entries.get(str(number))))
