--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -211,7 +211,7 @@
                 data = encode_segment(commit.plan.segment)
                 self._metrics.count("claims.segments")
                 written = await self._write(key, data, commit.segment_expected)
-                return commit.take_sealed(written)
+                return commit.handle_segment_write(written)
         data = encode_head(commit.plan.head)
         self._metrics.count("claims.swaps")
         self._metrics.gauge("claims.head_bytes", len(data))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -476,7 +476,7 @@
                 key = commit.plan.head.next_segment - 1
                 value = encode_segment(commit.plan.segment)
                 write = LateSwap(key, value, commit.segment_expected, b"")
-                take = commit.take_sealed
+                take = commit.handle_segment_write
             case Step.SWAP_HEAD:
                 value = encode_head(commit.plan.head)
                 expected = commit.view.revision
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -36,7 +36,7 @@
     READ_HEAD = "read-head"
     #: read the segment :attr:`Commit.missing`: :meth:`Commit.handle_segment`
     READ_SEGMENT = "read-segment"
-    #: write the segment of the plan: :meth:`Commit.take_sealed`
+    #: write the segment of the plan: :meth:`Commit.handle_segment_write`
     WRITE_SEGMENT = "write-segment"
     #: read the entry that conflicts with the segment: :meth:`Commit.take_obstacle`
     READ_OBSTACLE = "read-obstacle"
@@ -132,7 +132,7 @@
         state = dataclasses.replace(self, segments=(*self.segments, (ref, segment)))
         return state._load()
 
-    def take_sealed(self, answer: WriteResult) -> Commit:
+    def handle_segment_write(self, answer: WriteResult) -> Commit:
         """Handle the result of writing the segment."""
         if answer.outcome is WriteOutcome.APPLIED:
             head = self.plan.head
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -171,7 +171,9 @@
                 key = str(commit.plan.head.next_segment - 1)
                 value = encode_segment(commit.plan.segment)
                 expected = commit.segment_expected
-                return commit.take_sealed(self.send(key, value, expected, fate))
+                return commit.handle_segment_write(
+                    self.send(key, value, expected, fate)
+                )
         value = encode_head(commit.plan.head)
         return commit.take_swapped(self.send(HEAD, value, commit.view.revision, fate))
 
