--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -205,7 +205,7 @@
                 return commit.handle_segment(await self._read(key))
             case Step.READ_OBSTACLE:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
-                return commit.take_obstacle(await self._read(key))
+                return commit.handle_conflicting_segment(await self._read(key))
             case Step.WRITE_SEGMENT:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
                 data = encode_segment(commit.plan.segment)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -470,7 +470,12 @@
                 return
             case Step.READ_OBSTACLE:
                 answer = Ok(state.find(commit.plan.head.next_segment - 1))
-                yield label, self._go_on(state, number, commit.take_obstacle(answer))
+                yield (
+                    label,
+                    self._go_on(
+                        state, number, commit.handle_conflicting_segment(answer)
+                    ),
+                )
                 return
             case Step.WRITE_SEGMENT:
                 key = commit.plan.head.next_segment - 1
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -38,7 +38,7 @@
     READ_SEGMENT = "read-segment"
     #: write the segment of the plan: :meth:`Commit.handle_segment_write`
     WRITE_SEGMENT = "write-segment"
-    #: read the entry that conflicts with the segment: :meth:`Commit.take_obstacle`
+    #: read the entry that conflicts with the segment: :meth:`Commit.handle_conflicting_segment`
     READ_OBSTACLE = "read-obstacle"
     #: swap in the head of the plan: :meth:`Commit.take_swapped`
     SWAP_HEAD = "swap-head"
@@ -144,7 +144,7 @@
             return dataclasses.replace(self, step=Step.READ_OBSTACLE)
         return dataclasses.replace(self, seal=False)._evaluate()
 
-    def take_obstacle(self, answer: Read) -> Commit:
+    def handle_conflicting_segment(self, answer: Read) -> Commit:
         """Handle the result of reading the entry that conflicts with the segment."""
         match answer:
             case Ok(Entry() as entry):
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -166,7 +166,9 @@
                 return commit.handle_segment(Ok(found))
             case Step.READ_OBSTACLE:
                 number = commit.plan.head.next_segment - 1
-                return commit.take_obstacle(Ok(self.entries.get(str(number))))
+                return commit.handle_conflicting_segment(
+                    Ok(self.entries.get(str(number)))
+                )
             case Step.WRITE_SEGMENT:
                 key = str(commit.plan.head.next_segment - 1)
                 value = encode_segment(commit.plan.segment)
