--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -203,7 +203,7 @@
             case Step.READ_SEGMENT:
                 key = name_segment(self._shard, commit.missing.number)
                 return commit.handle_segment(await self._read(key))
-            case Step.READ_OBSTACLE:
+            case Step.READ_CONFLICTING_SEGMENT:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
                 return commit.handle_conflicting_segment(await self._read(key))
             case Step.WRITE_SEGMENT:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -468,7 +468,7 @@
                 answer = Ok(state.find(commit.missing.number))
                 yield label, self._go_on(state, number, commit.handle_segment(answer))
                 return
-            case Step.READ_OBSTACLE:
+            case Step.READ_CONFLICTING_SEGMENT:
                 answer = Ok(state.find(commit.plan.head.next_segment - 1))
                 yield (
                     label,
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -39,7 +39,7 @@
     #: write the segment of the plan: :meth:`Commit.handle_segment_write`
     WRITE_SEGMENT = "write-segment"
     #: read the entry that conflicts with the segment: :meth:`Commit.handle_conflicting_segment`
-    READ_OBSTACLE = "read-obstacle"
+    READ_CONFLICTING_SEGMENT = "read-obstacle"
     #: swap in the head of the plan: :meth:`Commit.take_swapped`
     SWAP_HEAD = "swap-head"
     #: no further call: :attr:`Commit.results` are final
@@ -141,7 +141,7 @@
             plan = dataclasses.replace(self.plan, head=head)
             return dataclasses.replace(self, plan=plan, step=Step.SWAP_HEAD)
         if answer.outcome is WriteOutcome.CONFLICT and not self.segment_expected:
-            return dataclasses.replace(self, step=Step.READ_OBSTACLE)
+            return dataclasses.replace(self, step=Step.READ_CONFLICTING_SEGMENT)
         return dataclasses.replace(self, seal=False)._evaluate()
 
     def handle_conflicting_segment(self, answer: Read) -> Commit:
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -164,7 +164,7 @@
             case Step.READ_SEGMENT:
                 found = self.entries.get(str(commit.missing.number))
                 return commit.handle_segment(Ok(found))
-            case Step.READ_OBSTACLE:
+            case Step.READ_CONFLICTING_SEGMENT:
                 number = commit.plan.head.next_segment - 1
                 return commit.handle_conflicting_segment(
                     Ok(self.entries.get(str(number)))
