--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -218,7 +218,7 @@
         written = await self._write(name_head(self._shard), data, commit.view.revision)
         if written.outcome is not WriteOutcome.APPLIED:
             self._metrics.count(f"claims.swap_{written.outcome.value}")
-        return commit.take_swapped(written)
+        return commit.handle_head_swap(written)
 
     async def _read(self, key: str) -> Result[Entry | None, StoreError]:
         self._metrics.count("claims.reads")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -486,7 +486,7 @@
                 value = encode_head(commit.plan.head)
                 expected = commit.view.revision
                 write = LateSwap(HEAD_KEY, value, expected, commit.batch_id)
-                take = commit.take_swapped
+                take = commit.handle_head_swap
         done, result = self._swap(state, write)
         text = f"{label}: {result.outcome.value}"
         yield text, self._go_on(done, number, take(result))
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -40,7 +40,7 @@
     WRITE_SEGMENT = "write-segment"
     #: read the entry that conflicts with the segment: :meth:`Commit.handle_conflicting_segment`
     READ_CONFLICTING_SEGMENT = "read-obstacle"
-    #: swap in the head of the plan: :meth:`Commit.take_swapped`
+    #: swap in the head of the plan: :meth:`Commit.handle_head_swap`
     SWAP_HEAD = "swap-head"
     #: no further call: :attr:`Commit.results` are final
     DONE = "done"
@@ -157,7 +157,7 @@
             self, segment_expected=entry.revision, step=Step.WRITE_SEGMENT
         )
 
-    def take_swapped(self, answer: WriteResult) -> Commit:
+    def handle_head_swap(self, answer: WriteResult) -> Commit:
         """Handle the result of swapping the head."""
         match answer.outcome:
             case WriteOutcome.APPLIED:
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -177,7 +177,9 @@
                     self.send(key, value, expected, fate)
                 )
         value = encode_head(commit.plan.head)
-        return commit.take_swapped(self.send(HEAD, value, commit.view.revision, fate))
+        return commit.handle_head_swap(
+            self.send(HEAD, value, commit.view.revision, fate)
+        )
 
     def send(self, key, value, expected, fate):
         match fate.pop(0) if fate else "answered":
@@ -256,7 +258,7 @@
                 commit = commit.handle_head(Ok(entries.get(HEAD)))
                 continue
             applied = WriteResult(WriteOutcome.APPLIED, len(steps))
-            commit = commit.take_swapped(applied)
+            commit = commit.handle_head_swap(applied)
         commit = begin(
             (Acquire(KEYS[1], DIGESTS[0], Token("one", 1, 2)),),
             batch_id=b"2",
