--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -201,7 +201,7 @@
             case Step.READ_HEAD:
                 return commit.handle_head(await self._read(name_head(self._shard)))
             case Step.READ_SEGMENT:
-                key = name_segment(self._shard, commit.missing.number)
+                key = name_segment(self._shard, commit.missing_segment.number)
                 return commit.handle_segment(await self._read(key))
             case Step.READ_CONFLICTING_SEGMENT:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -465,7 +465,7 @@
                 yield label, self._go_on(state, number, commit.handle_head(answer))
                 return
             case Step.READ_SEGMENT:
-                answer = Ok(state.find(commit.missing.number))
+                answer = Ok(state.find(commit.missing_segment.number))
                 yield label, self._go_on(state, number, commit.handle_segment(answer))
                 return
             case Step.READ_CONFLICTING_SEGMENT:
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -74,7 +74,7 @@
     results: tuple[OperationResult, ...] = ()
 
     @property
-    def missing(self) -> SegmentRef | None:
+    def missing_segment(self) -> SegmentRef | None:
         """First needed segment that has not been read yet."""
         known = {ref for ref, _ in self.segments}
         for ref in self._needed():
@@ -115,7 +115,7 @@
 
     def handle_segment(self, answer: Read) -> Commit:
         """Handle the result of reading a segment."""
-        ref = self.missing
+        ref = self.missing_segment
         match answer:
             case Ok(Entry(revision=ref.revision) as entry):
                 pass
@@ -170,7 +170,7 @@
         return dataclasses.replace(self, step=Step.READ_HEAD, unsettled=True)
 
     def _load(self) -> Commit:
-        if self.missing is not None:
+        if self.missing_segment is not None:
             return dataclasses.replace(self, step=Step.READ_SEGMENT)
         known = dict(self.segments)
         refs = self._needed()
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -162,7 +162,7 @@
             case Step.READ_HEAD:
                 return commit.handle_head(Ok(self.entries.get(HEAD)))
             case Step.READ_SEGMENT:
-                found = self.entries.get(str(commit.missing.number))
+                found = self.entries.get(str(commit.missing_segment.number))
                 return commit.handle_segment(Ok(found))
             case Step.READ_CONFLICTING_SEGMENT:
                 number = commit.plan.head.next_segment - 1
