--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from greengagelatch.claims.commit import Commit, Step, begin
+from greengagelatch.claims.commit import Commit, Step, create_commit
 from greengagelatch.claims.encoding import encode_head, encode_segment
 from greengagelatch.claims.operations import OperationResult, ResultKind
 from greengagelatch.claims.scope import name_head, name_segment
@@ -178,7 +178,7 @@
 
     async def _commit(self, operations: tuple[Operation, ...]) -> Commit:
         batch_id = self._random.getrandbits(BATCH_ID_BITS).to_bytes(BATCH_ID_BYTES)
-        commit = begin(
+        commit = create_commit(
             operations,
             batch_id=batch_id,
             now=int(self._clock.wall()),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -16,7 +16,7 @@
 
 from greengagelatch.claims import Claim, Token, attempt, registry
 from greengagelatch.claims.attempt import Action, Attempt
-from greengagelatch.claims.commit import Commit, Step, begin
+from greengagelatch.claims.commit import Commit, Step, create_commit
 from greengagelatch.claims.encoding import (
     decode_head,
     decode_segment,
@@ -432,7 +432,7 @@
         writer = state.writers[number]
         if writer.commit is not None or not writer.queue:
             return state
-        commit = begin(
+        commit = create_commit(
             tuple(letter.operation for letter in writer.queue),
             batch_id=bytes([number, writer.batches]),
             now=NOW,
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -20,7 +20,7 @@
     is_needed,
 )
 
-__all__ = ("Commit", "Step", "begin")
+__all__ = ("Commit", "Step", "create_commit")
 
 #: reads of the head for one batch before its operations fail; each further read means
 #: that another writer has swapped the head or that a swap was not confirmed
@@ -225,7 +225,7 @@
         return dataclasses.replace(self, step=Step.DONE, view=None, results=results)
 
 
-def begin(
+def create_commit(
     operations: tuple[Operation, ...],
     *,
     batch_id: bytes,
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -15,7 +15,7 @@
 from result import Ok
 
 from greengagelatch.claims import Token, operations
-from greengagelatch.claims.commit import Step, begin
+from greengagelatch.claims.commit import Step, create_commit
 from greengagelatch.claims.encoding import decode_head, encode_head, encode_segment
 from greengagelatch.claims.head import Head, Limits
 from greengagelatch.claims.operations import Acquire, GiveBack, ResultKind
@@ -143,7 +143,7 @@
         """Take one operation through all steps; ``fate`` is that of its writes."""
         view, segments = self.caches[writer]
         self.batches += 1
-        commit = begin(
+        commit = create_commit(
             (operation,),
             batch_id=self.batches.to_bytes(4),
             now=self.now + OFFSETS[writer],
@@ -244,7 +244,7 @@
 def test_batch_on_a_known_head_takes_one_write():
     """The usual writer must not read the head for every batch."""
     steps = []
-    commit = begin(
+    commit = create_commit(
         (Acquire(KEYS[0], DIGESTS[0], Token("one", 1, 1)),),
         batch_id=b"1",
         now=1000,
@@ -259,7 +259,7 @@
                 continue
             applied = WriteResult(WriteOutcome.APPLIED, len(steps))
             commit = commit.handle_head_swap(applied)
-        commit = begin(
+        commit = create_commit(
             (Acquire(KEYS[1], DIGESTS[0], Token("one", 1, 2)),),
             batch_id=b"2",
             now=1000,
@@ -277,7 +277,7 @@
     Sequence: the newer instance swaps, the older one reads and swaps in turn.
     Cause: a value that can't be read was taken for an empty shard.
     """
-    commit = begin(
+    commit = create_commit(
         (Acquire(KEYS[0], DIGESTS[0], Token("one", 1, 1)),),
         batch_id=b"1",
         now=1000,
