--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -107,7 +107,7 @@
                 # the unconfirmed swap may still arrive: a second one with the same
                 # expected revision lets only one of the two succeed
                 return dataclasses.replace(state, step=Step.SWAP_HEAD)
-            if is_beyond_ring(self.plan, head):
+            if is_batch_id_evicted(self.plan, head):
                 return state._fail()
         view = View(head, revision)
         state = dataclasses.replace(state, view=view, plan=None, unsettled=False)
@@ -261,7 +261,7 @@
     return head.sequence >= plan.head.sequence and batch_id in head.batches
 
 
-def is_beyond_ring(plan: Plan, head: Head) -> bool:
+def is_batch_id_evicted(plan: Plan, head: Head) -> bool:
     """Whether the batch id of an unconfirmed swap may have left the head."""
     return head.sequence - plan.head.sequence >= len(head.batches)
 
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -185,7 +185,7 @@
     Its claim was given back meanwhile. If it took the missing id for a swap that
     failed, it would claim the key again, for an attempt that is over.
     """
-    mutation = Mutation("no ring check", commit, "is_beyond_ring", never)
+    mutation = Mutation("no ring check", commit, "is_batch_id_evicted", never)
 
     def create_model() -> ClaimsModel:
         return ClaimsModel(
