--- a/packages/greengagelatch/src/greengagelatch/claims/head.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/head.py
@@ -16,11 +16,11 @@
     unpack_claims,
 )
 
-__all__ = ("RING_SIZE", "Head", "Limits", "Segment", "SegmentRef", "View")
+__all__ = ("MAX_BATCH_IDS", "Head", "Limits", "Segment", "SegmentRef", "View")
 
 #: number of recent batch ids in a head; a writer that reads the head back more than
 #: that many swaps after its own can't tell whether its batch took effect
-RING_SIZE = 64
+MAX_BATCH_IDS = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from . import Claim, ClaimState, Token
-from .head import RING_SIZE, Head, Limits, Segment, SegmentRef, View
+from .head import MAX_BATCH_IDS, Head, Limits, Segment, SegmentRef, View
 
 __all__ = (
     "Acquire",
@@ -130,7 +130,7 @@
         retired=tuple(ref for ref in head.retired if ref.number not in deleted)
         + tuple(ref for ref in head.segments if not is_needed(ref, now, limits)),
         next_segment=head.next_segment,
-        batches=(*head.batches, batch_id)[-RING_SIZE:],
+        batches=(*head.batches, batch_id)[-MAX_BATCH_IDS:],
     )
     plan = Plan(proposed, tuple(results), changed)
     if not seal or not changed or len(kept) <= limits.head_claims:
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -194,7 +194,7 @@
             budget=Budget(give_ups=1, lost_swaps=1, resends=1),
         )
 
-    with mock.patch.object(operations, "RING_SIZE", 1):
+    with mock.patch.object(operations, "MAX_BATCH_IDS", 1):
         sound = explore(create_model(), max_states=MAX_STATES)
         results = explore_mutations(create_model, [mutation], max_states=MAX_STATES)
     print(f"ring of one: {sound.states} states, {results[mutation.name].violation}")
