--- a/packages/greengagelatch/src/greengagelatch/claims/encoding.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/encoding.py
@@ -113,4 +113,4 @@
 
 
 def _list_ref(ref: SegmentRef) -> list[int]:
-    return [ref.number, ref.revision, ref.claims, ref.forget_at]
+    return [ref.number, ref.revision, ref.claims, ref.expires_at]
--- a/packages/greengagelatch/src/greengagelatch/claims/head.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/head.py
@@ -49,7 +49,7 @@
     revision: int
     claims: int
     #: wall-clock seconds after which all its claims have expired
-    forget_at: int
+    expires_at: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -157,7 +157,7 @@
 
 def is_needed(ref: SegmentRef, now: int, limits: Limits) -> bool:
     """Whether a sealed segment may contain an unexpired claim."""
-    return now <= ref.forget_at + limits.clock_margin
+    return now <= ref.expires_at + limits.clock_margin
 
 
 def may_acquire(operation: Acquire, current: Claim | None) -> bool:
@@ -275,7 +275,7 @@
         number=head.next_segment,
         revision=0,
         claims=len(segment),
-        forget_at=max(claim.forget_at for claim in sealed.values()),
+        expires_at=max(claim.forget_at for claim in sealed.values()),
     )
     sealed_head = dataclasses.replace(
         head,
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -124,7 +124,7 @@
         assert len(head.claims) <= 2 * LIMITS.head_claims
         assert len(head.segments) <= LIMITS.segments
         for ref in head.segments:
-            if ref.forget_at + LIMITS.clock_margin + RETENTION < self.now:
+            if ref.expires_at + LIMITS.clock_margin + RETENTION < self.now:
                 continue
             assert self.entries[str(ref.number)].revision == ref.revision
 
