--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -171,5 +171,5 @@
         key=create_key("workspace", "pipeline", str(number)),
         digest=create_digest(str(number)),
         token=Token(f"entry-{number % 570:05d}", 2**62 + number % 570, abs(number)),
-        forget_at=1_780_001_200,
+        expires_at=1_780_001_200,
     )
--- a/packages/greengagelatch/src/greengagelatch/claims/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/__init__.py
@@ -52,5 +52,5 @@
     digest: bytes
     token: Token
     #: wall-clock seconds after which the claim may be dropped
-    forget_at: int
+    expires_at: int
     state: ClaimState = ClaimState.CLAIMED
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -152,7 +152,7 @@
     Without the margin, an instance whose clock is fast would drop a claim whose key
     may still be repeated, and the request would run twice.
     """
-    return now > claim.forget_at + limits.clock_margin
+    return now > claim.expires_at + limits.clock_margin
 
 
 def is_needed(ref: SegmentRef, now: int, limits: Limits) -> bool:
@@ -275,7 +275,7 @@
         number=head.next_segment,
         revision=0,
         claims=len(segment),
-        expires_at=max(claim.forget_at for claim in sealed.values()),
+        expires_at=max(claim.expires_at for claim in sealed.values()),
     )
     sealed_head = dataclasses.replace(
         head,
--- a/packages/greengagelatch/src/greengagelatch/claims/packing.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/packing.py
@@ -47,7 +47,7 @@
             claim.digest,
             index,
             token.serial,
-            claim.forget_at,
+            claim.expires_at,
             claim.state,
         )
     return tuple(indexes), bytes(packed)
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -210,7 +210,7 @@
 
 
 def forget_by_own_clock(claim, now, limits) -> bool:
-    return now > claim.forget_at
+    return now > claim.expires_at
 
 
 def free_any(operation, current) -> bool:
--- a/tests/test_core/test_claims/test_operations.py
+++ b/tests/test_core/test_claims/test_operations.py
@@ -48,7 +48,7 @@
     head = apply(Head(), claim(FIRST), now=1000).head
     other = Acquire(b"o" * 16, b"d" * 8, SECOND)
     head = apply(head, other, now=900).head
-    assert head.claims[-1].forget_at == 1000 + LIMITS.retention
+    assert head.claims[-1].expires_at == 1000 + LIMITS.retention
 
 
 def test_late_give_back_leaves_the_newer_claim():
