--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -108,7 +108,7 @@
     changed = False
     for operation in operations:
         current = find_claim(claims, view, operation.key)
-        if current is not None and is_forgotten(current, now, limits):
+        if current is not None and is_expired(current, now, limits):
             current = None
         if isinstance(operation, GiveBack):
             result = _give_back(claims, view, operation, current)
@@ -119,7 +119,7 @@
             changed |= added
         results.append(result)
     kept = tuple(
-        claim for claim in claims.values() if not is_forgotten(claim, now, limits)
+        claim for claim in claims.values() if not is_expired(claim, now, limits)
     )
     changed |= bool(deleted.intersection(ref.number for ref in head.retired))
     proposed = Head(
@@ -146,7 +146,7 @@
     return _find_sealed(view, key)
 
 
-def is_forgotten(claim: Claim, now: int, limits: Limits) -> bool:
+def is_expired(claim: Claim, now: int, limits: Limits) -> bool:
     """Whether a claim has expired by the clock of every instance.
 
     Without the margin, an instance whose clock is fast would drop a claim whose key
@@ -263,7 +263,7 @@
         older = {
             claim.key: claim
             for claim in newest.claims
-            if not is_forgotten(claim, now, limits)
+            if not is_expired(claim, now, limits)
         }
         sealed = older | sealed
         retired = (*retired, refs[-1])
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize(
     ("guard", "replacement"),
-    [("is_forgotten", forget_by_own_clock), ("may_give_back", free_any)],
+    [("is_expired", forget_by_own_clock), ("may_give_back", free_any)],
 )
 def test_random_histories_notice_a_missing_guard(guard, replacement):
     """Clocks that differ are not part of the exhaustive exploration."""
