--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -18,7 +18,7 @@
 
     from result import Result
 
-    from greengagelatch.claims.head import Limits, Segment, SegmentRef, View
+    from greengagelatch.claims.head import Limits, Segment, SegmentRef, ShardView
     from greengagelatch.claims.operations import Operation
     from greengagelatch.clock import Clock
     from greengagelatch.store import Entry, Store, StoreError, WriteResult
@@ -81,7 +81,7 @@
         self._metrics = metrics
         self._queue: list[_Waiting] = []
         self._task: asyncio.Task[None] | None = None
-        self._view: View | None = None
+        self._view: ShardView | None = None
         self._segments: tuple[tuple[SegmentRef, Segment], ...] = ()
         self._deleted: frozenset[int] = frozenset()
         self._paced = clock.now() - BURST * interval
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -23,7 +23,7 @@
     encode_head,
     encode_segment,
 )
-from greengagelatch.claims.head import Head, Limits, View
+from greengagelatch.claims.head import Head, Limits, ShardView
 from greengagelatch.claims.operations import (
     Acquire,
     GiveBack,
@@ -120,7 +120,7 @@
     queue: tuple[Letter, ...] = ()
     batch: tuple[Letter, ...] = ()
     commit: Commit | None = None
-    view: View | None = None
+    view: ShardView | None = None
     segments: tuple[Any, ...] = ()
     batches: int = 0
 
@@ -597,7 +597,7 @@
             if found is None or found.revision != ref.revision:
                 continue
             segments.append(decode_segment(found.value).unwrap())
-        view = View(head, entry.revision, tuple(segments))
+        view = ShardView(head, entry.revision, tuple(segments))
         claims = {claim.key: claim for claim in head.claims}
         keys = {seeker.key for seeker in self._seekers} | {FILLER.key}
         found = (find_claim(claims, view, key) for key in sorted(keys))
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -10,7 +10,7 @@
 
 from ..store import ABSENT, Entry, StoreError, WriteOutcome, WriteResult
 from .encoding import decode_head, decode_segment
-from .head import Head, Limits, Segment, SegmentRef, View
+from .head import Head, Limits, Segment, SegmentRef, ShardView
 from .operations import (
     Operation,
     OperationResult,
@@ -58,7 +58,7 @@
     deleted: frozenset[int] = frozenset()
     step: Step = Step.READ_HEAD
     #: cached state of the shard; ``None`` if it is known to be stale
-    view: View | None = None
+    view: ShardView | None = None
     #: segments already read; they are immutable, so they stay valid for later heads
     segments: tuple[tuple[SegmentRef, Segment], ...] = ()
     #: whether the view was read after the batch began
@@ -102,14 +102,14 @@
         state = dataclasses.replace(self, reads=reads, fresh=True)
         if self.unsettled:
             if is_applied(self.plan, self.batch_id, head):
-                return state._finish(self.plan, View(head, revision))
+                return state._finish(self.plan, ShardView(head, revision))
             if revision == self.view.revision:
                 # the unconfirmed swap may still arrive: a second one with the same
                 # expected revision lets only one of the two succeed
                 return dataclasses.replace(state, step=Step.SWAP_HEAD)
             if is_batch_id_evicted(self.plan, head):
                 return state._fail()
-        view = View(head, revision)
+        view = ShardView(head, revision)
         state = dataclasses.replace(state, view=view, plan=None, unsettled=False)
         return state._load()
 
@@ -161,7 +161,7 @@
         """Handle the result of swapping the head."""
         match answer.outcome:
             case WriteOutcome.APPLIED:
-                view = View(self.plan.head, answer.revision)
+                view = ShardView(self.plan.head, answer.revision)
                 return self._finish(self.plan, view)
             case WriteOutcome.NOT_APPLIED:
                 return self._fail()
@@ -207,7 +207,7 @@
             return dataclasses.replace(state, step=Step.READ_HEAD)
         return dataclasses.replace(state, step=Step.DONE, results=plan.results)
 
-    def _finish(self, plan: Plan, view: View) -> Commit:
+    def _finish(self, plan: Plan, view: ShardView) -> Commit:
         segments = self.segments
         if plan.segment is not None and view.head.segments:
             segments = (*segments, (view.head.segments[-1], plan.segment))
@@ -231,7 +231,7 @@
     batch_id: bytes,
     now: int,
     limits: Limits,
-    view: View | None = None,
+    view: ShardView | None = None,
     segments: tuple[tuple[SegmentRef, Segment], ...] = (),
     deleted: frozenset[int] = frozenset(),
 ) -> Commit:
@@ -276,7 +276,7 @@
     return not fresh
 
 
-def may_overwrite(found: Segment, view: View) -> bool:
+def may_overwrite(found: Segment, view: ShardView) -> bool:
     """Whether a segment is an orphan of a writer whose swap failed.
 
     It was created for a head that is no longer current, so no swap that refers to
--- a/packages/greengagelatch/src/greengagelatch/claims/head.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/head.py
@@ -16,7 +16,7 @@
     unpack_claims,
 )
 
-__all__ = ("MAX_BATCH_IDS", "Head", "Limits", "Segment", "SegmentRef", "View")
+__all__ = ("MAX_BATCH_IDS", "Head", "Limits", "Segment", "SegmentRef", "ShardView")
 
 #: number of recent batch ids in a head; a writer that reads the head back more than
 #: that many swaps after its own can't tell whether its batch took effect
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class ShardView:
     """A head at one revision, with the contents of its unexpired segments."""
 
     head: Head
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from . import Claim, ClaimState, Token
-from .head import MAX_BATCH_IDS, Head, Limits, Segment, SegmentRef, View
+from .head import MAX_BATCH_IDS, Head, Limits, Segment, SegmentRef, ShardView
 
 __all__ = (
     "Acquire",
@@ -83,7 +83,7 @@
 
 
 def create_plan(
-    view: View,
+    view: ShardView,
     operations: tuple[Operation, ...],
     *,
     batch_id: bytes,
@@ -138,7 +138,7 @@
     return _seal(plan, view, now, limits)
 
 
-def find_claim(claims: dict[bytes, Claim], view: View, key: bytes) -> Claim | None:
+def find_claim(claims: dict[bytes, Claim], view: ShardView, key: bytes) -> Claim | None:
     """Return the newest record of ``key``, from the head or a sealed segment."""
     current = claims.get(key)
     if current is not None:
@@ -189,7 +189,7 @@
     return operation.digest == current.digest
 
 
-def is_sealed(view: View, key: bytes) -> bool:
+def is_sealed(view: ShardView, key: bytes) -> bool:
     """Whether a sealed segment contains a record of ``key``."""
     return _find_sealed(view, key) is not None
 
@@ -223,7 +223,10 @@
 
 
 def _give_back(
-    claims: dict[bytes, Claim], view: View, operation: GiveBack, current: Claim | None
+    claims: dict[bytes, Claim],
+    view: ShardView,
+    operation: GiveBack,
+    current: Claim | None,
 ) -> OperationResult:
     if not may_give_back(operation, current):
         return OperationResult(ResultKind.HELD, current.token if current else None)
@@ -237,7 +240,7 @@
     return OperationResult(ResultKind.GIVEN_BACK)
 
 
-def _find_sealed(view: View, key: bytes) -> Claim | None:
+def _find_sealed(view: ShardView, key: bytes) -> Claim | None:
     for segment in reversed(view.segments):
         claim = segment.find(key)
         if claim is not None:
@@ -245,7 +248,7 @@
     return None
 
 
-def _seal(plan: Plan, view: View, now: int, limits: Limits) -> Plan:
+def _seal(plan: Plan, view: ShardView, now: int, limits: Limits) -> Plan:
     """Move the older half of the claims to a segment, merged with the newest one."""
     head = plan.head
     half = len(head.claims) - limits.head_claims // 2
--- a/tests/test_core/test_claims/test_operations.py
+++ b/tests/test_core/test_claims/test_operations.py
@@ -5,7 +5,7 @@
 import pytest
 
 from greengagelatch.claims import Token
-from greengagelatch.claims.head import Head, Limits, View
+from greengagelatch.claims.head import Head, Limits, ShardView
 from greengagelatch.claims.operations import (
     Acquire,
     GiveBack,
@@ -26,7 +26,9 @@
 
 
 def apply(head: Head, *operations: object, now: int = 1000):
-    return create_plan(View(head, 1), operations, batch_id=b"1", now=now, limits=LIMITS)
+    return create_plan(
+        ShardView(head, 1), operations, batch_id=b"1", now=now, limits=LIMITS
+    )
 
 
 def test_clock_that_is_fast_within_the_margin_forgets_nothing():
@@ -79,7 +81,7 @@
         for number in range(2 * LIMITS.head_claims + 1)
     ]
     plan = create_plan(
-        View(Head(), 1),
+        ShardView(Head(), 1),
         tuple(operations),
         batch_id=b"1",
         now=1000,
