--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from greengagelatch.claims.attempt import choose_candidates
-from greengagelatch.claims.head import Limits
+from greengagelatch.claims.head import ShardLimits
 from greengagelatch.claims.messages import ClaimAnswer, ClaimQuestion
 from greengagelatch.claims.operations import GiveBack, OperationResult, ResultKind
 from greengagelatch.claims.scope import choose_shard, name_head, rank_instances
@@ -75,7 +75,7 @@
         self._instance_id = instance_id
         self._interval: float = settings["claims.interval"]
         self._forward_timeout: float = settings["claims.forward_timeout"]
-        self._limits = Limits(
+        self._limits = ShardLimits(
             retention=settings["claims.retention"],
             clock_margin=settings["claims.clock_margin"],
             head_claims=settings["claims.head_claims"],
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -18,7 +18,7 @@
 
     from result import Result
 
-    from greengagelatch.claims.head import Limits, Segment, SegmentRef, ShardView
+    from greengagelatch.claims.head import Segment, SegmentRef, ShardLimits, ShardView
     from greengagelatch.claims.operations import Operation
     from greengagelatch.clock import Clock
     from greengagelatch.store import Entry, Store, StoreError, WriteResult
@@ -68,7 +68,7 @@
         store: Store,
         clock: Clock,
         random_source: random.Random,
-        limits: Limits,
+        limits: ShardLimits,
         interval: float,
         metrics: Metrics,
     ) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -11,7 +11,7 @@
 
 from greengagelatch.claims import Claim, Token
 from greengagelatch.claims.encoding import encode_segment
-from greengagelatch.claims.head import Limits, Segment
+from greengagelatch.claims.head import Segment, ShardLimits
 from greengagelatch.claims.operations import Acquire, ResultKind
 from greengagelatch.claims.scope import create_digest, create_key
 from greengagelatch.clock import SystemClock
@@ -138,7 +138,7 @@
 
 
 def _create_writer(store: MemoryStore) -> ShardWriter:
-    limits = Limits(
+    limits = ShardLimits(
         retention=1200,
         clock_margin=60,
         head_claims=400,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -23,7 +23,7 @@
     encode_head,
     encode_segment,
 )
-from greengagelatch.claims.head import Head, Limits, ShardView
+from greengagelatch.claims.head import Head, ShardLimits, ShardView
 from greengagelatch.claims.operations import (
     Acquire,
     GiveBack,
@@ -202,7 +202,7 @@
         self._budget = budget
         self._filler = filler
         self._final_give_backs = final_give_backs
-        self._limits = Limits(
+        self._limits = ShardLimits(
             retention=600,
             clock_margin=60,
             head_claims=1 if filler else 8,
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -10,7 +10,7 @@
 
 from ..store import ABSENT, Entry, StoreError, WriteOutcome, WriteResult
 from .encoding import decode_head, decode_segment
-from .head import Head, Limits, Segment, SegmentRef, ShardView
+from .head import Head, Segment, SegmentRef, ShardLimits, ShardView
 from .operations import (
     Operation,
     OperationResult,
@@ -54,7 +54,7 @@
     operations: tuple[Operation, ...]
     #: wall-clock seconds
     now: int
-    limits: Limits
+    limits: ShardLimits
     deleted: frozenset[int] = frozenset()
     step: Step = Step.READ_HEAD
     #: cached state of the shard; ``None`` if it is known to be stale
@@ -230,7 +230,7 @@
     *,
     batch_id: bytes,
     now: int,
-    limits: Limits,
+    limits: ShardLimits,
     view: ShardView | None = None,
     segments: tuple[tuple[SegmentRef, Segment], ...] = (),
     deleted: frozenset[int] = frozenset(),
--- a/packages/greengagelatch/src/greengagelatch/claims/head.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/head.py
@@ -16,7 +16,7 @@
     unpack_claims,
 )
 
-__all__ = ("MAX_BATCH_IDS", "Head", "Limits", "Segment", "SegmentRef", "ShardView")
+__all__ = ("MAX_BATCH_IDS", "Head", "ShardLimits", "Segment", "SegmentRef", "ShardView")
 
 #: number of recent batch ids in a head; a writer that reads the head back more than
 #: that many swaps after its own can't tell whether its batch took effect
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Limits:
+class ShardLimits:
     """Limits of a shard."""
 
     #: seconds for which a claim is kept
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from . import Claim, ClaimState, Token
-from .head import MAX_BATCH_IDS, Head, Limits, Segment, SegmentRef, ShardView
+from .head import MAX_BATCH_IDS, Head, Segment, SegmentRef, ShardLimits, ShardView
 
 __all__ = (
     "Acquire",
@@ -88,7 +88,7 @@
     *,
     batch_id: bytes,
     now: int,
-    limits: Limits,
+    limits: ShardLimits,
     seal: bool = True,
     deleted: frozenset[int] = frozenset(),
 ) -> Plan:
@@ -146,7 +146,7 @@
     return _find_sealed(view, key)
 
 
-def is_expired(claim: Claim, now: int, limits: Limits) -> bool:
+def is_expired(claim: Claim, now: int, limits: ShardLimits) -> bool:
     """Whether a claim has expired by the clock of every instance.
 
     Without the margin, an instance whose clock is fast would drop a claim whose key
@@ -155,7 +155,7 @@
     return now > claim.expires_at + limits.clock_margin
 
 
-def is_needed(ref: SegmentRef, now: int, limits: Limits) -> bool:
+def is_needed(ref: SegmentRef, now: int, limits: ShardLimits) -> bool:
     """Whether a sealed segment may contain an unexpired claim."""
     return now <= ref.expires_at + limits.clock_margin
 
@@ -200,7 +200,7 @@
     current: Claim | None,
     room: bool,
     stamp: int,
-    limits: Limits,
+    limits: ShardLimits,
 ) -> tuple[OperationResult, bool]:
     """Return the result, and whether a claim was added."""
     if current is not None and current.token == operation.token:
@@ -248,7 +248,7 @@
     return None
 
 
-def _seal(plan: Plan, view: ShardView, now: int, limits: Limits) -> Plan:
+def _seal(plan: Plan, view: ShardView, now: int, limits: ShardLimits) -> Plan:
     """Move the older half of the claims to a segment, merged with the newest one."""
     head = plan.head
     half = len(head.claims) - limits.head_claims // 2
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -17,12 +17,12 @@
 from greengagelatch.claims import Token, operations
 from greengagelatch.claims.commit import Step, create_commit
 from greengagelatch.claims.encoding import decode_head, encode_head, encode_segment
-from greengagelatch.claims.head import Head, Limits
+from greengagelatch.claims.head import Head, ShardLimits
 from greengagelatch.claims.operations import Acquire, GiveBack, ResultKind
 from greengagelatch.store import ABSENT, Entry, WriteOutcome, WriteResult
 
 RETENTION = 100
-LIMITS = Limits(
+LIMITS = ShardLimits(
     retention=RETENTION, clock_margin=50, head_claims=3, segment_claims=6, segments=8
 )
 #: seconds by which the writers' clocks are off; they differ by less than the margin
--- a/tests/test_core/test_claims/test_operations.py
+++ b/tests/test_core/test_claims/test_operations.py
@@ -5,7 +5,7 @@
 import pytest
 
 from greengagelatch.claims import Token
-from greengagelatch.claims.head import Head, Limits, ShardView
+from greengagelatch.claims.head import Head, ShardLimits, ShardView
 from greengagelatch.claims.operations import (
     Acquire,
     GiveBack,
@@ -13,7 +13,7 @@
     create_plan,
 )
 
-LIMITS = Limits(
+LIMITS = ShardLimits(
     retention=100, clock_margin=50, head_claims=8, segment_claims=8, segments=2
 )
 KEY = b"k" * 16
