--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.claims import Token
-    from greengagelatch.claims.registry import Record, Registry
+    from greengagelatch.claims.registry import AttemptRegistry, Record
     from greengagelatch.clock import Clock
     from greengagelatch.peers import PeerNetwork
 
@@ -67,7 +67,7 @@
     def __init__(
         self,
         *,
-        registry: Registry,
+        registry: AttemptRegistry,
         peers: PeerNetwork | None,
         clock: Clock,
         metrics: Metrics,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -29,7 +29,7 @@
     refuse_long,
     refuse_lost,
 )
-from greengagelatch.claims.registry import Registry
+from greengagelatch.claims.registry import AttemptRegistry
 from greengagelatch.claims.scope import create_digest, create_key
 from greengagelatch.errors import Refusal
 from greengagelatch.request import Answer
@@ -104,7 +104,7 @@
         self._left: set[asyncio.Task[Answer]] = set()
         self._outcome_bytes: int = settings["claims.outcome_bytes"]
         self._policy = create_policy(settings["claims.store_down"])
-        self._registry = Registry(
+        self._registry = AttemptRegistry(
             retention=settings["claims.retention"],
             max_records=settings["claims.records"],
             max_bytes=settings["claims.memory_bytes"],
--- a/packages/greengagelatch/src/greengagelatch/claims/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/registry.py
@@ -9,7 +9,7 @@
 
 from . import Token
 
-__all__ = ("AttemptState", "Record", "Registry")
+__all__ = ("AttemptState", "Record", "AttemptRegistry")
 
 
 class AttemptState(Enum):
@@ -48,7 +48,7 @@
     return state is AttemptState.PENDING
 
 
-class Registry:
+class AttemptRegistry:
     """Attempts of this process, bounded in number, bytes and time.
 
     An unknown attempt counts as one that may have run, so early eviction can lose
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -8,7 +8,7 @@
 from greengagelatch.claims.attempt import MAX_ROUNDS, Action, Attempt, choose_candidates
 from greengagelatch.claims.operations import Acquire, OperationResult, ResultKind
 from greengagelatch.claims.outage import Outage, RefuseLater, TryAgain
-from greengagelatch.claims.registry import AttemptState, Record, Registry
+from greengagelatch.claims.registry import AttemptRegistry, AttemptState, Record
 from greengagelatch.claims.scope import create_key, rank_instances
 from greengagelatch.verdict import Verdict
 
@@ -22,9 +22,9 @@
     return Attempt(operation=Acquire(KEY, b"d" * 8, OWN)).handle_candidates(ways)
 
 
-def create_registry(**changes: object) -> Registry:
+def create_registry(**changes: object) -> AttemptRegistry:
     bounds = {"retention": 100, "max_records": 3, "max_bytes": 100, **changes}
-    return Registry(**bounds)
+    return AttemptRegistry(**bounds)
 
 
 @pytest.mark.parametrize(
