--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -22,7 +22,7 @@
 
 if TYPE_CHECKING:
     from greengagelatch.claims import Token
-    from greengagelatch.claims.registry import AttemptRegistry, Record
+    from greengagelatch.claims.registry import AttemptRecord, AttemptRegistry
     from greengagelatch.clock import Clock
     from greengagelatch.peers import PeerNetwork
 
@@ -94,7 +94,7 @@
         for event in self._waiting.pop(token, ()):
             event.set()
 
-    async def find(self, token: Token, deadline: float) -> Record | None:
+    async def find(self, token: Token, deadline: float) -> AttemptRecord | None:
         """Return the record of an attempt; wait for its end until ``deadline``.
 
         ``None`` means that no instance knows it: its process has ended without
@@ -150,7 +150,7 @@
         self._metrics.count("claims.handed_over", taken)
         return taken
 
-    async def _wait(self, token: Token, deadline: float) -> Record | None:
+    async def _wait(self, token: Token, deadline: float) -> AttemptRecord | None:
         record = self._registry.find(token)
         remaining = deadline - self._clock.now()
         if record is None or record.state not in OPEN_STATES or remaining <= 0:
@@ -171,7 +171,7 @@
 
     async def _ask(
         self, instance_id: str, token: Token, deadline: float
-    ) -> Record | None:
+    ) -> AttemptRecord | None:
         """Ask one instance, repeatedly while the attempt is running."""
         silent = 0
         refused = 0
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -32,7 +32,7 @@
     ResultKind,
     find_claim,
 )
-from greengagelatch.claims.registry import AttemptState, Record
+from greengagelatch.claims.registry import AttemptRecord, AttemptState
 from greengagelatch.store import ABSENT, Entry, WriteOutcome, WriteResult
 
 from .explore import Model
@@ -379,12 +379,12 @@
 
     def _list_answers(
         self, state: World, holder: Token
-    ) -> Iterator[tuple[str, Record | None]]:
+    ) -> Iterator[tuple[str, AttemptRecord | None]]:
         yield "no answer", None
         if not state.writers[int(holder.instance)].alive:
             return
         slot = state.slots[holder.serial - 1]
-        record = Record(slot.state, OUTCOME)
+        record = AttemptRecord(slot.state, OUTCOME)
         yield slot.state.value, attempt.mask_pending(record)
 
     def _run(self, state: World, number: int) -> World:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -8,7 +8,7 @@
 
 from . import Token
 from .operations import Acquire, OperationResult, ResultKind
-from .registry import AttemptState, Record
+from .registry import AttemptRecord, AttemptState
 
 __all__ = ("Action", "Attempt", "choose_candidates", "mask_pending")
 
@@ -99,7 +99,7 @@
             return dataclasses.replace(state, tried=self.tried + 1)
         return state._turn(Action.STORE_UNREACHABLE)
 
-    def handle_holder(self, record: Record | None) -> Attempt:
+    def handle_holder(self, record: AttemptRecord | None) -> Attempt:
         """Handle the record of the holder's attempt; ``None`` means it is unknown."""
         if record is None:
             return self._turn(Action.REFUSE_UNSETTLED)
@@ -144,7 +144,7 @@
     return (*ways, *relays[:MAX_RELAYS])
 
 
-def mask_pending(record: Record | None) -> Record | None:
+def mask_pending(record: AttemptRecord | None) -> AttemptRecord | None:
     """Return the record of an attempt as it is reported to others.
 
     A pending attempt may be granted its claim at any moment, so it is reported as
--- a/packages/greengagelatch/src/greengagelatch/claims/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/messages.py
@@ -7,7 +7,7 @@
 from ..peers.codec import Message, register
 from . import Token
 from .operations import Acquire, GiveBack, Operation, OperationResult, ResultKind
-from .registry import AttemptState, Record
+from .registry import AttemptRecord, AttemptState
 
 __all__ = (
     "ClaimAnswer",
@@ -116,16 +116,16 @@
     outcome: bytes = b""
 
     @classmethod
-    def wrap(cls, record: Record | None) -> OutcomeAnswer:
+    def wrap(cls, record: AttemptRecord | None) -> OutcomeAnswer:
         """Create the message for a record."""
         if record is None:
             return cls()
         return cls(record.state.value, record.outcome)
 
-    def unwrap(self) -> Record | None:
+    def unwrap(self) -> AttemptRecord | None:
         """Return the record; ``None`` if the attempt is unknown."""
         try:
-            return Record(AttemptState(self.state), self.outcome)
+            return AttemptRecord(AttemptState(self.state), self.outcome)
         except ValueError:
             return None
 
--- a/packages/greengagelatch/src/greengagelatch/claims/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/registry.py
@@ -9,7 +9,7 @@
 
 from . import Token
 
-__all__ = ("AttemptState", "Record", "AttemptRegistry")
+__all__ = ("AttemptState", "AttemptRecord", "AttemptRegistry")
 
 
 class AttemptState(Enum):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class AttemptRecord:
     """State of one attempt; ``outcome`` is empty unless it is stored."""
 
     state: AttemptState
@@ -59,8 +59,8 @@
         self._retention = retention
         self._max_records = max_records
         self._max_bytes = max_bytes
-        self._open: dict[Token, Record] = {}
-        self._closed: OrderedDict[Token, Record] = OrderedDict()
+        self._open: dict[Token, AttemptRecord] = {}
+        self._closed: OrderedDict[Token, AttemptRecord] = OrderedDict()
         #: attempts that were granted their claims and have not given them back, by key
         self._granted: dict[bytes, Token] = {}
         self._bytes = 0
@@ -75,7 +75,7 @@
         """Number of open and of closed attempts."""
         return len(self._open), len(self._closed)
 
-    def find(self, token: Token) -> Record | None:
+    def find(self, token: Token) -> AttemptRecord | None:
         """Return the record of an attempt, if there is one."""
         return self._open.get(token) or self._closed.get(token)
 
@@ -85,7 +85,7 @@
 
     def open(self, token: Token, key: bytes, digest: bytes, now: float) -> None:
         """Add a new attempt as pending."""
-        self._open[token] = Record(AttemptState.PENDING, b"", now, key, digest)
+        self._open[token] = AttemptRecord(AttemptState.PENDING, b"", now, key, digest)
 
     def start(self, token: Token, now: float) -> bool:
         """Mark an attempt as running; return whether it may run."""
@@ -109,7 +109,7 @@
 
     def finish(self, token: Token, outcome: bytes, now: float) -> None:
         """Close an attempt that ran or may have run, here or on another instance."""
-        record = self._open.pop(token, Record(AttemptState.FINISHED))
+        record = self._open.pop(token, AttemptRecord(AttemptState.FINISHED))
         self._close(
             token,
             dataclasses.replace(
@@ -133,7 +133,7 @@
             if record.outcome
         )
 
-    def _close(self, token: Token, record: Record) -> None:
+    def _close(self, token: Token, record: AttemptRecord) -> None:
         self._closed[token] = record
         self._bytes += len(record.outcome)
         while len(self._closed) > self._max_records or self._bytes > self._max_bytes:
@@ -144,6 +144,6 @@
         self._drop_granted(token, record)
         self._bytes -= len(record.outcome)
 
-    def _drop_granted(self, token: Token, record: Record) -> None:
+    def _drop_granted(self, token: Token, record: AttemptRecord) -> None:
         if self._granted.get(record.key) == token:
             del self._granted[record.key]
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -8,7 +8,7 @@
 from greengagelatch.claims.attempt import MAX_ROUNDS, Action, Attempt, choose_candidates
 from greengagelatch.claims.operations import Acquire, OperationResult, ResultKind
 from greengagelatch.claims.outage import Outage, RefuseLater, TryAgain
-from greengagelatch.claims.registry import AttemptRegistry, AttemptState, Record
+from greengagelatch.claims.registry import AttemptRecord, AttemptRegistry, AttemptState
 from greengagelatch.claims.scope import create_key, rank_instances
 from greengagelatch.verdict import Verdict
 
@@ -53,11 +53,11 @@
     attempt = begin("a")
     for _ in range(MAX_ROUNDS):
         attempt = attempt.handle_result(HELD)
-        attempt = attempt.handle_holder(Record(AttemptState.GIVEN_BACK))
+        attempt = attempt.handle_holder(AttemptRecord(AttemptState.GIVEN_BACK))
         assert attempt.operation.replaces == OTHER
         attempt = attempt.handle_candidates(("a",))
     attempt = attempt.handle_result(HELD)
-    attempt = attempt.handle_holder(Record(AttemptState.GIVEN_BACK))
+    attempt = attempt.handle_holder(AttemptRecord(AttemptState.GIVEN_BACK))
     assert attempt.action is Action.REFUSE_UNSETTLED
 
 
@@ -65,9 +65,9 @@
     ("record", "action"),
     [
         (None, Action.REFUSE_UNSETTLED),
-        (Record(AttemptState.RUNNING), Action.REFUSE_IN_PROGRESS),
-        (Record(AttemptState.FINISHED, b"x"), Action.REPLAY),
-        (Record(AttemptState.FINISHED), Action.REFUSE_UNSETTLED),
+        (AttemptRecord(AttemptState.RUNNING), Action.REFUSE_IN_PROGRESS),
+        (AttemptRecord(AttemptState.FINISHED, b"x"), Action.REPLAY),
+        (AttemptRecord(AttemptState.FINISHED), Action.REFUSE_UNSETTLED),
     ],
 )
 def test_repeat_ends_by_what_is_known_of_the_holder(record, action):
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -130,7 +130,7 @@
 
 def describe_pending_as_free(record):
     if record is not None and record.state is AttemptState.PENDING:
-        return registry.Record(AttemptState.GIVEN_BACK)
+        return registry.AttemptRecord(AttemptState.GIVEN_BACK)
     return record
 
 
