--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.claims.attempt import choose_candidates
 from greengagelatch.claims.head import ShardLimits
-from greengagelatch.claims.messages import ClaimAnswer, ClaimQuestion
+from greengagelatch.claims.messages import ClaimAnswer, ClaimQuery
 from greengagelatch.claims.operations import GiveBack, OperationResult, ResultKind
 from greengagelatch.claims.scope import choose_shard, name_head, rank_instances
 from greengagelatch.peers import MemberState, PeerErrorKind
@@ -95,7 +95,7 @@
         #: monotonic seconds at which an instance last failed to answer
         self._silent: dict[str, float] = {}
         if peers is not None:
-            peers.handle(ClaimQuestion, self._answer_claim)
+            peers.handle(ClaimQuery, self._answer_claim)
 
     @property
     def shards(self) -> int | None:
@@ -135,7 +135,7 @@
             return await self._commit_here(operation, deadline)
         remaining = deadline - self._clock.now()
         timeout = min(self._forward_timeout, remaining * FORWARD_SHARE)
-        question = ClaimQuestion.wrap(operation, int(timeout * 1000))
+        question = ClaimQuery.wrap(operation, int(timeout * 1000))
         answer = await self._peers.ask(way, question, timeout)
         match answer:
             case Ok(ClaimAnswer() as message):
@@ -200,7 +200,7 @@
             self._failed_at = self._clock.now()
         return result
 
-    async def _answer_claim(self, sender: str, question: ClaimQuestion) -> ClaimAnswer:
+    async def _answer_claim(self, sender: str, question: ClaimQuery) -> ClaimAnswer:
         try:
             operation = question.unwrap()
         except (TypeError, ValueError):
--- a/packages/greengagelatch/src/greengagelatch/claims/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/messages.py
@@ -11,7 +11,7 @@
 
 __all__ = (
     "ClaimAnswer",
-    "ClaimQuestion",
+    "ClaimQuery",
     "HandoverAnswer",
     "HandoverQuestion",
     "LayoutAnswer",
@@ -28,7 +28,7 @@
 
 @register("claim")
 @dataclass(frozen=True, slots=True)
-class ClaimQuestion(Message):
+class ClaimQuery(Message):
     """Asks the preferred writer of a shard to commit one operation."""
 
     #: whether the claim is to be given back instead of acquired
@@ -41,7 +41,7 @@
     budget_ms: int = 0
 
     @classmethod
-    def wrap(cls, operation: Operation, budget_ms: int) -> ClaimQuestion:
+    def wrap(cls, operation: Operation, budget_ms: int) -> ClaimQuery:
         """Create the message for an operation."""
         if isinstance(operation, GiveBack):
             return cls(
