--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -14,7 +14,7 @@
     HandoverAnswer,
     HandoverQuestion,
     OutcomeAnswer,
-    OutcomeQuestion,
+    OutcomeQuery,
 )
 from greengagelatch.claims.registry import AttemptState
 from greengagelatch.claims.scope import rank_instances
@@ -86,7 +86,7 @@
         self._answering = 0
         self._waiting: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
         if peers is not None:
-            peers.handle(OutcomeQuestion, self._answer_outcome)
+            peers.handle(OutcomeQuery, self._answer_outcome)
             peers.handle(HandoverQuestion, self._answer_handover)
 
     def notify(self, token: Token) -> None:
@@ -182,7 +182,7 @@
             if remaining <= LAST_ANSWER:
                 return record
             wait = min(WAIT, remaining * WAIT_SHARE)
-            question = OutcomeQuestion.wrap(token, int(wait * 1000))
+            question = OutcomeQuery.wrap(token, int(wait * 1000))
             answer = await self._peers.ask(
                 instance_id, question, min(wait + GRACE, remaining)
             )
@@ -204,7 +204,7 @@
         return None
 
     async def _answer_outcome(
-        self, sender: str, question: OutcomeQuestion
+        self, sender: str, question: OutcomeQuery
     ) -> OutcomeAnswer:
         token = question.unwrap()
         if token is None:
--- a/packages/greengagelatch/src/greengagelatch/claims/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/messages.py
@@ -17,7 +17,7 @@
     "LayoutAnswer",
     "LayoutQuestion",
     "OutcomeAnswer",
-    "OutcomeQuestion",
+    "OutcomeQuery",
 )
 
 #: encoded token: instance, incarnation, serial; empty if there is none
@@ -91,14 +91,14 @@
 
 @register("outcome")
 @dataclass(frozen=True, slots=True)
-class OutcomeQuestion(Message):
+class OutcomeQuery(Message):
     """Asks for the state of an attempt; the receiver waits while it is running."""
 
     token: WireToken = ()
     wait_ms: int = 0
 
     @classmethod
-    def wrap(cls, token: Token, wait_ms: int) -> OutcomeQuestion:
+    def wrap(cls, token: Token, wait_ms: int) -> OutcomeQuery:
         """Create the message for an attempt."""
         return cls(_pack(token), wait_ms)
 
