--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -12,7 +12,7 @@
 from greengagelatch.claims.attempt import mask_pending
 from greengagelatch.claims.messages import (
     HandoverAnswer,
-    HandoverQuestion,
+    HandoverRequest,
     OutcomeAnswer,
     OutcomeQuery,
 )
@@ -87,7 +87,7 @@
         self._waiting: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
         if peers is not None:
             peers.handle(OutcomeQuery, self._answer_outcome)
-            peers.handle(HandoverQuestion, self._answer_handover)
+            peers.handle(HandoverRequest, self._answer_handover)
 
     def notify(self, token: Token) -> None:
         """Wake the waiters for the end of an attempt of this process."""
@@ -222,7 +222,7 @@
     async def _hand_over(
         self, token: Token, outcome: bytes, free: asyncio.Semaphore, silent: set[str]
     ) -> bool:
-        question = HandoverQuestion.wrap(token, outcome)
+        question = HandoverRequest.wrap(token, outcome)
         async with free:
             # the first choice may have crashed without having been detected yet;
             # only the first outcomes wait for its timeout
@@ -238,7 +238,7 @@
         return False
 
     def _answer_handover(
-        self, sender: str, question: HandoverQuestion
+        self, sender: str, question: HandoverRequest
     ) -> HandoverAnswer:
         token = question.unwrap()
         if token is None or not question.outcome:
--- a/packages/greengagelatch/src/greengagelatch/claims/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/messages.py
@@ -13,7 +13,7 @@
     "ClaimAnswer",
     "ClaimQuery",
     "HandoverAnswer",
-    "HandoverQuestion",
+    "HandoverRequest",
     "LayoutAnswer",
     "LayoutQuestion",
     "OutcomeAnswer",
@@ -132,14 +132,14 @@
 
 @register("outcome-handover")
 @dataclass(frozen=True, slots=True)
-class HandoverQuestion(Message):
+class HandoverRequest(Message):
     """Transfers an outcome to another instance before the sender stops."""
 
     token: WireToken = ()
     outcome: bytes = b""
 
     @classmethod
-    def wrap(cls, token: Token, outcome: bytes) -> HandoverQuestion:
+    def wrap(cls, token: Token, outcome: bytes) -> HandoverRequest:
         """Create the message for an outcome."""
         return cls(_pack(token), outcome)
 
