--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
@@ -8,7 +8,7 @@
 
 from result import Ok
 
-from greengagelatch.claims.messages import LayoutAnswer, LayoutQuestion
+from greengagelatch.claims.messages import LayoutAnswer, LayoutQuery
 from greengagelatch.claims.scope import LAYOUT_KEY, rank_instances
 from greengagelatch.peers import MemberState
 from greengagelatch.store import ABSENT, Entry, WriteOutcome
@@ -46,7 +46,7 @@
         #: number of shards, ``None`` until it is known
         self.shards: int | None = None
         if peers is not None:
-            peers.handle(LayoutQuestion, self._answer)
+            peers.handle(LayoutQuery, self._answer)
 
     async def learn(self, timeout: float) -> int | None:
         """Return the number of shards; ``None`` if it is not found in time."""
@@ -99,13 +99,13 @@
             if member.state is MemberState.ALIVE and member.instance_id != self._own
         ]
         for instance_id in rank_instances(self._own, alive)[:MAX_ASKED]:
-            answer = await self._peers.ask(instance_id, LayoutQuestion(), ASK_TIMEOUT)
+            answer = await self._peers.ask(instance_id, LayoutQuery(), ASK_TIMEOUT)
             match answer:
                 case Ok(LayoutAnswer(shards=shards)) if shards > 0:
                     return shards
         return None
 
-    def _answer(self, sender: str, question: LayoutQuestion) -> LayoutAnswer:
+    def _answer(self, sender: str, question: LayoutQuery) -> LayoutAnswer:
         return LayoutAnswer(self.shards or 0)
 
 
--- a/packages/greengagelatch/src/greengagelatch/claims/messages.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/messages.py
@@ -15,7 +15,7 @@
     "HandoverAnswer",
     "HandoverRequest",
     "LayoutAnswer",
-    "LayoutQuestion",
+    "LayoutQuery",
     "OutcomeAnswer",
     "OutcomeQuery",
 )
@@ -158,7 +158,7 @@
 
 @register("claim-layout")
 @dataclass(frozen=True, slots=True)
-class LayoutQuestion(Message):
+class LayoutQuery(Message):
     """Asks for the number of shards."""
 
 
