--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -21,7 +21,7 @@
     OutagePolicy,
     RefuseAtOnce,
     RefuseLater,
-    TryAgain,
+    RetryAfter,
 )
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
@@ -315,7 +315,7 @@
         match decision:
             case Refusal(verdict=verdict):
                 self._answer(request, number, verdict, 0.0)
-            case TryAgain(delay=delay):
+            case RetryAfter(delay=delay):
 
                 def again() -> None:
                     if self._trouble.reaches(instance, self._now):
--- a/packages/greengagelatch/src/greengagelatch/claims/outage.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outage.py
@@ -13,7 +13,7 @@
     "OutagePolicy",
     "RefuseAtOnce",
     "RefuseLater",
-    "TryAgain",
+    "RetryAfter",
     "create_policy",
 )
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TryAgain:
+class RetryAfter:
     """Decision to try all instances again after ``delay`` seconds."""
 
     delay: float
@@ -51,14 +51,14 @@
     """
 
     @abstractmethod
-    def decide(self, outage: Outage) -> TryAgain | Refusal:
+    def decide(self, outage: Outage) -> RetryAfter | Refusal:
         """Return the refusal to answer with, or the decision to try again."""
 
 
 class RefuseAtOnce(OutagePolicy):
     """Refuses immediately, with a time after which to retry."""
 
-    def decide(self, outage: Outage) -> TryAgain | Refusal:
+    def decide(self, outage: Outage) -> RetryAfter | Refusal:
         return refuse(outage)
 
 
@@ -77,13 +77,13 @@
         self._delay = delay
         self._patience = patience
 
-    def decide(self, outage: Outage) -> TryAgain | Refusal:
+    def decide(self, outage: Outage) -> RetryAfter | Refusal:
         budget = (outage.elapsed + outage.remaining) * self._share
         if outage.down_for > self._patience:
             return refuse(outage)
         if outage.elapsed + self._delay >= budget:
             return refuse(outage)
-        return TryAgain(self._delay)
+        return RetryAfter(self._delay)
 
 
 def refuse(outage: Outage) -> Refusal:
