--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass, field
 
 from greengagelatch.claims.outage import (
+    ImmediateRefusal,
     Outage,
     OutagePolicy,
-    RefuseAtOnce,
     RefuseLater,
     RetryAfter,
 )
@@ -87,12 +87,12 @@
 
 
 WAYS = (
-    Way("refuse at once", RefuseAtOnce()),
+    Way("refuse at once", ImmediateRefusal()),
     Way("refuse later", RefuseLater()),
-    Way("run first attempts", RefuseAtOnce(), run_first=True),
+    Way("run first attempts", ImmediateRefusal(), run_first=True),
     Way(
         "run first attempts, never unrecorded repeats",
-        RefuseAtOnce(),
+        ImmediateRefusal(),
         run_first=True,
         strict=True,
     ),
--- a/packages/greengagelatch/src/greengagelatch/claims/outage.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outage.py
@@ -11,7 +11,7 @@
 __all__ = (
     "Outage",
     "OutagePolicy",
-    "RefuseAtOnce",
+    "ImmediateRefusal",
     "RefuseLater",
     "RetryAfter",
     "create_policy",
@@ -55,7 +55,7 @@
         """Return the refusal to answer with, or the decision to try again."""
 
 
-class RefuseAtOnce(OutagePolicy):
+class ImmediateRefusal(OutagePolicy):
     """Refuses immediately, with a time after which to retry."""
 
     def decide(self, outage: Outage) -> RetryAfter | Refusal:
@@ -106,4 +106,4 @@
     """Create the policy that the setting ``claims.store_down`` names."""
     if name == "refuse-later":
         return RefuseLater()
-    return RefuseAtOnce()
+    return ImmediateRefusal()
