--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -20,8 +20,8 @@
     ImmediateRefusal,
     Outage,
     OutagePolicy,
-    RefuseLater,
     RetryAfter,
+    RetryThenRefuse,
 )
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
@@ -88,7 +88,7 @@
 
 WAYS = (
     Way("refuse at once", ImmediateRefusal()),
-    Way("refuse later", RefuseLater()),
+    Way("refuse later", RetryThenRefuse()),
     Way("run first attempts", ImmediateRefusal(), run_first=True),
     Way(
         "run first attempts, never unrecorded repeats",
--- a/packages/greengagelatch/src/greengagelatch/claims/outage.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outage.py
@@ -12,7 +12,7 @@
     "Outage",
     "OutagePolicy",
     "ImmediateRefusal",
-    "RefuseLater",
+    "RetryThenRefuse",
     "RetryAfter",
     "create_policy",
 )
@@ -62,7 +62,7 @@
         return refuse(outage)
 
 
-class RefuseLater(OutagePolicy):
+class RetryThenRefuse(OutagePolicy):
     """Retries for a share of the request's time budget, then refuses.
 
     Once the store has been unreachable for longer than ``patience`` seconds,
@@ -105,5 +105,5 @@
 def create_policy(name: str) -> OutagePolicy:
     """Create the policy that the setting ``claims.store_down`` names."""
     if name == "refuse-later":
-        return RefuseLater()
+        return RetryThenRefuse()
     return ImmediateRefusal()
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -7,7 +7,7 @@
 from greengagelatch.claims import Token
 from greengagelatch.claims.attempt import MAX_ROUNDS, Action, Attempt, choose_candidates
 from greengagelatch.claims.operations import Acquire, OperationResult, ResultKind
-from greengagelatch.claims.outage import Outage, RefuseLater, RetryAfter
+from greengagelatch.claims.outage import Outage, RetryAfter, RetryThenRefuse
 from greengagelatch.claims.registry import AttemptRecord, AttemptRegistry, AttemptState
 from greengagelatch.claims.scope import create_key, rank_instances
 from greengagelatch.verdict import Verdict
@@ -130,7 +130,7 @@
     outage = Outage(
         first_attempt=True, elapsed=elapsed, remaining=5 - elapsed, down_for=down_for
     )
-    decision = RefuseLater().decide(outage)
+    decision = RetryThenRefuse().decide(outage)
     assert isinstance(decision, RetryAfter) is retries
     if not retries:
         assert decision.verdict is Verdict.NOT_RUN
