--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -259,7 +259,7 @@
             first_attempt=request.first_attempt,
             elapsed=now - request.received,
             remaining=request.deadline - now,
-            down_for=self._committer.down_for,
+            store_silent_for=self._committer.down_for,
         )
 
     def _drop_left(self, run: asyncio.Task[Answer]) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -309,7 +309,7 @@
                 first_attempt=first,
                 elapsed=elapsed,
                 remaining=self._deadline - elapsed,
-                down_for=self._now - self._reached[instance],
+                store_silent_for=self._now - self._reached[instance],
             )
         )
         match decision:
--- a/packages/greengagelatch/src/greengagelatch/claims/outage.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outage.py
@@ -32,7 +32,7 @@
     #: seconds until its deadline
     remaining: float
     #: seconds since the store last answered this instance
-    down_for: float
+    store_silent_for: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
 
     def decide(self, outage: Outage) -> RetryAfter | Refusal:
         budget = (outage.elapsed + outage.remaining) * self._share
-        if outage.down_for > self._patience:
+        if outage.store_silent_for > self._patience:
             return refuse(outage)
         if outage.elapsed + self._delay >= budget:
             return refuse(outage)
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -128,7 +128,10 @@
 )
 def test_outage_is_waited_out_while_it_is_young(elapsed, down_for, retries):
     outage = Outage(
-        first_attempt=True, elapsed=elapsed, remaining=5 - elapsed, down_for=down_for
+        first_attempt=True,
+        elapsed=elapsed,
+        remaining=5 - elapsed,
+        store_silent_for=down_for,
     )
     decision = RetryThenRefuse().decide(outage)
     assert isinstance(decision, RetryAfter) is retries
