--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -24,7 +24,7 @@
 from greengagelatch.claims.outcome import Outcome, decode_outcome, encode_outcome
 from greengagelatch.claims.refusals import (
     refuse_attempt,
-    refuse_cut,
+    refuse_cancelled,
     refuse_late,
     refuse_long,
     refuse_lost,
@@ -164,7 +164,9 @@
 
     def settle_cut(self, permit: Permit, verdict: Verdict) -> None:
         """Settle a run that was cancelled after its caller had disconnected."""
-        self._settle(permit, Outcome(verdict=verdict, refusal=refuse_cut(verdict)))
+        self._settle(
+            permit, Outcome(verdict=verdict, refusal=refuse_cancelled(verdict))
+        )
 
     def adopt(self, run: asyncio.Task[Answer]) -> None:
         """Finish a run whose caller has disconnected; its repeats get the result."""
--- a/packages/greengagelatch/src/greengagelatch/claims/refusals.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/refusals.py
@@ -6,7 +6,13 @@
 from ..verdict import Verdict
 from .attempt import Action
 
-__all__ = ("refuse_attempt", "refuse_cut", "refuse_late", "refuse_long", "refuse_lost")
+__all__ = (
+    "refuse_attempt",
+    "refuse_cancelled",
+    "refuse_late",
+    "refuse_long",
+    "refuse_lost",
+)
 
 KEY_HEADER = "Idempotency-Key"
 DEADLINE_HEADER = "X-Deadline-Ms"
@@ -73,7 +79,7 @@
     )
 
 
-def refuse_cut(verdict: Verdict) -> Refusal:
+def refuse_cancelled(verdict: Verdict) -> Refusal:
     """Return the refusal of repeats whose first attempt was cancelled."""
     return Refusal(
         code=RefusalCode.REPEAT_UNSETTLED,
