--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -25,7 +25,7 @@
 from greengagelatch.claims.refusals import (
     refuse_attempt,
     refuse_cancelled,
-    refuse_late,
+    refuse_expired,
     refuse_long,
     refuse_lost,
 )
@@ -309,7 +309,7 @@
     def _refuse_late(self, attempt: Attempt, request: Request) -> Answer:
         # a granted claim proves that no earlier attempt holds the key
         alone = request.first_attempt or attempt.action is Action.RUN
-        return self._refuse(request, refuse_late(alone))
+        return self._refuse(request, refuse_expired(alone))
 
     def _refuse(self, request: Request, refusal: Refusal) -> Answer:
         self._metrics.count(f"claims.refused_{refusal.code.value}")
--- a/packages/greengagelatch/src/greengagelatch/claims/refusals.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/refusals.py
@@ -9,7 +9,7 @@
 __all__ = (
     "refuse_attempt",
     "refuse_cancelled",
-    "refuse_late",
+    "refuse_expired",
     "refuse_long",
     "refuse_lost",
 )
@@ -60,7 +60,7 @@
     )
 
 
-def refuse_late(first_attempt: bool) -> Refusal:
+def refuse_expired(first_attempt: bool) -> Refusal:
     """Return the refusal of a request whose deadline passed before its claim."""
     return Refusal(
         code=RefusalCode.DEADLINE,
