--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -26,7 +26,7 @@
     refuse_attempt,
     refuse_cancelled,
     refuse_expired,
-    refuse_long,
+    refuse_long_deadline,
     refuse_lost,
 )
 from greengagelatch.claims.registry import AttemptRegistry
@@ -131,7 +131,7 @@
     async def seek(self, request: Request) -> Permit | Answer:
         """Claim the request's key, or return the answer to send without a run."""
         if request.deadline - self._clock.now() > self._longest:
-            return self._refuse(request, refuse_long(self._longest))
+            return self._refuse(request, refuse_long_deadline(self._longest))
         key = create_key(request.workspace, request.pipeline, request.key)
         digest = create_digest(request.digest)
         self._serial += 1
--- a/packages/greengagelatch/src/greengagelatch/claims/refusals.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/refusals.py
@@ -10,7 +10,7 @@
     "refuse_attempt",
     "refuse_cancelled",
     "refuse_expired",
-    "refuse_long",
+    "refuse_long_deadline",
     "refuse_lost",
 )
 
@@ -70,7 +70,7 @@
     )
 
 
-def refuse_long(limit: float) -> Refusal:
+def refuse_long_deadline(limit: float) -> Refusal:
     """Return the refusal of a request that could outlive its claim."""
     return Refusal(
         code=RefusalCode.BAD_REQUEST,
