--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -26,8 +26,8 @@
     refuse_attempt,
     refuse_cancelled,
     refuse_expired,
+    refuse_large_result,
     refuse_long_deadline,
-    refuse_lost,
 )
 from greengagelatch.claims.registry import AttemptRegistry
 from greengagelatch.claims.scope import create_digest, create_key
@@ -296,7 +296,9 @@
                 return data
         self._metrics.count("claims.outcome_dropped")
         verdict = outcome.verdict
-        return encode_outcome(Outcome(verdict=verdict, refusal=refuse_lost(verdict)))
+        return encode_outcome(
+            Outcome(verdict=verdict, refusal=refuse_large_result(verdict))
+        )
 
     def _replay(self, attempt: Attempt, request: Request) -> Answer:
         match decode_outcome(attempt.outcome):
--- a/packages/greengagelatch/src/greengagelatch/claims/refusals.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/refusals.py
@@ -11,7 +11,7 @@
     "refuse_cancelled",
     "refuse_expired",
     "refuse_long_deadline",
-    "refuse_lost",
+    "refuse_large_result",
 )
 
 KEY_HEADER = "Idempotency-Key"
@@ -88,7 +88,7 @@
     )
 
 
-def refuse_lost(verdict: Verdict) -> Refusal:
+def refuse_large_result(verdict: Verdict) -> Refusal:
     """Return the refusal of repeats whose first attempt has too large a result."""
     return Refusal(
         code=RefusalCode.REPEAT_UNSETTLED,
