--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -33,22 +33,22 @@
 #: share of the remaining time that may be spent on asking another instance
 FORWARD_SHARE = 0.5
 #: seconds for which this instance does not write as a fallback after a failure
-PAUSE_AFTER_FAILURE = 1.0
+FALLBACK_PAUSE = 1.0
 #: concurrent give-backs; a key whose give-back is dropped can still be taken over
 #: while this instance runs, since it reports that the attempt never ran
 MAX_GIVE_BACKS = 1024
 #: seconds for which an unresponsive instance is avoided: a paused one counts as alive
 #: for a while, and would cost each request the whole timeout
-AVOID_SILENT = 5.0
+SILENT_AVOIDANCE = 5.0
 #: seconds for which a give-back is retried, and between two retries
-GIVE_BACK_TIME = 30.0
+GIVE_BACK_TIMEOUT = 30.0
 GIVE_BACK_DELAY = 1.0
 #: instances that are tried in each round of a give-back
-GIVE_BACK_WAYS = 2
+GIVE_BACK_CANDIDATES = 2
 #: seconds that a planned stop waits for give-backs, and then for writes
-STOP_TIME = 3.0
+STOP_TIMEOUT = 3.0
 #: seconds without operations after which the cached state of a shard is dropped
-IDLE_TIME = 60.0
+IDLE_TIMEOUT = 60.0
 
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
@@ -90,8 +90,8 @@
         )
         self._writers: dict[int, ShardWriter] = {}
         self._give_backs: set[asyncio.Task[None]] = set()
-        self._reached_at = clock.now()
-        self._failed_at = float("-inf")
+        self._store_answered_at = clock.now()
+        self._write_failed_at = float("-inf")
         #: monotonic seconds at which an instance last failed to answer
         self._silent: dict[str, float] = {}
         if peers is not None:
@@ -103,21 +103,21 @@
         return self._layout.shards
 
     @property
-    def writing(self) -> tuple[int, ...]:
+    def written_shards(self) -> tuple[int, ...]:
         """Shards that this instance has written recently."""
         return tuple(sorted(self._writers))
 
     @property
-    def giving_back(self) -> int:
+    def pending_give_backs(self) -> int:
         """Number of give-backs in progress."""
         return len(self._give_backs)
 
     @property
-    def down_for(self) -> float:
+    def store_silent_for(self) -> float:
         """Seconds since the store last answered this instance."""
-        return self._clock.now() - self._find_reached()
+        return self._clock.now() - self._find_last_answer()
 
-    async def find_ways(self, key: bytes, deadline: float) -> tuple[str, ...]:
+    async def find_candidates(self, key: bytes, deadline: float) -> tuple[str, ...]:
         """Return the instances that may commit for a key, in order of preference.
 
         The result is empty if the number of shards is unknown.
@@ -125,25 +125,25 @@
         shards = await self._layout.learn(deadline - self._clock.now())
         if shards is None:
             return ()
-        return self._rank_ways(choose_shard(key, shards))
+        return self._rank_candidates(choose_shard(key, shards))
 
     async def commit(
-        self, way: str, operation: Operation, deadline: float
+        self, candidate: str, operation: Operation, deadline: float
     ) -> OperationResult | None:
-        """Have the instance ``way`` commit an operation; ``None`` means no answer."""
-        if way == self._instance_id:
+        """Have an instance commit an operation; ``None`` means no answer."""
+        if candidate == self._instance_id:
             return await self._commit_here(operation, deadline)
         remaining = deadline - self._clock.now()
         timeout = min(self._forward_timeout, remaining * FORWARD_SHARE)
-        question = ClaimQuery.wrap(operation, int(timeout * 1000))
-        answer = await self._peers.ask(way, question, timeout)
+        query = ClaimQuery.wrap(operation, int(timeout * 1000))
+        answer = await self._peers.ask(candidate, query, timeout)
         match answer:
             case Ok(ClaimAnswer() as message):
-                self._silent.pop(way, None)
+                self._silent.pop(candidate, None)
                 self._metrics.count("claims.forwarded")
                 return message.unwrap()
             case Err(error) if error.kind is PeerErrorKind.NO_ANSWER:
-                self._silent[way] = self._clock.now()
+                self._silent[candidate] = self._clock.now()
                 self._metrics.count("claims.forward_silent")
                 return None
         self._metrics.count("claims.forward_failed")
@@ -161,24 +161,24 @@
     def sweep(self) -> None:
         """Drop the state of shards and peers that is no longer needed."""
         now = self._clock.now()
-        self._reached_at = self._find_reached()
-        for way, since in list(self._silent.items()):
-            if now - since > AVOID_SILENT:
-                del self._silent[way]
+        self._store_answered_at = self._find_last_answer()
+        for instance_id, since in list(self._silent.items()):
+            if now - since > SILENT_AVOIDANCE:
+                del self._silent[instance_id]
         for shard, writer in list(self._writers.items()):
-            if writer.idle and now - writer.used_at > IDLE_TIME:
+            if writer.idle and now - writer.used_at > IDLE_TIMEOUT:
                 del self._writers[shard]
 
     async def close(self) -> None:
         """Finish give-backs and writes, each within a few seconds."""
         tasks = set(self._give_backs)
         if tasks:
-            await asyncio.wait(tasks, timeout=STOP_TIME)
+            await asyncio.wait(tasks, timeout=STOP_TIMEOUT)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._layout.close()
-        closing = [writer.close(STOP_TIME) for writer in self._writers.values()]
+        closing = [writer.close(STOP_TIMEOUT) for writer in self._writers.values()]
         await asyncio.gather(*closing)
 
     async def _commit_here(
@@ -188,33 +188,33 @@
         if shards is None:
             return UNREACHABLE
         shard = choose_shard(operation.key, shards)
-        usual = self._rank_ways(shard)[0] == self._instance_id
-        paused_for = self._clock.now() - self._failed_at
-        if not usual and paused_for < PAUSE_AFTER_FAILURE:
+        preferred = self._rank_candidates(shard)[0] == self._instance_id
+        paused_for = self._clock.now() - self._write_failed_at
+        if not preferred and paused_for < FALLBACK_PAUSE:
             # a slow store delays the preferred writers, so that every instance falls
             # back to writing; the pause keeps that from adding load to the store
             return UNREACHABLE
         writer = self._get_writer(shard)
-        result = await writer.submit(operation, deadline, fresh=not usual)
+        result = await writer.submit(operation, deadline, fresh=not preferred)
         if result.kind in (ResultKind.UNREACHABLE, ResultKind.UNSETTLED):
-            self._failed_at = self._clock.now()
+            self._write_failed_at = self._clock.now()
         return result
 
-    async def _answer_claim(self, sender: str, question: ClaimQuery) -> ClaimAnswer:
+    async def _answer_claim(self, sender: str, query: ClaimQuery) -> ClaimAnswer:
         try:
-            operation = question.unwrap()
+            operation = query.unwrap()
         except (TypeError, ValueError):
             return ClaimAnswer.wrap(UNREACHABLE)
-        deadline = self._clock.now() + question.budget_ms / 1000
+        deadline = self._clock.now() + query.budget_ms / 1000
         return ClaimAnswer.wrap(await self._commit_here(operation, deadline))
 
     async def _give_back(self, operation: GiveBack) -> None:
-        expires = self._clock.now() + GIVE_BACK_TIME
+        expires = self._clock.now() + GIVE_BACK_TIMEOUT
         while self._clock.now() < expires:
-            ways = await self.find_ways(operation.key, expires)
-            for way in ways[:GIVE_BACK_WAYS]:
-                result = await self.commit(way, operation, expires)
-                if result is not None and is_settled(result):
+            candidates = await self.find_candidates(operation.key, expires)
+            for candidate in candidates[:GIVE_BACK_CANDIDATES]:
+                result = await self.commit(candidate, operation, expires)
+                if result is not None and is_resolved(result):
                     self._metrics.count("claims.given_back")
                     return
             await asyncio.sleep(GIVE_BACK_DELAY)
@@ -235,7 +235,7 @@
             self._writers[shard] = writer
         return writer
 
-    def _rank_ways(self, shard: int) -> tuple[str, ...]:
+    def _rank_candidates(self, shard: int) -> tuple[str, ...]:
         members = {self._instance_id}
         if self._peers is not None:
             members.update(
@@ -249,13 +249,13 @@
 
     def _is_silent(self, instance_id: str) -> bool:
         since = self._silent.get(instance_id)
-        return since is not None and self._clock.now() - since <= AVOID_SILENT
+        return since is not None and self._clock.now() - since <= SILENT_AVOIDANCE
 
-    def _find_reached(self) -> float:
+    def _find_last_answer(self) -> float:
         answers = [writer.answered_at for writer in self._writers.values()]
-        return max([self._reached_at, *answers])
+        return max([self._store_answered_at, *answers])
 
 
-def is_settled(result: OperationResult) -> bool:
+def is_resolved(result: OperationResult) -> bool:
     """Whether a give-back is complete, or its attempt no longer holds the key."""
     return result.kind in (ResultKind.GIVEN_BACK, ResultKind.HELD)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -34,29 +34,29 @@
 
 #: seconds that one query waits for a running attempt before it is sent again; short,
 #: so that the loss of the other instance is detected
-WAIT = 2.0
+MAX_QUERY_WAIT = 2.0
 #: maximum share of the remaining time that one query waits, so that its answer comes
 #: before the deadline
-WAIT_SHARE = 0.8
+QUERY_WAIT_SHARE = 0.8
 #: remaining seconds below which no further query is sent
-LAST_ANSWER = 0.02
+MIN_REMAINING = 0.02
 #: seconds allowed for the answer in addition to the wait
-GRACE = 1.0
+ANSWER_TIMEOUT = 1.0
 #: consecutive unanswered queries after which an instance counts as lost
 MAX_SILENT = 2
 #: consecutive refused queries after which an instance counts as lost
 MAX_REFUSED = 20
 #: minimum seconds between two queries to the same instance
-PAUSE = 0.2
+MIN_QUERY_INTERVAL = 0.2
 #: queries of other instances that may wait here at a time; the number of open
 #: queries per link is limited, and some must remain for the commits of claims
-MAX_WAITING = 64
+MAX_WAITING_QUERIES = 64
 #: instances that may have received the outcomes of a stopped one
 SUCCESSORS = 2
 #: outcomes that are handed over concurrently
-HANDOVER_PARALLEL = 8
+HANDOVER_CONCURRENCY = 8
 #: seconds allowed for the whole handover
-HANDOVER_TIME = 5.0
+HANDOVER_TIMEOUT = 5.0
 
 OPEN_STATES = (AttemptState.PENDING, AttemptState.RUNNING)
 
@@ -83,15 +83,15 @@
         self._incarnation = incarnation
         self._handover_bytes = handover_bytes
         #: number of queries of other instances that are waiting
-        self._answering = 0
-        self._waiting: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
+        self._waiting_queries = 0
+        self._waiters: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
         if peers is not None:
             peers.handle(OutcomeQuery, self._answer_outcome)
             peers.handle(HandoverRequest, self._answer_handover)
 
     def notify(self, token: Token) -> None:
         """Wake the waiters for the end of an attempt of this process."""
-        for event in self._waiting.pop(token, ()):
+        for event in self._waiters.pop(token, ()):
             event.set()
 
     async def find(self, token: Token, deadline: float) -> AttemptRecord | None:
@@ -134,15 +134,15 @@
             if size > self._handover_bytes:
                 break
             chosen.append((token, outcome))
-        free = asyncio.Semaphore(HANDOVER_PARALLEL)
+        slots = asyncio.Semaphore(HANDOVER_CONCURRENCY)
         silent: set[str] = set()
         tasks = [
-            asyncio.create_task(self._hand_over(token, outcome, free, silent))
+            asyncio.create_task(self._hand_over(token, outcome, slots, silent))
             for token, outcome in chosen
         ]
         if not tasks:
             return 0
-        done, late = await asyncio.wait(tasks, timeout=HANDOVER_TIME)
+        done, late = await asyncio.wait(tasks, timeout=HANDOVER_TIMEOUT)
         for task in late:
             task.cancel()
         await asyncio.gather(*late, return_exceptions=True)
@@ -156,17 +156,17 @@
         if record is None or record.state not in OPEN_STATES or remaining <= 0:
             return mask_pending(record)
         event = asyncio.Event()
-        self._waiting[token].add(event)
+        self._waiters[token].add(event)
         try:
             async with asyncio.timeout(remaining):
                 await event.wait()
         except TimeoutError:
             pass
         finally:
-            events = self._waiting.get(token, set())
+            events = self._waiters.get(token, set())
             events.discard(event)
             if not events:
-                self._waiting.pop(token, None)
+                self._waiters.pop(token, None)
         return mask_pending(self._registry.find(token))
 
     async def _ask(
@@ -179,12 +179,12 @@
         while silent < MAX_SILENT and refused < MAX_REFUSED:
             started = self._clock.now()
             remaining = deadline - started
-            if remaining <= LAST_ANSWER:
+            if remaining <= MIN_REMAINING:
                 return record
-            wait = min(WAIT, remaining * WAIT_SHARE)
-            question = OutcomeQuery.wrap(token, int(wait * 1000))
+            wait = min(MAX_QUERY_WAIT, remaining * QUERY_WAIT_SHARE)
+            query = OutcomeQuery.wrap(token, int(wait * 1000))
             answer = await self._peers.ask(
-                instance_id, question, min(wait + GRACE, remaining)
+                instance_id, query, min(wait + ANSWER_TIMEOUT, remaining)
             )
             match answer:
                 case Ok(OutcomeAnswer() as found):
@@ -199,37 +199,35 @@
                     silent += 1
                     self._metrics.count("claims.holder_silent")
             waited = self._clock.now() - started
-            if waited < PAUSE:
-                await asyncio.sleep(min(PAUSE - waited, remaining))
+            if waited < MIN_QUERY_INTERVAL:
+                await asyncio.sleep(min(MIN_QUERY_INTERVAL - waited, remaining))
         return None
 
-    async def _answer_outcome(
-        self, sender: str, question: OutcomeQuery
-    ) -> OutcomeAnswer:
-        token = question.unwrap()
+    async def _answer_outcome(self, sender: str, query: OutcomeQuery) -> OutcomeAnswer:
+        token = query.unwrap()
         if token is None:
             return OutcomeAnswer()
-        wait = min(question.wait_ms / 1000, WAIT)
-        if self._answering >= MAX_WAITING:
+        wait = min(query.wait_ms / 1000, MAX_QUERY_WAIT)
+        if self._waiting_queries >= MAX_WAITING_QUERIES:
             wait = 0.0
-        self._answering += 1
+        self._waiting_queries += 1
         try:
             record = await self._wait(token, self._clock.now() + wait)
         finally:
-            self._answering -= 1
+            self._waiting_queries -= 1
         return OutcomeAnswer.wrap(record)
 
     async def _hand_over(
-        self, token: Token, outcome: bytes, free: asyncio.Semaphore, silent: set[str]
+        self, token: Token, outcome: bytes, slots: asyncio.Semaphore, silent: set[str]
     ) -> bool:
-        question = HandoverRequest.wrap(token, outcome)
-        async with free:
+        request = HandoverRequest.wrap(token, outcome)
+        async with slots:
             # the first choice may have crashed without having been detected yet;
             # only the first outcomes wait for its timeout
             for successor in self._rank_successors(token)[:SUCCESSORS]:
                 if successor in silent:
                     continue
-                answer = await self._peers.ask(successor, question, GRACE)
+                answer = await self._peers.ask(successor, request, ANSWER_TIMEOUT)
                 match answer:
                     case Ok(HandoverAnswer(taken=True)):
                         return True
@@ -237,14 +235,12 @@
                         silent.add(successor)
         return False
 
-    def _answer_handover(
-        self, sender: str, question: HandoverRequest
-    ) -> HandoverAnswer:
-        token = question.unwrap()
-        if token is None or not question.outcome:
+    def _answer_handover(self, sender: str, request: HandoverRequest) -> HandoverAnswer:
+        token = request.unwrap()
+        if token is None or not request.outcome:
             return HandoverAnswer()
         if self._registry.find(token) is None:
-            self._registry.finish(token, question.outcome, self._clock.now())
+            self._registry.finish(token, request.outcome, self._clock.now())
         return HandoverAnswer(taken=True)
 
     def _rank_successors(self, token: Token) -> tuple[str, ...]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
@@ -105,7 +105,7 @@
                     return shards
         return None
 
-    def _answer(self, sender: str, question: LayoutQuery) -> LayoutAnswer:
+    def _answer(self, sender: str, query: LayoutQuery) -> LayoutAnswer:
         return LayoutAnswer(self.shards or 0)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -56,11 +56,11 @@
 
 INCARNATION_BITS = 63
 #: share of the retention within which a keyed request must end
-LONGEST_SHARE = 0.5
+MAX_DURATION_SHARE = 0.5
 #: actions that still need time before the request can run
 UNFINISHED = (Action.CHOOSE_CANDIDATES, Action.ACQUIRE, Action.STORE_UNREACHABLE)
 #: concurrent runs whose callers have disconnected; further ones are cancelled
-MAX_LEFT = 512
+MAX_DETACHED_RUNS = 512
 #: seconds between two removals of expired state
 SWEEP_INTERVAL = 5.0
 
@@ -97,11 +97,11 @@
         # earlier attempts and treat their claims as its own
         self._incarnation = secrets.randbits(INCARNATION_BITS)
         self._serial = 0
-        self._longest = settings["claims.retention"] * LONGEST_SHARE
-        self._longest_stop: float = settings["drain.longest"]
-        self._finish_left: bool = settings["claims.finish"]
+        self._max_duration = settings["claims.retention"] * MAX_DURATION_SHARE
+        self._drain_timeout: float = settings["drain.longest"]
+        self._finish_detached: bool = settings["claims.finish"]
         #: runs whose callers have disconnected
-        self._left: set[asyncio.Task[Answer]] = set()
+        self._detached_runs: set[asyncio.Task[Answer]] = set()
         self._outcome_bytes: int = settings["claims.outcome_bytes"]
         self._policy = create_policy(settings["claims.store_down"])
         self._registry = AttemptRegistry(
@@ -130,8 +130,8 @@
 
     async def seek(self, request: Request) -> Permit | Answer:
         """Claim the request's key, or return the answer to send without a run."""
-        if request.deadline - self._clock.now() > self._longest:
-            return self._refuse(request, refuse_long_deadline(self._longest))
+        if request.deadline - self._clock.now() > self._max_duration:
+            return self._refuse(request, refuse_long_deadline(self._max_duration))
         key = create_key(request.workspace, request.pipeline, request.key)
         digest = create_digest(request.digest)
         self._serial += 1
@@ -139,18 +139,18 @@
         attempt = self._begin(Acquire(key, digest, token))
         self._registry.open(token, key, digest, self._clock.now())
         try:
-            attempt, answer = await self._pursue(attempt, request)
+            attempt, answer = await self._advance(attempt, request)
         except BaseException:
             # the operation in progress may still be committed
-            self._abandon(token, key, doubtful=True)
+            self._abandon(token, key, maybe_committed=True)
             raise
         now = self._clock.now()
         # after a pause of the process the deadline may have passed, and the caller
         # may have given up
-        timely = answer is None and now < request.deadline
-        if timely and self._registry.start(token, now):
+        in_time = answer is None and now < request.deadline
+        if in_time and self._registry.start(token, now):
             return Permit(token, key)
-        self._abandon(token, key, doubtful=attempt.maybe_committed)
+        self._abandon(token, key, maybe_committed=attempt.maybe_committed)
         return answer or self._refuse_late(attempt, request)
 
     def settle(self, permit: Permit, answer: Answer, verdict: Verdict) -> None:
@@ -170,17 +170,17 @@
 
     def adopt(self, run: asyncio.Task[Answer]) -> None:
         """Finish a run whose caller has disconnected; its repeats get the result."""
-        if not self._finish_left or len(self._left) >= MAX_LEFT:
+        if not self._finish_detached or len(self._detached_runs) >= MAX_DETACHED_RUNS:
             run.cancel()
         else:
             self._metrics.count("claims.caller_left")
-        self._left.add(run)
-        run.add_done_callback(self._drop_left)
+        self._detached_runs.add(run)
+        run.add_done_callback(self._drop_detached)
 
     async def on_stop(self) -> None:
         """Finish runs, give-backs and writes, and hand over outcomes."""
-        if self._left:
-            await asyncio.wait(self._left, timeout=self._longest_stop)
+        if self._detached_runs:
+            await asyncio.wait(self._detached_runs, timeout=self._drain_timeout)
         await self._committer.close()
         taken = await self._holders.hand_over()
         logger.info(
@@ -192,13 +192,13 @@
         return {
             "incarnation": f"{self._incarnation:016x}",
             "shards": self._committer.shards,
-            "writing": list(self._committer.writing),
-            "giving_back": self._committer.giving_back,
-            "runs_without_caller": len(self._left),
+            "writing": list(self._committer.written_shards),
+            "giving_back": self._committer.pending_give_backs,
+            "runs_without_caller": len(self._detached_runs),
             "attempts_open": open_attempts,
             "attempts_closed": closed_attempts,
             "outcome_bytes": self._registry.size,
-            "store_silent_for": self._committer.down_for,
+            "store_silent_for": self._committer.store_silent_for,
         }
 
     @Service.task
@@ -219,7 +219,7 @@
         kind = ResultKind.HELD if same else ResultKind.KEY_REUSED
         return attempt.handle_result(OperationResult(kind, holder))
 
-    async def _pursue(
+    async def _advance(
         self, attempt: Attempt, request: Request
     ) -> tuple[Attempt, Answer | None]:
         """Take the attempt to its last action; without an answer it may run."""
@@ -229,10 +229,10 @@
                 return attempt, self._refuse_late(attempt, request)
             match attempt.action:
                 case Action.CHOOSE_CANDIDATES:
-                    ways = await self._committer.find_ways(
+                    candidates = await self._committer.find_candidates(
                         attempt.operation.key, request.deadline
                     )
-                    attempt = attempt.handle_candidates(ways)
+                    attempt = attempt.handle_candidates(candidates)
                 case Action.ACQUIRE:
                     result = await self._committer.commit(
                         attempt.candidate, attempt.operation, request.deadline
@@ -261,11 +261,11 @@
             first_attempt=request.first_attempt,
             elapsed=now - request.received,
             remaining=request.deadline - now,
-            store_silent_for=self._committer.down_for,
+            store_silent_for=self._committer.store_silent_for,
         )
 
-    def _drop_left(self, run: asyncio.Task[Answer]) -> None:
-        self._left.discard(run)
+    def _drop_detached(self, run: asyncio.Task[Answer]) -> None:
+        self._detached_runs.discard(run)
         if not run.cancelled() and run.exception() is not None:
             logger.error(
                 "run failed after its caller had disconnected: %r", run.exception()
@@ -273,17 +273,17 @@
 
     def _settle(self, permit: Permit, outcome: Outcome) -> None:
         if outcome.verdict is Verdict.NOT_RUN:
-            self._abandon(permit.token, permit.key, doubtful=True)
+            self._abandon(permit.token, permit.key, maybe_committed=True)
             return
         data = self._encode(outcome)
         self._registry.finish(permit.token, data, self._clock.now())
         self._holders.notify(permit.token)
 
-    def _abandon(self, token: Token, key: bytes, *, doubtful: bool) -> None:
+    def _abandon(self, token: Token, key: bytes, *, maybe_committed: bool) -> None:
         """Close an attempt that never runs, and release its key if it may hold it."""
         self._registry.give_back(token, self._clock.now())
         self._holders.notify(token)
-        if doubtful:
+        if maybe_committed:
             self._committer.give_back(GiveBack(key, token))
 
     def _encode(self, outcome: Outcome) -> bytes:
@@ -310,8 +310,8 @@
 
     def _refuse_late(self, attempt: Attempt, request: Request) -> Answer:
         # a granted claim proves that no earlier attempt holds the key
-        alone = request.first_attempt or attempt.action is Action.RUN
-        return self._refuse(request, refuse_expired(alone))
+        is_first = request.first_attempt or attempt.action is Action.RUN
+        return self._refuse(request, refuse_expired(is_first))
 
     def _refuse(self, request: Request, refusal: Refusal) -> Answer:
         self._metrics.count(f"claims.refused_{refusal.code.value}")
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -18,7 +18,7 @@
 
 #: fallback instances asked to commit for one that can't reach the store, besides
 #: the shard's preferred writer
-MAX_RELAYS = 2
+MAX_FALLBACKS = 2
 
 
 class Action(Enum):
@@ -26,7 +26,7 @@
 
     #: choose the instances that may commit the operation
     CHOOSE_CANDIDATES = "choose-ways"
-    #: send the operation to the instance :attr:`Attempt.way`, which commits it
+    #: send the operation to the instance :attr:`Attempt.candidate`, which commits it
     ACQUIRE = "acquire"
     #: ask the instance of :attr:`Attempt.holder` for its outcome
     ASK_HOLDER = "ask-holder"
@@ -64,12 +64,12 @@
         """Instance that is asked to commit the operation now."""
         return self.candidates[self.tried]
 
-    def handle_candidates(self, ways: tuple[str, ...]) -> Attempt:
+    def handle_candidates(self, candidates: tuple[str, ...]) -> Attempt:
         """Start with the instances that may commit; an empty tuple means none can."""
-        if not ways:
+        if not candidates:
             return self._turn(Action.STORE_UNREACHABLE)
         return dataclasses.replace(
-            self, action=Action.ACQUIRE, candidates=ways, tried=0
+            self, action=Action.ACQUIRE, candidates=candidates, tried=0
         )
 
     def handle_result(self, result: OperationResult | None) -> Attempt:
@@ -136,12 +136,12 @@
     operation that the writer did not answer. Other instances follow, in case only
     this data centre is disconnected from the store.
     """
-    usual = ranked[0] if ranked else own
-    ways = [usual]
-    if usual != own:
-        ways.append(own)
-    relays = [one for one in ranked if one not in ways]
-    return (*ways, *relays[:MAX_RELAYS])
+    preferred = ranked[0] if ranked else own
+    candidates = [preferred]
+    if preferred != own:
+        candidates.append(own)
+    fallbacks = [one for one in ranked if one not in candidates]
+    return (*candidates, *fallbacks[:MAX_FALLBACKS])
 
 
 def mask_pending(record: AttemptRecord | None) -> AttemptRecord | None:
--- a/packages/greengagelatch/src/greengagelatch/claims/commit.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/commit.py
@@ -34,11 +34,12 @@
 
     #: read the head: :meth:`Commit.handle_head`
     READ_HEAD = "read-head"
-    #: read the segment :attr:`Commit.missing`: :meth:`Commit.handle_segment`
+    #: read the segment :attr:`Commit.missing_segment`: :meth:`Commit.handle_segment`
     READ_SEGMENT = "read-segment"
     #: write the segment of the plan: :meth:`Commit.handle_segment_write`
     WRITE_SEGMENT = "write-segment"
-    #: read the entry that conflicts with the segment: :meth:`Commit.handle_conflicting_segment`
+    #: read the entry that conflicts with the segment:
+    #: :meth:`Commit.handle_conflicting_segment`
     READ_CONFLICTING_SEGMENT = "read-obstacle"
     #: swap in the head of the plan: :meth:`Commit.handle_head_swap`
     SWAP_HEAD = "swap-head"
@@ -69,7 +70,7 @@
     segment_expected: int = ABSENT
     plan: Plan | None = None
     #: whether a swap of the plan was sent without a confirmation
-    unsettled: bool = False
+    unconfirmed: bool = False
     reads: int = 0
     results: tuple[OperationResult, ...] = ()
 
@@ -100,7 +101,7 @@
                     case Ok(head):
                         revision = entry.revision
         state = dataclasses.replace(self, reads=reads, fresh=True)
-        if self.unsettled:
+        if self.unconfirmed:
             if is_applied(self.plan, self.batch_id, head):
                 return state._finish(self.plan, ShardView(head, revision))
             if revision == self.view.revision:
@@ -110,7 +111,7 @@
             if is_batch_id_evicted(self.plan, head):
                 return state._fail()
         view = ShardView(head, revision)
-        state = dataclasses.replace(state, view=view, plan=None, unsettled=False)
+        state = dataclasses.replace(state, view=view, plan=None, unconfirmed=False)
         return state._load()
 
     def handle_segment(self, answer: Read) -> Commit:
@@ -167,7 +168,7 @@
                 return self._fail()
         # a conflict does not prove failure: if a layer below retries the write, the
         # second copy conflicts with the first, which took effect
-        return dataclasses.replace(self, step=Step.READ_HEAD, unsettled=True)
+        return dataclasses.replace(self, step=Step.READ_HEAD, unconfirmed=True)
 
     def _load(self) -> Commit:
         if self.missing_segment is not None:
@@ -220,7 +221,7 @@
         )
 
     def _fail(self) -> Commit:
-        kind = ResultKind.UNSETTLED if self.unsettled else ResultKind.UNREACHABLE
+        kind = ResultKind.UNSETTLED if self.unconfirmed else ResultKind.UNREACHABLE
         results = tuple(OperationResult(kind) for _ in self.operations)
         return dataclasses.replace(self, step=Step.DONE, view=None, results=results)
 
--- a/packages/greengagelatch/src/greengagelatch/claims/outage.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/outage.py
@@ -65,21 +65,21 @@
 class RetryThenRefuse(OutagePolicy):
     """Retries for a share of the request's time budget, then refuses.
 
-    Once the store has been unreachable for longer than ``patience`` seconds,
+    Once the store has been unreachable for longer than ``max_outage`` seconds,
     requests are refused immediately: otherwise each would occupy memory and its
     caller's connection to no effect.
     """
 
     def __init__(
-        self, *, share: float = 0.5, delay: float = 0.2, patience: float = 5.0
+        self, *, share: float = 0.5, delay: float = 0.2, max_outage: float = 5.0
     ) -> None:
         self._share = share
         self._delay = delay
-        self._patience = patience
+        self._max_outage = max_outage
 
     def decide(self, outage: Outage) -> RetryAfter | Refusal:
         budget = (outage.elapsed + outage.remaining) * self._share
-        if outage.store_silent_for > self._patience:
+        if outage.store_silent_for > self._max_outage:
             return refuse(outage)
         if outage.elapsed + self._delay >= budget:
             return refuse(outage)
--- a/packages/greengagelatch/src/greengagelatch/claims/packing.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/packing.py
@@ -22,7 +22,7 @@
 #: table of instances and incarnations, to which records refer by index
 Incarnations = tuple[tuple[str, int], ...]
 
-#: key, digest, index of the incarnation, serial, forget_at, state
+#: key, digest, index of the incarnation, serial, expires_at, state
 _RECORD = struct.Struct(f">{KEY_BYTES}s{DIGEST_BYTES}sHQIB")
 
 RECORD_BYTES = _RECORD.size
@@ -89,8 +89,8 @@
     digest: bytes,
     index: int,
     serial: int,
-    forget_at: int,
+    expires_at: int,
     state: int,
 ) -> Claim:
     token = Token(*incarnations[index], serial)
-    return Claim(key, digest, token, forget_at, _STATES[state])
+    return Claim(key, digest, token, expires_at, _STATES[state])
