--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -162,7 +162,7 @@
         )
         self._settle(permit, outcome)
 
-    def settle_cut(self, permit: Permit, verdict: Verdict) -> None:
+    def settle_cancelled(self, permit: Permit, verdict: Verdict) -> None:
         """Settle a run that was cancelled after its caller had disconnected."""
         self._settle(
             permit, Outcome(verdict=verdict, refusal=refuse_cancelled(verdict))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
@@ -56,7 +56,7 @@
         try:
             answer = await proceed(exchange)
         except BaseException:
-            self._claims.settle_cut(permit, exchange.verdict)
+            self._claims.settle_cancelled(permit, exchange.verdict)
             raise
         self._claims.settle(permit, answer, exchange.verdict)
         return answer
