--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -168,7 +168,7 @@
             permit, Outcome(verdict=verdict, refusal=refuse_cancelled(verdict))
         )
 
-    def adopt(self, run: asyncio.Task[Answer]) -> None:
+    def detach(self, run: asyncio.Task[Answer]) -> None:
         """Finish a run whose caller has disconnected; its repeats get the result."""
         if not self._finish_detached or len(self._detached_runs) >= MAX_DETACHED_RUNS:
             run.cancel()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
@@ -47,7 +47,7 @@
             return await asyncio.shield(run)
         except asyncio.CancelledError:
             tokens.listener = None
-            self._claims.adopt(run)
+            self._claims.detach(run)
             raise
 
     async def _run(
