--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -28,7 +28,7 @@
 
     from ..metrics import Metrics
 
-__all__ = ("Holders",)
+__all__ = ("OutcomeLookup",)
 
 logger = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
 OPEN_STATES = (AttemptState.PENDING, AttemptState.RUNNING)
 
 
-class Holders:
+class OutcomeLookup:
     """Looks up the outcomes of attempts, in this process or on other instances."""
 
     def __init__(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -36,7 +36,7 @@
 from greengagelatch.verdict import Verdict
 
 from ..claims.committer import Committer
-from ..claims.holders import Holders
+from ..claims.holders import OutcomeLookup
 from . import Controller
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
             max_records=settings["claims.records"],
             max_bytes=settings["claims.memory_bytes"],
         )
-        self._holders = Holders(
+        self._holders = OutcomeLookup(
             registry=self._registry,
             peers=peers,
             clock=clock,
