--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -14,7 +14,7 @@
 from greengagelatch.claims.scope import choose_shard, name_head, rank_instances
 from greengagelatch.peers import MemberState, PeerErrorKind
 
-from .layout import Layout
+from .layout import ShardLayout
 from .writer import ShardWriter
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
             segment_claims=settings["claims.segment_claims"],
             segments=settings["claims.segments"],
         )
-        self._layout = Layout(
+        self._layout = ShardLayout(
             store=store,
             peers=peers,
             shards=settings["claims.shards"],
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
@@ -17,7 +17,7 @@
     from greengagelatch.peers import PeerNetwork
     from greengagelatch.store import Store
 
-__all__ = ("Layout",)
+__all__ = ("ShardLayout",)
 
 logger = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 MAX_ASKED = 2
 
 
-class Layout:
+class ShardLayout:
     """Determines the number of shards once, from the store or from a peer.
 
     Two instances with different numbers would map one key to two shards, and both
