--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -17,7 +17,7 @@
 class EngineAction(Enum):
     """Next call to an engine, if any."""
 
-    REST = "rest"
+    IDLE = "rest"
     READ = "read"
     ORDER = "order"
 
@@ -53,7 +53,7 @@
         """
         if may_order and self._needs_order(wanted):
             return EngineAction.ORDER
-        return EngineAction.READ if now >= self.due else EngineAction.REST
+        return EngineAction.READ if now >= self.due else EngineAction.IDLE
 
     def _needs_order(self, wanted: EngineState) -> bool:
         if self.report is None or self.unsettled is not None or self.failures:
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -27,7 +27,7 @@
     record = read(record, 0.0)
     assert record.plan(9.0, WANTED, may_order=True) is EngineAction.ORDER
     assert record.plan(9.0, WANTED, may_order=False) is EngineAction.READ
-    assert record.plan(0.05, WANTED, may_order=False) is EngineAction.REST
+    assert record.plan(0.05, WANTED, may_order=False) is EngineAction.IDLE
 
 
 def test_an_engine_is_read_back_before_the_next_order():
@@ -48,7 +48,7 @@
 
 def test_an_engine_out_of_reach_is_read_before_it_is_given_an_order():
     record = read(EngineRecord(), 0.0).note_failed(1.0, 4.0)
-    assert record.plan(2.0, WANTED, may_order=True) is EngineAction.REST
+    assert record.plan(2.0, WANTED, may_order=True) is EngineAction.IDLE
     assert record.plan(5.0, WANTED, may_order=True) is EngineAction.READ
     record = read(record, 5.0)
     assert record.plan(5.0, WANTED, may_order=True) is EngineAction.ORDER
