--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -317,7 +317,7 @@
             contender,
             planned=None,
             awaited=order,
-            record=contender.record.note_sending(now.monotonic, order),
+            record=contender.record.record_sending(now.monotonic, order),
         )
         state = put_contender(state.change(engine=engine), number, sent)
         yield f"{number} sends its order", state
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -60,7 +60,7 @@
             return False
         return self.current and not self.report.state.equals(wanted)
 
-    def note_sending(self, now: float, order: Order) -> EngineRecord:
+    def record_sending(self, now: float, order: Order) -> EngineRecord:
         """Record that an order is about to be sent."""
         return dataclasses.replace(self, unsettled=order, sent=now, current=False)
 
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -93,7 +93,7 @@
         if step.order is None:
             return
         self._budget = self._budget.spend(step.loads)
-        self._update(step.target_id, lambda r: r.note_sending(now, step.order))
+        self._update(step.target_id, lambda r: r.record_sending(now, step.order))
 
     def end_read(
         self, now: float, step: EngineStep, report: EngineReport | None, delay: float
