--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -388,7 +388,7 @@
         if not contender.alive or contender.awaited != delivery.order:
             return state
         now = self._read_clock(state, number).monotonic
-        record = contender.record.note_ended(now)
+        record = contender.record.record_answer(now)
         contender = dataclasses.replace(contender, awaited=None, record=record)
         if old:
             tenure = contender.tenure.leave()
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -64,7 +64,7 @@
         """Record that an order is about to be sent."""
         return dataclasses.replace(self, unsettled=order, sent=now, current=False)
 
-    def note_ended(self, now: float) -> EngineRecord:
+    def record_answer(self, now: float) -> EngineRecord:
         """Record that the engine answered an order; a read is due immediately."""
         return dataclasses.replace(self, unsettled=None, due=now, failures=0)
 
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -117,7 +117,7 @@
         """
         self._under_way.pop(step.target_id, None)
         if settled:
-            self._update(step.target_id, lambda r: r.note_ended(now))
+            self._update(step.target_id, lambda r: r.record_answer(now))
             return
         self._update(step.target_id, lambda r: r.note_unanswered(now))
 
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -31,7 +31,7 @@
 
 
 def test_an_engine_is_read_back_before_the_next_order():
-    record = read(EngineRecord(), 0.0).record_sending(1.0, ORDER).note_ended(2.0)
+    record = read(EngineRecord(), 0.0).record_sending(1.0, ORDER).record_answer(2.0)
     assert record.plan(2.0, WANTED, may_order=True) is EngineAction.READ
 
 
