--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -329,7 +329,7 @@
         now = self._read_clock(state, number).monotonic
         if now - contender.record.sent < self._rules.timeout:
             return
-        record = contender.record.note_unanswered(now)
+        record = contender.record.record_lost_answer(now)
         given_up = dataclasses.replace(contender, awaited=None, record=record)
         yield f"{number} stops waiting", put_contender(state, number, given_up)
 
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -68,7 +68,7 @@
         """Record that the engine answered an order; a read is due immediately."""
         return dataclasses.replace(self, unsettled=None, due=now, failures=0)
 
-    def note_unanswered(self, now: float) -> EngineRecord:
+    def record_lost_answer(self, now: float) -> EngineRecord:
         """Record that the answer to an order is lost; a read is due immediately."""
         return dataclasses.replace(self, due=now)
 
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -119,7 +119,7 @@
         if settled:
             self._update(step.target_id, lambda r: r.record_answer(now))
             return
-        self._update(step.target_id, lambda r: r.note_unanswered(now))
+        self._update(step.target_id, lambda r: r.record_lost_answer(now))
 
     def fail(self, now: float, step: EngineStep, delay: float) -> None:
         """Record that a call had no effect; the next is due in ``delay`` seconds."""
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -36,7 +36,7 @@
 
 
 def test_an_order_without_an_answer_is_over_when_it_shows_or_its_time_is():
-    sent = read(EngineRecord(), 0.0).record_sending(1.0, ORDER).note_unanswered(6.0)
+    sent = read(EngineRecord(), 0.0).record_sending(1.0, ORDER).record_lost_answer(6.0)
     other = EngineState(models=("draft-0",))
     # the wanted state alone may come from an older order, and the new one yet to come
     for state, fence in ((other, 7), (WANTED, 6)):
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -188,7 +188,7 @@
     ),
     (
         lambda: create_orders(IGNORED),
-        Mutation("blind-repeat", EngineRecord, "note_unanswered", forget_unsettled),
+        Mutation("blind-repeat", EngineRecord, "record_lost_answer", forget_unsettled),
     ),
 )
 
