--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -72,7 +72,7 @@
         """Record that the answer to an order is lost; a read is due immediately."""
         return dataclasses.replace(self, due=now)
 
-    def note_failed(self, now: float, delay: float) -> EngineRecord:
+    def record_failure(self, now: float, delay: float) -> EngineRecord:
         """Record a failed call; the next one is due in ``delay`` seconds."""
         return dataclasses.replace(self, due=now + delay, failures=self.failures + 1)
 
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -105,7 +105,7 @@
         """
         self._under_way.pop(step.target_id, None)
         if report is None:
-            self._update(step.target_id, lambda r: r.note_failed(now, delay))
+            self._update(step.target_id, lambda r: r.record_failure(now, delay))
             return
         rules = self._rules
         self._update(step.target_id, lambda r: r.note_read(now, report, rules))
@@ -126,7 +126,7 @@
         self._under_way.pop(step.target_id, None)
         self._update(
             step.target_id,
-            lambda r: dataclasses.replace(r, unsettled=None).note_failed(now, delay),
+            lambda r: dataclasses.replace(r, unsettled=None).record_failure(now, delay),
         )
 
     def count_failures(self, target_id: str) -> int:
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -47,7 +47,7 @@
 
 
 def test_an_engine_out_of_reach_is_read_before_it_is_given_an_order():
-    record = read(EngineRecord(), 0.0).note_failed(1.0, 4.0)
+    record = read(EngineRecord(), 0.0).record_failure(1.0, 4.0)
     assert record.plan(2.0, WANTED, may_order=True) is EngineAction.IDLE
     assert record.plan(5.0, WANTED, may_order=True) is EngineAction.READ
     record = read(record, 5.0)
