--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -285,7 +285,7 @@
         action = contender.record.plan(now.monotonic, wanted, may_order=may_order)
         if action is EngineAction.READ:
             report = EngineReport(state.engine.state, state.engine.fence)
-            record = contender.record.note_read(now.monotonic, report, self._rules)
+            record = contender.record.record_report(now.monotonic, report, self._rules)
             read = dataclasses.replace(contender, record=record)
             yield f"{number} reads", put_contender(state, number, read)
         if action is EngineAction.ORDER:
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -76,7 +76,7 @@
         """Record a failed call; the next one is due in ``delay`` seconds."""
         return dataclasses.replace(self, due=now + delay, failures=self.failures + 1)
 
-    def note_read(
+    def record_report(
         self, now: float, report: EngineReport, rules: OrderRules
     ) -> EngineRecord:
         """Record the engine's state, and resolve an order without an answer.
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -108,7 +108,7 @@
             self._update(step.target_id, lambda r: r.record_failure(now, delay))
             return
         rules = self._rules
-        self._update(step.target_id, lambda r: r.note_read(now, report, rules))
+        self._update(step.target_id, lambda r: r.record_report(now, report, rules))
 
     def end_order(self, now: float, step: EngineStep, *, settled: bool) -> None:
         """Record the end of an order's call; a read of the engine is due next.
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -13,7 +13,7 @@
 
 
 def read(record, now, state=EMPTY, fence=0):
-    return record.note_read(now, EngineReport(state, fence), RULES)
+    return record.record_report(now, EngineReport(state, fence), RULES)
 
 
 def test_an_order_goes_before_a_reading_that_is_due_again():
