--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -102,7 +102,7 @@
             if not allowed:
                 self._metrics.count("orders.withheld")
                 return False
-            engines.note_sending(now.monotonic, step)
+            engines.record_sending(now.monotonic, step)
             self._metrics.count("orders.sent")
             return True
 
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -88,7 +88,7 @@
             steps.append(step)
         return tuple(steps)
 
-    def note_sending(self, now: float, step: EngineStep) -> None:
+    def record_sending(self, now: float, step: EngineStep) -> None:
         """Record that an order is about to be sent."""
         if step.order is None:
             return
