--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -67,10 +67,10 @@
         now = self._clock.now()
         match answer:
             case Ok(report):
-                engines.end_read(now, step, report, 0.0)
+                engines.handle_read(now, step, report, 0.0)
                 return ""
         self._metrics.count("orders.read_failures")
-        engines.end_read(now, step, None, self._choose_delay(engines, step))
+        engines.handle_read(now, step, None, self._choose_delay(engines, step))
         return f"{step.target_id} can't be read: {answer.err_value}"
 
     async def order(
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -95,7 +95,7 @@
         self._budget = self._budget.spend(step.loads)
         self._update(step.target_id, lambda r: r.record_sending(now, step.order))
 
-    def end_read(
+    def handle_read(
         self, now: float, step: EngineStep, report: EngineReport | None, delay: float
     ) -> None:
         """Record the result of a read.
