--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -214,4 +214,4 @@
                 )
         except Exception:
             logger.exception("call to engine %s failed", step.target_id)
-            engines.end_order(self._clock.now(), step, settled=False)
+            engines.handle_order_end(self._clock.now(), step, settled=False)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -111,13 +111,13 @@
         self._metrics.count(f"orders.outcome.{answer.outcome.value}")
         match answer.outcome:
             case OrderOutcome.DONE:
-                engines.end_order(now, step, settled=True)
+                engines.handle_order_end(now, step, settled=True)
                 return ""
             case OrderOutcome.UNKNOWN:
-                engines.end_order(now, step, settled=False)
+                engines.handle_order_end(now, step, settled=False)
             case OrderOutcome.OLD_FENCE:
                 # there is a newer holder, whatever this instance's clocks say
-                engines.end_order(now, step, settled=True)
+                engines.handle_order_end(now, step, settled=True)
                 self._leases.give_up(group)
             case _:
                 delay = self._choose_delay(engines, step)
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -110,7 +110,7 @@
         rules = self._rules
         self._update(step.target_id, lambda r: r.record_report(now, report, rules))
 
-    def end_order(self, now: float, step: EngineStep, *, settled: bool) -> None:
+    def handle_order_end(self, now: float, step: EngineStep, *, settled: bool) -> None:
         """Record the end of an order's call; a read of the engine is due next.
 
         :param settled: whether the order can no longer take effect
