--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -205,7 +205,7 @@
         try:
             if target is None:
                 # it has left since, and its record goes with the next plan
-                engines.fail(self._clock.now(), step, self._rules.interval)
+                engines.handle_failure(self._clock.now(), step, self._rules.interval)
             elif step.order is None:
                 group.error = await self._caller.read(engines, step, target)
             else:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -121,7 +121,7 @@
                 self._leases.give_up(group)
             case _:
                 delay = self._choose_delay(engines, step)
-                engines.fail(now, step, delay)
+                engines.handle_failure(now, step, delay)
         logger.info(
             "order to %s: %s %s",
             step.target_id,
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -121,7 +121,7 @@
             return
         self._update(step.target_id, lambda r: r.record_lost_answer(now))
 
-    def fail(self, now: float, step: EngineStep, delay: float) -> None:
+    def handle_failure(self, now: float, step: EngineStep, delay: float) -> None:
         """Record that a call had no effect; the next is due in ``delay`` seconds."""
         self._under_way.pop(step.target_id, None)
         self._update(
