--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -50,7 +50,7 @@
     @property
     def ordering(self) -> bool:
         """Whether an order is under way, or may still be."""
-        return self.engines is not None and self.engines.ordering
+        return self.engines is not None and self.engines.has_open_order
 
 
 class GroupTable:
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -55,7 +55,7 @@
         self._budget = LoadBudget(at=now)
 
     @property
-    def ordering(self) -> bool:
+    def has_open_order(self) -> bool:
         """Whether an order is in progress or may still take effect."""
         if any(step.order is not None for step in self._under_way.values()):
             return True
@@ -165,7 +165,7 @@
         present = UNREAD if record.report is None else record.report.state
         wanted = want_state(placement, present)
         loads = count_loads(wanted, present)
-        may_order = may_order and not self.ordering and self._budget.allows(loads)
+        may_order = may_order and not self.has_open_order and self._budget.allows(loads)
         match record.plan(now, wanted, may_order=may_order):
             case EngineAction.ORDER:
                 return EngineStep(target_id, Order(self.fence, wanted), loads)
