--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -27,7 +27,7 @@
     from greengagelatch.events import EventBus
     from greengagelatch.leases.tenure import Tenure
     from greengagelatch.orders import OrderClient
-    from greengagelatch.orders.group import EngineStep
+    from greengagelatch.orders.group import EngineCall
     from greengagelatch.settings import Settings
 
     from ..engine_groups import Group
@@ -200,7 +200,7 @@
         service = self._snapshot().services.get(group.service)
         return Fencing.IGNORED if service is None else read_fencing(service)
 
-    async def _call(self, group: Group, engines: EngineGroup, step: EngineStep) -> None:
+    async def _call(self, group: Group, engines: EngineGroup, step: EngineCall) -> None:
         target = group.targets.get(step.target_id)
         try:
             if target is None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -18,7 +18,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.orders import OrderClient
-    from greengagelatch.orders.group import EngineGroup, EngineStep
+    from greengagelatch.orders.group import EngineCall, EngineGroup
     from greengagelatch.orders.rules import Fencing, OrderRules
     from greengagelatch.targets import Target
     from greengagelatch.targets.directory import TargetDirectory
@@ -61,7 +61,7 @@
         self._random = random_source
         self._metrics = metrics
 
-    async def read(self, engines: EngineGroup, step: EngineStep, target: Target) -> str:
+    async def read(self, engines: EngineGroup, step: EngineCall, target: Target) -> str:
         """Read an engine's state; return what went wrong, or an empty text."""
         answer = await self._client.read(target)
         now = self._clock.now()
@@ -78,7 +78,7 @@
         group: str,
         fencing: Fencing,
         engines: EngineGroup,
-        step: EngineStep,
+        step: EngineCall,
         target: Target,
     ) -> str:
         """Give an order; return what went wrong, or an empty text."""
@@ -130,7 +130,7 @@
         )
         return f"{step.target_id}: {answer.outcome.value} {answer.message}"
 
-    def _choose_delay(self, engines: EngineGroup, step: EngineStep) -> float:
+    def _choose_delay(self, engines: EngineGroup, step: EngineCall) -> float:
         return compute_backoff(
             engines.count_failures(step.target_id) + 1,
             base=RETRY_BASE,
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -17,7 +17,7 @@
     from ..config.effects import Placement
     from .rules import OrderRules
 
-__all__ = ("EngineGroup", "EngineStep")
+__all__ = ("EngineGroup", "EngineCall")
 
 #: concurrent calls to the engines of one group from which on no further read starts
 MAX_READS = 8
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineStep:
+class EngineCall:
     """A call to an engine that is due; ``order`` is ``None`` for a read."""
 
     target_id: str
@@ -51,7 +51,7 @@
         self.fence = fence
         self._rules = rules
         self._records: dict[str, EngineRecord] = {}
-        self._under_way: dict[str, EngineStep] = {}
+        self._under_way: dict[str, EngineCall] = {}
         self._budget = LoadBudget(at=now)
 
     @property
@@ -69,7 +69,7 @@
         *,
         loads_per_minute: float,
         may_order: bool,
-    ) -> tuple[EngineStep, ...]:
+    ) -> tuple[EngineCall, ...]:
         """Return the calls that are due and mark them as started.
 
         :param target_ids: the engines that are registered and not leaving
@@ -88,7 +88,7 @@
             steps.append(step)
         return tuple(steps)
 
-    def record_sending(self, now: float, step: EngineStep) -> None:
+    def record_sending(self, now: float, step: EngineCall) -> None:
         """Record that an order is about to be sent."""
         if step.order is None:
             return
@@ -96,7 +96,7 @@
         self._update(step.target_id, lambda r: r.record_sending(now, step.order))
 
     def handle_read(
-        self, now: float, step: EngineStep, report: EngineReport | None, delay: float
+        self, now: float, step: EngineCall, report: EngineReport | None, delay: float
     ) -> None:
         """Record the result of a read.
 
@@ -110,7 +110,7 @@
         rules = self._rules
         self._update(step.target_id, lambda r: r.record_report(now, report, rules))
 
-    def handle_order_end(self, now: float, step: EngineStep, *, settled: bool) -> None:
+    def handle_order_end(self, now: float, step: EngineCall, *, settled: bool) -> None:
         """Record the end of an order's call; a read of the engine is due next.
 
         :param settled: whether the order can no longer take effect
@@ -121,7 +121,7 @@
             return
         self._update(step.target_id, lambda r: r.record_lost_answer(now))
 
-    def handle_failure(self, now: float, step: EngineStep, delay: float) -> None:
+    def handle_failure(self, now: float, step: EngineCall, delay: float) -> None:
         """Record that a call had no effect; the next is due in ``delay`` seconds."""
         self._under_way.pop(step.target_id, None)
         self._update(
@@ -161,16 +161,16 @@
         record: EngineRecord,
         placement: Placement,
         may_order: bool,
-    ) -> EngineStep | None:
+    ) -> EngineCall | None:
         present = UNREAD if record.report is None else record.report.state
         wanted = want_state(placement, present)
         loads = count_loads(wanted, present)
         may_order = may_order and not self.has_open_order and self._budget.allows(loads)
         match record.plan(now, wanted, may_order=may_order):
             case EngineAction.ORDER:
-                return EngineStep(target_id, Order(self.fence, wanted), loads)
+                return EngineCall(target_id, Order(self.fence, wanted), loads)
             case EngineAction.READ if len(self._under_way) < MAX_READS:
-                return EngineStep(target_id)
+                return EngineCall(target_id)
         return None
 
     def _keep_only(self, target_ids: Iterable[str]) -> None:
