--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
@@ -168,9 +168,9 @@
 
 def _encode_order(order: Order) -> bytes:
     wanted = {
-        "models": order.wanted.models,
-        "adapters": order.wanted.adapters,
-        "role": order.wanted.role,
+        "models": order.desired.models,
+        "adapters": order.desired.adapters,
+        "role": order.desired.role,
     }
     return json.dumps({"fence": order.fence, "wanted": wanted}).encode()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -377,7 +377,7 @@
             return state.change(engine=engine)
         if order.fence < engine.fence:
             state = state.change(fault="a former holder's order was carried out last")
-        engine = dataclasses.replace(engine, state=order.wanted, fence=order.fence)
+        engine = dataclasses.replace(engine, state=order.desired, fence=order.fence)
         return state.change(engine=engine)
 
     def _tell(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -66,9 +66,9 @@
         if not guard():
             return OrderAnswer(outcome=OrderOutcome.NOT_SENT)
         wanted = HeldState(
-            models=order.wanted.models,
-            adapters=order.wanted.adapters,
-            role=order.wanted.role,
+            models=order.desired.models,
+            adapters=order.desired.adapters,
+            role=order.desired.role,
         )
         book = self.find(target.target_id)
         run = asyncio.create_task(book.carry_out(order.fence, wanted))
--- a/packages/greengagelatch/src/greengagelatch/orders/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/__init__.py
@@ -55,7 +55,7 @@
     """Desired state of an engine; applying an order is idempotent."""
 
     fence: int
-    wanted: EngineState
+    desired: EngineState
 
 
 class OrderOutcome(Enum):
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -87,7 +87,7 @@
         unsettled = self.unsettled
         if unsettled is not None:
             arrived = report.fence == unsettled.fence
-            done = arrived and report.state.equals(unsettled.wanted)
+            done = arrived and report.state.equals(unsettled.desired)
             if done or now - self.sent >= rules.patience:
                 unsettled = None
         delay = rules.interval if unsettled is None else rules.settle_interval
--- a/tests/test_entry/test_adapters/test_engine_orders.py
+++ b/tests/test_entry/test_adapters/test_engine_orders.py
@@ -55,7 +55,7 @@
     assert got == [{"fence": 7, "wanted": wanted}]
     async with RawServer(answer_after_request) as server, open_client() as client:
         target = Target("engine", "writer", "north", server.address)
-        assert await client.read(target) == Ok(EngineReport(ORDER.wanted, 7))
+        assert await client.read(target) == Ok(EngineReport(ORDER.desired, 7))
 
 
 async def answer_after_request(connection):
