--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.orders.group import EngineGroup
-from greengagelatch.orders.permission import has_turn
+from greengagelatch.orders.permission import may_order
 from greengagelatch.orders.rules import Fencing, OrderRules, read_fencing
 
 from ..engine_groups import GroupTable
@@ -181,7 +181,7 @@
             return False
         now = read_instant(self._clock)
         fencing = self._read_fencing(group)
-        return has_turn(tenure, now, rules=self._rules, fencing=fencing)
+        return may_order(tenure, now, rules=self._rules, fencing=fencing)
 
     def _is_current(self, tenure: Tenure) -> bool:
         """Whether the configuration was the newest at some time of this tenure.
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -279,7 +279,7 @@
             return
         now = self._read_clock(state, number)
         wanted = EngineState(models=(str(number),))
-        may_order = permission.has_turn(
+        may_order = permission.may_order(
             tenure, now, rules=self._rules, fencing=self._fencing
         )
         action = contender.record.plan(now.monotonic, wanted, may_order=may_order)
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -12,10 +12,10 @@
     from . import Order
     from .rules import OrderRules
 
-__all__ = ("has_turn", "may_send")
+__all__ = ("may_order", "may_send")
 
 
-def has_turn(
+def may_order(
     tenure: Tenure, now: Instant, *, rules: OrderRules, fencing: Fencing
 ) -> bool:
     """Whether the holder of ``tenure`` may send orders.
@@ -45,4 +45,4 @@
     """
     if tenure is None or not tenure.held or tenure.fence != order.fence:
         return False
-    return has_turn(tenure, now, rules=rules, fencing=fencing)
+    return may_order(tenure, now, rules=rules, fencing=fencing)
