--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -88,7 +88,7 @@
         if unsettled is not None:
             arrived = report.fence == unsettled.fence
             done = arrived and report.state.equals(unsettled.desired)
-            if done or now - self.sent >= rules.patience:
+            if done or now - self.sent >= rules.order_lifetime:
                 unsettled = None
         delay = rules.interval if unsettled is None else rules.settle_interval
         return dataclasses.replace(
--- a/packages/greengagelatch/src/greengagelatch/orders/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/rules.py
@@ -40,7 +40,7 @@
     margin: float
 
     @property
-    def patience(self) -> float:
+    def order_lifetime(self) -> float:
         """Time after which an unanswered order can no longer take effect."""
         return self.timeout + self.longest + self.margin
 
