--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -77,7 +77,7 @@
         self._loads_per_minute: float = settings["orders.loads_per_minute"]
         self._rules = OrderRules(
             timeout=settings["orders.timeout"],
-            longest=settings["orders.longest"],
+            max_execution=settings["orders.longest"],
             interval=settings["orders.interval"],
             margin=self._margin,
         )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -85,7 +85,7 @@
         self._delivery = delivery
         self._rules = OrderRules(
             timeout=delivery,
-            longest=DURATION,
+            max_execution=DURATION,
             interval=READ_INTERVAL,
             margin=LEASE_RULES.margin,
         )
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -27,7 +27,7 @@
     """
     if not tenure.covers(now, rules.timeout):
         return False
-    return fencing is Fencing.CHECKED or tenure.has_waited(now, rules.longest)
+    return fencing is Fencing.CHECKED or tenure.has_waited(now, rules.max_execution)
 
 
 def may_send(
--- a/packages/greengagelatch/src/greengagelatch/orders/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/rules.py
@@ -33,7 +33,7 @@
     #: then never does
     timeout: float
     #: longest time from the arrival of an order at an engine until it is carried out
-    longest: float
+    max_execution: float
     #: time between two reads of an engine without an unsettled order
     interval: float
     #: clock drift of this instance that is allowed for over the two times above
@@ -42,7 +42,7 @@
     @property
     def order_lifetime(self) -> float:
         """Time after which an unanswered order can no longer take effect."""
-        return self.timeout + self.longest + self.margin
+        return self.timeout + self.max_execution + self.margin
 
     @property
     def settle_interval(self) -> float:
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -6,7 +6,7 @@
 from greengagelatch.orders.engine import EngineAction, EngineRecord
 from greengagelatch.orders.rules import OrderRules
 
-RULES = OrderRules(timeout=5.0, longest=20.0, interval=0.1, margin=2.0)
+RULES = OrderRules(timeout=5.0, max_execution=20.0, interval=0.1, margin=2.0)
 EMPTY = EngineState()
 WANTED = EngineState(models=("draft-1",))
 ORDER = Order(7, WANTED)
