--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
@@ -76,7 +76,7 @@
         if session is not None:
             await session.close()
 
-    async def give(
+    async def send(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
         body = _GuardedBody(_encode_order(order), guard)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -106,7 +106,7 @@
             self._metrics.count("orders.sent")
             return True
 
-        answer = await self._client.give(target, step.order, guard)
+        answer = await self._client.send(target, step.order, guard)
         now = self._clock.now()
         self._metrics.count(f"orders.outcome.{answer.outcome.value}")
         match answer.outcome:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/halting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/halting.py
@@ -38,10 +38,10 @@
     moment = BEFORE
     halted = False
 
-    async def give(
+    async def send(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
-        return await super().give(target, order, lambda: self._check(guard))
+        return await super().send(target, order, lambda: self._check(guard))
 
     def _check(self, guard: OrderGuard) -> bool:
         if self.moment == BEFORE:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -56,7 +56,7 @@
             )
         return self._books[target_id]
 
-    async def give(
+    async def send(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
         if target.target_id in self.unreachable:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
@@ -118,7 +118,7 @@
         self._engines = engines
         self._sent_at = sent_at
 
-    async def give(
+    async def send(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
         def note() -> bool:
@@ -127,7 +127,7 @@
                 self._sent_at.append(asyncio.get_running_loop().time())
             return allowed
 
-        return await self._engines.give(target, order, note)
+        return await self._engines.send(target, order, note)
 
     async def read(self, target: Target) -> Result[EngineReport, str]:
         return await self._engines.read(target)
--- a/packages/greengagelatch/src/greengagelatch/orders/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/__init__.py
@@ -90,7 +90,7 @@
     """Sends orders to engines; implementations must never retry one."""
 
     @abstractmethod
-    async def give(
+    async def send(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
         """Send one order, unless ``guard`` rejects it at the moment of sending."""
--- a/tests/test_entry/test_adapters/test_engine_orders.py
+++ b/tests/test_entry/test_adapters/test_engine_orders.py
@@ -38,7 +38,7 @@
 
     async with RawServer(record) as server, open_client(timeout) as client:
         target = Target("engine", "writer", "north", server.address)
-        answer = await client.give(target, ORDER, guard)
+        answer = await client.send(target, ORDER, guard)
         # whatever is on its way has arrived once another call has been answered
         await client.read(target)
     return answer, [body for body in got if body]
@@ -80,7 +80,7 @@
 
     async with RawServer(accept) as server, open_client() as client:
         target = Target("engine", "writer", "north", server.address)
-        answer = await client.give(target, ORDER, lambda: False)
+        answer = await client.send(target, ORDER, lambda: False)
         async with asyncio.timeout(5):
             await ended.wait()
     assert answer.outcome is OrderOutcome.NOT_SENT
@@ -142,7 +142,7 @@
         address = server.address
     async with open_client() as client:
         target = Target("engine", "writer", "north", address)
-        answer = await client.give(target, ORDER, lambda: True)
+        answer = await client.send(target, ORDER, lambda: True)
         assert answer.outcome is OrderOutcome.NOT_SENT
         assert isinstance(await client.read(target), Err)
 
