--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -128,7 +128,7 @@
             instance_id=instance_id,
         )
 
-    async def seek(self, request: Request) -> Permit | Answer:
+    async def claim(self, request: Request) -> Permit | Answer:
         """Claim the request's key, or return the answer to send without a run."""
         if request.deadline - self._clock.now() > self._max_duration:
             return self._refuse(request, refuse_long_deadline(self._max_duration))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
@@ -35,7 +35,7 @@
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         if not exchange.request.key:
             return await proceed(exchange)
-        permit = await self._claims.seek(exchange.request)
+        permit = await self._claims.claim(exchange.request)
         if isinstance(permit, Answer):
             exchange.raise_verdict(permit.verdict)
             return permit
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
@@ -112,7 +112,7 @@
             key=f"key-{number}",
             digest="digest",
         )
-        permit = await controller.seek(request)
+        permit = await controller.claim(request)
         histogram.record_value(int((clock.now() - now) * MICROSECONDS))
         if not isinstance(permit, Permit):
             refused += 1
