--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -122,7 +122,7 @@
 
         The result is empty if the number of shards is unknown.
         """
-        shards = await self._layout.learn(deadline - self._clock.now())
+        shards = await self._layout.resolve(deadline - self._clock.now())
         if shards is None:
             return ()
         return self._rank_candidates(choose_shard(key, shards))
@@ -184,7 +184,7 @@
     async def _commit_here(
         self, operation: Operation, deadline: float
     ) -> OperationResult:
-        shards = await self._layout.learn(deadline - self._clock.now())
+        shards = await self._layout.resolve(deadline - self._clock.now())
         if shards is None:
             return UNREACHABLE
         shard = choose_shard(operation.key, shards)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
@@ -48,12 +48,12 @@
         if peers is not None:
             peers.handle(LayoutQuery, self._answer)
 
-    async def learn(self, timeout: float) -> int | None:
+    async def resolve(self, timeout: float) -> int | None:
         """Return the number of shards; ``None`` if it is not found in time."""
         if self.shards is not None:
             return self.shards
         if self._task is None:
-            self._task = asyncio.create_task(self._learn())
+            self._task = asyncio.create_task(self._resolve())
         # not cancelled at a request's timeout: other requests may be waiting for it
         await asyncio.wait({self._task}, timeout=max(0.0, timeout))
         return self.shards
@@ -64,7 +64,7 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    async def _learn(self) -> None:
+    async def _resolve(self) -> None:
         try:
             self.shards = await self._read() or await self._ask()
         finally:
