--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -1,4 +1,4 @@
-"""Tests of attempts, of what is remembered of them, and of policies for outages."""
+"""Tests of attempts, the attempt registry, key ranking and the outage policies."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 HELD = OperationResult(ResultKind.HELD, OTHER)
 
 
-def begin(*ways: str) -> Attempt:
-    return Attempt(operation=Acquire(KEY, b"d" * 8, OWN)).handle_candidates(ways)
+def create_attempt(*candidates: str) -> Attempt:
+    return Attempt(operation=Acquire(KEY, b"d" * 8, OWN)).handle_candidates(candidates)
 
 
 def create_registry(**changes: object) -> AttemptRegistry:
-    bounds = {"retention": 100, "max_records": 3, "max_bytes": 100, **changes}
-    return AttemptRegistry(**bounds)
+    limits = {"retention": 100, "max_records": 3, "max_bytes": 100, **changes}
+    return AttemptRegistry(**limits)
 
 
 @pytest.mark.parametrize(
-    ("ranked", "ways"),
+    ("ranked", "candidates"),
     [
         (("a", "b", "c", "d"), ("a", "b", "c")),
         (("b", "c", "a", "d", "e"), ("b", "a", "c", "d")),
         ((), ("a",)),
     ],
 )
-def test_ways_begin_with_the_usual_writer(ranked, ways):
-    assert choose_candidates("a", ranked) == ways
+def test_candidates_begin_with_the_preferred_writer(ranked, candidates):
+    assert choose_candidates("a", ranked) == candidates
 
 
-def test_all_ways_are_tried_before_the_store_counts_as_out_of_reach():
-    attempt = begin("b", "a")
+def test_all_candidates_are_tried_before_the_store_counts_as_unreachable():
+    attempt = create_attempt("b", "a")
     attempt = attempt.handle_result(None)
     assert (attempt.action, attempt.candidate) == (Action.ACQUIRE, "a")
     attempt = attempt.handle_result(OperationResult(ResultKind.UNREACHABLE))
     assert attempt.action is Action.STORE_UNREACHABLE
-    # the first instance may still commit it
+    # the first candidate may still commit the operation
     assert attempt.maybe_committed
 
 
-def test_key_that_is_lost_again_and_again_is_given_up():
-    attempt = begin("a")
+def test_attempt_is_refused_after_too_many_lost_takeovers():
+    attempt = create_attempt("a")
     for _ in range(MAX_ROUNDS):
         attempt = attempt.handle_result(HELD)
         attempt = attempt.handle_holder(AttemptRecord(AttemptState.GIVEN_BACK))
@@ -70,17 +70,18 @@
         (AttemptRecord(AttemptState.FINISHED), Action.REFUSE_UNSETTLED),
     ],
 )
-def test_repeat_ends_by_what_is_known_of_the_holder(record, action):
-    assert begin("a").handle_result(HELD).handle_holder(record).action is action
+def test_action_for_a_repeat_follows_the_holders_record(record, action):
+    assert (
+        create_attempt("a").handle_result(HELD).handle_holder(record).action is action
+    )
 
 
-def test_attempt_that_was_given_up_never_starts():
+def test_attempt_that_was_given_back_never_starts():
     """A claim is granted after its request was refused as not run.
 
-    Symptom: the request runs although its caller was told that it had not.
-    Sequence: the request is given up; a repeat takes the key over on that word; the
-    grant of the first claim arrives.
-    Cause: a grant says nothing of what became of the request meanwhile.
+    Guards against a request that runs although its caller was told that it did not.
+    After the refusal a repeat takes over the key, and then the grant of the first
+    claim arrives; the grant alone must not start the run.
     """
     registry = create_registry()
     registry.open(OWN, KEY, b"d" * 8, 0)
@@ -90,7 +91,7 @@
     assert registry.find(OWN).state is AttemptState.GIVEN_BACK
 
 
-def test_registry_is_bounded_and_forgets_the_oldest():
+def test_registry_is_bounded_and_evicts_the_oldest():
     registry = create_registry()
     for serial in range(5):
         token = Token("a", 1, serial)
@@ -106,32 +107,32 @@
     assert registry.find_granted(bytes([4]) * 16) is None
 
 
-def test_keys_of_different_callers_never_meet():
+def test_keys_of_different_callers_never_collide():
     texts = [("ab", "c", "k"), ("a", "bc", "k"), ("a", "b", "ck"), ("", "abc", "k")]
     assert len({create_key(*parts) for parts in texts}) == len(texts)
 
 
-def test_lost_instance_moves_only_its_own_shards():
+def test_removed_instance_moves_only_its_own_shards():
     names = [f"instance-{number}" for number in range(9)]
     shards = [f"claims/{number}/head" for number in range(200)]
     before = {shard: rank_instances(shard, names)[0] for shard in shards}
-    left = [name for name in names if name != "instance-4"]
-    after = {shard: rank_instances(shard, left)[0] for shard in shards}
+    remaining = [name for name in names if name != "instance-4"]
+    after = {shard: rank_instances(shard, remaining)[0] for shard in shards}
     moved = {shard for shard in shards if before[shard] != after[shard]}
     assert moved == {shard for shard in shards if before[shard] == "instance-4"}
     assert all(list(before.values()).count(name) > 8 for name in names)
 
 
 @pytest.mark.parametrize(
-    ("elapsed", "down_for", "retries"),
+    ("elapsed", "silent_for", "retries"),
     [(0.1, 0.5, True), (2.6, 0.5, False), (0.1, 6.0, False)],
 )
-def test_outage_is_waited_out_while_it_is_young(elapsed, down_for, retries):
+def test_requests_are_retried_early_in_an_outage(elapsed, silent_for, retries):
     outage = Outage(
         first_attempt=True,
         elapsed=elapsed,
         remaining=5 - elapsed,
-        store_silent_for=down_for,
+        store_silent_for=silent_for,
     )
     decision = RetryThenRefuse().decide(outage)
     assert isinstance(decision, RetryAfter) is retries
--- a/tests/test_core/test_claims/test_commit.py
+++ b/tests/test_core/test_claims/test_commit.py
@@ -1,4 +1,4 @@
-"""Random histories of one shard: writers with differing clocks, and a lossy store."""
+"""Randomized tests of one shard: writers with different clocks and a lossy store."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 LIMITS = ShardLimits(
     retention=RETENTION, clock_margin=50, head_claims=3, segment_claims=6, segments=8
 )
-#: seconds by which the writers' clocks are off; they differ by less than the margin
+#: clock offsets of the writers, in seconds; they differ by less than the margin
 OFFSETS = (-20, 0, 29)
 KEYS = [bytes([number]) * 16 for number in range(8)]
 DIGESTS = [bytes([number]) * 8 for number in range(2)]
@@ -41,7 +41,7 @@
 
 
 class ShardMachine(RuleBasedStateMachine):
-    """A shard and what its writers were told."""
+    """State machine of a shard, with the results that its writers received."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -52,11 +52,11 @@
         self.caches = [(None, ()) for _ in OFFSETS]
         self.batches = 0
         self.serial = 0
-        #: operations by the attempt that asked for them
+        #: operations by the token of their attempt
         self.asked: dict[Token, Acquire] = {}
-        #: attempts that were granted their key: key and time
+        #: key and time of the attempts that were granted their key
         self.granted: dict[Token, tuple[bytes, int]] = {}
-        #: attempts that will never run, by the word of their instance
+        #: attempts that have ended without a run and will never run
         self.over: set[Token] = set()
 
     @rule(writer=writers, key=keys, digest=strategies.sampled_from(DIGESTS), fate=fates)
@@ -69,7 +69,7 @@
 
     @rule(writer=writers, number=numbers, fate=fates)
     def acquire_again(self, writer, number, fate):
-        """Send an operation once more, as when its answer was lost."""
+        """Send an operation again, as after a lost answer."""
         waiting = [token for token in self.asked if token not in self.over]
         if not waiting:
             return
@@ -86,7 +86,7 @@
 
     @rule(writer=writers, number=numbers, fate=fates)
     def give_back(self, writer, number, fate):
-        """End an attempt with nothing sent; also one that ended like that before."""
+        """Give back the claim of an attempt; it may have been given back before."""
         if not self.asked:
             return
         token = list(self.asked)[number % len(self.asked)]
@@ -117,7 +117,7 @@
                 del self.entries[str(ref.number)]
 
     @invariant()
-    def bounds_hold(self):
+    def limits_hold(self):
         if HEAD not in self.entries:
             return
         head = decode_head(self.entries[HEAD].value).unwrap()
@@ -140,7 +140,7 @@
         self.granted.setdefault(token, (operation.key, self.now))
 
     def commit(self, writer, operation, fate):
-        """Take one operation through all steps; ``fate`` is that of its writes."""
+        """Commit one operation; ``fate`` lists the faults of its writes, in order."""
         view, segments = self.caches[writer]
         self.batches += 1
         commit = create_commit(
@@ -221,8 +221,8 @@
     ("guard", "replacement"),
     [("is_expired", forget_by_own_clock), ("may_give_back", free_any)],
 )
-def test_random_histories_notice_a_missing_guard(guard, replacement):
-    """Clocks that differ are not part of the exhaustive exploration."""
+def test_random_histories_detect_a_missing_guard(guard, replacement):
+    """The exhaustive exploration does not cover clocks that differ."""
     with (
         mock.patch.object(operations, guard, replacement),
         pytest.raises(AssertionError, match="two attempts hold one key"),
@@ -241,8 +241,8 @@
         )
 
 
-def test_batch_on_a_known_head_takes_one_write():
-    """The usual writer must not read the head for every batch."""
+def test_batch_on_a_cached_head_takes_one_write():
+    """The preferred writer must not read the head for every batch."""
     steps = []
     commit = create_commit(
         (Acquire(KEYS[0], DIGESTS[0], Token("one", 1, 1)),),
@@ -271,11 +271,11 @@
 
 
 def test_head_of_another_format_is_never_overwritten():
-    """A later release has written the head in a format of its own.
+    """A later release has written the head in a newer format.
 
-    Symptom: all claims of a shard vanish during a rollout, and requests run twice.
-    Sequence: the newer instance swaps, the older one reads and swaps in turn.
-    Cause: a value that can't be read was taken for an empty shard.
+    Guards against losing all claims of a shard during a rollout, so that requests run
+    twice: an older instance that treats an unreadable head as an empty shard would
+    overwrite what the newer one has written.
     """
     commit = create_commit(
         (Acquire(KEYS[0], DIGESTS[0], Token("one", 1, 1)),),
--- a/tests/test_core/test_claims/test_encoding.py
+++ b/tests/test_core/test_claims/test_encoding.py
@@ -1,4 +1,4 @@
-"""Tests of the bytes of heads and segments."""
+"""Tests of the encoding of heads and segments."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         assert segment.find(claim.key) == claim
 
 
-def test_keys_that_begin_alike_are_told_apart():
+def test_keys_with_a_common_prefix_are_distinguished():
     keys = [b"k" * 8 + bytes([number]) * 8 for number in range(4)]
     held = [Claim(key, b"d" * 8, Token("a", 1, 1), 1) for key in keys[:3]]
     segment = Segment.create(1, held)
@@ -66,19 +66,19 @@
 
 
 @given(strategies.binary(max_size=64))
-def test_any_bytes_are_read_or_turned_down(data):
+def test_any_bytes_are_decoded_or_rejected(data):
     decode_head(data)
     decode_segment(data)
 
 
 @pytest.mark.parametrize("cut", [1, 10, 40])
-def test_cut_head_is_turned_down(cut):
+def test_truncated_head_is_rejected(cut):
     claim = Claim(b"k" * 16, b"d" * 8, Token("a", 1, 1), 1)
     assert decode_head(encode_head(Head(claims=(claim,)))[:-cut]).is_err()
 
 
 def test_largest_segment_fits_the_store():
-    """12,000 claims, each of another process with a long id."""
+    """12,000 claims, each of a different process with a long instance id."""
     held = tuple(
         Claim(
             number.to_bytes(16),
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -1,4 +1,4 @@
-"""Exhaustive exploration of the claims of one key, and of each missing guard."""
+"""Explores all interleavings of claims, with and without each guard."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from greengagelatch_lab.claims_model import OTHER_KEY, Budget, ClaimsModel, Seeker
 from greengagelatch_lab.explore import Mutation, explore, explore_mutations
 
-#: set to explore with larger budgets, which takes minutes
+#: set to explore with larger fault budgets, which takes minutes
 LARGE = "GREENGAGELATCH_EXPLORE_LARGE" in os.environ
 MAX_STATES = 2_000_000 if LARGE else 60_000
 
@@ -22,7 +22,7 @@
 
 
 def create_forwarded() -> ClaimsModel:
-    """Two instances ask a third one to write; answers are lost on both ways."""
+    """Two instances forward to a third one; answers are lost on both hops."""
     lost = 2 if LARGE else 1
     return ClaimsModel(
         (Seeker(0, (2, 0)), Seeker(1, (2, 1))),
@@ -32,7 +32,7 @@
 
 
 def create_given_up() -> ClaimsModel:
-    """Requests are given up while their claims are on the way."""
+    """Requests are abandoned while their claims are being acquired."""
     return ClaimsModel(
         (Seeker(0, (1, 0)), Seeker(1, (1,))),
         writers=2,
@@ -41,7 +41,7 @@
 
 
 def create_given_back() -> ClaimsModel:
-    """A claim is given back while other attempts seek the key."""
+    """A claim is given back while other attempts acquire the key."""
     return ClaimsModel(
         (Seeker(0, (1, 0)), Seeker(1, (1,))),
         writers=2,
@@ -50,7 +50,7 @@
 
 
 def create_twice_given_back() -> ClaimsModel:
-    """Three attempts; a give-back arrives late and twice."""
+    """Three attempts; a give-back arrives late and is duplicated."""
     return ClaimsModel(
         (Seeker(0, (0,)), Seeker(1, (1,)), Seeker(1, (0, 1))),
         writers=2,
@@ -61,7 +61,7 @@
 
 
 def create_crashing() -> ClaimsModel:
-    """An instance dies at any moment."""
+    """An instance crashes at any moment."""
     return ClaimsModel(
         (Seeker(0, (1, 0)), Seeker(1, (1,))),
         writers=2,
@@ -70,7 +70,7 @@
 
 
 def create_sealing() -> ClaimsModel:
-    """Two writers seal every claim at once, and lose answers meanwhile."""
+    """Two writers seal every claim immediately, while answers are lost."""
     return ClaimsModel(
         (Seeker(0, (0,)), Seeker(1, (1,))),
         writers=2,
@@ -81,7 +81,7 @@
 
 
 def create_joining() -> ClaimsModel:
-    """Segments are joined, and the older ones deleted; two keys are used."""
+    """Segments are merged and the older ones deleted; two keys are used."""
     return ClaimsModel(
         (Seeker(0, (0,)), Seeker(1, (1,)), Seeker(1, (1,), key=OTHER_KEY)),
         writers=2,
@@ -92,7 +92,7 @@
 
 
 def create_reused() -> ClaimsModel:
-    """The key is used for two requests."""
+    """The same key is used for two different requests."""
     return ClaimsModel(
         (Seeker(0, (1, 0)), Seeker(0, (0,), OTHER), Seeker(1, (1,), OTHER)),
         writers=2,
@@ -172,18 +172,18 @@
 @pytest.mark.parametrize(
     ("create_model", "mutation"), MUTATIONS, ids=lambda one: getattr(one, "name", "")
 )
-def test_each_missing_guard_is_noticed(create_model, mutation):
+def test_each_missing_guard_is_detected(create_model, mutation):
     results = explore_mutations(create_model, [mutation], max_states=MAX_STATES)
     result = results[mutation.name]
     print(f"{mutation.name}: {result.states} states, {result.violation}")
     assert result.violation is not None
 
 
-def test_batch_that_left_the_ring_is_not_applied_again():
-    """A writer reads the head back so late that its batch's id is gone.
+def test_batch_whose_id_was_evicted_is_not_applied_again():
+    """A writer reads the head back so late that the id of its batch is evicted.
 
-    Its claim was given back meanwhile. If it took the missing id for a swap that
-    failed, it would claim the key again, for an attempt that is over.
+    Its claim was given back in between. If it treated the missing id as a failed swap,
+    it would claim the key again, for an attempt that has ended.
     """
     mutation = Mutation("no ring check", commit, "is_batch_id_evicted", never)
 
--- a/tests/test_core/test_claims/test_operations.py
+++ b/tests/test_core/test_claims/test_operations.py
@@ -1,4 +1,4 @@
-"""Tests of forgetting and of giving back."""
+"""Tests of the expiry, give-back and takeover of claims."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
     )
 
 
-def test_clock_that_is_fast_within_the_margin_forgets_nothing():
-    """An instance's clock is ahead of the one that made the claim.
+def test_clock_that_is_fast_within_the_margin_expires_nothing():
+    """An instance's clock is ahead of the clock of the instance that claimed.
 
-    Symptom: a repeat within the stated time runs again.
-    Sequence: a claims; b, whose clock is 50 s ahead, prunes the head 100 s later.
-    Cause: the time after which to forget is a reading of another clock.
+    Guards against a second run of a repeat within the retention. Instance a claims a
+    key; b, whose clock is 50 s ahead, prunes the head 100 s later. The expiry is a
+    time of a's clock, so b has to allow for the margin.
     """
     head = apply(Head(), claim(FIRST)).head
     held = apply(head, claim(SECOND), now=1000 + 100 + 50)
@@ -46,20 +46,19 @@
     assert [one.token for one in free.head.claims] == [SECOND]
 
 
-def test_claim_of_a_slow_clock_is_kept_by_the_fastest_one_seen():
+def test_claim_of_a_slow_clock_expires_by_the_fastest_one_recorded():
     head = apply(Head(), claim(FIRST), now=1000).head
     other = Acquire(b"o" * 16, b"d" * 8, SECOND)
     head = apply(head, other, now=900).head
     assert head.claims[-1].expires_at == 1000 + LIMITS.retention
 
 
-def test_late_give_back_leaves_the_newer_claim():
+def test_late_give_back_keeps_the_newer_claim():
     """A give-back is delayed until another attempt holds the key.
 
-    Symptom: a third attempt runs beside the second one.
-    Sequence: the first attempt is given back, by way of two writers; the second
-    claims the key; the other give-back arrives.
-    Cause: a give-back that names the key alone.
+    Guards against a third attempt that runs concurrently with the second. The first
+    attempt is given back through two writers; the second attempt claims the key, and
+    then the other give-back arrives. It must match the token, not only the key.
     """
     head = apply(Head(), claim(FIRST), GiveBack(KEY, FIRST), claim(SECOND)).head
     late = apply(head, GiveBack(KEY, FIRST))
@@ -67,7 +66,7 @@
     assert not late.changed
 
 
-def test_key_is_taken_over_only_from_the_attempt_that_is_over():
+def test_key_is_taken_over_only_from_the_confirmed_attempt():
     head = apply(Head(), claim(FIRST)).head
     refused = apply(head, claim(SECOND, replaces=Token("a", 1, 9)))
     assert refused.results[0].kind is ResultKind.HELD
@@ -75,7 +74,7 @@
     assert granted.results[0].kind is ResultKind.GRANTED
 
 
-def test_full_shard_refuses_and_keeps_what_it_holds():
+def test_full_shard_refuses_claims_and_keeps_the_others():
     operations = [
         Acquire(bytes([number]) * 16, b"d" * 8, Token("a", 1, number))
         for number in range(2 * LIMITS.head_claims + 1)
--- a/tests/test_core/test_orders/test_engine.py
+++ b/tests/test_core/test_orders/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of what is due with one engine."""
+"""Tests of the calls that are due to one engine."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     return record.record_report(now, EngineReport(state, fence), RULES)
 
 
-def test_an_order_goes_before_a_reading_that_is_due_again():
-    """An engine is read for ever and never given the order it needs.
+def test_an_order_takes_precedence_over_a_read_that_is_due():
+    """Guards against an engine that is read again and again but never gets its order.
 
-    The interval between readings is shorter than that between two looks, so that a
-    reading is due at each of them. The cause would be readings that go first.
+    The read interval is shorter than the time between two plans, so that a read is due
+    at each of them; if reads came first, orders would starve.
     """
     record = EngineRecord()
     assert record.plan(0.0, WANTED, may_order=True) is EngineAction.READ
@@ -35,10 +35,10 @@
     assert record.plan(2.0, WANTED, may_order=True) is EngineAction.READ
 
 
-def test_an_order_without_an_answer_is_over_when_it_shows_or_its_time_is():
+def test_an_unanswered_order_ends_when_it_is_reported_or_its_lifetime_ends():
     sent = read(EngineRecord(), 0.0).record_sending(1.0, ORDER).record_lost_answer(6.0)
     other = EngineState(models=("draft-0",))
-    # the wanted state alone may come from an older order, and the new one yet to come
+    # the desired state alone may come from an older order, with the new one pending
     for state, fence in ((other, 7), (WANTED, 6)):
         assert read(sent, 7.0, state, fence).unsettled == ORDER
     assert read(sent, 7.0, WANTED, 7).unsettled is None
@@ -46,7 +46,7 @@
     assert read(sent, 28.0, other, 6).unsettled is None
 
 
-def test_an_engine_out_of_reach_is_read_before_it_is_given_an_order():
+def test_an_unreachable_engine_is_read_before_it_gets_an_order():
     record = read(EngineRecord(), 0.0).record_failure(1.0, 4.0)
     assert record.plan(2.0, WANTED, may_order=True) is EngineAction.IDLE
     assert record.plan(5.0, WANTED, may_order=True) is EngineAction.READ
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -1,4 +1,4 @@
-"""Every interleaving of two contenders, their orders and the faults between them."""
+"""Explores all interleavings of two lease contenders, their orders and faults."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from greengagelatch_lab.explore import Mutation, explore, explore_mutations
 from greengagelatch_lab.orders_model import Budget, OrdersModel
 
-#: speeds of the clocks of the holder and its successor
+#: relative clock speeds of the holder and its successor
 RIGHT = (1.0, 1.0)
 SLOW_HOLDER = (0.75, 1.0)
 BOTH_WRONG = (0.75, 1.25)
@@ -24,7 +24,7 @@
 
 
 def create_orders(fencing, *, speeds=SLOW_HOLDER, ticks=7, keeps=0, lost=1, **options):
-    """The holder's orders, its lapse, and its successor's orders."""
+    """The holder's orders, the expiry of its lease, and its successor's orders."""
     return OrdersModel(
         speeds=speeds,
         fencing=fencing,
@@ -35,7 +35,7 @@
 
 
 def create_renewals():
-    """Renewals and take-overs whose calls are late, or whose answers are lost."""
+    """Renewals and takeovers with late calls or lost answers."""
     return OrdersModel(
         speeds=BOTH_WRONG,
         fencing=IGNORED,
@@ -45,7 +45,7 @@
 
 
 def create_race():
-    """Two contenders that ask at the same time; one may let go."""
+    """Two contenders that request the lease at the same time; one may release it."""
     return OrdersModel(
         speeds=RIGHT,
         fencing=IGNORED,
@@ -56,7 +56,7 @@
 
 
 def create_crash():
-    """The holder or its successor dies."""
+    """The holder or its successor crashes."""
     return OrdersModel(
         speeds=SLOW_HOLDER,
         fencing=IGNORED,
@@ -68,7 +68,7 @@
 MODELS = {
     "orders-ignored": lambda: create_orders(IGNORED),
     "orders-ignored-right-clocks": lambda: create_orders(IGNORED, speeds=RIGHT),
-    # a fast clock makes the wait of the successor short
+    # a fast clock shortens the wait of the successor
     "orders-ignored-wrong-clocks": lambda: create_orders(
         IGNORED, speeds=BOTH_WRONG, keeps=1, lost=0
     ),
@@ -80,12 +80,12 @@
 
 
 @pytest.mark.parametrize("name", MODELS)
-def test_no_interleaving_breaks_the_order_of_holders(name, record_property):
-    """An engine goes back to what a former holder wanted.
+def test_no_interleaving_applies_an_order_of_a_former_holder(name, record_property):
+    """Guards against an engine that reverts to the state of a former lease holder.
 
-    A holder is paused, or its answer or order is late or lost, while another one
-    takes the lease over. The cause would be any moment at which both may act, or an
-    order of the first one that is carried out after one of the second.
+    A holder is paused, or its answer or order is late or lost, while another instance
+    takes over the lease. Both must never be able to act at the same time, and no order
+    of the first may be carried out after one of the second.
     """
     found = explore(MODELS[name](), max_states=300_000)
     print(f"{name}: {found.states} states, {found.depth} steps")
@@ -95,7 +95,7 @@
 
 
 class SuccessorsOrder(OrdersModel):
-    """Takes an order of the second contender that is carried out for a fault."""
+    """Reports a fault once an order of the second contender is carried out."""
 
     def find_fault(self, state):
         return "carried out" if state.engine.state.models == ("1",) else ""
@@ -110,7 +110,7 @@
     ],
 )
 @pytest.mark.parametrize("fencing", Fencing)
-def test_the_models_get_as_far_as_the_successors_order(fencing, options):
+def test_the_models_reach_an_order_of_the_successor(fencing, options):
     model = SuccessorsOrder(
         speeds=options["speeds"],
         fencing=fencing,
@@ -148,7 +148,7 @@
     return dataclasses.replace(record, unsettled=None, due=now)
 
 
-#: each guard that is taken out, and the model that has to notice
+#: each removed guard, and the model that has to detect it
 MUTATIONS = (
     (create_renewals, Mutation("no-margin", Tenure, "compute_left", ignore_margin)),
     (
@@ -196,29 +196,29 @@
 @pytest.mark.parametrize(
     ("create", "mutation"), MUTATIONS, ids=[item[1].name for item in MUTATIONS]
 )
-def test_each_guard_is_missed_when_it_is_taken_out(create, mutation):
+def test_each_removed_guard_is_detected(create, mutation):
     found = explore_mutations(create, [mutation], max_states=300_000)
     violation = found[mutation.name].violation
     assert violation is not None
     print(violation)
 
 
-def test_an_engine_wrongly_taken_to_check_is_noticed():
-    """An engine goes back although its service is labelled as checking.
+def test_an_engine_that_is_wrongly_labelled_as_checking_is_detected():
+    """An engine reverts although its service is labelled as checking fencing tokens.
 
-    The successor does not wait, as the engine is to refuse the former holder's
-    order; it does not. The cause is a label that is not true, which no instance can
-    make good: the default is therefore that engines ignore numbers.
+    The successor does not wait, since the engine is expected to refuse the former
+    holder's order, but it accepts it. No instance can compensate for a wrong label,
+    so the default is that engines ignore fencing tokens.
     """
     found = explore(create_orders(CHECKED, checks=False), max_states=300_000)
     assert found.violation is not None
 
 
 def test_an_engine_that_checks_is_safe_without_the_other_guards():
-    """A holder is paused between its last check and the first byte, for long.
+    """A holder is paused for long between its last check and the first byte.
 
-    No clock helps then, since nothing lies between the two any more. An engine that
-    checks numbers refuses the order all the same.
+    No check of the clock can detect this, as none comes after the pause. An engine
+    that checks fencing tokens still refuses the order.
     """
     sends = Mutation("sends", permission, "may_send", lambda *_, **__: True)
     found = explore_mutations(
--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of the claims controller and its filter over an in-process store."""
+"""Tests of the claims controller and its filter with an in-process store."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Instance:
-    """One entry instance: claims, filter, and a pipeline that counts its runs."""
+    """One entry instance: claims, filter, and a pipeline that records its runs."""
 
     def __init__(self, fleet: Fleet, name: str, peers) -> None:
         text = "\n".join(
@@ -87,19 +87,19 @@
 
 
 class Fleet:
-    """Instances that share a store, and the runs they made."""
+    """Instances that share a store, and the runs that they executed."""
 
     def __init__(self, **settings: object) -> None:
         self.settings = {"shards": 1, "interval": 0, **settings}
         self._store = MemoryStore(clock=CLOCK)
-        #: each instance's own way to the one store
+        #: view of the shared store by instance, each with its own faults
         self.stores: dict[str, StoreView] = {}
         self.switchboard = Switchboard()
         self.runs: list[tuple[str, str]] = []
-        #: answers that said "not run" about a key that had run
-        self.lies: list[tuple[str, Answer]] = []
+        #: answers with the verdict "not run" for a key that had run
+        self.wrong_verdicts: list[tuple[str, Answer]] = []
         self.requests = 0
-        #: closed: runs wait until it is opened
+        #: while it is not set, runs wait
         self.gate = asyncio.Event()
         self.gate.set()
         self.instances: dict[str, Instance] = {}
@@ -114,7 +114,7 @@
         return instance
 
     async def stop(self, name: str) -> None:
-        """Stop an instance as planned."""
+        """Stop an instance gracefully."""
         instance = self.instances.pop(name)
         self.switchboard.states[name] = MemberState.LEAVING
         await instance.claims.stop()
@@ -125,11 +125,11 @@
         return list(self.instances.values())
 
     def kill(self, name: str) -> None:
-        """Make an instance unreachable for good, without its stopping anything."""
+        """Make an instance unreachable for good, without stopping it."""
         self.switchboard.leave(name)
 
     async def run(self, name: str, exchange: Exchange, verdict: Verdict) -> Answer:
-        """Stand for all later filters."""
+        """Stand in for all later filters."""
         request = exchange.request
         if verdict is Verdict.NOT_RUN:
             refusal = Refusal(code=RefusalCode.OVERLOADED, message="busy")
@@ -160,11 +160,11 @@
             await fleet.stop(name)
 
 
-def get_usual_writer(fleet: Fleet) -> str:
+def get_preferred_writer(fleet: Fleet) -> str:
     for name, instance in fleet.instances.items():
         if instance.claims.dump()["writing"]:
             return name
-    raise AssertionError("nobody has written")
+    raise AssertionError("no instance has written a shard")
 
 
 async def test_single_instance_without_peers_replays():
@@ -227,23 +227,22 @@
     assert len(fleet.runs) == 1
 
 
-async def test_answer_of_the_usual_writer_is_lost():
-    """A claim is forwarded and committed, but the answer never comes.
+async def test_answer_of_the_preferred_writer_is_lost():
+    """A claim is forwarded and committed, but the answer is lost.
 
-    Symptom: the request is refused, or claimed a second time and stuck.
-    Sequence: the writer swaps the head; its answer is lost on the link; the asking
-    instance has to find out by itself.
-    Cause: nothing but the store can tell whether the claim was committed.
+    Guards against a request that is refused or blocked by its own claim. The writer
+    swaps the head and its answer is lost on the link; the asking instance has to read
+    the store, which alone shows whether the claim was committed.
     """
     async with run_fleet("a", "b", "c", forward_timeout=0.1) as fleet:
         await fleet.instances["a"].ask("warm-up")
-        writer = get_usual_writer(fleet)
+        writer = get_preferred_writer(fleet)
         others = [name for name in fleet.instances if name != writer]
         fleet.switchboard.mute |= {(name, writer) for name in others}
         asking = fleet.instances[others[0]]
         first = await asking.ask("k")
         await asking.ask("other")
-        # the second request does not wait for the silent writer once more
+        # the second request does not wait for the unresponsive writer again
         assert asking.metrics.value("claims.forward_silent") == 1
         fleet.switchboard.mute.clear()
         second = await fleet.instances[others[1]].ask("k")
@@ -253,16 +252,16 @@
     assert count_runs(fleet, "k") == 1
 
 
-async def test_usual_writer_is_out_of_reach():
-    """The usual writer of a shard is cut off from the other instances.
+async def test_preferred_writer_is_unreachable():
+    """The preferred writer of a shard is partitioned from the other instances.
 
-    Symptom: keyed requests wait for a new owner of the shard, or are refused.
-    Sequence: no question reaches the writer; the others still see it as alive.
-    Cause: a shard that only one instance may write stalls with that instance.
+    Guards against keyed requests that wait for a new owner of the shard or are refused.
+    No query reaches the writer, but the others still see it as alive; any instance must
+    be able to write the shard.
     """
     async with run_fleet("a", "b", "c") as fleet:
         await fleet.instances["a"].ask("warm-up")
-        writer = get_usual_writer(fleet)
+        writer = get_preferred_writer(fleet)
         others = [name for name in fleet.instances if name != writer]
         for name in others:
             fleet.switchboard.cut |= {(name, writer), (writer, name)}
@@ -277,16 +276,16 @@
     assert count_runs(fleet, "k") == 1
 
 
-async def test_instance_cut_off_from_the_store_claims_through_others():
-    """One instance, the usual writer, can't reach the store; the others can.
+async def test_instance_disconnected_from_the_store_claims_through_others():
+    """One instance, the preferred writer, can't reach the store; the others can.
 
-    Symptom: keyed requests at that instance are refused though its peers serve.
-    Sequence: its own swap fails, then it asks other instances to write for it.
-    Cause: a data centre may be cut off from the platform, but not from its peers.
+    Guards against refusing keyed requests there although its peers could commit them. A
+    data centre may be disconnected from the platform but not from its peers: after
+    its own swap has failed, the instance asks others to write for it.
     """
     async with run_fleet("a", "b", "c") as fleet:
         await fleet.instances["a"].ask("warm-up")
-        writer = get_usual_writer(fleet)
+        writer = get_preferred_writer(fleet)
         fleet.stores[writer].faults.outage = True
         answer = await fleet.instances[writer].ask("k")
         other = next(name for name in fleet.instances if name != writer)
@@ -298,11 +297,11 @@
 
 @pytest.mark.parametrize("fault", ["lose_answers", "drop_writes", "refuse_calls"])
 async def test_store_gives_no_answer_to_a_swap(fault):
-    """A swap takes effect and its answer is lost, or is lost on its way there.
+    """A swap is lost on its way to the store, or its answer is lost.
 
-    Symptom: a request runs twice, or its key is stuck.
-    Sequence: the writer hears nothing, reads the head back and looks for its batch.
-    Cause: a write without an answer may or may not have taken effect.
+    Guards against a request that runs twice or whose key stays blocked. A write without
+    an answer may or may not have taken effect, so the writer reads the head back and
+    looks for the id of its batch.
     """
     async with run_fleet("a", "b") as fleet:
         await fleet.instances["a"].ask("warm-up")
@@ -316,13 +315,12 @@
 
 
 @pytest.mark.parametrize("policy", ["refuse", "refuse-later"])
-async def test_nobody_reaches_the_store(policy):
-    """The store is down for all instances.
+async def test_store_is_unreachable_for_all_instances(policy):
+    """The store is unreachable for all instances.
 
-    Symptom: keyed requests run without a claim, and again once it is back.
-    Sequence: a declared first attempt and a repeat arrive during the outage, then
-    the repeat once more after it.
-    Cause: with no claim in the store, other instances know nothing of a run.
+    Guards against keyed requests that run without a claim and again after the outage. A
+    declared first attempt and a repeat arrive during the outage, then another repeat
+    after it. Without a claim in the store, other instances can't know of a run.
     """
     async with run_fleet("a", "b", store_down=policy) as fleet:
         await fleet.instances["a"].ask("warm-up")
@@ -343,7 +341,7 @@
     assert count_runs(fleet, "k") == 1
 
 
-async def test_short_outage_is_waited_out():
+async def test_request_is_retried_during_a_short_outage():
     async with run_fleet("a") as fleet:
         await fleet.instances["a"].ask("warm-up")
         fleet.stores["a"].faults.outage = True
@@ -354,12 +352,11 @@
         assert (await asked).verdict is Verdict.RAN
 
 
-async def test_instance_of_the_first_attempt_is_gone():
-    """The instance that runs a request dies, and its caller asks again elsewhere.
+async def test_instance_of_the_first_attempt_crashes():
+    """The instance that runs a request crashes, and the caller repeats it elsewhere.
 
-    Symptom: the request runs a second time.
-    Sequence: a claims and begins to run; a dies; the repeat reaches b.
-    Cause: nobody can tell how far the first run came.
+    Guards against a second run. Instance a claims the key, starts the run and crashes;
+    the repeat reaches b, which can't know how far the first run came.
     """
     async with run_fleet("a", "b") as fleet:
         fleet.gate.clear()
@@ -375,11 +372,11 @@
 
 
 async def test_instance_restarts_under_its_old_id():
-    """An instance dies and comes back with the same id and the same seed.
+    """An instance crashes and restarts with the same id and the same seed.
 
-    Symptom: it takes an earlier claim for its own and runs the request again.
-    Sequence: a runs the request and dies; the new a gets the repeat.
-    Cause: tokens drawn from the seeded source, or counted anew, would be equal.
+    Guards against treating an earlier claim as its own and running the request again.
+    Instance a runs the request and crashes; the new a gets the repeat. Tokens from the
+    seeded source, or from a counter alone, would be equal.
     """
     async with run_fleet("a", "b") as fleet:
         await fleet.instances["a"].ask("k")
@@ -393,11 +390,11 @@
 
 
 async def test_planned_stop_hands_outcomes_over():
-    """All instances are restarted one after the other, then a caller asks again.
+    """Instances stop one after the other, then the caller repeats its request.
 
-    Symptom: the caller learns only that its request may have run.
-    Sequence: a runs the request and stops, then b stops, then c gets the repeat.
-    Cause: outcomes live in the memory of instances that keep nothing.
+    Guards against an answer that only says that the request may have run. Instance a
+    runs the request and stops, then b stops, then c gets the repeat. Outcomes are only
+    in memory, so each instance has to hand them over before it stops.
     """
     async with run_fleet("a", "b", "c") as fleet:
         first = await fleet.instances["a"].ask("k")
@@ -410,11 +407,11 @@
 
 
 async def test_outcomes_are_not_handed_to_an_instance_that_is_silent():
-    """An instance stops just after another one has died, which nobody noticed yet.
+    """An instance stops while the crash of another one is not yet detected.
 
-    Symptom: a part of the outcomes is lost with a planned stop.
-    Sequence: b is silent, but counts as alive; a stops; c gets the repeats.
-    Cause: the first choice of a successor is the only one that is tried.
+    Guards against losing some outcomes in a planned stop. Instance b does not answer
+    but counts as alive; a stops; c gets the repeats. If the first choice of a successor
+    does not answer, the next one has to be tried.
     """
     keys = [f"k{number}" for number in range(8)]
     async with run_fleet("a", "b", "c") as fleet:
@@ -429,11 +426,11 @@
 
 
 async def test_caller_leaves_while_its_request_runs():
-    """A caller's connection breaks while its request runs, and it asks again.
+    """A caller's connection breaks while its request runs, and it sends a repeat.
 
-    Symptom: the repeat is told for good that the request may have run.
-    Sequence: the handler of the first request is cancelled; the repeat arrives.
-    Cause: a run that is cancelled half way has no result and can't be made again.
+    Guards against repeats that are only ever told that the request may have run. The
+    handler of the first request is cancelled, then the repeat arrives. A cancelled run
+    has no result and can't be executed again, so the run has to be finished.
     """
     async with run_fleet("a", "b") as fleet:
         fleet.gate.clear()
@@ -448,12 +445,11 @@
     assert len(fleet.runs) == 1
 
 
-async def test_cancelled_run_is_not_made_again():
-    """The same, where runs without a caller are cancelled by the settings.
+async def test_cancelled_run_is_not_executed_again():
+    """As above, with the setting that cancels runs whose callers have disconnected.
 
-    Symptom: the repeat runs the request anew, or waits for ever.
-    Sequence: as above.
-    Cause: a cancelled run has no answer that could be kept.
+    Guards against a repeat that runs the request again or waits for ever, as a
+    cancelled run has no answer to store.
     """
     async with run_fleet("a", "b", finish="no") as fleet:
         fleet.gate.clear()
@@ -467,7 +463,7 @@
     assert len(fleet.runs) == 1
 
 
-async def test_planned_stop_finishes_runs_whose_callers_left():
+async def test_planned_stop_finishes_runs_whose_callers_disconnected():
     async with run_fleet("a", "b") as fleet:
         fleet.gate.clear()
         first = asyncio.create_task(fleet.instances["a"].ask("k"))
@@ -483,13 +479,12 @@
     assert len(fleet.runs) == 1
 
 
-async def test_claim_is_committed_after_its_request_was_given_up():
-    """A writer commits a claim whose request has met its deadline meanwhile.
+async def test_claim_is_committed_after_its_request_was_refused():
+    """A writer commits a claim after the deadline of its request.
 
-    Symptom: the key is stuck: held by an attempt that never runs.
-    Sequence: the store is slow; the request at a is refused as not run; then the
-    swap takes effect; the repeat reaches b.
-    Cause: an operation that was sent can't be called back.
+    Guards against a key that stays blocked by an attempt that never runs. The store is
+    slow; the request at a is refused as not run; then the swap takes effect and the
+    repeat reaches b. An operation that was sent can't be withdrawn.
     """
     async with run_fleet("a", "b") as fleet:
         await fleet.instances["a"].ask("warm-up")
@@ -512,11 +507,11 @@
 
 @pytest.mark.parametrize("kind", ["get", "swap"])
 async def test_store_hangs_at_the_first_request(kind):
-    """The store takes the very first calls and never answers.
+    """The store accepts the first calls but never answers.
 
-    Symptom: a request is held long beyond its deadline.
-    Sequence: the instance asks for the number of shards, or writes it, and waits.
-    Cause: that call belongs to no single request, so its deadline did not apply.
+    Guards against a request that is held long beyond its deadline. The instance reads
+    or writes the number of shards; that call is shared by all requests, so the deadline
+    of a single one does not limit it.
     """
     async with run_fleet("a") as fleet:
 
@@ -532,11 +527,10 @@
 
 
 async def test_instances_with_different_numbers_of_shards():
-    """An instance is started with another ``claims.shards`` than the rest.
+    """An instance starts with a different ``claims.shards`` than the others.
 
-    Symptom: a repeat runs a second time.
-    Sequence: a claims in one shard, b looks in another one.
-    Cause: the shard of a key depends on the number of shards.
+    Guards against a second run of a repeat: the shard of a key depends on the number of
+    shards, so a would claim in one shard and b look in another.
     """
     async with run_fleet("a", shards=7) as fleet:
         first = await fleet.instances["a"].ask("k")
@@ -563,7 +557,7 @@
     assert fleet.runs == []
 
 
-async def test_claims_are_grouped_and_sealed():
+async def test_claims_are_batched_and_sealed():
     async with run_fleet("a", "b", head_claims=20, segment_claims=50) as fleet:
         keys = [f"k{number}" for number in range(200)]
         asked = [fleet.instances["a"].ask(key) for key in keys]
@@ -580,29 +574,29 @@
 
 @pytest.mark.parametrize("seed", range(6))
 async def test_random_faults_run_no_request_twice(seed):
-    """Answers are lost, stores and links go away at random, callers ask again.
+    """Answers are lost, stores and links fail at random, and callers send repeats.
 
-    Symptom: a request runs twice, or was said not to have run although it has.
-    Sequence: drawn at random from the seed.
-    Cause: any of those that the other tests bring about one by one, or several.
+    Guards against a request that runs twice, or that is reported as not run although it
+    ran, in random combinations of the faults that the other tests cause one by one.
+    The faults are drawn from the seed.
     """
     chooser = random.Random(seed)
     async with run_fleet(
         "a", "b", "c", forward_timeout=0.1, head_claims=4, shards=2
     ) as fleet:
         stop = asyncio.Event()
-        trouble = asyncio.create_task(make_trouble(fleet, chooser, stop))
-        callers = [ask_until_settled(fleet, f"k{n}", chooser) for n in range(30)]
+        injector = asyncio.create_task(inject_faults(fleet, chooser, stop))
+        callers = [ask_until_resolved(fleet, f"k{n}", chooser) for n in range(30)]
         await asyncio.gather(*callers)
         stop.set()
-        await trouble
+        await injector
     for number in range(30):
         assert count_runs(fleet, f"k{number}") <= 1
-    assert fleet.lies == []
+    assert fleet.wrong_verdicts == []
 
 
-async def ask_until_settled(fleet: Fleet, key: str, chooser: random.Random) -> None:
-    """Ask for one key up to six times, at instances chosen at random."""
+async def ask_until_resolved(fleet: Fleet, key: str, chooser: random.Random) -> None:
+    """Send up to six requests with one key, to instances chosen at random."""
     for _ in range(6):
         name = chooser.choice(sorted(fleet.instances))
         runs = Verdict.NOT_RUN if chooser.random() < 0.2 else Verdict.RAN
@@ -610,13 +604,13 @@
             key, seconds=chooser.choice((0.05, 0.5, 2.0)), runs=runs
         )
         if answer.verdict is Verdict.NOT_RUN and count_runs(fleet, key):
-            fleet.lies.append((key, answer))
+            fleet.wrong_verdicts.append((key, answer))
         if answer.verdict is Verdict.RAN:
             return
         await asyncio.sleep(chooser.random() * 0.05)
 
 
-async def make_trouble(
+async def inject_faults(
     fleet: Fleet, chooser: random.Random, stop: asyncio.Event
 ) -> None:
     """Inject faults at random until ``stop``, and leave none behind."""
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -1,4 +1,4 @@
-"""A holder that is halted in the middle of an order, with real processes."""
+"""A lease holder that is halted while it sends an order, with real processes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class World:
-    """A platform, an engine, and daemons that are started one by one."""
+    """A platform, an engine, and daemons that are started individually."""
 
     def __init__(self, group, registry, session, engine, fencing) -> None:
         self.engine = engine
@@ -63,7 +63,7 @@
         return daemon
 
     async def place(self, daemon, model):
-        """Change the configuration through one daemon."""
+        """Apply a placement of ``model`` through one daemon."""
         body = {
             "change_id": model,
             "mode": "apply",
@@ -118,13 +118,13 @@
 async def wait_for(check, timeout=30.0):
     """Wait until the awaited result of ``check`` is true."""
     async with asyncio.timeout(timeout):
-        # other processes change this, so nothing announces it
+        # polled, as the change comes from other processes without a notification
         while not await check():  # noqa: ASYNC110
             await asyncio.sleep(0.05)
 
 
 async def replace_halted(world, moment):
-    """Halt a holder at its first order, and let another one order in its place."""
+    """Halt a holder at its first order and wait for the order of another instance."""
     command = ("greengagelatch_lab.halting", f"--halt={moment}")
     halted = await world.start_daemon("halted", command)
     await world.place(halted, "draft-1")
@@ -144,11 +144,11 @@
 
 
 async def test_an_order_is_withheld_once_the_lease_has_lapsed(tmp_path):
-    """An engine goes back to a model that was replaced meanwhile.
+    """Guards against an engine that reverts to a model that was replaced.
 
-    A holder is halted right before its order is sent. Its lease lapses, another
-    instance orders a newer model, and the first one goes on. The cause would be an
-    order that is sent on the strength of a check made before the halt.
+    A holder is halted immediately before its order is sent. Its lease expires, another
+    instance orders a newer model, and the first one resumes. It must not send the
+    order because of a check that it made before the halt.
     """
     async with run_world(tmp_path, "ignored") as world:
         halted, _ = await replace_halted(world, "before")
@@ -165,7 +165,7 @@
 
 
 async def test_an_order_that_gets_out_is_refused_by_an_engine_that_checks(tmp_path):
-    """As above, but the halt comes after the check, when only the engine can help."""
+    """As above, but halted after the check, when only the engine can refuse."""
     async with run_world(tmp_path, "checked") as world:
         halted, other = await replace_halted(world, "after")
         halted.process.resume()
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -1,4 +1,4 @@
-"""Instances that die or stand still in the middle of a keyed call, as processes."""
+"""Instances that are killed or paused during a keyed call, with real processes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 DESK = create_desk(1)
 
-#: multiple of the usual time of a call, so that it lasts about two seconds
+#: size of the request, as a multiple of the default; the call lasts about 2 s
 SIZE = 200
 
 
 class Trial:
-    """One booking that is asked for again and again under one key."""
+    """One booking that is requested repeatedly under the same key."""
 
     def __init__(self, runner: FleetRunner, client: CallerClient) -> None:
         self._runner = runner
@@ -35,7 +35,7 @@
         self.observations = []
 
     async def ask(self, daemon, deadline_ms: int):
-        """Ask one instance and keep what it answered."""
+        """Send the request to one instance and record the observation."""
         arrival = Arrival(
             index=len(self.observations),
             offset=0.0,
@@ -53,7 +53,7 @@
         return seen
 
     async def wait_for_call(self) -> None:
-        """Wait until the service runs the call."""
+        """Wait until the service is running the call."""
         async with asyncio.timeout(10):
             while True:
                 records = await read_records(self._runner.targets)
@@ -62,14 +62,14 @@
                 await asyncio.sleep(0.05)
 
     async def check(self) -> None:
-        """Check what callers saw against what the service did."""
+        """Check the callers' observations against the records of the service."""
         match parse_objects(DESK_OBJECTS):
             case Ok(objects):
                 pipelines = [item for item in objects if isinstance(item, Pipeline)]
             case failure:
                 raise AssertionError(failure)
         records = await read_records(self._runner.targets)
-        # who was killed can't answer its caller
+        # a killed instance can't answer its caller
         answered = [s for s in self.observations if s.ending is not Ending.CUT]
         checker = Checker(
             observations=answered,
@@ -83,11 +83,11 @@
 
 
 async def test_killed_during_the_call_of_a_claimed_request(tmp_path):
-    """
-    Symptom: a lathe is booked twice. Sequence: an instance claims a keyed request,
-    calls the service and is killed; the caller, whose connection broke, asks again
-    at another instance, twice. Cause: the claim died with its instance, or a repeat
-    took a claim without an answer for one that is free.
+    """Guards against a double booking after an instance was killed.
+
+    The instance claims a keyed request, calls the service and is killed. The caller,
+    whose connection broke, repeats the request twice at another instance. The claim
+    must outlive its instance, and a claim without an outcome must not count as free.
     """
     async with (
         FleetRunner(DESK, tmp_path, entries=2) as runner,
@@ -110,11 +110,11 @@
 
 
 async def test_paused_during_the_call_of_a_claimed_request(tmp_path):
-    """
-    Symptom: a lathe is booked twice, or two callers get different words on one
-    booking. Sequence: an instance claims a keyed request, calls the service and
-    stands still; the caller asks again at another instance; the first one goes on
-    as if nothing had been. Cause: silence was taken for the end of the claim.
+    """Guards against a double booking, or different answers to the same booking.
+
+    An instance claims a keyed request, calls the service and is paused. The caller
+    repeats the request at another instance; then the first one resumes. A missing
+    answer of the holder must not end its claim.
     """
     async with (
         FleetRunner(DESK, tmp_path, entries=2) as runner,
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -1,4 +1,4 @@
-"""Keyed requests with real processes that are paused, killed and stopped."""
+"""Keyed requests while processes are paused, killed and stopped."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 DESK = create_desk(2)
 
-#: requests in each step, so that every instance is the usual writer of some
+#: requests in each step; enough that each instance is the preferred writer of some
 COUNT = 12
 
 
 class Caller:
-    """Sends keyed requests and keeps what it saw."""
+    """Sends keyed requests and records the observations."""
 
     def __init__(self, client: CallerClient) -> None:
         self.observations = []
         self._client = client
 
     async def ask(self, daemon, numbers):
-        """Send the requests with these numbers, side by side."""
+        """Send the requests with these numbers concurrently."""
         loop = asyncio.get_running_loop()
         sent = [
             self._client.send(create_arrival(number), daemon.entry, loop.time())
@@ -70,13 +70,12 @@
 
 
 async def test_keys_run_once_while_instances_pause_die_and_stop(tmp_path):
-    """Callers ask again elsewhere while instances go away in every way.
+    """Guards against double bookings and against results lost with a planned stop.
 
-    Symptom: a booking is made twice, or its result is lost with a planned stop.
-    Sequence: one instance of three is paused while the others serve keyed requests,
-    and goes on; another is killed; another is stopped as planned; each time the
-    requests are repeated at who is left.
-    Cause: memory of one process; a paused one that goes on as if nothing had been.
+    One instance of three is paused while the others serve keyed requests, and then
+    resumes; another is killed; another is stopped as planned. Each time the requests
+    are repeated at the remaining instances. Claims must not depend on the memory of
+    one process or on a process that resumes with stale state.
     """
     settings = {"drain.balancer_lag": "0.2"}
     async with (
