--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueuedOperation:
     operation: Operation
     #: monotonic seconds after which the result is no longer needed
     expires: float
@@ -79,7 +79,7 @@
         self._limits = limits
         self._interval = interval
         self._metrics = metrics
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedOperation] = []
         self._task: asyncio.Task[None] | None = None
         self._view: ShardView | None = None
         self._segments: tuple[tuple[SegmentRef, Segment], ...] = ()
@@ -109,16 +109,16 @@
             return OperationResult(ResultKind.FULL)
         if fresh:
             self._view = None
-        waiting = _Waiting(operation, expires, asyncio.Future())
-        self._queue.append(waiting)
+        queued = _QueuedOperation(operation, expires, asyncio.Future())
+        self._queue.append(queued)
         if self._task is None:
             self._task = asyncio.create_task(self._drain())
-        await asyncio.wait({waiting.result}, timeout=max(0.0, expires - now))
-        if not waiting.result.done():
+        await asyncio.wait({queued.result}, timeout=max(0.0, expires - now))
+        if not queued.result.done():
             # it may be part of a swap in progress; otherwise it stays in the queue
             # and is dropped when its batch is taken
             return UNSETTLED
-        return waiting.result.result()
+        return queued.result.result()
 
     async def close(self, timeout: float) -> None:
         """Finish queued operations within ``timeout`` seconds, then stop."""
@@ -130,7 +130,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def _drain(self) -> None:
-        batch: list[_Waiting] = []
+        batch: list[_QueuedOperation] = []
         try:
             while self._queue:
                 await self._pace()
@@ -138,8 +138,8 @@
                 if not batch:
                     continue
                 commit = await self._commit(tuple(one.operation for one in batch))
-                for waiting, result in zip(batch, commit.results, strict=True):
-                    waiting.result.set_result(result)
+                for queued, result in zip(batch, commit.results, strict=True):
+                    queued.result.set_result(result)
                 batch = []
                 await self._delete_retired()
         except Exception:
@@ -150,10 +150,10 @@
             self._view = None
         finally:
             self._task = None
-            for waiting in batch:
-                waiting.result.set_result(UNSETTLED)
-            for waiting in self._queue:
-                waiting.result.set_result(UNREACHABLE)
+            for queued in batch:
+                queued.result.set_result(UNSETTLED)
+            for queued in self._queue:
+                queued.result.set_result(UNREACHABLE)
             self._queue.clear()
 
     async def _pace(self) -> None:
@@ -162,18 +162,18 @@
         if self._paced > now:
             await asyncio.sleep(self._paced - now)
 
-    def _take_batch(self) -> list[_Waiting]:
+    def _take_batch(self) -> list[_QueuedOperation]:
         now = self._clock.now()
         # above its sealing limit a head has room for another ``head_claims`` claims
         size = min(MAX_BATCH, self._limits.head_claims)
         taken = self._queue[:size]
         del self._queue[:size]
         batch = []
-        for waiting in taken:
-            if waiting.expires <= now:
-                waiting.result.set_result(UNREACHABLE)
+        for queued in taken:
+            if queued.expires <= now:
+                queued.result.set_result(UNREACHABLE)
                 continue
-            batch.append(waiting)
+            batch.append(queued)
         return batch
 
     async def _commit(self, operations: tuple[Operation, ...]) -> Commit:
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -14,7 +14,7 @@
 
 #: times that an attempt may find the key's holder given back and then lose the key
 #: to another attempt
-MAX_ROUNDS = 8
+MAX_TAKEOVERS = 8
 
 #: fallback instances asked to commit for one that can't reach the store, besides
 #: the shard's preferred writer
@@ -55,7 +55,7 @@
     action: Action = Action.CHOOSE_CANDIDATES
     holder: Token | None = None
     outcome: bytes = b""
-    rounds: int = 0
+    takeovers: int = 0
     #: whether the claim may be in the store without a confirmation
     maybe_committed: bool = False
 
@@ -67,7 +67,7 @@
     def handle_candidates(self, candidates: tuple[str, ...]) -> Attempt:
         """Start with the instances that may commit; an empty tuple means none can."""
         if not candidates:
-            return self._turn(Action.STORE_UNREACHABLE)
+            return self._switch(Action.STORE_UNREACHABLE)
         return dataclasses.replace(
             self, action=Action.ACQUIRE, candidates=candidates, tried=0
         )
@@ -89,42 +89,42 @@
                     self, action=Action.ASK_HOLDER, holder=result.holder
                 )
             case ResultKind.KEY_REUSED:
-                return self._turn(Action.REFUSE_KEY_REUSED)
+                return self._switch(Action.REFUSE_KEY_REUSED)
             case ResultKind.FULL:
-                return self._turn(Action.REFUSE_FULL)
+                return self._switch(Action.REFUSE_FULL)
         state = self
         if kind is ResultKind.UNSETTLED:
             state = dataclasses.replace(self, maybe_committed=True)
         if self.tried + 1 < len(self.candidates):
             return dataclasses.replace(state, tried=self.tried + 1)
-        return state._turn(Action.STORE_UNREACHABLE)
+        return state._switch(Action.STORE_UNREACHABLE)
 
     def handle_holder(self, record: AttemptRecord | None) -> Attempt:
         """Handle the record of the holder's attempt; ``None`` means it is unknown."""
         if record is None:
-            return self._turn(Action.REFUSE_UNSETTLED)
+            return self._switch(Action.REFUSE_UNSETTLED)
         match record.state:
             case AttemptState.FINISHED if record.outcome:
-                state = self._turn(Action.REPLAY)
+                state = self._switch(Action.REPLAY)
                 return dataclasses.replace(state, outcome=record.outcome)
             case AttemptState.FINISHED:
-                return self._turn(Action.REFUSE_UNSETTLED)
-            case AttemptState.GIVEN_BACK if self.rounds < MAX_ROUNDS:
+                return self._switch(Action.REFUSE_UNSETTLED)
+            case AttemptState.GIVEN_BACK if self.takeovers < MAX_TAKEOVERS:
                 return dataclasses.replace(
                     self,
                     action=Action.CHOOSE_CANDIDATES,
                     operation=dataclasses.replace(self.operation, replaces=self.holder),
-                    rounds=self.rounds + 1,
+                    takeovers=self.takeovers + 1,
                 )
             case AttemptState.GIVEN_BACK:
-                return self._turn(Action.REFUSE_UNSETTLED)
-        return self._turn(Action.REFUSE_IN_PROGRESS)
+                return self._switch(Action.REFUSE_UNSETTLED)
+        return self._switch(Action.REFUSE_IN_PROGRESS)
 
     def restart(self) -> Attempt:
         """Start again with a new choice of instances."""
-        return self._turn(Action.CHOOSE_CANDIDATES)
+        return self._switch(Action.CHOOSE_CANDIDATES)
 
-    def _turn(self, action: Action) -> Attempt:
+    def _switch(self, action: Action) -> Attempt:
         return dataclasses.replace(self, action=action)
 
 
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -102,7 +102,7 @@
     """
     head = view.head
     # a writer whose clock is behind would make claims expire too early
-    stamp = max(now, head.written_at)
+    timestamp = max(now, head.written_at)
     claims = {claim.key: claim for claim in head.claims}
     results = []
     changed = False
@@ -114,18 +114,20 @@
             result = _give_back(claims, view, operation, current)
             changed |= result.kind is ResultKind.GIVEN_BACK
         else:
-            room = len(claims) < 2 * limits.head_claims
-            result, added = _acquire(claims, operation, current, room, stamp, limits)
+            has_room = len(claims) < 2 * limits.head_claims
+            result, added = _acquire(
+                claims, operation, current, has_room, timestamp, limits
+            )
             changed |= added
         results.append(result)
-    kept = tuple(
+    unexpired = tuple(
         claim for claim in claims.values() if not is_expired(claim, now, limits)
     )
     changed |= bool(deleted.intersection(ref.number for ref in head.retired))
     proposed = Head(
         sequence=head.sequence + 1,
-        written_at=stamp,
-        claims=kept,
+        written_at=timestamp,
+        claims=unexpired,
         segments=tuple(ref for ref in head.segments if is_needed(ref, now, limits)),
         retired=tuple(ref for ref in head.retired if ref.number not in deleted)
         + tuple(ref for ref in head.segments if not is_needed(ref, now, limits)),
@@ -133,7 +135,7 @@
         batches=(*head.batches, batch_id)[-MAX_BATCH_IDS:],
     )
     plan = Plan(proposed, tuple(results), changed)
-    if not seal or not changed or len(kept) <= limits.head_claims:
+    if not seal or not changed or len(unexpired) <= limits.head_claims:
         return plan
     return _seal(plan, view, now, limits)
 
@@ -198,8 +200,8 @@
     claims: dict[bytes, Claim],
     operation: Acquire,
     current: Claim | None,
-    room: bool,
-    stamp: int,
+    has_room: bool,
+    timestamp: int,
     limits: ShardLimits,
 ) -> tuple[OperationResult, bool]:
     """Return the result, and whether a claim was added."""
@@ -212,12 +214,12 @@
         if not is_same_request(operation, current):
             return OperationResult(ResultKind.KEY_REUSED), False
         return OperationResult(ResultKind.HELD, current.token), False
-    if not room:
+    if not has_room:
         return OperationResult(ResultKind.FULL), False
     # reinserted at the end, so that the map stays in order of acquisition
     claims.pop(operation.key, None)
     claims[operation.key] = Claim(
-        operation.key, operation.digest, operation.token, stamp + limits.retention
+        operation.key, operation.digest, operation.token, timestamp + limits.retention
     )
     return OperationResult(ResultKind.GRANTED), True
 
@@ -256,13 +258,13 @@
     refs = head.segments
     retired = head.retired
     newest = view.segments[-1] if view.segments else None
-    joins = (
+    merges = (
         newest is not None
         and bool(refs)
         and refs[-1] == view.head.segments[-1]
         and refs[-1].claims + len(sealed) <= limits.segment_claims
     )
-    if joins:
+    if merges:
         older = {
             claim.key: claim
             for claim in newest.claims
--- a/packages/greengagelatch/src/greengagelatch/claims/registry.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/registry.py
@@ -101,7 +101,7 @@
     def give_back(self, token: Token, now: float) -> None:
         """Close an attempt that sent nothing."""
         record = self._open.pop(token)
-        self._drop_granted(token, record)
+        self._remove_granted(token, record)
         self._close(
             token,
             dataclasses.replace(record, state=AttemptState.GIVEN_BACK, since=now),
@@ -123,7 +123,7 @@
             token, record = next(iter(self._closed.items()))
             if now - record.since <= self._retention:
                 return
-            self._forget(token)
+            self._evict(token)
 
     def list_finished(self) -> tuple[tuple[Token, bytes], ...]:
         """Return the attempts with stored outcomes, newest first."""
@@ -137,13 +137,13 @@
         self._closed[token] = record
         self._bytes += len(record.outcome)
         while len(self._closed) > self._max_records or self._bytes > self._max_bytes:
-            self._forget(next(iter(self._closed)))
+            self._evict(next(iter(self._closed)))
 
-    def _forget(self, token: Token) -> None:
+    def _evict(self, token: Token) -> None:
         record = self._closed.pop(token)
-        self._drop_granted(token, record)
+        self._remove_granted(token, record)
         self._bytes -= len(record.outcome)
 
-    def _drop_granted(self, token: Token, record: AttemptRecord) -> None:
+    def _remove_granted(self, token: Token, record: AttemptRecord) -> None:
         if self._granted.get(record.key) == token:
             del self._granted[record.key]
--- a/packages/greengagelatch/src/greengagelatch/orders/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/__init__.py
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """State that an engine reports, and the fencing number of its last order."""
+    """State that an engine reports, and the fencing token of its last order."""
 
     state: EngineState
-    #: fencing number of the order that led to ``state``; 0 if there was none
+    #: fencing token of the order that led to ``state``; 0 if there was none
     fence: int
 
 
@@ -63,7 +63,7 @@
 
     #: the engine confirms that it was carried out
     DONE = "done"
-    #: the engine has received an order with a higher fencing number
+    #: the engine has received an order with a higher fencing token
     OLD_FENCE = "old-fence"
     #: the engine can't carry it out and changed nothing
     REFUSED = "refused"
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -41,7 +41,9 @@
     #: consecutive failed calls
     failures: int = 0
 
-    def plan(self, now: float, wanted: EngineState, *, may_order: bool) -> EngineAction:
+    def plan(
+        self, now: float, desired: EngineState, *, may_order: bool
+    ) -> EngineAction:
         """Choose the next call.
 
         An order requires a state that was read under this lease, and no earlier
@@ -51,14 +53,14 @@
 
         :param may_order: whether an order may be sent to this engine now
         """
-        if may_order and self._needs_order(wanted):
+        if may_order and self._needs_order(desired):
             return EngineAction.ORDER
         return EngineAction.READ if now >= self.due else EngineAction.IDLE
 
-    def _needs_order(self, wanted: EngineState) -> bool:
+    def _needs_order(self, desired: EngineState) -> bool:
         if self.report is None or self.unsettled is not None or self.failures:
             return False
-        return self.current and not self.report.state.equals(wanted)
+        return self.current and not self.report.state.equals(desired)
 
     def record_sending(self, now: float, order: Order) -> EngineRecord:
         """Record that an order is about to be sent."""
@@ -81,7 +83,7 @@
     ) -> EngineRecord:
         """Record the engine's state, and resolve an order without an answer.
 
-        Such an order has ended once the engine reports both its fencing number and
+        Such an order has ended once the engine reports both its fencing token and
         its state, or after the longest time that an order can take.
         """
         unsettled = self.unsettled
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -43,7 +43,7 @@
     placement can be noticed before all engines have applied it. An order without an
     answer counts as in progress until it is resolved.
 
-    :param fence: fencing number of the lease
+    :param fence: fencing token of the lease
     :param now: monotonic seconds
     """
 
@@ -51,13 +51,13 @@
         self.fence = fence
         self._rules = rules
         self._records: dict[str, EngineRecord] = {}
-        self._under_way: dict[str, EngineCall] = {}
+        self._in_flight: dict[str, EngineCall] = {}
         self._budget = LoadBudget(at=now)
 
     @property
     def has_open_order(self) -> bool:
         """Whether an order is in progress or may still take effect."""
-        if any(step.order is not None for step in self._under_way.values()):
+        if any(step.order is not None for step in self._in_flight.values()):
             return True
         return any(record.unsettled is not None for record in self._records.values())
 
@@ -76,15 +76,15 @@
         :param loads_per_minute: this group's share of the weight store's rate
         """
         self._budget = self._budget.refill(now, loads_per_minute)
-        self._keep_only(target_ids)
+        self._update_targets(target_ids)
         steps = []
         for target_id, record in self._records.items():
-            if target_id in self._under_way:
+            if target_id in self._in_flight:
                 continue
             step = self._plan_engine(now, target_id, record, placement, may_order)
             if step is None:
                 continue
-            self._under_way[target_id] = step
+            self._in_flight[target_id] = step
             steps.append(step)
         return tuple(steps)
 
@@ -103,7 +103,7 @@
         :param report: ``None`` if the engine could not be read
         :param delay: seconds until the retry in that case
         """
-        self._under_way.pop(step.target_id, None)
+        self._in_flight.pop(step.target_id, None)
         if report is None:
             self._update(step.target_id, lambda r: r.record_failure(now, delay))
             return
@@ -115,7 +115,7 @@
 
         :param settled: whether the order can no longer take effect
         """
-        self._under_way.pop(step.target_id, None)
+        self._in_flight.pop(step.target_id, None)
         if settled:
             self._update(step.target_id, lambda r: r.record_answer(now))
             return
@@ -123,7 +123,7 @@
 
     def handle_failure(self, now: float, step: EngineCall, delay: float) -> None:
         """Record that a call had no effect; the next is due in ``delay`` seconds."""
-        self._under_way.pop(step.target_id, None)
+        self._in_flight.pop(step.target_id, None)
         self._update(
             step.target_id,
             lambda r: dataclasses.replace(r, unsettled=None).record_failure(now, delay),
@@ -163,17 +163,17 @@
         may_order: bool,
     ) -> EngineCall | None:
         present = UNREAD if record.report is None else record.report.state
-        wanted = want_state(placement, present)
-        loads = count_loads(wanted, present)
+        desired = want_state(placement, present)
+        loads = count_loads(desired, present)
         may_order = may_order and not self.has_open_order and self._budget.allows(loads)
-        match record.plan(now, wanted, may_order=may_order):
+        match record.plan(now, desired, may_order=may_order):
             case EngineAction.ORDER:
-                return EngineCall(target_id, Order(self.fence, wanted), loads)
-            case EngineAction.READ if len(self._under_way) < MAX_READS:
+                return EngineCall(target_id, Order(self.fence, desired), loads)
+            case EngineAction.READ if len(self._in_flight) < MAX_READS:
                 return EngineCall(target_id)
         return None
 
-    def _keep_only(self, target_ids: Iterable[str]) -> None:
+    def _update_targets(self, target_ids: Iterable[str]) -> None:
         records = {}
         for target_id in sorted(target_ids):
             records[target_id] = self._records.get(target_id) or EngineRecord()
--- a/packages/greengagelatch/src/greengagelatch/orders/permission.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/permission.py
@@ -16,22 +16,24 @@
 
 
 def may_order(
-    tenure: Tenure, now: Instant, *, rules: OrderRules, fencing: Fencing
+    lease_state: Tenure, now: Instant, *, rules: OrderRules, fencing: Fencing
 ) -> bool:
-    """Whether the holder of ``tenure`` may send orders.
+    """Whether the holder of ``lease_state`` may send orders.
 
     The remaining time of the lease must cover the call, so that an order reaches its
     engine before the next holder can start, or never. An engine that ignores fencing
     numbers may still be carrying out the former holder's order at that time, which
     would overwrite the new holder's; a new holder therefore waits for it to end.
     """
-    if not tenure.covers(now, rules.timeout):
+    if not lease_state.covers(now, rules.timeout):
         return False
-    return fencing is Fencing.CHECKED or tenure.has_waited(now, rules.max_execution)
+    return fencing is Fencing.CHECKED or lease_state.has_waited(
+        now, rules.max_execution
+    )
 
 
 def may_send(
-    tenure: Tenure | None,
+    lease_state: Tenure | None,
     order: Order,
     now: Instant,
     *,
@@ -43,6 +45,6 @@
     The check is made immediately before the first byte is sent: the process may have
     been paused since the order was planned, and another instance may hold the lease.
     """
-    if tenure is None or not tenure.held or tenure.fence != order.fence:
+    if lease_state is None or not lease_state.held or lease_state.fence != order.fence:
         return False
-    return may_order(tenure, now, rules=rules, fencing=fencing)
+    return may_order(lease_state, now, rules=rules, fencing=fencing)
--- a/packages/greengagelatch/src/greengagelatch/orders/rules.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/rules.py
@@ -1,4 +1,4 @@
-"""Timing rules of orders, and which engines check fencing numbers."""
+"""Timing rules of orders, and which engines check fencing tokens."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 __all__ = ("FENCING_LABEL", "Fencing", "OrderRules", "read_fencing")
 
-#: label of a service that says whether its engines check fencing numbers
+#: label of a service that says whether its engines check fencing tokens
 FENCING_LABEL = "fencing"
 
 #: share of the interval after which an engine with an unsettled order is read again
@@ -19,7 +19,7 @@
 
 
 class Fencing(Enum):
-    """How engines treat an order with an old fencing number."""
+    """How engines treat an order with an old fencing token."""
 
     CHECKED = "checked"
     IGNORED = "ignored"
@@ -51,7 +51,7 @@
 
 
 def read_fencing(service: Service) -> Fencing:
-    """Return how the engines of a service treat old fencing numbers.
+    """Return how the engines of a service treat old fencing tokens.
 
     Any label value other than "checked" counts as "ignored". A needless wait only
     costs time, but an order that is sent without the wait to an engine that does not
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -5,7 +5,12 @@
 import pytest
 
 from greengagelatch.claims import Token
-from greengagelatch.claims.attempt import MAX_ROUNDS, Action, Attempt, choose_candidates
+from greengagelatch.claims.attempt import (
+    MAX_TAKEOVERS,
+    Action,
+    Attempt,
+    choose_candidates,
+)
 from greengagelatch.claims.operations import Acquire, OperationResult, ResultKind
 from greengagelatch.claims.outage import Outage, RetryAfter, RetryThenRefuse
 from greengagelatch.claims.registry import AttemptRecord, AttemptRegistry, AttemptState
@@ -51,7 +56,7 @@
 
 def test_attempt_is_refused_after_too_many_lost_takeovers():
     attempt = create_attempt("a")
-    for _ in range(MAX_ROUNDS):
+    for _ in range(MAX_TAKEOVERS):
         attempt = attempt.handle_result(HELD)
         attempt = attempt.handle_holder(AttemptRecord(AttemptState.GIVEN_BACK))
         assert attempt.operation.replaces == OTHER
