--- a/packages/greengagelatch/src/greengagelatch/claims/__init__.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/__init__.py
@@ -1,7 +1,10 @@
 """Claims on idempotency keys: a keyed request runs at most once in all instances.
 
 A claim takes effect when a compare-and-swap of its shard's head that contains it
-succeeds, and not before. The modules, from the lowest layer up:
+succeeds, and not before. A repeat is a request that is sent again under the same
+key. An operation is unsettled while it is unknown whether it took effect.
+
+The modules, from the lowest layer up:
 
 - :mod:`.packing`, :mod:`.head` and :mod:`.encoding`: a shard's data and its format;
 - :mod:`.operations`: applies a batch of operations to a head;
--- a/packages/greengagelatch/src/greengagelatch/orders/engine.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/engine.py
@@ -63,7 +63,7 @@
         return self.current and not self.report.state.equals(desired)
 
     def record_sending(self, now: float, order: Order) -> EngineRecord:
-        """Record that an order is about to be sent."""
+        """Record that the first byte of an order is about to be sent."""
         return dataclasses.replace(self, unsettled=order, sent=now, current=False)
 
     def record_answer(self, now: float) -> EngineRecord:
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -57,7 +57,7 @@
     @property
     def has_open_order(self) -> bool:
         """Whether an order is in progress or may still take effect."""
-        if any(step.order is not None for step in self._in_flight.values()):
+        if any(call.order is not None for call in self._in_flight.values()):
             return True
         return any(record.unsettled is not None for record in self._records.values())
 
@@ -77,55 +77,55 @@
         """
         self._budget = self._budget.refill(now, loads_per_minute)
         self._update_targets(target_ids)
-        steps = []
+        calls = []
         for target_id, record in self._records.items():
             if target_id in self._in_flight:
                 continue
-            step = self._plan_engine(now, target_id, record, placement, may_order)
-            if step is None:
+            call = self._plan_engine(now, target_id, record, placement, may_order)
+            if call is None:
                 continue
-            self._in_flight[target_id] = step
-            steps.append(step)
-        return tuple(steps)
+            self._in_flight[target_id] = call
+            calls.append(call)
+        return tuple(calls)
 
-    def record_sending(self, now: float, step: EngineCall) -> None:
-        """Record that an order is about to be sent."""
-        if step.order is None:
+    def record_sending(self, now: float, call: EngineCall) -> None:
+        """Record that the first byte of an order is about to be sent."""
+        if call.order is None:
             return
-        self._budget = self._budget.spend(step.loads)
-        self._update(step.target_id, lambda r: r.record_sending(now, step.order))
+        self._budget = self._budget.spend(call.loads)
+        self._update(call.target_id, lambda r: r.record_sending(now, call.order))
 
     def handle_read(
-        self, now: float, step: EngineCall, report: EngineReport | None, delay: float
+        self, now: float, call: EngineCall, report: EngineReport | None, delay: float
     ) -> None:
         """Record the result of a read.
 
         :param report: ``None`` if the engine could not be read
         :param delay: seconds until the retry in that case
         """
-        self._in_flight.pop(step.target_id, None)
+        self._in_flight.pop(call.target_id, None)
         if report is None:
-            self._update(step.target_id, lambda r: r.record_failure(now, delay))
+            self._update(call.target_id, lambda r: r.record_failure(now, delay))
             return
         rules = self._rules
-        self._update(step.target_id, lambda r: r.record_report(now, report, rules))
+        self._update(call.target_id, lambda r: r.record_report(now, report, rules))
 
-    def handle_order_end(self, now: float, step: EngineCall, *, settled: bool) -> None:
+    def handle_order_end(self, now: float, call: EngineCall, *, settled: bool) -> None:
         """Record the end of an order's call; a read of the engine is due next.
 
         :param settled: whether the order can no longer take effect
         """
-        self._in_flight.pop(step.target_id, None)
+        self._in_flight.pop(call.target_id, None)
         if settled:
-            self._update(step.target_id, lambda r: r.record_answer(now))
+            self._update(call.target_id, lambda r: r.record_answer(now))
             return
-        self._update(step.target_id, lambda r: r.record_lost_answer(now))
+        self._update(call.target_id, lambda r: r.record_lost_answer(now))
 
-    def handle_failure(self, now: float, step: EngineCall, delay: float) -> None:
+    def handle_failure(self, now: float, call: EngineCall, delay: float) -> None:
         """Record that a call had no effect; the next is due in ``delay`` seconds."""
-        self._in_flight.pop(step.target_id, None)
+        self._in_flight.pop(call.target_id, None)
         self._update(
-            step.target_id,
+            call.target_id,
             lambda r: dataclasses.replace(r, unsettled=None).record_failure(now, delay),
         )
 
