--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -11,7 +11,7 @@
 from greengagelatch.claims.head import ShardLimits
 from greengagelatch.claims.messages import ClaimAnswer, ClaimQuery
 from greengagelatch.claims.operations import GiveBack, OperationResult, ResultKind
-from greengagelatch.claims.scope import choose_shard, name_head, rank_instances
+from greengagelatch.claims.sharding import choose_shard, name_head, rank_instances
 from greengagelatch.peers import MemberState, PeerErrorKind
 
 from .layout import ShardLayout
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -17,7 +17,7 @@
     OutcomeQuery,
 )
 from greengagelatch.claims.registry import AttemptState
-from greengagelatch.claims.scope import rank_instances
+from greengagelatch.claims.sharding import rank_instances
 from greengagelatch.peers import MemberState, PeerError, PeerErrorKind
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/layout.py
@@ -9,7 +9,7 @@
 from result import Ok
 
 from greengagelatch.claims.messages import LayoutAnswer, LayoutQuery
-from greengagelatch.claims.scope import LAYOUT_KEY, rank_instances
+from greengagelatch.claims.sharding import LAYOUT_KEY, rank_instances
 from greengagelatch.peers import MemberState
 from greengagelatch.store import ABSENT, Entry, WriteOutcome
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -10,7 +10,7 @@
 from greengagelatch.claims.commit import Commit, Step, create_commit
 from greengagelatch.claims.encoding import encode_head, encode_segment
 from greengagelatch.claims.operations import OperationResult, ResultKind
-from greengagelatch.claims.scope import name_head, name_segment
+from greengagelatch.claims.sharding import name_head, name_segment
 from greengagelatch.store import WriteOutcome
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -30,7 +30,7 @@
     refuse_long_deadline,
 )
 from greengagelatch.claims.registry import AttemptRegistry
-from greengagelatch.claims.scope import create_digest, create_key
+from greengagelatch.claims.sharding import create_digest, create_key
 from greengagelatch.errors import Refusal
 from greengagelatch.request import Answer
 from greengagelatch.verdict import Verdict
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -13,7 +13,7 @@
 from greengagelatch.claims.encoding import encode_segment
 from greengagelatch.claims.head import Segment, ShardLimits
 from greengagelatch.claims.operations import Acquire, ResultKind
-from greengagelatch.claims.scope import create_digest, create_key
+from greengagelatch.claims.sharding import create_digest, create_key
 from greengagelatch.clock import SystemClock
 from greengagelatch.store import Entry, StoreError, WriteResult
 from greengagelatch_entry.claims.writer import ShardWriter
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -9,7 +9,7 @@
 
 from result import Err
 
-from greengagelatch.claims.scope import create_key
+from greengagelatch.claims.sharding import create_key
 from greengagelatch.config.head import HEAD_KEY, SHARD_PREFIX
 from greengagelatch.config.objects import Workspace
 from greengagelatch.config.requests import ChangeMode, ChangeRequest
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Any
 
-from greengagelatch.claims.scope import (
+from greengagelatch.claims.sharding import (
     choose_shard,
     create_key,
     name_head,
--- a/packages/greengagelatch/src/greengagelatch/claims/packing.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/packing.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from . import Claim, ClaimState, Token
-from .scope import DIGEST_BYTES, KEY_BYTES
+from .sharding import DIGEST_BYTES, KEY_BYTES
 
 __all__ = (
     "RECORD_BYTES",
--- a/packages/greengagelatch/src/greengagelatch/leases/contention.py
+++ b/packages/greengagelatch/src/greengagelatch/leases/contention.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from ..claims.scope import rank_instances
+from ..claims.sharding import rank_instances
 from ..peers import MemberState
 
 if TYPE_CHECKING:
--- a/tests/test_core/test_claims/test_attempt.py
+++ b/tests/test_core/test_claims/test_attempt.py
@@ -14,7 +14,7 @@
 from greengagelatch.claims.operations import Acquire, OperationResult, ResultKind
 from greengagelatch.claims.outage import Outage, RetryAfter, RetryThenRefuse
 from greengagelatch.claims.registry import AttemptRecord, AttemptRegistry, AttemptState
-from greengagelatch.claims.scope import create_key, rank_instances
+from greengagelatch.claims.sharding import create_key, rank_instances
 from greengagelatch.verdict import Verdict
 
 KEY = b"k" * 16
