--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/committer.py
@@ -1,4 +1,4 @@
-"""Has operations on claims committed, here or by the usual writer of their shard."""
+"""Routes operations on claims to a writer of their shard, local or on a peer."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 from result import Err, Ok
 
-from greengagelatch.claims.attempt import choose_ways
-from greengagelatch.claims.head import Limits
-from greengagelatch.claims.messages import ClaimAnswer, ClaimQuestion
+from greengagelatch.claims.attempt import choose_candidates
+from greengagelatch.claims.head import ShardLimits
+from greengagelatch.claims.messages import ClaimAnswer, ClaimQuery
 from greengagelatch.claims.operations import GiveBack, OperationResult, ResultKind
-from greengagelatch.claims.scope import choose_shard, name_head, rank_instances
+from greengagelatch.claims.sharding import choose_shard, name_head, rank_instances
 from greengagelatch.peers import MemberState, PeerErrorKind
 
-from .layout import Layout
+from .layout import ShardLayout
 from .writer import ShardWriter
 
 if TYPE_CHECKING:
@@ -30,31 +30,31 @@
 
 __all__ = ("Committer",)
 
-#: share of the time left that may be spent on asking another instance
+#: share of the remaining time that may be spent on asking another instance
 FORWARD_SHARE = 0.5
-#: seconds for which this instance does not write for itself after it failed to
-PAUSE_AFTER_FAILURE = 1.0
-#: give-backs under way at a time; a key that is not given back is freed all the
-#: same by asking this instance, for as long as it runs
+#: seconds for which this instance does not write as a fallback after a failure
+FALLBACK_PAUSE = 1.0
+#: concurrent give-backs; a key whose give-back is dropped can still be taken over
+#: while this instance runs, since it reports that the attempt never ran
 MAX_GIVE_BACKS = 1024
-#: seconds for which an instance that gave no answer is not asked again: a paused one
-#: counts as alive for a while, and would cost each request the whole time-out
-AVOID_SILENT = 5.0
-#: seconds for which a give-back is tried, and between two tries
-GIVE_BACK_TIME = 30.0
+#: seconds for which an unresponsive instance is avoided: a paused one counts as alive
+#: for a while, and would cost each request the whole timeout
+SILENT_AVOIDANCE = 5.0
+#: seconds for which a give-back is retried, and between two retries
+GIVE_BACK_TIMEOUT = 30.0
 GIVE_BACK_DELAY = 1.0
-#: instances that are tried for a give-back
-GIVE_BACK_WAYS = 2
-#: seconds that a planned stop waits for give-backs, and for writes
-STOP_TIME = 3.0
-#: seconds after which a shard's state is dropped if nothing was written
-IDLE_TIME = 60.0
+#: instances that are tried in each round of a give-back
+GIVE_BACK_CANDIDATES = 2
+#: seconds that a planned stop waits for give-backs, and then for writes
+STOP_TIMEOUT = 3.0
+#: seconds without operations after which the cached state of a shard is dropped
+IDLE_TIMEOUT = 60.0
 
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
 
 class Committer:
-    """Brings operations to whoever usually writes their shard, or writes itself."""
+    """Commits operations through the preferred writer of their shard, or itself."""
 
     def __init__(
         self,
@@ -75,14 +75,14 @@
         self._instance_id = instance_id
         self._interval: float = settings["claims.interval"]
         self._forward_timeout: float = settings["claims.forward_timeout"]
-        self._limits = Limits(
+        self._limits = ShardLimits(
             retention=settings["claims.retention"],
             clock_margin=settings["claims.clock_margin"],
             head_claims=settings["claims.head_claims"],
             segment_claims=settings["claims.segment_claims"],
             segments=settings["claims.segments"],
         )
-        self._layout = Layout(
+        self._layout = ShardLayout(
             store=store,
             peers=peers,
             shards=settings["claims.shards"],
@@ -90,12 +90,12 @@
         )
         self._writers: dict[int, ShardWriter] = {}
         self._give_backs: set[asyncio.Task[None]] = set()
-        self._reached_at = clock.now()
-        self._failed_at = float("-inf")
-        #: monotonic seconds at which an instance last gave no answer
+        self._store_answered_at = clock.now()
+        self._write_failed_at = float("-inf")
+        #: monotonic seconds at which an instance last failed to answer
         self._silent: dict[str, float] = {}
         if peers is not None:
-            peers.handle(ClaimQuestion, self._answer_claim)
+            peers.handle(ClaimQuery, self._answer_claim)
 
     @property
     def shards(self) -> int | None:
@@ -103,51 +103,54 @@
         return self._layout.shards
 
     @property
-    def writing(self) -> tuple[int, ...]:
-        """Shards that this instance has lately written."""
+    def written_shards(self) -> tuple[int, ...]:
+        """Shards that this instance has written recently."""
         return tuple(sorted(self._writers))
 
     @property
-    def giving_back(self) -> int:
-        """Number of claims that are being given back."""
+    def pending_give_backs(self) -> int:
+        """Number of give-backs in progress."""
         return len(self._give_backs)
 
     @property
-    def down_for(self) -> float:
-        """Seconds since this instance last had an answer from the store."""
-        return self._clock.now() - self._find_reached()
+    def store_silent_for(self) -> float:
+        """Seconds since the store last answered this instance."""
+        return self._clock.now() - self._find_last_answer()
 
-    async def find_ways(self, key: bytes, deadline: float) -> tuple[str, ...]:
-        """Return who may write for a key, in the order of trying; empty: nobody."""
-        shards = await self._layout.learn(deadline - self._clock.now())
+    async def find_candidates(self, key: bytes, deadline: float) -> tuple[str, ...]:
+        """Return the instances that may commit for a key, in order of preference.
+
+        The result is empty if the number of shards is unknown.
+        """
+        shards = await self._layout.resolve(deadline - self._clock.now())
         if shards is None:
             return ()
-        return self._rank_ways(choose_shard(key, shards))
+        return self._rank_candidates(choose_shard(key, shards))
 
     async def commit(
-        self, way: str, operation: Operation, deadline: float
+        self, candidate: str, operation: Operation, deadline: float
     ) -> OperationResult | None:
-        """Have the instance ``way`` commit an operation; ``None``: no answer."""
-        if way == self._instance_id:
+        """Have an instance commit an operation; ``None`` means no answer."""
+        if candidate == self._instance_id:
             return await self._commit_here(operation, deadline)
         remaining = deadline - self._clock.now()
         timeout = min(self._forward_timeout, remaining * FORWARD_SHARE)
-        question = ClaimQuestion.wrap(operation, int(timeout * 1000))
-        answer = await self._peers.ask(way, question, timeout)
+        query = ClaimQuery.wrap(operation, int(timeout * 1000))
+        answer = await self._peers.ask(candidate, query, timeout)
         match answer:
             case Ok(ClaimAnswer() as message):
-                self._silent.pop(way, None)
+                self._silent.pop(candidate, None)
                 self._metrics.count("claims.forwarded")
                 return message.unwrap()
             case Err(error) if error.kind is PeerErrorKind.NO_ANSWER:
-                self._silent[way] = self._clock.now()
+                self._silent[candidate] = self._clock.now()
                 self._metrics.count("claims.forward_silent")
                 return None
         self._metrics.count("claims.forward_failed")
         return UNREACHABLE
 
     def give_back(self, operation: GiveBack) -> None:
-        """Free a key in the background."""
+        """Release a key in the background."""
         if len(self._give_backs) >= MAX_GIVE_BACKS:
             self._metrics.count("claims.give_back_dropped")
             return
@@ -156,62 +159,62 @@
         task.add_done_callback(self._give_backs.discard)
 
     def sweep(self) -> None:
-        """Drop the state of shards that this instance no longer writes."""
+        """Drop the state of shards and peers that is no longer needed."""
         now = self._clock.now()
-        self._reached_at = self._find_reached()
-        for way, since in list(self._silent.items()):
-            if now - since > AVOID_SILENT:
-                del self._silent[way]
+        self._store_answered_at = self._find_last_answer()
+        for instance_id, since in list(self._silent.items()):
+            if now - since > SILENT_AVOIDANCE:
+                del self._silent[instance_id]
         for shard, writer in list(self._writers.items()):
-            if writer.idle and now - writer.used_at > IDLE_TIME:
+            if writer.idle and now - writer.used_at > IDLE_TIMEOUT:
                 del self._writers[shard]
 
     async def close(self) -> None:
-        """Finish give-backs and writes, within a few seconds."""
+        """Finish give-backs and writes, each within a few seconds."""
         tasks = set(self._give_backs)
         if tasks:
-            await asyncio.wait(tasks, timeout=STOP_TIME)
+            await asyncio.wait(tasks, timeout=STOP_TIMEOUT)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self._layout.close()
-        closing = [writer.close(STOP_TIME) for writer in self._writers.values()]
+        closing = [writer.close(STOP_TIMEOUT) for writer in self._writers.values()]
         await asyncio.gather(*closing)
 
     async def _commit_here(
         self, operation: Operation, deadline: float
     ) -> OperationResult:
-        shards = await self._layout.learn(deadline - self._clock.now())
+        shards = await self._layout.resolve(deadline - self._clock.now())
         if shards is None:
             return UNREACHABLE
         shard = choose_shard(operation.key, shards)
-        usual = self._rank_ways(shard)[0] == self._instance_id
-        paused_for = self._clock.now() - self._failed_at
-        if not usual and paused_for < PAUSE_AFTER_FAILURE:
-            # a slow store makes usual writers late, which sends every instance
-            # here: the store's load must not grow with their number just then
+        preferred = self._rank_candidates(shard)[0] == self._instance_id
+        paused_for = self._clock.now() - self._write_failed_at
+        if not preferred and paused_for < FALLBACK_PAUSE:
+            # a slow store delays the preferred writers, so that every instance falls
+            # back to writing; the pause keeps that from adding load to the store
             return UNREACHABLE
         writer = self._get_writer(shard)
-        result = await writer.submit(operation, deadline, fresh=not usual)
+        result = await writer.submit(operation, deadline, fresh=not preferred)
         if result.kind in (ResultKind.UNREACHABLE, ResultKind.UNSETTLED):
-            self._failed_at = self._clock.now()
+            self._write_failed_at = self._clock.now()
         return result
 
-    async def _answer_claim(self, sender: str, question: ClaimQuestion) -> ClaimAnswer:
+    async def _answer_claim(self, sender: str, query: ClaimQuery) -> ClaimAnswer:
         try:
-            operation = question.unwrap()
+            operation = query.unwrap()
         except (TypeError, ValueError):
             return ClaimAnswer.wrap(UNREACHABLE)
-        deadline = self._clock.now() + question.budget_ms / 1000
+        deadline = self._clock.now() + query.budget_ms / 1000
         return ClaimAnswer.wrap(await self._commit_here(operation, deadline))
 
     async def _give_back(self, operation: GiveBack) -> None:
-        expires = self._clock.now() + GIVE_BACK_TIME
+        expires = self._clock.now() + GIVE_BACK_TIMEOUT
         while self._clock.now() < expires:
-            ways = await self.find_ways(operation.key, expires)
-            for way in ways[:GIVE_BACK_WAYS]:
-                result = await self.commit(way, operation, expires)
-                if result is not None and is_settled(result):
+            candidates = await self.find_candidates(operation.key, expires)
+            for candidate in candidates[:GIVE_BACK_CANDIDATES]:
+                result = await self.commit(candidate, operation, expires)
+                if result is not None and is_resolved(result):
                     self._metrics.count("claims.given_back")
                     return
             await asyncio.sleep(GIVE_BACK_DELAY)
@@ -232,7 +235,7 @@
             self._writers[shard] = writer
         return writer
 
-    def _rank_ways(self, shard: int) -> tuple[str, ...]:
+    def _rank_candidates(self, shard: int) -> tuple[str, ...]:
         members = {self._instance_id}
         if self._peers is not None:
             members.update(
@@ -242,17 +245,17 @@
                 and not self._is_silent(member.instance_id)
             )
         ranked = rank_instances(name_head(shard), members)
-        return choose_ways(self._instance_id, ranked)
+        return choose_candidates(self._instance_id, ranked)
 
     def _is_silent(self, instance_id: str) -> bool:
         since = self._silent.get(instance_id)
-        return since is not None and self._clock.now() - since <= AVOID_SILENT
+        return since is not None and self._clock.now() - since <= SILENT_AVOIDANCE
 
-    def _find_reached(self) -> float:
+    def _find_last_answer(self) -> float:
         answers = [writer.answered_at for writer in self._writers.values()]
-        return max([self._reached_at, *answers])
+        return max([self._store_answered_at, *answers])
 
 
-def is_settled(result: OperationResult) -> bool:
-    """Whether a give-back is over: done, or the key is no longer held by it."""
+def is_resolved(result: OperationResult) -> bool:
+    """Whether a give-back is complete, or its attempt no longer holds the key."""
     return result.kind in (ResultKind.GIVEN_BACK, ResultKind.HELD)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/holders.py
@@ -1,4 +1,4 @@
-"""Asks other instances for the outcomes of attempts, and answers them."""
+"""Exchanges the outcomes of attempts with other instances."""
 
 from __future__ import annotations
 
@@ -9,65 +9,65 @@
 
 from result import Err, Ok
 
-from greengagelatch.claims.attempt import describe_holder
+from greengagelatch.claims.attempt import mask_pending
 from greengagelatch.claims.messages import (
     HandoverAnswer,
-    HandoverQuestion,
+    HandoverRequest,
     OutcomeAnswer,
-    OutcomeQuestion,
+    OutcomeQuery,
 )
 from greengagelatch.claims.registry import AttemptState
-from greengagelatch.claims.scope import rank_instances
+from greengagelatch.claims.sharding import rank_instances
 from greengagelatch.peers import MemberState, PeerError, PeerErrorKind
 
 if TYPE_CHECKING:
     from greengagelatch.claims import Token
-    from greengagelatch.claims.registry import Record, Registry
+    from greengagelatch.claims.registry import AttemptRecord, AttemptRegistry
     from greengagelatch.clock import Clock
     from greengagelatch.peers import PeerNetwork
 
     from ..metrics import Metrics
 
-__all__ = ("Holders",)
+__all__ = ("OutcomeLookup",)
 
 logger = logging.getLogger(__name__)
 
-#: seconds that one question waits for a running attempt, before it is asked anew;
-#: short, so that the loss of the other instance is noticed
-WAIT = 2.0
-#: share of the time left that it waits at most, so that an answer is still of use
-WAIT_SHARE = 0.8
-#: seconds left at which it is too late for another question
-LAST_ANSWER = 0.02
-#: seconds allowed for an answer beyond the wait
-GRACE = 1.0
-#: questions without an answer, one after the other, before an instance counts as
-#: gone
+#: seconds that one query waits for a running attempt before it is sent again; short,
+#: so that the loss of the other instance is detected
+MAX_QUERY_WAIT = 2.0
+#: maximum share of the remaining time that one query waits, so that its answer comes
+#: before the deadline
+QUERY_WAIT_SHARE = 0.8
+#: remaining seconds below which no further query is sent
+MIN_REMAINING = 0.02
+#: seconds allowed for the answer in addition to the wait
+ANSWER_TIMEOUT = 1.0
+#: consecutive unanswered queries after which an instance counts as lost
 MAX_SILENT = 2
-#: questions turned away, one after the other, before an instance counts as gone
+#: consecutive refused queries after which an instance counts as lost
 MAX_REFUSED = 20
-#: seconds between two questions to an instance that did not make them wait
-PAUSE = 0.2
-#: questions of other instances that wait here at a time; a link takes only so many
-#: questions, and those for claims must not find them all taken
-MAX_WAITING = 64
-#: instances that are asked for what a stopped one may have handed over
+#: minimum seconds between two queries to the same instance
+MIN_QUERY_INTERVAL = 0.2
+#: queries of other instances that may wait here at a time; the number of open
+#: queries per link is limited, and some must remain for the commits of claims
+MAX_WAITING_QUERIES = 64
+#: instances that may have received the outcomes of a stopped one
 SUCCESSORS = 2
-#: outcomes that are handed over at the same time
-HANDOVER_PARALLEL = 8
-#: seconds for handing over everything
-HANDOVER_TIME = 5.0
+#: outcomes that are handed over concurrently
+HANDOVER_CONCURRENCY = 8
+#: seconds allowed for the whole handover
+HANDOVER_TIMEOUT = 5.0
 
 OPEN_STATES = (AttemptState.PENDING, AttemptState.RUNNING)
 
 
-class Holders:
-    """Finds out what became of attempts, in this process or another one."""
+class OutcomeLookup:
+    """Looks up the outcomes of attempts, in this process or on other instances."""
 
     def __init__(
         self,
         *,
-        registry: Registry,
+        registry: AttemptRegistry,
         peers: PeerNetwork | None,
         clock: Clock,
         metrics: Metrics,
@@ -82,23 +82,23 @@
         self._instance_id = instance_id
         self._incarnation = incarnation
         self._handover_bytes = handover_bytes
-        #: questions of other instances that are waiting
-        self._answering = 0
-        self._waiting: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
+        #: number of queries of other instances that are waiting
+        self._waiting_queries = 0
+        self._waiters: defaultdict[Token, set[asyncio.Event]] = defaultdict(set)
         if peers is not None:
-            peers.handle(OutcomeQuestion, self._answer_outcome)
-            peers.handle(HandoverQuestion, self._answer_handover)
+            peers.handle(OutcomeQuery, self._answer_outcome)
+            peers.handle(HandoverRequest, self._answer_handover)
 
     def notify(self, token: Token) -> None:
-        """Wake whoever waits for the end of an attempt of this process."""
-        for event in self._waiting.pop(token, ()):
+        """Wake the waiters for the end of an attempt of this process."""
+        for event in self._waiters.pop(token, ()):
             event.set()
 
-    async def find(self, token: Token, deadline: float) -> Record | None:
-        """Return what is known of an attempt; wait for its end by ``deadline``.
+    async def find(self, token: Token, deadline: float) -> AttemptRecord | None:
+        """Return the record of an attempt; wait for its end until ``deadline``.
 
-        ``None`` means that nobody can tell: its process is gone and handed nothing
-        over, or can't be reached, or has forgotten.
+        ``None`` means that no instance knows it: its process has ended without
+        handing over the outcome, is unreachable, or has dropped the record.
         """
         own = token.instance == self._instance_id
         if own and token.incarnation == self._incarnation:
@@ -120,10 +120,10 @@
         return None
 
     async def hand_over(self) -> int:
-        """Give outcomes to other instances as this one stops; how many were taken.
+        """Send outcomes to other instances before a stop; return how many were stored.
 
-        Newest first and bounded in bytes and time: an outcome that is not handed
-        over costs its repeats the result, but they are still not run again.
+        The newest come first, with a limit on bytes and time. Repeats of a request
+        whose outcome is not handed over get no result, but do not run again.
         """
         if self._peers is None:
             return 0
@@ -134,15 +134,15 @@
             if size > self._handover_bytes:
                 break
             chosen.append((token, outcome))
-        free = asyncio.Semaphore(HANDOVER_PARALLEL)
+        slots = asyncio.Semaphore(HANDOVER_CONCURRENCY)
         silent: set[str] = set()
         tasks = [
-            asyncio.create_task(self._hand_over(token, outcome, free, silent))
+            asyncio.create_task(self._hand_over(token, outcome, slots, silent))
             for token, outcome in chosen
         ]
         if not tasks:
             return 0
-        done, late = await asyncio.wait(tasks, timeout=HANDOVER_TIME)
+        done, late = await asyncio.wait(tasks, timeout=HANDOVER_TIMEOUT)
         for task in late:
             task.cancel()
         await asyncio.gather(*late, return_exceptions=True)
@@ -150,41 +150,41 @@
         self._metrics.count("claims.handed_over", taken)
         return taken
 
-    async def _wait(self, token: Token, deadline: float) -> Record | None:
+    async def _wait(self, token: Token, deadline: float) -> AttemptRecord | None:
         record = self._registry.find(token)
         remaining = deadline - self._clock.now()
         if record is None or record.state not in OPEN_STATES or remaining <= 0:
-            return describe_holder(record)
+            return mask_pending(record)
         event = asyncio.Event()
-        self._waiting[token].add(event)
+        self._waiters[token].add(event)
         try:
             async with asyncio.timeout(remaining):
                 await event.wait()
         except TimeoutError:
             pass
         finally:
-            events = self._waiting.get(token, set())
+            events = self._waiters.get(token, set())
             events.discard(event)
             if not events:
-                self._waiting.pop(token, None)
-        return describe_holder(self._registry.find(token))
+                self._waiters.pop(token, None)
+        return mask_pending(self._registry.find(token))
 
     async def _ask(
         self, instance_id: str, token: Token, deadline: float
-    ) -> Record | None:
-        """Ask one instance, again and again while the attempt is running."""
+    ) -> AttemptRecord | None:
+        """Ask one instance, repeatedly while the attempt is running."""
         silent = 0
         refused = 0
         record = None
         while silent < MAX_SILENT and refused < MAX_REFUSED:
             started = self._clock.now()
             remaining = deadline - started
-            if remaining <= LAST_ANSWER:
+            if remaining <= MIN_REMAINING:
                 return record
-            wait = min(WAIT, remaining * WAIT_SHARE)
-            question = OutcomeQuestion.wrap(token, int(wait * 1000))
+            wait = min(MAX_QUERY_WAIT, remaining * QUERY_WAIT_SHARE)
+            query = OutcomeQuery.wrap(token, int(wait * 1000))
             answer = await self._peers.ask(
-                instance_id, question, min(wait + GRACE, remaining)
+                instance_id, query, min(wait + ANSWER_TIMEOUT, remaining)
             )
             match answer:
                 case Ok(OutcomeAnswer() as found):
@@ -195,41 +195,39 @@
                 case Err(PeerError(kind=PeerErrorKind.REFUSED)):
                     refused += 1
                 case _:
-                    # the link may be about to be made anew
+                    # the link may be about to be re-established
                     silent += 1
                     self._metrics.count("claims.holder_silent")
             waited = self._clock.now() - started
-            if waited < PAUSE:
-                await asyncio.sleep(min(PAUSE - waited, remaining))
+            if waited < MIN_QUERY_INTERVAL:
+                await asyncio.sleep(min(MIN_QUERY_INTERVAL - waited, remaining))
         return None
 
-    async def _answer_outcome(
-        self, sender: str, question: OutcomeQuestion
-    ) -> OutcomeAnswer:
-        token = question.unwrap()
+    async def _answer_outcome(self, sender: str, query: OutcomeQuery) -> OutcomeAnswer:
+        token = query.unwrap()
         if token is None:
             return OutcomeAnswer()
-        wait = min(question.wait_ms / 1000, WAIT)
-        if self._answering >= MAX_WAITING:
+        wait = min(query.wait_ms / 1000, MAX_QUERY_WAIT)
+        if self._waiting_queries >= MAX_WAITING_QUERIES:
             wait = 0.0
-        self._answering += 1
+        self._waiting_queries += 1
         try:
             record = await self._wait(token, self._clock.now() + wait)
         finally:
-            self._answering -= 1
+            self._waiting_queries -= 1
         return OutcomeAnswer.wrap(record)
 
     async def _hand_over(
-        self, token: Token, outcome: bytes, free: asyncio.Semaphore, silent: set[str]
+        self, token: Token, outcome: bytes, slots: asyncio.Semaphore, silent: set[str]
     ) -> bool:
-        question = HandoverQuestion.wrap(token, outcome)
-        async with free:
-            # the first choice may have died without having been noticed yet; it
-            # must not cost each outcome its time-out
+        request = HandoverRequest.wrap(token, outcome)
+        async with slots:
+            # the first choice may have crashed without having been detected yet;
+            # only the first outcomes wait for its timeout
             for successor in self._rank_successors(token)[:SUCCESSORS]:
                 if successor in silent:
                     continue
-                answer = await self._peers.ask(successor, question, GRACE)
+                answer = await self._peers.ask(successor, request, ANSWER_TIMEOUT)
                 match answer:
                     case Ok(HandoverAnswer(taken=True)):
                         return True
@@ -237,14 +235,12 @@
                         silent.add(successor)
         return False
 
-    def _answer_handover(
-        self, sender: str, question: HandoverQuestion
-    ) -> HandoverAnswer:
-        token = question.unwrap()
-        if token is None or not question.outcome:
+    def _answer_handover(self, sender: str, request: HandoverRequest) -> HandoverAnswer:
+        token = request.unwrap()
+        if token is None or not request.outcome:
             return HandoverAnswer()
         if self._registry.find(token) is None:
-            self._registry.finish(token, question.outcome, self._clock.now())
+            self._registry.finish(token, request.outcome, self._clock.now())
         return HandoverAnswer(taken=True)
 
     def _rank_successors(self, token: Token) -> tuple[str, ...]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/claims/writer.py
@@ -1,4 +1,4 @@
-"""Commits operations on one shard of claims, many in one write."""
+"""Commits operations on one shard of claims in batches."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from greengagelatch.claims.commit import Commit, Step, begin
+from greengagelatch.claims.commit import Commit, Step, create_commit
 from greengagelatch.claims.encoding import encode_head, encode_segment
 from greengagelatch.claims.operations import OperationResult, ResultKind
-from greengagelatch.claims.scope import name_head, name_segment
+from greengagelatch.claims.sharding import name_head, name_segment
 from greengagelatch.store import WriteOutcome
 
 if TYPE_CHECKING:
@@ -18,7 +18,7 @@
 
     from result import Result
 
-    from greengagelatch.claims.head import Limits, Segment, SegmentRef, View
+    from greengagelatch.claims.head import Segment, SegmentRef, ShardLimits, ShardView
     from greengagelatch.claims.operations import Operation
     from greengagelatch.clock import Clock
     from greengagelatch.store import Entry, Store, StoreError, WriteResult
@@ -29,13 +29,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: operations in one swap
+#: maximum number of operations in one swap
 MAX_BATCH = 256
-#: operations that wait for a swap; beyond, new ones are turned away at once
+#: maximum number of queued operations; further ones are refused immediately
 MAX_QUEUE = 4096
-#: swaps that may follow each other at once after a quiet time
+#: swaps that may follow each other without a delay after an idle period
 BURST = 4
-#: retired segments deleted after one commit
+#: maximum number of retired segments deleted after one commit
 MAX_DELETES = 4
 
 BATCH_ID_BITS = 96
@@ -46,19 +46,19 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueuedOperation:
     operation: Operation
-    #: monotonic seconds after which nobody wants the result
+    #: monotonic seconds after which the result is no longer needed
     expires: float
     result: asyncio.Future[OperationResult]
 
 
 class ShardWriter:
-    """Brings operations on one shard into the store.
+    """Commits operations on one shard to the store.
 
-    An operation that finds the writer idle is committed at once; what arrives
-    while a swap is under way goes into the next one. ``interval`` is the average
-    number of seconds between swaps that is not undercut for long.
+    An operation that finds the writer idle is committed immediately; those that
+    arrive during a swap go into the next batch. ``interval`` limits the rate: it is
+    the minimum average number of seconds between swaps, except in short bursts.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         store: Store,
         clock: Clock,
         random_source: random.Random,
-        limits: Limits,
+        limits: ShardLimits,
         interval: float,
         metrics: Metrics,
     ) -> None:
@@ -79,28 +79,28 @@
         self._limits = limits
         self._interval = interval
         self._metrics = metrics
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedOperation] = []
         self._task: asyncio.Task[None] | None = None
-        self._view: View | None = None
+        self._view: ShardView | None = None
         self._segments: tuple[tuple[SegmentRef, Segment], ...] = ()
         self._deleted: frozenset[int] = frozenset()
         self._paced = clock.now() - BURST * interval
-        #: monotonic seconds of the last operation
+        #: monotonic seconds of the last submitted operation
         self.used_at = clock.now()
         #: monotonic seconds of the last answer from the store
         self.answered_at = clock.now()
 
     @property
     def idle(self) -> bool:
-        """Whether no operation waits or is under way."""
+        """Whether no operation is queued or in progress."""
         return self._task is None
 
     async def submit(
         self, operation: Operation, expires: float, *, fresh: bool = False
     ) -> OperationResult:
-        """Commit an operation; what became of it if that is known by ``expires``.
+        """Commit an operation and return its result; unsettled if not by ``expires``.
 
-        :param fresh: begin by reading the head, as someone else usually writes it
+        :param fresh: read the head first, as another instance usually writes it
         """
         now = self._clock.now()
         self.used_at = now
@@ -109,19 +109,19 @@
             return OperationResult(ResultKind.FULL)
         if fresh:
             self._view = None
-        waiting = _Waiting(operation, expires, asyncio.Future())
-        self._queue.append(waiting)
+        queued = _QueuedOperation(operation, expires, asyncio.Future())
+        self._queue.append(queued)
         if self._task is None:
             self._task = asyncio.create_task(self._drain())
-        await asyncio.wait({waiting.result}, timeout=max(0.0, expires - now))
-        if not waiting.result.done():
-            # it may be in a swap that is under way, and stays in the queue otherwise
-            # until its turn, where it is dropped
+        await asyncio.wait({queued.result}, timeout=max(0.0, expires - now))
+        if not queued.result.done():
+            # it may be part of a swap in progress; otherwise it stays in the queue
+            # and is dropped when its batch is taken
             return UNSETTLED
-        return waiting.result.result()
+        return queued.result.result()
 
     async def close(self, timeout: float) -> None:
-        """Finish what waits within ``timeout`` seconds, then stop."""
+        """Finish queued operations within ``timeout`` seconds, then stop."""
         task = self._task
         if task is None:
             return
@@ -130,7 +130,7 @@
         await asyncio.gather(task, return_exceptions=True)
 
     async def _drain(self) -> None:
-        batch: list[_Waiting] = []
+        batch: list[_QueuedOperation] = []
         try:
             while self._queue:
                 await self._pace()
@@ -138,19 +138,22 @@
                 if not batch:
                     continue
                 commit = await self._commit(tuple(one.operation for one in batch))
-                for waiting, result in zip(batch, commit.results, strict=True):
-                    waiting.result.set_result(result)
+                for queued, result in zip(batch, commit.results, strict=True):
+                    queued.result.set_result(result)
                 batch = []
                 await self._delete_retired()
         except Exception:
-            logger.exception("shard %s: a batch of claims failed", self._shard)
+            logger.exception(
+                "shard %s: unexpected error while committing a batch of claims",
+                self._shard,
+            )
             self._view = None
         finally:
             self._task = None
-            for waiting in batch:
-                waiting.result.set_result(UNSETTLED)
-            for waiting in self._queue:
-                waiting.result.set_result(UNREACHABLE)
+            for queued in batch:
+                queued.result.set_result(UNSETTLED)
+            for queued in self._queue:
+                queued.result.set_result(UNREACHABLE)
             self._queue.clear()
 
     async def _pace(self) -> None:
@@ -159,23 +162,23 @@
         if self._paced > now:
             await asyncio.sleep(self._paced - now)
 
-    def _take_batch(self) -> list[_Waiting]:
+    def _take_batch(self) -> list[_QueuedOperation]:
         now = self._clock.now()
-        # a head has room for one more batch of this size before it is sealed
+        # above its sealing limit a head has room for another ``head_claims`` claims
         size = min(MAX_BATCH, self._limits.head_claims)
         taken = self._queue[:size]
         del self._queue[:size]
         batch = []
-        for waiting in taken:
-            if waiting.expires <= now:
-                waiting.result.set_result(UNREACHABLE)
+        for queued in taken:
+            if queued.expires <= now:
+                queued.result.set_result(UNREACHABLE)
                 continue
-            batch.append(waiting)
+            batch.append(queued)
         return batch
 
     async def _commit(self, operations: tuple[Operation, ...]) -> Commit:
         batch_id = self._random.getrandbits(BATCH_ID_BITS).to_bytes(BATCH_ID_BYTES)
-        commit = begin(
+        commit = create_commit(
             operations,
             batch_id=batch_id,
             now=int(self._clock.wall()),
@@ -196,26 +199,26 @@
     async def _advance(self, commit: Commit) -> Commit:
         match commit.step:
             case Step.READ_HEAD:
-                return commit.take_head(await self._read(name_head(self._shard)))
+                return commit.handle_head(await self._read(name_head(self._shard)))
             case Step.READ_SEGMENT:
-                key = name_segment(self._shard, commit.missing.number)
-                return commit.take_segment(await self._read(key))
-            case Step.READ_OBSTACLE:
+                key = name_segment(self._shard, commit.missing_segment.number)
+                return commit.handle_segment(await self._read(key))
+            case Step.READ_CONFLICTING_SEGMENT:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
-                return commit.take_obstacle(await self._read(key))
+                return commit.handle_conflicting_segment(await self._read(key))
             case Step.WRITE_SEGMENT:
                 key = name_segment(self._shard, commit.plan.head.next_segment - 1)
                 data = encode_segment(commit.plan.segment)
                 self._metrics.count("claims.segments")
                 written = await self._write(key, data, commit.segment_expected)
-                return commit.take_sealed(written)
+                return commit.handle_segment_write(written)
         data = encode_head(commit.plan.head)
         self._metrics.count("claims.swaps")
         self._metrics.gauge("claims.head_bytes", len(data))
         written = await self._write(name_head(self._shard), data, commit.view.revision)
         if written.outcome is not WriteOutcome.APPLIED:
             self._metrics.count(f"claims.swap_{written.outcome.value}")
-        return commit.take_swapped(written)
+        return commit.handle_head_swap(written)
 
     async def _read(self, key: str) -> Result[Entry | None, StoreError]:
         self._metrics.count("claims.reads")
@@ -231,10 +234,10 @@
         return written
 
     async def _delete_retired(self) -> None:
-        """Delete segments that the head no longer needs.
+        """Delete segments that the head no longer refers to.
 
-        Only the head says which, so a writer that dies before this leaves nothing
-        behind: the next one reads the same list.
+        The head lists them, so nothing leaks if a writer crashes before this: the
+        next writer finds the same list.
         """
         if self._view is None:
             return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/claims.py
@@ -1,4 +1,4 @@
-"""Claims of keyed requests: gets them, keeps outcomes and gives claims back."""
+"""Controller that claims keyed requests and stores their outcomes for repeats."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 from greengagelatch.claims.outcome import Outcome, decode_outcome, encode_outcome
 from greengagelatch.claims.refusals import (
     refuse_attempt,
-    refuse_cut,
-    refuse_late,
-    refuse_long,
-    refuse_lost,
+    refuse_cancelled,
+    refuse_expired,
+    refuse_large_result,
+    refuse_long_deadline,
 )
-from greengagelatch.claims.registry import Registry
-from greengagelatch.claims.scope import create_digest, create_key
+from greengagelatch.claims.registry import AttemptRegistry
+from greengagelatch.claims.sharding import create_digest, create_key
 from greengagelatch.errors import Refusal
 from greengagelatch.request import Answer
 from greengagelatch.verdict import Verdict
 
 from ..claims.committer import Committer
-from ..claims.holders import Holders
+from ..claims.holders import OutcomeLookup
 from . import Controller
 
 if TYPE_CHECKING:
@@ -55,26 +55,26 @@
 logger = logging.getLogger(__name__)
 
 INCARNATION_BITS = 63
-#: share of the retention within which a keyed request has to end
-LONGEST_SHARE = 0.5
-#: actions after which more time is needed before anything can run
-UNFINISHED = (Action.CHOOSE_WAYS, Action.ACQUIRE, Action.OUT_OF_REACH)
-#: runs without a caller at a time; more are cancelled
-MAX_LEFT = 512
-#: seconds between two sweeps of what is no longer needed
+#: share of the retention within which a keyed request must end
+MAX_DURATION_SHARE = 0.5
+#: actions that still need time before the request can run
+UNFINISHED = (Action.CHOOSE_CANDIDATES, Action.ACQUIRE, Action.STORE_UNREACHABLE)
+#: concurrent runs whose callers have disconnected; further ones are cancelled
+MAX_DETACHED_RUNS = 512
+#: seconds between two removals of expired state
 SWEEP_INTERVAL = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """The right to run a keyed request, once; it must be settled."""
+    """Right to run a keyed request once; it must be settled."""
 
     token: Token
     key: bytes
 
 
 class ClaimsController(Controller):
-    """Lets a keyed request run at most once, whichever instance it reaches."""
+    """Ensures that a keyed request runs at most once, on whichever instance."""
 
     name = "claims"
 
@@ -93,23 +93,23 @@
         self._clock = clock
         self._metrics = metrics
         self._instance_id = instance_id
-        # not from the seeded source: a restarted process would give its attempts
-        # the tokens of earlier ones, and take their claims for its own
+        # not from the seeded source: a restarted process would reuse the tokens of
+        # earlier attempts and treat their claims as its own
         self._incarnation = secrets.randbits(INCARNATION_BITS)
         self._serial = 0
-        self._longest = settings["claims.retention"] * LONGEST_SHARE
-        self._longest_stop: float = settings["drain.longest"]
-        self._finish_left: bool = settings["claims.finish"]
-        #: runs whose callers have left
-        self._left: set[asyncio.Task[Answer]] = set()
+        self._max_duration = settings["claims.retention"] * MAX_DURATION_SHARE
+        self._drain_timeout: float = settings["drain.longest"]
+        self._finish_detached: bool = settings["claims.finish"]
+        #: runs whose callers have disconnected
+        self._detached_runs: set[asyncio.Task[Answer]] = set()
         self._outcome_bytes: int = settings["claims.outcome_bytes"]
         self._policy = create_policy(settings["claims.store_down"])
-        self._registry = Registry(
+        self._registry = AttemptRegistry(
             retention=settings["claims.retention"],
             max_records=settings["claims.records"],
             max_bytes=settings["claims.memory_bytes"],
         )
-        self._holders = Holders(
+        self._holders = OutcomeLookup(
             registry=self._registry,
             peers=peers,
             clock=clock,
@@ -128,10 +128,10 @@
             instance_id=instance_id,
         )
 
-    async def seek(self, request: Request) -> Permit | Answer:
-        """Claim the request's key; else return the answer it gets instead."""
-        if request.deadline - self._clock.now() > self._longest:
-            return self._refuse(request, refuse_long(self._longest))
+    async def claim(self, request: Request) -> Permit | Answer:
+        """Claim the request's key, or return the answer to send without a run."""
+        if request.deadline - self._clock.now() > self._max_duration:
+            return self._refuse(request, refuse_long_deadline(self._max_duration))
         key = create_key(request.workspace, request.pipeline, request.key)
         digest = create_digest(request.digest)
         self._serial += 1
@@ -139,21 +139,22 @@
         attempt = self._begin(Acquire(key, digest, token))
         self._registry.open(token, key, digest, self._clock.now())
         try:
-            attempt, answer = await self._pursue(attempt, request)
+            attempt, answer = await self._advance(attempt, request)
         except BaseException:
-            # the operation under way may still be committed
-            self._abandon(token, key, doubtful=True)
+            # the operation in progress may still be committed
+            self._abandon(token, key, maybe_committed=True)
             raise
         now = self._clock.now()
-        # a process that was paused must not begin what its caller has given up
-        timely = answer is None and now < request.deadline
-        if timely and self._registry.start(token, now):
+        # after a pause of the process the deadline may have passed, and the caller
+        # may have given up
+        in_time = answer is None and now < request.deadline
+        if in_time and self._registry.start(token, now):
             return Permit(token, key)
-        self._abandon(token, key, doubtful=attempt.doubtful)
+        self._abandon(token, key, maybe_committed=attempt.maybe_committed)
         return answer or self._refuse_late(attempt, request)
 
     def settle(self, permit: Permit, answer: Answer, verdict: Verdict) -> None:
-        """Keep the outcome of a run, or give its claim back if nothing ran."""
+        """Store the outcome of a run, or give its claim back if nothing ran."""
         outcome = Outcome(
             verdict=verdict.raise_to(answer.verdict),
             result=answer.result,
@@ -161,39 +162,43 @@
         )
         self._settle(permit, outcome)
 
-    def settle_cut(self, permit: Permit, verdict: Verdict) -> None:
-        """Settle a run that ended without an answer, as its caller has left."""
-        self._settle(permit, Outcome(verdict=verdict, refusal=refuse_cut(verdict)))
+    def settle_cancelled(self, permit: Permit, verdict: Verdict) -> None:
+        """Settle a run that was cancelled after its caller had disconnected."""
+        self._settle(
+            permit, Outcome(verdict=verdict, refusal=refuse_cancelled(verdict))
+        )
 
-    def adopt(self, run: asyncio.Task[Answer]) -> None:
-        """Let a run end whose caller has left, so that a repeat gets its result."""
-        if not self._finish_left or len(self._left) >= MAX_LEFT:
+    def detach(self, run: asyncio.Task[Answer]) -> None:
+        """Finish a run whose caller has disconnected; its repeats get the result."""
+        if not self._finish_detached or len(self._detached_runs) >= MAX_DETACHED_RUNS:
             run.cancel()
         else:
             self._metrics.count("claims.caller_left")
-        self._left.add(run)
-        run.add_done_callback(self._drop_left)
+        self._detached_runs.add(run)
+        run.add_done_callback(self._drop_detached)
 
     async def on_stop(self) -> None:
         """Finish runs, give-backs and writes, and hand over outcomes."""
-        if self._left:
-            await asyncio.wait(self._left, timeout=self._longest_stop)
+        if self._detached_runs:
+            await asyncio.wait(self._detached_runs, timeout=self._drain_timeout)
         await self._committer.close()
         taken = await self._holders.hand_over()
-        logger.info("handed over %d outcomes", taken)
+        logger.info(
+            "handed over %d outcomes of keyed requests to other instances", taken
+        )
 
     def dump(self) -> dict[str, Any]:
         open_attempts, closed_attempts = self._registry.counts
         return {
             "incarnation": f"{self._incarnation:016x}",
             "shards": self._committer.shards,
-            "writing": list(self._committer.writing),
-            "giving_back": self._committer.giving_back,
-            "runs_without_caller": len(self._left),
+            "writing": list(self._committer.written_shards),
+            "giving_back": self._committer.pending_give_backs,
+            "runs_without_caller": len(self._detached_runs),
             "attempts_open": open_attempts,
             "attempts_closed": closed_attempts,
             "outcome_bytes": self._registry.size,
-            "store_silent_for": self._committer.down_for,
+            "store_silent_for": self._committer.store_silent_for,
         }
 
     @Service.task
@@ -205,43 +210,43 @@
             self._metrics.gauge("claims.outcome_bytes", self._registry.size)
 
     def _begin(self, operation: Acquire) -> Attempt:
-        """Begin an attempt; a key that this process holds needs no look-up."""
+        """Begin an attempt; a key that this process holds needs no store call."""
         attempt = Attempt(operation=operation)
         holder = self._registry.find_granted(operation.key)
         if holder is None:
             return attempt
         same = self._registry.find(holder).digest == operation.digest
         kind = ResultKind.HELD if same else ResultKind.KEY_REUSED
-        return attempt.take_result(OperationResult(kind, holder))
+        return attempt.handle_result(OperationResult(kind, holder))
 
-    async def _pursue(
+    async def _advance(
         self, attempt: Attempt, request: Request
     ) -> tuple[Attempt, Answer | None]:
-        """Take the attempt to its end; without an answer it may run."""
+        """Take the attempt to its last action; without an answer it may run."""
         while True:
             late = self._clock.now() >= request.deadline
             if late and attempt.action in UNFINISHED:
                 return attempt, self._refuse_late(attempt, request)
             match attempt.action:
-                case Action.CHOOSE_WAYS:
-                    ways = await self._committer.find_ways(
+                case Action.CHOOSE_CANDIDATES:
+                    candidates = await self._committer.find_candidates(
                         attempt.operation.key, request.deadline
                     )
-                    attempt = attempt.take_ways(ways)
+                    attempt = attempt.handle_candidates(candidates)
                 case Action.ACQUIRE:
                     result = await self._committer.commit(
-                        attempt.way, attempt.operation, request.deadline
+                        attempt.candidate, attempt.operation, request.deadline
                     )
-                    attempt = attempt.take_result(result)
+                    attempt = attempt.handle_result(result)
                 case Action.ASK_HOLDER:
                     record = await self._holders.find(attempt.holder, request.deadline)
-                    attempt = attempt.take_holder(record)
-                case Action.OUT_OF_REACH:
+                    attempt = attempt.handle_holder(record)
+                case Action.STORE_UNREACHABLE:
                     decision = self._policy.decide(self._describe_outage(request))
                     if isinstance(decision, Refusal):
                         return attempt, self._refuse(request, decision)
                     await asyncio.sleep(decision.delay)
-                    attempt = attempt.try_again()
+                    attempt = attempt.restart()
                 case Action.RUN:
                     return attempt, None
                 case Action.REPLAY:
@@ -256,40 +261,44 @@
             first_attempt=request.first_attempt,
             elapsed=now - request.received,
             remaining=request.deadline - now,
-            down_for=self._committer.down_for,
+            store_silent_for=self._committer.store_silent_for,
         )
 
-    def _drop_left(self, run: asyncio.Task[Answer]) -> None:
-        self._left.discard(run)
+    def _drop_detached(self, run: asyncio.Task[Answer]) -> None:
+        self._detached_runs.discard(run)
         if not run.cancelled() and run.exception() is not None:
-            logger.error("a run whose caller had left failed: %r", run.exception())
+            logger.error(
+                "run failed after its caller had disconnected: %r", run.exception()
+            )
 
     def _settle(self, permit: Permit, outcome: Outcome) -> None:
         if outcome.verdict is Verdict.NOT_RUN:
-            self._abandon(permit.token, permit.key, doubtful=True)
+            self._abandon(permit.token, permit.key, maybe_committed=True)
             return
         data = self._encode(outcome)
         self._registry.finish(permit.token, data, self._clock.now())
         self._holders.notify(permit.token)
 
-    def _abandon(self, token: Token, key: bytes, *, doubtful: bool) -> None:
-        """Close an attempt that never runs, and free its key if it may hold it."""
+    def _abandon(self, token: Token, key: bytes, *, maybe_committed: bool) -> None:
+        """Close an attempt that never runs, and release its key if it may hold it."""
         self._registry.give_back(token, self._clock.now())
         self._holders.notify(token)
-        if doubtful:
+        if maybe_committed:
             self._committer.give_back(GiveBack(key, token))
 
     def _encode(self, outcome: Outcome) -> bytes:
         try:
             data = encode_outcome(outcome)
         except (cbor2.CBOREncodeError, ValueError) as error:
-            logger.warning("an outcome can't be kept: %s", error)
+            logger.warning("outcome of a keyed request can't be encoded: %s", error)
         else:
             if len(data) <= self._outcome_bytes:
                 return data
         self._metrics.count("claims.outcome_dropped")
         verdict = outcome.verdict
-        return encode_outcome(Outcome(verdict=verdict, refusal=refuse_lost(verdict)))
+        return encode_outcome(
+            Outcome(verdict=verdict, refusal=refuse_large_result(verdict))
+        )
 
     def _replay(self, attempt: Attempt, request: Request) -> Answer:
         match decode_outcome(attempt.outcome):
@@ -300,9 +309,9 @@
         return self._refuse(request, refusal)
 
     def _refuse_late(self, attempt: Attempt, request: Request) -> Answer:
-        # a granted claim shows that no earlier attempt holds the key
-        alone = request.first_attempt or attempt.action is Action.RUN
-        return self._refuse(request, refuse_late(alone))
+        # a granted claim proves that no earlier attempt holds the key
+        is_first = request.first_attempt or attempt.action is Action.RUN
+        return self._refuse(request, refuse_expired(is_first))
 
     def _refuse(self, request: Request, refusal: Refusal) -> Answer:
         self._metrics.count(f"claims.refused_{refusal.code.value}")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.leases.instants import read_instant
 from greengagelatch.orders.group import EngineGroup
-from greengagelatch.orders.permission import has_turn
+from greengagelatch.orders.permission import may_order
 from greengagelatch.orders.rules import Fencing, OrderRules, read_fencing
 
 from ..engine_groups import GroupTable
@@ -27,7 +27,7 @@
     from greengagelatch.events import EventBus
     from greengagelatch.leases.state import LeaseState
     from greengagelatch.orders import OrderClient
-    from greengagelatch.orders.group import EngineStep
+    from greengagelatch.orders.group import EngineCall
     from greengagelatch.settings import Settings
 
     from ..engine_groups import Group
@@ -78,7 +78,7 @@
         self._loads_per_minute: float = settings["orders.loads_per_minute"]
         self._rules = OrderRules(
             timeout=settings["orders.timeout"],
-            longest=settings["orders.longest"],
+            max_execution=settings["orders.longest"],
             interval=settings["orders.interval"],
             margin=self._margin,
         )
@@ -184,7 +184,7 @@
             return False
         now = read_instant(self._clock)
         fencing = self._read_fencing(group)
-        return has_turn(lease_state, now, rules=self._rules, fencing=fencing)
+        return may_order(lease_state, now, rules=self._rules, fencing=fencing)
 
     def _is_current(self, lease_state: LeaseState) -> bool:
         """Whether the configuration was confirmed as the newest under this lease.
@@ -204,13 +204,15 @@
         return Fencing.IGNORED if service is None else read_fencing(service)
 
     async def _call(
-        self, group: Group, engines: EngineGroup, engine_call: EngineStep
+        self, group: Group, engines: EngineGroup, engine_call: EngineCall
     ) -> None:
         target = group.targets.get(engine_call.target_id)
         try:
             if target is None:
                 # it has left since; the next plan removes its record
-                engines.fail(self._clock.now(), engine_call, self._rules.interval)
+                engines.handle_failure(
+                    self._clock.now(), engine_call, self._rules.interval
+                )
             elif engine_call.order is None:
                 group.error = await self._caller.read(engines, engine_call, target)
             else:
@@ -219,4 +221,4 @@
                 )
         except Exception:
             logger.exception("call to engine %s failed", engine_call.target_id)
-            engines.end_order(self._clock.now(), engine_call, settled=False)
+            engines.handle_order_end(self._clock.now(), engine_call, settled=False)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
@@ -35,7 +35,7 @@
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         if not exchange.request.key:
             return await proceed(exchange)
-        permit = await self._claims.seek(exchange.request)
+        permit = await self._claims.claim(exchange.request)
         if isinstance(permit, Answer):
             exchange.raise_verdict(permit.verdict)
             return permit
@@ -47,7 +47,7 @@
             return await asyncio.shield(run)
         except asyncio.CancelledError:
             tokens.listener = None
-            self._claims.adopt(run)
+            self._claims.detach(run)
             raise
 
     async def _run(
@@ -56,7 +56,7 @@
         try:
             answer = await proceed(exchange)
         except BaseException:
-            self._claims.settle_cut(permit, exchange.verdict)
+            self._claims.settle_cancelled(permit, exchange.verdict)
             raise
         self._claims.settle(permit, answer, exchange.verdict)
         return answer
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -18,7 +18,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch.orders import OrderClient
-    from greengagelatch.orders.group import EngineGroup, EngineStep
+    from greengagelatch.orders.group import EngineCall, EngineGroup
     from greengagelatch.orders.rules import Fencing, OrderRules
     from greengagelatch.targets import Target
     from greengagelatch.targets.directory import TargetDirectory
@@ -61,16 +61,16 @@
         self._random = random_source
         self._metrics = metrics
 
-    async def read(self, engines: EngineGroup, step: EngineStep, target: Target) -> str:
+    async def read(self, engines: EngineGroup, step: EngineCall, target: Target) -> str:
         """Read an engine's state; return what went wrong, or an empty text."""
         answer = await self._client.read(target)
         now = self._clock.now()
         match answer:
             case Ok(report):
-                engines.end_read(now, step, report, 0.0)
+                engines.handle_read(now, step, report, 0.0)
                 return ""
         self._metrics.count("orders.read_failures")
-        engines.end_read(now, step, None, self._choose_delay(engines, step))
+        engines.handle_read(now, step, None, self._choose_delay(engines, step))
         return f"{step.target_id} can't be read: {answer.err_value}"
 
     async def order(
@@ -78,7 +78,7 @@
         group: str,
         fencing: Fencing,
         engines: EngineGroup,
-        step: EngineStep,
+        step: EngineCall,
         target: Target,
     ) -> str:
         """Give an order; return what went wrong, or an empty text."""
@@ -102,35 +102,32 @@
             if not allowed:
                 self._metrics.count("orders.withheld")
                 return False
-            engines.note_sending(now.monotonic, step)
+            engines.record_sending(now.monotonic, step)
             self._metrics.count("orders.sent")
             return True
 
-        answer = await self._client.give(target, step.order, guard)
+        answer = await self._client.send(target, step.order, guard)
         now = self._clock.now()
         self._metrics.count(f"orders.outcome.{answer.outcome.value}")
         match answer.outcome:
             case OrderOutcome.DONE:
-                engines.end_order(now, step, settled=True)
+                engines.handle_order_end(now, step, settled=True)
                 return ""
             case OrderOutcome.UNKNOWN:
-                engines.end_order(now, step, settled=False)
+                engines.handle_order_end(now, step, settled=False)
             case OrderOutcome.OLD_FENCE:
                 # there is a newer holder, whatever this instance's clocks say
-                engines.end_order(now, step, settled=True)
+                engines.handle_order_end(now, step, settled=True)
                 self._leases.abandon(group)
             case _:
                 delay = self._choose_delay(engines, step)
-                engines.fail(now, step, delay)
+                engines.handle_failure(now, step, delay)
         logger.info(
-            "order to %s: %s %s",
-            step.target_id,
-            answer.outcome.value,
-            answer.message,
+            "order to %s: %s %s", step.target_id, answer.outcome.value, answer.message
         )
         return f"{step.target_id}: {answer.outcome.value} {answer.message}"
 
-    def _choose_delay(self, engines: EngineGroup, step: EngineStep) -> float:
+    def _choose_delay(self, engines: EngineGroup, step: EngineCall) -> float:
         return compute_backoff(
             engines.count_failures(step.target_id) + 1,
             base=RETRY_BASE,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -11,9 +11,9 @@
 
 from greengagelatch.claims import Claim, Token
 from greengagelatch.claims.encoding import encode_segment
-from greengagelatch.claims.head import Limits, Segment
+from greengagelatch.claims.head import Segment, ShardLimits
 from greengagelatch.claims.operations import Acquire, ResultKind
-from greengagelatch.claims.scope import create_digest, create_key
+from greengagelatch.claims.sharding import create_digest, create_key
 from greengagelatch.clock import SystemClock
 from greengagelatch.store import Entry, StoreError, WriteResult
 from greengagelatch_entry.claims.writer import ShardWriter
@@ -138,7 +138,7 @@
 
 
 def _create_writer(store: MemoryStore) -> ShardWriter:
-    limits = Limits(
+    limits = ShardLimits(
         retention=1200,
         clock_margin=60,
         head_claims=400,
@@ -171,5 +171,5 @@
         key=create_key("workspace", "pipeline", str(number)),
         digest=create_digest(str(number)),
         token=Token(f"entry-{number % 570:05d}", 2**62 + number % 570, abs(number)),
-        forget_at=1_780_001_200,
+        expires_at=1_780_001_200,
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -16,14 +16,14 @@
 
 from greengagelatch.claims import Claim, Token, attempt, registry
 from greengagelatch.claims.attempt import Action, Attempt
-from greengagelatch.claims.commit import Commit, Step, begin
+from greengagelatch.claims.commit import Commit, Step, create_commit
 from greengagelatch.claims.encoding import (
     decode_head,
     decode_segment,
     encode_head,
     encode_segment,
 )
-from greengagelatch.claims.head import Head, Limits, View
+from greengagelatch.claims.head import Head, ShardLimits, ShardView
 from greengagelatch.claims.operations import (
     Acquire,
     GiveBack,
@@ -32,7 +32,7 @@
     ResultKind,
     find_claim,
 )
-from greengagelatch.claims.registry import AttemptState, Record
+from greengagelatch.claims.registry import AttemptRecord, AttemptState
 from greengagelatch.store import ABSENT, Entry, WriteOutcome, WriteResult
 
 from .explore import Model
@@ -52,7 +52,11 @@
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
 #: actions that tell a caller that nothing of its request ran
-NOT_RUN_ACTIONS = (Action.REFUSE_KEY_REUSED, Action.REFUSE_FULL, Action.OUT_OF_REACH)
+NOT_RUN_ACTIONS = (
+    Action.REFUSE_KEY_REUSED,
+    Action.REFUSE_FULL,
+    Action.STORE_UNREACHABLE,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,7 +120,7 @@
     queue: tuple[Letter, ...] = ()
     batch: tuple[Letter, ...] = ()
     commit: Commit | None = None
-    view: View | None = None
+    view: ShardView | None = None
     segments: tuple[Any, ...] = ()
     batches: int = 0
 
@@ -198,7 +202,7 @@
         self._budget = budget
         self._filler = filler
         self._final_give_backs = final_give_backs
-        self._limits = Limits(
+        self._limits = ShardLimits(
             retention=600,
             clock_margin=60,
             head_claims=1 if filler else 8,
@@ -295,11 +299,11 @@
             )
             yield f"seeker {number} ends", _put_slot(state, number, ended)
             return
-        if slot.awaited and int(slot.attempt.way) != seeker.instance:
+        if slot.awaited and int(slot.attempt.candidate) != seeker.instance:
             yield from self._time_out(state, number)
         if slot.awaited and budget.give_ups:
             spent = state.change(budget=_spend(budget, "give_ups"))
-            given_up = self._abandon(spent, number, Action.OUT_OF_REACH)
+            given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
             yield f"seeker {number} is given up", given_up
         if slot.attempt.action is Action.ASK_HOLDER:
             yield from self._ask_holder(state, number)
@@ -307,11 +311,11 @@
             yield f"seeker {number} runs", self._run(state, number)
             if budget.not_run:
                 spent = state.change(budget=_spend(budget, "not_run"))
-                refused = self._abandon(spent, number, Action.OUT_OF_REACH)
+                refused = self._abandon(spent, number, Action.STORE_UNREACHABLE)
                 yield f"seeker {number} is refused with nothing sent", refused
 
     def _time_out(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        way = int(state.slots[number].attempt.way)
+        way = int(state.slots[number].attempt.candidate)
         budget = state.budget
         # an instance that has died never answers, which costs no fault of its own
         if state.writers[way].alive:
@@ -326,8 +330,8 @@
         """Do what needs no other process after an attempt has changed."""
         current = slot.attempt
         seeker = self._seekers[number]
-        if current.action is Action.CHOOSE_WAYS:
-            current = current.take_ways(tuple(str(way) for way in seeker.ways))
+        if current.action is Action.CHOOSE_CANDIDATES:
+            current = current.handle_candidates(tuple(str(way) for way in seeker.ways))
         slot = dataclasses.replace(slot, attempt=current, awaited=0)
         match current.action:
             case Action.ACQUIRE:
@@ -335,7 +339,9 @@
                 slot = dataclasses.replace(slot, tries=tries, awaited=tries)
                 state = _put_slot(state, number, slot)
                 letter = Letter(current.operation, number, tries)
-                return self._post(state, seeker.instance, int(current.way), letter)
+                return self._post(
+                    state, seeker.instance, int(current.candidate), letter
+                )
             case Action.RUN | Action.ASK_HOLDER:
                 return _put_slot(state, number, slot)
         state = _put_slot(state, number, slot)
@@ -359,27 +365,27 @@
         self, state: World, number: int, result: OperationResult | None
     ) -> World:
         slot = state.slots[number]
-        taken = slot.attempt.take_result(result)
+        taken = slot.attempt.handle_result(result)
         return self._advance(state, number, dataclasses.replace(slot, attempt=taken))
 
     def _ask_holder(self, state: World, number: int) -> Iterator[tuple[str, World]]:
         slot = state.slots[number]
         holder = slot.attempt.holder
         for label, record in self._list_answers(state, holder):
-            taken = slot.attempt.take_holder(record)
+            taken = slot.attempt.handle_holder(record)
             asked = dataclasses.replace(slot, attempt=taken)
             text = f"seeker {number} asks the holder: {label}"
             yield text, self._advance(state, number, asked)
 
     def _list_answers(
         self, state: World, holder: Token
-    ) -> Iterator[tuple[str, Record | None]]:
+    ) -> Iterator[tuple[str, AttemptRecord | None]]:
         yield "no answer", None
         if not state.writers[int(holder.instance)].alive:
             return
         slot = state.slots[holder.serial - 1]
-        record = Record(slot.state, OUTCOME)
-        yield slot.state.value, attempt.describe_holder(record)
+        record = AttemptRecord(slot.state, OUTCOME)
+        yield slot.state.value, attempt.mask_pending(record)
 
     def _run(self, state: World, number: int) -> World:
         slot = state.slots[number]
@@ -390,7 +396,7 @@
 
     def _abandon(self, state: World, number: int, action: Action) -> World:
         slot = state.slots[number]
-        doubtful = slot.awaited or slot.attempt.doubtful
+        doubtful = slot.awaited or slot.attempt.maybe_committed
         slot = dataclasses.replace(
             slot, state=AttemptState.GIVEN_BACK, told=action, awaited=0
         )
@@ -426,7 +432,7 @@
         writer = state.writers[number]
         if writer.commit is not None or not writer.queue:
             return state
-        commit = begin(
+        commit = create_commit(
             tuple(letter.operation for letter in writer.queue),
             batch_id=bytes([number, writer.batches]),
             now=NOW,
@@ -456,26 +462,31 @@
         match commit.step:
             case Step.READ_HEAD:
                 answer = Ok(state.find(HEAD_KEY))
-                yield label, self._go_on(state, number, commit.take_head(answer))
+                yield label, self._go_on(state, number, commit.handle_head(answer))
                 return
             case Step.READ_SEGMENT:
-                answer = Ok(state.find(commit.missing.number))
-                yield label, self._go_on(state, number, commit.take_segment(answer))
+                answer = Ok(state.find(commit.missing_segment.number))
+                yield label, self._go_on(state, number, commit.handle_segment(answer))
                 return
-            case Step.READ_OBSTACLE:
+            case Step.READ_CONFLICTING_SEGMENT:
                 answer = Ok(state.find(commit.plan.head.next_segment - 1))
-                yield label, self._go_on(state, number, commit.take_obstacle(answer))
+                yield (
+                    label,
+                    self._go_on(
+                        state, number, commit.handle_conflicting_segment(answer)
+                    ),
+                )
                 return
             case Step.WRITE_SEGMENT:
                 key = commit.plan.head.next_segment - 1
                 value = encode_segment(commit.plan.segment)
                 write = LateSwap(key, value, commit.segment_expected, b"")
-                take = commit.take_sealed
+                take = commit.handle_segment_write
             case Step.SWAP_HEAD:
                 value = encode_head(commit.plan.head)
                 expected = commit.view.revision
                 write = LateSwap(HEAD_KEY, value, expected, commit.batch_id)
-                take = commit.take_swapped
+                take = commit.handle_head_swap
         done, result = self._swap(state, write)
         text = f"{label}: {result.outcome.value}"
         yield text, self._go_on(done, number, take(result))
@@ -586,7 +597,7 @@
             if found is None or found.revision != ref.revision:
                 continue
             segments.append(decode_segment(found.value).unwrap())
-        view = View(head, entry.revision, tuple(segments))
+        view = ShardView(head, entry.revision, tuple(segments))
         claims = {claim.key: claim for claim in head.claims}
         keys = {seeker.key for seeker in self._seekers} | {FILLER.key}
         found = (find_claim(claims, view, key) for key in sorted(keys))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -17,11 +17,11 @@
 from dataclasses import dataclass, field
 
 from greengagelatch.claims.outage import (
+    ImmediateRefusal,
     Outage,
     OutagePolicy,
-    RefuseAtOnce,
-    RefuseLater,
-    TryAgain,
+    RetryAfter,
+    RetryThenRefuse,
 )
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
@@ -87,12 +87,12 @@
 
 
 WAYS = (
-    Way("refuse at once", RefuseAtOnce()),
-    Way("refuse later", RefuseLater()),
-    Way("run first attempts", RefuseAtOnce(), run_first=True),
+    Way("refuse at once", ImmediateRefusal()),
+    Way("refuse later", RetryThenRefuse()),
+    Way("run first attempts", ImmediateRefusal(), run_first=True),
     Way(
         "run first attempts, never unrecorded repeats",
-        RefuseAtOnce(),
+        ImmediateRefusal(),
         run_first=True,
         strict=True,
     ),
@@ -309,13 +309,13 @@
                 first_attempt=first,
                 elapsed=elapsed,
                 remaining=self._deadline - elapsed,
-                down_for=self._now - self._reached[instance],
+                store_silent_for=self._now - self._reached[instance],
             )
         )
         match decision:
             case Refusal(verdict=verdict):
                 self._answer(request, number, verdict, 0.0)
-            case TryAgain(delay=delay):
+            case RetryAfter(delay=delay):
 
                 def again() -> None:
                     if self._trouble.reaches(instance, self._now):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -85,7 +85,7 @@
         self._delivery = delivery
         self._rules = OrderRules(
             timeout=delivery,
-            longest=DURATION,
+            max_execution=DURATION,
             interval=READ_INTERVAL,
             margin=LEASE_RULES.margin,
         )
@@ -279,13 +279,13 @@
             return
         now = self._read_clock(state, number)
         wanted = EngineState(models=(str(number),))
-        may_order = permission.has_turn(
+        may_order = permission.may_order(
             tenure, now, rules=self._rules, fencing=self._fencing
         )
         action = contender.record.plan(now.monotonic, wanted, may_order=may_order)
         if action is EngineAction.READ:
             report = EngineReport(state.engine.state, state.engine.fence)
-            record = contender.record.note_read(now.monotonic, report, self._rules)
+            record = contender.record.record_report(now.monotonic, report, self._rules)
             read = dataclasses.replace(contender, record=record)
             yield f"{number} reads", put_contender(state, number, read)
         if action is EngineAction.ORDER:
@@ -317,7 +317,7 @@
             contender,
             planned=None,
             awaited=order,
-            record=contender.record.note_sending(now.monotonic, order),
+            record=contender.record.record_sending(now.monotonic, order),
         )
         state = put_contender(state.change(engine=engine), number, sent)
         yield f"{number} sends its order", state
@@ -329,7 +329,7 @@
         now = self._read_clock(state, number).monotonic
         if now - contender.record.sent < self._rules.timeout:
             return
-        record = contender.record.note_unanswered(now)
+        record = contender.record.record_lost_answer(now)
         given_up = dataclasses.replace(contender, awaited=None, record=record)
         yield f"{number} stops waiting", put_contender(state, number, given_up)
 
@@ -377,7 +377,7 @@
             return state.change(engine=engine)
         if order.fence < engine.fence:
             state = state.change(fault="a former holder's order was carried out last")
-        engine = dataclasses.replace(engine, state=order.wanted, fence=order.fence)
+        engine = dataclasses.replace(engine, state=order.desired, fence=order.fence)
         return state.change(engine=engine)
 
     def _tell(
@@ -388,7 +388,7 @@
         if not contender.alive or contender.awaited != delivery.order:
             return state
         now = self._read_clock(state, number).monotonic
-        record = contender.record.note_ended(now)
+        record = contender.record.record_answer(now)
         contender = dataclasses.replace(contender, awaited=None, record=record)
         if old:
             tenure = contender.tenure.leave()
--- a/packages/greengagelatch/src/greengagelatch/claims/attempt.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/attempt.py
@@ -1,4 +1,4 @@
-"""The steps by which an instance gets a claim for a request, or learns of another."""
+"""State machine that acquires a claim for a request, or finds the one that exists."""
 
 from __future__ import annotations
 
@@ -8,141 +8,147 @@
 
 from . import Token
 from .operations import Acquire, OperationResult, ResultKind
-from .registry import AttemptState, Record
+from .registry import AttemptRecord, AttemptState
 
-__all__ = ("Action", "Attempt", "choose_ways", "describe_holder")
+__all__ = ("Action", "Attempt", "choose_candidates", "mask_pending")
 
-#: how often a key may be found given back and then lost to yet another attempt
-MAX_ROUNDS = 8
+#: times that an attempt may find the key's holder given back and then lose the key
+#: to another attempt
+MAX_TAKEOVERS = 8
 
-#: instances asked to write for one that can't reach the store, its own choice of
-#: the usual writer not counted
-MAX_RELAYS = 2
+#: fallback instances asked to commit for one that can't reach the store, besides
+#: the shard's preferred writer
+MAX_FALLBACKS = 2
 
 
 class Action(Enum):
-    """What an attempt has to do next."""
+    """Next action of an attempt."""
 
-    #: find out which instances may commit the operation
-    CHOOSE_WAYS = "choose-ways"
-    #: have the operation committed by the instance :attr:`Attempt.way`
+    #: choose the instances that may commit the operation
+    CHOOSE_CANDIDATES = "choose-ways"
+    #: send the operation to the instance :attr:`Attempt.candidate`, which commits it
     ACQUIRE = "acquire"
     #: ask the instance of :attr:`Attempt.holder` for its outcome
     ASK_HOLDER = "ask-holder"
     RUN = "run"
-    #: answer with the outcome of the holder
+    #: answer with the holder's stored outcome
     REPLAY = "replay"
-    #: another attempt is running, and the time to wait for it is over
+    #: another attempt is still running at the end of the wait
     REFUSE_IN_PROGRESS = "refuse-in-progress"
-    #: another attempt may have run, and nobody knows its outcome
+    #: another attempt may have run, and its outcome is lost
     REFUSE_UNSETTLED = "refuse-unsettled"
     REFUSE_KEY_REUSED = "refuse-key-reused"
-    #: the shard has no room for claims
+    #: the shard is at its limit of claims
     REFUSE_FULL = "refuse-full"
-    #: nobody could reach the store
-    OUT_OF_REACH = "out-of-reach"
+    #: no instance that was tried could reach the store
+    STORE_UNREACHABLE = "out-of-reach"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Attempt:
-    """An attempt on its way to a claim; every answer returns the next state."""
+    """State of an attempt to acquire a claim; each method returns the next state."""
 
     operation: Acquire
-    #: instances that may commit the operation, in the order of trying
-    ways: tuple[str, ...] = ()
+    #: instances that may commit the operation, in order of preference
+    candidates: tuple[str, ...] = ()
     tried: int = 0
-    action: Action = Action.CHOOSE_WAYS
+    action: Action = Action.CHOOSE_CANDIDATES
     holder: Token | None = None
     outcome: bytes = b""
-    rounds: int = 0
-    #: whether the claim may be in the store although no answer says so
-    doubtful: bool = False
+    takeovers: int = 0
+    #: whether the claim may be in the store without a confirmation
+    maybe_committed: bool = False
 
     @property
-    def way(self) -> str:
-        """The instance that is to commit the operation now."""
-        return self.ways[self.tried]
-
-    def take_ways(self, ways: tuple[str, ...]) -> Attempt:
-        """Go on with the instances that may commit; empty: none can."""
-        if not ways:
-            return self._turn(Action.OUT_OF_REACH)
-        return dataclasses.replace(self, action=Action.ACQUIRE, ways=ways, tried=0)
-
-    def take_result(self, result: OperationResult | None) -> Attempt:
-        """Go on with what became of the operation; ``None``: no answer.
-
-        An operation without an answer may still be committed later. The next
-        instance may commit it all the same: a head holds an attempt only once.
+    def candidate(self) -> str:
+        """Instance that is asked to commit the operation now."""
+        return self.candidates[self.tried]
+
+    def handle_candidates(self, candidates: tuple[str, ...]) -> Attempt:
+        """Start with the instances that may commit; an empty tuple means none can."""
+        if not candidates:
+            return self._switch(Action.STORE_UNREACHABLE)
+        return dataclasses.replace(
+            self, action=Action.ACQUIRE, candidates=candidates, tried=0
+        )
+
+    def handle_result(self, result: OperationResult | None) -> Attempt:
+        """Handle the result of the operation; ``None`` means that no answer came.
+
+        An unanswered operation may still be committed later. Sending it to the
+        next instance is safe: it is idempotent, as a head holds each attempt once.
         """
         kind = result.kind if result else ResultKind.UNSETTLED
         match kind:
             case ResultKind.GRANTED:
-                return dataclasses.replace(self, action=Action.RUN, doubtful=True)
+                return dataclasses.replace(
+                    self, action=Action.RUN, maybe_committed=True
+                )
             case ResultKind.HELD if result.holder != self.operation.token:
                 return dataclasses.replace(
                     self, action=Action.ASK_HOLDER, holder=result.holder
                 )
             case ResultKind.KEY_REUSED:
-                return self._turn(Action.REFUSE_KEY_REUSED)
+                return self._switch(Action.REFUSE_KEY_REUSED)
             case ResultKind.FULL:
-                return self._turn(Action.REFUSE_FULL)
+                return self._switch(Action.REFUSE_FULL)
         state = self
         if kind is ResultKind.UNSETTLED:
-            state = dataclasses.replace(self, doubtful=True)
-        if self.tried + 1 < len(self.ways):
+            state = dataclasses.replace(self, maybe_committed=True)
+        if self.tried + 1 < len(self.candidates):
             return dataclasses.replace(state, tried=self.tried + 1)
-        return state._turn(Action.OUT_OF_REACH)
+        return state._switch(Action.STORE_UNREACHABLE)
 
-    def take_holder(self, record: Record | None) -> Attempt:
-        """Go on with what is known of the holder's attempt; ``None``: nothing."""
+    def handle_holder(self, record: AttemptRecord | None) -> Attempt:
+        """Handle the record of the holder's attempt; ``None`` means it is unknown."""
         if record is None:
-            return self._turn(Action.REFUSE_UNSETTLED)
+            return self._switch(Action.REFUSE_UNSETTLED)
         match record.state:
             case AttemptState.FINISHED if record.outcome:
-                state = self._turn(Action.REPLAY)
+                state = self._switch(Action.REPLAY)
                 return dataclasses.replace(state, outcome=record.outcome)
             case AttemptState.FINISHED:
-                return self._turn(Action.REFUSE_UNSETTLED)
-            case AttemptState.GIVEN_BACK if self.rounds < MAX_ROUNDS:
+                return self._switch(Action.REFUSE_UNSETTLED)
+            case AttemptState.GIVEN_BACK if self.takeovers < MAX_TAKEOVERS:
                 return dataclasses.replace(
                     self,
-                    action=Action.CHOOSE_WAYS,
+                    action=Action.CHOOSE_CANDIDATES,
                     operation=dataclasses.replace(self.operation, replaces=self.holder),
-                    rounds=self.rounds + 1,
+                    takeovers=self.takeovers + 1,
                 )
             case AttemptState.GIVEN_BACK:
-                return self._turn(Action.REFUSE_UNSETTLED)
-        return self._turn(Action.REFUSE_IN_PROGRESS)
+                return self._switch(Action.REFUSE_UNSETTLED)
+        return self._switch(Action.REFUSE_IN_PROGRESS)
 
-    def try_again(self) -> Attempt:
-        """Begin anew with the first way."""
-        return self._turn(Action.CHOOSE_WAYS)
+    def restart(self) -> Attempt:
+        """Start again with a new choice of instances."""
+        return self._switch(Action.CHOOSE_CANDIDATES)
 
-    def _turn(self, action: Action) -> Attempt:
+    def _switch(self, action: Action) -> Attempt:
         return dataclasses.replace(self, action=action)
 
 
-def choose_ways(own: str, ranked: tuple[str, ...]) -> tuple[str, ...]:
-    """Return the instances that may write for ``own``, in the order of trying.
+def choose_candidates(own: str, ranked: tuple[str, ...]) -> tuple[str, ...]:
+    """Return the instances that may commit for ``own``, in order of preference.
 
-    First the usual writer, which groups many claims into one write; then the
-    instance itself, which settles what the writer left open by reading the store;
-    then others, in case this data centre alone is cut off from the store.
+    The shard's preferred writer comes first, as it batches many claims into one
+    write. The instance itself comes next: it reads the store, which resolves an
+    operation that the writer did not answer. Other instances follow, in case only
+    this data centre is disconnected from the store.
     """
-    usual = ranked[0] if ranked else own
-    ways = [usual]
-    if usual != own:
-        ways.append(own)
-    relays = [one for one in ranked if one not in ways]
-    return (*ways, *relays[:MAX_RELAYS])
+    preferred = ranked[0] if ranked else own
+    candidates = [preferred]
+    if preferred != own:
+        candidates.append(own)
+    fallbacks = [one for one in ranked if one not in candidates]
+    return (*candidates, *fallbacks[:MAX_FALLBACKS])
 
 
-def describe_holder(record: Record | None) -> Record | None:
-    """Return what another instance may be told of an attempt of this one.
+def mask_pending(record: AttemptRecord | None) -> AttemptRecord | None:
+    """Return the record of an attempt as it is reported to others.
 
-    An attempt that still seeks its claim may be granted it at any moment, so it
-    counts as running.
+    A pending attempt may be granted its claim at any moment, so it is reported as
+    running.
     """
     if record is not None and record.state is AttemptState.PENDING:
         return dataclasses.replace(record, state=AttemptState.RUNNING)
--- a/packages/greengagelatch/src/greengagelatch/claims/operations.py
+++ b/packages/greengagelatch/src/greengagelatch/claims/operations.py
@@ -1,4 +1,4 @@
-"""What a batch of operations changes in a shard of claims."""
+"""Applies a batch of operations to a shard of claims."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from . import Claim, ClaimState, Token
-from .head import RING_SIZE, Head, Limits, Segment, SegmentRef, View
+from .head import MAX_BATCH_IDS, Head, Segment, SegmentRef, ShardLimits, ShardView
 
 __all__ = (
     "Acquire",
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Claim a key for the attempt ``token``."""
+    """Claims a key for the attempt ``token``."""
 
     key: bytes
     digest: bytes
     token: Token
-    #: attempt whose instance has said that it never ran and never will
+    #: former holder, whose instance has confirmed that it never ran and never will
     replaces: Token | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """Free a key, as nothing was sent for the attempt ``token``."""
+    """Releases a key for which the attempt ``token`` sent nothing."""
 
     key: bytes
     token: Token
@@ -45,7 +45,7 @@
 
 
 class ResultKind(Enum):
-    """What became of an operation."""
+    """Result of an operation."""
 
     GRANTED = "granted"
     #: another attempt holds the key
@@ -53,17 +53,17 @@
     #: the key was used for another request
     KEY_REUSED = "key-reused"
     GIVEN_BACK = "given-back"
-    #: the shard has no room
+    #: the shard is at its limit of claims
     FULL = "full"
-    #: the store gave no answer; the operation did not take effect
+    #: the store could not be reached; the operation did not take effect
     UNREACHABLE = "unreachable"
-    #: the store gave no answer; the operation may have taken effect
+    #: the result is unknown: the operation may have taken effect
     UNSETTLED = "unsettled"
 
 
 @dataclass(frozen=True, slots=True)
 class OperationResult:
-    """What became of an operation; ``holder`` is set if another attempt holds."""
+    """Result of an operation; ``holder`` is set if another attempt holds the key."""
 
     kind: ResultKind
     holder: Token | None = None
@@ -71,98 +71,102 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A head to be swapped in, and what its success will mean."""
+    """The head to swap in, and the results of its operations once that succeeds."""
 
     head: Head
     #: results in the order of the operations
     results: tuple[OperationResult, ...]
     #: whether the operations change anything
     changed: bool
-    #: segment that must be written before ``head`` may name it
+    #: segment to write before the head that refers to it
     segment: Segment | None = None
 
 
 def create_plan(
-    view: View,
+    view: ShardView,
     operations: tuple[Operation, ...],
     *,
     batch_id: bytes,
     now: int,
-    limits: Limits,
+    limits: ShardLimits,
     seal: bool = True,
     deleted: frozenset[int] = frozenset(),
 ) -> Plan:
     """Apply ``operations`` in order to a copy of the head.
 
-    ``now`` is wall-clock seconds. Without ``seal`` the head may grow to twice its
-    bound before claims are refused. ``deleted`` numbers retired segments that no
-    longer exist.
+    The head may grow to twice its limit before claims are refused.
+
+    :param now: wall-clock seconds
+    :param seal: whether older claims may be moved to a segment
+    :param deleted: numbers of retired segments that no longer exist
     """
     head = view.head
-    # a writer whose clock is behind would let claims be forgotten too early
-    stamp = max(now, head.written_at)
+    # a writer whose clock is behind would make claims expire too early
+    timestamp = max(now, head.written_at)
     claims = {claim.key: claim for claim in head.claims}
     results = []
     changed = False
     for operation in operations:
         current = find_claim(claims, view, operation.key)
-        if current is not None and is_forgotten(current, now, limits):
+        if current is not None and is_expired(current, now, limits):
             current = None
         if isinstance(operation, GiveBack):
             result = _give_back(claims, view, operation, current)
             changed |= result.kind is ResultKind.GIVEN_BACK
         else:
-            room = len(claims) < 2 * limits.head_claims
-            result, added = _acquire(claims, operation, current, room, stamp, limits)
+            has_room = len(claims) < 2 * limits.head_claims
+            result, added = _acquire(
+                claims, operation, current, has_room, timestamp, limits
+            )
             changed |= added
         results.append(result)
-    kept = tuple(
-        claim for claim in claims.values() if not is_forgotten(claim, now, limits)
+    unexpired = tuple(
+        claim for claim in claims.values() if not is_expired(claim, now, limits)
     )
     changed |= bool(deleted.intersection(ref.number for ref in head.retired))
     proposed = Head(
         sequence=head.sequence + 1,
-        written_at=stamp,
-        claims=kept,
+        written_at=timestamp,
+        claims=unexpired,
         segments=tuple(ref for ref in head.segments if is_needed(ref, now, limits)),
         retired=tuple(ref for ref in head.retired if ref.number not in deleted)
         + tuple(ref for ref in head.segments if not is_needed(ref, now, limits)),
         next_segment=head.next_segment,
-        batches=(*head.batches, batch_id)[-RING_SIZE:],
+        batches=(*head.batches, batch_id)[-MAX_BATCH_IDS:],
     )
     plan = Plan(proposed, tuple(results), changed)
-    if not seal or not changed or len(kept) <= limits.head_claims:
+    if not seal or not changed or len(unexpired) <= limits.head_claims:
         return plan
     return _seal(plan, view, now, limits)
 
 
-def find_claim(claims: dict[bytes, Claim], view: View, key: bytes) -> Claim | None:
-    """Return the newest record under ``key``, in the head or a sealed segment."""
+def find_claim(claims: dict[bytes, Claim], view: ShardView, key: bytes) -> Claim | None:
+    """Return the newest record of ``key``, from the head or a sealed segment."""
     current = claims.get(key)
     if current is not None:
         return current
     return _find_sealed(view, key)
 
 
-def is_forgotten(claim: Claim, now: int, limits: Limits) -> bool:
-    """Whether a claim is past its time by any instance's clock.
+def is_expired(claim: Claim, now: int, limits: ShardLimits) -> bool:
+    """Whether a claim has expired by the clock of every instance.
 
-    An instance whose clock is fast would forget a claim while its key may still
-    be asked again, and the request would run twice. The margin covers that.
+    Without the margin, an instance whose clock is fast would drop a claim whose key
+    may still be repeated, and the request would run twice.
     """
-    return now > claim.forget_at + limits.clock_margin
+    return now > claim.expires_at + limits.clock_margin
 
 
-def is_needed(ref: SegmentRef, now: int, limits: Limits) -> bool:
-    """Whether a sealed segment holds a claim that is not forgotten."""
-    return now <= ref.forget_at + limits.clock_margin
+def is_needed(ref: SegmentRef, now: int, limits: ShardLimits) -> bool:
+    """Whether a sealed segment may contain an unexpired claim."""
+    return now <= ref.expires_at + limits.clock_margin
 
 
 def may_acquire(operation: Acquire, current: Claim | None) -> bool:
-    """Whether a key is free for an attempt.
+    """Whether an attempt may claim a key.
 
-    A key whose attempt never ran is freed by the word of that attempt's instance;
-    it counts only for that one attempt, as another may hold the key by now.
+    The holder's instance may have confirmed that its attempt never ran. That
+    frees the key from this one attempt only: a newer one may hold it by now.
     """
     if current is None or current.state is ClaimState.GIVEN_BACK:
         return True
@@ -172,8 +176,8 @@
 def may_give_back(operation: GiveBack, current: Claim | None) -> bool:
     """Whether a key is still held by the attempt that gives it back.
 
-    A give-back that arrives late would else free the claim of a newer attempt,
-    which is running, and let a third one run beside it.
+    Otherwise a delayed give-back would release the claim of a newer attempt that
+    is running, and a third attempt could run concurrently with it.
     """
     return (
         current is not None
@@ -183,12 +187,12 @@
 
 
 def is_same_request(operation: Acquire, current: Claim) -> bool:
-    """Whether a key is asked again for what it was first used for."""
+    """Whether a key is repeated with the request that it was first used for."""
     return operation.digest == current.digest
 
 
-def is_sealed(view: View, key: bytes) -> bool:
-    """Whether a sealed segment holds a record under ``key``."""
+def is_sealed(view: ShardView, key: bytes) -> bool:
+    """Whether a sealed segment contains a record of ``key``."""
     return _find_sealed(view, key) is not None
 
 
@@ -196,13 +200,13 @@
     claims: dict[bytes, Claim],
     operation: Acquire,
     current: Claim | None,
-    room: bool,
-    stamp: int,
-    limits: Limits,
+    has_room: bool,
+    timestamp: int,
+    limits: ShardLimits,
 ) -> tuple[OperationResult, bool]:
     """Return the result, and whether a claim was added."""
     if current is not None and current.token == operation.token:
-        # an earlier try of the same attempt took effect, its answer was lost
+        # the same operation was committed before, but its answer was lost
         if current.state is ClaimState.CLAIMED:
             return OperationResult(ResultKind.GRANTED), False
         return OperationResult(ResultKind.HELD, current.token), False
@@ -210,32 +214,35 @@
         if not is_same_request(operation, current):
             return OperationResult(ResultKind.KEY_REUSED), False
         return OperationResult(ResultKind.HELD, current.token), False
-    if not room:
+    if not has_room:
         return OperationResult(ResultKind.FULL), False
-    # put in anew, so that the order of the map stays the order of the claims
+    # reinserted at the end, so that the map stays in order of acquisition
     claims.pop(operation.key, None)
     claims[operation.key] = Claim(
-        operation.key, operation.digest, operation.token, stamp + limits.retention
+        operation.key, operation.digest, operation.token, timestamp + limits.retention
     )
     return OperationResult(ResultKind.GRANTED), True
 
 
 def _give_back(
-    claims: dict[bytes, Claim], view: View, operation: GiveBack, current: Claim | None
+    claims: dict[bytes, Claim],
+    view: ShardView,
+    operation: GiveBack,
+    current: Claim | None,
 ) -> OperationResult:
     if not may_give_back(operation, current):
         return OperationResult(ResultKind.HELD, current.token if current else None)
     claims.pop(operation.key, None)
     if is_sealed(view, operation.key):
-        # segments are never changed: without this record the sealed claim would
-        # come to light again
+        # segments are immutable: without this tombstone the sealed claim would be
+        # visible again
         claims[operation.key] = dataclasses.replace(
             current, state=ClaimState.GIVEN_BACK
         )
     return OperationResult(ResultKind.GIVEN_BACK)
 
 
-def _find_sealed(view: View, key: bytes) -> Claim | None:
+def _find_sealed(view: ShardView, key: bytes) -> Claim | None:
     for segment in reversed(view.segments):
         claim = segment.find(key)
         if claim is not None:
@@ -243,25 +250,25 @@
     return None
 
 
-def _seal(plan: Plan, view: View, now: int, limits: Limits) -> Plan:
-    """Move the older half of the claims to a segment, joined with the newest one."""
+def _seal(plan: Plan, view: ShardView, now: int, limits: ShardLimits) -> Plan:
+    """Move the older half of the claims to a segment, merged with the newest one."""
     head = plan.head
     half = len(head.claims) - limits.head_claims // 2
     sealed = {claim.key: claim for claim in head.claims[:half]}
     refs = head.segments
     retired = head.retired
     newest = view.segments[-1] if view.segments else None
-    joins = (
+    merges = (
         newest is not None
         and bool(refs)
         and refs[-1] == view.head.segments[-1]
         and refs[-1].claims + len(sealed) <= limits.segment_claims
     )
-    if joins:
+    if merges:
         older = {
             claim.key: claim
             for claim in newest.claims
-            if not is_forgotten(claim, now, limits)
+            if not is_expired(claim, now, limits)
         }
         sealed = older | sealed
         retired = (*retired, refs[-1])
@@ -273,7 +280,7 @@
         number=head.next_segment,
         revision=0,
         claims=len(segment),
-        forget_at=max(claim.forget_at for claim in sealed.values()),
+        expires_at=max(claim.expires_at for claim in sealed.values()),
     )
     sealed_head = dataclasses.replace(
         head,
--- a/packages/greengagelatch/src/greengagelatch/orders/group.py
+++ b/packages/greengagelatch/src/greengagelatch/orders/group.py
@@ -1,4 +1,4 @@
-"""The engines of one group under one tenure of its lease."""
+"""Schedules the orders to the engines of one group while its lease is held."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
     from ..config.effects import Placement
     from .rules import OrderRules
 
-__all__ = ("EngineGroup", "EngineStep")
+__all__ = ("EngineGroup", "EngineCall")
 
-#: engines of one group that are read at the same time
+#: concurrent calls to the engines of one group from which on no further read starts
 MAX_READS = 8
 
-#: state of an engine that was not read yet
+#: assumed state of an engine that has not been read yet
 UNREAD = EngineState()
 
 
 @dataclass(frozen=True, slots=True)
-class EngineStep:
-    """A call that is due; ``order`` is ``None`` for a reading."""
+class EngineCall:
+    """A call to an engine that is due; ``order`` is ``None`` for a read."""
 
     target_id: str
     order: Order | None = None
-    #: what the order makes the weight store give
+    #: loads from the weight store that the order causes
     loads: int = 0
 
 
 class EngineGroup:
-    """Says which engine is read or given an order next.
+    """Plans the reads and orders of the engines of one group.
 
-    One order at a time: engines that load are slow to serve, and a wrong placement
-    is noticed before all of them follow it. An order without an answer counts until
-    it is settled.
+    One order at a time is in progress: engines are slow while they load, and a wrong
+    placement can be noticed before all engines have applied it. An order without an
+    answer counts as in progress until it is resolved.
 
-    :param fence: fencing number of the tenure
+    :param fence: fencing token of the lease
     :param now: monotonic seconds
     """
 
@@ -51,13 +51,13 @@
         self.fence = fence
         self._rules = rules
         self._records: dict[str, EngineRecord] = {}
-        self._under_way: dict[str, EngineStep] = {}
+        self._in_flight: dict[str, EngineCall] = {}
         self._budget = LoadBudget(at=now)
 
     @property
-    def ordering(self) -> bool:
-        """Whether an order is under way, or may still be."""
-        if any(step.order is not None for step in self._under_way.values()):
+    def has_open_order(self) -> bool:
+        """Whether an order is in progress or may still take effect."""
+        if any(call.order is not None for call in self._in_flight.values()):
             return True
         return any(record.unsettled is not None for record in self._records.values())
 
@@ -69,73 +69,73 @@
         *,
         loads_per_minute: float,
         may_order: bool,
-    ) -> tuple[EngineStep, ...]:
-        """Return the calls that are due; each is taken as begun.
+    ) -> tuple[EngineCall, ...]:
+        """Return the calls that are due and mark them as started.
 
-        :param target_ids: the engines that are neither leaving nor gone
+        :param target_ids: the engines that are registered and not leaving
         :param loads_per_minute: this group's share of the weight store's rate
         """
         self._budget = self._budget.refill(now, loads_per_minute)
-        self._keep_only(target_ids)
-        steps = []
+        self._update_targets(target_ids)
+        calls = []
         for target_id, record in self._records.items():
-            if target_id in self._under_way:
+            if target_id in self._in_flight:
                 continue
-            step = self._plan_engine(now, target_id, record, placement, may_order)
-            if step is None:
+            call = self._plan_engine(now, target_id, record, placement, may_order)
+            if call is None:
                 continue
-            self._under_way[target_id] = step
-            steps.append(step)
-        return tuple(steps)
+            self._in_flight[target_id] = call
+            calls.append(call)
+        return tuple(calls)
 
-    def note_sending(self, now: float, step: EngineStep) -> None:
+    def record_sending(self, now: float, call: EngineCall) -> None:
         """Record that the first byte of an order is about to be sent."""
-        if step.order is None:
+        if call.order is None:
             return
-        self._budget = self._budget.spend(step.loads)
-        self._update(step.target_id, lambda r: r.note_sending(now, step.order))
+        self._budget = self._budget.spend(call.loads)
+        self._update(call.target_id, lambda r: r.record_sending(now, call.order))
 
-    def end_read(
-        self, now: float, step: EngineStep, report: EngineReport | None, delay: float
+    def handle_read(
+        self, now: float, call: EngineCall, report: EngineReport | None, delay: float
     ) -> None:
-        """Take in a reading.
+        """Record the result of a read.
 
         :param report: ``None`` if the engine could not be read
-        :param delay: seconds after which it is tried again in that case
+        :param delay: seconds until the retry in that case
         """
-        self._under_way.pop(step.target_id, None)
+        self._in_flight.pop(call.target_id, None)
         if report is None:
-            self._update(step.target_id, lambda r: r.note_failed(now, delay))
+            self._update(call.target_id, lambda r: r.record_failure(now, delay))
             return
         rules = self._rules
-        self._update(step.target_id, lambda r: r.note_read(now, report, rules))
+        self._update(call.target_id, lambda r: r.record_report(now, report, rules))
 
-    def end_order(self, now: float, step: EngineStep, *, settled: bool) -> None:
-        """Take in the end of an order's call; the engine is read back next.
+    def handle_order_end(self, now: float, call: EngineCall, *, settled: bool) -> None:
+        """Record the end of an order's call; a read of the engine is due next.
 
-        :param settled: whether the order certainly is not under way any longer
+        :param settled: whether the order can no longer take effect
         """
-        self._under_way.pop(step.target_id, None)
+        self._in_flight.pop(call.target_id, None)
         if settled:
-            self._update(step.target_id, lambda r: r.note_ended(now))
+            self._update(call.target_id, lambda r: r.record_answer(now))
             return
-        self._update(step.target_id, lambda r: r.note_unanswered(now))
+        self._update(call.target_id, lambda r: r.record_lost_answer(now))
 
-    def fail(self, now: float, step: EngineStep, delay: float) -> None:
-        """Take in that a call certainly had no effect; the next waits ``delay``."""
-        self._under_way.pop(step.target_id, None)
+    def handle_failure(self, now: float, call: EngineCall, delay: float) -> None:
+        """Record that a call had no effect; the next is due in ``delay`` seconds."""
+        self._in_flight.pop(call.target_id, None)
         self._update(
-            step.target_id,
-            lambda r: dataclasses.replace(r, unsettled=None).note_failed(now, delay),
+            call.target_id,
+            lambda r: dataclasses.replace(r, unsettled=None).record_failure(now, delay),
         )
 
     def count_failures(self, target_id: str) -> int:
-        """Return how many calls in a row to an engine came to nothing."""
+        """Return the number of consecutive failed calls to an engine."""
         record = self._records.get(target_id)
         return 0 if record is None else record.failures
 
     def dump(self, now: float, placement: Placement) -> dict[str, Any]:
-        """Return the engines' states by id."""
+        """Return the states of the engines by target id."""
         engines = {}
         for target_id, record in self._records.items():
             present = UNREAD if record.report is None else record.report.state
@@ -161,19 +161,19 @@
         record: EngineRecord,
         placement: Placement,
         may_order: bool,
-    ) -> EngineStep | None:
+    ) -> EngineCall | None:
         present = UNREAD if record.report is None else record.report.state
-        wanted = build_desired_state(placement, present)
-        loads = count_loads(wanted, present)
-        may_order = may_order and not self.ordering and self._budget.allows(loads)
-        match record.plan(now, wanted, may_order=may_order):
+        desired = build_desired_state(placement, present)
+        loads = count_loads(desired, present)
+        may_order = may_order and not self.has_open_order and self._budget.allows(loads)
+        match record.plan(now, desired, may_order=may_order):
             case EngineAction.ORDER:
-                return EngineStep(target_id, Order(self.fence, wanted), loads)
-            case EngineAction.READ if len(self._under_way) < MAX_READS:
-                return EngineStep(target_id)
+                return EngineCall(target_id, Order(self.fence, desired), loads)
+            case EngineAction.READ if len(self._in_flight) < MAX_READS:
+                return EngineCall(target_id)
         return None
 
-    def _keep_only(self, target_ids: Iterable[str]) -> None:
+    def _update_targets(self, target_ids: Iterable[str]) -> None:
         records = {}
         for target_id in sorted(target_ids):
             records[target_id] = self._records.get(target_id) or EngineRecord()
@@ -182,5 +182,5 @@
     def _update(self, target_id: str, change: Any) -> None:
         record = self._records.get(target_id)
         if record is not None:
-            # it may have begun to leave while the call was under way
+            # the engine may have been removed during the call
             self._records[target_id] = change(record)
