--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: the parts of the daemon that touch sockets."""
+"""Adapters: network servers and clients of the daemon."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: status codes, headers and bodies."""
+"""HTTP status codes, headers and bodies of responses to callers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 CONTENT_TYPE = "application/json"
 STATUS_OK = 200
 
-#: built once: ``json.dumps`` builds one for each call with these separators
+#: shared, as ``json.dumps`` creates an encoder for each call with these separators
 _ENCODER = json.JSONEncoder(separators=(",", ":"))
 
 _STATUSES = {
@@ -57,7 +57,7 @@
 
 
 def encode(fields: dict[str, Any]) -> bytes:
-    """Return ``fields`` as compact JSON."""
+    """Encode ``fields`` as compact JSON."""
     return _ENCODER.encode(fields).encode()
 
 
@@ -69,7 +69,7 @@
 
 
 def encode_answer(answer: Answer) -> bytes:
-    """Return the body of an answer that is not streamed."""
+    """Return the response body of an answer that is not streamed."""
     if answer.refusal is not None:
         return encode(describe_refusal(answer.request_id, answer.refusal))
     return encode(
@@ -83,7 +83,7 @@
 
 
 def describe_refusal(request_id: str, refusal: Refusal) -> dict[str, Any]:
-    """Return the fields of a refusal."""
+    """Return the JSON fields of a refusal."""
     return {
         "request": request_id,
         "verdict": _VERDICTS[refusal.verdict],
@@ -96,7 +96,7 @@
 
 
 def describe_end(answer: Answer, *, count: int, digest: str) -> dict[str, Any]:
-    """Return the fields of the event that ends a whole stream."""
+    """Return the JSON fields of the ``end`` event of a complete stream."""
     return {
         "request": answer.request_id,
         "verdict": _VERDICTS[answer.verdict],
@@ -107,7 +107,7 @@
 
 
 def create_headers(refusal: Refusal | None) -> dict[str, str]:
-    """Return the headers that go with an answer."""
+    """Return the response headers of an answer with ``refusal``, if any."""
     headers = {"Content-Type": CONTENT_TYPE}
     if refusal is not None and refusal.retry_after_ms is not None:
         seconds = max(1, math.ceil(refusal.retry_after_ms / 1000))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_bodies.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, bounded in size and time."""
+"""Reading of callers' request bodies with size and time limits."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 STATUS_TIMEOUT = 408
 STATUS_TOO_LARGE = 413
-#: after these the rest of the body is not read, so the connection can't be kept
+#: statuses after which the connection is closed, as the rest of the body is unread
 CLOSING_STATUSES = frozenset({STATUS_TIMEOUT, STATUS_TOO_LARGE})
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value in an error message
 MAX_SHOWN = 64
-#: milliseconds after which a caller may ask again where its body was cut
+#: milliseconds after which a caller may retry a request whose body was incomplete
 RETRY_MS = 1000
 
 
 class BodyError(Exception):
-    """A body that can't be read; ``status`` is the answer's HTTP status."""
+    """A request body can't be read; ``status`` is the HTTP status to respond with."""
 
     def __init__(self, status: int, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -34,18 +34,18 @@
 
 
 async def read_body(request: web.BaseRequest, *, limit: int, timeout: float) -> bytes:
-    """Return a request's body.
+    """Read the body of a request.
 
-    :param limit: most bytes
-    :param timeout: seconds until it must be there
-    :raises BodyError: if it is larger, later or not valid
+    :param limit: maximum size in bytes
+    :param timeout: seconds within which the whole body must arrive
+    :raises BodyError: if the body is too large, late or malformed
     """
     length = request.content_length or 0
     if length > limit:
         raise BodyError(STATUS_TOO_LARGE, _refuse_size(limit, str(length)))
     content = request.content
     if content.is_eof():
-        # the usual case: the body came with the head
+        # common case: the body arrived together with the headers
         body = content.read_nowait()
         if len(body) > limit:
             raise BodyError(STATUS_TOO_LARGE, _refuse_size(limit, str(len(body))))
@@ -55,10 +55,10 @@
         async with asyncio.timeout(timeout):
             return await _collect(content, limit)
     except TimeoutError:
-        message = f"body not received within {timeout:g} s"
+        message = f"request body not received within {timeout:g} s"
         raise BodyError(STATUS_TIMEOUT, _refuse_body(message)) from None
     except web.RequestPayloadError as error:
-        message = f"body can't be read: {str(error)[:MAX_SHOWN]}"
+        message = f"request body can't be read: {str(error)[:MAX_SHOWN]}"
         raise BodyError(400, _refuse_body(message)) from None
 
 
@@ -74,18 +74,18 @@
 
 
 async def _invite_body(request: web.BaseRequest) -> None:
-    """Ask for the body where the caller waits to be asked (RFC 9110, 10.1.1)."""
+    """Send ``100 Continue`` if the caller expects it (RFC 9110, section 10.1.1)."""
     if request.headers.get("Expect", "").lower() != "100-continue":
         return
     await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-    # the answer proper has not begun
+    # the interim response must not count as the start of the final one
     request.writer.output_size = 0
 
 
 def _refuse_size(limit: int, value: str) -> Refusal:
     return Refusal(
         code=RefusalCode.TOO_LARGE,
-        message=f"the body exceeds {limit} bytes",
+        message=f"request body exceeds the limit of {limit} bytes",
         field="body",
         value=value,
     )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
@@ -1,4 +1,4 @@
-"""Connections of callers, bounded in number, size and time."""
+"""Callers' HTTP connections, with limits on number, size and time."""
 
 from __future__ import annotations
 
@@ -32,40 +32,40 @@
 logger = logging.getLogger(__name__)
 
 STATUS_INTERNAL = 500
-#: seconds that answers under way get when the server ends, twice over; a planned
-#: stop has given them their time before, and what is left of it is short
+#: seconds for responses in progress at shutdown; aiohttp applies it twice. It is
+#: short, as a planned stop drains requests before the server is closed
 CLOSE_TIMEOUT = 0.1
-#: seconds for which a stop waits for the rest of a head whose first byte has come
+#: seconds that a stop waits for the rest of the headers after their first byte
 HEAD_SECONDS = 0.5
-#: seconds for which the rest of a refused body is read, so that the refusal is not
-#: lost by a reset of the connection
+#: seconds for which the rest of a rejected body is read and discarded, as a reset of
+#: the connection could lose the response
 LINGER = 1.0
-#: milliseconds after which a place may be free again
+#: milliseconds after which a caller may retry when all connections are in use
 FULL_RETRY_MS = 1000
-#: most header lines of one request
+#: maximum number of header lines of a request
 MAX_HEADERS = 64
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value in an error message
 MAX_SHOWN = 64
-#: seconds of quiet after which the kernel probes whether a caller is still there
+#: seconds without traffic until the kernel sends the first TCP keepalive probe
 PROBE_AFTER = 10
-#: seconds between two probes
+#: seconds between two keepalive probes
 PROBE_INTERVAL = 5
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionUse:
-    """Which connection a request came on, and as which one there, both from 1."""
+    """Position of a request: its connection and its place there, both from 1."""
 
     connection: int = 0
     request: int = 0
-    #: whether its first byte was read after connections began to be closed
+    #: whether its first byte was read after the shutdown of connections began
     late: bool = False
 
 
 class CallerConnections:
-    """Creates the protocol of each accepted connection.
+    """Protocol factory for accepted connections, which it counts and closes.
 
-    :param handle: answers one request; it is cancelled if the connection is lost
+    :param handle: serves one request; cancelled if the connection is lost
     """
 
     def __init__(
@@ -94,15 +94,15 @@
         return len(self._server.connections)
 
     def create(self) -> asyncio.BaseProtocol:
-        """Return the protocol for a connection that was just accepted."""
+        """Create the protocol of a newly accepted connection."""
         if len(self) >= self._max_connections:
             return _TurnAway(self._max_connections)
         return self._server()
 
     def close_idle(self) -> int:
-        """Close idle connections now, and the others as soon as they are idle.
+        """Close idle connections now, and the others once they become idle.
 
-        :return: how many were closed now
+        :return: number of connections closed now
         """
         self._server.closing = True
         idle = [
@@ -113,7 +113,7 @@
         unread = _find_readable(idle)
         closed = 0
         for connection in idle:
-            # closed with a request unread it would be reset
+            # closing it with unread data would reset it and lose that request
             if connection in unread:
                 continue
             connection.force_close()
@@ -121,9 +121,10 @@
         return closed
 
     def count_busy(self) -> int:
-        """Return on how many connections a request is being read or an answer sent.
+        """Count the connections on which a request is read or a response is sent.
 
-        Not counted are heads that are not whole some time after their first byte.
+        Requests whose headers are incomplete :data:`HEAD_SECONDS` after their first
+        byte are not counted.
         """
         now = asyncio.get_running_loop().time()
         return sum(
@@ -137,7 +138,7 @@
 
 
 class _Server(web.Server):
-    """aiohttp's low-level server, with refusals in place of its error pages."""
+    """aiohttp's low-level server with refusals instead of its error pages."""
 
     def __init__(
         self,
@@ -149,7 +150,7 @@
         super().__init__(handle, **options)
         self._write_timeout = write_timeout
         self.numbers = count(1)
-        #: whether connections are closed as soon as they are idle
+        #: whether connections are closed once they become idle
         self.closing = False
 
     def __call__(self) -> RequestHandler:
@@ -157,23 +158,23 @@
 
 
 class _Connection(RequestHandler):
-    """One connection of a caller."""
+    """Connection of a caller."""
 
     def __init__(self, server: _Server, write_timeout: float, **options: Any) -> None:
         super().__init__(server, **options)
         self._write_timeout = write_timeout
         self._callers_server = server
-        #: whether a request is being read or served. It is from its first byte on: a
-        #: handler begins some turns of the loop later, and a connection closed in
-        #: between would pass a request on that nobody waits for any more
+        #: whether a request is read or served. Set with the first byte, as the
+        #: handler starts some loop iterations later: a connection closed in between
+        #: would have its request forwarded although the caller is disconnected
         self.busy = False
-        #: when its first byte was read, in seconds of the loop's clock
+        #: event loop time in seconds at which the first byte of the request was read
         self._began = 0.0
-        #: whether that request began after connections began to be closed
+        #: whether that request started after the shutdown of connections began
         self.late = False
-        #: number among the connections of this process
+        #: sequence number among the connections of this process
         self.number = next(server.numbers)
-        #: requests that came on it so far
+        #: requests received on this connection
         self.requests = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -191,9 +192,9 @@
         self.late = self._callers_server.closing
 
     def is_busy(self, now: float) -> bool:
-        """Whether a request was read lately, or an answer is not yet with the kernel.
+        """Whether a request is in progress or response bytes are still buffered.
 
-        :param now: seconds of the loop's clock
+        :param now: event loop time in seconds
         """
         if self.busy and now - self._began < HEAD_SECONDS:
             return True
@@ -201,10 +202,11 @@
         return transport is not None and transport.get_write_buffer_size() > 0
 
     def end_request(self) -> None:
-        """Take in that a request is answered, and close if it was the last one.
+        """Mark the request as finished; close the connection if the server closes.
 
-        Whether to keep the connection was told with the head of the answer, maybe
-        before a stop. Kept after it, it would bring requests to the very end.
+        The response headers, perhaps sent before the stop, may have offered to keep
+        the connection alive. It is closed nevertheless, as callers would otherwise
+        send requests on it until the process exits.
         """
         self.busy = False
         if self._messages:
@@ -219,10 +221,10 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a request that can't be parsed or handled by a refusal."""
+        """Respond with a refusal to a request that can't be parsed or handled."""
         if request.writer.output_size > 0:
-            # part of another answer is out already: only a cut is honest
-            raise ConnectionError("an answer has begun")
+            # part of a response is sent: only closing the connection signals the error
+            raise ConnectionError("error after the response was started")
         if status < STATUS_INTERNAL:
             refusal = Refusal(
                 code=RefusalCode.BAD_REQUEST,
@@ -231,10 +233,10 @@
                 value=_shorten(message or str(exc or "")),
             )
         else:
-            logger.error("a request failed", exc_info=exc)
+            logger.error("unhandled error while serving a request", exc_info=exc)
             refusal = Refusal(
                 code=RefusalCode.INTERNAL,
-                message="error of this instance",
+                message="internal error of this instance",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         response = web.Response(
@@ -247,19 +249,19 @@
 
 
 def begin_request(request: web.BaseRequest) -> None:
-    """Count a request on its connection."""
+    """Increment the request count of the connection."""
     if isinstance(request.protocol, _Connection):
         request.protocol.requests += 1
 
 
 def end_request(request: web.BaseRequest) -> None:
-    """Note that a request is answered."""
+    """Mark a request as finished on its connection."""
     if isinstance(request.protocol, _Connection):
         request.protocol.end_request()
 
 
 def find_use(request: web.BaseRequest) -> ConnectionUse:
-    """Return which connection the request came on."""
+    """Return the connection of a request and the place of the request there."""
     connection = request.protocol
     if not isinstance(connection, _Connection):
         return ConnectionUse()
@@ -267,7 +269,7 @@
 
 
 def _find_readable(connections: Iterable[_Connection]) -> set[_Connection]:
-    """Return the connections on which something has come that is not read yet."""
+    """Return the connections whose sockets have unread data."""
     poll = select.poll()
     by_number: dict[int, _Connection] = {}
     for connection in connections:
@@ -282,11 +284,11 @@
 
 
 def _detect_loss(connection: socket.socket, write_timeout: float) -> None:
-    """Have the kernel give up a connection whose other end is gone.
+    """Make the kernel drop a connection whose peer is unreachable.
 
-    A caller that vanished without closing would be waited for, and worked for,
-    until its deadline; what was written to it would be kept for a quarter of an
-    hour.
+    Without this, requests of a caller that vanished without closing its connection
+    would run until their deadlines, and the kernel would retransmit unacknowledged
+    data for 15 minutes.
     """
     limit = int(write_timeout * 1000)
     options = (
@@ -299,10 +301,10 @@
 
 
 class _TurnAway(asyncio.Protocol):
-    """Answers a connection beyond the bound and closes it.
+    """Rejects a connection above the limit with a response and closes it.
 
-    Without an answer the caller would see a reset, and could not tell whether its
-    request ran.
+    Without a response the caller would see a reset and could not tell whether its
+    request was executed.
     """
 
     def __init__(self, limit: int) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_listener.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_listener.py
@@ -1,4 +1,4 @@
-"""An address on which callers are served, and what is in flight there."""
+"""Base class of HTTP listeners for callers, with a count of requests in flight."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 logger = logging.getLogger(__name__)
 
 
-#: seconds between two looks for requests in flight in a stop
+#: seconds between two checks for requests in flight during a stop
 IDLE_POLL = 0.01
 
 
 class CallerListener(Controller):
-    """Accepts connections and counts requests until they are answered in full.
+    """Accepts connections and counts requests until their responses are complete.
 
-    :param listen: ``host:port``; port 0 takes a free one, see :attr:`port`
+    :param listen: ``host:port``; port 0 selects a free port, see :attr:`port`
     """
 
     abstract: ClassVar[bool] = True
 
-    #: connections that the kernel accepts before this process does
+    #: connections that the kernel queues until this process accepts them
     backlog: ClassVar[int] = 100
 
     def __init__(self, listen: str) -> None:
@@ -43,24 +43,24 @@
 
     @property
     def in_flight(self) -> int:
-        """Number of requests that are not yet answered in full."""
+        """Number of requests whose responses are not complete."""
         return self._in_flight
 
     @property
     def closing(self) -> bool:
-        """Whether connections are closed as soon as they are idle."""
+        """Whether connections are closed once they become idle."""
         return self._listener is None
 
     @abstractmethod
     def create_connections(self) -> CallerConnections:
-        """Return what makes the protocol of each connection."""
+        """Create the protocol factory for accepted connections."""
 
     @abstractmethod
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request and return its response."""
 
     async def on_start(self) -> None:
-        """Bind the address and begin to serve."""
+        """Bind the address and start serving."""
         loop = asyncio.get_running_loop()
         self._connections = self.create_connections()
         host, _, port = self._listen.rpartition(":")
@@ -73,7 +73,7 @@
         self.port = self._listener.sockets[0].getsockname()[1]
 
     async def close_listener(self) -> None:
-        """Take no new connections; close the others as soon as they are idle."""
+        """Stop accepting connections; close the open ones once they become idle."""
         if self._listener is None:
             return
         self._listener.close()
@@ -89,8 +89,8 @@
     async def wait_idle(self, timeout: float) -> bool:
         """Wait at most ``timeout`` seconds until no request is in flight.
 
-        One that has been read and not yet handed to its handler is in flight too: a
-        stop that went on without it would cut it off after it was passed on.
+        This includes requests that are being read and have no handler yet: a stop
+        that went on would abort them after they were forwarded.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + timeout
@@ -119,7 +119,7 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request and count it as long as that takes."""
+        """Serve one request and count it as in flight meanwhile."""
         begin_request(request)
         self._in_flight += 1
         try:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_stream.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_stream.py
@@ -1,4 +1,4 @@
-"""A streamed answer on its way to one caller."""
+"""Streamed response to one caller."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 __all__ = ("CallerStream",)
 
-#: bytes below which a write to an empty buffer never waits: asyncio holds a writer
-#: up only from 64 KiB on
+#: maximum bytes of a write to an empty buffer that is made without a timer: it never
+#: blocks, as asyncio pauses writers only from 64 KiB on
 SMALL_WRITE = 32 * 1024
 
 
 class CallerStream:
-    """Writes tokens as they come, and exactly one closing event.
+    """Writes tokens as they arrive, followed by exactly one closing event.
 
-    Tokens arrive as fast as the engine makes them, also while the caller does not
-    read. What is not written yet is bounded: beyond ``limit`` bytes, or once a
-    write takes longer than ``write_timeout`` seconds, the caller counts as gone.
+    The engine produces tokens regardless of how fast the caller reads. If more than
+    ``limit`` bytes are unwritten, or a write takes longer than ``write_timeout``
+    seconds, the caller is considered gone.
 
-    :param give_up: called once if the caller does not read; cancels the request
+    :param give_up: called if the caller does not read; cancels the request
     """
 
     def __init__(
@@ -58,11 +58,11 @@
 
     @property
     def started(self) -> bool:
-        """Whether anything was given to the caller."""
+        """Whether the response was started."""
         return self._writer is not None
 
     def take_token(self, offset: int, text: str) -> None:
-        """Queue a token for the caller."""
+        """Queue a token event."""
         if self._writer is None:
             self._writer = asyncio.create_task(self._write())
         self._digest.update(text.encode("utf-8", "surrogatepass"))
@@ -70,7 +70,7 @@
         self._queue(encode_token(offset, text))
 
     async def finish(self, answer: Answer) -> None:
-        """Write the closing event and wait until all is handed to the socket."""
+        """Write the closing event and wait until all events are written."""
         if self._writer is None:
             self._writer = asyncio.create_task(self._write())
         if answer.refusal is not None:
@@ -87,16 +87,16 @@
         await self._writer
 
     async def close(self) -> None:
-        """Stop writing; the stream then has no closing event and counts as cut."""
+        """Stop writing; a stream without a closing event is treated as truncated."""
         if self._writer is None:
             return
         self._writer.cancel()
-        # also takes note of an error that the request's cancellation overtook
+        # also retrieves an error that was raised before the request was cancelled
         await asyncio.gather(self._writer, return_exceptions=True)
 
     def _give_whole(self, result: Any) -> None:
-        # a text that was kept under the request's key, or that its target gave
-        # whole, would else reach the caller without any token of it
+        # a replayed result, or one of a target that does not stream, has no tokens:
+        # the caller gets it as a single one
         if self._count == 0 and isinstance(result, str) and result:
             self.take_token(0, result)
 
@@ -137,7 +137,10 @@
             raise
 
     def _takes_at_once(self, chunk: bytes) -> bool:
-        """Whether a write can't wait; a timer for each token would cost as much."""
+        """Whether a write can't block, so that it needs no timer.
+
+        A timer for each token would cost as much as the write.
+        """
         transport = self._request.transport
         if transport is None or len(chunk) > SMALL_WRITE:
             return False
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -37,15 +37,15 @@
 METHOD = "POST"
 STATUS_METHOD_NOT_ALLOWED = 405
 EVENT_STREAM = "text/event-stream"
-#: bytes of an answer below which the connection's buffer takes it at once
+#: maximum bytes of a response that the connection's buffer takes without blocking
 SMALL_ANSWER = 32 * 1024
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value in an error message
 MAX_SHOWN = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """Bounds on callers; times in seconds."""
+    """Limits on callers' connections and requests; times in seconds."""
 
     max_body_bytes: int = 4 * 1024 * 1024
     max_header_bytes: int = 8190
@@ -53,17 +53,17 @@
     idle_timeout: float = 75.0
     body_timeout: float = 10.0
     write_timeout: float = 10.0
-    #: bytes of a streamed answer that wait for a slow reader
+    #: maximum unwritten bytes of a streamed response to a slow reader
     max_unwritten_bytes: int = 256 * 1024
 
 
 class CallersServer(CallerListener):
-    """Serves callers: reads a request, has it handled and delivers the answer.
+    """HTTP server that runs callers' requests through the filter chain.
 
-    :param listen: ``host:port``; port 0 takes a free one, see :attr:`port`
+    :param listen: ``host:port``; port 0 selects a free port, see :attr:`port`
     :param handler: the filter chain
-    :param draining: whether this instance is leaving; connections are then not
-        kept for a next request
+    :param draining: whether this instance is leaving; connections are then closed
+        after their current request
     """
 
     name = "callers"
@@ -104,7 +104,7 @@
         received = self._clock.now()
         request_id = self._identifier.create_request_id()
         if find_use(request).late:
-            # what is begun so late may not be finished before the process is killed
+            # it might not be finished before the process is killed
             return await self._refuse(request, request_id, 0, _refuse_late())
         refusal, status = _check_line(request)
         if refusal is not None:
@@ -158,8 +158,8 @@
         if self._draining() or status in CLOSING_STATUSES:
             response.force_close()
         try:
-            # what is small goes to the connection's buffer without any wait, and
-            # the kernel gives the connection up if it stays there
+            # a small response goes to the buffer without blocking; if the caller
+            # does not read it, TCP_USER_TIMEOUT closes the connection
             if len(body) <= SMALL_ANSWER and not request.protocol.writing_paused:
                 await _write(request, response)
                 return response
@@ -197,8 +197,8 @@
         return response
 
     def _abandon(self, request: web.BaseRequest) -> None:
-        # the connection is dropped at once: what waits in its buffer would be sent
-        # only when the caller reads again, if ever. Its loss cancels the request
+        # abort instead of close, which would first wait until the caller reads what
+        # is buffered; the loss of the connection cancels the request
         transport = request.transport
         if transport is None or transport.is_closing():
             return
@@ -225,7 +225,7 @@
     if not path.startswith(PATH_PREFIX) or not name or "/" in name:
         refusal = Refusal(
             code=RefusalCode.BAD_REQUEST,
-            message=f"no such path; requests go to {PATH_PREFIX}{{pipeline}}",
+            message=f"unknown path; send requests to {PATH_PREFIX}{{pipeline}}",
             field="path",
             value=path[:MAX_SHOWN],
         )
@@ -233,7 +233,7 @@
     if request.method != METHOD:
         refusal = Refusal(
             code=RefusalCode.BAD_REQUEST,
-            message=f"requests are sent by {METHOD}",
+            message=f"method not allowed; use {METHOD}",
             field="method",
             value=request.method[:MAX_SHOWN],
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_answers.py
@@ -1,4 +1,4 @@
-"""Answers to operators' changes."""
+"""HTTP responses to operators' configuration changes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 __all__ = ("answer_json", "describe_outcome", "describe_problems")
 
-#: milliseconds after which a change that was not applied may be sent again
+#: milliseconds after which a change that was not applied may be retried
 RETRY_AFTER_MS = 1000
 
 _REFUSED_STATUS = {
@@ -36,7 +36,7 @@
 
 
 def answer_json(body: dict[str, Any], *, status: int = 200) -> web.Response:
-    """Return a JSON answer; a wait is also told in the standard header."""
+    """Return a JSON response; ``retry_after_ms`` also sets ``Retry-After``."""
     headers = {}
     wait = body.get("retry_after_ms")
     if wait is not None:
@@ -45,7 +45,7 @@
 
 
 def describe_problems(change_id: str, problems: Iterable[Problem]) -> dict[str, Any]:
-    """Return the body that names all problems of a call."""
+    """Return the response body that lists all problems of a request."""
     rows = [asdict(problem) for problem in problems]
     return {
         "state": "refused",
@@ -56,7 +56,7 @@
 
 
 def describe_outcome(request: ChangeRequest, outcome: ChangeOutcome) -> web.Response:
-    """Return the answer that tells what became of a change."""
+    """Return the response that reports the outcome of a change."""
     change_id = request.change_id
     body: dict[str, Any] = {"change_id": change_id}
     match outcome:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
@@ -1,4 +1,4 @@
-"""Reads what operators ask for from the body of a call."""
+"""Parsing of operators' configuration changes from request bodies."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 __all__ = ("MAX_TEXT", "read_change")
 
-#: characters of INI text in one change
+#: maximum characters of INI text in one change
 MAX_TEXT = 512 * 1024
 
-#: sections read before callers' requests get their turn
+#: INI sections parsed before the event loop gets control to serve requests
 SECTIONS_IN_A_ROW = 5
 
-#: objects that one change may delete
+#: maximum number of objects that one change may delete
 MAX_NAMES = 4096
 
 _FIELDS = frozenset(
@@ -40,7 +40,7 @@
 
 
 async def read_change(body: Any) -> Result[ChangeRequest, Problems]:
-    """Return the change that a body asks for, or all that is wrong with it."""
+    """Parse a change from a request body, or return all problems found in it."""
     if not isinstance(body, dict):
         return Err((Problem(file="", reason="the body must be a JSON object"),))
     reader = _BodyReader(body)
@@ -77,7 +77,7 @@
 
 
 class _BodyReader:
-    """Reads the fields of a body and collects what is wrong."""
+    """Reads the fields of a body and collects the problems found."""
 
     def __init__(self, body: dict[str, Any]) -> None:
         self.problems: list[Problem] = []
@@ -105,7 +105,7 @@
             return None
         if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
             return value
-        self._add(key, value, "must be a generation, a whole number of at least 0")
+        self._add(key, value, "must be a generation, an integer of at least 0")
         return None
 
     def read_flag(self, key: str) -> bool:
@@ -118,7 +118,7 @@
         value = self._body.get(key, "")
         if isinstance(value, str):
             return value
-        self._add(key, value, "must be a text")
+        self._add(key, value, "must be a string")
         return ""
 
     async def read_objects(self, file: str) -> tuple[ConfigObject, ...]:
@@ -134,7 +134,7 @@
             case Ok(objects):
                 pass
         if not objects:
-            self._add("text", text[:MAX_SHOWN_VALUE], "holds no object")
+            self._add("text", text[:MAX_SHOWN_VALUE], "contains no object")
         return objects
 
     def read_names(self) -> tuple[ObjectId, ...]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/event_stream.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as sent to callers and received from targets."""
+"""Encoding and parsing of server-sent events."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     "encode_token",
 )
 
-#: built once: ``json.dumps`` builds one for each call with these separators
+#: shared, as ``json.dumps`` creates an encoder for each call with these separators
 _ENCODER = json.JSONEncoder(separators=(",", ":"))
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event with its raw data."""
+    """Server-sent event with its raw data."""
 
     name: str
     data: bytes
 
 
 class EventTooLargeError(ValueError):
-    """An event exceeds the bound."""
+    """An event exceeds the size limit."""
 
 
 class EventParser:
-    """Splits a byte stream into events, holding at most ``limit`` bytes back."""
+    """Splits a byte stream into events, buffering at most ``limit`` bytes."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -53,7 +53,7 @@
             if event is not None:
                 events.append(event)
         if self._size + len(self._rest) > self._limit:
-            raise EventTooLargeError(f"event exceeds {self._limit} bytes")
+            raise EventTooLargeError(f"event exceeds the limit of {self._limit} bytes")
         return events
 
     def _take_line(self, line: bytes) -> Event | None:
@@ -79,15 +79,15 @@
 
 
 def encode_event(name: str, data: Any) -> bytes:
-    """Return an event whose data is ``data`` as JSON, which has no line breaks."""
+    """Encode an event with ``data`` as JSON, which contains no line breaks."""
     return f"event: {name}\ndata: {_ENCODER.encode(data)}\n\n".encode()
 
 
 def encode_token(offset: int, text: str) -> bytes:
-    """Return the event of one token.
+    """Encode a token event.
 
-    Each instance encodes thousands a second, so its fields are put in place here;
-    a lone text is encoded far faster than an object.
+    An instance encodes thousands of tokens per second, so the object is formatted
+    here: encoding only the text is far faster than encoding an object.
     """
     fields = f'{{"offset":{offset},"text":{_ENCODER.encode(text)}}}'
     return f"event: token\ndata: {fields}\n\n".encode()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, read over HTTP."""
+"""HTTP client of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 logger = logging.getLogger(__name__)
 
-#: a larger listing is refused; about 100,000 instances
+#: maximum size of a listing, enough for about 100,000 instances
 MAX_LISTING_BYTES = 16 * 1024 * 1024
 
-#: rows read before other work gets a turn, so that a long list can't stall the loop
+#: rows parsed before other tasks run, so that a long list does not block the loop
 ROWS_PER_TURN = 500
 
 
 class HttpInstanceList(InstanceList):
-    """Reads ``GET /instances`` of the platform.
+    """Fetches the instance list by ``GET /instances``.
 
-    :param address: ``host:port`` of the platform's list.
-    :param timeout: seconds allowed for one call.
+    :param address: ``host:port`` of the platform.
+    :param timeout: seconds allowed for a call.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._session: aiohttp.ClientSession | None = None
         self._digest = b""
         self._listing: Listing | None = None
-        #: rows of the last listing as they came, and what was read of them
+        #: rows of the last listing by instance id, raw and parsed
         self._known: dict[str, tuple[dict[str, Any], Instance]] = {}
 
     async def fetch(self) -> Result[Listing, StoreError]:
@@ -62,24 +62,31 @@
                     return Err(_explain_status(response.status))
                 body = await self._read_body(response)
         except TimeoutError:
-            return Err(StoreError(StoreErrorKind.TIMEOUT, "no answer in time"))
+            return Err(
+                StoreError(StoreErrorKind.TIMEOUT, "no response within the timeout")
+            )
         except (aiohttp.ClientError, OSError) as error:
             return Err(StoreError(StoreErrorKind.UNREACHABLE, str(error)))
         if body is None:
-            return Err(StoreError(StoreErrorKind.BAD_ANSWER, "listing is too large"))
+            return Err(
+                StoreError(
+                    StoreErrorKind.BAD_ANSWER,
+                    f"listing exceeds the limit of {self._max_bytes} bytes",
+                )
+            )
         return await self._parse(body)
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # A kept-alive connection that has gone silent would swallow every
-            # other call until its timeout, and aiohttp would send a GET a second
-            # time by itself when one drops; each call uses a fresh connection.
+            # Each call uses a new connection: every other call on a kept-alive
+            # connection that became unresponsive would time out, and aiohttp resends
+            # a GET by itself when a kept-alive connection drops.
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(force_close=True, limit=2),
                 timeout=self._timeout,
@@ -106,7 +113,11 @@
         rows = data.get("instances") if isinstance(data, dict) else None
         as_of = data.get("as_of") if isinstance(data, dict) else None
         if not isinstance(rows, list) or not isinstance(as_of, int):
-            return Err(StoreError(StoreErrorKind.BAD_ANSWER, "not a listing"))
+            return Err(
+                StoreError(
+                    StoreErrorKind.BAD_ANSWER, "response is not an instance listing"
+                )
+            )
         instances = await self._read_rows(rows)
         self._digest = digest
         self._listing = Listing(as_of, instances)
@@ -127,14 +138,14 @@
             instances.append(instance)
         self._known = known
         if bad:
-            # one bad row must not hide all other instances
+            # one invalid row must not hide all other instances
             self._metrics.count("instances.bad_rows", bad)
-            logger.warning("skipped %s unreadable rows of the instance list", bad)
+            logger.warning("skipped %s invalid rows of the instance list", bad)
         return tuple(instances)
 
     def _find_known(self, row: Any) -> Instance | None:
-        # few rows change from one listing to the next, and comparing one with the
-        # last costs a fraction of checking it again
+        # few rows change between two listings, and comparing a row is far cheaper
+        # than parsing it
         instance_id = row.get("id") if isinstance(row, dict) else None
         if not isinstance(instance_id, str):
             return None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/lazy_timeout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/lazy_timeout.py
@@ -1,4 +1,4 @@
-"""A time limit that is moved often."""
+"""Timeout that is cheap to reschedule."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LazyTimeout:
-    """Cancels what runs in its context once its end has come.
+    """Cancels the code in its context once the deadline has passed.
 
-    :func:`asyncio.timeout` sets a new timer whenever it is rescheduled; a stream's
-    limit moves with each token, and the timers then took a tenth of its processor
-    time. Here a later end costs an assignment: the timer looks at it when it fires,
-    and is set again if there is time left.
+    :func:`asyncio.timeout` sets a new timer whenever it is rescheduled. A stream's
+    deadline moves with each token, and these timers would take a tenth of its CPU
+    time. Here a later deadline costs an assignment: the timer compares it with the
+    clock when it fires, and is set again if time is left.
 
-    :param end: seconds of the running loop's clock
+    :param end: deadline, in seconds of the running loop's clock
     """
 
     def __init__(self, end: float) -> None:
@@ -29,7 +29,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def move(self, end: float) -> None:
-        """Set another end; without effect once the limit has been exceeded."""
+        """Change the deadline; without effect once the timeout has expired."""
         self._end = end
         if self._timer is not None and end < self._timer.when():
             self._timer.cancel()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/loop_lag.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the event loop runs what is due."""
+"""Sampling of event loop lag."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 #: seconds between two samples
 INTERVAL = 0.5
-#: samples kept: one minute
+#: samples retained: one minute
 SAMPLES = 120
 
 
 class LoopLag:
-    """Samples by how much a sleep is overrun.
+    """Measures by how much a sleep overruns its duration.
 
-    Whatever blocks the loop holds up all requests alike. Each of them then looks
-    slow without a cause of its own; the lag shows that the cause is shared.
+    Code that blocks the event loop delays all requests alike. The lag tells this
+    shared cause from causes in a single request.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,7 +29,7 @@
         self._samples: deque[float] = deque(maxlen=SAMPLES)
 
     async def sample(self) -> float:
-        """Wait for one interval and return the lag seen, in seconds."""
+        """Sleep for one interval and return the measured lag in seconds."""
         due = self._clock.now() + INTERVAL
         await asyncio.sleep(INTERVAL)
         lag = max(0.0, self._clock.now() - due)
@@ -37,7 +37,7 @@
         return lag
 
     def dump(self) -> dict[str, float]:
-        """Return the last and the greatest lag of the last minute, in seconds."""
+        """Return the latest and the maximum lag of the last minute, in seconds."""
         if not self._samples:
             return {}
         return {"last": self._samples[-1], "greatest": max(self._samples)}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that knows for how long it has been at work."""
+"""Event loop that measures its busy time."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class WorkMeter(selectors.DefaultSelector):
-    """A selector that adds up the time between its waits.
+    """Selector that accumulates the time between its waits.
 
-    A process may be told less of its processor time than it is charged, as where a
-    machine's share is metered from outside. What its loop does between two waits
-    holds up everything else, whoever's fault it is.
+    The CPU time that a process sees may be less than it is charged, for instance
+    where the share of a virtual machine is metered by the hypervisor. The wall time
+    that the loop spends between two waits delays all other work, whatever causes it.
 
     :param now: returns monotonic seconds
     """
@@ -27,13 +27,13 @@
         super().__init__()
         self._now = now
         self._resumed = now()
-        #: seconds of work since the loop began
+        #: busy time since the start, in seconds
         self.seconds = 0.0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for events, and count the time since the last wait as work."""
+        """Wait for events and count the time since the last wait as busy."""
         self.seconds += self._now() - self._resumed
         try:
             return super().select(timeout)
@@ -42,5 +42,5 @@
 
 
 def create_measured_loop(meter: WorkMeter) -> asyncio.AbstractEventLoop:
-    """Return a loop whose work is measured by ``meter``."""
+    """Create an event loop whose busy time is measured by ``meter``."""
     return asyncio.SelectorEventLoop(meter)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
@@ -32,29 +32,29 @@
 
 logger = logging.getLogger(__name__)
 
-#: largest body of a request, in bytes; the configuration of a large fleet fits
+#: maximum bytes of a request body; fits the configuration of a large deployment
 MAX_BODY = 8 * 1024 * 1024
-#: seconds in which a request's body must arrive
+#: seconds within which a request body must arrive
 BODY_TIMEOUT = 10.0
-#: seconds after which a balancer may ask again whether this instance is ready
+#: seconds after which a load balancer may repeat a readiness check
 READY_RETRY = 1
-#: seconds that handlers get to end when the server stops
+#: seconds that handlers get to finish when the server stops
 STOP_TIMEOUT = 2.0
 
 TARGET_FIELD = "target"
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value in an error message
 MAX_SHOWN = 200
 
 
 class OperatorsServer(Controller):
-    """Serves health, state dump, status and drain, and the routes added to it.
+    """Serves health checks, state dump, status, drain and additional routes.
 
-    :param listen: ``host:port``; port 0 takes a free one, see :attr:`port`.
-    :param ready: whether callers may be sent here; false before any configuration
-        is known and from the start of a planned stop.
-    :param drain: begins the planned stop; calling it again changes nothing.
+    :param listen: ``host:port``; port 0 selects a free port, see :attr:`port`.
+    :param ready: whether callers may be routed here; false until a configuration
+        is known, and from the start of a planned stop.
+    :param drain: starts the planned stop; idempotent.
     :param note_leaving: marks a target as leaving.
-    :param routes: add further routes to the application before it starts.
+    :param routes: functions that add routes to the application before it starts.
     """
 
     name = "operators"
@@ -87,7 +87,7 @@
         self.port = 0
 
     async def on_start(self) -> None:
-        """Bind the address and begin to serve."""
+        """Bind the address and start serving."""
         host, _, port = self._listen.rpartition(":")
         self._runner = web.AppRunner(
             self._create_application(),
@@ -102,7 +102,7 @@
         loop.add_signal_handler(signal.SIGUSR1, self._dump_wanted.set)
 
     async def on_stop(self) -> None:
-        """Close the listener and end what is still being answered."""
+        """Close the listener and abort requests in progress."""
         asyncio.get_running_loop().remove_signal_handler(signal.SIGUSR1)
         if self._runner is not None:
             await self._runner.cleanup()
@@ -127,7 +127,7 @@
     async def _log_dump(self) -> None:
         self._state_dump.log_part("process", self._state_dump.describe_process())
         for name in self._state_dump.names():
-            # requests in flight get their turn between two controllers
+            # let requests in flight run between two controllers
             await asyncio.sleep(0)
             state = self._state_dump.describe_controller(name)
             self._state_dump.log_part(name, state)
@@ -179,7 +179,7 @@
 
     async def _start_drain(self, request: web.Request) -> web.Response:
         body = await _read_object(request)
-        # a misspelt target must not stop the instance instead
+        # a misspelt "target" must not drain the instance instead
         for field in body:
             if field != TARGET_FIELD:
                 return _refuse(400, "unknown field", field, str(body[field]))
@@ -188,7 +188,7 @@
             return _answer({"state": "leaving"}, status=202)
         target_id = body[TARGET_FIELD]
         if not isinstance(target_id, str) or not target_id:
-            return _refuse(400, "must be a target's id", TARGET_FIELD, str(target_id))
+            return _refuse(400, "must be a target id", TARGET_FIELD, str(target_id))
         if not self._status().knows_target(target_id):
             return _refuse(404, "no such target", TARGET_FIELD, target_id)
         self._note_leaving(target_id)
@@ -202,35 +202,35 @@
     try:
         body = json.loads(text)
     except (JSONDecodeError, RecursionError) as error:
-        raise web.HTTPBadRequest(reason=f"body is not JSON: {error}") from error
+        raise web.HTTPBadRequest(reason=f"request body is not JSON: {error}") from error
     if not isinstance(body, dict):
-        raise web.HTTPBadRequest(reason="body must be a JSON object")
+        raise web.HTTPBadRequest(reason="request body must be a JSON object")
     return body
 
 
 @web.middleware
 async def _read_body(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Read the whole body first, so that a stalled sender can't hold a handler."""
+    """Read the whole body first, so that a stalled sender does not block a handler."""
     if request.can_read_body:
         try:
             async with asyncio.timeout(BODY_TIMEOUT):
                 await request.read()
         except TimeoutError as error:
-            reason = f"body took longer than {BODY_TIMEOUT:g} s"
+            reason = f"request body not received within {BODY_TIMEOUT:g} s"
             raise web.HTTPRequestTimeout(reason=reason) from error
     return await handler(request)
 
 
 @web.middleware
 async def _answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Give every error the same JSON form."""
+    """Convert errors to JSON responses."""
     try:
         return await handler(request)
     except web.HTTPException as error:
         return _refuse(error.status, error.reason)
     except Exception:
         logger.exception("%s %s failed", request.method, request.path)
-        return _refuse(500, "internal error; the log has the traceback")
+        return _refuse(500, "internal error; see the traceback in the log")
 
 
 def _refuse(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' calls for changes, objects and generations."""
+"""Operators' HTTP API for configuration changes, objects and generations."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 __all__ = ("add_configuration_routes",)
 
-#: changes shown at once, by default and at most
+#: default and maximum number of changes in one response
 DEFAULT_LIMIT = 50
 MAX_LIMIT = 5000
 
@@ -39,7 +39,7 @@
 def add_configuration_routes(
     app: web.Application, controller: ConfigurationController
 ) -> None:
-    """Serve the calls for the configuration of ``controller``."""
+    """Add the configuration routes, served by ``controller``."""
     routes = _Routes(controller)
     app.router.add_post("/changes", routes.make_change)
     app.router.add_get("/changes", routes.list_changes)
@@ -49,7 +49,7 @@
 
 
 class _Routes:
-    """Handlers; each reads the configuration once, so that its answer is of a piece."""
+    """Request handlers; each reads the configuration once, for consistent output."""
 
     def __init__(self, controller: ConfigurationController) -> None:
         self._controller = controller
@@ -68,10 +68,12 @@
     async def show_change(self, request: web.Request) -> web.Response:
         change_id = request.match_info["change_id"]
         if not is_change_id(change_id):
-            return _refuse(change_id, [_find_fault("change_id", change_id, "no id")])
+            return _refuse(
+                change_id, [_find_fault("change_id", change_id, "invalid id")]
+            )
         answer = await self._controller.find_change(change_id)
         if answer.is_err():
-            message = f"the store can't be read: {answer.err_value.message}"
+            message = f"can't read the store: {answer.err_value.message}"
             body = {"state": "unknown", "change_id": change_id, "message": message}
             return answer_json(body, status=504)
         head, entry = answer.ok_value.head, answer.ok_value.entry
@@ -135,7 +137,7 @@
         if text and not text.isdecimal():
             return _refuse("", [_find_fault("at", text, "must be a generation")])
         members = await controller.list_generations(ask=_wants_asking(request))
-        # read only now: it may have risen while members were asked
+        # read last: the generation may have risen while members were queried
         head = controller.head
         at = int(text) if text else head.generation
         body = {
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_status.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_status.py
@@ -1,4 +1,4 @@
-"""What an instance tells operators about itself and what it sees."""
+"""Status report of an instance for operators."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberStatus:
-    """Another entry instance, as this one sees it."""
+    """Status of another entry instance, as known to this one."""
 
     instance_id: str
     data_centre: str
     state: str
-    #: configuration generation in force there; ``None``: not known
+    #: configuration generation in force there; ``None`` if unknown
     generation: int | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetStatus:
-    """A target, as this instance sees it."""
+    """Status of a target, as known to this instance."""
 
     target_id: str
     service: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class InstanceStatus:
-    """The answer to ``GET /status``."""
+    """Response to ``GET /status``."""
 
     instance_id: str
     data_centre: str
@@ -44,11 +44,11 @@
     targets: tuple[TargetStatus, ...] = ()
 
     def knows_target(self, target_id: str) -> bool:
-        """Whether ``target_id`` is among the targets seen."""
+        """Whether ``target_id`` is a known target."""
         return any(target.target_id == target_id for target in self.targets)
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the JSON form, with members by id and targets by service."""
+        """Return the JSON fields, with members by id and targets by service."""
         services: dict[str, dict[str, Any]] = defaultdict(dict)
         for target in self.targets:
             services[target.service][target.target_id] = {
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines over HTTP, each sent at most once."""
+"""HTTP client for orders to engines, with at-most-once delivery."""
 
 from __future__ import annotations
 
@@ -30,39 +30,39 @@
 
 __all__ = ("HttpOrderClient",)
 
-#: a longer answer is not read
+#: maximum size of a response; a larger one is discarded
 MAX_ANSWER_BYTES = 262_144
 
 STATUS_OK = 200
 STATUS_OLD_FENCE = 409
-#: the engine could not understand or accept the order, so nothing was done
+#: statuses with which an engine rejects an order without any effect
 REFUSALS = frozenset({400, 404, 405, 413, 415, 422})
 
-#: share of the time-out that may pass until a connection is made
+#: share of the timeout that is allowed for connecting
 CONNECT_SHARE = 0.4
 
-#: closing with a linger time of zero drops what was not sent
+#: SO_LINGER with a time of zero, so that closing discards unsent data
 LINGER_OFF = struct.pack("ii", 1, 0)
 
 
 class _ForbiddenError(Exception):
-    """The guard forbade an order when it was about to be sent."""
+    """The guard denied an order right before it was sent."""
 
 
 class HttpOrderClient(OrderClient):
-    """Gives orders by ``POST /orders`` and reads them back by ``GET /orders``.
+    """Sends orders by ``POST /orders`` and reads engine state by ``GET /orders``.
 
-    Orders are POST, as aiohttp sends GET, PUT and DELETE a second time by itself
-    when a kept connection drops; no redirect is followed, as it would send the order
-    to an engine that nobody chose. Each call has a connection of its own: a kept one
-    may have gone silent, and an order swallowed by it keeps its group waiting.
+    Orders use POST, as aiohttp resends GET, PUT and DELETE by itself when a
+    kept-alive connection drops. Redirects are not followed, as they would send the
+    order to an engine that was not chosen. Each call uses a new connection: a
+    kept-alive one may be unresponsive, and an order lost on it delays its group.
 
-    An order that has left this process can still wait in the kernel while the
-    network is down, and arrive once the lease is long over. The connection therefore
-    gives up after ``timeout`` without an acknowledgement, and closing it, also by
-    the end of the process, drops what was not sent.
+    While the network is down, an order can stay in the kernel's send buffer and
+    arrive after the lease has expired. The connection is therefore dropped after
+    ``timeout`` without an acknowledgement, and closing it, also by the exit of the
+    process, discards unsent data.
 
-    :param timeout: seconds allowed for one call.
+    :param timeout: seconds allowed for a call.
     """
 
     def __init__(self, *, timeout: float, metrics: Metrics) -> None:
@@ -91,7 +91,7 @@
         return _judge(status, data)
 
     async def read(self, target: Target) -> Result[EngineReport, str]:
-        # a hidden second try by the client is harmless here
+        # reads are idempotent, so that a retry by aiohttp itself is harmless
         self._metrics.count("orders.reads")
         try:
             async with self._open_session().get(
@@ -106,7 +106,7 @@
         return _parse_report(data)
 
     def _open_session(self) -> aiohttp.ClientSession:
-        # made on first use, as it needs the running loop
+        # created on first use, as it needs the running loop
         if self._session is None:
             connector = aiohttp.TCPConnector(
                 limit=0, force_close=True, socket_factory=self._create_socket
@@ -131,12 +131,12 @@
 
 
 class _GuardedBody(payload.BytesPayload):
-    """A body that asks the guard right before its first byte is written.
+    """Request body that checks the guard right before its first byte is written.
 
-    aiohttp holds the headers back until the body is written, so no byte of the
-    order reaches the socket if the guard forbids it. Asking any earlier, say before
-    the connection is made, would let an order out that was allowed a while ago: a
-    process can be paused while it connects, and its lease lapses meanwhile.
+    aiohttp buffers the headers until the body is written, so that no byte of the
+    order reaches the socket if the guard denies it. A check before the connection
+    is made would be too early: the process can be paused while it connects, and its
+    lease can expire meanwhile.
     """
 
     def __init__(self, body: bytes, guard: OrderGuard) -> None:
@@ -188,7 +188,7 @@
         return OrderAnswer(outcome=OrderOutcome.REFUSED, message=message)
     if status == STATUS_OK:
         return OrderAnswer(outcome=OrderOutcome.DONE)
-    # any other error may have struck after the order took effect
+    # any other error may have occurred after the order took effect
     return OrderAnswer(outcome=OrderOutcome.UNKNOWN, message=f"status {status}")
 
 
@@ -209,11 +209,11 @@
             fence=int(fields["fence"]),
         )
     except (KeyError, TypeError, ValueError, RecursionError) as error:
-        return Err(f"can't be read: {type(error).__name__}: {error}")
+        return Err(f"invalid engine report: {type(error).__name__}: {error}")
     return Ok(report)
 
 
 def _read_names(names: Any) -> tuple[str, ...]:
     if not isinstance(names, list):
-        raise TypeError("names must be a list")
+        raise TypeError(f"names must be a list, got {type(names).__name__}")
     return tuple(str(name) for name in names)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
@@ -1,4 +1,4 @@
-"""Messages of peers, handed to their handlers and answered."""
+"""Dispatch of messages from peers to their handlers."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 def encode_bounded(envelope: Envelope, metrics: Metrics) -> bytes | None:
-    """Return the frame of an envelope, or ``None`` if it is too large."""
+    """Encode an envelope; ``None`` if it exceeds the size limit of messages."""
     frame = encode(envelope)
     if len(frame) <= MAX_MESSAGE_BYTES:
         return frame
     metrics.count("peers.too_large")
-    logger.error("%s of %s bytes not sent", envelope.message, len(frame))
+    logger.error("%s not sent: %s bytes are too large", envelope.message, len(frame))
     return None
 
 
 class Calls:
-    """Handlers by type of message, and their calls that are under way.
+    """Message handlers by type, and the handler calls in progress.
 
-    :param max_in_work: calls at the same time; what comes beyond that is refused
+    :param max_in_work: maximum concurrent calls; messages above it get ``Busy``
     """
 
     def __init__(self, *, max_in_work: int, metrics: Metrics) -> None:
@@ -49,23 +49,23 @@
         return len(self._in_work)
 
     def handle(self, message_type: type[Message], handler: MessageHandler) -> None:
-        """Call ``handler`` for each message of a type."""
+        """Register ``handler`` for the messages of a type."""
         if message_type in self._handlers:
             msg = f"{message_type.__name__} already has a handler"
             raise ValueError(msg)
         self._handlers[message_type] = handler
 
     async def stop(self) -> None:
-        """End what is under way; those who asked are told that it has no answer."""
+        """Cancel the calls in progress; their senders get ``Unanswered``."""
         tasks = tuple(self._in_work)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def take(self, link: Link, question: int, message: Message) -> None:
-        """Have a message handled; ``question`` is zero if it wants no answer."""
+        """Dispatch a message; ``question`` is its call id, 0 if it is not a call."""
         if question and link.finished:
-            # the peer was told that nothing more is taken up, and asks again
+            # the peer knows that this message is not handled, and retries it elsewhere
             self._metrics.count("peers.untouched_questions")
             return
         handler = self._handlers.get(type(message))
@@ -75,22 +75,22 @@
             self.answer(link, question, NotUnderstood(reason))
             return
         if len(self._in_work) >= self._max_in_work:
-            # answers are still read, or two peers that wait for each other's
-            # answers would both be stuck
+            # answers are still received: otherwise two peers that wait for each
+            # other's answers would deadlock
             self._metrics.count("peers.busy")
             self.answer(link, question, Busy())
             return
         self._call(link, question, handler, message)
 
     def answer(self, link: Link, question: int, message: Message) -> None:
-        """Answer a question of that number, if it is one."""
+        """Send the answer to a call; does nothing if ``question`` is 0."""
         if not question:
             return
         frame = encode_bounded(Envelope(message, reply_to=question), self._metrics)
         if frame is None:
             frame = encode(Envelope(Unanswered(), reply_to=question))
         if not link.offer(Outgoing(frame, message.wire_name), droppable=False):
-            # a peer that does not read its answers; it is told nothing more
+            # the peer does not read its answers, so the queue is full
             self._metrics.count("peers.answers_without_room")
             link.abort()
 
@@ -122,8 +122,8 @@
         try:
             answer = await pending
         except asyncio.CancelledError:
-            # what it waited for was broken off, as by a stop; its asker would hear
-            # nothing until the link ends, and could ask nobody else
+            # the handler was cancelled, for instance by a stop: without an answer the
+            # sender would wait until the link closes, and could not retry elsewhere
             self.answer(link, question, Unanswered())
             raise
         except Exception:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_dials.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_dials.py
@@ -1,4 +1,4 @@
-"""When a peer that could not be reached may be dialled again."""
+"""Backoff of failed dials by peer."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 __all__ = ("DialPauses",)
 
-#: seconds before a failed dial is tried again: first, and at most
+#: initial and maximum backoff after failed dials, in seconds
 DIAL_BASE = 0.2
 DIAL_LONGEST = 10.0
 
-#: peers whose failures are remembered; beyond that all are forgotten
+#: maximum number of peers with recorded failures; above it, all are cleared
 MAX_FAILED = 4096
 
 
 class DialPauses:
-    """Failed dials by peer, and how long each of these is left alone."""
+    """Failed dials by peer and the backoff of each."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
-        #: failed attempts and the loop time before which there is no next one
+        #: number of failed attempts, and loop time before which no dial is allowed
         self._failed: dict[str, tuple[int, float]] = {}
 
     def lasts(self, instance_id: str) -> bool:
-        """Whether a peer is not to be dialled yet."""
+        """Whether the backoff of a peer has not expired yet."""
         _, not_before = self._failed.get(instance_id, (0, 0.0))
         return asyncio.get_running_loop().time() < not_before
 
     def extend(self, instance_id: str) -> None:
-        """Take note that a dial failed."""
+        """Record a failed dial and extend the backoff."""
         attempts = self._failed.get(instance_id, (0, 0.0))[0] + 1
         delay = compute_backoff(
             attempts,
@@ -48,5 +48,5 @@
         self._failed[instance_id] = (attempts, now + delay)
 
     def end(self, instance_id: str) -> None:
-        """Take note that a peer was reached."""
+        """Clear the backoff of a peer that was reached."""
         self._failed.pop(instance_id, None)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_endings.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_endings.py
@@ -1,4 +1,4 @@
-"""How a link ends that is not used for anything new."""
+"""Closing of retired links once their pending work is finished."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 __all__ = ("end_later",)
 
-#: seconds for which a replaced link is kept at least: as long as the longest questions
-#: wait, and longer than the other side may take to learn of the link that replaces it;
-#: what it sends until then, also what wants no answer, still arrives
+#: minimum seconds for which a retired link stays open: as long as the longest calls
+#: wait, and longer than the peer may take to learn of the link that replaces it, so
+#: that everything it sends until then still arrives
 RETIREMENT = 8.0
 
-#: seconds after which it is closed whatever is under way: three times the above, when
-#: nobody waits any more for what was asked before the link was replaced
+#: maximum seconds for which a retired link stays open, even with pending work: three
+#: times the minimum, when all calls made before its retirement have timed out
 LONGEST_RETIREMENT = 24.0
 
-#: seconds between two looks at whether anything is under way
+#: seconds between two checks for pending work
 LOOK_INTERVAL = 0.2
 
 
 async def end_later(link: Link, code: int, reason: str) -> None:
-    """Close a link once nothing is under way on it."""
+    """Close a retired link once it has no pending work."""
     loop = asyncio.get_running_loop()
     end = loop.time() + LONGEST_RETIREMENT
     await asyncio.sleep(RETIREMENT)
     while link.under_way and not link.ended:
         if loop.time() > end:
-            # without the word that all is answered, so that nothing is asked again
+            # without the reason ALL_ANSWERED, so that the peer retries no pending call
             await link.close(code, reason)
             return
         await asyncio.sleep(LOOK_INTERVAL)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
@@ -1,4 +1,4 @@
-"""One open link to a peer: its queue, its reader and its writer."""
+"""Open link to a peer, with its send queues, reader and writer."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 
 __all__ = ("CloseCode", "Link", "Outgoing")
 
-#: messages without an answer that may wait; the oldest is dropped beyond that
+#: maximum queued messages without an answer; above it, the oldest is dropped
 MAX_GOSSIP = 256
 
-#: questions and answers that may wait; a question beyond that is not taken
+#: maximum queued calls and answers; above it, further ones are rejected
 MAX_URGENT = 1024
 
-#: bytes of both that may wait
+#: maximum queued bytes of both kinds
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
 
 #: seconds after its last use for which a link counts as in use: longer than most
-#: questions wait
+#: calls take
 USE_LIFE = 2.0
 
 
-#: reason with which a link is closed once nothing is under way on it: its sender's
-#: word that it has answered all it took up, and takes up nothing more
+#: close reason of a link without pending work: its sender has answered every call
+#: that it handled, and handles no further ones
 ALL_ANSWERED = "all answered"
 
 
 class CloseCode(IntEnum):
-    """Codes with which links are closed, from the range for applications."""
+    """WebSocket close codes of links, from the range for applications."""
 
     DUPLICATE = 4001
     IDENTITY = 4002
@@ -50,23 +50,23 @@
 
 @dataclass(slots=True, eq=False)
 class Outgoing:
-    """A message on its way to the socket."""
+    """Encoded message in a send queue."""
 
     frame: bytes
     kind: str
-    #: set right before the first byte may reach the socket, never taken back
+    #: set right before the first byte may reach the socket, never reset
     handed_over: bool = False
-    #: whoever sent it no longer wants it sent
+    #: whether the sender has withdrawn it
     cancelled: bool = False
     done: Callable[[], None] | None = field(default=None, repr=False)
 
 
-#: a frame that says nothing but that its sender is there
+#: empty frame that shows that its sender is alive
 HEARTBEAT = b""
 
 
 class Link:
-    """A link whose other end has told who it is."""
+    """Link to a peer that has sent its hello."""
 
     def __init__(
         self,
@@ -85,73 +85,74 @@
         self._filled = asyncio.Event()
         self.peer = peer
         self.initiated = initiated
-        #: number of the hello that this side sent on it
+        #: sequence number of the hello that this instance sent on it
         self.number = number
         self.opened = asyncio.get_running_loop().time()
-        #: seconds of the loop's clock at which a message other than probes passed
+        #: loop time of the last message other than probes, in either direction
         self.last_used = self.opened
-        #: the same, of the first one after a rest
+        #: loop time of the first such message after the link was idle
         self.used_since = self.opened
-        #: seconds of the loop's clock at which a frame was last handed over
+        #: loop time at which the last frame was handed to the socket
         self.last_sent = self.opened
         self.dropped = 0
-        #: not used for anything new
+        #: whether the link is no longer used for new messages
         self.retired = False
-        #: own questions on it that wait for their answers
+        #: own calls on the link that wait for their answers
         self.questions = 0
-        #: messages of the peer that are being handled
+        #: handler calls in progress for messages of the peer
         self.calls = 0
-        #: dropped because not a byte came
+        #: whether the link was dropped because no byte was received
         self.silent = False
-        #: closed with the word that all is answered
+        #: whether this instance closed the link with the reason ALL_ANSWERED
         self.finished = False
-        #: neither reads nor writes any more
+        #: whether the reader and the writer have stopped
         self.ended = False
 
     @property
     def instance_id(self) -> str:
-        """Id of the instance at the other end."""
+        """Id of the peer instance."""
         return self.peer.instance_id
 
     @property
     def last_received(self) -> float:
-        """Seconds of the loop's clock at which the last byte came."""
+        """Loop time at which the last byte was received."""
         return max(self._connection.last_received, self.opened)
 
     @property
     def ended_in_order(self) -> bool:
-        """Whether either side closed it as no longer needed."""
+        """Whether either side closed the link as no longer needed."""
         needless = (CloseCode.DUPLICATE, CloseCode.IDLE)
         return self.retired or self._connection.close_code in needless
 
     @property
     def under_way(self) -> bool:
-        """Whether anything on it is neither answered nor sent."""
+        """Whether the link has unanswered calls or unsent messages."""
         return bool(self.questions or self.calls or self._urgent or self._gossip)
 
     @property
     def peer_finished(self) -> bool:
-        """Whether the peer closed it with its word that all is answered.
+        """Whether the peer closed the link with the reason ALL_ANSWERED.
 
-        What it has not answered, it has not looked at.
+        The peer has then not handled the calls that it has not answered.
         """
         return self._connection.close_reason == ALL_ANSWERED
 
     def note_use(self) -> None:
-        """Take in that a message other than probes passes."""
+        """Record that a message other than probes is sent or received."""
         now = asyncio.get_running_loop().time()
         if not self.is_used(now):
             self.used_since = now
         self.last_used = now
 
     def is_used(self, now: float) -> bool:
-        """Whether messages other than probes passed of late."""
+        """Whether messages other than probes were sent or received recently."""
         return now - self.last_used < USE_LIFE
 
     def find_silence(self, now: float) -> float:
-        """Return the seconds without a byte.
+        """Return the seconds without a received byte.
 
-        Those of a rest don't count once the link is used: heartbeats were rare.
+        On a link in use, idle time before that use is not counted, as heartbeats are
+        rare on idle links.
         """
         heard = self.last_received
         if self.is_used(now):
@@ -159,20 +160,20 @@
         return now - heard
 
     def send_heartbeat(self, now: float, interval: float) -> None:
-        """Say that this end is there, if it has sent nothing for ``interval``."""
+        """Send a heartbeat if nothing was sent for ``interval`` seconds."""
         if now - self.last_sent >= interval and not self._urgent and not self._gossip:
             self.last_sent = now
             self.offer(Outgoing(HEARTBEAT, "heartbeat"), droppable=True)
 
     def excuse_silence(self) -> None:
-        """Count silence from now, after this process itself stood still."""
+        """Restart the measurement of silence after a pause of this process."""
         self._connection.last_received = asyncio.get_running_loop().time()
 
     def offer(self, outgoing: Outgoing, *, droppable: bool) -> bool:
-        """Queue a message; ``False`` if there is no room for it.
+        """Queue a message; ``False`` if the queue is full.
 
-        Messages that want no answer make room for newer ones; questions and answers
-        are never dropped once they are taken.
+        The oldest droppable messages make room for newer ones; calls and answers are
+        never dropped once they are queued.
         """
         size = len(outgoing.frame)
         if droppable:
@@ -193,7 +194,7 @@
     async def run(
         self, receive: Callable[[Link, bytes], None], greeting: bytes = b""
     ) -> None:
-        """Send ``greeting``, if any; read and write until the connection is closed."""
+        """Send ``greeting`` if given, then read and write until the link is closed."""
         writer = asyncio.create_task(self._write_forever(greeting))
         try:
             async for data in self._connection:
@@ -209,20 +210,20 @@
             self.ended = True
 
     async def finish(self, code: int) -> None:
-        """Close the connection, on which nothing is under way.
+        """Close a link without pending work.
 
-        Questions that come while it closes must not be handled: the peer takes them
-        for untouched and asks them again elsewhere.
+        Calls that arrive while it closes must not be handled, as the peer treats them
+        as not handled and retries them on another link.
         """
         self.finished = True
         await self.close(code, ALL_ANSWERED)
 
     async def close(self, code: int, reason: str) -> None:
-        """Close the connection; returns within the closing timeout."""
+        """Close the connection; returns within the close timeout."""
         await self._connection.close(code, reason)
 
     def abort(self) -> None:
-        """Drop the connection at once, without a word to a peer that is silent."""
+        """Drop the connection without a closing handshake."""
         self._connection.transport.abort()
 
     async def _write_forever(self, greeting: bytes) -> None:
@@ -246,12 +247,12 @@
         self._traffic.count_frame(outgoing.kind, len(outgoing.frame))
         try:
             if outgoing.frame == HEARTBEAT:
-                # nobody answers a pong, so that a heartbeat costs one frame
+                # unlike a ping, a pong is not answered: one frame per heartbeat
                 await self._connection.pong()
             else:
                 await self._connection.send(outgoing.frame)
         except ConnectionClosed:
-            # the reader notices as well and ends the link
+            # the reader detects the closed connection too and ends the link
             await asyncio.sleep(0)
 
     def _take(self) -> Outgoing | None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
@@ -1,4 +1,4 @@
-"""All links of this instance: accepted, dialled, replaced and closed."""
+"""Links of this instance to its peers: accepting, dialling, replacing, closing."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: connections that have not yet told who they are
+#: maximum number of accepted connections that have not sent their hello
 MAX_UNIDENTIFIED = 64
 
-#: dials under way at the same time
+#: maximum number of concurrent dials
 MAX_DIALS = 16
 
-#: seconds without use after which a link may make room for another one
+#: seconds without use after which a link may be evicted for another one
 UNUSED = 2.0
 
 
@@ -49,7 +49,7 @@
 
     heartbeat: float
     silence: float
-    #: how much longer both are on links at rest
+    #: factor by which both are longer on idle links
     rest_factor: float
     open_timeout: float
     idle: float
@@ -57,31 +57,31 @@
 
 
 class LinkOwner(ABC):
-    """What links need of whoever owns them."""
+    """Interface that :class:`PeerLinks` requires of its owner."""
 
     @abstractmethod
     def describe(self) -> Hello:
-        """Return what this instance says of itself."""
+        """Return the hello of this instance."""
 
     @abstractmethod
     def find_fault(self, hello: Hello) -> str:
-        """Return why a peer's word on itself can't be true, empty if it can."""
+        """Return why a peer's hello is invalid; empty if it is valid."""
 
     @abstractmethod
     def note_open(self, link: Link) -> None:
-        """Take note of a new link."""
+        """Handle a new link."""
 
     @abstractmethod
     def note_closed(self, link: Link) -> None:
-        """Take note that a link, of whatever standing, was closed."""
+        """Handle the closing of a link, whether it was in use or retired."""
 
     @abstractmethod
     def receive(self, link: Link, data: bytes) -> None:
-        """Take in a frame."""
+        """Handle a received frame."""
 
 
 class PeerLinks:
-    """At most one link to each peer."""
+    """Links to peers, at most one in use for each peer."""
 
     def __init__(
         self,
@@ -94,8 +94,8 @@
     ) -> None:
         """Create the links.
 
-        :param number: that of the hello before the first: higher than any that an
-            earlier process of the same id has sent.
+        :param number: sequence number before that of the first hello; must be higher
+            than any that an earlier process with the same id has sent.
         """
         self._owner = owner
         self._number = number
@@ -105,7 +105,7 @@
         self._options = SocketOptions(open_timeout=limits.open_timeout)
         self._server: Server | None = None
         self._links: dict[str, Link] = {}
-        #: all that read and write, also those that are used for nothing new
+        #: all open links, including retired ones
         self._running: set[Link] = set()
         self._dials: dict[str, asyncio.Task[Link | None]] = {}
         self._pauses = DialPauses(random_source)
@@ -115,37 +115,37 @@
 
     @property
     def traffic(self) -> Traffic:
-        """Bytes since the last report."""
+        """Traffic counters since the last report."""
         return self._traffic
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port of the listener."""
         assert self._server is not None
         return next(iter(self._server.sockets)).getsockname()[1]
 
     def find(self, instance_id: str) -> Link | None:
-        """Return the open link to an instance."""
+        """Return the link in use to an instance."""
         return self._links.get(instance_id)
 
     def list_links(self) -> tuple[Link, ...]:
-        """Return all open links."""
+        """Return all links in use."""
         return tuple(self._links.values())
 
     async def start(self, host: str, port: int) -> None:
-        """Begin to accept links."""
+        """Start accepting links."""
         self._server = await listen(
             host, port, self._accept, self._traffic, self._options
         )
 
     async def stop(self) -> None:
-        """Close all links; returns within the closing timeout."""
+        """Close all links; returns within the close timeout."""
         self._closing = True
         if self._server is not None:
             self._server.close(close_connections=False)
         for dial in self._dials.values():
             dial.cancel()
-        # also those retired: the server waits for all that it has accepted
+        # including retired links, as the server waits for all accepted connections
         links = [link.close(1001, "stopping") for link in self._running]
         await asyncio.gather(*links, *self._dials.values(), return_exceptions=True)
         for task in self._tasks:
@@ -156,7 +156,7 @@
             await self._server.wait_closed()
 
     def dial(self, instance_id: str, address: str) -> asyncio.Task[Link | None] | None:
-        """Open a link to an instance; ``None`` if it may not be tried now."""
+        """Open a link to an instance; ``None`` if a dial is not allowed now."""
         dial = self._dials.get(instance_id)
         if dial is not None:
             return dial
@@ -173,10 +173,10 @@
         return dial
 
     def _is_of_another(self, instance_id: str, address: str) -> bool:
-        """Whether another instance is known to be at an address, by an open link.
+        """Whether an open link shows that another instance has this address.
 
-        A process that starts at the address of a former one has an id of its own. Its
-        peer would give up the link in use for a dial that is meant for the former one.
+        A process can reuse the address of an earlier one under a new id. A dial meant
+        for the earlier process would make it replace the link in use.
         """
         return any(
             link.peer.address == address and link.instance_id != instance_id
@@ -184,43 +184,43 @@
         )
 
     def dial_any(self, address: str) -> asyncio.Task[Link | None] | None:
-        """Open a link to whichever instance is at an address.
+        """Open a link to an address whose instance is unknown.
 
-        ``None`` if it may not be tried now: at most one such dial is under way, and
-        a failed one delays the next, whatever its address.
+        ``None`` if a dial is not allowed now: at most one such dial is in progress,
+        and a failed one delays the next to any address.
         """
         return None if "" in self._dials else self.dial("", address)
 
     def excuse_silence(self) -> None:
-        """Count the silence of all links from now, after this process stood still."""
+        """Restart the measurement of silence on all links after a process pause."""
         for link in self._links.values():
             link.excuse_silence()
 
     def tend(self, kept: frozenset[str]) -> None:
-        """Drop silent links, and idle ones to peers that are not in ``kept``.
+        """Send heartbeats, drop silent links, close idle ones to peers not in ``kept``.
 
-        Links at rest have rare heartbeats: with one in each direction every 0.3 s,
-        an instance with eight links spent two thirds of its idle time on them.
+        Heartbeats are rarer on idle links: at one in each direction every 0.3 s, an
+        instance with eight links spends two thirds of its CPU time at idle on them.
         """
         now = asyncio.get_running_loop().time()
         for link in self.list_links():
             factor = 1.0 if link.is_used(now) else self._limits.rest_factor
             link.send_heartbeat(now, self._limits.heartbeat * factor)
             if link.find_silence(now) > self._limits.silence * factor:
-                # An open connection that something on the way has lost track of
-                # stays silent for good while new ones work. It would swallow
-                # questions until they time out; dropped, it is replaced by a dial.
+                # A middlebox that has lost the state of an open connection drops its
+                # packets for good, while new connections work. Calls on it would
+                # time out; once dropped, it is replaced by a new dial.
                 self._metrics.count("peers.silent_links")
                 self._drop(link)
                 link.silent = True
                 link.abort()
                 continue
             idle = now - link.last_used > self._limits.idle
-            # the one that opened a link closes it: the other may still want it
+            # only the side that opened a link closes it, as the other may still need it
             if idle and link.initiated and link.instance_id not in kept:
                 self._retire(link, CloseCode.IDLE, "idle")
 
-    # opening
+    # opening links
 
     async def _dial(self, instance_id: str, address: str) -> Link | None:
         self._metrics.count("peers.dials")
@@ -231,7 +231,7 @@
             case Err(reason):
                 held = self._links.get(instance_id)
                 if held is not None:
-                    # the peer has dialled at the same time
+                    # the peer has opened a link at the same time
                     return held
                 self._metrics.count("peers.dial_failures")
                 logger.debug("no link to %s at %s: %s", instance_id, address, reason)
@@ -245,8 +245,8 @@
             return Err(str(error) or type(error).__name__)
         held = self._links.get(instance_id)
         if held is not None:
-            # the peer has dialled meanwhile; a hello now would say that this side
-            # knows of no link, and replace the one that is in use
+            # the peer has dialled meanwhile; a hello sent now would tell it that this
+            # side has no link, and replace the one in use
             self._spawn(connection.close(CloseCode.DUPLICATE, "duplicate"))
             return Ok(held)
         own = self._describe()
@@ -288,7 +288,7 @@
         fault = self._find_fault(hello, "")
         if fault or hello is None:
             self._metrics.count("peers.rejected")
-            logger.warning("rejected a link: %s", fault)
+            logger.warning("rejected link from a peer: %s", fault)
             await connection.close(CloseCode.IDENTITY, fault[:100])
             return
         known = hello.instance_id in self._links
@@ -305,11 +305,11 @@
             number=own.number,
         )
         if self._closing or self._loses(link):
-            # the other side has no hello yet, and so has asked nothing on it
+            # the peer has received no hello yet, so no calls are pending on the link
             await connection.close(CloseCode.DUPLICATE, "duplicate")
             return
-        # in the same turn as the number is drawn, or a dial that is sent in between
-        # would look as if it knew of this link
+        # without an await after the number is drawn: a hello sent in between on a dial
+        # would have a later number, as if its sender knew of this link
         self._register(link)
         await self._run(link, encode(Envelope(own)))
 
@@ -329,17 +329,17 @@
 
     def _find_fault(self, hello: Hello | None, dialled: str) -> str:
         if hello is None:
-            return "no readable hello"
+            return "no valid hello received"
         if hello.protocol != PROTOCOL_VERSION:
-            return f"protocol {hello.protocol!r} instead of {PROTOCOL_VERSION}"
+            return f"protocol version {hello.protocol!r}, expected {PROTOCOL_VERSION}"
         if dialled and hello.instance_id != dialled:
-            return f"{hello.instance_id!r} answered in place of {dialled!r}"
+            return f"dialled instance {dialled!r}, but {hello.instance_id!r} answered"
         return self._owner.find_fault(hello)
 
-    # one link for each pair
+    # choosing one link per peer
 
     def _loses(self, link: Link) -> bool:
-        """Whether the link that is already open is to be kept instead."""
+        """Whether the link already in use is kept instead of ``link``."""
         held = self._links.get(link.instance_id)
         if held is None:
             return False
@@ -349,8 +349,8 @@
     def _register(self, link: Link) -> None:
         self._running.add(link)
         if self._loses(link):
-            # the other side may have asked on it before it learns of the one kept:
-            # closed unread, questions would fail though no instance was lost
+            # the peer may have sent calls on it before it learns of the link in use;
+            # closing it at once would fail them though no instance was lost
             self._retire(link, CloseCode.DUPLICATE, "duplicate")
             return
         held = self._links.get(link.instance_id)
@@ -374,7 +374,7 @@
             del self._links[link.instance_id]
 
     def _retire(self, link: Link, code: int, reason: str) -> None:
-        """Use a link no more, but let what is under way on it end."""
+        """Stop using a link for new messages and close it once it is drained."""
         link.retired = True
         self._drop(link)
         self._spawn(end_later(link, code, reason))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_pairs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_pairs.py
@@ -1,4 +1,4 @@
-"""Which of two links to the same peer is kept."""
+"""Tie-breaking between two links to the same peer."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
 
 def replaces(new: Link, held: Link, own_id: str, crossing: float) -> bool:
-    """Whether a new link is kept in place of the one that is held.
-
-    Both sides must keep the same one, or each closes the link that the other uses.
-    So it is decided by what both know: the numbers of the hellos, which each side
-    draws in order, and who dialled. A side dials, and answers a dial, only where it
-    knows of no better link; so a link whose hellos are both later follows the other,
-    as after a cut that only one side has noticed. If the hellos crossed, each side
-    having sent one before it read the other's, the link that the lower id has dialled
-    is kept; of two by the same dialler, the one that was answered last.
-
-    :param crossing: seconds within which links are taken for crossed if the peer does
-        not number its hellos.
+    """Whether a new link replaces the one in use.
+
+    Both sides must keep the same link, otherwise each closes the one that the other
+    uses. The decision therefore depends only on what both know: the sequence numbers
+    of the hellos, which increase on each side, and which side dialled. A side dials,
+    and answers a dial, only if it knows of no better link. Hence a link whose hellos
+    both have higher numbers is the later one, for instance after a disconnect that
+    only one side has detected. If the hellos crossed, each sent before the other was
+    read, the link dialled by the lower instance id is kept; of two links with the
+    same dialler, the one that was answered last.
+
+    :param crossing: seconds within which two links are treated as crossed if the peer
+        does not number its hellos.
     """
     if not (new.peer.number and held.peer.number):
         return _replaces_by_time(new, held, own_id, crossing)
@@ -35,7 +36,7 @@
 
 
 def _replaces_by_time(new: Link, held: Link, own_id: str, crossing: float) -> bool:
-    """Decide as releases do that do not number their hellos."""
+    """Apply the rule of earlier releases, which do not number their hellos."""
     if held.initiated == new.initiated:
         return True
     if new.peer.incarnation != held.peer.incarnation:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
@@ -1,4 +1,4 @@
-"""Questions to peers that wait for their answers."""
+"""Calls to peers that wait for their answers."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class LinkClosedError(Exception):
-    """The link closed before the answer came."""
+    """The link closed before the answer was received."""
 
 
 class UntouchedError(LinkClosedError):
-    """The peer closed it with its word that it had answered all it took up."""
+    """The peer closed the link and has not handled the call."""
 
 
 class Questions:
-    """Open questions by number."""
+    """Pending calls by call id."""
 
     def __init__(self) -> None:
         self._last = 0
@@ -48,13 +48,15 @@
     async def ask(
         self, link: Link, message: Message, deadline: float
     ) -> Result[Message, PeerError]:
-        """Ask over ``link`` and wait until ``deadline`` of the event loop's clock."""
+        """Send a call and wait for its answer until ``deadline``, a loop time."""
         self._last += 1
         number = self._last
         frame = encode(Envelope(message, call_id=number))
         outgoing = Outgoing(frame, message.wire_name)
         if not link.offer(outgoing, droppable=False):
-            return Err(PeerError(PeerErrorKind.NOT_SENT, "too much waits to be sent"))
+            return Err(
+                PeerError(PeerErrorKind.NOT_SENT, "the send queue of the link is full")
+            )
         answer: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._open[number] = _Question(link, outgoing, answer)
         link.questions += 1
@@ -62,13 +64,13 @@
             async with asyncio.timeout_at(deadline):
                 reply = await answer
         except TimeoutError:
-            return Err(_explain(outgoing, "no answer in time"))
+            return Err(_explain(outgoing, "no answer before the deadline"))
         except UntouchedError:
-            reason = "the peer ended the link before it looked at the question"
+            reason = "the peer closed the link without handling the call"
             return Err(PeerError(PeerErrorKind.NOT_SENT, reason))
         except LinkClosedError:
             if link.silent:
-                return Err(_explain(outgoing, "the link went silent"))
+                return Err(_explain(outgoing, "the link was dropped as silent"))
             return Err(_explain(outgoing, "the link closed", cut=True))
         finally:
             link.questions -= 1
@@ -77,17 +79,17 @@
         return _read_reply(reply)
 
     def settle(self, link: Link, number: int, reply: Message) -> bool:
-        """Take in an answer; ``False`` if nobody waits for it on that link."""
+        """Deliver an answer; ``False`` if no call on that link waits for it."""
         question = self._open.get(number)
-        # an answer must come from the peer that was asked, or a peer that mixes up
-        # its numbers could answer somebody else's question
+        # accept answers only from the peer that was called: one with wrong call ids
+        # could otherwise answer a call to another peer
         if question is None or question.link is not link or question.answer.done():
             return False
         question.answer.set_result(reply)
         return True
 
     def abandon(self, link: Link) -> None:
-        """End all questions on a link that has closed."""
+        """Fail all pending calls on a closed link."""
         error = UntouchedError if link.peer_finished else LinkClosedError
         for question in self._open.values():
             if question.link is link and not question.answer.done():
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_sockets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_sockets.py
@@ -1,4 +1,4 @@
-"""WebSocket connections between entry instances, with all bytes counted."""
+"""WebSocket connections between entry instances, with traffic counters."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 __all__ = ("Connection", "SocketOptions", "Traffic", "listen", "open_connection")
 
-#: frames read ahead of the one in work; a sender beyond that is slowed by TCP
+#: received frames that are buffered; above it, TCP applies backpressure
 READ_AHEAD = 16
 
-#: bytes handed to the socket and not yet taken by the system until writers wait
+#: bytes in the transport's write buffer above which writers are paused
 WRITE_LIMIT = 65_536
 
 #: seconds for the closing handshake, after which a connection is dropped
@@ -31,19 +31,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SocketOptions:
-    """Times of a connection, in seconds."""
+    """Timeouts of a connection, in seconds."""
 
     open_timeout: float
 
 
 @dataclass(slots=True, eq=False)
 class Traffic:
-    """Bytes and frames since the last report; one datagram each would cost more."""
+    """Bytes and frames since the last report, batched to save metric datagrams."""
 
-    #: bytes on the wire, with handshakes, heartbeats and frame headers
+    #: bytes on the wire, including handshakes, heartbeats and frame headers
     sent: int = 0
     received: int = 0
-    #: bytes of messages handed over, by message type
+    #: bytes of messages sent, by message type
     sent_by_kind: Counter[str] = field(default_factory=Counter)
     frames_by_kind: Counter[str] = field(default_factory=Counter)
 
@@ -53,7 +53,7 @@
         self.frames_by_kind[kind] += 1
 
     def report(self, metrics: Metrics) -> None:
-        """Add what came together to the metrics."""
+        """Add the counters to the metrics and reset them."""
         metrics.count("peers.wire_out", self.sent)
         metrics.count("peers.wire_in", self.received)
         metrics.count("peers.bytes_out", self.sent_by_kind.total())
@@ -67,7 +67,7 @@
 
 
 class _Counted:
-    """Counts the bytes of a connection and notes when the last ones came."""
+    """Mixin that counts a connection's bytes and records the last receipt."""
 
     def __init__(self, traffic: Traffic, *args: Any, **options: Any) -> None:
         super().__init__(*args, **options)
@@ -100,12 +100,12 @@
     return {
         "open_timeout": options.open_timeout,
         "close_timeout": CLOSE_TIMEOUT,
-        # The library's pings stay unused: each is answered, on links that carry
-        # messages too, and its task waits until a ping is handed over, which never
-        # happens on a silent connection whose send buffer is full. Links send
-        # heartbeats of their own, and judge silence by the last byte received.
+        # Links send their own heartbeats and detect silence by the last received
+        # byte. The library's pings are disabled: each costs an answer, also on links
+        # that carry messages, and its keepalive task blocks while a ping can't be
+        # written, so it never times out a silent connection with a full send buffer.
         "ping_interval": None,
-        # messages are too small to gain from it, and each link would hold buffers
+        # messages are too small to benefit, and each link would allocate buffers
         "compression": None,
         "max_size": MAX_MESSAGE_BYTES,
         "max_queue": READ_AHEAD,
@@ -120,7 +120,7 @@
     traffic: Traffic,
     options: SocketOptions,
 ) -> Server:
-    """Serve connections of peers; ``accept`` runs for as long as one is open."""
+    """Listen for connections of peers; each is open until its ``accept`` returns."""
     return await serve(
         accept,
         host,
@@ -134,19 +134,19 @@
 async def open_connection(
     address: str, traffic: Traffic, options: SocketOptions
 ) -> Connection:
-    """Open a connection to a peer, in one attempt.
+    """Open a connection to a peer, without retries.
 
     :raises OSError, TimeoutError, websockets.exceptions.WebSocketException:
-        it could not be opened.
+        if it can't be opened.
     """
     host, _, port = address.rpartition(":")
     return await connect(
         f"ws://{address}",
-        # given explicitly, the library follows no redirect to another address
+        # with an explicit host the library follows no redirect to another address
         host=host.strip("[]"),
         port=int(port),
         create_connection=partial(_CountedClient, traffic),
-        # by default it would look for a proxy in the environment
+        # the default uses a proxy from the environment
         proxy=None,
         user_agent_header=None,
         **_list_options(options),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -47,13 +47,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds between two looks at the links, at the most
+#: maximum seconds between two checks of the links
 TICK = 0.2
 
-#: times a question is tried on a new link after one closed with it unsent
+#: maximum attempts of a call that was not sent because its link closed
 TRIES = 2
 
-#: hellos that an instance surely sends fewer of in a second
+#: upper bound on the hellos that an instance sends in a second
 HELLOS_PER_SECOND = 1_000_000
 
 #: seconds between two reports of traffic
@@ -61,10 +61,10 @@
 
 
 class PeerHub(Controller, PeerNetwork, LinkOwner):
-    """Links to other entry instances, and what is known of them.
+    """Network of entry instances: messages, calls and membership.
 
-    Peers are trusted as far as their network is: an id is checked against what is
-    known of it, but not proved.
+    Peers are trusted as far as their network is: an id is checked for consistency
+    with known members, but not authenticated.
     """
 
     name = "peers"
@@ -81,7 +81,7 @@
     ) -> None:
         """Create the hub.
 
-        :param capacity: stage work that this instance can gather; 0: not told
+        :param capacity: capacity of this instance to own stages; 0 if not announced
         """
         super().__init__()
         self._clock = clock
@@ -102,7 +102,7 @@
             limits=_read_limits(settings),
             random_source=random_source,
             metrics=metrics,
-            # as with incarnations, a later process of the same id has higher ones
+            # like incarnations, numbers are higher in a later process with the same id
             number=int(clock.wall() * HELLOS_PER_SECOND),
         )
         self._membership = MembershipController(
@@ -124,7 +124,7 @@
 
     @property
     def port(self) -> int:
-        """Port on which peers connect; known once started."""
+        """Port for connections of peers; known once started."""
         return self._links.port
 
     def members(self) -> tuple[Member, ...]:
@@ -208,11 +208,11 @@
     async def _tend_forever(self) -> None:
         while not self.should_stop:
             self.tend()
-            # cheaper than the service's own sleep, which starts a task each time
+            # cheaper than the sleep method of Service, which starts a task on each call
             await asyncio.sleep(self._tick)
 
     def tend(self) -> None:
-        """Drop links that went silent or idle, open those that are missing."""
+        """Maintain the links: drop silent ones, close idle ones, open missing ones."""
         now = self._clock.now()
         self._notice_pause(now)
         neighbours = self._membership.list_neighbours()
@@ -228,7 +228,7 @@
             self._metrics.gauge("peers.links", len(self._links.list_links()))
 
     def _dial_seed(self) -> None:
-        """Try to meet others by one of the addresses given in the settings."""
+        """Dial a random seed address from the settings."""
         known = {link.peer.address for link in self._links.list_links()}
         known.add(self._membership.describe().address)
         seeds = [address for address in self._seeds if address not in known]
@@ -240,11 +240,11 @@
     def _notice_pause(self, now: float) -> None:
         last, self._last_tick = self._last_tick, now
         if last is not None and now - last > self._silence / 2:
-            # while this process stood still it read nothing: what its peers sent
-            # still waits in the sockets, and no link may be called silent for that
+            # a paused process reads nothing: data of the peers is still in the socket
+            # buffers, so links must not be dropped as silent
             self._links.excuse_silence()
 
-    # what links need
+    # link owner
 
     def describe(self) -> Hello:
         return self._membership.describe()
@@ -279,7 +279,9 @@
                 self._calls.answer(link, error.call_id, NotUnderstood(error.reason))
             case Err(error):
                 self._metrics.count("peers.bad_frames")
-                logger.warning("bad frame from %s: %s", link.instance_id, error.reason)
+                logger.warning(
+                    "invalid frame from %s: %s", link.instance_id, error.reason
+                )
                 link.abort()
 
     # messages
@@ -304,7 +306,7 @@
     ) -> None:
         link = await asyncio.shield(dial)
         if link is not None:
-            # it may have been replaced since the dial ended
+            # the dialled link may have been replaced meanwhile
             link = self._links.find(link.instance_id) or link
             self._offer(link, outgoing, message)
 
@@ -320,8 +322,8 @@
                 await asyncio.shield(dial)
         except TimeoutError:
             return None
-        # and not the one that was dialled: it may have been replaced or closed since,
-        # and a question on a closed one would wait until its deadline
+        # not the dialled link, which may have been replaced or closed meanwhile: a
+        # call on a closed link would wait until its deadline
         return self._links.find(instance_id)
 
     def _dial(self, instance_id: str) -> asyncio.Task[Link | None] | None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/state_dump.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/state_dump.py
@@ -1,4 +1,4 @@
-"""The dump of a process's state."""
+"""State dump of a process."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 PACKAGE = "greengagelatch-entry"
 
-#: characters of one log line; a longer dump is logged in several parts
+#: maximum characters of a section in one log line; longer ones are split
 PART_SIZE = 1500
 
 
 def encode(value: Any) -> str:
-    """Return ``value`` as JSON; what JSON has no form for is shown as text."""
+    """Encode ``value`` as JSON, with other types converted to strings."""
     return json.dumps(value, default=str)
 
 
@@ -58,13 +58,13 @@
     def describe_controller(self, name: str) -> Any:
         """Return one controller's state.
 
-        A dump is wanted most when something is wrong. If one controller's state
-        can't be shown, its place holds the error, and the others are still shown.
+        Dumps are needed most when something is broken. If a controller fails to dump
+        its state, its section holds the error, and other sections are unaffected.
         """
         try:
             state = self._controllers()[name].dump()
-            # what has no JSON form, such as a tuple as a key, is found here, where
-            # it costs one section and not the whole dump
+            # encode here, so that a state without a JSON form, such as one with a
+            # tuple as a key, fails one section instead of the whole dump
             encode(state)
             return state
         except Exception as error:
@@ -72,11 +72,11 @@
             return {"dump_failed": f"{type(error).__name__}: {error}"}
 
     def count_dropped_lines(self) -> int:
-        """Return how many log lines were dropped since the start."""
+        """Return the number of log lines dropped since the start."""
         return 0 if self._log_output is None else self._log_output.dropped
 
     def describe_process(self) -> dict[str, Any]:
-        """Return everything except the controllers' state."""
+        """Return the state of the process, without the controllers."""
         described = {
             "version": importlib.metadata.version(PACKAGE),
             "memory_bytes": self._process.memory_info().rss,
@@ -92,7 +92,7 @@
         return described
 
     def log_part(self, name: str, value: Any) -> None:
-        """Write one section to the log, in as many lines as it needs."""
+        """Write one section to the log, split into as many lines as needed."""
         text = encode(value)
         parts = range(0, len(text), PART_SIZE)
         for number, start in enumerate(parts, 1):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service over HTTP."""
+"""HTTP client of the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -32,31 +32,31 @@
 
 T = TypeVar("T")
 
-#: a connection unused for so many seconds is closed and not used again
+#: seconds after which an idle connection is closed
 IDLE_SECONDS = 5.0
 
-#: share of a call's time-out that may pass until a connection is made
+#: share of a call's timeout that is allowed for connecting
 CONNECT_SHARE = 0.4
 
-#: share of a call's time-out that may pass without a byte of the answer
+#: share of a call's timeout that may pass without a byte of the response
 SILENCE_SHARE = 0.45
 
-#: connections to the service that may be open at once, watches included
+#: maximum number of open connections to the service, including watches
 MAX_CONNECTIONS = 64
 
-#: answers sent before anything is done, so that nothing took effect
+#: statuses sent before a call is executed, so that it took no effect
 _REFUSALS = frozenset({429, 503})
 
-#: answers to calls that the service could not even understand or accept
+#: statuses of calls that the service rejects as malformed or not allowed
 _REJECTIONS = frozenset({400, 404, 405, 413})
 
 
 @dataclass(slots=True)
 class _Trace:
-    """What became of one call; aiohttp's trace signals fill it in."""
+    """Progress of one call, updated by aiohttp's trace signals."""
 
     kind: str
-    #: whether a connection was obtained, after which bytes may have left
+    #: whether a connection was obtained, after which bytes may have been sent
     connected: bool = False
 
 
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _NoReply:
-    """A call without an answer; ``sent`` if the service may have got it."""
+    """A call without a response; ``sent`` if the service may have received it."""
 
     kind: StoreErrorKind
     message: str
@@ -78,17 +78,17 @@
 class HttpStore(Store):
     """Calls the platform's key-value service.
 
-    Writes are POST and sent once: aiohttp's client sends GET, PUT and DELETE a
-    second time by itself when a kept connection turns out to be closed, and the
-    second of two equal swaps would report a conflict with the first. A read that
-    fails is sent once more, on a fresh connection, within the call's time-out.
+    Writes are sent once, by POST: aiohttp resends GET, PUT and DELETE by itself when
+    a kept-alive connection turns out to be closed, and the second of two equal swaps
+    would report a conflict with the first. A failed read is retried once, on a new
+    connection, within the call's timeout.
 
-    A connection can go silent for good, swallowing a call without any error. The
-    time-out for a single read notices it and drops the connection; connections that
-    idle for some seconds are not used again.
+    A connection can become unresponsive, so that calls on it are lost without an
+    error. The timeout of a single socket read detects this and drops the connection;
+    connections that are idle for some seconds are not reused.
 
     :param address: ``host:port`` of the service, the host as an IP address.
-    :param timeout: seconds allowed for a call, watches excepted.
+    :param timeout: seconds allowed for a call, except watches.
     """
 
     def __init__(self, *, address: str, timeout: float, metrics: Metrics) -> None:
@@ -177,13 +177,15 @@
             case _Reply(status=200, body=body):
                 return _parse(lambda: _to_lease(body))
             case _Reply(status=404):
-                return Err(StoreError(StoreErrorKind.LEASE_GONE, "lease is gone"))
+                return Err(
+                    StoreError(StoreErrorKind.LEASE_GONE, "lease does not exist")
+                )
             case reply:
                 return Err(_to_error(reply))
 
     async def _read(self, kind: str, path: str) -> Result[_Reply, StoreError]:
-        # a kept connection may have gone silent, and the whole pool with it, so the
-        # second and last attempt opens a connection of its own
+        # all pooled connections may be unresponsive, so the second and last attempt
+        # uses a new connection
         timeout = self._share_timeout(0.5)
         outcome = await self._call("GET", kind, path, timeout=timeout)
         if isinstance(outcome, _NoReply):
@@ -238,7 +240,7 @@
                 status = response.status
         except TimeoutError as error:
             reason = StoreErrorKind.TIMEOUT
-            message = f"no answer in time: {type(error).__name__}"
+            message = f"no response within the timeout: {type(error).__name__}"
         except (aiohttp.ClientError, OSError) as error:
             reason = StoreErrorKind.UNREACHABLE
             message = f"{type(error).__name__}: {error}"
@@ -248,7 +250,7 @@
         return _NoReply(reason, message, sent=trace.connected)
 
     def _session(self, fresh: bool) -> aiohttp.ClientSession:
-        # sessions are made on first use, as they need the running loop
+        # sessions are created on first use, as they need the running loop
         if fresh:
             if self._fresh is None:
                 connector = aiohttp.TCPConnector(
@@ -276,8 +278,8 @@
     async def _note_connection(
         self, session: aiohttp.ClientSession, context: Any, params: Any
     ) -> None:
-        # counted here and not where calls begin: the client may send a read twice
-        # by itself, and the service counts both
+        # count here instead of at the start of a call: aiohttp may resend a read by
+        # itself, and the service counts both
         trace = context.trace_request_ctx
         trace.connected = True
         self._metrics.count(f"store.calls.{trace.kind}")
@@ -306,7 +308,7 @@
         return WriteResult(WriteOutcome.CONFLICT, revision)
     if reply.status in _REFUSALS or reply.status in _REJECTIONS:
         return WriteResult(WriteOutcome.NOT_APPLIED, message=message)
-    # any other error may have struck after the write took effect
+    # any other error may have occurred after the write took effect
     return WriteResult(WriteOutcome.UNKNOWN, message=message)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
@@ -1,4 +1,4 @@
-"""Reading of targets' answers: nothing is accepted that belongs to another call."""
+"""Encoding of calls to targets; parsing and validation of their answers."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
     "read_whole",
 )
 
-#: characters of a target's words that are passed on
+#: maximum characters of a target's response in an error message
 MAX_SHOWN = 200
-#: statuses with a meaning of their own
+#: statuses with a meaning in the protocol of targets
 NOT_RUN_STATUS = 503
 CANNOT_RESUME_STATUS = 409
-#: times beyond a day are a target's mistake and are ignored
+#: times of a day or more are invalid and ignored
 MAX_MILLISECONDS = 86_400_000
 
-#: built once: ``json.dumps`` builds one for each call with these separators
+#: shared, as ``json.dumps`` creates an encoder for each call with these separators
 _ENCODER = json.JSONEncoder(separators=(",", ":"))
 _DECODER = json.JSONDecoder()
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerError(Exception):
-    """An answer that can't be accepted."""
+    """An answer is invalid or belongs to another call."""
 
     kind: FailureKind
     message: str
 
 
 def encode_call(call: StageCall, now: float) -> bytes:
-    """Return the body of ``POST /call``.
+    """Encode the body of ``POST /call``.
 
-    :raises ValueError: if the input can't be written as JSON
+    :raises ValueError: if the input can't be encoded as JSON
     :raises RecursionError: if the input is nested too deeply
     """
     fields = {
@@ -69,9 +69,9 @@
 
 
 def read_whole(call: StageCall, body: bytes, *, leaving: bool) -> StageAnswer:
-    """Return the answer held by a body with status 200.
+    """Parse the body of a response with status 200.
 
-    :raises AnswerError: if it belongs to another call or can't be read
+    :raises AnswerError: if it belongs to another call or is invalid
     """
     fields = _parse(body)
     _check_ids(call, fields)
@@ -83,7 +83,7 @@
 
 
 def read_refusal(call: StageCall, status: int, body: bytes) -> CallFailure:
-    """Return what an answer with another status than 200 says."""
+    """Convert a response with a status other than 200 to a failure."""
     fields = _parse_loosely(body)
     attempt = fields.get("attempt", call.attempt_id)
     if attempt != call.attempt_id:
@@ -92,8 +92,8 @@
             verdict=Verdict.MAY_HAVE_RUN,
             message=f"refusal of another attempt: {str(attempt)[:MAX_SHOWN]}",
         )
-    # the echoed id is what ties the words "not run" to this very call: without it
-    # another call's refusal would have a booking made twice
+    # only the echoed attempt id proves that "not run" refers to this call: on another
+    # call's refusal, a non-idempotent call would be retried and executed twice
     refused = status == NOT_RUN_STATUS and fields.get("not_run") is True
     if refused and "attempt" in fields:
         return CallFailure(
@@ -117,7 +117,7 @@
 
 
 class TokenReader:
-    """Reads the events of one streamed answer and checks that it is whole."""
+    """Reads the events of a streamed answer and checks that it is complete."""
 
     def __init__(self, call: StageCall, listener: TokenListener | None) -> None:
         self._call = call
@@ -126,12 +126,12 @@
         self.answer: StageAnswer | None = None
 
     def take(self, event: Event, *, leaving: bool) -> None:
-        """Take one event.
+        """Process one event.
 
-        :raises AnswerError: if it does not continue this call's answer
+        :raises AnswerError: if it does not continue the answer of this call
         """
         if self.answer is not None:
-            raise AnswerError(FailureKind.MISMATCHED, "event after the end")
+            raise AnswerError(FailureKind.MISMATCHED, "event after the end event")
         fields = _parse(event.data)
         if event.name == "token":
             self._take_token(fields)
@@ -154,12 +154,14 @@
     def _read_end(self, fields: dict[str, Any], leaving: bool) -> StageAnswer:
         _check_ids(self._call, fields)
         if fields.get("count") != len(self.tokens):
-            message = f"{len(self.tokens)} tokens of {fields.get('count')!r:.40}"
+            message = f"got {len(self.tokens)} of {fields.get('count')!r:.40} tokens"
             raise AnswerError(FailureKind.DISCONNECTED, message)
         whole = "".join(self.tokens)
         digest = xxhash.xxh64_hexdigest(whole.encode("utf-8", "surrogatepass"))
         if fields.get("digest") != digest:
-            raise AnswerError(FailureKind.DISCONNECTED, "digest of the tokens differs")
+            raise AnswerError(
+                FailureKind.DISCONNECTED, "digest of the tokens does not match"
+            )
         return StageAnswer(
             output=whole,
             tokens=tuple(self.tokens),
@@ -173,21 +175,21 @@
     found = (fields.get("attempt"), fields.get("request"), fields.get("stage"))
     if found == wanted:
         return
-    # a late answer of an earlier call on the same connection looks just like this
-    # one's; only the ids tell that the caller would read somebody else's result
+    # only the ids tell a late answer to an earlier call on the same connection from
+    # the answer to this one: the caller would get the result of another request
     message = f"answer of another call: {str(found)[:MAX_SHOWN]}"
     raise AnswerError(FailureKind.MISMATCHED, message)
 
 
 def _parse(body: bytes) -> dict[str, Any]:
     try:
-        # ``json.loads`` would first guess the encoding, for each token again
+        # ``json.loads`` would detect the encoding again for each token
         fields = _DECODER.decode(body.decode("utf-8", "surrogatepass"))
     except (ValueError, RecursionError) as error:
-        message = f"unreadable answer: {str(error)[:MAX_SHOWN]}"
+        message = f"answer is not valid JSON: {str(error)[:MAX_SHOWN]}"
         raise AnswerError(FailureKind.TARGET_ERROR, message) from error
     if not isinstance(fields, dict):
-        raise AnswerError(FailureKind.TARGET_ERROR, "answer is not an object")
+        raise AnswerError(FailureKind.TARGET_ERROR, "answer is not a JSON object")
     return fields
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets, kept by target and retired by age."""
+"""Pools of kept-alive connections to targets, replaced by age."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 __all__ = ("TargetPool",)
 
-#: share of the age limit by which single limits differ, so that the connections of
-#: many instances to one target are not all opened again at the same moment
+#: maximum relative jitter of the age limit, so that many instances do not reconnect
+#: to one target at the same time
 JITTER = 0.3
-#: seconds without an acknowledgement after which the kernel gives a connection up
+#: seconds without an acknowledgement after which the kernel drops a connection
 UNACKNOWLEDGED_LIMIT = 10.0
-#: targets whose pools are kept; the least recently used one is retired first
+#: maximum number of targets with a pool; the least recently used one is retired
 MAX_TARGETS = 1024
 
 
 class _Entry:
-    """A session and the number of calls that use it."""
+    """Session with its expiry time and the number of calls that use it."""
 
     __slots__ = ("expires", "session", "users")
 
@@ -40,10 +40,10 @@
 class TargetPool:
     """One session for each target, and one that never reuses a connection.
 
-    A pooled connection that a middlebox has forgotten swallows whatever is written
-    to it, without an error. Whole pools are therefore replaced by age, and at once
-    when one of their connections went silent: what lost track of one connection
-    to a target has probably lost track of the others too.
+    Data written to a pooled connection whose state a middlebox has dropped is lost
+    without an error. Whole pools are therefore replaced by age, and at once when one
+    of their connections becomes unresponsive: a middlebox that dropped the state of
+    one connection to a target has probably dropped that of the others too.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
 
     @contextmanager
     def use(self, address: str) -> Iterator[aiohttp.ClientSession]:
-        """Give the session whose connections to ``address`` are kept alive."""
+        """Provide the session that keeps its connections to ``address`` alive."""
         entry = self._take(address)
         entry.users += 1
         try:
@@ -85,7 +85,7 @@
         return self._fresh
 
     def retire(self, address: str) -> None:
-        """Give no further call to the present connections to ``address``."""
+        """Stop using the present connections to ``address`` for new calls."""
         entry = self._entries.pop(address, None)
         if entry is not None:
             self._retire(entry)
@@ -108,7 +108,7 @@
         if entry is None:
             expires = now + self._max_age * self._draw_jitter()
             entry = _Entry(self._open(keep=True), expires)
-        # put back at the end: the first entry is the least recently used one
+        # reinsert at the end, so that the first entry is the least recently used one
         self._entries[address] = entry
         if len(self._entries) > MAX_TARGETS:
             oldest = next(iter(self._entries))
@@ -117,7 +117,7 @@
 
     def _retire(self, entry: _Entry) -> None:
         self.replaced += 1
-        # calls in flight keep their connections; closing now would cut them
+        # calls in flight still use the session; the last one closes it
         if entry.users == 0:
             self._close_later(entry)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
@@ -1,4 +1,4 @@
-"""Calls to targets over HTTP, each sent at most once."""
+"""HTTP client for calls to targets, with at-most-once delivery."""
 
 from __future__ import annotations
 
@@ -49,37 +49,37 @@
 LEAVING = "leaving"
 EVENT_STREAM = "text/event-stream"
 STATUS_OK = 200
-#: seconds without a byte after which the target's kept connections are replaced;
-#: a needless replacement costs a connect, a missed one costs calls
+#: seconds without a response byte after which the target's pooled connections are
+#: replaced; an unnecessary replacement costs a connect, a missing one costs calls
 SILENCE = 0.5
-#: targets whose parsed URL is kept
+#: maximum number of targets whose parsed URL is cached
 MAX_URLS = 1024
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetLimits:
-    """Bounds on calls to targets; times in seconds."""
+    """Limits on calls to targets; times in seconds."""
 
     connect_timeout: float = 1.0
-    #: time without a first byte after which a call is given up
+    #: maximum time until the first byte of the response
     stall_timeout: float = 60.0
-    #: time without a further byte of an answer that has begun
+    #: maximum time between two reads of a response
     gap_timeout: float = 2.0
     cancel_timeout: float = 1.0
-    #: time after which a connection that is not used is closed
+    #: time after which an idle connection is closed
     idle_timeout: float = 15.0
-    #: age at which kept connections are replaced
+    #: age at which pooled connections are replaced
     max_age: float = 60.0
     max_answer_bytes: int = 16 * 1024 * 1024
     max_event_bytes: int = 1024 * 1024
 
 
 class HttpTargetClient(TargetClient):
-    """Calls targets by ``POST /call`` and stops attempts by ``POST /cancel``.
+    """Calls targets by ``POST /call`` and cancels attempts by ``POST /cancel``.
 
-    aiohttp sends GET, PUT and DELETE a second time by itself when a kept-alive
-    connection drops, and POST again where a redirect says so. A booking would then
-    be made twice without any sign of it here, so calls are POST and follow none.
+    aiohttp resends GET, PUT and DELETE by itself when a kept-alive connection drops,
+    and resends POST on redirects. A call that is not idempotent could then be executed
+    twice unnoticed, so calls use POST and do not follow redirects.
     """
 
     def __init__(
@@ -109,15 +109,17 @@
     ) -> Result[StageAnswer, CallFailure]:
         now = self._clock.now()
         if now >= call.deadline:
-            return Err(_fail(FailureKind.DEADLINE, Verdict.NOT_RUN, "deadline over"))
+            return Err(
+                _fail(FailureKind.DEADLINE, Verdict.NOT_RUN, "deadline exceeded")
+            )
         try:
             body = encode_call(call, now)
         except (ValueError, RecursionError) as error:
-            message = f"input can't be sent: {error}"
+            message = f"input can't be encoded: {error}"
             return Err(_fail(FailureKind.TARGET_ERROR, Verdict.NOT_RUN, message))
         attempt = _Attempt(self._clock, self._limits, call, on_token)
-        # a kept connection may have gone silent or be closing: the call is then
-        # lost without a proof that it did not run, and must not be sent again
+        # a pooled connection may be unresponsive or closing: the call is then lost
+        # without proof that it did not run, so only repeatable calls may use one
         if not call.repeatable:
             result = await attempt.run(self._pool.get_fresh(), target, body)
         else:
@@ -127,7 +129,7 @@
         return result
 
     async def cancel(self, target: Target, attempt_id: str) -> bool:
-        # on a new connection: the one in use may be the reason for the cancellation
+        # use a new connection: the pooled one may be unresponsive
         session = self._pool.get_fresh()
         url = URL(f"http://{target.address}/cancel")
         try:
@@ -153,7 +155,7 @@
             try:
                 result = await attempt.run(session, target, body)
             finally:
-                # also when cancelled because a backup call has answered instead
+                # also if this call is cancelled because a hedged call answered first
                 if attempt.silent_for > SILENCE:
                     self._pool.retire(target.address)
         if isinstance(result, Err) and result.err_value.kind is FailureKind.MISMATCHED:
@@ -162,9 +164,9 @@
 
 
 class _MarkedBody(payload.BytesPayload):
-    """A request body that tells when its first byte is about to be written.
+    """Request body that reports when its first byte is about to be written.
 
-    aiohttp holds the headers back until the body is written, so no byte of the
+    aiohttp buffers the headers until the body is written, so that no byte of the
     call reaches the socket before :meth:`write_with_length` is called.
     """
 
@@ -180,7 +182,7 @@
 
 
 class _Attempt:
-    """One attempt: sends once, and reads until the answer is whole."""
+    """One attempt: sends the call once and reads the complete answer."""
 
     def __init__(
         self,
@@ -201,7 +203,7 @@
 
     @property
     def silent_for(self) -> float:
-        """Seconds since the call was sent, 0 once the target has said anything."""
+        """Seconds since the call was sent; 0 once a response byte is received."""
         if not self._sent or self._heard:
             return 0.0
         return self._clock.now() - self._sent_at
@@ -209,7 +211,7 @@
     async def run(
         self, session: aiohttp.ClientSession, target: Target, body: bytes
     ) -> Result[StageAnswer, CallFailure]:
-        """Make the call and return its answer or the reason why there is none."""
+        """Make the call and return its answer or its failure."""
         try:
             end = self._find_end(self._limits.connect_timeout)
             async with LazyTimeout(end) as guard:
@@ -228,7 +230,7 @@
             self._guard = None
 
     def note_sending(self) -> None:
-        """Note that the next step hands bytes to the socket."""
+        """Record that the next step writes to the socket."""
         self._sent = True
         self._sent_at = self._clock.now()
         self._extend(self._call.first_byte_timeout or self._limits.stall_timeout)
@@ -244,7 +246,7 @@
         try:
             result = await self._read(response)
         except BaseException:
-            # not given back: what still arrives on it belongs to this attempt
+            # close instead of release: late bytes on it belong to this attempt
             response.close()
             raise
         if isinstance(result, Err):
@@ -276,7 +278,10 @@
         while chunk := await content.readany():
             size += len(chunk)
             if size > self._limits.max_answer_bytes:
-                raise AnswerError(FailureKind.TARGET_ERROR, "answer too large")
+                raise AnswerError(
+                    FailureKind.TARGET_ERROR,
+                    f"answer exceeds {self._limits.max_answer_bytes} bytes",
+                )
             chunks.append(chunk)
             if content.at_eof():
                 break
@@ -290,11 +295,16 @@
             self._extend(self._limits.gap_timeout)
             size += len(chunk)
             if size > self._limits.max_answer_bytes:
-                raise AnswerError(FailureKind.TARGET_ERROR, "answer too large")
+                raise AnswerError(
+                    FailureKind.TARGET_ERROR,
+                    f"answer exceeds {self._limits.max_answer_bytes} bytes",
+                )
             for event in parser.feed(chunk):
                 self._reader.take(event, leaving=self._leaving)
         if self._reader.answer is None:
-            raise AnswerError(FailureKind.DISCONNECTED, "stream without an end event")
+            raise AnswerError(
+                FailureKind.DISCONNECTED, "stream ended without an end event"
+            )
         return self._reader.answer
 
     def _extend(self, seconds: float) -> None:
@@ -302,17 +312,17 @@
             self._guard.move(self._find_end(seconds))
 
     def _find_end(self, seconds: float) -> float:
-        """Return the loop's time in ``seconds``, or at the deadline if it is sooner."""
+        """Return the loop time ``seconds`` from now, at most that of the deadline."""
         left = self._call.deadline - self._clock.now()
         return asyncio.get_running_loop().time() + max(0.0, min(seconds, left))
 
     def _explain_timeout(self) -> CallFailure:
         if self._clock.now() >= self._call.deadline:
-            return self._fail(FailureKind.DEADLINE, "deadline over")
+            return self._fail(FailureKind.DEADLINE, "deadline exceeded")
         if not self._sent:
-            return self._fail(FailureKind.CONNECT, "no connection in time")
-        what = "no further byte" if self._heard else "no answer"
-        return self._fail(FailureKind.STALLED, f"{what} in time")
+            return self._fail(FailureKind.CONNECT, "no connection within the timeout")
+        what = "no further data" if self._heard else "no response"
+        return self._fail(FailureKind.STALLED, f"{what} within the timeout")
 
     def _fail(self, kind: FailureKind, message: str) -> CallFailure:
         verdict = Verdict.MAY_HAVE_RUN if self._sent else Verdict.NOT_RUN
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -301,7 +301,7 @@
     limits = replace(LIMITS, max_answer_bytes=1_000_000)
     result, _ = await run_one(script, limits=limits)
     assert result.err_value.kind is FailureKind.TARGET_ERROR
-    assert result.err_value.message == "answer too large"
+    assert result.err_value.message == "answer exceeds 1000000 bytes"
 
 
 @pytest.mark.parametrize(
