--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
@@ -23,7 +23,7 @@
 
 __all__ = (
     "CallerConnections",
-    "ConnectionUse",
+    "RequestPosition",
     "begin_request",
     "end_request",
     "find_use",
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionUse:
+class RequestPosition:
     """Position of a request: its connection and its place there, both from 1."""
 
     connection: int = 0
@@ -260,12 +260,12 @@
         request.protocol.end_request()
 
 
-def find_use(request: web.BaseRequest) -> ConnectionUse:
+def find_use(request: web.BaseRequest) -> RequestPosition:
     """Return the connection of a request and the place of the request there."""
     connection = request.protocol
     if not isinstance(connection, _Connection):
-        return ConnectionUse()
-    return ConnectionUse(connection.number, connection.requests, connection.late)
+        return RequestPosition()
+    return RequestPosition(connection.number, connection.requests, connection.late)
 
 
 def _find_readable(connections: Iterable[_Connection]) -> set[_Connection]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/exchange.py
@@ -10,7 +10,7 @@
 
 from greengagelatch.verdict import Verdict
 
-from ..adapters.caller_connections import ConnectionUse
+from ..adapters.caller_connections import RequestPosition
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -119,7 +119,7 @@
 
     request: OpaqueRequest
     writer: ResponseWriter
-    use: ConnectionUse = field(default_factory=ConnectionUse)
+    use: RequestPosition = field(default_factory=RequestPosition)
     #: set by ``RouteFilter``
     deployment: Deployment | None = None
     route: Route | None = None
