--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
@@ -26,7 +26,7 @@
     "RequestPosition",
     "begin_request",
     "end_request",
-    "find_use",
+    "find_position",
 )
 
 logger = logging.getLogger(__name__)
@@ -260,7 +260,7 @@
         request.protocol.end_request()
 
 
-def find_use(request: web.BaseRequest) -> RequestPosition:
+def find_position(request: web.BaseRequest) -> RequestPosition:
     """Return the connection of a request and the place of the request there."""
     connection = request.protocol
     if not isinstance(connection, _Connection):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -18,7 +18,7 @@
 from ..filters.stop import STOPPING_RETRY_MS
 from .caller_answers import create_headers, encode_answer, find_status
 from .caller_bodies import CLOSING_STATUSES, BodyError, read_body
-from .caller_connections import CallerConnections, find_use
+from .caller_connections import CallerConnections, find_position
 from .caller_listener import CallerListener
 from .caller_stream import CallerStream
 
@@ -103,7 +103,7 @@
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         received = self._clock.now()
         request_id = self._identifier.create_request_id()
-        if find_use(request).late:
+        if find_position(request).late:
             # it might not be finished before the process is killed
             return await self._refuse(request, request_id, 0, _refuse_late())
         refusal, status = _check_line(request)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -10,7 +10,7 @@
 from greengagelatch.verdict import Verdict
 
 from ..adapters.caller_bodies import CLOSING_STATUSES, BodyError, read_body
-from ..adapters.caller_connections import CallerConnections, find_use
+from ..adapters.caller_connections import CallerConnections, find_position
 from ..adapters.caller_listener import CallerListener
 from .exchange import CallerDisconnectedError, RelayExchange, ResponseWriter
 from .refusals import encode_refusal, find_refusal_status
@@ -82,7 +82,7 @@
             keep_alive=self._keeps_connections,
             on_bytes_sent=self._count_bytes_sent,
         )
-        use = find_use(request)
+        use = find_position(request)
         request_id = ""
         try:
             # a late request is refused without reading its body
