--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
@@ -59,7 +59,7 @@
     connection: int = 0
     request: int = 0
     #: whether its first byte was read after the shutdown of connections began
-    late: bool = False
+    received_while_closing: bool = False
 
 
 class CallerConnections:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -103,7 +103,7 @@
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
         received = self._clock.now()
         request_id = self._identifier.create_request_id()
-        if find_position(request).late:
+        if find_position(request).received_while_closing:
             # it might not be finished before the process is killed
             return await self._refuse(request, request_id, 0, _refuse_late())
         refusal, status = _check_line(request)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -146,7 +146,7 @@
         self._find_stop_deadline = find_stop_deadline
 
     async def apply(self, exchange: RelayExchange, proceed: RelayHandler) -> None:
-        if exchange.use.late:
+        if exchange.use.received_while_closing:
             # a request begun this late may not finish before the process is killed
             raise self._refuse(exchange, "this instance is stopping")
         try:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/front.py
@@ -86,7 +86,7 @@
         request_id = ""
         try:
             # a late request is refused without reading its body
-            body = b"" if use.late else await self._read_body(request)
+            body = b"" if use.received_while_closing else await self._read_body(request)
             opaque = self._codec.decode(
                 method=request.method,
                 target=request.raw_path,
