--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("WorkMeter", "create_measured_loop")
+__all__ = ("BusyTimeSelector", "create_measured_loop")
 
 
-class WorkMeter(selectors.DefaultSelector):
+class BusyTimeSelector(selectors.DefaultSelector):
     """Selector that accumulates the time between its waits.
 
     The CPU time that a process sees may be less than it is charged, for instance
@@ -41,6 +41,6 @@
             self._resumed = self._now()
 
 
-def create_measured_loop(meter: WorkMeter) -> asyncio.AbstractEventLoop:
+def create_measured_loop(meter: BusyTimeSelector) -> asyncio.AbstractEventLoop:
     """Create an event loop whose busy time is measured by ``meter``."""
     return asyncio.SelectorEventLoop(meter)
--- a/tests/test_entry/test_adapters/test_measured_loop.py
+++ b/tests/test_entry/test_adapters/test_measured_loop.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-from greengagelatch_entry.adapters.measured_loop import WorkMeter, create_measured_loop
+from greengagelatch_entry.adapters.measured_loop import (
+    BusyTimeSelector,
+    create_measured_loop,
+)
 
 
 def test_time_between_waits_counts_as_work():
     moments = iter((0.0, 3.0, 10.0, 11.0, 20.0))
-    meter = WorkMeter(lambda: next(moments))
+    meter = BusyTimeSelector(lambda: next(moments))
     meter.select(0)
     assert meter.seconds == 3.0
     meter.select(0)
@@ -16,7 +19,7 @@
 
 
 def test_loop_waits_by_its_meter():
-    meter = WorkMeter()
+    meter = BusyTimeSelector()
     loop = create_measured_loop(meter)
     try:
         assert loop.run_until_complete(_answer()) == 1
