--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
@@ -28,13 +28,13 @@
         self._now = now
         self._resumed = now()
         #: busy time since the start, in seconds
-        self.seconds = 0.0
+        self.busy_seconds = 0.0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         """Wait for events and count the time since the last wait as busy."""
-        self.seconds += self._now() - self._resumed
+        self.busy_seconds += self._now() - self._resumed
         try:
             return super().select(timeout)
         finally:
--- a/tests/test_entry/test_adapters/test_measured_loop.py
+++ b/tests/test_entry/test_adapters/test_measured_loop.py
@@ -12,9 +12,9 @@
     moments = iter((0.0, 3.0, 10.0, 11.0, 20.0))
     meter = BusyTimeSelector(lambda: next(moments))
     meter.select(0)
-    assert meter.seconds == 3.0
+    assert meter.busy_seconds == 3.0
     meter.select(0)
-    assert meter.seconds == 4.0
+    assert meter.busy_seconds == 4.0
     meter.close()
 
 
@@ -25,7 +25,7 @@
         assert loop.run_until_complete(_answer()) == 1
     finally:
         loop.close()
-    assert meter.seconds > 0
+    assert meter.busy_seconds > 0
 
 
 async def _answer() -> int:
