--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from .peer_link import Link
 
-__all__ = ("Questions",)
+__all__ = ("PendingCalls",)
 
 
 @dataclass(slots=True, eq=False)
@@ -35,7 +35,7 @@
     """The peer closed the link and has not handled the call."""
 
 
-class Questions:
+class PendingCalls:
     """Pending calls by call id."""
 
     def __init__(self) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -31,7 +31,7 @@
 from .peer_calls import Calls, encode_bounded
 from .peer_link import Outgoing
 from .peer_links import LinkLimits, LinkOwner, PeerLinks
-from .peer_questions import Questions
+from .peer_questions import PendingCalls
 
 if TYPE_CHECKING:
     import random
@@ -93,7 +93,7 @@
         self._seeds = split_endpoints(settings["peers.seeds"])
         self._random = random_source
         self._calls = Calls(max_in_work=settings["peers.in_work"], metrics=metrics)
-        self._questions = Questions()
+        self._questions = PendingCalls()
         self._waiting: set[asyncio.Task[None]] = set()
         self._last_report = 0.0
         self._last_tick: float | None = None
