--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
@@ -18,7 +18,7 @@
     from ..metrics import Metrics
     from .peer_link import Link
 
-__all__ = ("Calls", "encode_bounded")
+__all__ = ("MessageDispatcher", "encode_bounded")
 
 logger = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
     return None
 
 
-class Calls:
+class MessageDispatcher:
     """Message handlers by type, and the handler calls in progress.
 
     :param max_in_work: maximum concurrent calls; messages above it get ``Busy``
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -28,7 +28,7 @@
 
 from ..controllers import Controller
 from ..controllers.membership import MembershipController, is_probe
-from .peer_calls import Calls, encode_bounded
+from .peer_calls import MessageDispatcher, encode_bounded
 from .peer_link import Outgoing
 from .peer_links import LinkLimits, LinkOwner, PeerLinks
 from .peer_questions import PendingCalls
@@ -92,7 +92,9 @@
         self._advertise: str = settings["peers.advertise"]
         self._seeds = split_endpoints(settings["peers.seeds"])
         self._random = random_source
-        self._calls = Calls(max_in_work=settings["peers.in_work"], metrics=metrics)
+        self._calls = MessageDispatcher(
+            max_in_work=settings["peers.in_work"], metrics=metrics
+        )
         self._questions = PendingCalls()
         self._waiting: set[asyncio.Task[None]] = set()
         self._last_report = 0.0
--- a/tests/test_entry/test_adapters/test_peer_calls.py
+++ b/tests/test_entry/test_adapters/test_peer_calls.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.peers.codec import Message, decode, register
 from greengagelatch.peers.messages import Unanswered
-from greengagelatch_entry.adapters.peer_calls import Calls
+from greengagelatch_entry.adapters.peer_calls import MessageDispatcher
 from greengagelatch_entry.metrics import Metrics
 
 
@@ -38,7 +38,7 @@
     """Calls whose handler waits for work of its own."""
 
     def __init__(self) -> None:
-        self.calls = Calls(max_in_work=8, metrics=Metrics("127.0.0.1:9"))
+        self.calls = MessageDispatcher(max_in_work=8, metrics=Metrics("127.0.0.1:9"))
         self.link = FakeLink()
         self.work = asyncio.ensure_future(asyncio.Event().wait())
         self.calls.handle(Hold, self._wait)
