--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
@@ -10,7 +10,7 @@
 from greengagelatch.peers.codec import MAX_MESSAGE_BYTES, Envelope, Message, encode
 from greengagelatch.peers.messages import Busy, NotUnderstood, Unanswered
 
-from .peer_link import Outgoing
+from .peer_link import OutgoingFrame
 
 if TYPE_CHECKING:
     from greengagelatch.peers import MessageHandler
@@ -89,7 +89,7 @@
         frame = encode_bounded(Envelope(message, reply_to=question), self._metrics)
         if frame is None:
             frame = encode(Envelope(Unanswered(), reply_to=question))
-        if not link.offer(Outgoing(frame, message.wire_name), droppable=False):
+        if not link.offer(OutgoingFrame(frame, message.wire_name), droppable=False):
             # the peer does not read its answers, so the queue is full
             self._metrics.count("peers.answers_without_room")
             link.abort()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
@@ -18,7 +18,7 @@
 
     from .peer_sockets import Connection, Traffic
 
-__all__ = ("CloseCode", "Link", "Outgoing")
+__all__ = ("CloseCode", "Link", "OutgoingFrame")
 
 #: maximum queued messages without an answer; above it, the oldest is dropped
 MAX_GOSSIP = 256
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Outgoing:
+class OutgoingFrame:
     """Encoded message in a send queue."""
 
     frame: bytes
@@ -79,8 +79,8 @@
     ) -> None:
         self._connection = connection
         self._traffic = traffic
-        self._gossip: deque[Outgoing] = deque()
-        self._urgent: deque[Outgoing] = deque()
+        self._gossip: deque[OutgoingFrame] = deque()
+        self._urgent: deque[OutgoingFrame] = deque()
         self._queued_bytes = 0
         self._filled = asyncio.Event()
         self.peer = peer
@@ -163,13 +163,13 @@
         """Send a heartbeat if nothing was sent for ``interval`` seconds."""
         if now - self.last_sent >= interval and not self._urgent and not self._gossip:
             self.last_sent = now
-            self.offer(Outgoing(HEARTBEAT, "heartbeat"), droppable=True)
+            self.offer(OutgoingFrame(HEARTBEAT, "heartbeat"), droppable=True)
 
     def excuse_silence(self) -> None:
         """Restart the measurement of silence after a pause of this process."""
         self._connection.last_received = asyncio.get_running_loop().time()
 
-    def offer(self, outgoing: Outgoing, *, droppable: bool) -> bool:
+    def offer(self, outgoing: OutgoingFrame, *, droppable: bool) -> bool:
         """Queue a message; ``False`` if the queue is full.
 
         The oldest droppable messages make room for newer ones; calls and answers are
@@ -241,7 +241,7 @@
             if outgoing.done is not None:
                 outgoing.done()
 
-    async def _write(self, outgoing: Outgoing) -> None:
+    async def _write(self, outgoing: OutgoingFrame) -> None:
         outgoing.handed_over = True
         self.last_sent = asyncio.get_running_loop().time()
         self._traffic.count_frame(outgoing.kind, len(outgoing.frame))
@@ -255,7 +255,7 @@
             # the reader detects the closed connection too and ends the link
             await asyncio.sleep(0)
 
-    def _take(self) -> Outgoing | None:
+    def _take(self) -> OutgoingFrame | None:
         queue = self._urgent or self._gossip
         if not queue:
             return None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
@@ -12,7 +12,7 @@
 from greengagelatch.peers.codec import Envelope, Message, encode
 from greengagelatch.peers.messages import Busy, NotUnderstood, Unanswered
 
-from .peer_link import Outgoing
+from .peer_link import OutgoingFrame
 
 if TYPE_CHECKING:
     from .peer_link import Link
@@ -23,7 +23,7 @@
 @dataclass(slots=True, eq=False)
 class _Question:
     link: Link
-    outgoing: Outgoing
+    outgoing: OutgoingFrame
     answer: asyncio.Future[Message]
 
 
@@ -52,7 +52,7 @@
         self._last += 1
         number = self._last
         frame = encode(Envelope(message, call_id=number))
-        outgoing = Outgoing(frame, message.wire_name)
+        outgoing = OutgoingFrame(frame, message.wire_name)
         if not link.offer(outgoing, droppable=False):
             return Err(
                 PeerError(PeerErrorKind.NOT_SENT, "the send queue of the link is full")
@@ -96,7 +96,7 @@
                 question.answer.set_exception(error())
 
 
-def _explain(outgoing: Outgoing, reason: str, *, cut: bool = False) -> PeerError:
+def _explain(outgoing: OutgoingFrame, reason: str, *, cut: bool = False) -> PeerError:
     if outgoing.handed_over:
         return PeerError(PeerErrorKind.NO_ANSWER, reason, cut)
     return PeerError(PeerErrorKind.NOT_SENT, f"{reason}; it was not sent", cut)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -29,7 +29,7 @@
 from ..controllers import Controller
 from ..controllers.membership import MembershipController, is_probe
 from .peer_calls import MessageDispatcher, encode_bounded
-from .peer_link import Outgoing
+from .peer_link import OutgoingFrame
 from .peer_links import LinkLimits, LinkOwner, PeerLinks
 from .peer_questions import PendingCalls
 
@@ -139,7 +139,7 @@
         frame = encode_bounded(Envelope(message), self._metrics)
         if frame is None:
             return False
-        outgoing = Outgoing(frame, message.wire_name)
+        outgoing = OutgoingFrame(frame, message.wire_name)
         link = self._links.find(instance_id)
         if link is not None:
             return self._offer(link, outgoing, message)
@@ -298,13 +298,13 @@
             link.note_use()
         self._calls.take(link, envelope.call_id, message)
 
-    def _offer(self, link: Link, outgoing: Outgoing, message: Message) -> bool:
+    def _offer(self, link: Link, outgoing: OutgoingFrame, message: Message) -> bool:
         if not is_probe(message):
             link.note_use()
         return link.offer(outgoing, droppable=True)
 
     async def _offer_later(
-        self, dial: asyncio.Task[Link | None], outgoing: Outgoing, message: Message
+        self, dial: asyncio.Task[Link | None], outgoing: OutgoingFrame, message: Message
     ) -> None:
         link = await asyncio.shield(dial)
         if link is not None:
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -24,7 +24,7 @@
 )
 from greengagelatch.peers.messages import Hello
 from greengagelatch.settings import parse
-from greengagelatch_entry.adapters.peer_link import MAX_GOSSIP, Link, Outgoing
+from greengagelatch_entry.adapters.peer_link import MAX_GOSSIP, Link, OutgoingFrame
 from greengagelatch_entry.adapters.peer_sockets import Traffic
 from greengagelatch_entry.adapters.peers import PeerHub
 from greengagelatch_entry.controllers.drain import DRAIN_STARTED
@@ -413,9 +413,9 @@
     queue without bound, or one that drops whatever comes first.
     """
     link = Link(connection=None, peer=Hello(), initiated=True, traffic=Traffic())
-    answers = [Outgoing(b"answer", "a") for _ in range(10)]
+    answers = [OutgoingFrame(b"answer", "a") for _ in range(10)]
     for number in range(MAX_GOSSIP * 2):
-        assert link.offer(Outgoing(b"%d" % number, "g"), droppable=True)
+        assert link.offer(OutgoingFrame(b"%d" % number, "g"), droppable=True)
         if number < 10:
             assert link.offer(answers[number], droppable=False)
     assert link.dropped == MAX_GOSSIP
@@ -423,4 +423,4 @@
     assert taken[:10] == answers
     assert taken[10].frame == b"%d" % MAX_GOSSIP
     assert link._take() is None
-    assert not link.offer(Outgoing(b"x" * 2**23, "q"), droppable=False)
+    assert not link.offer(OutgoingFrame(b"x" * 2**23, "q"), droppable=False)
