--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
@@ -53,7 +53,7 @@
     :param ready: whether callers may be routed here; false until a configuration
         is known, and from the start of a planned stop.
     :param drain: starts the planned stop; idempotent.
-    :param note_leaving: marks a target as leaving.
+    :param mark_leaving: marks a target as leaving.
     :param routes: functions that add routes to the application before it starts.
     """
 
@@ -67,7 +67,7 @@
         status: Callable[[], InstanceStatus],
         ready: Callable[[], bool],
         drain: Callable[[], None],
-        note_leaving: Callable[[str], None],
+        mark_leaving: Callable[[str], None],
         metrics: Metrics,
         routes: Sequence[Callable[[web.Application], None]] = (),
         clock: Clock | None = None,
@@ -78,7 +78,7 @@
         self._status = status
         self._ready = ready
         self._drain = drain
-        self._note_leaving = note_leaving
+        self._mark_leaving = mark_leaving
         self._metrics = metrics
         self._routes = routes
         self._lag = LoopLag(clock or SystemClock())
@@ -191,7 +191,7 @@
             return _refuse(400, "must be a target id", TARGET_FIELD, str(target_id))
         if not self._status().knows_target(target_id):
             return _refuse(404, "no such target", TARGET_FIELD, target_id)
-        self._note_leaving(target_id)
+        self._mark_leaving(target_id)
         return _answer({"target": target_id, "state": "leaving"}, status=202)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -322,7 +322,7 @@
             status=status.describe,
             ready=self._is_ready,
             drain=self.drain.start_drain,
-            note_leaving=self.targets.mark_leaving,
+            mark_leaving=self.targets.mark_leaving,
             metrics=self.metrics,
             routes=[lambda app: add_configuration_routes(app, self.configuration)],
         )
--- a/tests/test_cli/test_end_to_end.py
+++ b/tests/test_cli/test_end_to_end.py
@@ -83,7 +83,7 @@
             ),
             ready=lambda: configuration.ready,
             drain=lambda: None,
-            note_leaving=lambda target_id: None,
+            mark_leaving=lambda target_id: None,
             metrics=metrics,
             routes=(lambda app: add_configuration_routes(app, configuration),),
         )
--- a/tests/test_entry/test_operators.py
+++ b/tests/test_entry/test_operators.py
@@ -95,7 +95,7 @@
             status=lambda: STATUS,
             ready=lambda: self.ready,
             drain=self.drain,
-            note_leaving=self.left.append,
+            mark_leaving=self.left.append,
             metrics=metrics,
             routes=(self.install,),
         )
