--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
@@ -60,23 +60,23 @@
     """Interface that :class:`PeerLinks` requires of its owner."""
 
     @abstractmethod
-    def describe(self) -> Hello:
+    def create_hello(self) -> Hello:
         """Return the hello of this instance."""
 
     @abstractmethod
-    def find_fault(self, hello: Hello) -> str:
+    def check_hello(self, hello: Hello) -> str:
         """Return why a peer's hello is invalid; empty if it is valid."""
 
     @abstractmethod
-    def note_open(self, link: Link) -> None:
+    def handle_open(self, link: Link) -> None:
         """Handle a new link."""
 
     @abstractmethod
-    def note_closed(self, link: Link) -> None:
+    def handle_closed(self, link: Link) -> None:
         """Handle the closing of a link, whether it was in use or retired."""
 
     @abstractmethod
-    def receive(self, link: Link, data: bytes) -> None:
+    def handle_frame(self, link: Link, data: bytes) -> None:
         """Handle a received frame."""
 
 
@@ -249,7 +249,7 @@
             # side has no link, and replace the one in use
             self._spawn(connection.close(CloseCode.DUPLICATE, "duplicate"))
             return Ok(held)
-        own = self._describe()
+        own = self._create_hello()
         try:
             await connection.send(encode(Envelope(own)))
             hello = await self._read_hello(connection)
@@ -259,10 +259,10 @@
         except asyncio.CancelledError:
             connection.transport.abort()
             raise
-        fault = self._find_fault(hello, instance_id)
-        if fault or hello is None:
-            await connection.close(CloseCode.IDENTITY, fault[:100])
-            return Err(fault)
+        problem = self._check_hello(hello, instance_id)
+        if problem or hello is None:
+            await connection.close(CloseCode.IDENTITY, problem[:100])
+            return Err(problem)
         link = Link(
             connection=connection,
             peer=hello,
@@ -285,18 +285,18 @@
             return
         finally:
             self._unidentified -= 1
-        fault = self._find_fault(hello, "")
-        if fault or hello is None:
+        problem = self._check_hello(hello, "")
+        if problem or hello is None:
             self._metrics.count("peers.rejected")
-            logger.warning("rejected link from a peer: %s", fault)
-            await connection.close(CloseCode.IDENTITY, fault[:100])
+            logger.warning("rejected link from a peer: %s", problem)
+            await connection.close(CloseCode.IDENTITY, problem[:100])
             return
         known = hello.instance_id in self._links
         if not known and len(self._links) >= self._limits.max_links:
             self._metrics.count("peers.links_refused")
             await connection.close(CloseCode.FULL, "too many links")
             return
-        own = self._describe()
+        own = self._create_hello()
         link = Link(
             connection=connection,
             peer=hello,
@@ -313,9 +313,9 @@
         self._register(link)
         await self._run(link, encode(Envelope(own)))
 
-    def _describe(self) -> Hello:
+    def _create_hello(self) -> Hello:
         self._number += 1
-        return replace(self._owner.describe(), number=self._number)
+        return replace(self._owner.create_hello(), number=self._number)
 
     async def _read_hello(self, connection: Connection) -> Hello | None:
         async with asyncio.timeout(self._limits.open_timeout):
@@ -327,14 +327,14 @@
                 return hello
         return None
 
-    def _find_fault(self, hello: Hello | None, dialled: str) -> str:
+    def _check_hello(self, hello: Hello | None, dialled: str) -> str:
         if hello is None:
             return "no valid hello received"
         if hello.protocol != PROTOCOL_VERSION:
             return f"protocol version {hello.protocol!r}, expected {PROTOCOL_VERSION}"
         if dialled and hello.instance_id != dialled:
             return f"dialled instance {dialled!r}, but {hello.instance_id!r} answered"
-        return self._owner.find_fault(hello)
+        return self._owner.check_hello(hello)
 
     # choosing one link per peer
 
@@ -343,7 +343,7 @@
         held = self._links.get(link.instance_id)
         if held is None:
             return False
-        own_id = self._owner.describe().instance_id
+        own_id = self._owner.create_hello().instance_id
         return not replaces(link, held, own_id, self._limits.open_timeout)
 
     def _register(self, link: Link) -> None:
@@ -358,16 +358,16 @@
             self._retire(held, CloseCode.DUPLICATE, "replaced")
         self._links[link.instance_id] = link
         self._pauses.end(link.instance_id)
-        self._owner.note_open(link)
+        self._owner.handle_open(link)
 
     async def _run(self, link: Link, greeting: bytes = b"") -> None:
         try:
-            await link.run(self._owner.receive, greeting)
+            await link.run(self._owner.handle_frame, greeting)
         finally:
             self._running.discard(link)
             self._metrics.count("peers.dropped", link.dropped)
             self._drop(link)
-            self._owner.note_closed(link)
+            self._owner.handle_closed(link)
 
     def _drop(self, link: Link) -> None:
         if self._links.get(link.instance_id) is link:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -248,15 +248,15 @@
 
     # link owner
 
-    def describe(self) -> Hello:
+    def create_hello(self) -> Hello:
         return self._membership.describe()
 
-    def find_fault(self, hello: Hello) -> str:
+    def check_hello(self, hello: Hello) -> str:
         held = self._links.find(hello.instance_id)
         linked_address = "" if held is None else held.peer.address
         return self._membership.find_fault(hello, linked_address)
 
-    def note_open(self, link: Link) -> None:
+    def handle_open(self, link: Link) -> None:
         hello = link.peer
         identity = Identity(
             instance_id=hello.instance_id,
@@ -267,12 +267,12 @@
         )
         self._membership.meet(identity, leaving=hello.leaving)
 
-    def note_closed(self, link: Link) -> None:
+    def handle_closed(self, link: Link) -> None:
         self._questions.abandon(link)
         if not link.ended_in_order:
             self._membership.note_link_lost(link.instance_id)
 
-    def receive(self, link: Link, data: bytes) -> None:
+    def handle_frame(self, link: Link, data: bytes) -> None:
         match decode(data):
             case Ok(envelope):
                 self._dispatch(link, envelope)
