--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_dials.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/dial_backoff.py
@@ -10,17 +10,17 @@
 if TYPE_CHECKING:
     import random
 
-__all__ = ("DialPauses",)
+__all__ = ("DialBackoff",)
 
 #: initial and maximum backoff after failed dials, in seconds
-DIAL_BASE = 0.2
-DIAL_LONGEST = 10.0
+INITIAL_BACKOFF = 0.2
+MAX_BACKOFF = 10.0
 
 #: maximum number of peers with recorded failures; above it, all are cleared
-MAX_FAILED = 4096
+MAX_PEERS = 4096
 
 
-class DialPauses:
+class DialBackoff:
     """Failed dials by peer and the backoff of each."""
 
     def __init__(self, random_source: random.Random) -> None:
@@ -28,25 +28,25 @@
         #: number of failed attempts, and loop time before which no dial is allowed
         self._failed: dict[str, tuple[int, float]] = {}
 
-    def lasts(self, instance_id: str) -> bool:
+    def is_active(self, instance_id: str) -> bool:
         """Whether the backoff of a peer has not expired yet."""
         _, not_before = self._failed.get(instance_id, (0, 0.0))
         return asyncio.get_running_loop().time() < not_before
 
-    def extend(self, instance_id: str) -> None:
+    def record_failure(self, instance_id: str) -> None:
         """Record a failed dial and extend the backoff."""
         attempts = self._failed.get(instance_id, (0, 0.0))[0] + 1
         delay = compute_backoff(
             attempts,
-            base=DIAL_BASE,
-            longest=DIAL_LONGEST,
+            base=INITIAL_BACKOFF,
+            longest=MAX_BACKOFF,
             random_source=self._random,
         )
-        if len(self._failed) > MAX_FAILED:
+        if len(self._failed) > MAX_PEERS:
             self._failed.clear()
         now = asyncio.get_running_loop().time()
         self._failed[instance_id] = (attempts, now + delay)
 
-    def end(self, instance_id: str) -> None:
+    def record_success(self, instance_id: str) -> None:
         """Clear the backoff of a peer that was reached."""
         self._failed.pop(instance_id, None)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_pairs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/link_tie_break.py
@@ -10,7 +10,7 @@
 __all__ = ("replaces",)
 
 
-def replaces(new: Link, held: Link, own_id: str, crossing: float) -> bool:
+def replaces(new: Link, current: Link, own_id: str, crossing_seconds: float) -> bool:
     """Whether a new link replaces the one in use.
 
     Both sides must keep the same link, otherwise each closes the one that the other
@@ -22,25 +22,27 @@
     read, the link dialled by the lower instance id is kept; of two links with the
     same dialler, the one that was answered last.
 
-    :param crossing: seconds within which two links are treated as crossed if the peer
-        does not number its hellos.
+    :param crossing_seconds: time within which two links are treated as crossed if the
+        peer does not number its hellos.
     """
-    if not (new.peer.number and held.peer.number):
-        return _replaces_by_time(new, held, own_id, crossing)
-    own_later = new.number > held.number
-    if own_later == (new.peer.number > held.peer.number):
+    if not (new.peer.number and current.peer.number):
+        return _replaces_by_time(new, current, own_id, crossing_seconds)
+    own_later = new.hello_number > current.hello_number
+    if own_later == (new.peer.number > current.peer.number):
         return own_later
-    if new.initiated != held.initiated:
+    if new.initiated != current.initiated:
         return new.initiated == (own_id < new.instance_id)
     return not own_later if new.initiated else own_later
 
 
-def _replaces_by_time(new: Link, held: Link, own_id: str, crossing: float) -> bool:
+def _replaces_by_time(
+    new: Link, current: Link, own_id: str, crossing_seconds: float
+) -> bool:
     """Apply the rule of earlier releases, which do not number their hellos."""
-    if held.initiated == new.initiated:
+    if current.initiated == new.initiated:
         return True
-    if new.peer.incarnation != held.peer.incarnation:
-        return new.peer.incarnation > held.peer.incarnation
-    if new.opened - held.opened > crossing:
+    if new.peer.incarnation != current.peer.incarnation:
+        return new.peer.incarnation > current.peer.incarnation
+    if new.opened - current.opened > crossing_seconds:
         return True
     return new.initiated == (own_id < new.instance_id)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_calls.py
@@ -36,17 +36,17 @@
 class MessageDispatcher:
     """Message handlers by type, and the handler calls in progress.
 
-    :param max_in_work: maximum concurrent calls; messages above it get ``Busy``
+    :param max_concurrent: maximum concurrent calls; messages above it get ``Busy``
     """
 
-    def __init__(self, *, max_in_work: int, metrics: Metrics) -> None:
-        self._max_in_work = max_in_work
+    def __init__(self, *, max_concurrent: int, metrics: Metrics) -> None:
+        self._max_concurrent = max_concurrent
         self._metrics = metrics
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._in_work: set[asyncio.Task[None]] = set()
+        self._running: set[asyncio.Task[None]] = set()
 
     def __len__(self) -> int:
-        return len(self._in_work)
+        return len(self._running)
 
     def handle(self, message_type: type[Message], handler: MessageHandler) -> None:
         """Register ``handler`` for the messages of a type."""
@@ -57,14 +57,14 @@
 
     async def stop(self) -> None:
         """Cancel the calls in progress; their senders get ``Unanswered``."""
-        tasks = tuple(self._in_work)
+        tasks = tuple(self._running)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def take(self, link: Link, question: int, message: Message) -> None:
-        """Dispatch a message; ``question`` is its call id, 0 if it is not a call."""
-        if question and link.finished:
+    def dispatch(self, link: Link, call_id: int, message: Message) -> None:
+        """Dispatch a message; ``call_id`` is 0 if it expects no answer."""
+        if call_id and link.drained:
             # the peer knows that this message is not handled, and retries it elsewhere
             self._metrics.count("peers.untouched_questions")
             return
@@ -72,51 +72,51 @@
         if handler is None:
             self._metrics.count("peers.unhandled_messages")
             reason = f"no handler for {message.wire_name}"
-            self.answer(link, question, NotUnderstood(reason))
+            self.send_answer(link, call_id, NotUnderstood(reason))
             return
-        if len(self._in_work) >= self._max_in_work:
+        if len(self._running) >= self._max_concurrent:
             # answers are still received: otherwise two peers that wait for each
             # other's answers would deadlock
             self._metrics.count("peers.busy")
-            self.answer(link, question, Busy())
+            self.send_answer(link, call_id, Busy())
             return
-        self._call(link, question, handler, message)
+        self._run_handler(link, call_id, handler, message)
 
-    def answer(self, link: Link, question: int, message: Message) -> None:
-        """Send the answer to a call; does nothing if ``question`` is 0."""
-        if not question:
+    def send_answer(self, link: Link, call_id: int, message: Message) -> None:
+        """Send the answer to a call; does nothing if ``call_id`` is 0."""
+        if not call_id:
             return
-        frame = encode_bounded(Envelope(message, reply_to=question), self._metrics)
+        frame = encode_bounded(Envelope(message, reply_to=call_id), self._metrics)
         if frame is None:
-            frame = encode(Envelope(Unanswered(), reply_to=question))
+            frame = encode(Envelope(Unanswered(), reply_to=call_id))
         if not link.offer(OutgoingFrame(frame, message.wire_name), droppable=False):
             # the peer does not read its answers, so the queue is full
             self._metrics.count("peers.answers_without_room")
             link.abort()
 
-    def _call(
-        self, link: Link, question: int, handler: MessageHandler, message: Message
+    def _run_handler(
+        self, link: Link, call_id: int, handler: MessageHandler, message: Message
     ) -> None:
         try:
             answer = handler(link.instance_id, message)
         except Exception:
             logger.exception("handler of %s failed", message.wire_name)
-            self.answer(link, question, Unanswered())
+            self.send_answer(link, call_id, Unanswered())
             return
         if not inspect.isawaitable(answer):
-            self.answer(link, question, answer or Unanswered())
+            self.send_answer(link, call_id, answer or Unanswered())
             return
-        task = asyncio.create_task(self._finish_call(link, question, answer, message))
-        self._in_work.add(task)
-        link.calls += 1
-        task.add_done_callback(lambda done: self._note_done(link, done))
+        task = asyncio.create_task(self._finish_handler(link, call_id, answer, message))
+        self._running.add(task)
+        link.active_handlers += 1
+        task.add_done_callback(lambda done: self._record_done(link, done))
 
-    def _note_done(self, link: Link, task: asyncio.Task[None]) -> None:
-        link.calls -= 1
-        self._in_work.discard(task)
+    def _record_done(self, link: Link, task: asyncio.Task[None]) -> None:
+        link.active_handlers -= 1
+        self._running.discard(task)
 
-    async def _finish_call(
-        self, link: Link, question: int, pending: Any, message: Message
+    async def _finish_handler(
+        self, link: Link, call_id: int, pending: Any, message: Message
     ) -> None:
         answer: Message | None = None
         try:
@@ -124,8 +124,8 @@
         except asyncio.CancelledError:
             # the handler was cancelled, for instance by a stop: without an answer the
             # sender would wait until the link closes, and could not retry elsewhere
-            self.answer(link, question, Unanswered())
+            self.send_answer(link, call_id, Unanswered())
             raise
         except Exception:
             logger.exception("handler of %s failed", message.wire_name)
-        self.answer(link, question, answer or Unanswered())
+        self.send_answer(link, call_id, answer or Unanswered())
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
@@ -21,17 +21,17 @@
 __all__ = ("CloseCode", "Link", "OutgoingFrame")
 
 #: maximum queued messages without an answer; above it, the oldest is dropped
-MAX_GOSSIP = 256
+MAX_DROPPABLE = 256
 
 #: maximum queued calls and answers; above it, further ones are rejected
-MAX_URGENT = 1024
+MAX_UNDROPPABLE = 1024
 
 #: maximum queued bytes of both kinds
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
 
 #: seconds after its last use for which a link counts as in use: longer than most
 #: calls take
-USE_LIFE = 2.0
+IN_USE_SECONDS = 2.0
 
 
 #: close reason of a link without pending work: its sender has answered every call
@@ -75,18 +75,18 @@
         peer: Hello,
         initiated: bool,
         traffic: Traffic,
-        number: int = 0,
+        hello_number: int = 0,
     ) -> None:
         self._connection = connection
         self._traffic = traffic
-        self._gossip: deque[OutgoingFrame] = deque()
-        self._urgent: deque[OutgoingFrame] = deque()
+        self._droppable: deque[OutgoingFrame] = deque()
+        self._undroppable: deque[OutgoingFrame] = deque()
         self._queued_bytes = 0
-        self._filled = asyncio.Event()
+        self._not_empty = asyncio.Event()
         self.peer = peer
         self.initiated = initiated
         #: sequence number of the hello that this instance sent on it
-        self.number = number
+        self.hello_number = hello_number
         self.opened = asyncio.get_running_loop().time()
         #: loop time of the last message other than probes, in either direction
         self.last_used = self.opened
@@ -98,13 +98,13 @@
         #: whether the link is no longer used for new messages
         self.retired = False
         #: own calls on the link that wait for their answers
-        self.questions = 0
+        self.pending_calls = 0
         #: handler calls in progress for messages of the peer
-        self.calls = 0
+        self.active_handlers = 0
         #: whether the link was dropped because no byte was received
         self.silent = False
         #: whether this instance closed the link with the reason ALL_ANSWERED
-        self.finished = False
+        self.drained = False
         #: whether the reader and the writer have stopped
         self.ended = False
 
@@ -119,25 +119,30 @@
         return max(self._connection.last_received, self.opened)
 
     @property
-    def ended_in_order(self) -> bool:
+    def closed_cleanly(self) -> bool:
         """Whether either side closed the link as no longer needed."""
-        needless = (CloseCode.DUPLICATE, CloseCode.IDLE)
-        return self.retired or self._connection.close_code in needless
+        clean_codes = (CloseCode.DUPLICATE, CloseCode.IDLE)
+        return self.retired or self._connection.close_code in clean_codes
 
     @property
-    def under_way(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether the link has unanswered calls or unsent messages."""
-        return bool(self.questions or self.calls or self._urgent or self._gossip)
+        return bool(
+            self.pending_calls
+            or self.active_handlers
+            or self._undroppable
+            or self._droppable
+        )
 
     @property
-    def peer_finished(self) -> bool:
+    def peer_drained(self) -> bool:
         """Whether the peer closed the link with the reason ALL_ANSWERED.
 
         The peer has then not handled the calls that it has not answered.
         """
         return self._connection.close_reason == ALL_ANSWERED
 
-    def note_use(self) -> None:
+    def record_use(self) -> None:
         """Record that a message other than probes is sent or received."""
         now = asyncio.get_running_loop().time()
         if not self.is_used(now):
@@ -146,7 +151,7 @@
 
     def is_used(self, now: float) -> bool:
         """Whether messages other than probes were sent or received recently."""
-        return now - self.last_used < USE_LIFE
+        return now - self.last_used < IN_USE_SECONDS
 
     def find_silence(self, now: float) -> float:
         """Return the seconds without a received byte.
@@ -154,18 +159,22 @@
         On a link in use, idle time before that use is not counted, as heartbeats are
         rare on idle links.
         """
-        heard = self.last_received
+        last_received = self.last_received
         if self.is_used(now):
-            heard = max(heard, self.used_since)
-        return now - heard
+            last_received = max(last_received, self.used_since)
+        return now - last_received
 
     def send_heartbeat(self, now: float, interval: float) -> None:
         """Send a heartbeat if nothing was sent for ``interval`` seconds."""
-        if now - self.last_sent >= interval and not self._urgent and not self._gossip:
+        if (
+            now - self.last_sent >= interval
+            and not self._undroppable
+            and not self._droppable
+        ):
             self.last_sent = now
             self.offer(OutgoingFrame(HEARTBEAT, "heartbeat"), droppable=True)
 
-    def excuse_silence(self) -> None:
+    def reset_silence(self) -> None:
         """Restart the measurement of silence after a pause of this process."""
         self._connection.last_received = asyncio.get_running_loop().time()
 
@@ -177,25 +186,25 @@
         """
         size = len(outgoing.frame)
         if droppable:
-            while self._gossip and self._lacks_room(size):
+            while self._droppable and self._lacks_room(size):
                 self._drop_oldest()
         if self._queued_bytes + size > MAX_QUEUED_BYTES:
             return False
         if droppable:
-            self._gossip.append(outgoing)
-        elif len(self._urgent) >= MAX_URGENT:
+            self._droppable.append(outgoing)
+        elif len(self._undroppable) >= MAX_UNDROPPABLE:
             return False
         else:
-            self._urgent.append(outgoing)
+            self._undroppable.append(outgoing)
         self._queued_bytes += size
-        self._filled.set()
+        self._not_empty.set()
         return True
 
     async def run(
-        self, receive: Callable[[Link, bytes], None], greeting: bytes = b""
+        self, receive: Callable[[Link, bytes], None], hello_frame: bytes = b""
     ) -> None:
-        """Send ``greeting`` if given, then read and write until the link is closed."""
-        writer = asyncio.create_task(self._write_forever(greeting))
+        """Send ``hello_frame`` if given, then read and write until closed."""
+        writer = asyncio.create_task(self._write_forever(hello_frame))
         try:
             async for data in self._connection:
                 if isinstance(data, str):
@@ -209,13 +218,13 @@
             await self.close(1000, "")
             self.ended = True
 
-    async def finish(self, code: int) -> None:
+    async def close_drained(self, code: int) -> None:
         """Close a link without pending work.
 
         Calls that arrive while it closes must not be handled, as the peer treats them
         as not handled and retries them on another link.
         """
-        self.finished = True
+        self.drained = True
         await self.close(code, ALL_ANSWERED)
 
     async def close(self, code: int, reason: str) -> None:
@@ -226,15 +235,15 @@
         """Drop the connection without a closing handshake."""
         self._connection.transport.abort()
 
-    async def _write_forever(self, greeting: bytes) -> None:
-        if greeting:
+    async def _write_forever(self, hello_frame: bytes) -> None:
+        if hello_frame:
             with suppress(ConnectionClosed):
-                await self._connection.send(greeting)
+                await self._connection.send(hello_frame)
         while True:
-            await self._filled.wait()
-            outgoing = self._take()
+            await self._not_empty.wait()
+            outgoing = self._pop()
             if outgoing is None:
-                self._filled.clear()
+                self._not_empty.clear()
                 continue
             if not outgoing.cancelled:
                 await self._write(outgoing)
@@ -255,8 +264,8 @@
             # the reader detects the closed connection too and ends the link
             await asyncio.sleep(0)
 
-    def _take(self) -> OutgoingFrame | None:
-        queue = self._urgent or self._gossip
+    def _pop(self) -> OutgoingFrame | None:
+        queue = self._undroppable or self._droppable
         if not queue:
             return None
         outgoing = queue.popleft()
@@ -264,11 +273,11 @@
         return outgoing
 
     def _lacks_room(self, size: int) -> bool:
-        if len(self._gossip) >= MAX_GOSSIP:
+        if len(self._droppable) >= MAX_DROPPABLE:
             return True
         return self._queued_bytes + size > MAX_QUEUED_BYTES
 
     def _drop_oldest(self) -> None:
-        oldest = self._gossip.popleft()
+        oldest = self._droppable.popleft()
         self._queued_bytes -= len(oldest.frame)
         self.dropped += 1
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
@@ -14,10 +14,10 @@
 from greengagelatch.peers.codec import PROTOCOL_VERSION, Envelope, decode, encode
 from greengagelatch.peers.messages import Hello
 
-from .peer_dials import DialPauses
-from .peer_endings import end_later
+from .dial_backoff import DialBackoff
+from .link_retirement import close_when_drained
+from .link_tie_break import replaces
 from .peer_link import CloseCode, Link
-from .peer_pairs import replaces
 from .peer_sockets import SocketOptions, Traffic, listen, open_connection
 
 if TYPE_CHECKING:
@@ -40,19 +40,19 @@
 MAX_DIALS = 16
 
 #: seconds without use after which a link may be evicted for another one
-UNUSED = 2.0
+EVICTION_IDLE_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LinkLimits:
     """Limits of links; times in seconds."""
 
-    heartbeat: float
-    silence: float
+    heartbeat_interval: float
+    silence_timeout: float
     #: factor by which both are longer on idle links
-    rest_factor: float
+    idle_factor: float
     open_timeout: float
-    idle: float
+    idle_timeout: float
     max_links: int
 
 
@@ -90,15 +90,15 @@
         limits: LinkLimits,
         random_source: random.Random,
         metrics: Metrics,
-        number: int,
+        last_hello_number: int,
     ) -> None:
         """Create the links.
 
-        :param number: sequence number before that of the first hello; must be higher
-            than any that an earlier process with the same id has sent.
+        :param last_hello_number: sequence number before that of the first hello; must
+            be higher than any that an earlier process with the same id has sent.
         """
         self._owner = owner
-        self._number = number
+        self._last_hello_number = last_hello_number
         self._limits = limits
         self._metrics = metrics
         self._traffic = Traffic()
@@ -108,7 +108,7 @@
         #: all open links, including retired ones
         self._running: set[Link] = set()
         self._dials: dict[str, asyncio.Task[Link | None]] = {}
-        self._pauses = DialPauses(random_source)
+        self._dial_backoff = DialBackoff(random_source)
         self._unidentified = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._closing = False
@@ -160,11 +160,11 @@
         dial = self._dials.get(instance_id)
         if dial is not None:
             return dial
-        if self._closing or self._pauses.lasts(instance_id):
+        if self._closing or self._dial_backoff.is_active(instance_id):
             return None
-        if self._is_of_another(instance_id, address):
+        if self._is_address_in_use(instance_id, address):
             return None
-        if len(self._dials) >= MAX_DIALS or not self._make_room():
+        if len(self._dials) >= MAX_DIALS or not self._ensure_capacity():
             self._metrics.count("peers.dials_refused")
             return None
         dial = asyncio.create_task(self._dial(instance_id, address))
@@ -172,7 +172,7 @@
         dial.add_done_callback(lambda _: self._dials.pop(instance_id, None))
         return dial
 
-    def _is_of_another(self, instance_id: str, address: str) -> bool:
+    def _is_address_in_use(self, instance_id: str, address: str) -> bool:
         """Whether an open link shows that another instance has this address.
 
         A process can reuse the address of an earlier one under a new id. A dial meant
@@ -191,22 +191,22 @@
         """
         return None if "" in self._dials else self.dial("", address)
 
-    def excuse_silence(self) -> None:
+    def reset_silence(self) -> None:
         """Restart the measurement of silence on all links after a process pause."""
         for link in self._links.values():
-            link.excuse_silence()
+            link.reset_silence()
 
-    def tend(self, kept: frozenset[str]) -> None:
-        """Send heartbeats, drop silent links, close idle ones to peers not in ``kept``.
+    def maintain(self, neighbours: frozenset[str]) -> None:
+        """Send heartbeats, drop silent links, close idle ones to non-neighbours.
 
         Heartbeats are rarer on idle links: at one in each direction every 0.3 s, an
         instance with eight links spends two thirds of its CPU time at idle on them.
         """
         now = asyncio.get_running_loop().time()
         for link in self.list_links():
-            factor = 1.0 if link.is_used(now) else self._limits.rest_factor
-            link.send_heartbeat(now, self._limits.heartbeat * factor)
-            if link.find_silence(now) > self._limits.silence * factor:
+            factor = 1.0 if link.is_used(now) else self._limits.idle_factor
+            link.send_heartbeat(now, self._limits.heartbeat_interval * factor)
+            if link.find_silence(now) > self._limits.silence_timeout * factor:
                 # A middlebox that has lost the state of an open connection drops its
                 # packets for good, while new connections work. Calls on it would
                 # time out; once dropped, it is replaced by a new dial.
@@ -215,9 +215,9 @@
                 link.silent = True
                 link.abort()
                 continue
-            idle = now - link.last_used > self._limits.idle
+            idle = now - link.last_used > self._limits.idle_timeout
             # only the side that opened a link closes it, as the other may still need it
-            if idle and link.initiated and link.instance_id not in kept:
+            if idle and link.initiated and link.instance_id not in neighbours:
                 self._retire(link, CloseCode.IDLE, "idle")
 
     # opening links
@@ -226,16 +226,16 @@
         self._metrics.count("peers.dials")
         match await self._open(instance_id, address):
             case Ok(link):
-                self._pauses.end(instance_id)
+                self._dial_backoff.record_success(instance_id)
                 return link
             case Err(reason):
-                held = self._links.get(instance_id)
-                if held is not None:
+                current = self._links.get(instance_id)
+                if current is not None:
                     # the peer has opened a link at the same time
-                    return held
+                    return current
                 self._metrics.count("peers.dial_failures")
                 logger.debug("no link to %s at %s: %s", instance_id, address, reason)
-                self._pauses.extend(instance_id)
+                self._dial_backoff.record_failure(instance_id)
                 return None
 
     async def _open(self, instance_id: str, address: str) -> Result[Link, str]:
@@ -243,12 +243,12 @@
             connection = await open_connection(address, self._traffic, self._options)
         except (OSError, TimeoutError, ValueError, WebSocketException) as error:
             return Err(str(error) or type(error).__name__)
-        held = self._links.get(instance_id)
-        if held is not None:
+        current = self._links.get(instance_id)
+        if current is not None:
             # the peer has dialled meanwhile; a hello sent now would tell it that this
             # side has no link, and replace the one in use
             self._spawn(connection.close(CloseCode.DUPLICATE, "duplicate"))
-            return Ok(held)
+            return Ok(current)
         own = self._create_hello()
         try:
             await connection.send(encode(Envelope(own)))
@@ -268,7 +268,7 @@
             peer=hello,
             initiated=True,
             traffic=self._traffic,
-            number=own.number,
+            hello_number=own.number,
         )
         self._register(link)
         self._spawn(self._run(link))
@@ -302,9 +302,9 @@
             peer=hello,
             initiated=False,
             traffic=self._traffic,
-            number=own.number,
+            hello_number=own.number,
         )
-        if self._closing or self._loses(link):
+        if self._closing or self._is_redundant(link):
             # the peer has received no hello yet, so no calls are pending on the link
             await connection.close(CloseCode.DUPLICATE, "duplicate")
             return
@@ -314,8 +314,8 @@
         await self._run(link, encode(Envelope(own)))
 
     def _create_hello(self) -> Hello:
-        self._number += 1
-        return replace(self._owner.create_hello(), number=self._number)
+        self._last_hello_number += 1
+        return replace(self._owner.create_hello(), number=self._last_hello_number)
 
     async def _read_hello(self, connection: Connection) -> Hello | None:
         async with asyncio.timeout(self._limits.open_timeout):
@@ -327,42 +327,44 @@
                 return hello
         return None
 
-    def _check_hello(self, hello: Hello | None, dialled: str) -> str:
+    def _check_hello(self, hello: Hello | None, dialled_id: str) -> str:
         if hello is None:
             return "no valid hello received"
         if hello.protocol != PROTOCOL_VERSION:
             return f"protocol version {hello.protocol!r}, expected {PROTOCOL_VERSION}"
-        if dialled and hello.instance_id != dialled:
-            return f"dialled instance {dialled!r}, but {hello.instance_id!r} answered"
+        if dialled_id and hello.instance_id != dialled_id:
+            return (
+                f"dialled instance {dialled_id!r}, but {hello.instance_id!r} answered"
+            )
         return self._owner.check_hello(hello)
 
     # choosing one link per peer
 
-    def _loses(self, link: Link) -> bool:
+    def _is_redundant(self, link: Link) -> bool:
         """Whether the link already in use is kept instead of ``link``."""
-        held = self._links.get(link.instance_id)
-        if held is None:
+        current = self._links.get(link.instance_id)
+        if current is None:
             return False
         own_id = self._owner.create_hello().instance_id
-        return not replaces(link, held, own_id, self._limits.open_timeout)
+        return not replaces(link, current, own_id, self._limits.open_timeout)
 
     def _register(self, link: Link) -> None:
         self._running.add(link)
-        if self._loses(link):
+        if self._is_redundant(link):
             # the peer may have sent calls on it before it learns of the link in use;
             # closing it at once would fail them though no instance was lost
             self._retire(link, CloseCode.DUPLICATE, "duplicate")
             return
-        held = self._links.get(link.instance_id)
-        if held is not None:
-            self._retire(held, CloseCode.DUPLICATE, "replaced")
+        current = self._links.get(link.instance_id)
+        if current is not None:
+            self._retire(current, CloseCode.DUPLICATE, "replaced")
         self._links[link.instance_id] = link
-        self._pauses.end(link.instance_id)
+        self._dial_backoff.record_success(link.instance_id)
         self._owner.handle_open(link)
 
-    async def _run(self, link: Link, greeting: bytes = b"") -> None:
+    async def _run(self, link: Link, hello_frame: bytes = b"") -> None:
         try:
-            await link.run(self._owner.handle_frame, greeting)
+            await link.run(self._owner.handle_frame, hello_frame)
         finally:
             self._running.discard(link)
             self._metrics.count("peers.dropped", link.dropped)
@@ -377,21 +379,23 @@
         """Stop using a link for new messages and close it once it is drained."""
         link.retired = True
         self._drop(link)
-        self._spawn(end_later(link, code, reason))
+        self._spawn(close_when_drained(link, code, reason))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         if len(self._links) + len(self._dials) < self._limits.max_links:
             return True
         own = [link for link in self._links.values() if link.initiated]
         now = asyncio.get_running_loop().time()
-        unused = [link for link in own if now - link.last_used > UNUSED]
-        if not unused:
+        evictable = [
+            link for link in own if now - link.last_used > EVICTION_IDLE_SECONDS
+        ]
+        if not evictable:
             return False
-        longest = min(unused, key=lambda link: link.last_used)
-        self._retire(longest, CloseCode.IDLE, "making room")
+        least_recent = min(evictable, key=lambda link: link.last_used)
+        self._retire(least_recent, CloseCode.IDLE, "making room")
         return True
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_sockets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_sockets.py
@@ -20,7 +20,7 @@
 __all__ = ("Connection", "SocketOptions", "Traffic", "listen", "open_connection")
 
 #: received frames that are buffered; above it, TCP applies backpressure
-READ_AHEAD = 16
+MAX_READ_AHEAD = 16
 
 #: bytes in the transport's write buffer above which writers are paused
 WRITE_LIMIT = 65_536
@@ -66,7 +66,7 @@
         self.frames_by_kind.clear()
 
 
-class _Counted:
+class _CountingConnection:
     """Mixin that counts a connection's bytes and records the last receipt."""
 
     def __init__(self, traffic: Traffic, *args: Any, **options: Any) -> None:
@@ -85,18 +85,18 @@
         super().send_data()
 
 
-class _CountedClient(_Counted, ClientConnection):
+class _CountingClient(_CountingConnection, ClientConnection):
     pass
 
 
-class _CountedServer(_Counted, ServerConnection):
+class _CountingServer(_CountingConnection, ServerConnection):
     pass
 
 
-Connection = _CountedClient | _CountedServer
+Connection = _CountingClient | _CountingServer
 
 
-def _list_options(options: SocketOptions) -> dict[str, Any]:
+def _create_options(options: SocketOptions) -> dict[str, Any]:
     return {
         "open_timeout": options.open_timeout,
         "close_timeout": CLOSE_TIMEOUT,
@@ -108,7 +108,7 @@
         # messages are too small to benefit, and each link would allocate buffers
         "compression": None,
         "max_size": MAX_MESSAGE_BYTES,
-        "max_queue": READ_AHEAD,
+        "max_queue": MAX_READ_AHEAD,
         "write_limit": WRITE_LIMIT,
     }
 
@@ -125,9 +125,9 @@
         accept,
         host,
         port,
-        create_connection=partial(_CountedServer, traffic),
+        create_connection=partial(_CountingServer, traffic),
         server_header=None,
-        **_list_options(options),
+        **_create_options(options),
     )
 
 
@@ -145,9 +145,9 @@
         # with an explicit host the library follows no redirect to another address
         host=host.strip("[]"),
         port=int(port),
-        create_connection=partial(_CountedClient, traffic),
+        create_connection=partial(_CountingClient, traffic),
         # the default uses a proxy from the environment
         proxy=None,
         user_agent_header=None,
-        **_list_options(options),
+        **_create_options(options),
     )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -31,7 +31,7 @@
 from .peer_calls import MessageDispatcher, encode_bounded
 from .peer_link import OutgoingFrame
 from .peer_links import LinkLimits, LinkOwner, PeerLinks
-from .peer_questions import PendingCalls
+from .pending_calls import PendingCalls
 
 if TYPE_CHECKING:
     import random
@@ -48,10 +48,10 @@
 logger = logging.getLogger(__name__)
 
 #: maximum seconds between two checks of the links
-TICK = 0.2
+MAX_TICK = 0.2
 
 #: maximum attempts of a call that was not sent because its link closed
-TRIES = 2
+MAX_ATTEMPTS = 2
 
 #: upper bound on the hellos that an instance sends in a second
 HELLOS_PER_SECOND = 1_000_000
@@ -88,15 +88,15 @@
         self._metrics = metrics
         self._listen: str = settings["peers.listen"]
         self._silence: float = settings["peers.silence"]
-        self._tick = min(TICK, settings["peers.heartbeat"])
+        self._tick = min(MAX_TICK, settings["peers.heartbeat"])
         self._advertise: str = settings["peers.advertise"]
         self._seeds = split_endpoints(settings["peers.seeds"])
         self._random = random_source
-        self._calls = MessageDispatcher(
-            max_in_work=settings["peers.in_work"], metrics=metrics
+        self._dispatcher = MessageDispatcher(
+            max_concurrent=settings["peers.in_work"], metrics=metrics
         )
-        self._questions = PendingCalls()
-        self._waiting: set[asyncio.Task[None]] = set()
+        self._pending_calls = PendingCalls()
+        self._pending_sends: set[asyncio.Task[None]] = set()
         self._last_report = 0.0
         self._last_tick: float | None = None
         self._links = PeerLinks(
@@ -105,7 +105,7 @@
             random_source=random_source,
             metrics=metrics,
             # like incarnations, numbers are higher in a later process with the same id
-            number=int(clock.wall() * HELLOS_PER_SECOND),
+            last_hello_number=int(clock.wall() * HELLOS_PER_SECOND),
         )
         self._membership = MembershipController(
             peers=self,
@@ -146,9 +146,9 @@
         dial = self._dial(instance_id)
         if dial is None:
             return False
-        task = asyncio.create_task(self._offer_later(dial, outgoing, message))
-        self._waiting.add(task)
-        task.add_done_callback(self._waiting.discard)
+        task = asyncio.create_task(self._offer_after_dial(dial, outgoing, message))
+        self._pending_sends.add(task)
+        task.add_done_callback(self._pending_sends.discard)
         return True
 
     async def ask(
@@ -158,18 +158,18 @@
         if encode_bounded(Envelope(message), self._metrics) is None:
             return _fail_unsent("the message is too large")
         answer = _fail_unsent(f"no link to {instance_id}")
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             link = await self._find_link(instance_id, deadline)
             if link is None:
                 return answer
-            link.note_use()
-            answer = await self._questions.ask(link, message, deadline)
+            link.record_use()
+            answer = await self._pending_calls.ask(link, message, deadline)
             if not _is_unsent(answer) or self._links.find(instance_id) is link:
                 return answer
         return answer
 
     def handle(self, message_type: type[Message], handler: MessageHandler) -> None:
-        self._calls.handle(message_type, handler)
+        self._dispatcher.handle(message_type, handler)
 
     def dump(self) -> dict[str, Any]:
         now = asyncio.get_running_loop().time()
@@ -185,8 +185,8 @@
         }
         return {
             "links": links,
-            "questions": len(self._questions),
-            "in_work": len(self._calls),
+            "questions": len(self._pending_calls),
+            "in_work": len(self._dispatcher),
             **self._membership.dump(),
         }
 
@@ -198,8 +198,8 @@
         self._membership.begin(self._advertise or f"{host}:{self.port}")
 
     async def on_stop(self) -> None:
-        await self._calls.stop()
-        tasks = tuple(self._waiting)
+        await self._dispatcher.stop()
+        tasks = tuple(self._pending_sends)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -207,18 +207,18 @@
         self._links.traffic.report(self._metrics)
 
     @Service.task
-    async def _tend_forever(self) -> None:
+    async def _maintain_links_forever(self) -> None:
         while not self.should_stop:
-            self.tend()
+            self.maintain_links()
             # cheaper than the sleep method of Service, which starts a task on each call
             await asyncio.sleep(self._tick)
 
-    def tend(self) -> None:
+    def maintain_links(self) -> None:
         """Maintain the links: drop silent ones, close idle ones, open missing ones."""
         now = self._clock.now()
-        self._notice_pause(now)
+        self._detect_pause(now)
         neighbours = self._membership.list_neighbours()
-        self._links.tend(frozenset(neighbours))
+        self._links.maintain(frozenset(neighbours))
         for instance_id in neighbours:
             if self._links.find(instance_id) is None:
                 self._dial(instance_id)
@@ -239,12 +239,12 @@
         if self._links.dial_any(self._random.choice(seeds)) is not None:
             self._metrics.count("peers.seed_dials")
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         last, self._last_tick = self._last_tick, now
         if last is not None and now - last > self._silence / 2:
             # a paused process reads nothing: data of the peers is still in the socket
             # buffers, so links must not be dropped as silent
-            self._links.excuse_silence()
+            self._links.reset_silence()
 
     # link owner
 
@@ -252,8 +252,8 @@
         return self._membership.describe()
 
     def check_hello(self, hello: Hello) -> str:
-        held = self._links.find(hello.instance_id)
-        linked_address = "" if held is None else held.peer.address
+        current = self._links.find(hello.instance_id)
+        linked_address = "" if current is None else current.peer.address
         return self._membership.find_fault(hello, linked_address)
 
     def handle_open(self, link: Link) -> None:
@@ -268,8 +268,8 @@
         self._membership.meet(identity, leaving=hello.leaving)
 
     def handle_closed(self, link: Link) -> None:
-        self._questions.abandon(link)
-        if not link.ended_in_order:
+        self._pending_calls.fail_calls(link)
+        if not link.closed_cleanly:
             self._membership.note_link_lost(link.instance_id)
 
     def handle_frame(self, link: Link, data: bytes) -> None:
@@ -278,7 +278,9 @@
                 self._dispatch(link, envelope)
             case Err(DecodeError(unknown=True) as error):
                 self._metrics.count("peers.unknown_messages")
-                self._calls.answer(link, error.call_id, NotUnderstood(error.reason))
+                self._dispatcher.send_answer(
+                    link, error.call_id, NotUnderstood(error.reason)
+                )
             case Err(error):
                 self._metrics.count("peers.bad_frames")
                 logger.warning(
@@ -291,19 +293,19 @@
     def _dispatch(self, link: Link, envelope: Envelope) -> None:
         message = envelope.message
         if envelope.reply_to:
-            if not self._questions.settle(link, envelope.reply_to, message):
+            if not self._pending_calls.deliver(link, envelope.reply_to, message):
                 self._metrics.count("peers.late_answers")
             return
         if not is_probe(message):
-            link.note_use()
-        self._calls.take(link, envelope.call_id, message)
+            link.record_use()
+        self._dispatcher.dispatch(link, envelope.call_id, message)
 
     def _offer(self, link: Link, outgoing: OutgoingFrame, message: Message) -> bool:
         if not is_probe(message):
-            link.note_use()
+            link.record_use()
         return link.offer(outgoing, droppable=True)
 
-    async def _offer_later(
+    async def _offer_after_dial(
         self, dial: asyncio.Task[Link | None], outgoing: OutgoingFrame, message: Message
     ) -> None:
         link = await asyncio.shield(dial)
@@ -348,10 +350,10 @@
 
 def _read_limits(settings: Settings) -> LinkLimits:
     return LinkLimits(
-        heartbeat=settings["peers.heartbeat"],
-        silence=settings["peers.silence"],
-        rest_factor=settings["peers.rest_factor"],
+        heartbeat_interval=settings["peers.heartbeat"],
+        silence_timeout=settings["peers.silence"],
+        idle_factor=settings["peers.rest_factor"],
         open_timeout=settings["peers.open_timeout"],
-        idle=settings["peers.idle"],
+        idle_timeout=settings["peers.idle"],
         max_links=settings["peers.max_links"],
     )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_questions.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/pending_calls.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Question:
+class _PendingCall:
     link: Link
     outgoing: OutgoingFrame
     answer: asyncio.Future[Message]
@@ -31,7 +31,7 @@
     """The link closed before the answer was received."""
 
 
-class UntouchedError(LinkClosedError):
+class NotHandledError(LinkClosedError):
     """The peer closed the link and has not handled the call."""
 
 
@@ -39,70 +39,72 @@
     """Pending calls by call id."""
 
     def __init__(self) -> None:
-        self._last = 0
-        self._open: dict[int, _Question] = {}
+        self._last_id = 0
+        self._calls: dict[int, _PendingCall] = {}
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._calls)
 
     async def ask(
         self, link: Link, message: Message, deadline: float
     ) -> Result[Message, PeerError]:
         """Send a call and wait for its answer until ``deadline``, a loop time."""
-        self._last += 1
-        number = self._last
-        frame = encode(Envelope(message, call_id=number))
+        self._last_id += 1
+        call_id = self._last_id
+        frame = encode(Envelope(message, call_id=call_id))
         outgoing = OutgoingFrame(frame, message.wire_name)
         if not link.offer(outgoing, droppable=False):
             return Err(
                 PeerError(PeerErrorKind.NOT_SENT, "the send queue of the link is full")
             )
         answer: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._open[number] = _Question(link, outgoing, answer)
-        link.questions += 1
+        self._calls[call_id] = _PendingCall(link, outgoing, answer)
+        link.pending_calls += 1
         try:
             async with asyncio.timeout_at(deadline):
                 reply = await answer
         except TimeoutError:
-            return Err(_explain(outgoing, "no answer before the deadline"))
-        except UntouchedError:
+            return Err(_create_error(outgoing, "no answer before the deadline"))
+        except NotHandledError:
             reason = "the peer closed the link without handling the call"
             return Err(PeerError(PeerErrorKind.NOT_SENT, reason))
         except LinkClosedError:
             if link.silent:
-                return Err(_explain(outgoing, "the link was dropped as silent"))
-            return Err(_explain(outgoing, "the link closed", cut=True))
+                return Err(_create_error(outgoing, "the link was dropped as silent"))
+            return Err(_create_error(outgoing, "the link closed", disconnected=True))
         finally:
-            link.questions -= 1
+            link.pending_calls -= 1
             outgoing.cancelled = True
-            del self._open[number]
-        return _read_reply(reply)
+            del self._calls[call_id]
+        return _parse_answer(reply)
 
-    def settle(self, link: Link, number: int, reply: Message) -> bool:
+    def deliver(self, link: Link, call_id: int, reply: Message) -> bool:
         """Deliver an answer; ``False`` if no call on that link waits for it."""
-        question = self._open.get(number)
+        call = self._calls.get(call_id)
         # accept answers only from the peer that was called: one with wrong call ids
         # could otherwise answer a call to another peer
-        if question is None or question.link is not link or question.answer.done():
+        if call is None or call.link is not link or call.answer.done():
             return False
-        question.answer.set_result(reply)
+        call.answer.set_result(reply)
         return True
 
-    def abandon(self, link: Link) -> None:
+    def fail_calls(self, link: Link) -> None:
         """Fail all pending calls on a closed link."""
-        error = UntouchedError if link.peer_finished else LinkClosedError
-        for question in self._open.values():
-            if question.link is link and not question.answer.done():
-                question.answer.set_exception(error())
+        error = NotHandledError if link.peer_drained else LinkClosedError
+        for call in self._calls.values():
+            if call.link is link and not call.answer.done():
+                call.answer.set_exception(error())
 
 
-def _explain(outgoing: OutgoingFrame, reason: str, *, cut: bool = False) -> PeerError:
+def _create_error(
+    outgoing: OutgoingFrame, reason: str, *, disconnected: bool = False
+) -> PeerError:
     if outgoing.handed_over:
-        return PeerError(PeerErrorKind.NO_ANSWER, reason, cut)
-    return PeerError(PeerErrorKind.NOT_SENT, f"{reason}; it was not sent", cut)
+        return PeerError(PeerErrorKind.NO_ANSWER, reason, disconnected)
+    return PeerError(PeerErrorKind.NOT_SENT, f"{reason}; it was not sent", disconnected)
 
 
-def _read_reply(reply: Message) -> Result[Message, PeerError]:
+def _parse_answer(reply: Message) -> Result[Message, PeerError]:
     match reply:
         case NotUnderstood(reason):
             error = PeerError(PeerErrorKind.REFUSED, f"not understood: {reason}")
--- a/tests/test_entry/test_adapters/test_crossed_links.py
+++ b/tests/test_entry/test_adapters/test_crossed_links.py
@@ -17,9 +17,9 @@
 from greengagelatch.peers.codec import Message, register
 from greengagelatch.peers.messages import Hello
 from greengagelatch.settings import parse
-from greengagelatch_entry.adapters import peer_endings, peer_links
+from greengagelatch_entry.adapters import link_retirement, peer_links
+from greengagelatch_entry.adapters.link_tie_break import replaces
 from greengagelatch_entry.adapters.peer_link import CloseCode, Link
-from greengagelatch_entry.adapters.peer_pairs import replaces
 from greengagelatch_entry.adapters.peer_sockets import Traffic
 from greengagelatch_entry.adapters.peers import PeerHub
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
@@ -316,11 +316,11 @@
     """
     first, second = await meet(start)
     link = first.find_link("e-2")
-    link.finished = True
+    link.drained = True
     asked = asyncio.create_task(second.hub.ask("e-1", Echo("x"), TIMEOUT))
     unread = first.metrics
     await wait_until(lambda: unread.value("peers.untouched_questions") == 1)
-    await link.finish(CloseCode.IDLE)
+    await link.close_drained(CloseCode.IDLE)
     assert await asked == Ok(Echo("x"))
     assert first.echoed == ["x"]
 
@@ -333,17 +333,17 @@
     Cause: it was closed at that time, whatever was under way on it.
     """
     looks = 0
-    under_way = Link.under_way.fget
+    has_pending_work = Link.has_pending_work.fget
 
     def look(link: Link) -> bool:
         nonlocal looks
         looks += 1
-        return under_way(link)
+        return has_pending_work(link)
 
     first, second = await meet(start)
-    monkeypatch.setattr(Link, "under_way", property(look))
-    monkeypatch.setattr(peer_endings, "RETIREMENT", 0.0)
-    monkeypatch.setattr(peer_endings, "LOOK_INTERVAL", 0.01)
+    monkeypatch.setattr(Link, "has_pending_work", property(look))
+    monkeypatch.setattr(link_retirement, "MIN_RETIREMENT", 0.0)
+    monkeypatch.setattr(link_retirement, "POLL_INTERVAL", 0.01)
     asking, asked = (first, second) if asks == "e-1" else (second, first)
     other = asked.hub.instance_id
     waiting = asyncio.create_task(asking.hub.ask(other, Hold(), TIMEOUT))
@@ -364,8 +364,8 @@
     kept for good, or closed as one on which all is answered.
     """
     first, second = await meet(start)
-    monkeypatch.setattr(peer_endings, "RETIREMENT", 0.0)
-    monkeypatch.setattr(peer_endings, "LONGEST_RETIREMENT", 0.0)
+    monkeypatch.setattr(link_retirement, "MIN_RETIREMENT", 0.0)
+    monkeypatch.setattr(link_retirement, "MAX_RETIREMENT", 0.0)
     waiting = asyncio.create_task(second.hub.ask("e-1", Hold(), TIMEOUT))
     await wait_until(lambda: first.holds == 1)
     link = first.retire("e-2")
@@ -385,7 +385,7 @@
     has accepted was replaced shortly before. Cause: only the links in use were
     closed, and the server waits for all.
     """
-    monkeypatch.setattr(peer_endings, "RETIREMENT", 3600.0)
+    monkeypatch.setattr(link_retirement, "MIN_RETIREMENT", 3600.0)
     _, second = await meet(start)
     link = second.retire("e-1")
     async with asyncio.timeout(TIMEOUT):
@@ -400,7 +400,7 @@
         peer=Hello(instance_id=other, number=numbers[other]),
         initiated=dialler == own,
         traffic=Traffic(),
-        number=numbers[own],
+        hello_number=numbers[own],
     )
 
 
--- a/tests/test_entry/test_adapters/test_peer_calls.py
+++ b/tests/test_entry/test_adapters/test_peer_calls.py
@@ -24,8 +24,8 @@
     """Takes what is answered."""
 
     instance_id: str = "e-2"
-    finished: bool = False
-    calls: int = 0
+    drained: bool = False
+    active_handlers: int = 0
     answered: list[tuple[int, Message]] = field(default_factory=list)
 
     def offer(self, outgoing, *, droppable: bool) -> bool:
@@ -38,10 +38,12 @@
     """Calls whose handler waits for work of its own."""
 
     def __init__(self) -> None:
-        self.calls = MessageDispatcher(max_in_work=8, metrics=Metrics("127.0.0.1:9"))
+        self.dispatcher = MessageDispatcher(
+            max_concurrent=8, metrics=Metrics("127.0.0.1:9")
+        )
         self.link = FakeLink()
         self.work = asyncio.ensure_future(asyncio.Event().wait())
-        self.calls.handle(Hold, self._wait)
+        self.dispatcher.handle(Hold, self._wait)
 
     async def _wait(self, sender: str, message: Hold) -> None:
         await asyncio.shield(self.work)
@@ -61,17 +63,17 @@
     peer waits until the link ends, last of all.
     Cause: a handler that is cancelled gave no answer.
     """
-    world.calls.take(world.link, 7, Hold())
+    world.dispatcher.dispatch(world.link, 7, Hold())
     await asyncio.sleep(0)
     world.work.cancel()
     await asyncio.sleep(0.01)
     assert world.link.answered == [(7, Unanswered())]
-    assert len(world.calls) == 0
+    assert len(world.dispatcher) == 0
 
 
 async def test_stop_answers_what_is_under_way(world):
-    world.calls.take(world.link, 7, Hold())
+    world.dispatcher.dispatch(world.link, 7, Hold())
     await asyncio.sleep(0)
-    await world.calls.stop()
+    await world.dispatcher.stop()
     assert world.link.answered == [(7, Unanswered())]
-    assert world.link.calls == 0
+    assert world.link.active_handlers == 0
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -24,7 +24,7 @@
 )
 from greengagelatch.peers.messages import Hello
 from greengagelatch.settings import parse
-from greengagelatch_entry.adapters.peer_link import MAX_GOSSIP, Link, OutgoingFrame
+from greengagelatch_entry.adapters.peer_link import MAX_DROPPABLE, Link, OutgoingFrame
 from greengagelatch_entry.adapters.peer_sockets import Traffic
 from greengagelatch_entry.adapters.peers import PeerHub
 from greengagelatch_entry.controllers.drain import DRAIN_STARTED
@@ -302,7 +302,7 @@
     for link in hub._links.list_links():
         link.opened -= 60.0
         link._connection.last_received -= 60.0
-    hub.tend()
+    hub.maintain_links()
     assert trio[0].metrics.value("peers.silent_links") == 0
     assert trio[0].count_links() == 2
     assert know_each_other(trio[0], trio)
@@ -346,7 +346,7 @@
     await wait_until(lambda: all(know_each_other(peer, trio) for peer in trio))
     dials = new.metrics.value("peers.seed_dials")
     assert dials >= 1
-    new.hub.tend()
+    new.hub.maintain_links()
     assert new.metrics.value("peers.seed_dials") == dials
 
 
@@ -362,7 +362,7 @@
     await wait_until(lambda: new.find_state("e-1") is MemberState.LEAVING)
     dials = new.metrics.value("peers.seed_dials")
     for _ in range(5):
-        new.hub.tend()
+        new.hub.maintain_links()
     assert new.metrics.value("peers.seed_dials") == dials
 
 
@@ -414,13 +414,13 @@
     """
     link = Link(connection=None, peer=Hello(), initiated=True, traffic=Traffic())
     answers = [OutgoingFrame(b"answer", "a") for _ in range(10)]
-    for number in range(MAX_GOSSIP * 2):
+    for number in range(MAX_DROPPABLE * 2):
         assert link.offer(OutgoingFrame(b"%d" % number, "g"), droppable=True)
         if number < 10:
             assert link.offer(answers[number], droppable=False)
-    assert link.dropped == MAX_GOSSIP
-    taken = [link._take() for _ in range(MAX_GOSSIP + 10)]
+    assert link.dropped == MAX_DROPPABLE
+    taken = [link._pop() for _ in range(MAX_DROPPABLE + 10)]
     assert taken[:10] == answers
-    assert taken[10].frame == b"%d" % MAX_GOSSIP
-    assert link._take() is None
+    assert taken[10].frame == b"%d" % MAX_DROPPABLE
+    assert link._pop() is None
     assert not link.offer(OutgoingFrame(b"x" * 2**23, "q"), droppable=False)
