--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_bodies.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_bodies.py
@@ -50,10 +50,10 @@
         if len(body) > limit:
             raise BodyError(STATUS_TOO_LARGE, _refuse_size(limit, str(len(body))))
         return body
-    await _invite_body(request)
+    await _send_continue(request)
     try:
         async with asyncio.timeout(timeout):
-            return await _collect(content, limit)
+            return await _read_chunks(content, limit)
     except TimeoutError:
         message = f"request body not received within {timeout:g} s"
         raise BodyError(STATUS_TIMEOUT, _refuse_body(message)) from None
@@ -62,7 +62,7 @@
         raise BodyError(400, _refuse_body(message)) from None
 
 
-async def _collect(content: StreamReader, limit: int) -> bytes:
+async def _read_chunks(content: StreamReader, limit: int) -> bytes:
     chunks: list[bytes] = []
     size = 0
     while chunk := await content.readany():
@@ -73,7 +73,7 @@
     return b"".join(chunks)
 
 
-async def _invite_body(request: web.BaseRequest) -> None:
+async def _send_continue(request: web.BaseRequest) -> None:
     """Send ``100 Continue`` if the caller expects it (RFC 9110, section 10.1.1)."""
     if request.headers.get("Expect", "").lower() != "100-continue":
         return
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
@@ -36,10 +36,10 @@
 #: short, as a planned stop drains requests before the server is closed
 CLOSE_TIMEOUT = 0.1
 #: seconds that a stop waits for the rest of the headers after their first byte
-HEAD_SECONDS = 0.5
+HEADER_SECONDS = 0.5
 #: seconds for which the rest of a rejected body is read and discarded, as a reset of
 #: the connection could lose the response
-LINGER = 1.0
+LINGER_SECONDS = 1.0
 #: milliseconds after which a caller may retry when all connections are in use
 FULL_RETRY_MS = 1000
 #: maximum number of header lines of a request
@@ -47,9 +47,9 @@
 #: maximum characters of an invalid value in an error message
 MAX_SHOWN = 64
 #: seconds without traffic until the kernel sends the first TCP keepalive probe
-PROBE_AFTER = 10
+KEEPALIVE_IDLE = 10
 #: seconds between two keepalive probes
-PROBE_INTERVAL = 5
+KEEPALIVE_INTERVAL = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
             handler_cancellation=True,
             access_log=None,
             keepalive_timeout=idle_timeout,
-            lingering_time=LINGER,
+            lingering_time=LINGER_SECONDS,
             max_line_size=max_header_bytes,
             max_field_size=max_header_bytes,
             max_headers=MAX_HEADERS,
@@ -96,7 +96,7 @@
     def create(self) -> asyncio.BaseProtocol:
         """Create the protocol of a newly accepted connection."""
         if len(self) >= self._max_connections:
-            return _TurnAway(self._max_connections)
+            return _RejectingProtocol(self._max_connections)
         return self._server()
 
     def close_idle(self) -> int:
@@ -123,7 +123,7 @@
     def count_busy(self) -> int:
         """Count the connections on which a request is read or a response is sent.
 
-        Requests whose headers are incomplete :data:`HEAD_SECONDS` after their first
+        Requests whose headers are incomplete :data:`HEADER_SECONDS` after their first
         byte are not counted.
         """
         now = asyncio.get_running_loop().time()
@@ -149,7 +149,7 @@
     ) -> None:
         super().__init__(handle, **options)
         self._write_timeout = write_timeout
-        self.numbers = count(1)
+        self.connection_numbers = count(1)
         #: whether connections are closed once they become idle
         self.closing = False
 
@@ -169,17 +169,17 @@
         #: would have its request forwarded although the caller is disconnected
         self.busy = False
         #: event loop time in seconds at which the first byte of the request was read
-        self._began = 0.0
+        self._started_at = 0.0
         #: whether that request started after the shutdown of connections began
-        self.late = False
+        self.started_while_closing = False
         #: sequence number among the connections of this process
-        self.number = next(server.numbers)
+        self.number = next(server.connection_numbers)
         #: requests received on this connection
         self.requests = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        _detect_loss(transport.get_extra_info("socket"), self._write_timeout)
+        _enable_loss_detection(transport.get_extra_info("socket"), self._write_timeout)
 
     def data_received(self, data: bytes) -> None:
         if data and not self.busy:
@@ -188,15 +188,15 @@
 
     def _begin(self) -> None:
         self.busy = True
-        self._began = self._loop.time()
-        self.late = self._callers_server.closing
+        self._started_at = self._loop.time()
+        self.started_while_closing = self._callers_server.closing
 
     def is_busy(self, now: float) -> bool:
         """Whether a request is in progress or response bytes are still buffered.
 
         :param now: event loop time in seconds
         """
-        if self.busy and now - self._began < HEAD_SECONDS:
+        if self.busy and now - self._started_at < HEADER_SECONDS:
             return True
         transport = self.transport
         return transport is not None and transport.get_write_buffer_size() > 0
@@ -265,25 +265,27 @@
     connection = request.protocol
     if not isinstance(connection, _Connection):
         return RequestPosition()
-    return RequestPosition(connection.number, connection.requests, connection.late)
+    return RequestPosition(
+        connection.number, connection.requests, connection.started_while_closing
+    )
 
 
 def _find_readable(connections: Iterable[_Connection]) -> set[_Connection]:
     """Return the connections whose sockets have unread data."""
     poll = select.poll()
-    by_number: dict[int, _Connection] = {}
+    by_descriptor: dict[int, _Connection] = {}
     for connection in connections:
         if connection.transport is None:
             continue
-        number = connection.transport.get_extra_info("socket").fileno()
-        if number < 0:
+        descriptor = connection.transport.get_extra_info("socket").fileno()
+        if descriptor < 0:
             continue
-        by_number[number] = connection
-        poll.register(number, select.POLLIN)
-    return {by_number[number] for number, _ in poll.poll(0)}
+        by_descriptor[descriptor] = connection
+        poll.register(descriptor, select.POLLIN)
+    return {by_descriptor[descriptor] for descriptor, _ in poll.poll(0)}
 
 
-def _detect_loss(connection: socket.socket, write_timeout: float) -> None:
+def _enable_loss_detection(connection: socket.socket, write_timeout: float) -> None:
     """Make the kernel drop a connection whose peer is unreachable.
 
     Without this, requests of a caller that vanished without closing its connection
@@ -293,14 +295,14 @@
     limit = int(write_timeout * 1000)
     options = (
         (socket.TCP_USER_TIMEOUT, limit),
-        (socket.TCP_KEEPIDLE, PROBE_AFTER),
-        (socket.TCP_KEEPINTVL, PROBE_INTERVAL),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL),
     )
     for option, value in options:
         connection.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
-class _TurnAway(asyncio.Protocol):
+class _RejectingProtocol(asyncio.Protocol):
     """Rejects a connection above the limit with a response and closes it.
 
     Without a response the caller would see a reset and could not tell whether its
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_listener.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_listener.py
@@ -93,12 +93,12 @@
         that went on would abort them after they were forwarded.
         """
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout
+        deadline = loop.time() + timeout
         while self._in_flight or self._count_busy():
-            left = end - loop.time()
-            if left <= 0:
+            remaining = deadline - loop.time()
+            if remaining <= 0:
                 return False
-            await asyncio.sleep(min(IDLE_POLL, left))
+            await asyncio.sleep(min(IDLE_POLL, remaining))
         return True
 
     def _count_busy(self) -> int:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_stream.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_stream.py
@@ -20,7 +20,7 @@
 
 #: maximum bytes of a write to an empty buffer that is made without a timer: it never
 #: blocks, as asyncio pauses writers only from 64 KiB on
-SMALL_WRITE = 32 * 1024
+MAX_UNTIMED_WRITE = 32 * 1024
 
 
 class CallerStream:
@@ -30,7 +30,7 @@
     ``limit`` bytes are unwritten, or a write takes longer than ``write_timeout``
     seconds, the caller is considered gone.
 
-    :param give_up: called if the caller does not read; cancels the request
+    :param on_abandoned: called if the caller does not read; cancels the request
     """
 
     def __init__(
@@ -40,20 +40,20 @@
         *,
         limit: int,
         write_timeout: float,
-        give_up: Callable[[], None],
+        on_abandoned: Callable[[], None],
     ) -> None:
         self._request = request
         self._response = response
         self._limit = limit
         self._write_timeout = write_timeout
-        self._give_up = give_up
+        self._on_abandoned = on_abandoned
         self._pending: list[bytes] = []
-        self._size = 0
+        self._unwritten_bytes = 0
         self._count = 0
         self._digest = xxhash.xxh64()
-        self._wanted = asyncio.Event()
+        self._data_ready = asyncio.Event()
         self._finished = False
-        self._gone = False
+        self._abandoned = False
         self._writer: asyncio.Task[None] | None = None
 
     @property
@@ -61,7 +61,7 @@
         """Whether the response was started."""
         return self._writer is not None
 
-    def take_token(self, offset: int, text: str) -> None:
+    def send_token(self, offset: int, text: str) -> None:
         """Queue a token event."""
         if self._writer is None:
             self._writer = asyncio.create_task(self._write())
@@ -77,7 +77,7 @@
             fields = describe_refusal(answer.request_id, answer.refusal)
             event = encode_event("refusal", fields)
         else:
-            self._give_whole(answer.result)
+            self._send_unstreamed_result(answer.result)
             fields = describe_end(
                 answer, count=self._count, digest=self._digest.hexdigest()
             )
@@ -94,54 +94,54 @@
         # also retrieves an error that was raised before the request was cancelled
         await asyncio.gather(self._writer, return_exceptions=True)
 
-    def _give_whole(self, result: Any) -> None:
+    def _send_unstreamed_result(self, result: Any) -> None:
         # a replayed result, or one of a target that does not stream, has no tokens:
         # the caller gets it as a single one
         if self._count == 0 and isinstance(result, str) and result:
-            self.take_token(0, result)
+            self.send_token(0, result)
 
     def _queue(self, event: bytes) -> None:
-        if self._gone:
-            self._wanted.set()
+        if self._abandoned:
+            self._data_ready.set()
             return
         self._pending.append(event)
-        self._size += len(event)
-        self._wanted.set()
-        if self._size > self._limit and not self._finished:
+        self._unwritten_bytes += len(event)
+        self._data_ready.set()
+        if self._unwritten_bytes > self._limit and not self._finished:
             self._abandon()
 
     def _abandon(self) -> None:
-        self._gone = True
+        self._abandoned = True
         self._pending.clear()
-        self._give_up()
+        self._on_abandoned()
 
     async def _write(self) -> None:
         try:
             async with asyncio.timeout(self._write_timeout):
                 await self._response.prepare(self._request)
             while not (self._finished and not self._pending):
-                await self._wanted.wait()
-                self._wanted.clear()
+                await self._data_ready.wait()
+                self._data_ready.clear()
                 chunk = b"".join(self._pending)
                 self._pending.clear()
-                if self._takes_at_once(chunk):
+                if self._fits_write_buffer(chunk):
                     await self._response.write(chunk)
                 else:
                     async with asyncio.timeout(self._write_timeout):
                         await self._response.write(chunk)
-                self._size -= len(chunk)
+                self._unwritten_bytes -= len(chunk)
             async with asyncio.timeout(self._write_timeout):
                 await self._response.write_eof()
         except (TimeoutError, ConnectionError):
             self._abandon()
             raise
 
-    def _takes_at_once(self, chunk: bytes) -> bool:
+    def _fits_write_buffer(self, chunk: bytes) -> bool:
         """Whether a write can't block, so that it needs no timer.
 
         A timer for each token would cost as much as the write.
         """
         transport = self._request.transport
-        if transport is None or len(chunk) > SMALL_WRITE:
+        if transport is None or len(chunk) > MAX_UNTIMED_WRITE:
             return False
         return transport.get_write_buffer_size() == 0
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -38,7 +38,7 @@
 STATUS_METHOD_NOT_ALLOWED = 405
 EVENT_STREAM = "text/event-stream"
 #: maximum bytes of a response that the connection's buffer takes without blocking
-SMALL_ANSWER = 32 * 1024
+MAX_UNTIMED_RESPONSE = 32 * 1024
 #: maximum characters of an invalid value in an error message
 MAX_SHOWN = 64
 
@@ -105,8 +105,8 @@
         request_id = self._identifier.create_request_id()
         if find_position(request).received_while_closing:
             # it might not be finished before the process is killed
-            return await self._refuse(request, request_id, 0, _refuse_late())
-        refusal, status = _check_line(request)
+            return await self._refuse(request, request_id, 0, _refuse_stopping())
+        refusal, status = _check_request_line(request)
         if refusal is not None:
             return await self._refuse(request, request_id, status, refusal)
         try:
@@ -160,7 +160,10 @@
         try:
             # a small response goes to the buffer without blocking; if the caller
             # does not read it, TCP_USER_TIMEOUT closes the connection
-            if len(body) <= SMALL_ANSWER and not request.protocol.writing_paused:
+            if (
+                len(body) <= MAX_UNTIMED_RESPONSE
+                and not request.protocol.writing_paused
+            ):
                 await _write(request, response)
                 return response
             async with asyncio.timeout(self._limits.write_timeout):
@@ -182,9 +185,9 @@
             response,
             limit=self._limits.max_unwritten_bytes,
             write_timeout=self._limits.write_timeout,
-            give_up=lambda: self._abandon(request),
+            on_abandoned=lambda: self._abandon(request),
         )
-        exchange.on_token = stream.take_token
+        exchange.on_token = stream.send_token
         try:
             answer = await self._handler(exchange)
             if answer.refusal is not None and not stream.started:
@@ -211,7 +214,7 @@
     await response.write_eof()
 
 
-def _refuse_late() -> Refusal:
+def _refuse_stopping() -> Refusal:
     return Refusal(
         code=RefusalCode.NOT_READY,
         message="this instance is stopping",
@@ -219,7 +222,7 @@
     )
 
 
-def _check_line(request: web.BaseRequest) -> tuple[Refusal | None, int]:
+def _check_request_line(request: web.BaseRequest) -> tuple[Refusal | None, int]:
     path = request.path
     name = path[len(PATH_PREFIX) :]
     if not path.startswith(PATH_PREFIX) or not name or "/" in name:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_answers.py
@@ -23,7 +23,7 @@
     Unsettled,
 )
 
-__all__ = ("answer_json", "describe_outcome", "describe_problems")
+__all__ = ("create_json_response", "create_outcome_response", "describe_problems")
 
 #: milliseconds after which a change that was not applied may be retried
 RETRY_AFTER_MS = 1000
@@ -35,12 +35,12 @@
 }
 
 
-def answer_json(body: dict[str, Any], *, status: int = 200) -> web.Response:
+def create_json_response(body: dict[str, Any], *, status: int = 200) -> web.Response:
     """Return a JSON response; ``retry_after_ms`` also sets ``Retry-After``."""
     headers = {}
-    wait = body.get("retry_after_ms")
-    if wait is not None:
-        headers["Retry-After"] = str(-(-wait // 1000))
+    retry_after_ms = body.get("retry_after_ms")
+    if retry_after_ms is not None:
+        headers["Retry-After"] = str(-(-retry_after_ms // 1000))
     return web.json_response(body, status=status, headers=headers)
 
 
@@ -55,7 +55,9 @@
     }
 
 
-def describe_outcome(request: ChangeRequest, outcome: ChangeOutcome) -> web.Response:
+def create_outcome_response(
+    request: ChangeRequest, outcome: ChangeOutcome
+) -> web.Response:
     """Return the response that reports the outcome of a change."""
     change_id = request.change_id
     body: dict[str, Any] = {"change_id": change_id}
@@ -65,17 +67,17 @@
             body["generation"] = outcome.generation
             body["repeated"] = outcome.repeated
             body["changed"] = list(outcome.changed)
-            return answer_json(body)
+            return create_json_response(body)
         case Checked():
             body["state"] = "checked"
             body["generation"] = outcome.generation
             body["changed"] = [_describe_difference(item) for item in outcome.changed]
-            return answer_json(body)
+            return create_json_response(body)
         case Conflicted():
             body["state"] = "conflict"
             body["generation"] = outcome.generation
             body["conflicts"] = [_describe_conflict(item) for item in outcome.conflicts]
-            return answer_json(body, status=409)
+            return create_json_response(body, status=409)
         case Refused():
             return _describe_refusal(change_id, outcome)
         case NotApplied():
@@ -83,12 +85,12 @@
             body["message"] = outcome.message
             body["base"] = outcome.base
             body["retry_after_ms"] = RETRY_AFTER_MS
-            return answer_json(body, status=503)
+            return create_json_response(body, status=503)
         case Unsettled():
             body["state"] = "unknown"
             body["message"] = outcome.message
             body["base"] = outcome.base
-            return answer_json(body, status=504)
+            return create_json_response(body, status=504)
 
 
 def _describe_refusal(change_id: str, outcome: Refused) -> web.Response:
@@ -97,7 +99,7 @@
     body["message"] = outcome.message
     if outcome.code is RefusedCode.UNKNOWN_GENERATION:
         body["oldest"] = outcome.oldest
-    return answer_json(body, status=_REFUSED_STATUS[outcome.code])
+    return create_json_response(body, status=_REFUSED_STATUS[outcome.code])
 
 
 def _describe_difference(item: Difference) -> dict[str, Any]:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
@@ -12,13 +12,13 @@
 from greengagelatch.config.problems import MAX_SHOWN_VALUE, Problem
 from greengagelatch.config.requests import ChangeMode, ChangeRequest, is_change_id
 
-__all__ = ("MAX_TEXT", "read_change")
+__all__ = ("MAX_TEXT_LENGTH", "read_change")
 
 #: maximum characters of INI text in one change
-MAX_TEXT = 512 * 1024
+MAX_TEXT_LENGTH = 512 * 1024
 
 #: INI sections parsed before the event loop gets control to serve requests
-SECTIONS_IN_A_ROW = 5
+SECTIONS_PER_TURN = 5
 
 #: maximum number of objects that one change may delete
 MAX_NAMES = 4096
@@ -123,8 +123,8 @@
 
     async def read_objects(self, file: str) -> tuple[ConfigObject, ...]:
         text = self.read_text("text")
-        if len(text) > MAX_TEXT:
-            reason = f"must be at most {MAX_TEXT} characters long"
+        if len(text) > MAX_TEXT_LENGTH:
+            reason = f"must be at most {MAX_TEXT_LENGTH} characters long"
             self._add("text", text[:MAX_SHOWN_VALUE], reason)
             return ()
         match await _parse(text, file):
@@ -178,5 +178,5 @@
         except StopIteration as stop:
             return stop.value
         count += 1
-        if count % SECTIONS_IN_A_ROW == 0:
+        if count % SECTIONS_PER_TURN == 0:
             await asyncio.sleep(0)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/event_stream.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/event_stream.py
@@ -35,7 +35,7 @@
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._rest = b""
+        self._buffer = b""
         self._name = ""
         self._data: list[bytes] = []
         self._size = 0
@@ -45,20 +45,20 @@
 
         :raises EventTooLargeError: if an unfinished event exceeds the limit
         """
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._buffer + chunk).split(b"\n")
+        self._buffer = lines.pop()
         events: list[Event] = []
         for line in lines:
-            event = self._take_line(line.removesuffix(b"\r"))
+            event = self._parse_line(line.removesuffix(b"\r"))
             if event is not None:
                 events.append(event)
-        if self._size + len(self._rest) > self._limit:
+        if self._size + len(self._buffer) > self._limit:
             raise EventTooLargeError(f"event exceeds the limit of {self._limit} bytes")
         return events
 
-    def _take_line(self, line: bytes) -> Event | None:
+    def _parse_line(self, line: bytes) -> Event | None:
         if not line:
-            return self._finish()
+            return self._finish_event()
         field, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if field == b"event":
@@ -68,7 +68,7 @@
             self._size += len(value)
         return None
 
-    def _finish(self) -> Event | None:
+    def _finish_event(self) -> Event | None:
         event = None
         if self._data:
             event = Event(self._name or "message", b"\n".join(self._data))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
@@ -52,14 +52,14 @@
         self._digest = b""
         self._listing: Listing | None = None
         #: rows of the last listing by instance id, raw and parsed
-        self._known: dict[str, tuple[dict[str, Any], Instance]] = {}
+        self._parsed_rows: dict[str, tuple[dict[str, Any], Instance]] = {}
 
     async def fetch(self) -> Result[Listing, StoreError]:
         self._metrics.count("instances.calls")
         try:
             async with self._open_session().get(self._url) as response:
                 if response.status != 200:
-                    return Err(_explain_status(response.status))
+                    return Err(_create_status_error(response.status))
                 body = await self._read_body(response)
         except TimeoutError:
             return Err(
@@ -125,35 +125,35 @@
 
     async def _read_rows(self, rows: list[Any]) -> tuple[Instance, ...]:
         instances = []
-        known: dict[str, tuple[dict[str, Any], Instance]] = {}
-        bad = 0
+        parsed_rows: dict[str, tuple[dict[str, Any], Instance]] = {}
+        invalid = 0
         for number, row in enumerate(rows, start=1):
             if number % ROWS_PER_TURN == 0:
                 await asyncio.sleep(0)
-            instance = self._find_known(row) or parse_row(row)
+            instance = self._find_parsed(row) or parse_row(row)
             if instance is None:
-                bad += 1
+                invalid += 1
                 continue
-            known[instance.instance_id] = (row, instance)
+            parsed_rows[instance.instance_id] = (row, instance)
             instances.append(instance)
-        self._known = known
-        if bad:
+        self._parsed_rows = parsed_rows
+        if invalid:
             # one invalid row must not hide all other instances
-            self._metrics.count("instances.bad_rows", bad)
-            logger.warning("skipped %s invalid rows of the instance list", bad)
+            self._metrics.count("instances.bad_rows", invalid)
+            logger.warning("skipped %s invalid rows of the instance list", invalid)
         return tuple(instances)
 
-    def _find_known(self, row: Any) -> Instance | None:
+    def _find_parsed(self, row: Any) -> Instance | None:
         # few rows change between two listings, and comparing a row is far cheaper
         # than parsing it
         instance_id = row.get("id") if isinstance(row, dict) else None
         if not isinstance(instance_id, str):
             return None
-        held = self._known.get(instance_id)
-        return held[1] if held is not None and held[0] == row else None
+        previous = self._parsed_rows.get(instance_id)
+        return previous[1] if previous is not None and previous[0] == row else None
 
 
-def _explain_status(status: int) -> StoreError:
+def _create_status_error(status: int) -> StoreError:
     kind = StoreErrorKind.BAD_ANSWER
     if status == 429:
         kind = StoreErrorKind.RATE_LIMITED
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/lazy_timeout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/lazy_timeout.py
@@ -19,24 +19,24 @@
     time. Here a later deadline costs an assignment: the timer compares it with the
     clock when it fires, and is set again if time is left.
 
-    :param end: deadline, in seconds of the running loop's clock
+    :param deadline: in seconds of the running loop's clock
     """
 
-    def __init__(self, end: float) -> None:
+    def __init__(self, deadline: float) -> None:
         self._loop = asyncio.get_running_loop()
-        self._end = end
-        self._guard = asyncio.timeout(None)
+        self._deadline = deadline
+        self._timeout = asyncio.timeout(None)
         self._timer: asyncio.TimerHandle | None = None
 
-    def move(self, end: float) -> None:
+    def reschedule(self, deadline: float) -> None:
         """Change the deadline; without effect once the timeout has expired."""
-        self._end = end
-        if self._timer is not None and end < self._timer.when():
+        self._deadline = deadline
+        if self._timer is not None and deadline < self._timer.when():
             self._timer.cancel()
             self._set_timer()
 
     async def __aenter__(self) -> LazyTimeout:
-        await self._guard.__aenter__()
+        await self._timeout.__aenter__()
         self._set_timer()
         return self
 
@@ -49,15 +49,15 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        return await self._guard.__aexit__(kind, error, traceback)
+        return await self._timeout.__aexit__(kind, error, traceback)
 
     def _set_timer(self) -> None:
-        self._timer = self._loop.call_at(self._end, self._check)
+        self._timer = self._loop.call_at(self._deadline, self._check)
 
     def _check(self) -> None:
         now = self._loop.time()
-        if now < self._end:
+        if now < self._deadline:
             self._set_timer()
             return
         self._timer = None
-        self._guard.reschedule(now)
+        self._timeout.reschedule(now)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/loop_lag.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/loop_lag.py
@@ -12,9 +12,9 @@
 __all__ = ("LoopLag",)
 
 #: seconds between two samples
-INTERVAL = 0.5
+SAMPLE_INTERVAL = 0.5
 #: samples retained: one minute
-SAMPLES = 120
+MAX_SAMPLES = 120
 
 
 class LoopLag:
@@ -26,12 +26,12 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._samples: deque[float] = deque(maxlen=SAMPLES)
+        self._samples: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     async def sample(self) -> float:
         """Sleep for one interval and return the measured lag in seconds."""
-        due = self._clock.now() + INTERVAL
-        await asyncio.sleep(INTERVAL)
+        due = self._clock.now() + SAMPLE_INTERVAL
+        await asyncio.sleep(SAMPLE_INTERVAL)
         lag = max(0.0, self._clock.now() - due)
         self._samples.append(lag)
         return lag
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
@@ -33,7 +33,7 @@
 logger = logging.getLogger(__name__)
 
 #: maximum bytes of a request body; fits the configuration of a large deployment
-MAX_BODY = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 #: seconds within which a request body must arrive
 BODY_TIMEOUT = 10.0
 #: seconds after which a load balancer may repeat a readiness check
@@ -83,7 +83,7 @@
         self._routes = routes
         self._lag = LoopLag(clock or SystemClock())
         self._runner: web.AppRunner | None = None
-        self._dump_wanted = asyncio.Event()
+        self._dump_requested = asyncio.Event()
         self.port = 0
 
     async def on_start(self) -> None:
@@ -99,7 +99,7 @@
         await site.start()
         self.port = self._runner.addresses[0][1]
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGUSR1, self._dump_wanted.set)
+        loop.add_signal_handler(signal.SIGUSR1, self._dump_requested.set)
 
     async def on_stop(self) -> None:
         """Close the listener and abort requests in progress."""
@@ -120,8 +120,8 @@
     @Service.task
     async def _log_dumps(self) -> None:
         while not self.should_stop:
-            await self._dump_wanted.wait()
-            self._dump_wanted.clear()
+            await self._dump_requested.wait()
+            self._dump_requested.clear()
             await self._log_dump()
 
     async def _log_dump(self) -> None:
@@ -134,7 +134,7 @@
 
     def _create_application(self) -> web.Application:
         application = web.Application(
-            client_max_size=MAX_BODY, middlewares=[_answer_errors, _read_body]
+            client_max_size=MAX_BODY_BYTES, middlewares=[_answer_errors, _read_body]
         )
         application.router.add_get("/healthz", self._show_health)
         application.router.add_get("/readyz", self._show_ready)
@@ -156,19 +156,19 @@
 
     async def _show_dump(self, request: web.Request) -> web.Response:
         names = self._state_dump.names()
-        wanted = request.query.get("controller")
-        if wanted is not None:
-            if wanted not in names:
+        requested = request.query.get("controller")
+        if requested is not None:
+            if requested not in names:
                 known = ", ".join(sorted(names))
                 return _refuse(
-                    404, f"no such controller; known: {known}", "controller", wanted
+                    404, f"no such controller; known: {known}", "controller", requested
                 )
-            names = (wanted,)
+            names = (requested,)
         controllers = {}
         for name in names:
             controllers[name] = self._state_dump.describe_controller(name)
             await asyncio.sleep(0)
-        if wanted is not None:
+        if requested is not None:
             return _answer({"controllers": controllers})
         process = self._state_dump.describe_process()
         process["loop_lag_seconds"] = self._lag.dump()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_configuration.py
@@ -15,7 +15,11 @@
 from greengagelatch.config.requests import is_change_id
 from greengagelatch.config.selectors import Selector, parse_selector
 
-from .change_answers import answer_json, describe_outcome, describe_problems
+from .change_answers import (
+    create_json_response,
+    create_outcome_response,
+    describe_problems,
+)
 from .change_requests import read_change
 
 if TYPE_CHECKING:
@@ -63,19 +67,19 @@
                 return _refuse(shown, problems)
             case Ok(change):
                 outcome = await self._controller.change(change)
-        return describe_outcome(change, outcome)
+        return create_outcome_response(change, outcome)
 
     async def show_change(self, request: web.Request) -> web.Response:
         change_id = request.match_info["change_id"]
         if not is_change_id(change_id):
             return _refuse(
-                change_id, [_find_fault("change_id", change_id, "invalid id")]
+                change_id, [_create_problem("change_id", change_id, "invalid id")]
             )
         answer = await self._controller.find_change(change_id)
         if answer.is_err():
             message = f"can't read the store: {answer.err_value.message}"
             body = {"state": "unknown", "change_id": change_id, "message": message}
-            return answer_json(body, status=504)
+            return create_json_response(body, status=504)
         head, entry = answer.ok_value.head, answer.ok_value.entry
         if entry is None:
             body = {
@@ -84,8 +88,8 @@
                 "generation": head.generation,
                 "oldest_time": head.changes[0].time if head.changes else None,
             }
-            return answer_json(body, status=404)
-        members = await self._controller.list_generations(ask=_wants_asking(request))
+            return create_json_response(body, status=404)
+        members = await self._controller.list_generations(ask=_queries_members(request))
         body = {
             "state": "settled",
             "change_id": change_id,
@@ -93,13 +97,13 @@
             "time": entry.time,
             "in_force": _describe_members(members, entry.generation),
         }
-        return answer_json(body)
+        return create_json_response(body)
 
     async def list_changes(self, request: web.Request) -> web.Response:
         text = request.query.get("limit", str(DEFAULT_LIMIT))
         if not text.isdecimal() or not 0 < int(text) <= MAX_LIMIT:
             reason = f"must be between 1 and {MAX_LIMIT}"
-            return _refuse("", [_find_fault("limit", text, reason)])
+            return _refuse("", [_create_problem("limit", text, reason)])
         head = self._controller.head
         changes = [
             {
@@ -109,34 +113,34 @@
             }
             for entry in reversed(head.changes[-int(text) :])
         ]
-        return answer_json({"generation": head.generation, "changes": changes})
+        return create_json_response({"generation": head.generation, "changes": changes})
 
     async def list_objects(self, request: web.Request) -> web.Response:
         kind = request.query.get("kind", "")
         kinds = [item.value for item in ObjectKind]
         if kind and kind not in kinds:
             reason = f"must be one of {', '.join(kinds)}"
-            return _refuse("", [_find_fault("kind", kind, reason)])
+            return _refuse("", [_create_problem("kind", kind, reason)])
         text = request.query.get("selector", "")
         selector = parse_selector(text)
         if selector.is_err():
-            return _refuse("", [_find_fault("selector", text, selector.err_value)])
+            return _refuse("", [_create_problem("selector", text, selector.err_value)])
         name = request.query.get("name", "")
         generation = self._controller.snapshot.generation
-        objects = self._pick(kind, name, selector.ok_value)
-        if not _wants_json(request):
+        objects = self._select_objects(kind, name, selector.ok_value)
+        if not _accepts_json(request):
             written = f"# generation {generation}\n\n{format_objects(objects)}"
             return web.Response(text=written)
         records = self._controller.list_records()
         rows = [_describe_object(item, records) for item in objects]
-        return answer_json({"generation": generation, "objects": rows})
+        return create_json_response({"generation": generation, "objects": rows})
 
     async def show_generation(self, request: web.Request) -> web.Response:
         controller = self._controller
         text = request.query.get("at", "")
         if text and not text.isdecimal():
-            return _refuse("", [_find_fault("at", text, "must be a generation")])
-        members = await controller.list_generations(ask=_wants_asking(request))
+            return _refuse("", [_create_problem("at", text, "must be a generation")])
+        members = await controller.list_generations(ask=_queries_members(request))
         # read last: the generation may have risen while members were queried
         head = controller.head
         at = int(text) if text else head.generation
@@ -149,9 +153,11 @@
             "store_age_s": controller.get_store_age(),
             "members": _describe_members(members, at),
         }
-        return answer_json(body)
+        return create_json_response(body)
 
-    def _pick(self, kind: str, name: str, selector: Selector) -> list[ConfigObject]:
+    def _select_objects(
+        self, kind: str, name: str, selector: Selector
+    ) -> list[ConfigObject]:
         snapshot = self._controller.snapshot
         maps: Mapping[str, Mapping[str, ConfigObject]] = {
             ObjectKind.SERVICE.value: snapshot.services,
@@ -159,7 +165,7 @@
             ObjectKind.PIPELINE.value: snapshot.pipelines,
             ObjectKind.POLICY.value: snapshot.policies,
         }
-        picked = []
+        selected = []
         for map_kind, objects in maps.items():
             if kind and kind != map_kind:
                 continue
@@ -168,8 +174,8 @@
                 if name and name != key:
                     continue
                 if selector.matches(key, item.labels):
-                    picked.append(item)
-        return picked
+                    selected.append(item)
+        return selected
 
 
 async def _read_json(request: web.Request) -> Any:
@@ -179,22 +185,22 @@
         return None
 
 
-def _wants_json(request: web.Request) -> bool:
+def _accepts_json(request: web.Request) -> bool:
     if request.query.get("format") == "json":
         return True
     return JSON_TYPE in request.headers.get("Accept", "")
 
 
-def _wants_asking(request: web.Request) -> bool:
+def _queries_members(request: web.Request) -> bool:
     return request.query.get("ask") == "yes"
 
 
-def _find_fault(key: str, value: str, reason: str) -> Problem:
+def _create_problem(key: str, value: str, reason: str) -> Problem:
     return Problem(file="", key=key, value=value, reason=reason)
 
 
 def _refuse(change_id: str, problems: Any) -> web.Response:
-    return answer_json(describe_problems(change_id, problems), status=400)
+    return create_json_response(describe_problems(change_id, problems), status=400)
 
 
 def _describe_members(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/orders.py
@@ -42,7 +42,7 @@
 CONNECT_SHARE = 0.4
 
 #: SO_LINGER with a time of zero, so that closing discards unsent data
-LINGER_OFF = struct.pack("ii", 1, 0)
+ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 class _ForbiddenError(Exception):
@@ -82,22 +82,22 @@
         body = _GuardedBody(_encode_order(order), guard)
         try:
             async with self._open_session().post(
-                _locate(target), data=body, allow_redirects=False
+                _create_url(target), data=body, allow_redirects=False
             ) as response:
-                data = await _read(response)
+                data = await _read_body(response)
                 status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            return _explain(body, error)
-        return _judge(status, data)
+            return _create_failure(body, error)
+        return _parse_answer(status, data)
 
     async def read(self, target: Target) -> Result[EngineReport, str]:
         # reads are idempotent, so that a retry by aiohttp itself is harmless
         self._metrics.count("orders.reads")
         try:
             async with self._open_session().get(
-                _locate(target), allow_redirects=False
+                _create_url(target), allow_redirects=False
             ) as response:
-                data = await _read(response)
+                data = await _read_body(response)
                 status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             return Err(f"{type(error).__name__}: {error}")
@@ -126,7 +126,7 @@
         created = socket.socket(family, kind, protocol)
         limit = int(self._timeout * 1000)
         created.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit)
-        created.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_OFF)
+        created.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         return created
 
 
@@ -153,11 +153,11 @@
         await super().write_with_length(writer, content_length)
 
 
-def _locate(target: Target) -> str:
+def _create_url(target: Target) -> str:
     return f"http://{target.address}/orders"
 
 
-async def _read(response: aiohttp.ClientResponse) -> bytes:
+async def _read_body(response: aiohttp.ClientResponse) -> bytes:
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
@@ -167,20 +167,20 @@
 
 
 def _encode_order(order: Order) -> bytes:
-    wanted = {
+    desired = {
         "models": order.wanted.models,
         "adapters": order.wanted.adapters,
         "role": order.wanted.role,
     }
-    return json.dumps({"fence": order.fence, "wanted": wanted}).encode()
+    return json.dumps({"fence": order.fence, "wanted": desired}).encode()
 
 
-def _explain(body: _GuardedBody, error: Exception) -> OrderAnswer:
+def _create_failure(body: _GuardedBody, error: Exception) -> OrderAnswer:
     outcome = OrderOutcome.UNKNOWN if body.sent else OrderOutcome.NOT_SENT
     return OrderAnswer(outcome=outcome, message=f"{type(error).__name__}: {error}")
 
 
-def _judge(status: int, data: bytes) -> OrderAnswer:
+def _parse_answer(status: int, data: bytes) -> OrderAnswer:
     if status == STATUS_OLD_FENCE:
         return OrderAnswer(outcome=OrderOutcome.OLD_FENCE, message=_shorten(data))
     if status in REFUSALS:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
@@ -39,7 +39,7 @@
 CONNECT_SHARE = 0.4
 
 #: share of a call's timeout that may pass without a byte of the response
-SILENCE_SHARE = 0.45
+READ_SHARE = 0.45
 
 #: maximum number of open connections to the service, including watches
 MAX_CONNECTIONS = 64
@@ -61,13 +61,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Reply:
+class _Response:
     status: int
     body: Any
 
 
 @dataclass(frozen=True, slots=True)
-class _NoReply:
+class _NoResponse:
     """A call without a response; ``sent`` if the service may have received it."""
 
     kind: StoreErrorKind
@@ -111,18 +111,18 @@
         match await self._read("get", _key_path("/kv/", key)):
             case Err(error):
                 return Err(error)
-            case Ok(_Reply(status=404)):
+            case Ok(_Response(status=404)):
                 return Ok(None)
-            case Ok(reply):
-                return _parse(lambda: _to_entry(reply.body))
+            case Ok(response):
+                return _parse(lambda: _to_entry(response.body))
 
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
         match await self._read("list", f"/kv?prefix={quote(prefix, safe='')}"):
             case Err(error):
                 return Err(error)
-            case Ok(reply):
+            case Ok(response):
                 return _parse(
-                    lambda: tuple(_to_entry(item) for item in reply.body["entries"])
+                    lambda: tuple(_to_entry(item) for item in response.body["entries"])
                 )
 
     async def swap(
@@ -149,14 +149,14 @@
             total=seconds, connect=self._timeout, sock_connect=self._timeout
         )
         match await self._call("GET", "watch", path, timeout=timeout):
-            case _NoReply(kind, message):
+            case _NoResponse(kind, message):
                 return Err(StoreError(kind, message))
-            case _Reply(status=204 | 404):
+            case _Response(status=204 | 404):
                 return Ok(None)
-            case _Reply(status=200, body=body):
+            case _Response(status=200, body=body):
                 return _parse(lambda: _to_entry(body))
-            case reply:
-                return Err(_to_error(reply))
+            case response:
+                return Err(_to_error(response))
 
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
         return await self._call_lease("/leases", {"ttl": ttl})
@@ -172,26 +172,26 @@
         self, path: str, body: dict[str, Any]
     ) -> Result[Lease, StoreError]:
         match await self._call("POST", "lease", path, body=body):
-            case _NoReply(kind, message):
+            case _NoResponse(kind, message):
                 return Err(StoreError(kind, message))
-            case _Reply(status=200, body=body):
+            case _Response(status=200, body=body):
                 return _parse(lambda: _to_lease(body))
-            case _Reply(status=404):
+            case _Response(status=404):
                 return Err(
                     StoreError(StoreErrorKind.LEASE_GONE, "lease does not exist")
                 )
-            case reply:
-                return Err(_to_error(reply))
+            case response:
+                return Err(_to_error(response))
 
-    async def _read(self, kind: str, path: str) -> Result[_Reply, StoreError]:
+    async def _read(self, kind: str, path: str) -> Result[_Response, StoreError]:
         # all pooled connections may be unresponsive, so the second and last attempt
         # uses a new connection
         timeout = self._share_timeout(0.5)
         outcome = await self._call("GET", kind, path, timeout=timeout)
-        if isinstance(outcome, _NoReply):
+        if isinstance(outcome, _NoResponse):
             self._metrics.count("store.read_retries")
             outcome = await self._call("GET", kind, path, timeout=timeout, fresh=True)
-        if isinstance(outcome, _NoReply):
+        if isinstance(outcome, _NoResponse):
             return Err(StoreError(outcome.kind, outcome.message))
         if outcome.status not in (200, 404):
             return Err(_to_error(outcome))
@@ -199,13 +199,13 @@
 
     async def _write(self, kind: str, path: str, body: dict[str, Any]) -> WriteResult:
         match await self._call("POST", kind, path, body=body):
-            case _NoReply(sent=True, message=message):
+            case _NoResponse(sent=True, message=message):
                 self._metrics.count(f"store.unknown.{kind}")
                 return WriteResult(WriteOutcome.UNKNOWN, message=message)
-            case _NoReply(message=message):
+            case _NoResponse(message=message):
                 return WriteResult(WriteOutcome.NOT_APPLIED, message=message)
-            case reply:
-                return _settle(reply)
+            case response:
+                return _to_write_result(response)
 
     def _share_timeout(self, share: float) -> aiohttp.ClientTimeout:
         seconds = self._timeout * share
@@ -213,7 +213,7 @@
             total=seconds,
             connect=self._timeout * CONNECT_SHARE,
             sock_connect=self._timeout * CONNECT_SHARE,
-            sock_read=self._timeout * SILENCE_SHARE,
+            sock_read=self._timeout * READ_SHARE,
         )
 
     async def _call(
@@ -225,7 +225,7 @@
         body: dict[str, Any] | None = None,
         timeout: aiohttp.ClientTimeout | None = None,
         fresh: bool = False,
-    ) -> _Reply | _NoReply:
+    ) -> _Response | _NoResponse:
         trace = _Trace(kind)
         try:
             async with self._session(fresh).request(
@@ -245,9 +245,9 @@
             reason = StoreErrorKind.UNREACHABLE
             message = f"{type(error).__name__}: {error}"
         else:
-            return _decode_reply(status, data)
+            return _decode_response(status, data)
         self._metrics.count(f"store.failures.{kind}")
-        return _NoReply(reason, message, sent=trace.connected)
+        return _NoResponse(reason, message, sent=trace.connected)
 
     def _session(self, fresh: bool) -> aiohttp.ClientSession:
         # sessions are created on first use, as they need the running loop
@@ -267,15 +267,15 @@
 
     def _open_session(self, connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(self._note_connection)
-        tracing.on_connection_reuseconn.append(self._note_connection)
+        tracing.on_connection_create_end.append(self._record_connection)
+        tracing.on_connection_reuseconn.append(self._record_connection)
         return aiohttp.ClientSession(
             connector=connector,
             trace_configs=[tracing],
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
-    async def _note_connection(
+    async def _record_connection(
         self, session: aiohttp.ClientSession, context: Any, params: Any
     ) -> None:
         # count here instead of at the start of a call: aiohttp may resend a read by
@@ -289,34 +289,34 @@
     return base + quote(key, safe="/")
 
 
-def _decode_reply(status: int, data: bytes) -> _Reply:
+def _decode_response(status: int, data: bytes) -> _Response:
     if not data:
-        return _Reply(status, None)
+        return _Response(status, None)
     try:
-        return _Reply(status, json.loads(data))
+        return _Response(status, json.loads(data))
     except ValueError:
-        return _Reply(status, None)
+        return _Response(status, None)
 
 
-def _settle(reply: _Reply) -> WriteResult:
-    body = reply.body if isinstance(reply.body, dict) else {}
+def _to_write_result(response: _Response) -> WriteResult:
+    body = response.body if isinstance(response.body, dict) else {}
     revision = body.get("revision", ABSENT)
-    message = f"status {reply.status}"
-    if reply.status == 200:
+    message = f"status {response.status}"
+    if response.status == 200:
         return WriteResult(WriteOutcome.APPLIED, revision)
-    if reply.status == 412:
+    if response.status == 412:
         return WriteResult(WriteOutcome.CONFLICT, revision)
-    if reply.status in _REFUSALS or reply.status in _REJECTIONS:
+    if response.status in _REFUSALS or response.status in _REJECTIONS:
         return WriteResult(WriteOutcome.NOT_APPLIED, message=message)
     # any other error may have occurred after the write took effect
     return WriteResult(WriteOutcome.UNKNOWN, message=message)
 
 
-def _to_error(reply: _Reply) -> StoreError:
-    message = f"status {reply.status}"
-    if reply.status == 429:
+def _to_error(response: _Response) -> StoreError:
+    message = f"status {response.status}"
+    if response.status == 429:
         return StoreError(StoreErrorKind.RATE_LIMITED, message)
-    if reply.status >= 500:
+    if response.status >= 500:
         return StoreError(StoreErrorKind.UNREACHABLE, message)
     return StoreError(StoreErrorKind.BAD_ANSWER, message)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_answers.py
@@ -20,8 +20,8 @@
     "AnswerError",
     "TokenReader",
     "encode_call",
-    "read_refusal",
-    "read_whole",
+    "parse_refusal",
+    "parse_answer",
 )
 
 #: maximum characters of a target's response in an error message
@@ -68,7 +68,7 @@
     return _ENCODER.encode(fields).encode()
 
 
-def read_whole(call: StageCall, body: bytes, *, leaving: bool) -> StageAnswer:
+def parse_answer(call: StageCall, body: bytes, *, leaving: bool) -> StageAnswer:
     """Parse the body of a response with status 200.
 
     :raises AnswerError: if it belongs to another call or is invalid
@@ -82,9 +82,9 @@
     )
 
 
-def read_refusal(call: StageCall, status: int, body: bytes) -> CallFailure:
+def parse_refusal(call: StageCall, status: int, body: bytes) -> CallFailure:
     """Convert a response with a status other than 200 to a failure."""
-    fields = _parse_loosely(body)
+    fields = _parse_or_empty(body)
     attempt = fields.get("attempt", call.attempt_id)
     if attempt != call.attempt_id:
         return CallFailure(
@@ -125,7 +125,7 @@
         self.tokens: list[str] = list(call.received[: call.resume_at])
         self.answer: StageAnswer | None = None
 
-    def take(self, event: Event, *, leaving: bool) -> None:
+    def handle_event(self, event: Event, *, leaving: bool) -> None:
         """Process one event.
 
         :raises AnswerError: if it does not continue the answer of this call
@@ -134,11 +134,11 @@
             raise AnswerError(FailureKind.MISMATCHED, "event after the end event")
         fields = _parse(event.data)
         if event.name == "token":
-            self._take_token(fields)
+            self._append_token(fields)
         elif event.name == "end":
             self.answer = self._read_end(fields, leaving)
 
-    def _take_token(self, fields: dict[str, Any]) -> None:
+    def _append_token(self, fields: dict[str, Any]) -> None:
         if fields.get("attempt") != self._call.attempt_id:
             raise AnswerError(FailureKind.MISMATCHED, "token of another attempt")
         offset, text = fields.get("offset"), fields.get("text")
@@ -156,14 +156,14 @@
         if fields.get("count") != len(self.tokens):
             message = f"got {len(self.tokens)} of {fields.get('count')!r:.40} tokens"
             raise AnswerError(FailureKind.DISCONNECTED, message)
-        whole = "".join(self.tokens)
-        digest = xxhash.xxh64_hexdigest(whole.encode("utf-8", "surrogatepass"))
+        output = "".join(self.tokens)
+        digest = xxhash.xxh64_hexdigest(output.encode("utf-8", "surrogatepass"))
         if fields.get("digest") != digest:
             raise AnswerError(
                 FailureKind.DISCONNECTED, "digest of the tokens does not match"
             )
         return StageAnswer(
-            output=whole,
+            output=output,
             tokens=tuple(self.tokens),
             cost=_read_cost(fields),
             leaving=leaving,
@@ -171,9 +171,9 @@
 
 
 def _check_ids(call: StageCall, fields: dict[str, Any]) -> None:
-    wanted = (call.attempt_id, call.request_id, call.stage)
+    expected = (call.attempt_id, call.request_id, call.stage)
     found = (fields.get("attempt"), fields.get("request"), fields.get("stage"))
-    if found == wanted:
+    if found == expected:
         return
     # only the ids tell a late answer to an earlier call on the same connection from
     # the answer to this one: the caller would get the result of another request
@@ -193,7 +193,7 @@
     return fields
 
 
-def _parse_loosely(body: bytes) -> dict[str, Any]:
+def _parse_or_empty(body: bytes) -> dict[str, Any]:
     try:
         return _parse(body)
     except AnswerError:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_pool.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/target_pool.py
@@ -69,7 +69,7 @@
     @contextmanager
     def use(self, address: str) -> Iterator[aiohttp.ClientSession]:
         """Provide the session that keeps its connections to ``address`` alive."""
-        entry = self._take(address)
+        entry = self._acquire(address)
         entry.users += 1
         try:
             yield entry.session
@@ -99,7 +99,7 @@
             await self._fresh.close()
         await asyncio.gather(*self._closing, return_exceptions=True)
 
-    def _take(self, address: str) -> _Entry:
+    def _acquire(self, address: str) -> _Entry:
         now = self._clock.now()
         entry = self._entries.pop(address, None)
         if entry is not None and now >= entry.expires:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/targets.py
@@ -29,8 +29,8 @@
     AnswerError,
     TokenReader,
     encode_call,
-    read_refusal,
-    read_whole,
+    parse_answer,
+    parse_refusal,
 )
 from .target_pool import TargetPool
 
@@ -51,7 +51,7 @@
 STATUS_OK = 200
 #: seconds without a response byte after which the target's pooled connections are
 #: replaced; an unnecessary replacement costs a connect, a missing one costs calls
-SILENCE = 0.5
+MAX_SILENCE = 0.5
 #: maximum number of targets whose parsed URL is cached
 MAX_URLS = 1024
 
@@ -156,14 +156,14 @@
                 result = await attempt.run(session, target, body)
             finally:
                 # also if this call is cancelled because a hedged call answered first
-                if attempt.silent_for > SILENCE:
+                if attempt.silent_for > MAX_SILENCE:
                     self._pool.retire(target.address)
         if isinstance(result, Err) and result.err_value.kind is FailureKind.MISMATCHED:
             self._pool.retire(target.address)
         return result
 
 
-class _MarkedBody(payload.BytesPayload):
+class _SendTrackingBody(payload.BytesPayload):
     """Request body that reports when its first byte is about to be written.
 
     aiohttp buffers the headers until the body is written, so that no byte of the
@@ -177,7 +177,7 @@
     async def write_with_length(
         self, writer: AbstractStreamWriter, content_length: int | None
     ) -> None:
-        self._attempt.note_sending()
+        self._attempt.record_sending()
         await super().write_with_length(writer, content_length)
 
 
@@ -195,16 +195,16 @@
         self._limits = limits
         self._call = call
         self._reader = TokenReader(call, on_token)
-        self._guard: LazyTimeout | None = None
+        self._timeout: LazyTimeout | None = None
         self._sent = False
-        self._heard = False
+        self._response_started = False
         self._sent_at = 0.0
         self._leaving = False
 
     @property
     def silent_for(self) -> float:
         """Seconds since the call was sent; 0 once a response byte is received."""
-        if not self._sent or self._heard:
+        if not self._sent or self._response_started:
             return 0.0
         return self._clock.now() - self._sent_at
 
@@ -213,12 +213,12 @@
     ) -> Result[StageAnswer, CallFailure]:
         """Make the call and return its answer or its failure."""
         try:
-            end = self._find_end(self._limits.connect_timeout)
-            async with LazyTimeout(end) as guard:
-                self._guard = guard
+            deadline = self._compute_deadline(self._limits.connect_timeout)
+            async with LazyTimeout(deadline) as timeout:
+                self._timeout = timeout
                 return await self._exchange(session, target, body)
         except TimeoutError:
-            return Err(self._explain_timeout())
+            return Err(self._create_timeout_failure())
         except AnswerError as error:
             return Err(self._fail(error.kind, error.message))
         except EventTooLargeError as error:
@@ -227,9 +227,9 @@
             kind = FailureKind.DISCONNECTED if self._sent else FailureKind.CONNECT
             return Err(self._fail(kind, f"{type(error).__name__}: {error}"))
         finally:
-            self._guard = None
+            self._timeout = None
 
-    def note_sending(self) -> None:
+    def record_sending(self) -> None:
         """Record that the next step writes to the socket."""
         self._sent = True
         self._sent_at = self._clock.now()
@@ -240,7 +240,7 @@
     ) -> Result[StageAnswer, CallFailure]:
         response = await session.post(
             _create_url(target.address),
-            data=_MarkedBody(body, self),
+            data=_SendTrackingBody(body, self),
             allow_redirects=False,
         )
         try:
@@ -258,18 +258,18 @@
     async def _read(
         self, response: aiohttp.ClientResponse
     ) -> Result[StageAnswer, CallFailure]:
-        self._heard = True
+        self._response_started = True
         if not response.content.is_eof():
             self._extend(self._limits.gap_timeout)
         self._leaving = response.headers.get(STATE_HEADER) == LEAVING
         if response.status != STATUS_OK:
             body = await self._read_body(response)
-            failure = read_refusal(self._call, response.status, body)
+            failure = parse_refusal(self._call, response.status, body)
             return Err(_mark_leaving(failure) if self._leaving else failure)
         if self._call.stream and response.content_type == EVENT_STREAM:
             return Ok(await self._read_stream(response))
         body = await self._read_body(response)
-        return Ok(read_whole(self._call, body, leaving=self._leaving))
+        return Ok(parse_answer(self._call, body, leaving=self._leaving))
 
     async def _read_body(self, response: aiohttp.ClientResponse) -> bytes:
         chunks: list[bytes] = []
@@ -300,7 +300,7 @@
                     f"answer exceeds {self._limits.max_answer_bytes} bytes",
                 )
             for event in parser.feed(chunk):
-                self._reader.take(event, leaving=self._leaving)
+                self._reader.handle_event(event, leaving=self._leaving)
         if self._reader.answer is None:
             raise AnswerError(
                 FailureKind.DISCONNECTED, "stream ended without an end event"
@@ -308,20 +308,20 @@
         return self._reader.answer
 
     def _extend(self, seconds: float) -> None:
-        if self._guard is not None:
-            self._guard.move(self._find_end(seconds))
+        if self._timeout is not None:
+            self._timeout.reschedule(self._compute_deadline(seconds))
 
-    def _find_end(self, seconds: float) -> float:
+    def _compute_deadline(self, seconds: float) -> float:
         """Return the loop time ``seconds`` from now, at most that of the deadline."""
-        left = self._call.deadline - self._clock.now()
-        return asyncio.get_running_loop().time() + max(0.0, min(seconds, left))
+        remaining = self._call.deadline - self._clock.now()
+        return asyncio.get_running_loop().time() + max(0.0, min(seconds, remaining))
 
-    def _explain_timeout(self) -> CallFailure:
+    def _create_timeout_failure(self) -> CallFailure:
         if self._clock.now() >= self._call.deadline:
             return self._fail(FailureKind.DEADLINE, "deadline exceeded")
         if not self._sent:
             return self._fail(FailureKind.CONNECT, "no connection within the timeout")
-        what = "no further data" if self._heard else "no response"
+        what = "no further data" if self._response_started else "no response"
         return self._fail(FailureKind.STALLED, f"{what} within the timeout")
 
     def _fail(self, kind: FailureKind, message: str) -> CallFailure:
--- a/tests/test_entry/test_adapters/test_lazy_timeout.py
+++ b/tests/test_entry/test_adapters/test_lazy_timeout.py
@@ -16,8 +16,8 @@
     return asyncio.get_running_loop().time()
 
 
-async def _run_late(guard):
-    async with guard:
+async def _run_late(timeout):
+    async with timeout:
         await asyncio.sleep(FAR)
 
 
@@ -32,12 +32,12 @@
     The timer that was set for the first token fires after the limit was moved on.
     Cause: a timer is taken for the end itself.
     """
-    async with LazyTimeout(_now() + SOON) as guard:
-        guard.move(_now() + FAR)
+    async with LazyTimeout(_now() + SOON) as timeout:
+        timeout.reschedule(_now() + FAR)
         await asyncio.sleep(5 * SOON)
     with pytest.raises(TimeoutError):
-        async with LazyTimeout(_now() + SOON) as guard:
-            guard.move(_now() + 2 * SOON)
+        async with LazyTimeout(_now() + SOON) as timeout:
+            timeout.reschedule(_now() + 2 * SOON)
             await asyncio.sleep(FAR)
 
 
@@ -48,8 +48,8 @@
     Cause: only the timer of the first limit is waited for.
     """
     with pytest.raises(TimeoutError):
-        async with LazyTimeout(_now() + FAR) as guard:
-            guard.move(_now() + SOON)
+        async with LazyTimeout(_now() + FAR) as timeout:
+            timeout.reschedule(_now() + SOON)
             await asyncio.sleep(FAR)
 
 
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -152,7 +152,7 @@
         raise ConnectionError("stopped before the first byte")
 
     monkeypatch.setattr(
-        "greengagelatch_entry.adapters.targets._Attempt.note_sending", refuse
+        "greengagelatch_entry.adapters.targets._Attempt.record_sending", refuse
     )
     async with RawServer(script) as server, open_client() as client:
         result = await client.call(find_target(server), create_call())
--- a/tests/test_entry/test_operators.py
+++ b/tests/test_entry/test_operators.py
@@ -204,7 +204,7 @@
     had neither a size limit nor a time-out.
     """
     assert await bench.call("POST", "/added", data=b"x" * 9) == (200, {"got": 9})
-    large = b"x" * (operators.MAX_BODY + 1)
+    large = b"x" * (operators.MAX_BODY_BYTES + 1)
     assert (await bench.call("POST", "/added", data=large))[0] == 413
     monkeypatch.setattr(operators, "BODY_TIMEOUT", 0.05)
     reader, writer = await asyncio.open_connection("127.0.0.1", bench.server.port)
