--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators.py
@@ -189,7 +189,7 @@
         target_id = body[TARGET_FIELD]
         if not isinstance(target_id, str) or not target_id:
             return _refuse(400, "must be a target id", TARGET_FIELD, str(target_id))
-        if not self._status().knows_target(target_id):
+        if not self._status().has_target(target_id):
             return _refuse(404, "no such target", TARGET_FIELD, target_id)
         self._mark_leaving(target_id)
         return _answer({"target": target_id, "state": "leaving"}, status=202)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_status.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/operators_status.py
@@ -43,7 +43,7 @@
     members: tuple[MemberStatus, ...] = ()
     targets: tuple[TargetStatus, ...] = ()
 
-    def knows_target(self, target_id: str) -> bool:
+    def has_target(self, target_id: str) -> bool:
         """Whether ``target_id`` is a known target."""
         return any(target.target_id == target_id for target in self.targets)
 
--- a/tests/test_entry/test_status.py
+++ b/tests/test_entry/test_status.py
@@ -63,7 +63,7 @@
         ready=lambda: True,
     )
     status = view.describe()
-    assert status.knows_target("t-1")
+    assert status.has_target("t-1")
     shown = status.as_dict()["targets"]["stockdesk"]
     assert {name: target["state"] for name, target in shown.items()} == {
         "t-1": "leaving",
