--- a/tests/test_entry/test_adapters/test_callers.py
+++ b/tests/test_entry/test_adapters/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send nonsense, leave, stay silent or read slowly."""
+"""Tests of the callers' server: invalid requests, slow and disconnected callers."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 BODY = b'{"input":1}'
 
 
-class Bench:
-    """A callers' server whose requests end in ``handler``."""
+class Harness:
+    """A callers' server whose requests are executed by ``handler``."""
 
     def __init__(self, handler, limits):
         self.ran = []
@@ -85,13 +85,13 @@
 
 
 @asynccontextmanager
-async def open_bench(handler=None, limits=LIMITS):
-    bench = Bench(handler or answer, limits)
-    await bench.server.start()
+async def open_harness(handler=None, limits=LIMITS):
+    harness = Harness(handler or answer, limits)
+    await harness.server.start()
     try:
-        yield bench
+        yield harness
     finally:
-        await bench.server.stop()
+        await harness.server.stop()
 
 
 async def answer(exchange, result="done"):
@@ -169,18 +169,18 @@
     ],
 )
 async def test_bad_request_is_refused_with_its_field(change, body, status, field):
-    """A caller was told nothing but "bad request" and asked the operators."""
+    """Guards against refusals that do not name the invalid field."""
     headers = HEADERS | change
     headers = {name: value for name, value in headers.items() if value is not None}
-    async with open_bench() as bench, aiohttp.ClientSession() as session:
-        async with session.post(bench.url(), data=body, headers=headers) as response:
+    async with open_harness() as harness, aiohttp.ClientSession() as session:
+        async with session.post(harness.url(), data=body, headers=headers) as response:
             fields = await response.json()
         assert response.status == status
         assert fields["field"] == field
         assert fields["verdict"] == "not-run"
         assert fields["request"]
         assert len(fields["value"]) <= 64
-        assert not bench.ran
+        assert not harness.ran
 
 
 @pytest.mark.parametrize(
@@ -194,28 +194,28 @@
         ("POST", "/v1/pipelines/unheard-of", 404, "pipeline"),
     ],
 )
-async def test_unknown_way_in_is_refused(method, path, status, field):
-    async with open_bench() as bench:
-        reader, writer = await bench.connect()
+async def test_unknown_path_or_method_is_refused(method, path, status, field):
+    async with open_harness() as harness:
+        reader, writer = await harness.connect()
         headers = HEADERS | {"Content-Length": len(BODY)}
         writer.write(encode_head(headers, method=method, path=path) + BODY)
         found, headers, fields = await read_answer(reader)
         assert (found, fields["field"]) == (status, field)
         assert fields["verdict"] == "not-run"
         assert ("allow" in headers) == (status == 405)
-        assert not bench.ran
+        assert not harness.ran
         writer.close()
 
 
 async def test_pipeline_without_default_needs_a_deadline():
-    async with open_bench() as bench, aiohttp.ClientSession() as session:
+    async with open_harness() as harness, aiohttp.ClientSession() as session:
         headers = {"X-Workspace": "metro-east"}
-        url = bench.url("status")
+        url = harness.url("status")
         async with session.post(url, data=BODY, headers=headers) as response:
             assert (await response.json())["field"] == "X-Deadline-Ms"
-        async with session.post(bench.url(), data=BODY, headers=headers) as response:
+        async with session.post(harness.url(), data=BODY, headers=headers) as response:
             assert response.status == 200
-        request = bench.ran[0].request
+        request = harness.ran[0].request
         assert request.deadline - request.received == pytest.approx(2.0)
 
 
@@ -231,42 +231,42 @@
         ),
     ],
 )
-async def test_what_is_no_http_request_is_refused_as_one(data):
-    async with open_bench() as bench:
-        reader, writer = await bench.connect()
+async def test_invalid_http_request_is_refused(data):
+    async with open_harness() as harness:
+        reader, writer = await harness.connect()
         writer.write(data)
         status, _, fields = await read_answer(reader)
         assert 400 <= status < 500
         assert fields["verdict"] == "not-run"
         assert await reader.read() == b""
-        assert not bench.ran
+        assert not harness.ran
         writer.close()
 
 
-async def test_half_sent_body_is_not_waited_for():
-    """Open connections ran out: callers that had stalled held them for ever."""
-    async with open_bench() as bench:
-        reader, writer = await bench.connect()
+async def test_incomplete_body_times_out():
+    """Guards against stalled callers that occupy connections indefinitely."""
+    async with open_harness() as harness:
+        reader, writer = await harness.connect()
         writer.write(encode_request()[:-3])
         status, _, fields = await read_answer(reader)
         assert status == 408
         assert (fields["field"], fields["verdict"]) == ("body", "not-run")
-        assert not bench.ran
+        assert not harness.ran
         writer.close()
 
 
-async def test_half_sent_head_is_not_waited_for():
+async def test_incomplete_headers_time_out():
     limits = replace(LIMITS, idle_timeout=0.2)
-    async with open_bench(limits=limits) as bench:
-        reader, writer = await bench.connect()
+    async with open_harness(limits=limits) as harness:
+        reader, writer = await harness.connect()
         writer.write(encode_request()[:40])
         assert await reader.read() == b""
         writer.close()
 
 
-async def test_body_is_asked_for_where_the_caller_waits():
-    async with open_bench() as bench:
-        reader, writer = await bench.connect()
+async def test_expect_header_gets_an_interim_response():
+    async with open_harness() as harness:
+        reader, writer = await harness.connect()
         whole = encode_request(Expect="100-continue")
         writer.write(whole[: -len(BODY)])
         assert b" 100 " in await reader.readuntil(b"\r\n\r\n")
@@ -276,13 +276,13 @@
         writer.close()
 
 
-async def test_connection_beyond_the_bound_is_told_so():
+async def test_connection_above_the_limit_gets_a_refusal():
     limits = replace(LIMITS, max_connections=1)
-    async with open_bench(hang, limits) as bench:
-        _, first = await bench.connect()
+    async with open_harness(hang, limits) as harness:
+        _, first = await harness.connect()
         first.write(encode_request())
-        await wait_until(lambda: bench.server.in_flight == 1, what="first runs")
-        reader, second = await bench.connect()
+        await wait_until(lambda: harness.server.in_flight == 1, what="first runs")
+        reader, second = await harness.connect()
         status, headers, fields = await read_answer(reader)
         assert (status, fields["code"]) == (503, "overloaded")
         assert fields["verdict"] == "not-run"
@@ -294,10 +294,10 @@
 @pytest.mark.parametrize(
     ("retry_after_ms", "header"), [(1, "1"), (1001, "2"), (None, None)]
 )
-async def test_refusal_says_when_to_come_back(retry_after_ms, header):
+async def test_refusal_has_a_retry_after_header(retry_after_ms, header):
     handler = refuse(retry_after_ms=retry_after_ms, verdict=Verdict.MAY_HAVE_RUN)
-    async with open_bench(handler) as bench, aiohttp.ClientSession() as session:
-        async with session.post(bench.url(), data=BODY, headers=HEADERS) as response:
+    async with open_harness(handler) as harness, aiohttp.ClientSession() as session:
+        async with session.post(harness.url(), data=BODY, headers=HEADERS) as response:
             fields = await response.json()
         assert response.status == 503
         assert response.headers.get("Retry-After") == header
@@ -306,11 +306,11 @@
 
 
 @pytest.mark.parametrize("stream", [b"false", b"true"])
-async def test_caller_that_leaves_has_its_request_cancelled(stream):
-    """A draft was written to its end for a broker who had hung up.
+async def test_request_of_a_disconnected_caller_is_cancelled(stream):
+    """Guards against requests that keep running after their caller disconnected.
 
-    Sequence: the caller closes its connection while its request runs. Cause: a
-    whole answer touches the connection only at its end.
+    A response that is not streamed uses the connection only at its end, so that a
+    write does not detect the disconnect.
     """
     cancelled = asyncio.Event()
 
@@ -321,56 +321,55 @@
             cancelled.set()
             raise
 
-    async with open_bench(handler) as bench:
-        _, writer = await bench.connect()
+    async with open_harness(handler) as harness:
+        _, writer = await harness.connect()
         writer.write(encode_request(b'{"input":1,"stream":' + stream + b"}"))
-        await wait_until(lambda: bench.server.in_flight == 1, what="request runs")
+        await wait_until(lambda: harness.server.in_flight == 1, what="request runs")
         writer.close()
         async with asyncio.timeout(5):
             await cancelled.wait()
-        assert await bench.server.wait_idle(5)
-        assert bench.metrics.value("requests.caller_gone") == 1
+        assert await harness.server.wait_idle(5)
+        assert harness.metrics.value("requests.caller_gone") == 1
 
 
-async def test_error_of_a_handler_is_answered_as_one():
+async def test_error_of_a_handler_is_an_internal_error():
     async def handler(exchange):
         exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
         raise ValueError("broken")
 
-    async with open_bench(handler) as bench, aiohttp.ClientSession() as session:
-        async with session.post(bench.url(), data=BODY, headers=HEADERS) as response:
+    async with open_harness(handler) as harness, aiohttp.ClientSession() as session:
+        async with session.post(harness.url(), data=BODY, headers=HEADERS) as response:
             fields = await response.json()
         assert (response.status, fields["code"]) == (500, "internal")
         assert fields["verdict"] == "may-have-run"
 
 
-async def test_whole_answer_that_is_not_read_does_not_stay():
-    """Memory filled up with answers to connections that had gone silent.
+async def test_unread_response_is_dropped():
+    """Guards against responses that fill the memory if callers stop reading.
 
-    Sequence: the caller stops reading without closing. Cause: the answer waited
-    in the connection's buffer for good.
+    If the caller neither reads nor closes its connection, the response must not stay
+    in the connection's buffer.
     """
 
     async def handler(exchange):
         return await answer(exchange, "x" * 30_000_000)
 
-    async with open_bench(handler) as bench:
-        _, writer = await bench.connect()
+    async with open_harness(handler) as harness:
+        _, writer = await harness.connect()
         writer.transport.pause_reading()
         writer.write(encode_request())
-        await wait_until(lambda: bench.ran, what="request runs")
-        assert await bench.server.wait_idle(5)
+        await wait_until(lambda: harness.ran, what="request runs")
+        assert await harness.server.wait_idle(5)
         await wait_until(
-            lambda: bench.server.dump()["connections"] == 0, what="connection dropped"
+            lambda: harness.server.dump()["connections"] == 0, what="connection dropped"
         )
         writer.close()
 
 
-async def test_stream_that_is_not_read_is_given_up():
-    """One slow reader made the process run out of memory.
+async def test_unread_stream_is_abandoned():
+    """Guards against unbounded buffering for a slow reader.
 
-    Sequence: the engine gives tokens faster than the caller reads. Cause: they
-    were all kept until they could be written.
+    The engine produces tokens faster than the caller reads them.
     """
     cancelled = asyncio.Event()
 
@@ -384,15 +383,15 @@
             raise
         return await answer(exchange)
 
-    # only the bound on what waits can end this: a write may take long
+    # only the limit on unwritten bytes can end this, as writes may take long
     limits = replace(LIMITS, write_timeout=60.0, max_unwritten_bytes=100_000)
-    async with open_bench(handler, limits) as bench:
-        _, writer = await bench.connect()
+    async with open_harness(handler, limits) as harness:
+        _, writer = await harness.connect()
         writer.transport.pause_reading()
         writer.write(encode_request(b'{"input":1,"stream":true}'))
         async with asyncio.timeout(20):
             await cancelled.wait()
-        assert bench.metrics.value("callers.abandoned") == 1
+        assert harness.metrics.value("callers.abandoned") == 1
         writer.close()
 
 
@@ -408,7 +407,7 @@
 
 @pytest.mark.parametrize("refused", [False, True])
 async def test_stream_ends_with_one_closing_event(refused):
-    """A cut draft was taken for a whole one."""
+    """Guards against truncated streams that look complete."""
 
     async def handler(exchange):
         for offset, text in enumerate(("Set ", "4\n", "\ud800")):
@@ -418,9 +417,9 @@
             return await refuse(verdict=Verdict.RAN)(exchange)
         return await answer(exchange)
 
-    async with open_bench(handler) as bench, aiohttp.ClientSession() as session:
+    async with open_harness(handler) as harness, aiohttp.ClientSession() as session:
         body = b'{"input":1,"stream":true}'
-        async with session.post(bench.url(), data=body, headers=HEADERS) as response:
+        async with session.post(harness.url(), data=body, headers=HEADERS) as response:
             events = await read_events(response)
     assert response.status == 200
     assert [name for name, _ in events[:-1]] == ["token"] * 3
@@ -434,37 +433,37 @@
     assert fields["digest"] == xxhash.xxh64_hexdigest(whole)
 
 
-async def test_text_found_whole_is_streamed_as_one_token():
-    """A caller that asked again for its draft was given an empty one.
+async def test_replayed_text_is_streamed_as_one_token():
+    """Guards against empty streams for replayed results.
 
-    Sequence: the request's answer is found under its key, whole. Cause: callers
-    that read tokens look at the result of the closing event only to compare.
+    Callers that read tokens use the result in the closing event only for comparison,
+    so the stored result must be sent as a token too.
     """
 
     async def handler(exchange):
         return replace(await answer(exchange, "draft"), replayed=True)
 
-    async with open_bench(handler) as bench, aiohttp.ClientSession() as session:
+    async with open_harness(handler) as harness, aiohttp.ClientSession() as session:
         body = b'{"input":1,"stream":true}'
-        async with session.post(bench.url(), data=body, headers=HEADERS) as response:
+        async with session.post(harness.url(), data=body, headers=HEADERS) as response:
             token, end = await read_events(response)
     assert token == ("token", {"offset": 0, "text": "draft"})
     assert (end[1]["result"], end[1]["count"]) == ("draft", 1)
 
 
 async def test_stream_refused_before_its_first_token_has_a_status():
-    async with open_bench(refuse()) as bench, aiohttp.ClientSession() as session:
+    async with open_harness(refuse()) as harness, aiohttp.ClientSession() as session:
         body = b'{"input":1,"stream":true}'
-        async with session.post(bench.url(), data=body, headers=HEADERS) as response:
+        async with session.post(harness.url(), data=body, headers=HEADERS) as response:
             assert (await response.json())["code"] == "overloaded"
         assert response.status == 503
 
 
-async def test_drain_lets_requests_end_and_connections_go():
-    """A rollout reset requests that were under way.
+async def test_drain_finishes_requests_and_closes_connections():
+    """Guards against a drain that resets requests in progress.
 
-    Sequence: the instance leaves; balancers keep connections open. Cause: they
-    were kept alive to the end, and then closed under a request.
+    Load balancers keep connections open. If these stay alive until the process exits,
+    they are closed while a request is in progress.
     """
     proceed = asyncio.Event()
 
@@ -472,44 +471,43 @@
         await proceed.wait()
         return await answer(exchange)
 
-    # longer than the test may take: only the drain can end the idle connection
+    # longer than the test timeout, so that only the drain closes the idle connection
     limits = replace(LIMITS, idle_timeout=600.0)
-    async with open_bench(handler, limits) as bench:
-        idle_reader, idle_writer = await bench.connect()
-        reader, writer = await bench.connect()
+    async with open_harness(handler, limits) as harness:
+        idle_reader, idle_writer = await harness.connect()
+        reader, writer = await harness.connect()
         writer.write(encode_request())
-        await wait_until(lambda: bench.server.in_flight == 1, what="request runs")
-        bench.draining = True
-        await bench.server.close_listener()
-        assert not await bench.server.wait_idle(0.01)
+        await wait_until(lambda: harness.server.in_flight == 1, what="request runs")
+        harness.draining = True
+        await harness.server.close_listener()
+        assert not await harness.server.wait_idle(0.01)
         assert await idle_reader.read() == b""
         proceed.set()
         status, headers, _ = await read_answer(reader)
         assert (status, headers["connection"]) == (200, "close")
-        assert await bench.server.wait_idle(5)
+        assert await harness.server.wait_idle(5)
         with pytest.raises(ConnectionError):
-            await bench.connect()
+            await harness.connect()
         writer.close()
         idle_writer.close()
 
 
-async def test_request_that_comes_after_the_close_is_refused():
-    """A rollout cut requests that came on connections that were being closed.
+async def test_request_after_the_listener_is_closed_is_refused():
+    """Guards against lost requests that arrive while idle connections are closed.
 
-    Sequence: a request's bytes arrive while idle connections are closed. Cause: it
-    was begun, though the process might be killed before its end, or its connection
-    was closed with the bytes unread, which resets it.
+    Such a request must not be started, as the process may be killed before its end.
+    Its connection must not be closed with unread data either, as that resets it.
     """
-    async with open_bench(answer) as bench:
-        reader, writer = await bench.connect()
-        await wait_until(lambda: len(bench.server._connections) == 1, what="accepted")
-        # straight to the kernel, and no turn of the loop before the close
+    async with open_harness(answer) as harness:
+        reader, writer = await harness.connect()
+        await wait_until(lambda: len(harness.server._connections) == 1, what="accepted")
+        # write directly to the kernel, without a loop iteration before the close
         os.write(writer.get_extra_info("socket").fileno(), encode_request())
-        bench.draining = True
-        await bench.server.close_listener()
+        harness.draining = True
+        await harness.server.close_listener()
         status, headers, body = await read_answer(reader)
         assert (status, body["code"]) == (503, "not-ready")
         assert headers["connection"] == "close"
-        assert bench.ran == []
-        assert await bench.server.wait_idle(5)
+        assert harness.ran == []
+        assert await harness.server.wait_idle(5)
         writer.close()
--- a/tests/test_entry/test_adapters/test_crossed_links.py
+++ b/tests/test_entry/test_adapters/test_crossed_links.py
@@ -1,4 +1,4 @@
-"""Two links of one pair of instances, with the order of events fixed by gates."""
+"""Tests of two links between a pair of instances, in an order set by gates."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 TIMEOUT = 10.0
 
-#: times to open a link that no run comes near, so that only the gates give the order
+#: with an open_timeout that never expires, so that only the gates set the order
 SETTINGS = """
 [instance]
 id = {instance_id}
@@ -59,8 +59,8 @@
     pass
 
 
-class OffsetClock(SystemClock):
-    """A clock whose time of day is given."""
+class FixedWallClock(SystemClock):
+    """Clock with a fixed wall time."""
 
     def __init__(self, wall: float) -> None:
         self._wall = wall
@@ -71,11 +71,11 @@
 
 @dataclass
 class Gates:
-    """Where an instance waits before it reads a hello; open unless a test shuts it."""
+    """Gates that delay the reading of hellos; open unless a test closes them."""
 
     accepted: asyncio.Event = field(default_factory=asyncio.Event)
     dialled: asyncio.Event = field(default_factory=asyncio.Event)
-    #: dials that have sent their hello and wait for the other one
+    #: number of dials that have sent their hello and wait for that of the peer
     dials: int = 0
 
     def __post_init__(self) -> None:
@@ -120,7 +120,7 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.hub.port}"
 
-    def show(self, *shown: tuple[str, str]) -> None:
+    def emit_listing(self, *shown: tuple[str, str]) -> None:
         rows = tuple(
             Instance(
                 instance_id=instance_id,
@@ -136,7 +136,7 @@
         return len(self.hub.dump()["links"])
 
     def count_sent(self) -> int:
-        """Return how many questions were handed to a socket."""
+        """Return the number of calls handed to a socket."""
         kind = Echo.wire_name
         unreported = self.hub._links.traffic.frames_by_kind[kind]
         return unreported + self.metrics.value(f"peers.frames_out.{kind}")
@@ -154,7 +154,7 @@
         return self.hub._links.find(instance_id)
 
     def retire(self, instance_id: str) -> Link:
-        """Have a link make room, which the other side does not know of."""
+        """Evict a link, which the peer does not know of."""
         link = self.find_link(instance_id)
         self.hub._links._retire(link, CloseCode.IDLE, "making room")
         return link
@@ -213,21 +213,20 @@
 
 
 @pytest.mark.parametrize("learns_first", ["e-1", "e-2"])
-async def test_questions_on_both_of_two_crossed_links_are_answered(start, learns_first):
-    """
-    Symptom: right after two instances have met, a question fails with "the link
-    closed" though nothing was cut, and an owner of stage work is taken for lost.
-    Sequence: both dial, and both hellos are on their way before either is read; each
-    takes the link of the other and asks on it; only then each learns that its own
-    dial was answered too. Cause: one of the two links was closed with a question on
-    it, by the side that had not yet used it.
+async def test_calls_on_both_of_two_crossed_links_are_answered(start, learns_first):
+    """Guards against calls that fail because of two crossed dials.
+
+    Both instances dial, and both hellos are sent before either is read. Each accepts
+    the link of the other and sends a call on it, before it learns that its own dial
+    was answered too. If the redundant link is closed at once, the call on it fails,
+    and an owner of a stage is treated as lost.
     """
     peers = {"e-1": await start("e-1"), "e-2": await start("e-2")}
     others = {"e-1": "e-2", "e-2": "e-1"}
     for peer in peers.values():
         peer.gates.hold()
     for peer in peers.values():
-        peer.show(*((one, other.address) for one, other in peers.items()))
+        peer.emit_listing(*((one, other.address) for one, other in peers.items()))
     await wait_until(lambda: all(peer.gates.dials == 1 for peer in peers.values()))
     for peer in peers.values():
         peer.gates.accepted.set()
@@ -245,7 +244,7 @@
     assert peers["e-1"].echoed == ["from e-2"]
     assert peers["e-2"].echoed == ["from e-1"]
     await wait_until(lambda: not any(peer.hub._links._dials for peer in peers.values()))
-    # both kept the one that the lower id has dialled
+    # both kept the link dialled by the lower id
     held = {one: peer.hub.dump()["links"][others[one]] for one, peer in peers.items()}
     assert held["e-1"]["initiated"] is True
     assert held["e-2"]["initiated"] is False
@@ -254,67 +253,67 @@
 
 
 async def test_link_that_replaces_a_silent_one_is_not_refused(start):
-    """
-    Symptom: after a cut of seconds one instance can't reach another that works.
-    Sequence: the link that the lower id has dialled goes silent soon after it was
-    opened; only the other side notices, and dials anew. Cause: the new link was taken
-    for one that had crossed the silent one, and refused.
+    """Guards against an instance that can't reach a healthy peer after a disconnect.
+
+    The link dialled by the lower id becomes silent soon after it was opened. Only the
+    other side detects it and dials again. The new link must not be treated as one
+    that crossed the silent one, and rejected.
     """
     second = await start("e-2", silence=0.6)
-    async with FaultyLink(second.address) as way:
+    async with FaultyLink(second.address) as faulty_link:
         first = await start("e-1")
-        first.show(("e-2", way.address))
+        first.emit_listing(("e-2", faulty_link.address))
         await wait_until(lambda: first.count_links() == second.count_links() == 1)
         waiting = asyncio.create_task(second.hub.ask("e-1", Hold(), TIMEOUT))
         await wait_until(lambda: first.holds == 1)
-        way.silence(only_open=True)
+        faulty_link.silence(only_open=True)
         await wait_until(lambda: second.metrics.value("peers.silent_links") == 1)
-        # the machine may be gone: nothing says that another link would reach it
+        # the host may be down, so the error does not claim a mere disconnect
         error = (await waiting).err_value
         assert (error.kind, error.disconnected) == (PeerErrorKind.NO_ANSWER, False)
-        second.show(("e-1", first.address))
+        second.emit_listing(("e-1", first.address))
         assert await second.hub.ask("e-1", Echo("x"), TIMEOUT) == Ok(Echo("x"))
         held = first.hub.dump()["links"]["e-2"]
         assert held["initiated"] is False
 
 
-async def meet(start) -> tuple[Peer, Peer]:
+async def start_linked(start) -> tuple[Peer, Peer]:
     """Start two instances, of which the first has dialled the second."""
     first, second = await start("e-1"), await start("e-2")
-    first.show(("e-2", second.address))
+    first.emit_listing(("e-2", second.address))
     await wait_until(lambda: first.count_links() == second.count_links() == 1)
     return first, second
 
 
-async def test_instance_that_starts_again_under_its_address_is_not_refused(start):
-    """
-    Symptom: an instance that has started again can't reach another one. Sequence: its
-    machine is gone without a word, so that the other still has the old link; it starts
-    again within the same second. Cause: its dial was taken for one that had crossed
-    the old link, as both have the same incarnation, and refused.
+async def test_instance_restarted_at_its_address_is_not_refused(start):
+    """Guards against a restarted instance that can't reach a peer.
+
+    Its host fails without closing connections, so the peer still has the old link. It
+    restarts within the same second and so has the same incarnation. Its dial must not
+    be treated as one that crossed the old link, and rejected.
     """
-    second = await start("e-2", clock=OffsetClock(1_000_000.1))
-    async with FaultyLink(second.address) as way:
+    second = await start("e-2", clock=FixedWallClock(1_000_000.1))
+    async with FaultyLink(second.address) as faulty_link:
         first = await start("e-1")
-        first.show(("e-2", way.address))
+        first.emit_listing(("e-2", faulty_link.address))
         await wait_until(lambda: first.count_links() == second.count_links() == 1)
-        way.silence(only_open=True)
+        faulty_link.silence(only_open=True)
         port = second.hub.port
         await second.hub.stop()
-        again = await start("e-2", port=port, clock=OffsetClock(1_000_000.4))
-        again.show(("e-1", first.address))
+        again = await start("e-2", port=port, clock=FixedWallClock(1_000_000.4))
+        again.emit_listing(("e-1", first.address))
         assert await again.hub.ask("e-1", Echo("x"), TIMEOUT) == Ok(Echo("x"))
         assert await first.hub.ask("e-2", Echo("y"), TIMEOUT) == Ok(Echo("y"))
         assert first.find_link("e-2").initiated is False
 
 
-async def test_question_that_meets_the_end_of_its_link_is_asked_again(start):
-    """
-    Symptom: a question fails with "the link closed" though no instance was lost.
-    Sequence: one side ends a link that it needs no more; a question of the other is
-    on its way as it does. Cause: nothing told whether it had been looked at.
+async def test_call_on_a_closing_link_is_retried(start):
+    """Guards against a call that fails with "the link closed" though no peer was lost.
+
+    One side closes a link that it no longer needs while a call of the peer is in
+    transit. The close reason must tell that the call was not handled.
     """
-    first, second = await meet(start)
+    first, second = await start_linked(start)
     link = first.find_link("e-2")
     link.drained = True
     asked = asyncio.create_task(second.hub.ask("e-1", Echo("x"), TIMEOUT))
@@ -326,22 +325,22 @@
 
 
 @pytest.mark.parametrize("asks", ["e-1", "e-2"])
-async def test_link_ends_only_once_nothing_is_under_way(start, monkeypatch, asks):
-    """
-    Symptom: a question that takes long fails as its link ends. Sequence: either side
-    asks; the link makes room for another; its time is over before the answer is there.
-    Cause: it was closed at that time, whatever was under way on it.
+async def test_link_is_closed_only_without_pending_work(start, monkeypatch, asks):
+    """Guards against long calls that fail because their link is retired.
+
+    A call of either side is pending when the link is evicted. The link must stay open
+    beyond its minimum retirement time until the answer is received.
     """
-    looks = 0
+    checks = 0
     has_pending_work = Link.has_pending_work.fget
 
-    def look(link: Link) -> bool:
-        nonlocal looks
-        looks += 1
+    def count_check(link: Link) -> bool:
+        nonlocal checks
+        checks += 1
         return has_pending_work(link)
 
-    first, second = await meet(start)
-    monkeypatch.setattr(Link, "has_pending_work", property(look))
+    first, second = await start_linked(start)
+    monkeypatch.setattr(Link, "has_pending_work", property(count_check))
     monkeypatch.setattr(link_retirement, "MIN_RETIREMENT", 0.0)
     monkeypatch.setattr(link_retirement, "POLL_INTERVAL", 0.01)
     asking, asked = (first, second) if asks == "e-1" else (second, first)
@@ -349,7 +348,7 @@
     waiting = asyncio.create_task(asking.hub.ask(other, Hold(), TIMEOUT))
     await wait_until(lambda: asked.holds == 1)
     link = first.retire("e-2")
-    await wait_until(lambda: looks >= 3)
+    await wait_until(lambda: checks >= 3)
     assert not link.ended
     asked.released.set()
     assert await waiting == Ok(Echo("released"))
@@ -357,13 +356,13 @@
     assert asked.holds == 1
 
 
-async def test_link_that_never_rests_ends_without_its_word(start, monkeypatch):
-    """
-    Symptom: retired links and their sockets grow in number, or a question is handled
-    twice. Sequence: a handler does not end; its link is retired. Cause: the link was
-    kept for good, or closed as one on which all is answered.
+async def test_link_with_endless_work_is_closed_as_not_drained(start, monkeypatch):
+    """Guards against leaked links, and against calls that are handled twice.
+
+    The link of a handler that does not return is retired. It must be closed after the
+    maximum retirement time, but not as drained: the peer would retry the call.
     """
-    first, second = await meet(start)
+    first, second = await start_linked(start)
     monkeypatch.setattr(link_retirement, "MIN_RETIREMENT", 0.0)
     monkeypatch.setattr(link_retirement, "MAX_RETIREMENT", 0.0)
     waiting = asyncio.create_task(second.hub.ask("e-1", Hold(), TIMEOUT))
@@ -380,13 +379,13 @@
 
 
 async def test_stop_does_not_wait_for_retired_links(start, monkeypatch):
-    """
-    Symptom: an instance takes eight seconds longer to stop. Sequence: a link that it
-    has accepted was replaced shortly before. Cause: only the links in use were
-    closed, and the server waits for all.
+    """Guards against a stop that is delayed by the retirement time of a link.
+
+    The server waits for all links that it has accepted, also for one that was
+    replaced shortly before, so a stop must close retired links too.
     """
     monkeypatch.setattr(link_retirement, "MIN_RETIREMENT", 3600.0)
-    _, second = await meet(start)
+    _, second = await start_linked(start)
     link = second.retire("e-1")
     async with asyncio.timeout(TIMEOUT):
         await second.hub.stop()
@@ -405,10 +404,10 @@
 
 
 async def test_both_sides_keep_the_same_link():
-    """
-    Symptom: two instances lose each link a moment after it was opened. Sequence: two
-    links cross, or one follows the other; the two sides learn of them in different
-    orders. Cause: each side decides by what only it knows.
+    """Guards against instances that close each other's links right after opening.
+
+    Two links cross, or one follows the other, and the sides learn of them in
+    different orders. Both must decide by what the two of them know.
     """
     ids = ("e-1", "e-2")
     for diallers in itertools.product(ids, ids):
@@ -427,25 +426,25 @@
                 kept.add(second_stays)
             assert len(kept) == 1
             if orders[0] == orders[1]:
-                # the hellos of one are both later: it follows the other
+                # both hellos of one link are later, so it is the newer link
                 assert kept == {orders[0]}
 
 
 @pytest.mark.parametrize("apart", [0.0, 5.0])
-async def test_peer_without_numbers_gets_the_rule_by_time(apart):
-    """
-    Symptom: during a rolling upgrade instances lose links that they have just opened.
-    Sequence: two links of an instance and one of an earlier release cross, or one
-    follows the other. Cause: they were decided on by numbers that one side lacks.
+async def test_peer_without_hello_numbers_is_decided_by_time(apart):
+    """Guards against lost links during a rolling upgrade.
+
+    An instance of an earlier release does not number its hellos. Two links with it
+    that cross, or follow each other, must be decided by time.
     """
-    # seconds for which the earlier release takes two links for crossed
+    # seconds within which the earlier release treats two links as crossed
     crossing = 1.0
     for own in ("e-1", "e-2"):
         numbers = {"e-1": 0, "e-2": 0, own: 7}
         held = create_link(own, "e-1", numbers)
         new = create_link(own, "e-2", numbers | {own: 8})
         new.opened = held.opened + apart
-        # crossed, the one of the lower id is kept; later, it is the newer
+        # of crossed links that of the lower id is kept, otherwise the newer one
         assert replaces(new, held, own, crossing) is (apart > crossing)
         new = create_link(own, "e-1", numbers | {own: 8})
         assert replaces(new, held, own, crossing)
--- a/tests/test_entry/test_adapters/test_engine_orders.py
+++ b/tests/test_entry/test_adapters/test_engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines that refuse, stay silent, redirect or hang up."""
+"""Tests of orders to engines that reject, stall, redirect or disconnect."""
 
 from __future__ import annotations
 
@@ -28,31 +28,31 @@
         await client.close()
 
 
-async def give(script, *, guard=lambda: True, timeout=5.0):
-    """Give an order to an engine; return the answer and the bodies it got."""
-    got = []
+async def send_order(script, *, guard=lambda: True, timeout=5.0):
+    """Send an order to an engine; return the answer and the bodies received."""
+    received = []
 
     async def record(connection):
-        got.append(await connection.read_request())
+        received.append(await connection.read_request())
         await script(connection)
 
     async with RawServer(record) as server, open_client(timeout) as client:
         target = Target("engine", "writer", "north", server.address)
         answer = await client.give(target, ORDER, guard)
-        # whatever is on its way has arrived once another call has been answered
+        # a further call ensures that everything sent before has arrived
         await client.read(target)
-    return answer, [body for body in got if body]
+    return answer, [body for body in received if body]
 
 
 async def answer_state(connection):
     await connection.send(encode_answer(REPORT))
 
 
-async def test_order_is_given_and_read_back():
-    answer, got = await give(answer_state)
+async def test_order_is_sent_and_state_is_read():
+    answer, received = await send_order(answer_state)
     assert answer.outcome is OrderOutcome.DONE
     wanted = {"models": ["draft-1"], "adapters": [], "role": "mixed"}
-    assert got == [{"fence": 7, "wanted": wanted}]
+    assert received == [{"fence": 7, "wanted": wanted}]
     async with RawServer(answer_after_request) as server, open_client() as client:
         target = Target("engine", "writer", "north", server.address)
         assert await client.read(target) == Ok(EngineReport(ORDER.wanted, 7))
@@ -63,18 +63,18 @@
     await answer_state(connection)
 
 
-async def test_nothing_is_sent_when_the_guard_forbids_it():
-    """An order arrives although its lease is over.
+async def test_nothing_is_sent_if_the_guard_denies_it():
+    """Guards against orders that arrive after their lease has expired.
 
-    The lease lapses while the connection to the engine is made. The cause would be
-    a check that is made before the connection, and not right before the first byte.
+    The lease can expire while the connection to the engine is made, so the guard must
+    be checked right before the first byte and not before the connection.
     """
-    got = []
+    received = []
     ended = asyncio.Event()
 
     async def accept(connection):
         try:
-            got.append(await connection.reader.read())
+            received.append(await connection.reader.read())
         finally:
             ended.set()
 
@@ -84,7 +84,7 @@
         async with asyncio.timeout(5):
             await ended.wait()
     assert answer.outcome is OrderOutcome.NOT_SENT
-    assert not any(got)
+    assert not any(received)
 
 
 async def refuse_old(connection):
@@ -125,19 +125,18 @@
         (stay_silent, OrderOutcome.UNKNOWN),
     ],
 )
-async def test_an_order_is_sent_once_whatever_the_answer(script, outcome):
-    """An engine gets one order twice, or a lost answer passes for a refusal.
+async def test_an_order_is_sent_at_most_once(script, outcome):
+    """Guards against duplicate orders, and against lost answers taken for refusals.
 
-    The engine hangs up, stays silent or answers something else. The cause would be
-    a client that sends again by itself, or an error that is taken to say that
-    nothing was done.
+    If the engine disconnects, stalls or responds with an error, the client must not
+    resend the order, nor report that it had no effect.
     """
-    answer, got = await give(script, timeout=0.3)
+    answer, received = await send_order(script, timeout=0.3)
     assert answer.outcome is outcome
-    assert len(got) == 1
+    assert len(received) == 1
 
 
-async def test_an_engine_out_of_reach_was_not_sent_the_order():
+async def test_an_order_to_an_unreachable_engine_is_not_sent():
     async with RawServer(answer_state) as server:
         address = server.address
     async with open_client() as client:
@@ -156,7 +155,7 @@
         {"state": {**STATE, "models": "draft-1"}, "fence": 1},
     ],
 )
-async def test_a_report_that_cannot_be_read_is_an_error(report):
+async def test_an_invalid_report_is_an_error(report):
     async def script(connection):
         await connection.read_request()
         await connection.send(encode_answer(report))
--- a/tests/test_entry/test_adapters/test_event_stream.py
+++ b/tests/test_entry/test_adapters/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Encoding of server-sent events."""
+"""Tests of the encoding of server-sent events."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @pytest.mark.parametrize("text", ["", ' "a"\n\r\n\\', "é\u2028", "\ud800", "data: x"])
 def test_a_token_is_encoded_like_any_event(text):
-    """Symptom: a caller reads another text than the engine wrote, or two events.
+    """Guards against corrupted or split events.
 
-    Cause: a token's text stands in its event without the escapes of JSON.
+    The text of a token must be escaped as JSON.
     """
     fields = {"offset": 7, "text": text}
     encoded = encode_token(7, text)
--- a/tests/test_entry/test_adapters/test_lazy_timeout.py
+++ b/tests/test_entry/test_adapters/test_lazy_timeout.py
@@ -1,4 +1,4 @@
-"""The time limit that is moved often."""
+"""Tests of the timeout that is cheap to reschedule."""
 
 from __future__ import annotations
 
@@ -21,16 +21,15 @@
         await asyncio.sleep(FAR)
 
 
-async def test_the_end_cancels_what_runs():
+async def test_expiry_cancels_the_running_code():
     with pytest.raises(TimeoutError):
         await _run_late(LazyTimeout(_now() + SOON))
 
 
-async def test_a_later_end_counts_from_then_on():
-    """Symptom: streams are cut although their tokens keep coming.
+async def test_a_later_deadline_replaces_the_earlier_one():
+    """Guards against streams that time out although tokens keep arriving.
 
-    The timer that was set for the first token fires after the limit was moved on.
-    Cause: a timer is taken for the end itself.
+    The timer set for the first token fires after the deadline was extended.
     """
     async with LazyTimeout(_now() + SOON) as timeout:
         timeout.reschedule(_now() + FAR)
@@ -41,11 +40,11 @@
             await asyncio.sleep(FAR)
 
 
-async def test_a_sooner_end_counts():
-    """Symptom: a call to a silent target lasts until its deadline.
+async def test_an_earlier_deadline_replaces_the_later_one():
+    """Guards against calls to an unresponsive target that last until their deadline.
 
-    Its first limit was long, a shorter one was set once it was sent.
-    Cause: only the timer of the first limit is waited for.
+    The first timeout is long; a shorter one is set once the call is sent, and the
+    timer of the first must not delay it.
     """
     with pytest.raises(TimeoutError):
         async with LazyTimeout(_now() + FAR) as timeout:
@@ -53,7 +52,7 @@
             await asyncio.sleep(FAR)
 
 
-async def test_a_cancellation_from_outside_stays_one():
+async def test_an_external_cancellation_is_no_timeout():
     task = asyncio.create_task(_run_late(LazyTimeout(_now() + FAR)))
     await asyncio.sleep(0)
     task.cancel()
--- a/tests/test_entry/test_adapters/test_measured_loop.py
+++ b/tests/test_entry/test_adapters/test_measured_loop.py
@@ -8,7 +8,7 @@
 )
 
 
-def test_time_between_waits_counts_as_work():
+def test_time_between_waits_counts_as_busy():
     moments = iter((0.0, 3.0, 10.0, 11.0, 20.0))
     meter = BusyTimeSelector(lambda: next(moments))
     meter.select(0)
@@ -18,7 +18,7 @@
     meter.close()
 
 
-def test_loop_waits_by_its_meter():
+def test_loop_uses_the_selector():
     meter = BusyTimeSelector()
     loop = create_measured_loop(meter)
     try:
--- a/tests/test_entry/test_adapters/test_peer_calls.py
+++ b/tests/test_entry/test_adapters/test_peer_calls.py
@@ -21,7 +21,7 @@
 
 @dataclass
 class FakeLink:
-    """Takes what is answered."""
+    """Link that records the answers."""
 
     instance_id: str = "e-2"
     drained: bool = False
@@ -34,46 +34,45 @@
         return True
 
 
-class World:
-    """Calls whose handler waits for work of its own."""
+class Harness:
+    """Dispatcher with a handler that waits for a task."""
 
     def __init__(self) -> None:
         self.dispatcher = MessageDispatcher(
             max_concurrent=8, metrics=Metrics("127.0.0.1:9")
         )
         self.link = FakeLink()
-        self.work = asyncio.ensure_future(asyncio.Event().wait())
+        self.task = asyncio.ensure_future(asyncio.Event().wait())
         self.dispatcher.handle(Hold, self._wait)
 
     async def _wait(self, sender: str, message: Hold) -> None:
-        await asyncio.shield(self.work)
+        await asyncio.shield(self.task)
 
 
 @pytest.fixture
-async def world():
-    created = World()
+async def harness():
+    created = Harness()
     yield created
-    created.work.cancel()
+    created.task.cancel()
 
 
-async def test_question_whose_work_is_broken_off_is_answered(world):
-    """Symptom: stage work ends late where its owner stops.
+async def test_call_with_a_cancelled_handler_is_answered(harness):
+    """Guards against stages that are delayed when their owner stops.
 
-    Sequence: an owner has a peer's bundle in work and breaks it off at its stop; the
-    peer waits until the link ends, last of all.
-    Cause: a handler that is cancelled gave no answer.
+    A stopping owner cancels the bundle of a peer. Without an answer from the cancelled
+    handler, the peer would wait until the link closes at the end of the stop.
     """
-    world.dispatcher.dispatch(world.link, 7, Hold())
+    harness.dispatcher.dispatch(harness.link, 7, Hold())
     await asyncio.sleep(0)
-    world.work.cancel()
+    harness.task.cancel()
     await asyncio.sleep(0.01)
-    assert world.link.answered == [(7, Unanswered())]
-    assert len(world.dispatcher) == 0
+    assert harness.link.answered == [(7, Unanswered())]
+    assert len(harness.dispatcher) == 0
 
 
-async def test_stop_answers_what_is_under_way(world):
-    world.dispatcher.dispatch(world.link, 7, Hold())
+async def test_stop_answers_calls_in_progress(harness):
+    harness.dispatcher.dispatch(harness.link, 7, Hold())
     await asyncio.sleep(0)
-    await world.dispatcher.stop()
-    assert world.link.answered == [(7, Unanswered())]
-    assert world.link.active_handlers == 0
+    await harness.dispatcher.stop()
+    assert harness.link.answered == [(7, Unanswered())]
+    assert harness.link.active_handlers == 0
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -70,8 +70,8 @@
     pass
 
 
-class JumpClock(SystemClock):
-    """A clock that can be put forward."""
+class AdvanceableClock(SystemClock):
+    """Clock that can be advanced."""
 
     def __init__(self) -> None:
         self.offset = 0.0
@@ -85,14 +85,14 @@
     hub: PeerHub
     events: EventBus
     metrics: Metrics
-    clock: JumpClock
+    clock: AdvanceableClock
     echoed: list[str] = field(default_factory=list)
 
     @property
     def address(self) -> str:
         return f"127.0.0.1:{self.hub.port}"
 
-    def show(self, *shown: tuple[str, str]) -> None:
+    def emit_listing(self, *shown: tuple[str, str]) -> None:
         rows = tuple(
             Instance(
                 instance_id=instance_id,
@@ -120,7 +120,7 @@
 
     async def create(instance_id: str, *, silence: float = 5, seeds: str = "") -> Peer:
         text = SETTINGS.format(instance_id=instance_id, silence=silence, seeds=seeds)
-        events, metrics, clock = EventBus(), Metrics("127.0.0.1:9"), JumpClock()
+        events, metrics, clock = EventBus(), Metrics("127.0.0.1:9"), AdvanceableClock()
         hub = PeerHub(
             clock=clock,
             random_source=random.Random(instance_id),
@@ -157,7 +157,7 @@
     trio = [await start(instance_id, **options) for instance_id in ids]
     shown = [(peer.hub.instance_id, peer.address) for peer in trio]
     for peer in trio:
-        peer.show(*shown)
+        peer.emit_listing(*shown)
     await wait_until(lambda: all(know_each_other(peer, trio) for peer in trio))
     await wait_until(lambda: all(peer.count_links() == 2 for peer in trio))
     return trio
@@ -168,7 +168,7 @@
     return all(peer.find_state(item) is MemberState.ALIVE for item in ids)
 
 
-async def test_instances_meet_and_talk(start):
+async def test_instances_discover_and_call_each_other(start):
     trio = await start_trio(start)
     for peer in trio:
         for other in trio:
@@ -180,15 +180,14 @@
 
 
 async def test_both_dial_at_once_and_keep_one_link(start):
-    """
-    Symptom: two instances hold two links each, or close them in turn for ever.
-    Sequence: both dial each other at the same moment; each keeps the link that the
-    other closes. Cause: no common rule for which of two links is kept.
+    """Guards against two links per pair, and links closed in turn by both sides.
+
+    If both dial at the same time, they must agree on which of the two links is kept.
     """
     first, second = await start("e-1"), await start("e-2")
     shown = (("e-1", first.address), ("e-2", second.address))
-    first.show(*shown)
-    second.show(*shown)
+    first.emit_listing(*shown)
+    second.emit_listing(*shown)
     asks = [
         peer.hub.ask(other, Echo(str(number)), TIMEOUT)
         for number in range(20)
@@ -202,22 +201,21 @@
     assert sorted(second.echoed) == sorted(str(number) for number in range(20))
 
 
-async def test_dial_of_a_former_process_leaves_the_link_to_the_present_one(start):
-    """
-    Symptom: after all instances were killed at once, links are closed and opened for
-    minutes, and instances that live are suspected over and over. Sequence: a process
-    starts at the address of a former one under an id of its own; the former one, which
-    is believed dead, is tried now and then. Cause: whoever is at the address takes the
-    hello for a newer link and gives up the one that is in use; the dialler finds
-    another id than it dialled and closes the new one as well.
+async def test_dial_of_an_earlier_process_keeps_the_link_to_its_successor(start):
+    """Guards against links that are reopened for minutes after all instances restart.
+
+    A process starts at the address of an earlier one under a new id, while peers still
+    dial the earlier one, which they consider dead. The new process treats the hello
+    as a newer link and retires the one in use; the dialler gets another id than it
+    dialled and closes the new link too. Live instances are then suspected repeatedly.
     """
     first, second = await start("e-1"), await start("e-2")
     shown = (("e-1", first.address), ("e-2", second.address))
-    first.show(*shown)
-    second.show(*shown)
+    first.emit_listing(*shown)
+    second.emit_listing(*shown)
     assert isinstance(await first.hub.ask("e-2", Echo("x"), TIMEOUT), Ok)
     held = [peer.hub._links.list_links() for peer in (first, second)]
-    first.show(*shown, ("e-0", second.address))
+    first.emit_listing(*shown, ("e-0", second.address))
     for _ in range(5):
         assert isinstance(await first.hub.ask("e-0", Echo("y"), 0.2), Err)
         await asyncio.sleep(0.1)
@@ -225,7 +223,7 @@
     assert second.echoed == ["x"]
 
 
-async def test_errors_tell_whether_the_peer_may_have_acted(start):
+async def test_errors_tell_whether_the_call_may_have_run(start):
     trio = await start_trio(start)
     hub = trio[0].hub
 
@@ -238,16 +236,16 @@
     assert await find_kind("e-9", Echo(), TIMEOUT) is PeerErrorKind.NOT_SENT
     assert await find_kind("e-2", Hang(), 0.2) is PeerErrorKind.NO_ANSWER
     assert await find_kind("e-2", Crash(), TIMEOUT) is PeerErrorKind.NO_ANSWER
-    # an answer is a message that nobody handles as a question
+    # a hello has no handler
     assert await find_kind("e-2", Hello(), TIMEOUT) is PeerErrorKind.REFUSED
     huge = Echo("x" * MAX_MESSAGE_BYTES)
     assert await find_kind("e-2", huge, TIMEOUT) is PeerErrorKind.NOT_SENT
 
 
-async def test_question_of_a_later_release_is_answered(start):
-    """
-    Symptom: during a rolling upgrade questions of new instances hang. Sequence: an
-    older one gets a type of message it does not know. Cause: it stays silent.
+async def test_call_of_a_later_release_is_answered(start):
+    """Guards against calls of newer instances that hang during a rolling upgrade.
+
+    An older instance must answer a call with a message type that it does not know.
     """
     peer = await start("e-1")
     async with connect(f"ws://{peer.address}", proxy=None) as raw:
@@ -266,19 +264,19 @@
     assert encode(Envelope(Echo(), reply_to=77))[-4:] == reply[-4:]
 
 
-async def test_silent_link_is_noticed_and_replaced(start):
-    """
-    Symptom: questions to one peer time out for minutes though it works. Sequence:
-    the open connection goes silent both ways, new ones work; much waits to be sent,
-    so that not even a heartbeat can be handed over. Cause: only a write or its
-    answer was watched, and both wait behind the full buffer.
+async def test_silent_link_is_detected_and_replaced(start):
+    """Guards against calls to a healthy peer that time out for minutes.
+
+    The open connection drops all data in both directions while new ones work, and the
+    send buffer is full, so that no heartbeat can be written. Silence must be detected
+    without relying on a write or its answer, as both wait behind the full buffer.
     """
-    # only the second one may notice: the first would dial anew and so replace the
-    # link before the second had its turn
+    # only the second instance may detect the silence: the first would otherwise dial
+    # and replace the link before the second does
     first = await start("e-1", silence=60.0)
     async with FaultyLink(first.address) as link:
         second = await start("e-2", silence=0.6)
-        second.show(("e-1", link.address))
+        second.emit_listing(("e-1", link.address))
         await wait_until(lambda: second.find_state("e-1") is MemberState.ALIVE)
         link.silence(only_open=True)
         for _ in range(40):
@@ -290,11 +288,10 @@
 
 
 async def test_pause_keeps_links(start):
-    """
-    Symptom: after a process was stopped and continued it has lost all its links.
-    Sequence: its clocks jump by a minute between two turns of its loop; what its
-    peers sent meanwhile is still unread. Cause: the time in which it read nothing
-    was taken for silence of the others.
+    """Guards against the loss of all links after a process is paused and resumed.
+
+    Its clocks jump by a minute between two loop iterations, and data of the peers is
+    still unread. The pause must not count as silence of the peers.
     """
     trio = await start_trio(start)
     hub = trio[0].hub
@@ -308,39 +305,38 @@
     assert know_each_other(trio[0], trio)
 
 
-async def test_leaving_is_told_to_all(start):
+async def test_leaving_is_propagated_to_all(start):
     trio = await start_trio(start)
     trio[0].events.emit(DRAIN_STARTED)
     await wait_until(
         lambda: all(peer.find_state("e-1") is MemberState.LEAVING for peer in trio)
     )
-    # it still serves what it has begun
+    # a leaving instance still answers calls
     assert await trio[1].hub.ask("e-1", Echo("x"), TIMEOUT) == Ok(Echo("x"))
 
 
-async def test_works_without_the_list_and_without_peers(start):
-    """
-    Symptom: with the platform's list down nobody is found. Sequence: one instance
-    learns of two others, of which neither ever gets a listing. Cause: peers that
-    connect, and those they know, were not taken in.
+async def test_instances_discover_each_other_without_listings(start):
+    """Guards against missing members while the platform's instance list is down.
+
+    Only one instance gets a listing. The two others must learn of each other from the
+    peers that connect to them.
     """
     first, second, third = [await start(f"e-{number}") for number in (1, 2, 3)]
     assert [member.instance_id for member in first.hub.members()] == ["e-1"]
-    first.show(("e-2", second.address), ("e-3", third.address))
+    first.emit_listing(("e-2", second.address), ("e-3", third.address))
     trio = [first, second, third]
     await wait_until(lambda: all(know_each_other(peer, trio) for peer in trio))
     assert (await second.hub.ask("e-3", Echo("x"), TIMEOUT)) == Ok(Echo("x"))
 
 
-async def test_new_instance_finds_the_others_by_a_seed(start):
-    """
-    Symptom: an instance started while the platform's list is down stays alone.
-    Sequence: of the two addresses that it was given, one belongs to an instance that
-    is gone; the other leads to all others. Cause: peers were only learnt from the
-    list, or one bad address kept it from trying the next.
+async def test_new_instance_discovers_the_others_by_a_seed(start):
+    """Guards against an isolated instance if the platform's instance list is down.
+
+    One of its two seed addresses is unreachable; it must try the other and discover
+    all members through it.
     """
     first, second = await start("e-1"), await start("e-2")
-    first.show(("e-2", second.address))
+    first.emit_listing(("e-2", second.address))
     new = await start("e-3", seeds=f"127.0.0.1:1, {first.address}")
     trio = [first, second, new]
     await wait_until(lambda: all(know_each_other(peer, trio) for peer in trio))
@@ -351,10 +347,10 @@
 
 
 async def test_seed_that_leaves_is_dialled_once(start):
-    """
-    Symptom: links opened and closed five times a second. Sequence: the only seed
-    that answers is leaving, so that no member to talk to is known. Cause: seeds were
-    dialled for as long as there is none.
+    """Guards against a link that is opened and closed five times a second.
+
+    The only reachable seed is leaving and so is no neighbour. It must not be dialled
+    again while a link to it is open.
     """
     leaving = await start("e-1")
     leaving.events.emit(DRAIN_STARTED)
@@ -379,10 +375,9 @@
 
 @pytest.mark.parametrize("instance_id", ["e-1", "e-2"])
 async def test_peer_under_anothers_id_is_rejected(start, instance_id):
-    """
-    Symptom: messages meant for one instance reach another. Sequence: a process
-    connects under the id of an instance that is alive at another address. Cause:
-    whoever connects last was believed.
+    """Guards against messages that reach the wrong instance.
+
+    A process connects under the id of an instance that is alive at another address.
     """
     trio = await start_trio(start)
     hello = Hello(
@@ -400,17 +395,17 @@
     ("frame", "code"),
     [(b"\xff" * 50, 4002), (b"x" * (MAX_MESSAGE_BYTES + 1), 1009)],
 )
-async def test_odd_first_frames_close_the_link(start, frame, code):
+async def test_invalid_first_frame_closes_the_link(start, frame, code):
     peer = await start("e-1")
     assert await find_close_code(peer.address, frame) == code
     assert peer.count_links() == 0
 
 
-async def test_queue_drops_old_gossip_but_no_answers():
-    """
-    Symptom: an instance's memory grows while one peer reads slowly, or that peer
-    waits in vain for answers. Sequence: far more is sent than is taken. Cause: a
-    queue without bound, or one that drops whatever comes first.
+async def test_queue_drops_only_droppable_messages():
+    """Guards against unbounded memory, and against lost answers, with a slow peer.
+
+    If more is sent than the peer reads, the queue must drop messages, oldest first,
+    but never answers.
     """
     link = Link(connection=None, peer=Hello(), initiated=True, traffic=Traffic())
     answers = [OutgoingFrame(b"answer", "a") for _ in range(10)]
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -1,4 +1,4 @@
-"""Calls to targets that answer late, crossed, in part or not at all."""
+"""Tests of calls to targets with late, mismatched, partial or missing answers."""
 
 from __future__ import annotations
 
@@ -58,47 +58,47 @@
     return StageCall(**values | fields)
 
 
-def find_target(server):
+def create_target(server):
     return Target("target-0", "lathe-desk", "tutuban-hall", server.address)
 
 
-def describe(call, **fields):
+def create_answer(call, **fields):
     ids = {name: call[name] for name in ("attempt", "request", "stage")}
     return ids | {"output": call["attempt"], "cost_ms": 3} | fields
 
 
 async def serve(connection):
-    """Answer every call as it should be."""
+    """Answer every call correctly."""
     while True:
         call = await connection.read_request()
-        await connection.send(encode_answer(describe(call)))
+        await connection.send(encode_answer(create_answer(call)))
 
 
-async def run_one(script, call=None, limits=LIMITS):
+async def call_once(script, call=None, limits=LIMITS):
     """Return the result of one call to a server with ``script``, and the server."""
     async with RawServer(script) as server, open_client(limits) as client:
-        result = await client.call(find_target(server), call or create_call())
+        result = await client.call(create_target(server), call or create_call())
         return result, server
 
 
-async def test_call_on_a_dropped_kept_connection_is_not_sent_twice():
-    """A coach set was listed on two lathes at once.
+async def test_call_on_a_dropped_pooled_connection_is_not_resent():
+    """Guards against a call that is executed twice.
 
-    Sequence: a connection is kept alive; the target takes the next call from it
-    and drops it without an answer. Cause: the HTTP client sent the call again.
+    The target reads a call from a pooled connection and drops the connection without
+    an answer. The HTTP client must not resend the call.
     """
     received = []
 
     async def script(connection):
         call = await connection.read_request()
         received.append(call["attempt"])
-        await connection.send(encode_answer(describe(call)))
+        await connection.send(encode_answer(create_answer(call)))
         call = await connection.read_request()
         received.append(call["attempt"])
         connection.reset()
 
     async with RawServer(script) as server, open_client() as client:
-        target = find_target(server)
+        target = create_target(server)
         first = await client.call(target, create_call(1))
         assert first.ok_value.output == "attempt-1"
         second = await client.call(target, create_call(2))
@@ -109,7 +109,7 @@
 
 
 async def test_redirect_is_not_followed():
-    """A hold reached a target that nobody had chosen, beside the one chosen."""
+    """Guards against calls that are redirected to a target that was not chosen."""
     received = []
 
     async def script(connection):
@@ -120,25 +120,25 @@
         )
         await serve(connection)
 
-    result, _ = await run_one(script)
+    result, _ = await call_once(script)
     assert result.err_value.kind is FailureKind.TARGET_ERROR
     assert len(received) == 1
 
 
 async def test_refused_connection_proves_that_nothing_ran():
     async with RawServer(serve) as server:
-        target = find_target(server)
+        target = create_target(server)
     async with open_client() as client:
         result = await client.call(target, create_call(repeatable=False))
     assert result.err_value.kind is FailureKind.CONNECT
     assert result.err_value.verdict is Verdict.NOT_RUN
 
 
-async def test_no_byte_is_sent_before_the_call_counts_as_sent(monkeypatch):
-    """A request was refused as "not run" although its target had it.
+async def test_call_is_recorded_as_sent_before_its_first_byte(monkeypatch):
+    """Guards against the verdict "not run" for a call that its target has received.
 
-    Sequence: the connection opens, the call is cut. Cause: the HTTP client wrote
-    the headers before it asked for the body, whose writing marks the call as sent.
+    Writing the body marks the call as sent, so the HTTP client must not write the
+    headers before it starts to write the body.
     """
     received = bytearray()
     ended = asyncio.Event()
@@ -155,52 +155,50 @@
         "greengagelatch_entry.adapters.targets._Attempt.record_sending", refuse
     )
     async with RawServer(script) as server, open_client() as client:
-        result = await client.call(find_target(server), create_call())
+        result = await client.call(create_target(server), create_call())
         await ended.wait()
     assert result.err_value.verdict is Verdict.NOT_RUN
     assert not received
 
 
 @pytest.mark.parametrize("field", ["attempt", "request", "stage"])
-async def test_answer_of_another_call_is_not_taken(field):
-    """A member read another member's booking.
+async def test_answer_of_another_call_is_rejected(field):
+    """Guards against callers that get the result of another request.
 
-    Sequence: the target mixes up two answers. Cause: whatever came back on the
-    connection was taken for the answer.
+    The target mixes up two answers.
     """
 
     async def script(connection):
         call = await connection.read_request()
-        answer = describe(call, **{field: "other"})
+        answer = create_answer(call, **{field: "other"})
         await connection.send(encode_answer(answer))
         await connection.hold()
 
-    result, _ = await run_one(script)
+    result, _ = await call_once(script)
     assert result.err_value.kind is FailureKind.MISMATCHED
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
-async def test_late_answer_left_on_a_connection_reaches_nobody():
-    """A caller was given the answer to the call before its own.
+async def test_late_answer_on_a_pooled_connection_is_discarded():
+    """Guards against callers that get the answer to the previous call.
 
-    Sequence: a target sends a second answer to a call whose first one was taken;
-    it waits in the kept connection and is read as the answer to the next call.
-    Cause: the connection was used again after bytes that belong to no call.
+    A target sends a second answer to a call. It stays unread on the pooled connection
+    and must not be read as the answer to the next call.
     """
 
     async def script(connection):
         if connection.number > 0:
             await serve(connection)
         call = await connection.read_request()
-        await connection.send(encode_answer(describe(call)))
+        await connection.send(encode_answer(create_answer(call)))
         await asyncio.sleep(0.05)
-        await connection.send(encode_answer(describe(call)))
+        await connection.send(encode_answer(create_answer(call)))
         late.set()
         await connection.hold()
 
     late = asyncio.Event()
     async with RawServer(script) as server, open_client() as client:
-        target = find_target(server)
+        target = create_target(server)
         await client.call(target, create_call(1))
         await late.wait()
         second = await client.call(target, create_call(2))
@@ -219,10 +217,8 @@
         ({}, FailureKind.TARGET_ERROR, Verdict.MAY_HAVE_RUN),
     ],
 )
-async def test_only_a_refusal_of_this_very_attempt_proves_not_run(
-    fields, kind, verdict
-):
-    """A hold was doubled after a refusal that was meant for another call."""
+async def test_only_a_refusal_with_the_attempt_id_proves_not_run(fields, kind, verdict):
+    """Guards against a call executed twice after the refusal of another call."""
 
     async def script(connection):
         await connection.read_request()
@@ -230,18 +226,17 @@
         await connection.send(encode_answer(refusal, status="503 Service Unavailable"))
         await connection.hold()
 
-    result, _ = await run_one(script)
+    result, _ = await call_once(script)
     assert result.err_value.kind is kind
     assert result.err_value.verdict is verdict
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
-async def test_silent_connection_is_left_at_once(repeatable):
-    """Call after call was lost to one target that answered others at once.
+async def test_unresponsive_connections_are_replaced_at_once(repeatable):
+    """Guards against a series of lost calls to a healthy target.
 
-    Sequence: something between the two ends forgets the open connections. Cause:
-    each call was put on the next silent one. A call that may not be repeated must
-    not be put on a kept connection at all.
+    A middlebox drops the state of the open connections. The next call must not use
+    another of them, and one that is not repeatable must use no pooled connection.
     """
     silent = 3
 
@@ -252,12 +247,12 @@
                 await gate.wait()
             elif connection.number < silent:
                 await connection.hold()
-            await connection.send(encode_answer(describe(call)))
+            await connection.send(encode_answer(create_answer(call)))
 
     gate = asyncio.Event()
     limits = replace(LIMITS, stall_timeout=0.6)
     async with RawServer(script) as server, open_client(limits) as client:
-        target = find_target(server)
+        target = create_target(server)
         warm = [
             asyncio.create_task(client.call(target, create_call(n, input="warm")))
             for n in range(silent)
@@ -274,11 +269,11 @@
         assert server.accepted == silent + 1
 
 
-async def test_kept_connections_are_replaced_by_age():
+async def test_pooled_connections_are_replaced_by_age():
     clock = ManualClock()
     limits = replace(LIMITS, max_age=60.0)
     async with RawServer(serve) as server, open_client(limits, clock) as client:
-        target = find_target(server)
+        target = create_target(server)
         for _ in range(3):
             call = create_call(deadline=clock.now() + 10)
             assert isinstance(await client.call(target, call), Ok)
@@ -289,8 +284,8 @@
         assert server.accepted == 2
 
 
-async def test_answer_without_end_is_bounded():
-    """The process ran out of memory on one broken target."""
+async def test_endless_answer_is_bounded():
+    """Guards against a faulty target that exhausts the memory."""
 
     async def script(connection):
         await connection.read_request()
@@ -299,7 +294,7 @@
             await connection.send(b"x" * 65_536)
 
     limits = replace(LIMITS, max_answer_bytes=1_000_000)
-    result, _ = await run_one(script, limits=limits)
+    result, _ = await call_once(script, limits=limits)
     assert result.err_value.kind is FailureKind.TARGET_ERROR
     assert result.err_value.message == "answer exceeds 1000000 bytes"
 
@@ -313,19 +308,19 @@
         b'{"attempt":"attempt-1","request":"request-1","stage":"book"}',
     ],
 )
-async def test_unreadable_answer_is_a_failure_of_the_target(body):
+async def test_invalid_answer_is_a_target_error(body):
     async def script(connection):
         await connection.read_request()
         head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n"
         await connection.send(head.encode() + body)
 
-    result, _ = await run_one(script)
+    result, _ = await call_once(script)
     assert result.err_value.kind in (FailureKind.TARGET_ERROR, FailureKind.MISMATCHED)
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
 def encode_stream(call):
-    """Return the events of a whole stream from where it is to be resumed."""
+    """Return the events of a complete stream from its resume offset."""
     events = []
     for offset in range(call["resume_at"], len(TOKENS)):
         events.append(encode_token(call, offset, TOKENS[offset]))
@@ -337,7 +332,7 @@
 
 
 async def run_stream(change, call=None):
-    """Return the result of a stream whose events ``change`` may alter, and tokens."""
+    """Return the result and tokens of a stream with events altered by ``change``."""
     given = []
 
     async def script(connection):
@@ -350,14 +345,14 @@
 
     async with RawServer(script) as server, open_client() as client:
         result = await client.call(
-            find_target(server),
+            create_target(server),
             call or create_stream_call(),
             lambda *token: given.append(token),
         )
     return result, given
 
 
-async def test_whole_stream_in_pieces():
+async def test_stream_in_small_chunks():
     def split(request, events):
         whole = b"".join(events)
         return [whole[at : at + 7] for at in range(0, len(whole), 7)]
@@ -367,7 +362,7 @@
     assert given == list(enumerate(TOKENS))
 
 
-async def test_resumed_stream_is_checked_as_a_whole():
+async def test_resumed_stream_is_verified_with_its_earlier_tokens():
     call = create_stream_call(resume_at=2, received=TOKENS[:2])
     result, given = await run_stream(lambda request, events: events, call)
     assert result.ok_value.tokens == TOKENS
@@ -402,11 +397,11 @@
         pytest.param(lambda r, e: [None], FailureKind.STALLED, id="only a head"),
     ],
 )
-async def test_broken_stream_is_not_taken_for_a_whole_one(change, kind):
-    """A draft that ended in the middle of a sentence was delivered as whole.
+async def test_incomplete_stream_is_a_failure(change, kind):
+    """Guards against truncated streams that are delivered as complete.
 
-    Sequence: the stream ends, skips, repeats or goes silent. Cause: the end of the
-    connection was taken for the end of the answer.
+    The stream ends early, skips or repeats tokens, or stalls. The end of the
+    connection must not count as the end of the answer.
     """
     result, given = await run_stream(change)
     assert result.err_value.kind is kind
@@ -416,23 +411,23 @@
     assert result.err_value.tokens == TOKENS[: len(given)]
 
 
-async def test_deadline_is_kept_while_the_target_works():
+async def test_call_ends_at_its_deadline():
     async def script(connection):
         await connection.read_request()
         await connection.hold()
 
     limits = replace(LIMITS, stall_timeout=60.0)
     call = create_call(deadline=SystemClock().now() + 0.1)
-    result, _ = await run_one(script, call, limits)
+    result, _ = await call_once(script, call, limits)
     assert result.err_value.kind is FailureKind.DEADLINE
     assert result.err_value.verdict is Verdict.MAY_HAVE_RUN
 
 
-async def test_patience_ends_a_call_before_its_deadline():
-    """A draft stayed with a silent engine until its deadline.
+async def test_first_byte_timeout_ends_a_call_before_its_deadline():
+    """Guards against calls to an unresponsive engine that last until their deadline.
 
-    Sequence: the engine takes the call and gives no token. Cause: only the client's
-    own limit on silence was heeded, which is longer than most deadlines.
+    The engine accepts the call and sends no token. The client's general stall timeout
+    is longer than most deadlines, so the timeout of the call must apply.
     """
 
     async def script(connection):
@@ -441,26 +436,26 @@
 
     limits = replace(LIMITS, stall_timeout=60.0)
     call = create_stream_call(first_byte_timeout=0.1)
-    result, _ = await run_one(script, call, limits)
+    result, _ = await call_once(script, call, limits)
     assert result.err_value.kind is FailureKind.STALLED
 
 
-async def test_leaving_is_heard_from_answers_and_refusals():
+async def test_leaving_is_read_from_answers_and_refusals():
     async def script(connection):
         call = await connection.read_request()
         headers = "X-Target-State: leaving\r\n"
         status = "200 OK" if call["attempt"] == "attempt-1" else "500 Broken"
         await connection.send(
-            encode_answer(describe(call), status=status, headers=headers)
+            encode_answer(create_answer(call), status=status, headers=headers)
         )
 
-    result, _ = await run_one(script)
+    result, _ = await call_once(script)
     assert result.ok_value.leaving
-    result, _ = await run_one(script, create_call(2))
+    result, _ = await call_once(script, create_call(2))
     assert result.err_value.leaving
 
 
-async def test_cancel_is_sent_on_a_connection_of_its_own():
+async def test_cancel_uses_a_new_connection():
     received = []
 
     async def script(connection):
@@ -468,7 +463,7 @@
         await connection.send(encode_answer({"cancelled": True}))
 
     async with RawServer(script) as server, open_client() as client:
-        assert await client.cancel(find_target(server), "attempt-1")
+        assert await client.cancel(create_target(server), "attempt-1")
         assert received == [{"attempt": "attempt-1"}]
     async with open_client() as client:
-        assert not await client.cancel(find_target(server), "attempt-1")
+        assert not await client.cancel(create_target(server), "attempt-1")
--- a/tests/test_entry/test_instances.py
+++ b/tests/test_entry/test_instances.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's list of instances over HTTP."""
+"""Tests of the HTTP client of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -56,11 +56,11 @@
             await runner.cleanup()
 
 
-async def test_reads_rows_and_skips_bad_ones(serve):
-    """
-    Symptom: one odd row makes an instance blind to all changes of the list.
-    Sequence: the list holds a row without an address, one of an unknown kind, one
-    that is no map, and a good one. Cause: a parser that gives up at the first.
+async def test_invalid_rows_are_skipped(serve):
+    """Guards against one invalid row that hides all changes of the list.
+
+    The list contains a row without an address, one of an unknown kind, one that is no
+    object, and a valid one.
     """
     rows = [{**ROW, "address": None}, {**ROW, "kind": "printer"}, 7, ROW]
     instances = await serve(200, json.dumps({"as_of": 4, "instances": rows}).encode())
@@ -72,7 +72,7 @@
     assert instances._metrics.value("instances.bad_rows") == 3
 
 
-async def test_unchanged_listing_is_not_read_again(serve):
+async def test_unchanged_listing_is_not_parsed_again(serve):
     body = json.dumps({"as_of": 4, "instances": [ROW]}).encode()
     instances = await serve(200, body)
     first = (await instances.fetch()).unwrap()
@@ -99,7 +99,7 @@
             pytest.fail("a bad answer was taken for a listing")
 
 
-async def test_nobody_listens():
+async def test_unreachable_platform_is_an_error():
     instances = HttpInstanceList(
         address="127.0.0.1:1", timeout=5, metrics=Metrics("127.0.0.1:9")
     )
@@ -108,10 +108,11 @@
     await instances.close()
 
 
-async def test_changed_row_is_read_again():
-    """
-    Symptom: a target that began to leave is shown as live. Sequence: one row of the
-    list changes, the others stay. Cause: rows were compared by id alone.
+async def test_changed_row_is_parsed_again():
+    """Guards against a leaving target that is shown as live.
+
+    One row of the list changes, the others stay, so rows must not be compared by id
+    alone.
     """
     instances = HttpInstanceList(
         address="127.0.0.1:1", timeout=5, metrics=Metrics("127.0.0.1:9")
--- a/tests/test_entry/test_operators.py
+++ b/tests/test_entry/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server."""
+"""Tests of the operators' HTTP server."""
 
 from __future__ import annotations
 
@@ -75,13 +75,13 @@
         raise RuntimeError("half-built state")
 
 
-class Bench:
+class Harness:
     """An operators' server with recorded calls."""
 
     def __init__(self) -> None:
         self.ready = True
         self.drains = 0
-        self.left: list[str] = []
+        self.leaving: list[str] = []
         metrics = Metrics("127.0.0.1:8125")
         parts = (Broken(), Unencodable(), Healthy())
         controllers = {part.name: part for part in parts}
@@ -95,7 +95,7 @@
             status=lambda: STATUS,
             ready=lambda: self.ready,
             drain=self.drain,
-            mark_leaving=self.left.append,
+            mark_leaving=self.leaving.append,
             metrics=metrics,
             routes=(self.install,),
         )
@@ -119,28 +119,27 @@
 
 
 @pytest.fixture
-async def bench():
-    running = Bench()
+async def harness():
+    running = Harness()
     await running.server.start()
     yield running
     await running.server.stop()
 
 
-async def test_health_stays_while_readiness_goes(bench):
-    assert await bench.call("GET", "/healthz") == (200, {"healthy": True})
-    assert await bench.call("GET", "/readyz") == (200, {"ready": True})
-    bench.ready = False
-    assert await bench.call("GET", "/healthz") == (200, {"healthy": True})
-    assert await bench.call("GET", "/readyz") == (503, {"ready": False})
+async def test_health_does_not_depend_on_readiness(harness):
+    assert await harness.call("GET", "/healthz") == (200, {"healthy": True})
+    assert await harness.call("GET", "/readyz") == (200, {"ready": True})
+    harness.ready = False
+    assert await harness.call("GET", "/healthz") == (200, {"healthy": True})
+    assert await harness.call("GET", "/readyz") == (503, {"ready": False})
 
 
-async def test_dump_survives_a_controller_that_fails(bench):
-    """Symptom: no dump can be had just when an instance misbehaves.
+async def test_dump_survives_a_controller_that_fails(harness):
+    """Guards against missing dumps of a faulty instance.
 
-    A controller is in a state that its own dump can't show; its error fails the
-    whole answer. Cause: one failure was not kept to its own section.
+    A controller can't dump its state; the error must stay in its own section.
     """
-    status, body = await bench.call("GET", "/dump")
+    status, body = await harness.call("GET", "/dump")
     assert status == 200
     assert body["controllers"]["healthy"] == {"held": [1, 2]}
     assert "half-built state" in body["controllers"]["broken"]["dump_failed"]
@@ -151,28 +150,28 @@
     assert {"metrics", "loop_lag_seconds", "cpu_seconds"} <= set(body)
 
 
-async def test_dump_of_one_controller(bench):
-    status, body = await bench.call("GET", "/dump?controller=healthy")
+async def test_dump_of_one_controller(harness):
+    status, body = await harness.call("GET", "/dump?controller=healthy")
     assert (status, body) == (200, {"controllers": {"healthy": {"held": [1, 2]}}})
-    status, body = await bench.call("GET", "/dump?controller=heathly")
+    status, body = await harness.call("GET", "/dump?controller=heathly")
     assert (status, body["field"], body["value"]) == (404, "controller", "heathly")
     assert "healthy" in body["message"]
 
 
-async def test_status_shows_members_and_targets(bench):
-    status, body = await bench.call("GET", "/status")
+async def test_status_shows_members_and_targets(harness):
+    status, body = await harness.call("GET", "/status")
     assert status == 200
     assert body["generation"] == 7
     assert body["members"]["entry-2"]["generation"] == 6
     assert body["targets"]["greengage-llm"]["llm-1"]["state"] == "live"
 
 
-async def test_drain_of_the_instance_and_of_a_target(bench):
-    assert (await bench.call("POST", "/drain"))[0] == 202
-    assert bench.drains == 1
-    status, body = await bench.call("POST", "/drain", json={"target": "llm-1"})
+async def test_drain_of_the_instance_and_of_a_target(harness):
+    assert (await harness.call("POST", "/drain"))[0] == 202
+    assert harness.drains == 1
+    status, body = await harness.call("POST", "/drain", json={"target": "llm-1"})
     assert (status, body) == (202, {"target": "llm-1", "state": "leaving"})
-    assert (bench.drains, bench.left) == (1, ["llm-1"])
+    assert (harness.drains, harness.leaving) == (1, ["llm-1"])
 
 
 @pytest.mark.parametrize(
@@ -186,35 +185,34 @@
         ("{", 400, ""),
     ],
 )
-async def test_misspelt_drain_stops_nothing(bench, body, status, field):
-    """Symptom: an entry instance stops although a target was to be drained.
+async def test_misspelt_drain_stops_nothing(harness, body, status, field):
+    """Guards against an instance that drains instead of a target.
 
-    An operator misspells the field; the server ignores it and sees an empty order,
-    which means the instance itself. Cause: unknown fields were not refused.
+    If an operator misspells the field and unknown fields are ignored, the body looks
+    empty, which means the instance itself.
     """
-    got, answer = await bench.call("POST", "/drain", data=body)
+    got, answer = await harness.call("POST", "/drain", data=body)
     assert (got, answer["field"]) == (status, field)
-    assert (bench.drains, bench.left) == (0, [])
+    assert (harness.drains, harness.leaving) == (0, [])
 
 
-async def test_body_limits_hold_for_added_routes(bench, monkeypatch):
-    """Symptom: a stalled upload holds a handler of the operators' server for good.
+async def test_body_limits_hold_for_added_routes(harness, monkeypatch):
+    """Guards against stalled uploads that block a handler indefinitely.
 
-    A sender announces a body, sends a part and stays silent. Cause: reading a body
-    had neither a size limit nor a time-out.
+    A client announces a body, sends a part of it and stalls.
     """
-    assert await bench.call("POST", "/added", data=b"x" * 9) == (200, {"got": 9})
+    assert await harness.call("POST", "/added", data=b"x" * 9) == (200, {"got": 9})
     large = b"x" * (operators.MAX_BODY_BYTES + 1)
-    assert (await bench.call("POST", "/added", data=large))[0] == 413
+    assert (await harness.call("POST", "/added", data=large))[0] == 413
     monkeypatch.setattr(operators, "BODY_TIMEOUT", 0.05)
-    reader, writer = await asyncio.open_connection("127.0.0.1", bench.server.port)
+    reader, writer = await asyncio.open_connection("127.0.0.1", harness.server.port)
     writer.write(b"POST /added HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nxxx")
     line = await asyncio.wait_for(reader.readline(), 10)
     writer.close()
     assert b" 408 " in line
 
 
-async def test_signal_writes_the_dump_to_the_log(bench):
+async def test_signal_writes_the_dump_to_the_log(harness):
     written = []
     complete = asyncio.Event()
 
--- a/tests/test_entry/test_store.py
+++ b/tests/test_entry/test_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's key-value service over real connections."""
+"""Tests of the key-value store client over real connections."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class Service:
-    """A service whose answers a test sets; it counts what reaches it."""
+    """Store with configurable responses that counts the calls it receives."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
         self.mode = "answer"
-        #: connections on which calls are swallowed
+        #: connections whose calls get no response
         self.silent: set[object] = set()
         self.address = ""
         self.connections: set[object] = set()
@@ -87,14 +87,12 @@
         ("drop", WriteOutcome.UNKNOWN),
     ],
 )
-async def test_a_write_is_sent_once_and_its_verdict_is_settled(
-    service, store, mode, outcome
-):
-    """A swap that took effect is reported as a conflict.
-
-    A kept connection is used once, the service closes it on the next call, and the
-    client sends that call again by itself: the second one meets the first. Seen as
-    two calls in the service's count.
+async def test_a_write_is_sent_once_and_has_an_outcome(service, store, mode, outcome):
+    """Guards against a successful swap that is reported as a conflict.
+
+    The service closes a kept-alive connection during a call. If the client resends the
+    call by itself, the second swap conflicts with the first, and the service counts
+    two calls.
     """
     await store.get("a/b")
     service.calls.clear()
@@ -105,9 +103,10 @@
 
 
 async def test_a_write_without_a_connection_is_not_applied(service):
-    """A write that was never sent is reported as unknown, and read back for nothing.
+    """Guards against an unknown outcome for a write that was never sent.
 
-    Nothing listens on the port, so that no connection is made.
+    Nothing listens on the port, so that no connection is made, and reading the key
+    back would be needless.
     """
     with socket.socket() as bound:
         bound.bind(("127.0.0.1", 0))
@@ -119,11 +118,11 @@
     assert written.outcome is WriteOutcome.NOT_APPLIED
 
 
-async def test_a_read_outlives_connections_gone_silent(service, store):
-    """A read fails for as long as the pool holds connections that went silent.
+async def test_a_read_succeeds_despite_unresponsive_connections(service, store):
+    """Guards against reads that fail while the pool has unresponsive connections.
 
-    Two calls at a time leave two kept connections. Both go silent, so that a call
-    is swallowed on the one and its repeat would be on the other.
+    Two concurrent calls leave two pooled connections, and both become unresponsive:
+    the call is lost on one, and its retry must not use the other.
     """
     await asyncio.gather(store.get("a/b"), store.get("a/b"))
     service.silent = set(service.connections)
@@ -131,8 +130,8 @@
     assert (await store.get("a/b")).unwrap().revision == 7
 
 
-async def test_reads_are_given_up_after_two_attempts(service, store):
-    """A store that is down gets many calls for each one that was asked for."""
+async def test_reads_fail_after_two_attempts(service, store):
+    """Guards against many retries of each call to a store that is down."""
     service.mode = "silent"
     error = (await store.get("a/b")).unwrap_err()
     assert error.kind is StoreErrorKind.TIMEOUT
@@ -143,7 +142,7 @@
     assert service.calls == {"GET": 3}
 
 
-async def test_a_watch_may_end_without_news_or_with_a_lease_gone(service, store):
+async def test_a_watch_without_changes_and_a_missing_lease(service, store):
     service.mode = "204"
     assert (await store.watch("a/b", 7, 0.1)).unwrap() is None
     service.mode = "404"
