--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/caller_connections.py
@@ -121,10 +121,10 @@
         return closed
 
     def count_busy(self) -> int:
-        """Count the connections on which a request is read or a response is sent.
+        """Count the connections with a newly started request or buffered response.
 
-        Requests whose headers are incomplete :data:`HEADER_SECONDS` after their first
-        byte are not counted.
+        A request counts for :data:`HEADER_SECONDS` after its first byte. After that it
+        has reached its handler, or its headers are incomplete and it is not waited for.
         """
         now = asyncio.get_running_loop().time()
         return sum(
@@ -192,7 +192,7 @@
         self.started_while_closing = self._callers_server.closing
 
     def is_busy(self, now: float) -> bool:
-        """Whether a request is in progress or response bytes are still buffered.
+        """Whether a request was just started or response bytes are still buffered.
 
         :param now: event loop time in seconds
         """
@@ -204,6 +204,8 @@
     def end_request(self) -> None:
         """Mark the request as finished; close the connection if the server closes.
 
+        A connection on which the next request is already received stays open for it.
+
         The response headers, perhaps sent before the stop, may have offered to keep
         the connection alive. It is closed nevertheless, as callers would otherwise
         send requests on it until the process exits.
