--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/change_requests.py
@@ -1,4 +1,4 @@
-"""Reads what operators ask for from the body of a call."""
+"""Parsing of operators' configuration changes from request bodies."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from greengagelatch.config.problems import MAX_SHOWN_VALUE, Problem
 from greengagelatch.config.requests import ChangeMode, ChangeRequest, is_valid_change_id
 
-__all__ = ("MAX_TEXT", "read_change")
+__all__ = ("MAX_TEXT_LENGTH", "read_change")
 
-#: characters of INI text in one change
-MAX_TEXT = 512 * 1024
+#: maximum characters of INI text in one change
+MAX_TEXT_LENGTH = 512 * 1024
 
-#: sections read before callers' requests get their turn
-SECTIONS_IN_A_ROW = 5
+#: INI sections parsed before the event loop gets control to serve requests
+SECTIONS_PER_TURN = 5
 
-#: objects that one change may delete
+#: maximum number of objects that one change may delete
 MAX_NAMES = 4096
 
 _FIELDS = frozenset(
@@ -40,7 +40,7 @@
 
 
 async def read_change(body: Any) -> Result[ChangeRequest, Problems]:
-    """Return the change that a body asks for, or all that is wrong with it."""
+    """Parse a change from a request body, or return all problems found in it."""
     if not isinstance(body, dict):
         return Err((Problem(file="", reason="the body must be a JSON object"),))
     reader = _BodyReader(body)
@@ -77,7 +77,7 @@
 
 
 class _BodyReader:
-    """Reads the fields of a body and collects what is wrong."""
+    """Reads the fields of a body and collects the problems found."""
 
     def __init__(self, body: dict[str, Any]) -> None:
         self.problems: list[Problem] = []
@@ -105,7 +105,7 @@
             return None
         if isinstance(value, int) and not isinstance(value, bool) and value >= 0:
             return value
-        self._add(key, value, "must be a generation, a whole number of at least 0")
+        self._add(key, value, "must be a generation, an integer of at least 0")
         return None
 
     def read_flag(self, key: str) -> bool:
@@ -118,13 +118,13 @@
         value = self._body.get(key, "")
         if isinstance(value, str):
             return value
-        self._add(key, value, "must be a text")
+        self._add(key, value, "must be a string")
         return ""
 
     async def read_objects(self, file: str) -> tuple[ConfigObject, ...]:
         text = self.read_text("text")
-        if len(text) > MAX_TEXT:
-            reason = f"must be at most {MAX_TEXT} characters long"
+        if len(text) > MAX_TEXT_LENGTH:
+            reason = f"must be at most {MAX_TEXT_LENGTH} characters long"
             self._add("text", text[:MAX_SHOWN_VALUE], reason)
             return ()
         match await _parse(text, file):
@@ -134,7 +134,7 @@
             case Ok(objects):
                 pass
         if not objects:
-            self._add("text", text[:MAX_SHOWN_VALUE], "holds no object")
+            self._add("text", text[:MAX_SHOWN_VALUE], "contains no object")
         return objects
 
     def read_names(self) -> tuple[ObjectId, ...]:
@@ -178,5 +178,5 @@
         except StopIteration as stop:
             return stop.value
         count += 1
-        if count % SECTIONS_IN_A_ROW == 0:
+        if count % SECTIONS_PER_TURN == 0:
             await asyncio.sleep(0)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/event_stream.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events, as sent to callers and received from targets."""
+"""Encoding and parsing of server-sent events."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
     "encode_token",
 )
 
-#: built once: ``json.dumps`` builds one for each call with these separators
+#: shared, as ``json.dumps`` creates an encoder for each call with these separators
 _ENCODER = json.JSONEncoder(separators=(",", ":"))
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event with its raw data."""
+    """Server-sent event with its raw data."""
 
     name: str
     data: bytes
 
 
 class EventTooLargeError(ValueError):
-    """An event exceeds the bound."""
+    """An event exceeds the size limit."""
 
 
 class EventParser:
-    """Splits a byte stream into events, holding at most ``limit`` bytes back."""
+    """Splits a byte stream into events, buffering at most ``limit`` bytes."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
-        self._rest = b""
+        self._buffer = b""
         self._name = ""
         self._data: list[bytes] = []
         self._size = 0
@@ -45,20 +45,20 @@
 
         :raises EventTooLargeError: if an unfinished event exceeds the limit
         """
-        lines = (self._rest + chunk).split(b"\n")
-        self._rest = lines.pop()
+        lines = (self._buffer + chunk).split(b"\n")
+        self._buffer = lines.pop()
         events: list[Event] = []
         for line in lines:
-            event = self._take_line(line.removesuffix(b"\r"))
+            event = self._parse_line(line.removesuffix(b"\r"))
             if event is not None:
                 events.append(event)
-        if self._size + len(self._rest) > self._limit:
-            raise EventTooLargeError(f"event exceeds {self._limit} bytes")
+        if self._size + len(self._buffer) > self._limit:
+            raise EventTooLargeError(f"event exceeds the limit of {self._limit} bytes")
         return events
 
-    def _take_line(self, line: bytes) -> Event | None:
+    def _parse_line(self, line: bytes) -> Event | None:
         if not line:
-            return self._finish()
+            return self._finish_event()
         field, _, value = line.partition(b":")
         value = value.removeprefix(b" ")
         if field == b"event":
@@ -68,7 +68,7 @@
             self._size += len(value)
         return None
 
-    def _finish(self) -> Event | None:
+    def _finish_event(self) -> Event | None:
         event = None
         if self._data:
             event = Event(self._name or "message", b"\n".join(self._data))
@@ -79,15 +79,15 @@
 
 
 def encode_event(name: str, data: Any) -> bytes:
-    """Return an event whose data is ``data`` as JSON, which has no line breaks."""
+    """Encode an event with ``data`` as JSON, which contains no line breaks."""
     return f"event: {name}\ndata: {_ENCODER.encode(data)}\n\n".encode()
 
 
 def encode_token(offset: int, text: str) -> bytes:
-    """Return the event of one token.
+    """Encode a token event.
 
-    Each instance encodes thousands a second, so its fields are put in place here;
-    a lone text is encoded far faster than an object.
+    An instance encodes thousands of tokens per second, so the object is formatted
+    here: encoding only the text is far faster than encoding an object.
     """
     fields = f'{{"offset":{offset},"text":{_ENCODER.encode(text)}}}'
     return f"event: token\ndata: {fields}\n\n".encode()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, read over HTTP."""
+"""HTTP client of the platform's instance list."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 logger = logging.getLogger(__name__)
 
-#: a larger listing is refused; about 100,000 instances
+#: maximum size of a listing, enough for about 100,000 instances
 MAX_LISTING_BYTES = 16 * 1024 * 1024
 
-#: rows read before other work gets a turn, so that a long list can't stall the loop
+#: rows parsed before other tasks run, so that a long list does not block the loop
 ROWS_PER_TURN = 500
 
 
 class HttpInstanceList(InstanceList):
-    """Reads ``GET /instances`` of the platform.
+    """Fetches the instance list by ``GET /instances``.
 
-    :param address: ``host:port`` of the platform's list.
-    :param timeout: seconds allowed for one call.
+    :param address: ``host:port`` of the platform.
+    :param timeout: seconds allowed for a call.
     """
 
     def __init__(
@@ -51,35 +51,42 @@
         self._session: aiohttp.ClientSession | None = None
         self._digest = b""
         self._listing: Listing | None = None
-        #: rows of the last listing as they came, and what was read of them
-        self._known: dict[str, tuple[dict[str, Any], Instance]] = {}
+        #: rows of the last listing by instance id, raw and parsed
+        self._parsed_rows: dict[str, tuple[dict[str, Any], Instance]] = {}
 
     async def fetch(self) -> Result[Listing, StoreError]:
         self._metrics.count("instances.calls")
         try:
             async with self._open_session().get(self._url) as response:
                 if response.status != 200:
-                    return Err(_explain_status(response.status))
+                    return Err(_create_status_error(response.status))
                 body = await self._read_body(response)
         except TimeoutError:
-            return Err(StoreError(StoreErrorKind.TIMEOUT, "no answer in time"))
+            return Err(
+                StoreError(StoreErrorKind.TIMEOUT, "no response within the timeout")
+            )
         except (aiohttp.ClientError, OSError) as error:
             return Err(StoreError(StoreErrorKind.UNREACHABLE, str(error)))
         if body is None:
-            return Err(StoreError(StoreErrorKind.BAD_ANSWER, "listing is too large"))
+            return Err(
+                StoreError(
+                    StoreErrorKind.BAD_ANSWER,
+                    f"listing exceeds the limit of {self._max_bytes} bytes",
+                )
+            )
         return await self._parse(body)
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
             self._session = None
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # A kept-alive connection that has gone silent would swallow every
-            # other call until its timeout, and aiohttp would send a GET a second
-            # time by itself when one drops; each call uses a fresh connection.
+            # Each call uses a new connection: every other call on a kept-alive
+            # connection that became unresponsive would time out, and aiohttp resends
+            # a GET by itself when a kept-alive connection drops.
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(force_close=True, limit=2),
                 timeout=self._timeout,
@@ -106,7 +113,11 @@
         rows = data.get("instances") if isinstance(data, dict) else None
         as_of = data.get("as_of") if isinstance(data, dict) else None
         if not isinstance(rows, list) or not isinstance(as_of, int):
-            return Err(StoreError(StoreErrorKind.BAD_ANSWER, "not a listing"))
+            return Err(
+                StoreError(
+                    StoreErrorKind.BAD_ANSWER, "response is not an instance listing"
+                )
+            )
         instances = await self._read_rows(rows)
         self._digest = digest
         self._listing = Listing(as_of, instances)
@@ -114,35 +125,35 @@
 
     async def _read_rows(self, rows: list[Any]) -> tuple[Instance, ...]:
         instances = []
-        known: dict[str, tuple[dict[str, Any], Instance]] = {}
-        bad = 0
+        parsed_rows: dict[str, tuple[dict[str, Any], Instance]] = {}
+        invalid = 0
         for number, row in enumerate(rows, start=1):
             if number % ROWS_PER_TURN == 0:
                 await asyncio.sleep(0)
-            instance = self._find_known(row) or parse_row(row)
+            instance = self._find_parsed(row) or parse_row(row)
             if instance is None:
-                bad += 1
+                invalid += 1
                 continue
-            known[instance.instance_id] = (row, instance)
+            parsed_rows[instance.instance_id] = (row, instance)
             instances.append(instance)
-        self._known = known
-        if bad:
-            # one bad row must not hide all other instances
-            self._metrics.count("instances.bad_rows", bad)
-            logger.warning("skipped %s unreadable rows of the instance list", bad)
+        self._parsed_rows = parsed_rows
+        if invalid:
+            # one invalid row must not hide all other instances
+            self._metrics.count("instances.bad_rows", invalid)
+            logger.warning("skipped %s invalid rows of the instance list", invalid)
         return tuple(instances)
 
-    def _find_known(self, row: Any) -> Instance | None:
-        # few rows change from one listing to the next, and comparing one with the
-        # last costs a fraction of checking it again
+    def _find_parsed(self, row: Any) -> Instance | None:
+        # few rows change between two listings, and comparing a row is far cheaper
+        # than parsing it
         instance_id = row.get("id") if isinstance(row, dict) else None
         if not isinstance(instance_id, str):
             return None
-        held = self._known.get(instance_id)
-        return held[1] if held is not None and held[0] == row else None
+        previous = self._parsed_rows.get(instance_id)
+        return previous[1] if previous is not None and previous[0] == row else None
 
 
-def _explain_status(status: int) -> StoreError:
+def _create_status_error(status: int) -> StoreError:
     kind = StoreErrorKind.BAD_ANSWER
     if status == 429:
         kind = StoreErrorKind.RATE_LIMITED
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/lazy_timeout.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/lazy_timeout.py
@@ -1,4 +1,4 @@
-"""A time limit that is moved often."""
+"""Timeout that is cheap to reschedule."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 
 class LazyTimeout:
-    """Cancels what runs in its context once its end has come.
+    """Cancels the code in its context once the deadline has passed.
 
-    :func:`asyncio.timeout` sets a new timer whenever it is rescheduled; a stream's
-    limit moves with each token, and the timers then took a tenth of its processor
-    time. Here a later end costs an assignment: the timer looks at it when it fires,
-    and is set again if there is time left.
+    :func:`asyncio.timeout` sets a new timer whenever it is rescheduled. A stream's
+    deadline moves with each token, and these timers would take a tenth of its CPU
+    time. Here a later deadline costs an assignment: the timer compares it with the
+    clock when it fires, and is set again if time is left.
 
-    :param end: seconds of the running loop's clock
+    :param deadline: in seconds of the running loop's clock
     """
 
-    def __init__(self, end: float) -> None:
+    def __init__(self, deadline: float) -> None:
         self._loop = asyncio.get_running_loop()
-        self._end = end
-        self._guard = asyncio.timeout(None)
+        self._deadline = deadline
+        self._timeout = asyncio.timeout(None)
         self._timer: asyncio.TimerHandle | None = None
 
-    def move(self, end: float) -> None:
-        """Set another end; without effect once the limit has been exceeded."""
-        self._end = end
-        if self._timer is not None and end < self._timer.when():
+    def reschedule(self, deadline: float) -> None:
+        """Change the deadline; without effect once the timeout has expired."""
+        self._deadline = deadline
+        if self._timer is not None and deadline < self._timer.when():
             self._timer.cancel()
             self._set_timer()
 
     async def __aenter__(self) -> LazyTimeout:
-        await self._guard.__aenter__()
+        await self._timeout.__aenter__()
         self._set_timer()
         return self
 
@@ -49,15 +49,15 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        return await self._guard.__aexit__(kind, error, traceback)
+        return await self._timeout.__aexit__(kind, error, traceback)
 
     def _set_timer(self) -> None:
-        self._timer = self._loop.call_at(self._end, self._check)
+        self._timer = self._loop.call_at(self._deadline, self._check)
 
     def _check(self) -> None:
         now = self._loop.time()
-        if now < self._end:
+        if now < self._deadline:
             self._set_timer()
             return
         self._timer = None
-        self._guard.reschedule(now)
+        self._timeout.reschedule(now)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/measured_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that knows for how long it has been at work."""
+"""Event loop that measures its busy time."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("WorkMeter", "create_measured_loop")
+__all__ = ("BusyTimeSelector", "create_measured_loop")
 
 
-class WorkMeter(selectors.DefaultSelector):
-    """A selector that adds up the time between its waits.
+class BusyTimeSelector(selectors.DefaultSelector):
+    """Selector that accumulates the time between its waits.
 
-    A process may be told less of its processor time than it is charged, as where a
-    machine's share is metered from outside. What its loop does between two waits
-    holds up everything else, whoever's fault it is.
+    The CPU time that a process sees may be less than it is charged, for instance
+    where the share of a virtual machine is metered by the hypervisor. The wall time
+    that the loop spends between two waits delays all other work, whatever causes it.
 
     :param now: returns monotonic seconds
     """
@@ -27,20 +27,20 @@
         super().__init__()
         self._now = now
         self._resumed = now()
-        #: seconds of work since the loop began
-        self.seconds = 0.0
+        #: busy time since the start, in seconds
+        self.busy_seconds = 0.0
 
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for events, and count the time since the last wait as work."""
-        self.seconds += self._now() - self._resumed
+        """Wait for events and count the time since the last wait as busy."""
+        self.busy_seconds += self._now() - self._resumed
         try:
             return super().select(timeout)
         finally:
             self._resumed = self._now()
 
 
-def create_measured_loop(meter: WorkMeter) -> asyncio.AbstractEventLoop:
-    """Return a loop whose work is measured by ``meter``."""
+def create_measured_loop(meter: BusyTimeSelector) -> asyncio.AbstractEventLoop:
+    """Create an event loop whose busy time is measured by ``meter``."""
     return asyncio.SelectorEventLoop(meter)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_link.py
@@ -1,4 +1,4 @@
-"""One open link to a peer: its queue, its reader and its writer."""
+"""Open link to a peer, with its send queues, reader and writer."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
 
     from .peer_sockets import Connection, Traffic
 
-__all__ = ("CloseCode", "Link", "Outgoing")
+__all__ = ("CloseCode", "Link", "OutgoingFrame")
 
-#: messages without an answer that may wait; the oldest is dropped beyond that
-MAX_GOSSIP = 256
+#: maximum queued messages without an answer; above it, the oldest is dropped
+MAX_DROPPABLE = 256
 
-#: questions and answers that may wait; a question beyond that is not taken
-MAX_URGENT = 1024
+#: maximum queued calls and answers; above it, further ones are rejected
+MAX_UNDROPPABLE = 1024
 
-#: bytes of both that may wait
+#: maximum queued bytes of both kinds
 MAX_QUEUED_BYTES = 4 * 1024 * 1024
 
 #: seconds after its last use for which a link counts as in use: longer than most
-#: questions wait
-USE_LIFE = 2.0
+#: calls take
+IN_USE_SECONDS = 2.0
 
 
-#: reason with which a link is closed once nothing is under way on it: its sender's
-#: word that it has answered all it took up, and takes up nothing more
+#: close reason of a link without pending work: its sender has answered every call
+#: that it handled, and handles no further ones
 ALL_ANSWERED = "all answered"
 
 
 class CloseCode(IntEnum):
-    """Codes with which links are closed, from the range for applications."""
+    """WebSocket close codes of links, from the range for applications."""
 
     DUPLICATE = 4001
     IDENTITY = 4002
@@ -49,24 +49,24 @@
 
 
 @dataclass(slots=True, eq=False)
-class Outgoing:
-    """A message on its way to the socket."""
+class OutgoingFrame:
+    """Encoded message in a send queue."""
 
     frame: bytes
     kind: str
-    #: set right before the first byte may reach the socket, never taken back
+    #: set right before the first byte may reach the socket, never reset
     handed_over: bool = False
-    #: whoever sent it no longer wants it sent
+    #: whether the sender has withdrawn it
     cancelled: bool = False
     done: Callable[[], None] | None = field(default=None, repr=False)
 
 
-#: a frame that says nothing but that its sender is there
+#: empty frame that shows that its sender is alive
 HEARTBEAT = b""
 
 
 class Link:
-    """A link whose other end has told who it is."""
+    """Link to a peer that has sent its hello."""
 
     def __init__(
         self,
@@ -75,126 +75,136 @@
         peer: Hello,
         initiated: bool,
         traffic: Traffic,
-        number: int = 0,
+        hello_number: int = 0,
     ) -> None:
         self._connection = connection
         self._traffic = traffic
-        self._gossip: deque[Outgoing] = deque()
-        self._urgent: deque[Outgoing] = deque()
+        self._droppable: deque[OutgoingFrame] = deque()
+        self._undroppable: deque[OutgoingFrame] = deque()
         self._queued_bytes = 0
-        self._filled = asyncio.Event()
+        self._not_empty = asyncio.Event()
         self.peer = peer
         self.initiated = initiated
-        #: number of the hello that this side sent on it
-        self.number = number
+        #: sequence number of the hello that this instance sent on it
+        self.hello_number = hello_number
         self.opened = asyncio.get_running_loop().time()
-        #: seconds of the loop's clock at which a message other than probes passed
+        #: loop time of the last message other than probes, in either direction
         self.last_used = self.opened
-        #: the same, of the first one after a rest
+        #: loop time of the first such message after the link was idle
         self.used_since = self.opened
-        #: seconds of the loop's clock at which a frame was last handed over
+        #: loop time at which the last frame was handed to the socket
         self.last_sent = self.opened
         self.dropped = 0
-        #: not used for anything new
+        #: whether the link is no longer used for new messages
         self.retired = False
-        #: own questions on it that wait for their answers
-        self.questions = 0
-        #: messages of the peer that are being handled
-        self.calls = 0
-        #: dropped because not a byte came
+        #: own calls on the link that wait for their answers
+        self.pending_calls = 0
+        #: handler calls in progress for messages of the peer
+        self.active_handlers = 0
+        #: whether the link was dropped because no byte was received
         self.silent = False
-        #: closed with the word that all is answered
-        self.finished = False
-        #: neither reads nor writes any more
+        #: whether this instance closed the link with the reason ALL_ANSWERED
+        self.drained = False
+        #: whether the reader and the writer have stopped
         self.ended = False
 
     @property
     def instance_id(self) -> str:
-        """Id of the instance at the other end."""
+        """Id of the peer instance."""
         return self.peer.instance_id
 
     @property
     def last_received(self) -> float:
-        """Seconds of the loop's clock at which the last byte came."""
+        """Loop time at which the last byte was received."""
         return max(self._connection.last_received, self.opened)
 
     @property
-    def ended_in_order(self) -> bool:
-        """Whether either side closed it as no longer needed."""
-        needless = (CloseCode.DUPLICATE, CloseCode.IDLE)
-        return self.retired or self._connection.close_code in needless
+    def closed_cleanly(self) -> bool:
+        """Whether either side closed the link as no longer needed."""
+        clean_codes = (CloseCode.DUPLICATE, CloseCode.IDLE)
+        return self.retired or self._connection.close_code in clean_codes
 
     @property
-    def under_way(self) -> bool:
-        """Whether anything on it is neither answered nor sent."""
-        return bool(self.questions or self.calls or self._urgent or self._gossip)
+    def has_pending_work(self) -> bool:
+        """Whether the link has unanswered calls or unsent messages."""
+        return bool(
+            self.pending_calls
+            or self.active_handlers
+            or self._undroppable
+            or self._droppable
+        )
 
     @property
-    def peer_finished(self) -> bool:
-        """Whether the peer closed it with its word that all is answered.
+    def peer_drained(self) -> bool:
+        """Whether the peer closed the link with the reason ALL_ANSWERED.
 
-        What it has not answered, it has not looked at.
+        The peer has then not handled the calls that it has not answered.
         """
         return self._connection.close_reason == ALL_ANSWERED
 
-    def note_use(self) -> None:
-        """Take in that a message other than probes passes."""
+    def record_use(self) -> None:
+        """Record that a message other than probes is sent or received."""
         now = asyncio.get_running_loop().time()
         if not self.is_used(now):
             self.used_since = now
         self.last_used = now
 
     def is_used(self, now: float) -> bool:
-        """Whether messages other than probes passed of late."""
-        return now - self.last_used < USE_LIFE
+        """Whether messages other than probes were sent or received recently."""
+        return now - self.last_used < IN_USE_SECONDS
 
     def find_silence(self, now: float) -> float:
-        """Return the seconds without a byte.
+        """Return the seconds without a received byte.
 
-        Those of a rest don't count once the link is used: heartbeats were rare.
+        On a link in use, idle time before that use is not counted, as heartbeats are
+        rare on idle links.
         """
-        heard = self.last_received
+        last_received = self.last_received
         if self.is_used(now):
-            heard = max(heard, self.used_since)
-        return now - heard
+            last_received = max(last_received, self.used_since)
+        return now - last_received
 
     def send_heartbeat(self, now: float, interval: float) -> None:
-        """Say that this end is there, if it has sent nothing for ``interval``."""
-        if now - self.last_sent >= interval and not self._urgent and not self._gossip:
+        """Send a heartbeat if nothing was sent for ``interval`` seconds."""
+        if (
+            now - self.last_sent >= interval
+            and not self._undroppable
+            and not self._droppable
+        ):
             self.last_sent = now
-            self.offer(Outgoing(HEARTBEAT, "heartbeat"), droppable=True)
+            self.offer(OutgoingFrame(HEARTBEAT, "heartbeat"), droppable=True)
 
-    def excuse_silence(self) -> None:
-        """Count silence from now, after this process itself stood still."""
+    def reset_silence(self) -> None:
+        """Restart the measurement of silence after a pause of this process."""
         self._connection.last_received = asyncio.get_running_loop().time()
 
-    def offer(self, outgoing: Outgoing, *, droppable: bool) -> bool:
-        """Queue a message; ``False`` if there is no room for it.
+    def offer(self, outgoing: OutgoingFrame, *, droppable: bool) -> bool:
+        """Queue a message; ``False`` if the queue is full.
 
-        Messages that want no answer make room for newer ones; questions and answers
-        are never dropped once they are taken.
+        The oldest droppable messages make room for newer ones; calls and answers are
+        never dropped once they are queued.
         """
         size = len(outgoing.frame)
         if droppable:
-            while self._gossip and self._lacks_room(size):
+            while self._droppable and self._lacks_room(size):
                 self._drop_oldest()
         if self._queued_bytes + size > MAX_QUEUED_BYTES:
             return False
         if droppable:
-            self._gossip.append(outgoing)
-        elif len(self._urgent) >= MAX_URGENT:
+            self._droppable.append(outgoing)
+        elif len(self._undroppable) >= MAX_UNDROPPABLE:
             return False
         else:
-            self._urgent.append(outgoing)
+            self._undroppable.append(outgoing)
         self._queued_bytes += size
-        self._filled.set()
+        self._not_empty.set()
         return True
 
     async def run(
-        self, receive: Callable[[Link, bytes], None], greeting: bytes = b""
+        self, receive: Callable[[Link, bytes], None], hello_frame: bytes = b""
     ) -> None:
-        """Send ``greeting``, if any; read and write until the connection is closed."""
-        writer = asyncio.create_task(self._write_forever(greeting))
+        """Send ``hello_frame`` if given, then read and write until closed."""
+        writer = asyncio.create_task(self._write_forever(hello_frame))
         try:
             async for data in self._connection:
                 if isinstance(data, str):
@@ -208,54 +218,54 @@
             await self.close(1000, "")
             self.ended = True
 
-    async def finish(self, code: int) -> None:
-        """Close the connection, on which nothing is under way.
+    async def close_drained(self, code: int) -> None:
+        """Close a link without pending work.
 
-        Questions that come while it closes must not be handled: the peer takes them
-        for untouched and asks them again elsewhere.
+        Calls that arrive while it closes must not be handled, as the peer treats them
+        as not handled and retries them on another link.
         """
-        self.finished = True
+        self.drained = True
         await self.close(code, ALL_ANSWERED)
 
     async def close(self, code: int, reason: str) -> None:
-        """Close the connection; returns within the closing timeout."""
+        """Close the connection; returns within the close timeout."""
         await self._connection.close(code, reason)
 
     def abort(self) -> None:
-        """Drop the connection at once, without a word to a peer that is silent."""
+        """Drop the connection without a closing handshake."""
         self._connection.transport.abort()
 
-    async def _write_forever(self, greeting: bytes) -> None:
-        if greeting:
+    async def _write_forever(self, hello_frame: bytes) -> None:
+        if hello_frame:
             with suppress(ConnectionClosed):
-                await self._connection.send(greeting)
+                await self._connection.send(hello_frame)
         while True:
-            await self._filled.wait()
-            outgoing = self._take()
+            await self._not_empty.wait()
+            outgoing = self._pop()
             if outgoing is None:
-                self._filled.clear()
+                self._not_empty.clear()
                 continue
             if not outgoing.cancelled:
                 await self._write(outgoing)
             if outgoing.done is not None:
                 outgoing.done()
 
-    async def _write(self, outgoing: Outgoing) -> None:
+    async def _write(self, outgoing: OutgoingFrame) -> None:
         outgoing.handed_over = True
         self.last_sent = asyncio.get_running_loop().time()
         self._traffic.count_frame(outgoing.kind, len(outgoing.frame))
         try:
             if outgoing.frame == HEARTBEAT:
-                # nobody answers a pong, so that a heartbeat costs one frame
+                # unlike a ping, a pong is not answered: one frame per heartbeat
                 await self._connection.pong()
             else:
                 await self._connection.send(outgoing.frame)
         except ConnectionClosed:
-            # the reader notices as well and ends the link
+            # the reader detects the closed connection too and ends the link
             await asyncio.sleep(0)
 
-    def _take(self) -> Outgoing | None:
-        queue = self._urgent or self._gossip
+    def _pop(self) -> OutgoingFrame | None:
+        queue = self._undroppable or self._droppable
         if not queue:
             return None
         outgoing = queue.popleft()
@@ -263,11 +273,11 @@
         return outgoing
 
     def _lacks_room(self, size: int) -> bool:
-        if len(self._gossip) >= MAX_GOSSIP:
+        if len(self._droppable) >= MAX_DROPPABLE:
             return True
         return self._queued_bytes + size > MAX_QUEUED_BYTES
 
     def _drop_oldest(self) -> None:
-        oldest = self._gossip.popleft()
+        oldest = self._droppable.popleft()
         self._queued_bytes -= len(oldest.frame)
         self.dropped += 1
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peer_links.py
@@ -1,4 +1,4 @@
-"""All links of this instance: accepted, dialled, replaced and closed."""
+"""Links of this instance to its peers: accepting, dialling, replacing, closing."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from greengagelatch.peers.codec import PROTOCOL_VERSION, Envelope, decode, encode
 from greengagelatch.peers.messages import Hello
 
-from .peer_dials import DialPauses
-from .peer_endings import end_later
+from .dial_backoff import DialBackoff
+from .link_retirement import close_when_drained
+from .link_tie_break import replaces
 from .peer_link import CloseCode, Link
-from .peer_pairs import replaces
 from .peer_sockets import SocketOptions, Traffic, listen, open_connection
 
 if TYPE_CHECKING:
@@ -33,55 +33,55 @@
 
 logger = logging.getLogger(__name__)
 
-#: connections that have not yet told who they are
+#: maximum number of accepted connections that have not sent their hello
 MAX_UNIDENTIFIED = 64
 
-#: dials under way at the same time
+#: maximum number of concurrent dials
 MAX_DIALS = 16
 
-#: seconds without use after which a link may make room for another one
-UNUSED = 2.0
+#: seconds without use after which a link may be evicted for another one
+EVICTION_IDLE_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LinkLimits:
     """Limits of links; times in seconds."""
 
-    heartbeat: float
-    silence: float
-    #: how much longer both are on links at rest
-    rest_factor: float
+    heartbeat_interval: float
+    silence_timeout: float
+    #: factor by which both are longer on idle links
+    idle_factor: float
     open_timeout: float
-    idle: float
+    idle_timeout: float
     max_links: int
 
 
 class LinkOwner(ABC):
-    """What links need of whoever owns them."""
+    """Interface that :class:`PeerLinks` requires of its owner."""
 
     @abstractmethod
-    def describe(self) -> Hello:
-        """Return what this instance says of itself."""
+    def create_hello(self) -> Hello:
+        """Return the hello of this instance."""
 
     @abstractmethod
-    def find_fault(self, hello: Hello) -> str:
-        """Return why a peer's word on itself can't be true, empty if it can."""
+    def check_hello(self, hello: Hello) -> str:
+        """Return why a peer's hello is invalid; empty if it is valid."""
 
     @abstractmethod
-    def note_open(self, link: Link) -> None:
-        """Take note of a new link."""
+    def handle_open(self, link: Link) -> None:
+        """Handle a new link."""
 
     @abstractmethod
-    def note_closed(self, link: Link) -> None:
-        """Take note that a link, of whatever standing, was closed."""
+    def handle_closed(self, link: Link) -> None:
+        """Handle the closing of a link, whether it was in use or retired."""
 
     @abstractmethod
-    def receive(self, link: Link, data: bytes) -> None:
-        """Take in a frame."""
+    def handle_frame(self, link: Link, data: bytes) -> None:
+        """Handle a received frame."""
 
 
 class PeerLinks:
-    """At most one link to each peer."""
+    """Links to peers, at most one in use for each peer."""
 
     def __init__(
         self,
@@ -90,62 +90,62 @@
         limits: LinkLimits,
         random_source: random.Random,
         metrics: Metrics,
-        number: int,
+        last_hello_number: int,
     ) -> None:
         """Create the links.
 
-        :param number: that of the hello before the first: higher than any that an
-            earlier process of the same id has sent.
+        :param last_hello_number: sequence number before that of the first hello; must
+            be higher than any that an earlier process with the same id has sent.
         """
         self._owner = owner
-        self._number = number
+        self._last_hello_number = last_hello_number
         self._limits = limits
         self._metrics = metrics
         self._traffic = Traffic()
         self._options = SocketOptions(open_timeout=limits.open_timeout)
         self._server: Server | None = None
         self._links: dict[str, Link] = {}
-        #: all that read and write, also those that are used for nothing new
+        #: all open links, including retired ones
         self._running: set[Link] = set()
         self._dials: dict[str, asyncio.Task[Link | None]] = {}
-        self._pauses = DialPauses(random_source)
+        self._dial_backoff = DialBackoff(random_source)
         self._unidentified = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._closing = False
 
     @property
     def traffic(self) -> Traffic:
-        """Bytes since the last report."""
+        """Traffic counters since the last report."""
         return self._traffic
 
     @property
     def port(self) -> int:
-        """Port that is listened on."""
+        """Port of the listener."""
         assert self._server is not None
         return next(iter(self._server.sockets)).getsockname()[1]
 
     def find(self, instance_id: str) -> Link | None:
-        """Return the open link to an instance."""
+        """Return the link in use to an instance."""
         return self._links.get(instance_id)
 
     def list_links(self) -> tuple[Link, ...]:
-        """Return all open links."""
+        """Return all links in use."""
         return tuple(self._links.values())
 
     async def start(self, host: str, port: int) -> None:
-        """Begin to accept links."""
+        """Start accepting links."""
         self._server = await listen(
             host, port, self._accept, self._traffic, self._options
         )
 
     async def stop(self) -> None:
-        """Close all links; returns within the closing timeout."""
+        """Close all links; returns within the close timeout."""
         self._closing = True
         if self._server is not None:
             self._server.close(close_connections=False)
         for dial in self._dials.values():
             dial.cancel()
-        # also those retired: the server waits for all that it has accepted
+        # including retired links, as the server waits for all accepted connections
         links = [link.close(1001, "stopping") for link in self._running]
         await asyncio.gather(*links, *self._dials.values(), return_exceptions=True)
         for task in self._tasks:
@@ -156,15 +156,15 @@
             await self._server.wait_closed()
 
     def dial(self, instance_id: str, address: str) -> asyncio.Task[Link | None] | None:
-        """Open a link to an instance; ``None`` if it may not be tried now."""
+        """Open a link to an instance; ``None`` if a dial is not allowed now."""
         dial = self._dials.get(instance_id)
         if dial is not None:
             return dial
-        if self._closing or self._pauses.lasts(instance_id):
+        if self._closing or self._dial_backoff.is_active(instance_id):
             return None
-        if self._is_of_another(instance_id, address):
+        if self._is_address_in_use(instance_id, address):
             return None
-        if len(self._dials) >= MAX_DIALS or not self._make_room():
+        if len(self._dials) >= MAX_DIALS or not self._ensure_capacity():
             self._metrics.count("peers.dials_refused")
             return None
         dial = asyncio.create_task(self._dial(instance_id, address))
@@ -172,11 +172,11 @@
         dial.add_done_callback(lambda _: self._dials.pop(instance_id, None))
         return dial
 
-    def _is_of_another(self, instance_id: str, address: str) -> bool:
-        """Whether another instance is known to be at an address, by an open link.
+    def _is_address_in_use(self, instance_id: str, address: str) -> bool:
+        """Whether an open link shows that another instance has this address.
 
-        A process that starts at the address of a former one has an id of its own. Its
-        peer would give up the link in use for a dial that is meant for the former one.
+        A process can reuse the address of an earlier one under a new id. A dial meant
+        for the earlier process would make it replace the link in use.
         """
         return any(
             link.peer.address == address and link.instance_id != instance_id
@@ -184,58 +184,58 @@
         )
 
     def dial_any(self, address: str) -> asyncio.Task[Link | None] | None:
-        """Open a link to whichever instance is at an address.
+        """Open a link to an address whose instance is unknown.
 
-        ``None`` if it may not be tried now: at most one such dial is under way, and
-        a failed one delays the next, whatever its address.
+        ``None`` if a dial is not allowed now: at most one such dial is in progress,
+        and a failed one delays the next to any address.
         """
         return None if "" in self._dials else self.dial("", address)
 
-    def excuse_silence(self) -> None:
-        """Count the silence of all links from now, after this process stood still."""
+    def reset_silence(self) -> None:
+        """Restart the measurement of silence on all links after a process pause."""
         for link in self._links.values():
-            link.excuse_silence()
+            link.reset_silence()
 
-    def tend(self, kept: frozenset[str]) -> None:
-        """Drop silent links, and idle ones to peers that are not in ``kept``.
+    def maintain(self, neighbours: frozenset[str]) -> None:
+        """Send heartbeats, drop silent links, close idle ones to non-neighbours.
 
-        Links at rest have rare heartbeats: with one in each direction every 0.3 s,
-        an instance with eight links spent two thirds of its idle time on them.
+        Heartbeats are rarer on idle links: at one in each direction every 0.3 s, an
+        instance with eight links spends two thirds of its CPU time at idle on them.
         """
         now = asyncio.get_running_loop().time()
         for link in self.list_links():
-            factor = 1.0 if link.is_used(now) else self._limits.rest_factor
-            link.send_heartbeat(now, self._limits.heartbeat * factor)
-            if link.find_silence(now) > self._limits.silence * factor:
-                # An open connection that something on the way has lost track of
-                # stays silent for good while new ones work. It would swallow
-                # questions until they time out; dropped, it is replaced by a dial.
+            factor = 1.0 if link.is_used(now) else self._limits.idle_factor
+            link.send_heartbeat(now, self._limits.heartbeat_interval * factor)
+            if link.find_silence(now) > self._limits.silence_timeout * factor:
+                # A middlebox that has lost the state of an open connection drops its
+                # packets for good, while new connections work. Calls on it would
+                # time out; once dropped, it is replaced by a new dial.
                 self._metrics.count("peers.silent_links")
                 self._drop(link)
                 link.silent = True
                 link.abort()
                 continue
-            idle = now - link.last_used > self._limits.idle
-            # the one that opened a link closes it: the other may still want it
-            if idle and link.initiated and link.instance_id not in kept:
+            idle = now - link.last_used > self._limits.idle_timeout
+            # only the side that opened a link closes it, as the other may still need it
+            if idle and link.initiated and link.instance_id not in neighbours:
                 self._retire(link, CloseCode.IDLE, "idle")
 
-    # opening
+    # opening links
 
     async def _dial(self, instance_id: str, address: str) -> Link | None:
         self._metrics.count("peers.dials")
         match await self._open(instance_id, address):
             case Ok(link):
-                self._pauses.end(instance_id)
+                self._dial_backoff.record_success(instance_id)
                 return link
             case Err(reason):
-                held = self._links.get(instance_id)
-                if held is not None:
-                    # the peer has dialled at the same time
-                    return held
+                current = self._links.get(instance_id)
+                if current is not None:
+                    # the peer has opened a link at the same time
+                    return current
                 self._metrics.count("peers.dial_failures")
                 logger.debug("no link to %s at %s: %s", instance_id, address, reason)
-                self._pauses.extend(instance_id)
+                self._dial_backoff.record_failure(instance_id)
                 return None
 
     async def _open(self, instance_id: str, address: str) -> Result[Link, str]:
@@ -243,13 +243,13 @@
             connection = await open_connection(address, self._traffic, self._options)
         except (OSError, TimeoutError, ValueError, WebSocketException) as error:
             return Err(str(error) or type(error).__name__)
-        held = self._links.get(instance_id)
-        if held is not None:
-            # the peer has dialled meanwhile; a hello now would say that this side
-            # knows of no link, and replace the one that is in use
+        current = self._links.get(instance_id)
+        if current is not None:
+            # the peer has dialled meanwhile; a hello sent now would tell it that this
+            # side has no link, and replace the one in use
             self._spawn(connection.close(CloseCode.DUPLICATE, "duplicate"))
-            return Ok(held)
-        own = self._describe()
+            return Ok(current)
+        own = self._create_hello()
         try:
             await connection.send(encode(Envelope(own)))
             hello = await self._read_hello(connection)
@@ -259,16 +259,16 @@
         except asyncio.CancelledError:
             connection.transport.abort()
             raise
-        fault = self._find_fault(hello, instance_id)
-        if fault or hello is None:
-            await connection.close(CloseCode.IDENTITY, fault[:100])
-            return Err(fault)
+        problem = self._check_hello(hello, instance_id)
+        if problem or hello is None:
+            await connection.close(CloseCode.IDENTITY, problem[:100])
+            return Err(problem)
         link = Link(
             connection=connection,
             peer=hello,
             initiated=True,
             traffic=self._traffic,
-            number=own.number,
+            hello_number=own.number,
         )
         self._register(link)
         self._spawn(self._run(link))
@@ -285,37 +285,37 @@
             return
         finally:
             self._unidentified -= 1
-        fault = self._find_fault(hello, "")
-        if fault or hello is None:
+        problem = self._check_hello(hello, "")
+        if problem or hello is None:
             self._metrics.count("peers.rejected")
-            logger.warning("rejected a link: %s", fault)
-            await connection.close(CloseCode.IDENTITY, fault[:100])
+            logger.warning("rejected link from a peer: %s", problem)
+            await connection.close(CloseCode.IDENTITY, problem[:100])
             return
         known = hello.instance_id in self._links
         if not known and len(self._links) >= self._limits.max_links:
             self._metrics.count("peers.links_refused")
             await connection.close(CloseCode.FULL, "too many links")
             return
-        own = self._describe()
+        own = self._create_hello()
         link = Link(
             connection=connection,
             peer=hello,
             initiated=False,
             traffic=self._traffic,
-            number=own.number,
+            hello_number=own.number,
         )
-        if self._closing or self._loses(link):
-            # the other side has no hello yet, and so has asked nothing on it
+        if self._closing or self._is_redundant(link):
+            # the peer has received no hello yet, so no calls are pending on the link
             await connection.close(CloseCode.DUPLICATE, "duplicate")
             return
-        # in the same turn as the number is drawn, or a dial that is sent in between
-        # would look as if it knew of this link
+        # without an await after the number is drawn: a hello sent in between on a dial
+        # would have a later number, as if its sender knew of this link
         self._register(link)
         await self._run(link, encode(Envelope(own)))
 
-    def _describe(self) -> Hello:
-        self._number += 1
-        return replace(self._owner.describe(), number=self._number)
+    def _create_hello(self) -> Hello:
+        self._last_hello_number += 1
+        return replace(self._owner.create_hello(), number=self._last_hello_number)
 
     async def _read_hello(self, connection: Connection) -> Hello | None:
         async with asyncio.timeout(self._limits.open_timeout):
@@ -327,71 +327,75 @@
                 return hello
         return None
 
-    def _find_fault(self, hello: Hello | None, dialled: str) -> str:
+    def _check_hello(self, hello: Hello | None, dialled_id: str) -> str:
         if hello is None:
-            return "no readable hello"
+            return "no valid hello received"
         if hello.protocol != PROTOCOL_VERSION:
-            return f"protocol {hello.protocol!r} instead of {PROTOCOL_VERSION}"
-        if dialled and hello.instance_id != dialled:
-            return f"{hello.instance_id!r} answered in place of {dialled!r}"
-        return self._owner.find_fault(hello)
-
-    # one link for each pair
-
-    def _loses(self, link: Link) -> bool:
-        """Whether the link that is already open is to be kept instead."""
-        held = self._links.get(link.instance_id)
-        if held is None:
+            return f"protocol version {hello.protocol!r}, expected {PROTOCOL_VERSION}"
+        if dialled_id and hello.instance_id != dialled_id:
+            return (
+                f"dialled instance {dialled_id!r}, but {hello.instance_id!r} answered"
+            )
+        return self._owner.check_hello(hello)
+
+    # choosing one link per peer
+
+    def _is_redundant(self, link: Link) -> bool:
+        """Whether the link already in use is kept instead of ``link``."""
+        current = self._links.get(link.instance_id)
+        if current is None:
             return False
-        own_id = self._owner.describe().instance_id
-        return not replaces(link, held, own_id, self._limits.open_timeout)
+        own_id = self._owner.create_hello().instance_id
+        return not replaces(link, current, own_id, self._limits.open_timeout)
 
     def _register(self, link: Link) -> None:
         self._running.add(link)
-        if self._loses(link):
-            # the other side may have asked on it before it learns of the one kept:
-            # closed unread, questions would fail though no instance was lost
+        if self._is_redundant(link):
+            # the peer may have sent calls on it before it learns of the link in use;
+            # closing it at once would fail them though no instance was lost
             self._retire(link, CloseCode.DUPLICATE, "duplicate")
             return
-        held = self._links.get(link.instance_id)
-        if held is not None:
-            self._retire(held, CloseCode.DUPLICATE, "replaced")
+        current = self._links.get(link.instance_id)
+        if current is not None:
+            self._retire(current, CloseCode.DUPLICATE, "replaced")
         self._links[link.instance_id] = link
-        self._pauses.end(link.instance_id)
-        self._owner.note_open(link)
+        self._dial_backoff.record_success(link.instance_id)
+        self._owner.handle_open(link)
 
-    async def _run(self, link: Link, greeting: bytes = b"") -> None:
+    async def _run(self, link: Link, hello_frame: bytes = b"") -> None:
         try:
-            await link.run(self._owner.receive, greeting)
+            await link.run(self._owner.handle_frame, hello_frame)
         finally:
             self._running.discard(link)
             self._metrics.count("peers.dropped", link.dropped)
             self._drop(link)
-            self._owner.note_closed(link)
+            self._owner.handle_closed(link)
 
     def _drop(self, link: Link) -> None:
         if self._links.get(link.instance_id) is link:
             del self._links[link.instance_id]
 
     def _retire(self, link: Link, code: int, reason: str) -> None:
-        """Use a link no more, but let what is under way on it end."""
+        """Stop using a link for new messages and close it once it is drained."""
         link.retired = True
         self._drop(link)
-        self._spawn(end_later(link, code, reason))
+        self._spawn(close_when_drained(link, code, reason))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         if len(self._links) + len(self._dials) < self._limits.max_links:
             return True
         own = [link for link in self._links.values() if link.initiated]
         now = asyncio.get_running_loop().time()
-        unused = [link for link in own if now - link.last_used > UNUSED]
-        if not unused:
+        evictable = [
+            link for link in own if now - link.last_used > EVICTION_IDLE_SECONDS
+        ]
+        if not evictable:
             return False
-        longest = min(unused, key=lambda link: link.last_used)
-        self._retire(longest, CloseCode.IDLE, "making room")
+        least_recent = min(evictable, key=lambda link: link.last_used)
+        self._retire(least_recent, CloseCode.IDLE, "making room")
         return True
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/peers.py
@@ -17,21 +17,16 @@
     PeerErrorKind,
     PeerNetwork,
 )
-from greengagelatch.peers.codec import (
-    DecodeError,
-    Envelope,
-    Message,
-    decode,
-)
+from greengagelatch.peers.codec import DecodeError, Envelope, Message, decode
 from greengagelatch.peers.messages import Hello, NotUnderstood
 from greengagelatch.settings import split_endpoints
 
 from ..controllers import Controller
 from ..controllers.membership import MembershipController, is_probe
-from .peer_calls import Calls, encode_bounded
-from .peer_link import Outgoing
+from .peer_calls import MessageDispatcher, encode_bounded
+from .peer_link import OutgoingFrame
 from .peer_links import LinkLimits, LinkOwner, PeerLinks
-from .peer_questions import Questions
+from .pending_calls import PendingCalls
 
 if TYPE_CHECKING:
     import random
@@ -47,13 +42,13 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds between two looks at the links, at the most
-TICK = 0.2
+#: maximum seconds between two checks of the links
+MAX_TICK = 0.2
 
-#: times a question is tried on a new link after one closed with it unsent
-TRIES = 2
+#: maximum attempts of a call that was not sent because its link closed
+MAX_ATTEMPTS = 2
 
-#: hellos that an instance surely sends fewer of in a second
+#: upper bound on the hellos that an instance sends in a second
 HELLOS_PER_SECOND = 1_000_000
 
 #: seconds between two reports of traffic
@@ -61,10 +56,10 @@
 
 
 class PeerHub(Controller, PeerNetwork, LinkOwner):
-    """Links to other entry instances, and what is known of them.
+    """Network of entry instances: messages, calls and membership.
 
-    Peers are trusted as far as their network is: an id is checked against what is
-    known of it, but not proved.
+    Peers are trusted as far as their network is: an id is checked for consistency
+    with known members, but not authenticated.
     """
 
     name = "peers"
@@ -81,20 +76,22 @@
     ) -> None:
         """Create the hub.
 
-        :param capacity: stage work that this instance can gather; 0: not told
+        :param capacity: capacity of this instance to own stages; 0 if not announced
         """
         super().__init__()
         self._clock = clock
         self._metrics = metrics
         self._listen: str = settings["peers.listen"]
         self._silence: float = settings["peers.silence"]
-        self._tick = min(TICK, settings["peers.heartbeat"])
+        self._tick = min(MAX_TICK, settings["peers.heartbeat"])
         self._advertise: str = settings["peers.advertise"]
         self._seeds = split_endpoints(settings["peers.seeds"])
         self._random = random_source
-        self._calls = Calls(max_in_work=settings["peers.in_work"], metrics=metrics)
-        self._questions = Questions()
-        self._waiting: set[asyncio.Task[None]] = set()
+        self._dispatcher = MessageDispatcher(
+            max_concurrent=settings["peers.in_work"], metrics=metrics
+        )
+        self._pending_calls = PendingCalls()
+        self._pending_sends: set[asyncio.Task[None]] = set()
         self._last_report = 0.0
         self._last_tick: float | None = None
         self._links = PeerLinks(
@@ -102,8 +99,8 @@
             limits=_read_limits(settings),
             random_source=random_source,
             metrics=metrics,
-            # as with incarnations, a later process of the same id has higher ones
-            number=int(clock.wall() * HELLOS_PER_SECOND),
+            # like incarnations, numbers are higher in a later process with the same id
+            last_hello_number=int(clock.wall() * HELLOS_PER_SECOND),
         )
         self._membership = MembershipController(
             peers=self,
@@ -124,7 +121,7 @@
 
     @property
     def port(self) -> int:
-        """Port on which peers connect; known once started."""
+        """Port for connections of peers; known once started."""
         return self._links.port
 
     def members(self) -> tuple[Member, ...]:
@@ -137,16 +134,16 @@
         frame = encode_bounded(Envelope(message), self._metrics)
         if frame is None:
             return False
-        outgoing = Outgoing(frame, message.wire_name)
+        outgoing = OutgoingFrame(frame, message.wire_name)
         link = self._links.find(instance_id)
         if link is not None:
             return self._offer(link, outgoing, message)
         dial = self._dial(instance_id)
         if dial is None:
             return False
-        task = asyncio.create_task(self._offer_later(dial, outgoing, message))
-        self._waiting.add(task)
-        task.add_done_callback(self._waiting.discard)
+        task = asyncio.create_task(self._offer_after_dial(dial, outgoing, message))
+        self._pending_sends.add(task)
+        task.add_done_callback(self._pending_sends.discard)
         return True
 
     async def ask(
@@ -156,18 +153,18 @@
         if encode_bounded(Envelope(message), self._metrics) is None:
             return _fail_unsent("the message is too large")
         answer = _fail_unsent(f"no link to {instance_id}")
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             link = await self._find_link(instance_id, deadline)
             if link is None:
                 return answer
-            link.note_use()
-            answer = await self._questions.ask(link, message, deadline)
+            link.record_use()
+            answer = await self._pending_calls.ask(link, message, deadline)
             if not _is_unsent(answer) or self._links.find(instance_id) is link:
                 return answer
         return answer
 
     def handle(self, message_type: type[Message], handler: MessageHandler) -> None:
-        self._calls.handle(message_type, handler)
+        self._dispatcher.handle(message_type, handler)
 
     def dump(self) -> dict[str, Any]:
         now = asyncio.get_running_loop().time()
@@ -183,8 +180,8 @@
         }
         return {
             "links": links,
-            "questions": len(self._questions),
-            "in_work": len(self._calls),
+            "questions": len(self._pending_calls),
+            "in_work": len(self._dispatcher),
             **self._membership.dump(),
         }
 
@@ -196,8 +193,8 @@
         self._membership.set_address(self._advertise or f"{host}:{self.port}")
 
     async def on_stop(self) -> None:
-        await self._calls.stop()
-        tasks = tuple(self._waiting)
+        await self._dispatcher.stop()
+        tasks = tuple(self._pending_sends)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -205,18 +202,18 @@
         self._links.traffic.report(self._metrics)
 
     @Service.task
-    async def _tend_forever(self) -> None:
+    async def _maintain_links_forever(self) -> None:
         while not self.should_stop:
-            self.tend()
-            # cheaper than the service's own sleep, which starts a task each time
+            self.maintain_links()
+            # cheaper than the sleep method of Service, which starts a task on each call
             await asyncio.sleep(self._tick)
 
-    def tend(self) -> None:
-        """Drop links that went silent or idle, open those that are missing."""
+    def maintain_links(self) -> None:
+        """Maintain the links: drop silent ones, close idle ones, open missing ones."""
         now = self._clock.now()
-        self._notice_pause(now)
+        self._detect_pause(now)
         neighbours = self._membership.list_neighbours()
-        self._links.tend(frozenset(neighbours))
+        self._links.maintain(frozenset(neighbours))
         for instance_id in neighbours:
             if self._links.find(instance_id) is None:
                 self._dial(instance_id)
@@ -228,7 +225,7 @@
             self._metrics.gauge("peers.links", len(self._links.list_links()))
 
     def _dial_seed(self) -> None:
-        """Try to meet others by one of the addresses given in the settings."""
+        """Dial a random seed address from the settings."""
         known = {link.peer.address for link in self._links.list_links()}
         known.add(self._membership.create_hello().address)
         seeds = [address for address in self._seeds if address not in known]
@@ -237,24 +234,24 @@
         if self._links.dial_any(self._random.choice(seeds)) is not None:
             self._metrics.count("peers.seed_dials")
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         last, self._last_tick = self._last_tick, now
         if last is not None and now - last > self._silence / 2:
-            # while this process stood still it read nothing: what its peers sent
-            # still waits in the sockets, and no link may be called silent for that
-            self._links.excuse_silence()
+            # a paused process reads nothing: data of the peers is still in the socket
+            # buffers, so links must not be dropped as silent
+            self._links.reset_silence()
 
-    # what links need
+    # link owner
 
-    def describe(self) -> Hello:
+    def create_hello(self) -> Hello:
         return self._membership.create_hello()
 
-    def find_fault(self, hello: Hello) -> str:
-        held = self._links.find(hello.instance_id)
-        linked_address = "" if held is None else held.peer.address
+    def check_hello(self, hello: Hello) -> str:
+        current = self._links.find(hello.instance_id)
+        linked_address = "" if current is None else current.peer.address
         return self._membership.check_hello(hello, linked_address)
 
-    def note_open(self, link: Link) -> None:
+    def handle_open(self, link: Link) -> None:
         hello = link.peer
         identity = Identity(
             instance_id=hello.instance_id,
@@ -265,21 +262,25 @@
         )
         self._membership.register_peer(identity, leaving=hello.leaving)
 
-    def note_closed(self, link: Link) -> None:
-        self._questions.abandon(link)
-        if not link.ended_in_order:
+    def handle_closed(self, link: Link) -> None:
+        self._pending_calls.fail_calls(link)
+        if not link.closed_cleanly:
             self._membership.handle_link_loss(link.instance_id)
 
-    def receive(self, link: Link, data: bytes) -> None:
+    def handle_frame(self, link: Link, data: bytes) -> None:
         match decode(data):
             case Ok(envelope):
                 self._dispatch(link, envelope)
             case Err(DecodeError(unknown=True) as error):
                 self._metrics.count("peers.unknown_messages")
-                self._calls.answer(link, error.call_id, NotUnderstood(error.reason))
+                self._dispatcher.send_answer(
+                    link, error.call_id, NotUnderstood(error.reason)
+                )
             case Err(error):
                 self._metrics.count("peers.bad_frames")
-                logger.warning("bad frame from %s: %s", link.instance_id, error.reason)
+                logger.warning(
+                    "invalid frame from %s: %s", link.instance_id, error.reason
+                )
                 link.abort()
 
     # messages
@@ -287,24 +288,24 @@
     def _dispatch(self, link: Link, envelope: Envelope) -> None:
         message = envelope.message
         if envelope.reply_to:
-            if not self._questions.settle(link, envelope.reply_to, message):
+            if not self._pending_calls.deliver(link, envelope.reply_to, message):
                 self._metrics.count("peers.late_answers")
             return
         if not is_probe(message):
-            link.note_use()
-        self._calls.take(link, envelope.call_id, message)
+            link.record_use()
+        self._dispatcher.dispatch(link, envelope.call_id, message)
 
-    def _offer(self, link: Link, outgoing: Outgoing, message: Message) -> bool:
+    def _offer(self, link: Link, outgoing: OutgoingFrame, message: Message) -> bool:
         if not is_probe(message):
-            link.note_use()
+            link.record_use()
         return link.offer(outgoing, droppable=True)
 
-    async def _offer_later(
-        self, dial: asyncio.Task[Link | None], outgoing: Outgoing, message: Message
+    async def _offer_after_dial(
+        self, dial: asyncio.Task[Link | None], outgoing: OutgoingFrame, message: Message
     ) -> None:
         link = await asyncio.shield(dial)
         if link is not None:
-            # it may have been replaced since the dial ended
+            # the dialled link may have been replaced meanwhile
             link = self._links.find(link.instance_id) or link
             self._offer(link, outgoing, message)
 
@@ -320,8 +321,8 @@
                 await asyncio.shield(dial)
         except TimeoutError:
             return None
-        # and not the one that was dialled: it may have been replaced or closed since,
-        # and a question on a closed one would wait until its deadline
+        # not the dialled link, which may have been replaced or closed meanwhile: a
+        # call on a closed link would wait until its deadline
         return self._links.find(instance_id)
 
     def _dial(self, instance_id: str) -> asyncio.Task[Link | None] | None:
@@ -344,10 +345,10 @@
 
 def _read_limits(settings: Settings) -> LinkLimits:
     return LinkLimits(
-        heartbeat=settings["peers.heartbeat"],
-        silence=settings["peers.silence"],
-        rest_factor=settings["peers.rest_factor"],
+        heartbeat_interval=settings["peers.heartbeat"],
+        silence_timeout=settings["peers.silence"],
+        idle_factor=settings["peers.rest_factor"],
         open_timeout=settings["peers.open_timeout"],
-        idle=settings["peers.idle"],
+        idle_timeout=settings["peers.idle"],
         max_links=settings["peers.max_links"],
     )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service over HTTP."""
+"""HTTP client of the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -32,43 +32,43 @@
 
 T = TypeVar("T")
 
-#: a connection unused for so many seconds is closed and not used again
+#: seconds after which an idle connection is closed
 IDLE_SECONDS = 5.0
 
-#: share of a call's time-out that may pass until a connection is made
+#: share of a call's timeout that is allowed for connecting
 CONNECT_SHARE = 0.4
 
-#: share of a call's time-out that may pass without a byte of the answer
-SILENCE_SHARE = 0.45
+#: share of a call's timeout that may pass without a byte of the response
+READ_SHARE = 0.45
 
-#: connections to the service that may be open at once, watches included
+#: maximum number of open connections to the service, including watches
 MAX_CONNECTIONS = 64
 
-#: answers sent before anything is done, so that nothing took effect
+#: statuses sent before a call is executed, so that it took no effect
 _REFUSALS = frozenset({429, 503})
 
-#: answers to calls that the service could not even understand or accept
+#: statuses of calls that the service rejects as malformed or not allowed
 _REJECTIONS = frozenset({400, 404, 405, 413})
 
 
 @dataclass(slots=True)
 class _Trace:
-    """What became of one call; aiohttp's trace signals fill it in."""
+    """Progress of one call, updated by aiohttp's trace signals."""
 
     kind: str
-    #: whether a connection was obtained, after which bytes may have left
+    #: whether a connection was obtained, after which bytes may have been sent
     connected: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class _Reply:
+class _Response:
     status: int
     body: Any
 
 
 @dataclass(frozen=True, slots=True)
-class _NoReply:
-    """A call without an answer; ``sent`` if the service may have got it."""
+class _NoResponse:
+    """A call without a response; ``sent`` if the service may have received it."""
 
     kind: StoreErrorKind
     message: str
@@ -78,17 +78,17 @@
 class HttpStore(Store):
     """Calls the platform's key-value service.
 
-    Writes are POST and sent once: aiohttp's client sends GET, PUT and DELETE a
-    second time by itself when a kept connection turns out to be closed, and the
-    second of two equal swaps would report a conflict with the first. A read that
-    fails is sent once more, on a fresh connection, within the call's time-out.
+    Writes are sent once, by POST: aiohttp resends GET, PUT and DELETE by itself when
+    a kept-alive connection turns out to be closed, and the second of two equal swaps
+    would report a conflict with the first. A failed read is retried once, on a new
+    connection, within the call's timeout.
 
-    A connection can go silent for good, swallowing a call without any error. The
-    time-out for a single read notices it and drops the connection; connections that
-    idle for some seconds are not used again.
+    A connection can become unresponsive, so that calls on it are lost without an
+    error. The timeout of a single socket read detects this and drops the connection;
+    connections that are idle for some seconds are not reused.
 
     :param address: ``host:port`` of the service, the host as an IP address.
-    :param timeout: seconds allowed for a call, watches excepted.
+    :param timeout: seconds allowed for a call, except watches.
     """
 
     def __init__(self, *, address: str, timeout: float, metrics: Metrics) -> None:
@@ -111,18 +111,18 @@
         match await self._read("get", _key_path("/kv/", key)):
             case Err(error):
                 return Err(error)
-            case Ok(_Reply(status=404)):
+            case Ok(_Response(status=404)):
                 return Ok(None)
-            case Ok(reply):
-                return _parse(lambda: _to_entry(reply.body))
+            case Ok(response):
+                return _parse(lambda: _to_entry(response.body))
 
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
         match await self._read("list", f"/kv?prefix={quote(prefix, safe='')}"):
             case Err(error):
                 return Err(error)
-            case Ok(reply):
+            case Ok(response):
                 return _parse(
-                    lambda: tuple(_to_entry(item) for item in reply.body["entries"])
+                    lambda: tuple(_to_entry(item) for item in response.body["entries"])
                 )
 
     async def swap(
@@ -149,14 +149,14 @@
             total=seconds, connect=self._timeout, sock_connect=self._timeout
         )
         match await self._call("GET", "watch", path, timeout=timeout):
-            case _NoReply(kind, message):
+            case _NoResponse(kind, message):
                 return Err(StoreError(kind, message))
-            case _Reply(status=204 | 404):
+            case _Response(status=204 | 404):
                 return Ok(None)
-            case _Reply(status=200, body=body):
+            case _Response(status=200, body=body):
                 return _parse(lambda: _to_entry(body))
-            case reply:
-                return Err(_to_error(reply))
+            case response:
+                return Err(_to_error(response))
 
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
         return await self._call_lease("/leases", {"ttl": ttl})
@@ -172,24 +172,26 @@
         self, path: str, body: dict[str, Any]
     ) -> Result[Lease, StoreError]:
         match await self._call("POST", "lease", path, body=body):
-            case _NoReply(kind, message):
+            case _NoResponse(kind, message):
                 return Err(StoreError(kind, message))
-            case _Reply(status=200, body=body):
+            case _Response(status=200, body=body):
                 return _parse(lambda: _to_lease(body))
-            case _Reply(status=404):
-                return Err(StoreError(StoreErrorKind.LEASE_GONE, "lease is gone"))
-            case reply:
-                return Err(_to_error(reply))
-
-    async def _read(self, kind: str, path: str) -> Result[_Reply, StoreError]:
-        # a kept connection may have gone silent, and the whole pool with it, so the
-        # second and last attempt opens a connection of its own
+            case _Response(status=404):
+                return Err(
+                    StoreError(StoreErrorKind.LEASE_GONE, "lease does not exist")
+                )
+            case response:
+                return Err(_to_error(response))
+
+    async def _read(self, kind: str, path: str) -> Result[_Response, StoreError]:
+        # all pooled connections may be unresponsive, so the second and last attempt
+        # uses a new connection
         timeout = self._share_timeout(0.5)
         outcome = await self._call("GET", kind, path, timeout=timeout)
-        if isinstance(outcome, _NoReply):
+        if isinstance(outcome, _NoResponse):
             self._metrics.count("store.read_retries")
             outcome = await self._call("GET", kind, path, timeout=timeout, fresh=True)
-        if isinstance(outcome, _NoReply):
+        if isinstance(outcome, _NoResponse):
             return Err(StoreError(outcome.kind, outcome.message))
         if outcome.status not in (200, 404):
             return Err(_to_error(outcome))
@@ -197,13 +199,13 @@
 
     async def _write(self, kind: str, path: str, body: dict[str, Any]) -> WriteResult:
         match await self._call("POST", kind, path, body=body):
-            case _NoReply(sent=True, message=message):
+            case _NoResponse(sent=True, message=message):
                 self._metrics.count(f"store.unknown.{kind}")
                 return WriteResult(WriteOutcome.UNKNOWN, message=message)
-            case _NoReply(message=message):
+            case _NoResponse(message=message):
                 return WriteResult(WriteOutcome.NOT_APPLIED, message=message)
-            case reply:
-                return _settle(reply)
+            case response:
+                return _to_write_result(response)
 
     def _share_timeout(self, share: float) -> aiohttp.ClientTimeout:
         seconds = self._timeout * share
@@ -211,7 +213,7 @@
             total=seconds,
             connect=self._timeout * CONNECT_SHARE,
             sock_connect=self._timeout * CONNECT_SHARE,
-            sock_read=self._timeout * SILENCE_SHARE,
+            sock_read=self._timeout * READ_SHARE,
         )
 
     async def _call(
@@ -223,7 +225,7 @@
         body: dict[str, Any] | None = None,
         timeout: aiohttp.ClientTimeout | None = None,
         fresh: bool = False,
-    ) -> _Reply | _NoReply:
+    ) -> _Response | _NoResponse:
         trace = _Trace(kind)
         try:
             async with self._session(fresh).request(
@@ -238,17 +240,17 @@
                 status = response.status
         except TimeoutError as error:
             reason = StoreErrorKind.TIMEOUT
-            message = f"no answer in time: {type(error).__name__}"
+            message = f"no response within the timeout: {type(error).__name__}"
         except (aiohttp.ClientError, OSError) as error:
             reason = StoreErrorKind.UNREACHABLE
             message = f"{type(error).__name__}: {error}"
         else:
-            return _decode_reply(status, data)
+            return _decode_response(status, data)
         self._metrics.count(f"store.failures.{kind}")
-        return _NoReply(reason, message, sent=trace.connected)
+        return _NoResponse(reason, message, sent=trace.connected)
 
     def _session(self, fresh: bool) -> aiohttp.ClientSession:
-        # sessions are made on first use, as they need the running loop
+        # sessions are created on first use, as they need the running loop
         if fresh:
             if self._fresh is None:
                 connector = aiohttp.TCPConnector(
@@ -265,19 +267,19 @@
 
     def _open_session(self, connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
         tracing = aiohttp.TraceConfig()
-        tracing.on_connection_create_end.append(self._note_connection)
-        tracing.on_connection_reuseconn.append(self._note_connection)
+        tracing.on_connection_create_end.append(self._record_connection)
+        tracing.on_connection_reuseconn.append(self._record_connection)
         return aiohttp.ClientSession(
             connector=connector,
             trace_configs=[tracing],
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
-    async def _note_connection(
+    async def _record_connection(
         self, session: aiohttp.ClientSession, context: Any, params: Any
     ) -> None:
-        # counted here and not where calls begin: the client may send a read twice
-        # by itself, and the service counts both
+        # count here instead of at the start of a call: aiohttp may resend a read by
+        # itself, and the service counts both
         trace = context.trace_request_ctx
         trace.connected = True
         self._metrics.count(f"store.calls.{trace.kind}")
@@ -287,34 +289,34 @@
     return base + quote(key, safe="/")
 
 
-def _decode_reply(status: int, data: bytes) -> _Reply:
+def _decode_response(status: int, data: bytes) -> _Response:
     if not data:
-        return _Reply(status, None)
+        return _Response(status, None)
     try:
-        return _Reply(status, json.loads(data))
+        return _Response(status, json.loads(data))
     except ValueError:
-        return _Reply(status, None)
+        return _Response(status, None)
 
 
-def _settle(reply: _Reply) -> WriteResult:
-    body = reply.body if isinstance(reply.body, dict) else {}
+def _to_write_result(response: _Response) -> WriteResult:
+    body = response.body if isinstance(response.body, dict) else {}
     revision = body.get("revision", ABSENT)
-    message = f"status {reply.status}"
-    if reply.status == 200:
+    message = f"status {response.status}"
+    if response.status == 200:
         return WriteResult(WriteOutcome.APPLIED, revision)
-    if reply.status == 412:
+    if response.status == 412:
         return WriteResult(WriteOutcome.CONFLICT, revision)
-    if reply.status in _REFUSALS or reply.status in _REJECTIONS:
+    if response.status in _REFUSALS or response.status in _REJECTIONS:
         return WriteResult(WriteOutcome.NOT_APPLIED, message=message)
-    # any other error may have struck after the write took effect
+    # any other error may have occurred after the write took effect
     return WriteResult(WriteOutcome.UNKNOWN, message=message)
 
 
-def _to_error(reply: _Reply) -> StoreError:
-    message = f"status {reply.status}"
-    if reply.status == 429:
+def _to_error(response: _Response) -> StoreError:
+    message = f"status {response.status}"
+    if response.status == 429:
         return StoreError(StoreErrorKind.RATE_LIMITED, message)
-    if reply.status >= 500:
+    if response.status >= 500:
         return StoreError(StoreErrorKind.UNREACHABLE, message)
     return StoreError(StoreErrorKind.BAD_ANSWER, message)
 
