--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -165,7 +165,7 @@
 
 
 async def test_end_of_a_stop_cancels_requests(pipeline, monkeypatch):
-    monkeypatch.setattr(pipeline.parts.drain, "_break_off", lambda: None)
+    monkeypatch.setattr(pipeline.parts.drain, "_abort_requests", lambda: None)
     monkeypatch.setattr(test_stop, "WAIT_SECONDS", 2)
     with pytest.raises(TimeoutError):
         await test_stop.test_requests_in_flight_at_the_end_of_a_stop_are_answered(
