--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/__init__.py
@@ -1,4 +1,4 @@
-"""Filters: the steps that every request passes, in order."""
+"""Request filters: the middleware chain that every request passes in order."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """One request on its way through the filters.
+    """One request and its state while it passes through the filter chain.
 
-    It is the only mutable record of a request; ``verdict`` changes through
-    :meth:`raise_verdict` alone, so that it can't fall.
+    It is the only mutable state of a request. ``verdict`` is changed only through
+    :meth:`raise_verdict`, so that it never decreases.
     """
 
     request: Request
     verdict: Verdict = Verdict.NOT_RUN
-    #: gives the caller a token of a streamed answer; ``None`` for unary answers
+    #: sends a token of a streamed answer to the caller; ``None`` for unary answers
     on_token: Callable[[int, str], None] | None = None
-    #: what filters leave for later ones, by the name of the filter
+    #: values that filters share with later filters, by key
     notes: dict[str, Any] = field(default_factory=dict)
 
     def raise_verdict(self, verdict: Verdict) -> None:
-        """Raise the verdict; a lower one changes nothing."""
+        """Raise the verdict; a lower value has no effect."""
         self.verdict = self.verdict.raise_to(verdict)
 
 
@@ -37,11 +37,11 @@
 
 
 class Filter(ABC):
-    """One step of the chain."""
+    """One filter of the chain."""
 
     @abstractmethod
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
-        """Answer the exchange, usually by what ``proceed`` returns."""
+        """Return the answer, usually the one that ``proceed`` returns."""
 
 
 def chain(filters: tuple[Filter, ...], last: Handler) -> Handler:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -1,4 +1,4 @@
-"""Refuses requests beyond the quota of their workspace."""
+"""Rate limiting: refuses requests that exceed the quota of their workspace."""
 
 from __future__ import annotations
 
@@ -22,24 +22,25 @@
 
 __all__ = ("AdmissionFilter",)
 
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value that a refusal shows
 MAX_SHOWN = 64
 
 
 class AdmissionFilter(Filter):
-    """Charges each request once, before or after its key is claimed.
+    """Charges each request to its quota once, before or after its key is claimed.
 
-    It stands in the chain twice, around deduplication. A request without a key, or
-    with one that the caller says it has not sent before, is charged before: its
-    refusal costs no write to the store. Any other one may be the repeat of a request
-    that runs or has run, which only its claim can tell; it is charged after it,
-    so that a repeat gets its answer also when the quota is used up. Refused then,
-    it gives its claim back, as nothing ran.
+    The chain contains this filter twice, before and after deduplication. A request
+    without an idempotency key, or one that the caller declares to be a first attempt,
+    is charged before deduplication, so that its refusal costs no write to the store.
+    Any other request may be the retry of one that is running or has run, which is
+    known only once its key is claimed. It is charged after deduplication, so that a
+    retry gets the recorded answer even if the quota is exhausted. If it is refused
+    there, its claim is released, as nothing ran.
 
-    What used nothing, as it was found under its key or refused without having run,
-    is given back.
+    A request whose answer was replayed, or which was refused without having run, is
+    refunded.
 
-    :param claimed: whether this is the place after deduplication
+    :param claimed: whether this filter comes after deduplication
     """
 
     def __init__(self, *, quotas: QuotasController, claimed: bool) -> None:
@@ -79,7 +80,7 @@
 
 
 class _TokenCounter:
-    """Counts the tokens that are passed on to a caller."""
+    """Counts the tokens that are sent to a caller."""
 
     def __init__(self, listener: Callable[[int, str], None] | None) -> None:
         self._listener = listener
@@ -95,7 +96,7 @@
     request = exchange.request
     refusal = Refusal(
         code=RefusalCode.QUOTA,
-        message="the workspace's quota is used up",
+        message="quota of the workspace exceeded",
         field="X-Workspace",
         value=request.workspace[:MAX_SHOWN],
         retry_after_ms=max(1, math.ceil(retry_after * 1000)),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/check.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/check.py
@@ -1,4 +1,4 @@
-"""Refuses requests for what the configuration does not hold."""
+"""Refuses requests whose workspace or pipeline is not in the configuration."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 
 __all__ = ("SNAPSHOT_NOTE", "CheckFilter")
 
-#: note that holds the configuration for the whole of the request
+#: key of the configuration snapshot that the whole request uses
 SNAPSHOT_NOTE = "snapshot"
-#: milliseconds after which an instance may have learnt its configuration
+#: milliseconds after which an instance may have loaded its configuration
 NOT_READY_RETRY_MS = 1000
-#: milliseconds after which an object just created may be known here
+#: milliseconds within which a newly created object may reach this instance
 UNKNOWN_RETRY_MS = 2000
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value that a refusal shows
 MAX_SHOWN = 64
 
 
 class CheckFilter(Filter):
-    """Looks up pipeline and workspace in one snapshot and notes that snapshot.
+    """Looks up pipeline and workspace, and pins the snapshot for later filters.
 
-    A request that read the configuration again half way could run the first stages
-    of one generation and the last ones of another; so all later steps use the note.
+    A request that read the configuration again while it runs could execute its first
+    stages under one generation and its last ones under another, so all later filters
+    use the pinned snapshot.
 
-    :param snapshot: returns the configuration in force
+    :param snapshot: returns the active configuration
     """
 
     def __init__(self, *, snapshot: Callable[[], Snapshot]) -> None:
@@ -56,13 +57,13 @@
     if snapshot.generation == 0:
         return Refusal(
             code=RefusalCode.NOT_READY,
-            message="no configuration is known here yet",
+            message="this instance has not loaded a configuration yet",
             retry_after_ms=NOT_READY_RETRY_MS,
         )
     if request.workspace not in snapshot.workspaces:
         return Refusal(
             code=RefusalCode.UNKNOWN_WORKSPACE,
-            message="no such workspace",
+            message="unknown workspace",
             field="X-Workspace",
             value=request.workspace[:MAX_SHOWN],
             retry_after_ms=UNKNOWN_RETRY_MS,
@@ -70,7 +71,7 @@
     if request.pipeline not in snapshot.pipelines:
         return Refusal(
             code=RefusalCode.UNKNOWN_PIPELINE,
-            message="no such pipeline",
+            message="unknown pipeline",
             field="pipeline",
             value=request.pipeline[:MAX_SHOWN],
             retry_after_ms=UNKNOWN_RETRY_MS,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
@@ -1,4 +1,4 @@
-"""Lets a request with a key run at most once."""
+"""Runs a request with an idempotency key at most once."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 
 class DeduplicationFilter(Filter):
-    """Claims a request's key before anything is sent for it.
+    """Claims the idempotency key of a request before any of its stages is called.
 
-    A request with a key whose caller leaves is run to its end, within its deadline:
-    it can't be run again, so its repeat would else find no result, ever.
+    A request with a key keeps running until it ends or reaches its deadline, even if
+    its caller disconnects: it can't be run again, so a retry would otherwise never
+    find a result.
 
-    A request without a key passes: nothing tells its repeat from a new request.
-    That holds also if it may not be repeated. The stages of one such request are
-    then still run at most once, but a caller must not send it again after an
-    answer other than "not run".
+    A request without a key is not deduplicated, as its retry can't be told from a new
+    request. This also holds for requests that are not repeatable. Each stage of such
+    a request is still run at most once, but a caller must not retry it unless the
+    verdict of the answer is "not run".
     """
 
     def __init__(self, *, claims: ClaimsController) -> None:
@@ -63,7 +64,7 @@
 
 
 class _Tokens:
-    """Passes tokens on to a caller until it leaves."""
+    """Forwards tokens to a caller until it disconnects."""
 
     def __init__(self, listener: Callable[[int, str], None] | None) -> None:
         self.listener = listener
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -1,4 +1,4 @@
-"""Refuses requests that can't be answered whole within their deadline."""
+"""Admission control: refuses requests that can't complete within their deadline."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class FeasibilityFilter(Filter):
-    """Asks admission before anything of a request is run.
+    """Applies admission control before any stage of a request is called.
 
-    It comes last before the run, when the pipeline is known that the policies have
-    picked. A keyed request that is refused here has its claim already and gives it
-    back, as nothing ran.
+    It is the last filter before the pipeline runs, as it needs to know the pipeline
+    that the policies selected. A request with an idempotency key has already claimed
+    it; if the request is refused here, the claim is released, as nothing ran.
     """
 
     def __init__(self, *, admission: Admission, clock: Clock, metrics: Metrics) -> None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
@@ -1,4 +1,4 @@
-"""Turns what a caller sent into a checked request with an id of its own."""
+"""Parses and validates callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 STREAM_FIELD = "stream"
 BODY_FIELDS = frozenset({INPUT_FIELD, STREAM_FIELD})
 
-#: characters of an offending value that are shown
+#: maximum characters of an invalid value that a refusal shows
 MAX_SHOWN = 64
-#: digits beyond which a deadline isn't even read
+#: maximum digits of a deadline; longer ones are rejected without being parsed
 MAX_DEADLINE_DIGITS = 12
 DIGEST_BYTES = 16
 
@@ -44,25 +44,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IdentifierLimits:
-    """Bounds on what callers may ask."""
+    """Limits on the content of requests."""
 
-    #: longest deadline in milliseconds
+    #: maximum deadline in milliseconds
     max_deadline_ms: int = 600_000
-    #: nesting of arrays and objects in a body
+    #: maximum nesting depth of arrays and objects in a body
     max_depth: int = 64
-    #: characters of an ``Idempotency-Key``
+    #: maximum characters of an ``Idempotency-Key``
     max_key_length: int = 200
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """A caller's request as it came in."""
+    """A request as received from the caller, before validation."""
 
     request_id: str
     pipeline: str
     headers: Mapping[str, str]
     body: bytes
-    #: monotonic seconds
+    #: time of receipt in monotonic seconds
     received: float
 
 
@@ -78,9 +78,9 @@
 
 
 class Identifier:
-    """Checks arrivals and names them.
+    """Validates received requests and creates request ids.
 
-    :param snapshot: returns the configuration in force
+    :param snapshot: returns the active configuration
     """
 
     def __init__(
@@ -97,11 +97,11 @@
         self._limits = limits or IdentifierLimits()
 
     def create_request_id(self) -> str:
-        """Return an id that no other request has."""
+        """Return a new unique request id."""
         return create_id("request", self._random)
 
     def identify(self, arrival: Arrival) -> Result[Request, Refusal]:
-        """Return the request, or a refusal that names the field at fault."""
+        """Return the request, or a refusal that names the invalid field."""
         try:
             return Ok(self._read(arrival))
         except _BadFieldError as error:
@@ -111,7 +111,7 @@
         headers = arrival.headers
         workspace = headers.get(WORKSPACE_HEADER, "")
         if not workspace:
-            raise _BadFieldError(WORKSPACE_HEADER, "", "the workspace is missing")
+            raise _BadFieldError(WORKSPACE_HEADER, "", "the workspace is required")
         budget = self._read_budget(arrival)
         key = self._read_key(headers)
         repeatable = _read_flag(headers, REPEATABLE_HEADER, True)
@@ -140,10 +140,10 @@
         if text is None:
             pipeline = self._snapshot().pipelines.get(arrival.pipeline)
             budget = pipeline.default_deadline_ms if pipeline is not None else 0
-            # an unknown pipeline is told of as such by the check that follows
+            # the configuration check that follows refuses an unknown pipeline
             if budget > 0 or pipeline is None:
                 return budget
-            message = "the pipeline has no default deadline: name one"
+            message = "required, as the pipeline has no default deadline"
             raise _BadFieldError(DEADLINE_HEADER, "", message)
         number = text.strip()
         well_formed = number.isascii() and number.isdigit()
@@ -171,24 +171,24 @@
         try:
             fields = _DECODER.decode(body.decode("utf-8"))
         except RecursionError:
-            raise _BadFieldError("body", "", "nested too deeply") from None
+            raise _BadFieldError("body", "", "nested too deeply to be parsed") from None
         except ValueError as error:
             message = f"not JSON: {str(error)[:MAX_SHOWN]}"
             shown = body[:MAX_SHOWN].decode("utf-8", "replace")
             raise _BadFieldError("body", shown, message) from None
         if not isinstance(fields, dict):
-            raise _BadFieldError("body", fields, "must be an object")
+            raise _BadFieldError("body", fields, "must be a JSON object")
         for name in fields:
             if name not in BODY_FIELDS:
                 raise _BadFieldError(name[:MAX_SHOWN], fields[name], "unknown field")
         if INPUT_FIELD not in fields:
-            raise _BadFieldError(INPUT_FIELD, "", "the input is missing")
+            raise _BadFieldError(INPUT_FIELD, "", "the input is required")
         self._check_depth(body, fields)
         return fields
 
     def _check_depth(self, body: bytes, fields: dict[str, Any]) -> None:
         limit = self._limits.max_depth
-        # fewer brackets than levels allowed: spares most bodies the walk below
+        # fast path: with no more opening brackets than the limit, the depth can't exceed it
         if body.count(b"{") + body.count(b"[") <= limit:
             return
         level: list[Any] = [fields]
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
@@ -1,4 +1,4 @@
-"""Measures and logs every request; the outermost filter."""
+"""Records metrics and logs of every request; the outermost filter."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 logger = logging.getLogger(__name__)
 
-#: note that holds the request's log
+#: key of the request's log
 TRACE_NOTE = "trace"
-#: milliseconds after which an error of this instance may be gone
+#: milliseconds after which to retry a request that failed with an internal error
 INTERNAL_RETRY_MS = 1000
 
 
 class ObserveFilter(Filter):
-    """Counts requests by outcome, times them, and answers errors of later steps."""
+    """Counts and times requests by outcome, and answers errors of later filters."""
 
     def __init__(self, *, clock: Clock, metrics: Metrics, log: RequestLog) -> None:
         self._clock = clock
@@ -42,11 +42,13 @@
             answer = await proceed(exchange)
         except asyncio.CancelledError:
             self._metrics.count("requests.caller_gone")
-            trace.finish(_refuse(exchange, "the caller left"))
+            trace.finish(_refuse(exchange, "the caller disconnected"))
             raise
         except Exception:
-            logger.exception("request %s failed", exchange.request.request_id)
-            answer = _refuse(exchange, "error of this instance")
+            logger.exception(
+                "request %s failed with an internal error", exchange.request.request_id
+            )
+            answer = _refuse(exchange, "internal error")
         self._measure(exchange, answer)
         trace.finish(answer)
         return answer
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
@@ -1,4 +1,4 @@
-"""The last handler: runs the request's pipeline."""
+"""The handler at the end of the filter chain: runs the request's pipeline."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class RunHandler:
-    """Runs the pipeline that the request was steered to."""
+    """Runs the pipeline that was selected for the request."""
 
     def __init__(self, *, runner: StageRunner) -> None:
         self._runner = runner
 
     async def __call__(self, exchange: Exchange) -> Answer:
-        """Return the final answer of the pipeline."""
+        """Run the pipeline and return its answer."""
         return await self._runner.run(exchange, exchange.notes[PIPELINE_NOTE])
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -1,4 +1,4 @@
-"""Steers a request to the pipeline and services that the policies pick for it."""
+"""Traffic splitting: selects pipeline and services of a request by policy."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 __all__ = ("PIPELINE_NOTE", "SteerFilter")
 
-#: key of the pipeline to run, among the notes of an exchange
+#: key of the pipeline to run
 PIPELINE_NOTE = "pipeline"
 
 
 class SteerFilter(Filter):
-    """Applies traffic splits.
+    """Applies the traffic splits of the policies.
 
-    It comes after deduplication: a key belongs to the pipeline that the caller
-    named, so a repeat finds the first answer whichever way the split went. What a
-    split names and the configuration does not hold any more is passed over, as the
-    caller would else be refused for an operator's change.
+    It comes after deduplication: an idempotency key belongs to the pipeline that the
+    caller requested, so a retry finds the first answer whichever pipeline the split
+    selects. A pipeline or service that a split names but that no longer exists in the
+    configuration is ignored; otherwise an operator's change would cause refusals.
     """
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
@@ -1,4 +1,4 @@
-"""Answers for this instance where a planned stop leaves no time for a request."""
+"""Answers requests that are cancelled at the end of a planned stop."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 __all__ = ("STOPPING_RETRY_MS", "StopFilter")
 
-#: milliseconds after which to come back to an instance that stops: the others serve,
-#: and a caller's next connection leads to one of them
+#: milliseconds after which to retry a request that a stopping instance refused: at
+#: once, as the caller's next connection leads to another instance
 STOPPING_RETRY_MS = 0
 
 
 class StopFilter(Filter):
-    """Breaks requests off at the end of a stop, and says whether they may have run."""
+    """Cancels requests at the end of a stop, and answers with their verdict."""
 
     def __init__(self, *, in_flight: InFlight) -> None:
         self._in_flight = in_flight
@@ -35,12 +35,12 @@
 
     def _refuse(self, exchange: Exchange) -> Answer:
         if exchange.request.key:
-            # its run goes on without its caller, and raises the verdict at its end
-            # only: called not run now, it would run after that
+            # deduplication detaches the run, which raises the verdict only when it
+            # ends: an answer of "not run" could be followed by the run
             exchange.raise_verdict(Verdict.MAY_HAVE_RUN)
         refusal = Refusal(
             code=RefusalCode.NOT_READY,
-            message="broken off by a stop",
+            message="cancelled by a stop of this instance",
             verdict=exchange.verdict,
             retry_after_ms=STOPPING_RETRY_MS,
         )
