--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -26,7 +26,7 @@
 
 
 class DaemonCommand(Command):
-    """Runs the daemon, or only checks its settings."""
+    """Runs the daemon, or validates its settings file."""
 
     name = RUN
     description = "Serves pipelines on an entry instance."
@@ -71,7 +71,7 @@
     """Run the command line; return the exit code."""
     command_line = CommandLine(PROGRAM_NAME, __version__)
     command_line.add(DaemonCommand())
-    # the only command needs no name on the command line
+    # the daemon has a single command, whose name users need not type
     return command_line.run(ArgvInput([PROGRAM_NAME, RUN, *sys.argv[1:]]))
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/application.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/application.py
@@ -1,4 +1,4 @@
-"""The application: starts the parts, waits for a stop and carries it out."""
+"""Life cycle of the daemon: start-up, waiting for a stop, shutdown."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 class ExitCode:
     """Exit codes of the daemon."""
 
-    #: every request in flight was finished
+    #: all requests in flight were completed
     FINISHED = 0
-    #: a part failed, or requests were cut by a second stop request
+    #: a component failed, or requests were cancelled because the time of the stop
+    #: was over or a stop was requested a second time
     FAILED = 1
-    #: the settings or an address could not be used
+    #: invalid settings, or an address that can't be bound
     BAD_START = 2
 
 
 class Application:
-    """Runs the parts of one daemon from start to stop.
+    """Runs the components of one daemon from start to stop.
 
-    Parts start in the order of ``Parts.controllers``, so that each finds those it
-    asks already running, and stop in the reverse order: callers' requests end
-    first, links to peers last.
+    Controllers start in the order of ``Parts.controllers``, so that each one starts
+    after its dependencies, and stop in the reverse order: callers' requests end
+    first, connections to peers last.
     """
 
     def __init__(self, parts: Parts | RelayParts) -> None:
@@ -40,10 +41,10 @@
         self._failed = False
 
     async def run(self) -> int:
-        """Run until a stop is requested and carried out; return the exit code."""
+        """Run until a requested stop is complete; return the exit code."""
         started: list[Controller] = []
-        # before the first part serves: until then a signal ends the process at once,
-        # and callers that a part had already let in would be cut
+        # handlers come before the first controller starts: without them a signal kills
+        # the process at once, together with requests that are already in flight
         self._listen_to_signals()
         try:
             for controller in self._parts.controllers:
@@ -51,7 +52,7 @@
                 await controller.start()
                 started.append(controller)
         except OSError as error:
-            logger.error("can't start %s: %s", controller.name, error)
+            logger.error("failed to start %s: %s", controller.name, error)
             await self._stop(started)
             return ExitCode.BAD_START
         self._announce()
@@ -65,13 +66,15 @@
             loop.add_signal_handler(number, handler)
 
     def _announce(self) -> None:
-        """Tell whoever started the process which ports the system gave it."""
+        """Print the listening addresses, as ports may be assigned by the system."""
         addresses = self._parts.list_addresses()
         words = [f"{name}={address}" for name, address in addresses.items()]
         print("ready", *words, flush=True)
 
     def _note_crash(self, controller: Controller, reason: BaseException) -> None:
-        logger.error("%s failed: %r; stopping", controller.name, reason)
+        logger.error(
+            "controller %s failed: %r; stopping the instance", controller.name, reason
+        )
         self._failed = True
         self._parts.drain.start_drain()
 
@@ -80,6 +83,6 @@
             try:
                 await controller.stop()
             except Exception:
-                # the others must still get to end what they hold
-                logger.exception("%s did not stop cleanly", controller.name)
+                # the other controllers must still be able to release their resources
+                logger.exception("controller %s failed to stop", controller.name)
         await self._parts.close()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at one stage, until one is answered or none may follow."""
+"""Calls of one stage with retries and hedging."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 __all__ = ("AttemptMaker",)
 
-#: milliseconds after which a failed stage may do better
+#: milliseconds after which to retry a request whose stage failed
 FAILURE_RETRY_MS = 1000
-#: characters of a prompt by which requests with a shared prefix are recognised
+#: characters of a prompt that are compared to find requests with a shared prefix
 PREFIX_LENGTH = 256
 PREFIX_FIELD = "prefix"
-#: percentile of a stage's durations beyond which a call counts as late
+#: percentile of a stage's durations that bounds the hedge delay
 LATE_PERCENTILE = 95
 
 
 class AttemptMaker:
-    """Makes attempts at stages, one after the other or, when one is late, two.
+    """Calls stages: retries failed attempts and hedges slow ones.
 
-    :param durations: durations by ``(pipeline, stage)``, kept by the dispatcher;
-        without them lateness is judged by the stage's deadline alone
+    :param durations: durations by ``(pipeline, stage)``, recorded by the dispatcher;
+        without them the hedge delay depends on the stage's deadline alone
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._patience = patience or HedgeRule()
 
     async def make(self, work: StageWork) -> Result[StageAnswer, Refusal]:
-        """Return the stage's answer, or the refusal of the whole request."""
+        """Call a stage; return its answer, or the refusal of the whole request."""
         while True:
             acquired = await self._acquire(work)
             if isinstance(acquired, Err):
@@ -92,7 +92,7 @@
                 return Err(refusal)
 
     async def close(self) -> None:
-        """Wait for the cancellations under way at targets."""
+        """Wait for the pending cancellations at targets."""
         await self._sender.close()
 
     async def _try_once(self, work: StageWork, grant: Grant) -> CallResult:
@@ -101,7 +101,7 @@
             return await self._sender.send(work, grant)
         patience = self._choose_patience(work)
         if work.streamed or patience is None:
-            # two streams at once could differ from one another
+            # streams are not hedged: the outputs of two attempts may differ
             return await self._sender.send(work, grant, patience)
         return await race(
             lambda: self._sender.send(work, grant),
@@ -144,13 +144,13 @@
             grant = result.ok_value
             if self._directory.accepts(grant.target.target_id):
                 return result
-            # it began to leave after it was chosen; nothing was sent
+            # the target began to leave after it was selected; nothing was sent
             self._metrics.count("attempts.moved")
             unfit |= {grant.target.target_id}
             self._dispatcher.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
 
     def _reconsider(self, work: StageWork, unfit: frozenset[str]) -> None:
-        """Allow all targets again once each of them was tried.
+        """Allow all targets again once each of them has been tried.
 
         A service with one replica would otherwise fail on one broken connection.
         """
@@ -172,8 +172,8 @@
         )
         if reason is None:
             self._metrics.count("attempts.repeated")
-            # a call that reached nobody adds no load; were it charged, the calls to
-            # one replica that died would use up the budget of all others
+            # a call that did not connect adds no load; if it counted against the retry
+            # budget, calls to one dead replica would exhaust it for all others
             work.charged = failure.kind is not FailureKind.CONNECT
             if failure.kind is FailureKind.CANNOT_RESUME:
                 work.resume = False
@@ -208,7 +208,7 @@
 
 
 def _find_prefix(kind: StageKind, value: Any) -> str:
-    """Return the prompt prefix that an input names, or the start of its prompt."""
+    """Return the prefix that an input specifies, or the start of a text input."""
     if kind is not StageKind.GENERATE:
         return ""
     if isinstance(value, str):
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of the request path, read from the settings."""
+"""Limits of the request path, read from the settings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_caller_limits(settings: Settings) -> CallerLimits:
-    """Return the bounds on callers' connections."""
+    """Return the limits on callers' connections."""
     return CallerLimits(
         max_body_bytes=settings["callers.max_body_bytes"],
         max_header_bytes=settings["callers.max_header_bytes"],
@@ -35,12 +35,12 @@
 
 
 def read_identifier_limits(settings: Settings) -> IdentifierLimits:
-    """Return the bounds on what callers may ask."""
+    """Return the limits on the content of requests."""
     return IdentifierLimits(max_deadline_ms=settings["callers.max_deadline_ms"])
 
 
 def read_target_limits(settings: Settings) -> TargetLimits:
-    """Return the bounds on calls to targets."""
+    """Return the limits on calls to targets."""
     return TargetLimits(
         connect_timeout=settings["targets.connect_timeout"],
         stall_timeout=settings["targets.stall_timeout"],
@@ -52,5 +52,5 @@
 
 
 def read_retry_rules(settings: Settings) -> RetryRules:
-    """Return the bounds on repeated calls."""
+    """Return the limits on retries."""
     return RetryRules(max_attempts=settings["targets.max_attempts"])
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -1,4 +1,4 @@
-"""The composition root: builds all parts of a daemon and wires them."""
+"""The composition root: builds and wires all components of the daemon."""
 
 from __future__ import annotations
 
@@ -71,23 +71,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Parts:
-    """The parts of one daemon."""
+    """The components of one daemon."""
 
-    #: in the order in which they start
+    #: in start order
     controllers: tuple[Controller, ...]
     callers: CallersServer
     operators: OperatorsServer
     peers: PeerHub
     drain: DrainController
-    #: IP address on which callers are served
+    #: IP address of the callers' listener
     host: str
-    #: closes the clients towards targets and the platform
+    #: closes the clients of targets and of the platform
     close: Callable[[], Awaitable[None]]
-    #: what is done on signals, by number
+    #: signal handlers by signal number
     signals: dict[int, Callable[[], None]]
 
     def list_addresses(self) -> dict[str, str]:
-        """Return what this instance listens on."""
+        """Return the listening addresses of this instance by name."""
         ports = {
             "callers": self.callers.port,
             "operators": self.operators.port,
@@ -97,12 +97,12 @@
 
 
 def compose(settings: Settings, log_output: LogOutput | None = None) -> Parts:
-    """Build and wire all parts; nothing is started yet."""
+    """Build and wire all components without starting them."""
     return _Composer(settings, log_output).compose()
 
 
 class _Composer:
-    """Holds what most parts are built from while they are wired."""
+    """Holds the shared dependencies while the components are wired."""
 
     def __init__(self, settings: Settings, log_output: LogOutput | None) -> None:
         self.settings = settings
@@ -354,8 +354,8 @@
         return {controller.name: controller for controller in self._list_controllers()}
 
     def _is_ready(self) -> bool:
-        # without a first listing no target is known: the balancer's other
-        # instances can answer what this one would have to refuse
+        # without a first listing no target is known, and requests would be refused
+        # that other instances behind the load balancer can answer
         informed = self.configuration.ready and self.listing.listing is not None
         return informed and not self.drain.draining
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -1,4 +1,4 @@
-"""The groups of engines in this data centre that placement policies name."""
+"""Groups of engines in this data centre that placement policies manage."""
 
 from __future__ import annotations
 
@@ -35,26 +35,26 @@
     name: str
     service: str
     placement: Placement
-    #: whether the engines here are to hold what the placement names
+    #: whether the engines are to have the state that the placement specifies
     placed: bool = False
     demand: OverflowState = field(default_factory=OverflowState)
-    #: targets that are neither leaving nor gone, by id
+    #: listed targets that are not leaving, by id
     targets: dict[str, Target] = field(default_factory=dict)
     #: ``None`` while the lease is not held
     engines: EngineGroup | None = None
-    #: whether the configuration was proved the newest under this tenure
+    #: whether the configuration was verified to be the newest during this lease
     current: bool = False
-    #: last call that came to nothing, for the state dump
+    #: error of the last failed call, for the state dump
     error: str = ""
 
     @property
     def ordering(self) -> bool:
-        """Whether an order is under way, or may still be."""
+        """Whether an order is in progress, or may still be."""
         return self.engines is not None and self.engines.ordering
 
 
 class GroupTable:
-    """Keeps the groups up to date with configuration, targets and demand."""
+    """Keeps the groups in line with configuration, targets and load."""
 
     def __init__(self, *, data_centre: str, targets: TargetsController) -> None:
         self._data_centre = data_centre
@@ -65,11 +65,11 @@
         return len(self._groups)
 
     def list_groups(self) -> tuple[Group, ...]:
-        """Return all groups, by name."""
+        """Return all groups, ordered by name."""
         return tuple(self._groups[name] for name in sorted(self._groups))
 
     def update(self, now: float, snapshot: Snapshot) -> None:
-        """Take in what has changed; ``now`` is in monotonic seconds."""
+        """Update all groups; ``now`` is in monotonic seconds."""
         placements = find_placements(snapshot)
         groups = {}
         for service, placement in placements.items():
@@ -78,8 +78,8 @@
             group.placement = placement
             groups[name] = group
         for name, group in self._groups.items():
-            # with its policy gone it has still to end what it began, or its lease
-            # would be given up and the next holder begin too early
+            # a group without a policy stays until its orders end: otherwise its lease
+            # would be released and the next holder could start too early
             if name not in groups and group.ordering:
                 group.placed = False
                 groups[name] = group
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
@@ -188,7 +188,7 @@
 
     def _check_depth(self, body: bytes, fields: dict[str, Any]) -> None:
         limit = self._limits.max_depth
-        # fast path: with no more opening brackets than the limit, the depth can't exceed it
+        # fast path: the depth can't exceed the number of opening brackets
         if body.count(b"{") + body.count(b"[") <= limit:
             return
         level: list[Any] = [fields]
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/garbage.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/garbage.py
@@ -1,4 +1,4 @@
-"""How often the garbage collector runs."""
+"""Settings of the garbage collector."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 __all__ = ("freeze_imports",)
 
-#: allocations between two collections of the youngest generation; the default of
-#: 700 makes the collector run several times in each request
+#: allocations between two collections of the youngest generation; with the default
+#: of 700 the collector runs several times in each request
 GC_THRESHOLD = 50_000
 
 
 def freeze_imports() -> None:
-    """Leave what was imported out of collections: it lives as long as the process.
+    """Exclude imported objects, which live as long as the process, from collections.
 
-    From then on the collector runs, also if it was off during imports.
+    Also enables the collector, in case it was disabled during the imports.
     """
     gc.collect()
     gc.freeze()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
@@ -1,4 +1,4 @@
-"""Requests in flight, which the end of a planned stop breaks off."""
+"""Requests in flight, and their cancellation at the end of a planned stop."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class BrokenOffError(Exception):
-    """The work was broken off by the end of a stop."""
+    """The request was cancelled by the end of a stop."""
 
 
 class InFlight:
-    """Knows the work under way, and breaks it off when a stop has no time left.
+    """Tracks the requests in flight, and cancels them when the time of a stop is over.
 
-    A process that only ends leaves its callers with closed connections, which say
-    nothing: neither that a request has not run, nor when to come back. Broken off
-    here, each request still gets its final answer from what is known of it.
+    If the process just exited, callers would see closed connections, which tell them
+    neither whether a request has run nor when to retry. A request that is cancelled
+    here still gets a final answer with its verdict.
     """
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
     async def run(self, work: Coroutine[Any, Any, Result]) -> Result:
         """Return the result of ``work``.
 
-        :raises BrokenOffError: if it is broken off, or comes when all has been
+        :raises BrokenOffError: if it is cancelled, or starts after the cancellation
         """
         if self._over:
             work.close()
@@ -55,7 +55,7 @@
             raise BrokenOffError from None
 
     def break_off(self) -> None:
-        """Break off all work, and let none begin any more."""
+        """Cancel all requests in flight and reject new ones."""
         self._over = True
         now = asyncio.get_running_loop().time()
         for bound in self._bounds:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/listings.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/listings.py
@@ -1,4 +1,4 @@
-"""Passing of the platform's list between entry instances."""
+"""Exchange of the platform's instance listing between entry instances."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 __all__ = ("ListingExchange",)
 
-#: seconds that a peer is given for one page
+#: timeout in seconds of the query for one page
 QUERY_TIMEOUT = 2.0
 
-#: rows of the longest listing that is taken from a peer
+#: maximum rows of a listing that is accepted from a peer
 MAX_ROWS = 100_000
 
-#: rows a second, about 1 kB, that are taken from peers on average; an instance's
-#: traffic with its peers has bounds that a long list must not exceed
+#: average rate in rows per second, about 1 kB, at which listings are fetched from
+#: peers; a long listing must not exceed the limits on peer traffic
 ROWS_PER_SECOND = 12
 
 
 class ListingExchange:
-    """Answers peers that ask for the list, and asks them.
+    """Serves the listing to peers, and fetches it from them.
 
-    :param get_newest: returns the newest listing that is known here.
+    :param get_newest: returns the newest listing known to this instance
     """
 
     def __init__(
@@ -54,14 +54,15 @@
         self._metrics = metrics
         self._get_newest = get_newest
         self._next_question = clock.now()
-        #: instance that the newest listing was learnt from, empty if from none
+        #: instance that the newest listing was fetched from; empty if none
         self.learnt_from = ""
         peers.handle(ListingQuery, self._answer_query)
 
     async def fetch(self) -> Listing | None:
-        """Ask a peer for a listing newer than the newest known here.
+        """Fetch a listing from a random peer if it has a newer one.
 
-        ``None`` if it has none, and while the rows of the last one are paid off.
+        Return ``None`` if it has none, and while the rate limit defers queries after
+        the last fetched listing.
         """
         others = self._list_others()
         if not others or self._clock.now() < self._next_question:
@@ -97,7 +98,7 @@
             for row in page.rows:
                 instance = decode_row(row)
                 if instance is None:
-                    # one bad row must not hide all other instances
+                    # one invalid row must not discard the whole listing
                     self._metrics.count("instances.bad_rows")
                     continue
                 instances.append(instance)
@@ -119,10 +120,10 @@
 
 
 def _continues(pages: list[ListingPage], page: ListingPage, count: int) -> bool:
-    """Whether a page belongs to the same listing as those before it.
+    """Whether a page continues the listing of the pages before it.
 
-    The peer may have read a newer listing in between. Joined with pages of the older
-    one it would lack instances that are in both.
+    The peer may have loaded a newer listing since. If pages of both were joined,
+    instances that are in both listings could be missing from the result.
     """
     if page.total > MAX_ROWS or page.offset != count:
         return False
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one action tree for each request, and ``logging`` bridged into it."""
+"""Structured logs: one eliot action tree per request, and a ``logging`` bridge."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
     "truncate",
 )
 
-#: longest text of one field, in bytes
+#: maximum bytes of the text of one field
 MAX_VALUE = 200
-#: longest message of a ``logging`` record, in bytes
+#: maximum bytes of the message of a ``logging`` record
 MAX_MESSAGE = 1000
-#: longest traceback, in bytes; its end is kept, as that names the error
+#: maximum bytes of a traceback; its end is kept, as it names the error
 MAX_TRACEBACK = 1500
-#: longest line in bytes; a pipe that polls as writable takes this much at once
+#: maximum bytes of a line; a pipe that polls as writable accepts this many at once
 MAX_LINE = 4096
-#: stages of one request, and attempts of one stage, that are logged
+#: maximum stages per request, and attempts per stage, that are logged
 MAX_STAGES = 16
 MAX_ATTEMPTS = 8
 
 STDOUT = "-"
 
-#: libraries that log each connection's start and end: lines that grow with the number
-#: of peers, of nothing that was decided or is believed
+#: libraries that log each connection's start and end: the volume grows with the number
+#: of peers, and the lines contain no decision and no state of this instance
 QUIET_LIBRARIES = ("websockets",)
 
 
 class LogLevel(IntEnum):
-    """What is logged; each level includes the ones before it."""
+    """Log verbosity; each level includes those before it."""
 
     ERRORS = 0
     REQUESTS = 1
@@ -61,7 +61,7 @@
 def truncate(value: Any, limit: int = MAX_VALUE) -> str:
     """Return ``value`` as text of at most ``limit`` bytes, plus an ellipsis.
 
-    Lone surrogates, which JSON input may hold, are replaced: the encoder refuses
+    Lone surrogates, which JSON input may contain, are replaced: the encoder rejects
     them, and the line would be lost.
     """
     text = value if isinstance(value, str) else str(value)
@@ -74,11 +74,11 @@
 
 
 class LogOutput:
-    """Writes log lines to a file descriptor without ever waiting for it.
+    """Writes log lines to a file descriptor without blocking.
 
-    A reader of standard output that has stopped would fill the pipe, and the next
-    write would hold up the event loop: the process is alive, yet answers nobody.
-    So a line is written only if the descriptor takes it at once, and is otherwise
+    If the reader of standard output stalls, the pipe fills up and a blocking write
+    would stop the event loop: the process would be alive but answer no request. A
+    line is therefore written only if the descriptor is writable, and is otherwise
     dropped and counted.
     """
 
@@ -93,7 +93,7 @@
         self.dropped = 0
 
     def write(self, line: bytes) -> int:
-        """Write ``line`` at once or drop it; return the number of bytes written."""
+        """Write ``line`` or drop it; return the number of bytes written."""
         if not line:
             return 0
         if len(line) > MAX_LINE or not self._is_writable():
@@ -108,7 +108,7 @@
         return len(line)
 
     def flush(self) -> None:
-        """Do nothing, as nothing is buffered."""
+        """Do nothing, as writes are not buffered."""
 
     def attach(self, level: LogLevel) -> None:
         """Send eliot's messages and ``logging`` records to this output."""
@@ -131,16 +131,16 @@
 
 
 class _Bridge(logging.Handler):
-    """Passes ``logging`` records on to eliot, each as one bounded message.
+    """Forwards ``logging`` records to eliot, each as one message of limited size.
 
-    eliot's own handler writes tracebacks unbounded, in a message of their own.
+    eliot's own handler writes tracebacks without a limit, as separate messages.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
         try:
             fields = _describe_record(record)
         except Exception:
-            # arguments that don't fit the format must not stop whoever logs
+            # a mismatch of format and arguments must not fail the code that logs
             self.handleError(record)
             return
         eliot.log_message("greengagelatch:log", **fields)
@@ -159,7 +159,7 @@
 
 
 def set_up(settings: Settings) -> LogOutput:
-    """Open the output that ``log.file`` names and route all logs to it.
+    """Open the output that the setting ``log.file`` names and route all logs to it.
 
     :raises OSError: if the file can't be opened
     """
@@ -168,7 +168,7 @@
 
 
 def open_output(path: str, level: LogLevel, instance_id: str) -> LogOutput:
-    """Open an output, :data:`STDOUT` or a file, and route all logs to it.
+    """Open :data:`STDOUT` or a file as the output of all logs.
 
     :raises OSError: if the file can't be opened
     """
@@ -183,21 +183,21 @@
 
 
 class RequestLog:
-    """Logs requests as eliot actions whose task is the request's id.
+    """Logs requests as eliot actions whose task id is the request id.
 
-    So all lines of a request, whichever its stage, are found by its id.
+    All lines of a request, whatever the stage, can thus be found by its id.
     """
 
     def __init__(self, level: LogLevel) -> None:
         self._level = level
 
     def start_request(self, request: Request) -> RequestTrace:
-        """Begin a request's action; the trace must be finished."""
+        """Start the action of a request; the caller must finish the trace."""
         return RequestTrace(self._level, request)
 
 
 class RequestTrace:
-    """The log of one request."""
+    """Logs one request."""
 
     def __init__(self, level: LogLevel, request: Request) -> None:
         self._level = level
@@ -210,7 +210,7 @@
             self._action = self._start()
 
     def start_stage(self, stage: str, service: str = "") -> StageTrace:
-        """Begin a stage's action; the trace must be finished."""
+        """Start the action of a stage; the caller must finish the trace."""
         self._stages += 1
         action = None
         if self._level >= LogLevel.STAGES and self._stages <= MAX_STAGES:
@@ -223,7 +223,7 @@
         return StageTrace(self, action)
 
     def finish(self, answer: Answer) -> None:
-        """Log the final answer; on level ``errors`` only a refusal."""
+        """Log the final answer; at level ``errors``, only if it is a refusal."""
         if self._action is None:
             if answer.refusal is None:
                 return
@@ -265,7 +265,7 @@
 
 
 class StageTrace:
-    """The log of one stage of one request."""
+    """Logs one stage of a request."""
 
     def __init__(self, request: RequestTrace, action: eliot.Action | None) -> None:
         self._request = request
@@ -301,7 +301,7 @@
         )
 
     def finish(self, *, outcome: str, verdict: Verdict) -> None:
-        """Log how the stage ended."""
+        """Log the outcome of the stage."""
         if self._action is None:
             return
         self._action.add_success_fields(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timers, sent to statsd and kept for the state dump."""
+"""Counters, gauges and timers, sent to statsd and shown in the state dump."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 __all__ = ("MetricTotals", "Metrics")
 
-#: prefix of every metric's name
+#: prefix of all metric names
 PREFIX = "greengagelatch"
-#: seconds for which metrics are gathered before they are sent
+#: seconds between two flushes of the collected metrics
 INTERVAL = 0.2
-#: durations that are gathered at most
+#: maximum number of collected durations; reaching it triggers a flush
 MAX_TIMINGS = 500
-#: bytes of one datagram, which an Ethernet frame carries whole
+#: maximum bytes of one datagram, so that it fits into one Ethernet frame
 MAX_DATAGRAM = 1432
-#: what separates the parts of a metric, and what can't be sent, in a name
+#: characters in names that are statsd's separators or can't be sent
 _FORBIDDEN = str.maketrans(dict.fromkeys(":|@# \n", "_"))
 
 
 class MetricTotals:
-    """Running totals, however they are shown."""
+    """Totals of counters and the last values of gauges."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -50,14 +50,14 @@
 
 
 class Metrics(MetricTotals):
-    """Gathers metrics, sends them by UDP and keeps the running totals.
+    """Collects metrics, sends them to statsd by UDP and keeps the totals.
 
-    statsd's client is synchronous, but a datagram to an IP address never waits
-    for anything; a host name would be resolved in the event loop, so settings
-    accept addresses only. A datagram for each metric took a twentieth of a
-    request's processor time, so those of a short while share datagrams, and counts
-    of one name are added up. What is gathered is sent by the first call after
-    :data:`INTERVAL`; controllers report gauges regularly, so there is always one.
+    statsd's client is synchronous, but sending a datagram to an IP address does not
+    block. A host name would be resolved in the event loop, so the settings accept
+    addresses only. One datagram per metric takes a twentieth of a request's
+    processor time, so metrics are batched in datagrams, and counts of the same name
+    are summed. The first call after :data:`INTERVAL` flushes the batch; controllers
+    report gauges regularly, so such a call always comes.
 
     :param now: returns monotonic seconds
     """
@@ -88,12 +88,12 @@
         self._send_if_due()
 
     def timing(self, name: str, seconds: float) -> None:
-        """Report a duration."""
+        """Record a duration."""
         self._timings.append((name, seconds))
         self._send_if_due()
 
     def flush(self) -> None:
-        """Send what was gathered."""
+        """Send the collected metrics."""
         self._sent = self._now()
         with self._client.pipeline() as pipeline:
             for name, amount in self._new_counts.items():
@@ -113,9 +113,10 @@
 
 
 def _clean(name: str) -> str:
-    """Return a name that can be sent: names hold those of operators' objects.
+    """Return ``name`` without characters that can't be sent.
 
-    statsd's client raises on what is not ASCII, in the middle of a request.
+    Metric names contain the names of operators' objects, and statsd's client raises
+    on characters that are not ASCII, which would fail the request.
     """
     text = name.translate(_FORBIDDEN)
     return text if text.isascii() else text.encode("ascii", "replace").decode()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -1,4 +1,4 @@
-"""Single calls to engines: readings, and orders guarded by their group's lease."""
+"""Calls to engines: reading state, and orders fenced by their group's lease."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds after the first call in a row that an engine did not take
+#: base of the exponential backoff after failed calls to an engine, in seconds
 RETRY_BASE = 1.0
 
 
 class EngineCaller:
-    """Makes the calls that an :class:`EngineGroup` plans and takes in their ends.
+    """Makes the calls that an :class:`EngineGroup` plans and reports their results.
 
-    :param open: whether orders may be given at all; no longer once a stop has begun
+    :param open: whether orders may be sent; false once a stop has begun
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self._metrics = metrics
 
     async def read(self, engines: EngineGroup, step: EngineStep, target: Target) -> str:
-        """Read an engine's state; return what went wrong, or an empty text."""
+        """Read an engine's state; return an error message, or an empty string."""
         answer = await self._client.read(target)
         now = self._clock.now()
         match answer:
@@ -71,7 +71,7 @@
                 return ""
         self._metrics.count("orders.read_failures")
         engines.end_read(now, step, None, self._choose_delay(engines, step))
-        return f"{step.target_id} can't be read: {answer.err_value}"
+        return f"reading the state of {step.target_id} failed: {answer.err_value}"
 
     async def order(
         self,
@@ -81,13 +81,13 @@
         step: EngineStep,
         target: Target,
     ) -> str:
-        """Give an order; return what went wrong, or an empty text."""
+        """Send an order; return an error message, or an empty string."""
         assert step.order is not None
 
         def guard() -> bool:
             now = read_instant(self._clock)
-            # a lease may have lapsed and a target begun to leave while the
-            # connection was made; either would be an order that must not be given
+            # checked once connected: meanwhile the lease may have expired or the
+            # target begun to leave, and then the order must not be sent
             allowed = (
                 self._open()
                 and self._directory.accepts(target.target_id)
@@ -116,7 +116,7 @@
             case OrderOutcome.UNKNOWN:
                 engines.end_order(now, step, settled=False)
             case OrderOutcome.OLD_FENCE:
-                # there is a newer holder, whatever this instance's clocks say
+                # a newer holder has the lease, even if it has not expired by this clock
                 engines.end_order(now, step, settled=True)
                 self._leases.give_up(group)
             case _:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/racing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/racing.py
@@ -1,4 +1,4 @@
-"""Two calls of which the first answer counts; the second starts only if needed."""
+"""Hedged calls: a backup call is made if the first one is slow."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
     backup: Callable[[], Awaitable[CallResult | None]],
     patience: float,
 ) -> CallResult:
-    """Return the first answer of two calls, or a failure if there is none.
+    """Make a hedged call; return the first answer, or a failure if there is none.
 
-    The first call runs in the present task, as almost all are answered in time;
-    whichever call is not needed any more is cancelled, and has ended on return.
+    The first call runs in the current task, as almost all calls need no backup. The
+    other call is cancelled, and has ended when this function returns.
 
-    :param backup: called after ``patience`` seconds; ``None``: it could not be made
+    :param backup: makes the backup call after ``patience`` seconds; its result is
+        ``None`` if no call could be made
     """
     runner = _Race(backup)
     timer = asyncio.get_running_loop().call_later(patience, runner.call_backup)
@@ -39,17 +40,17 @@
 
 
 class _Race:
-    """The state of one race."""
+    """The state of one hedged call."""
 
     def __init__(self, backup: Callable[[], Awaitable[CallResult | None]]) -> None:
         self._backup = backup
         self._task: asyncio.Task[CallResult | None] | None = None
-        # without a time: it is set off by the backup's answer
+        # has no deadline: the backup's answer makes it expire
         self._guard = asyncio.timeout(None)
         self._running = False
 
     async def run(self, first: Callable[[], Awaitable[CallResult]]) -> CallResult:
-        """Make the first call, unless a backup is answered before it."""
+        """Make the first call; return the backup's answer if that comes first."""
         self._running = True
         try:
             async with self._guard:
@@ -71,7 +72,7 @@
         self._task.add_done_callback(self._overtake)
 
     async def stop(self) -> None:
-        """Cancel the backup call if it is still out, and wait for its end."""
+        """Cancel the backup call if it is still running, and wait for its end."""
         if self._task is None or self._task.done():
             return
         self._task.cancel()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -1,4 +1,4 @@
-"""One attempt at a stage: sent once, settled once, its grant released once."""
+"""Single attempts at a stage: each sends one call and releases one grant."""
 
 from __future__ import annotations
 
@@ -32,13 +32,14 @@
 
 __all__ = ("ContradictionError", "Sender", "StageWork")
 
-#: attempts that are being cancelled at targets at the same time
+#: maximum number of concurrent cancellations at targets
 MAX_CANCELS = 256
 
 ANSWERED = "answered"
 CANCELLED = "cancelled"
 
-#: how failures count for the choice of targets; the others are the target's fault
+#: outcomes that load balancing records for failures; all others count as target
+#: failures
 _OUTCOMES = {
     FailureKind.TARGET_REFUSED: OutcomeKind.REJECTED,
     FailureKind.DEADLINE: OutcomeKind.ABANDONED,
@@ -48,33 +49,33 @@
 
 
 class ContradictionError(Exception):
-    """A repeated stream differs from what the caller already holds."""
+    """A repeated stream differs from the tokens that the caller already received."""
 
 
 @dataclass(slots=True, kw_only=True)
 class StageWork:
-    """One stage of one request, and what its attempts have come to."""
+    """The state of one stage of one request across its attempts."""
 
     request: Request
     stage: Stage
     input: Any
-    #: monotonic seconds
+    #: in monotonic seconds
     stage_deadline: float
     priority: int
     ledger: AttemptLedger
-    #: gives the caller a token; ``None`` where the stage is not streamed
+    #: sends a token to the caller; ``None`` if the stage is not streamed
     on_token: TokenListener | None = None
     trace: StageTrace | None = None
     attempts: int = 0
     excluded: frozenset[str] = frozenset()
-    #: whether the next attempt counts against the budget of repeated calls
+    #: whether the next attempt counts against the retry budget
     charged: bool = False
-    #: seconds that failed attempts took
+    #: total seconds of failed attempts
     wasted: float = 0.0
     tokens: StreamedTokens = field(default_factory=StreamedTokens)
-    #: whether the next attempt asks the target to go on at the present offset
+    #: whether the next attempt resumes the stream at the current offset
     resume: bool = True
-    #: targets that a backup was called in for
+    #: targets whose slow calls were hedged by a backup call
     late: frozenset[str] = frozenset()
     answered: bool = False
 
@@ -85,12 +86,12 @@
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer is asked for token by token."""
+        """Whether the answer is streamed token by token."""
         return self.on_token is not None and self.stage.kind is StageKind.GENERATE
 
 
 class Sender:
-    """Makes single attempts, and stops at targets those that nobody waits for."""
+    """Makes single attempts, and cancels abandoned ones at their targets."""
 
     def __init__(
         self,
@@ -113,10 +114,10 @@
     async def send(
         self, work: StageWork, grant: Grant, patience: float | None = None
     ) -> Result[StageAnswer, CallFailure]:
-        """Make one attempt and release ``grant``, whatever happens.
+        """Make one attempt and release ``grant`` in every case.
 
-        :param patience: seconds without a first byte after which to give up
-        :raises ContradictionError: if the stream differs from what was given
+        :param patience: timeout in seconds until the first byte
+        :raises ContradictionError: if the stream differs from the tokens already sent
         """
         call = self._create_call(work, patience)
         attempt = _Attempt(work, grant, call, self._clock.now())
@@ -131,15 +132,15 @@
             attempt.note_contradiction()
             raise
         finally:
-            # also when the request is cancelled: a grant that is not released takes
-            # up the target's room for good, and an attempt left open at the target
-            # goes on costing
+            # also on cancellation of the request: a grant that is not released would
+            # occupy capacity of the target forever, and an attempt that is not
+            # cancelled at the target would continue to consume its resources
             self._settle(attempt)
         self._note(grant, result)
         return result
 
     async def close(self) -> None:
-        """Wait for the cancellations under way."""
+        """Wait for the pending cancellations."""
         await asyncio.gather(*self._cancels, return_exceptions=True)
 
     def _create_call(self, work: StageWork, patience: float | None) -> StageCall:
@@ -209,7 +210,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """What became of one attempt; until judged, it counts as cancelled midway."""
+    """The state of one attempt; until it has a result, it counts as cancelled."""
 
     work: StageWork
     grant: Grant
@@ -219,11 +220,11 @@
     verdict: Verdict = Verdict.MAY_HAVE_RUN
     outcome: str = CANCELLED
     message: str = ""
-    #: whether the target may still be at work on it
+    #: whether the target may still be processing the call
     left_running: bool = True
 
     def judge(self, result: Result[StageAnswer, CallFailure]) -> None:
-        """Take over what the result says."""
+        """Record the result of the call."""
         if isinstance(result, Err):
             failure = result.err_value
             self.kind = _OUTCOMES.get(failure.kind, OutcomeKind.FAILURE)
@@ -238,7 +239,7 @@
         self.left_running = False
 
     def note_overtaken(self) -> None:
-        """Blame the target if it was late and another one has answered instead."""
+        """Record a failure of the target if a backup call was answered first."""
         if self.outcome != CANCELLED or not self.work.answered:
             return
         if self.grant.target.target_id in self.work.late:
@@ -246,7 +247,7 @@
             self.outcome = "overtaken"
 
     def note_contradiction(self) -> None:
-        """Note a whole stream that can't be passed on."""
+        """Record a complete stream that contradicts the tokens already sent."""
         self.kind = OutcomeKind.SUCCESS
         self.verdict = Verdict.RAN
         self.outcome = "contradiction"
@@ -258,7 +259,7 @@
         if check is TokenCheck.REPEATED:
             return
         if check is not TokenCheck.NEW:
-            message = f"the repetition of a cut stream differs at token {offset}"
+            message = f"the resumed stream contradicts a sent token at offset {offset}"
             raise ContradictionError(message)
         assert work.on_token is not None
         work.on_token(offset, text)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
@@ -1,4 +1,4 @@
-"""Runs the stages of a request's pipeline."""
+"""Execution of the stages of a request's pipeline."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 __all__ = ("StageRunner",)
 
-#: milliseconds after which a request that ran out of time may be asked again
+#: milliseconds after which to retry a request whose deadline was exceeded
 DEADLINE_RETRY_MS = 1000
 
 
 @dataclass(slots=True, kw_only=True)
 class _Run:
-    """One request's run through its pipeline."""
+    """The state of one run of a pipeline."""
 
     exchange: Exchange
     pipeline: Pipeline
@@ -46,13 +46,13 @@
     begun: set[str] = field(default_factory=set)
     results: dict[str, Any] = field(default_factory=dict)
     seconds: dict[str, float] = field(default_factory=dict)
-    #: seconds of targets' time that led to a result, by stage
+    #: seconds of target time of completed stages, by stage
     costs: dict[str, float] = field(default_factory=dict)
-    #: seconds that failed attempts took, by stage
+    #: total seconds of failed attempts, by stage
     wasted: dict[str, float] = field(default_factory=dict)
 
     def answer(self, refusal: Refusal | None) -> Answer:
-        """Return the final answer; a refusal is given the run's verdict."""
+        """Return the final answer; a refusal gets the verdict of the request."""
         verdict = self.exchange.verdict
         result = None
         if refusal is not None:
@@ -71,7 +71,7 @@
         verdict = self.exchange.verdict
         retry_after_ms = refusal.retry_after_ms
         if verdict is not Verdict.NOT_RUN and not self._may_ask_again():
-            # a caller that took the hint would run the request a second time
+            # a caller that followed the hint would run the request a second time
             retry_after_ms = None
         return replace(refusal, verdict=verdict, retry_after_ms=retry_after_ms)
 
@@ -83,9 +83,9 @@
 
 
 class StageRunner:
-    """Runs pipelines; stages whose inputs are ready run side by side.
+    """Runs pipelines; stages whose inputs are ready run concurrently.
 
-    :param plan: gives each stage its own deadline within the request's
+    :param plan: derives each stage's deadline from that of the request
     :param prioritise: returns the priority of a stage's calls
     """
 
@@ -105,7 +105,7 @@
         self._prioritise = prioritise
 
     async def run(self, exchange: Exchange, pipeline: Pipeline) -> Answer:
-        """Run all stages and answer with the last one's result."""
+        """Run all stages and return the result of the last one."""
         request = exchange.request
         run = _Run(exchange=exchange, pipeline=pipeline)
         refusal: Refusal | None = None
@@ -115,7 +115,7 @@
         except TimeoutError:
             refusal = Refusal(
                 code=RefusalCode.DEADLINE,
-                message="deadline over",
+                message="deadline exceeded",
                 field="X-Deadline-Ms",
                 value=f"{(request.deadline - request.received) * 1000:.0f}",
                 retry_after_ms=DEADLINE_RETRY_MS,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/status.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/status.py
@@ -1,4 +1,4 @@
-"""What this instance shows operators of itself, its peers and the targets."""
+"""Status of this instance, its peers and the targets, as shown to operators."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self._ready = ready
 
     def describe(self) -> InstanceStatus:
-        """Return the present state."""
+        """Return the current status."""
         return InstanceStatus(
             instance_id=self._settings["instance.id"],
             data_centre=self._settings["instance.data_centre"],
