--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -259,7 +259,9 @@
         if check is TokenCheck.REPEATED:
             return
         if check is not TokenCheck.NEW:
-            message = f"the resumed stream contradicts a sent token at offset {offset}"
+            message = (
+                f"the resumed stream does not match the sent one at token {offset}"
+            )
             raise ContradictionError(message)
         assert work.on_token is not None
         work.on_token(offset, text)
--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -16,12 +16,12 @@
 from greengagelatch_entry.controllers.drain import DrainController
 from greengagelatch_entry.metrics import Metrics
 
-#: bound of every wait in these tests, in seconds
+#: timeout of every wait in these tests, in seconds
 PATIENCE = 10
 
 
 class Part(Controller):
-    """A controller that notes when it starts and stops."""
+    """A controller that records its start and stop."""
 
     def __init__(self, name: str, steps: list[str]) -> None:
         super().__init__()
@@ -48,7 +48,7 @@
 
 
 class UnboundPart(Part):
-    """A controller whose address is taken."""
+    """A controller whose address is in use."""
 
     async def on_start(self) -> None:
         raise OSError("address in use")
@@ -77,7 +77,7 @@
         controllers=(*parts, drain),
         drain=drain,
         close=do_nothing,
-        # a signal that does nothing by default, so that a missed one ends no test
+        # a signal that is ignored by default, so that the tests survive a missed one
         signals={signal.SIGWINCH: drain.start_drain},
         list_addresses=dict,
     )
@@ -94,10 +94,10 @@
 
 
 async def test_failed_background_task_ends_the_process():
-    """Symptom: one instance goes on serving with a configuration of last week.
+    """Guards against an instance that serves with an outdated configuration.
 
-    Sequence: the task that learns of changes raises; everything else runs on.
-    Cause: nobody was told that the task had ended.
+    The task that receives configuration changes raises, and everything else continues
+    to run, unless the end of a task stops the process.
     """
     application, _ = create_application(FailingPart("a", []))
     async with asyncio.timeout(PATIENCE):
@@ -105,7 +105,7 @@
 
 
 class SignalledPart(Part):
-    """A controller during whose start the process is signalled."""
+    """A controller that sends a signal to the process while it starts."""
 
     async def on_start(self) -> None:
         await super().on_start()
@@ -114,10 +114,10 @@
 
 
 async def test_signal_during_the_start_is_not_missed():
-    """Symptom: a process that is told to stop while it starts ends at once.
+    """Guards against a process that is killed by a stop signal during start-up.
 
-    Sequence: a part serves already, the signal comes, and later parts are starting.
-    Cause: handlers were installed only once all parts had started.
+    The signal arrives when one controller already serves and others still start. It
+    would kill the process if handlers were installed only after all have started.
     """
     steps: list[str] = []
     application, _ = create_application(SignalledPart("a", steps), Part("b", steps))
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop."""
+"""Tests of greengagelatch_entry.controllers.drain."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.waiting import wait_until
 
-#: bound of every wait in these tests, in seconds
+#: timeout of every wait in these tests, in seconds
 PATIENCE = 10
 
 
 class Listener:
-    """Stands in for the callers' server and records the order of calls."""
+    """A fake of the callers' server that records the order of calls."""
 
     def __init__(self) -> None:
         self.steps: list[str] = []
         self.idle = asyncio.Event()
-        #: what it says of the requests in flight
+        #: whether all requests in flight are reported as completed
         self.finished = True
 
     async def close(self) -> None:
@@ -41,7 +41,7 @@
 
 
 def create_drain(listener: Listener, lag: float = 0.0) -> DrainController:
-    """Return a controller that drains ``listener``."""
+    """Return a drain controller of ``listener``."""
     return DrainController(
         clock=ManualClock(),
         events=EventBus(),
@@ -55,11 +55,10 @@
 
 
 async def test_listener_stays_open_while_the_balancer_lags():
-    """Symptom: connections refused during each rollout.
+    """Guards against refused connections during each rollout.
 
-    Sequence: the instance is told to stop and closes its listener while the
-    balancer, which polls readiness, still sends it new connections.
-    Cause: closing came before the balancer could know.
+    The load balancer, which polls readiness, still sends new connections for a while
+    after the stop was requested. The listener must not be closed before.
     """
     listener = Listener()
     drain = create_drain(listener, lag=3600)
@@ -74,10 +73,9 @@
 
 
 async def test_requests_in_flight_are_finished():
-    """Symptom: a stream ends without its end event whenever an instance stops.
+    """Guards against streams without an end event whenever an instance stops.
 
-    Sequence: a stream runs, the stop begins, the process exits.
-    Cause: the stop did not wait for what was in flight.
+    The stop begins during a stream; the process must not exit before it is complete.
     """
     listener = Listener()
     drain = create_drain(listener)
@@ -100,10 +98,10 @@
 
 
 async def test_drain_by_an_operator_is_idempotent():
-    """Symptom: an operator repeats ``drain`` and requests in flight are cut.
+    """Guards against requests in flight that are cancelled by a second ``drain``.
 
-    Sequence: drain, its answer is lost, drain again.
-    Cause: the repeat was taken for the second signal, which ends at once.
+    An operator repeats the command as its answer was lost. Unlike a second signal,
+    which stops at once, the repeat must have no effect.
     """
     listener = Listener()
     drain = create_drain(listener)
@@ -118,10 +116,10 @@
 
 
 async def test_what_is_not_finished_in_time_is_broken_off():
-    """Symptom: callers see closed connections at the end of a stop.
+    """Guards against connections closed without an answer at the end of a stop.
 
-    Sequence: the time for requests in flight is over, and the process ends.
-    Cause: nobody gave these requests their final answers.
+    The time for requests in flight is over. They must be cancelled and get their
+    final answers before the process exits.
     """
     listener = Listener()
     listener.idle.set()
@@ -134,10 +132,10 @@
 
 
 async def test_step_that_fails_is_told_and_breaks_off(caplog):
-    """Symptom: an instance ends its stop in silence, and its callers are cut.
+    """Guards against a stop that skips its later steps after an error.
 
-    Sequence: closing the listener fails.
-    Cause: the error was taken for the result of the stop, and what follows left out.
+    Closing the listener fails. The error must be logged, and the requests in flight
+    must still get their answers.
     """
     listener = Listener()
     listener.idle.set()
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.filters.admission with its controller."""
+"""Tests of greengagelatch_entry.filters.admission and the quotas controller."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class CountingStore(MemoryStore):
-    """Counts what is written."""
+    """Counts writes."""
 
     writes = 0
 
@@ -53,7 +53,7 @@
 
 
 class Entry:
-    """One instance up to its last handler, which counts what it is given."""
+    """One instance with a last handler that records the requests it receives."""
 
     def __init__(self, **values) -> None:
         self.clock = ManualClock(100.0)
@@ -130,9 +130,9 @@
     assert refused.refusal.code is RefusalCode.QUOTA
     assert refused.refusal.retry_after_ms == 500
     assert len(entry.ran) == 1
-    # only a key that may have been used before has to be claimed
+    # a key must be claimed only if it may have been used before
     assert (entry.store.writes > writes) == bool(key and not first)
-    # the key, if any, is as good as new
+    # the refusal released the claim of the key, if any
     entry.clock.advance(0.5)
     answer = await entry.ask(key, first=first)
     assert answer.verdict is Verdict.RAN
@@ -165,7 +165,7 @@
     entry = Entry(tokens_per_second="4", burst_seconds="1")
     assert (await entry.ask(stream=True)).refusal is None
     refused = await entry.ask(stream=True)
-    # 6 beyond the burst of 4, and 1 to begin with
+    # 6 tokens beyond the burst of 4, and 1 for the next request, at 4 per second
     assert refused.refusal.retry_after_ms == 1750
     entry.clock.advance(1.75)
     assert (await entry.ask()).refusal is None
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -41,7 +41,7 @@
 
 
 async def ask(admission):
-    """Return the answer to one request, and the names of what was run."""
+    """Return the answer to one request, and the pipelines that were run."""
     run = []
 
     async def proceed(exchange):
@@ -64,9 +64,9 @@
 
 
 async def test_request_that_can_not_be_answered_in_time_runs_nothing():
-    """A refused request was run in part, and its caller told that it was not.
+    """Guards against a refused request that runs in part but is answered "not run".
 
-    Admission refuses it. Asking admission beside the run would be the cause.
+    This would happen if admission control ran concurrently with the pipeline.
     """
     refusal = Refusal(code=RefusalCode.OVERLOADED, message="full", retry_after_ms=1500)
     answer, run = await ask(NotedAdmission(refusal))
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_steer.py
@@ -41,7 +41,7 @@
 
 
 async def steer(snapshot, number=0):
-    """Return the exchange of one request after it was steered."""
+    """Return the exchange of one request after the filter was applied."""
     request = Request(
         request_id=f"request-{number}",
         workspace="depot",
@@ -81,11 +81,10 @@
 
 
 async def test_names_that_are_gone_or_do_not_fit_are_passed_over():
-    """Symptom: callers are refused right after an operator deletes a pipeline.
+    """Guards against refusals right after an operator deletes a pipeline.
 
-    Sequence: a split names a pipeline or service; it is deleted, or its kind is
-    changed; a request falls to its share.
-    Cause: what the split named was run without a look at what there is.
+    A split names a pipeline that was deleted, or a service whose kind was changed.
+    Requests of that share must run as if there were no split.
     """
     for values in ({"to_pipelines": "gone=1"}, {"to_services": "desk=1"}):
         pipeline = (await steer(create_snapshot(**values))).notes[PIPELINE_NOTE]
--- a/tests/test_entry/test_filters/test_stop.py
+++ b/tests/test_entry/test_filters/test_stop.py
@@ -23,7 +23,7 @@
 
 
 def create_handler(in_flight: InFlight, verdict: Verdict, started: asyncio.Event):
-    """Return a chain whose last step never answers."""
+    """Return a chain whose last handler never answers."""
 
     async def wait_forever(exchange: Exchange) -> Answer:
         exchange.raise_verdict(verdict)
@@ -45,10 +45,10 @@
 
 
 async def test_request_that_has_not_run_is_refused_so():
-    """Callers saw closed connections when a stop took longer than it may.
+    """Guards against connections closed without an answer at the end of a stop.
 
-    A request waited for a stage when the time for requests in flight was over. The
-    process ended, and its caller could not know that nothing had run.
+    The time of the stop is over while a request waits for a stage. If the process
+    just exited, its caller would not know that nothing has run.
     """
     answer = await break_off(Verdict.NOT_RUN)
     assert answer.refusal.code is RefusalCode.NOT_READY
@@ -79,7 +79,7 @@
 
 
 async def test_caller_that_leaves_is_not_answered():
-    """A caller's leaving cancels its request, which is no end of a stop."""
+    """A disconnected caller cancels its request, which is not the end of a stop."""
     in_flight, started = InFlight(), asyncio.Event()
     handler = create_handler(in_flight, Verdict.NOT_RUN, started)
     answering = asyncio.create_task(handler(Exchange(request=REQUEST)))
@@ -91,11 +91,11 @@
 
 
 async def test_request_under_a_key_is_not_called_not_run():
-    """Symptom: a caller is told that its booking has not run, and it runs later.
+    """Guards against an answer "not run" to a request that runs later.
 
-    Sequence: a request with a key is with its target when a stop breaks it off; its
-    run goes on without its caller, so that a repeat finds its outcome.
-    Cause: the verdict rises only once the run has ended.
+    A stop cancels a request with an idempotency key while its target processes it.
+    The run continues detached from its caller, so that a retry finds its outcome,
+    and raises the verdict only when it ends.
     """
     in_flight, started = InFlight(), asyncio.Event()
     runs: list[asyncio.Task[None]] = []
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs of requests and the bridge from ``logging``."""
+"""Tests of greengagelatch_entry.logs."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 @pytest.fixture
 def open_log(tmp_path):
-    """Return a function that sets logs up and one that reads them back."""
-    # eliot keeps what is logged before its first destination, and hands it to that
-    # one: lines of tests that ran earlier in this process would stand in this file
+    """Return a function that configures logging and one that reads the log."""
+    # eliot buffers messages until its first destination is added: without this, lines
+    # of tests that ran earlier in this process would be written to this file
     eliot.add_destinations(_discard)
     eliot.remove_destination(_discard)
     path = tmp_path / "log.jsonl"
@@ -125,10 +125,9 @@
 
 
 def test_truncate_makes_every_text_encodable():
-    """Symptom: the log line of a request is missing.
+    """Guards against missing log lines of requests.
 
-    A caller sends a lone surrogate in JSON; the encoder of the log refuses it.
-    Cause: text of callers reached the encoder as it came.
+    A caller sends a lone surrogate in JSON, which the encoder of the log rejects.
     """
     assert truncate("\ud800x") == "?x"
     assert truncate("é" * 300) == "é" * 100 + "…"
@@ -151,10 +150,10 @@
 
 
 def test_record_that_can_not_be_formatted_stops_nobody(open_log, monkeypatch):
-    """Symptom: a request fails with an error that is raised by its log message.
+    """Guards against requests that fail with an error of a log call.
 
-    A message has more arguments than its format. Cause: the handler lets the error
-    of formatting through to whoever logs.
+    A log call has more arguments than its format. The handler must not raise the
+    formatting error to its caller.
     """
     set_up_at, read = open_log
     set_up_at("requests")
@@ -164,10 +163,10 @@
 
 
 def test_stopped_reader_of_stdout_does_not_block():
-    """Symptom: an instance answers nobody, its process is alive and idle.
+    """Guards against an instance that is alive and idle but answers no request.
 
-    Whatever reads standard output stops; the pipe fills; the next write waits for
-    good, and with it the event loop. Cause: log lines were written blocking.
+    The reader of standard output stalls and the pipe fills up. A blocking write of
+    the next log line would stop the event loop.
     """
     reader, writer = os.pipe()
     output = LogOutput(writer, owned=True)
--- a/tests/test_entry/test_metrics.py
+++ b/tests/test_entry/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as they arrive at a statsd server."""
+"""Tests of greengagelatch_entry.metrics with a statsd server."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Server:
-    """Receives datagrams on a port of its own."""
+    """A statsd server that receives datagrams on a free port."""
 
     def __init__(self):
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -58,10 +58,10 @@
 
 
 def test_name_of_an_object_can_not_break_a_request():
-    """Every request of one pipeline was answered by an internal error.
+    """Guards against internal errors for all requests of one pipeline.
 
-    Sequence: an operator names a pipeline in Japanese; its name is part of a
-    metric's. Cause: statsd's client raises on what is not ASCII.
+    An operator names a pipeline in Japanese, and the name becomes part of a metric
+    name. statsd's client raises on characters that are not ASCII.
     """
     server = Server()
     metrics = Metrics(server.address, now=lambda: 0.0)
--- a/tests/test_entry/test_racing.py
+++ b/tests/test_entry/test_racing.py
@@ -1,4 +1,4 @@
-"""Races of a call against its backup."""
+"""Tests of hedged calls."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Call:
-    """A call that ends with ``result`` once ``gate`` is set."""
+    """A call that returns ``result`` once ``gate`` is set."""
 
     def __init__(self, result, *, open_at_once=False):
         self.result = result
@@ -45,10 +45,10 @@
 
 
 async def test_answered_call_is_never_followed_by_a_backup():
-    """A target was called for a request answered long before.
+    """Guards against a backup call for a request that was already answered.
 
-    Sequence: the call is answered in time; the time for its backup comes. Cause:
-    the timer was left running.
+    The first call is answered before the hedge delay has passed; the timer of the
+    backup call must be cancelled.
     """
     first, backup = Call(answer("first"), open_at_once=True), Call(answer("backup"))
     assert (await race(first, backup, PATIENCE)).ok_value.output == "first"
@@ -57,7 +57,7 @@
 
 
 async def test_failure_waits_for_the_backup_under_way():
-    """A request failed although its backup was about to be answered."""
+    """Guards against a failed request whose backup call would have been answered."""
     first, backup = Call(fail("first")), Call(answer("backup"))
     task = asyncio.create_task(race(first, backup, PATIENCE))
     await backup.started.wait()
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("backup_result", [fail("backup"), None])
 async def test_failed_backup_leaves_the_first_call_alone(backup_result):
-    """A call was given up because no second one could be made."""
+    """Guards against a first call that is abandoned as its backup call failed."""
     first, backup = Call(answer("first")), Call(backup_result, open_at_once=True)
     task = asyncio.create_task(race(first, backup, PATIENCE))
     await backup.started.wait()
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -1,4 +1,4 @@
-"""Runs of pipelines whose targets answer as each test scripts."""
+"""Tests of running pipelines on targets with scripted answers."""
 
 from __future__ import annotations
 
@@ -124,10 +124,10 @@
 
 @pytest.mark.parametrize(("kind", "verdict", "repeatable"), FAULTS)
 async def test_fault_matrix_of_one_call(kind, verdict, repeatable):
-    """A hold was doubled, or a refusal said "not run" of one that ran.
+    """Guards against duplicate execution and against wrong verdicts "not run".
 
-    Sequence: the first call of a stage fails in each way there is, once.
-    Cause: the repeat or the verdict was decided by something but the proof.
+    The first call of a stage fails once, in every possible way. Retry and verdict
+    must follow from what the failure proves about execution.
     """
     bench = Bench(fail_first(fail(kind, verdict)))
     answer = await bench.run(create_pipeline(repeatable=repeatable))
@@ -143,15 +143,15 @@
         return
     assert answer.verdict is verdict
     if verdict is not Verdict.NOT_RUN and not repeatable:
-        # the hint would have the caller run it a second time
+        # with the hint the caller would run the request a second time
         assert answer.refusal.retry_after_ms is None
 
 
 async def test_refusal_by_every_target_is_not_run():
-    """A refused booking was reported as perhaps made, and nobody dared repeat it.
+    """Guards against a verdict "may have run" for a request that no target ran.
 
-    Sequence: each target says "not run". Cause: the verdict rose on sending and
-    could not be taken back by the target's word.
+    Each target answers "not run". Sending a call must not raise the verdict for good,
+    or a request that is not repeatable could never be retried.
     """
     refused = fail(FailureKind.TARGET_REFUSED, Verdict.NOT_RUN, retry_after_ms=70)
     bench = Bench(fail_first(refused, times=10))
@@ -163,10 +163,10 @@
 
 @pytest.mark.parametrize("kind", [FailureKind.CONNECT, FailureKind.DISCONNECTED])
 async def test_only_what_reached_a_target_is_charged_as_a_repeat(kind):
-    """Requests failed for one dead replica of three although two were idle.
+    """Guards against failed requests due to one dead replica of three.
 
-    Sequence: a third of all calls can't connect, and their repeats use up the
-    budget of repeated calls. Cause: they were charged like calls that had cost.
+    A third of all calls fail to connect. If their retries counted against the retry
+    budget, they would exhaust it although two replicas are idle.
     """
     bench = Bench(fail_first(fail(kind, Verdict.NOT_RUN)))
     await bench.run(create_pipeline())
@@ -175,7 +175,7 @@
 
 
 async def test_verdict_of_an_earlier_stage_stays():
-    """A request whose first stage ran was refused as "not run"."""
+    """Guards against a verdict "not run" of a request whose first stage ran."""
 
     async def script(target, call, on_token):
         if call.stage == "check":
@@ -189,17 +189,17 @@
 
 
 async def test_single_replica_is_tried_again_on_a_new_connection():
-    """A service with one replica failed on its first broken connection."""
+    """Guards against a service with one replica failing on a broken connection."""
     bench = Bench(fail_first(fail(FailureKind.DISCONNECTED)), targets=1)
     answer = await bench.run(create_pipeline())
     assert answer.result == "done"
 
 
 async def test_target_that_leaves_while_a_call_is_queued_gets_nothing():
-    """A leaving target was given new work.
+    """Guards against new calls to a leaving target.
 
-    Sequence: the call is queued, the target begins to leave, the call is granted
-    to it. Cause: the directory was only asked when the call was queued.
+    The target begins to leave while a call is queued, and the call is then granted to
+    it. The directory must be checked after the grant as well.
     """
 
     def leave(ticket):
@@ -213,10 +213,10 @@
 
 
 async def test_directory_and_dispatcher_that_disagree_do_not_stop_the_loop():
-    """The whole instance hung when a granted target never accepted.
+    """Guards against a blocked event loop if a granted target never accepts calls.
 
-    Sequence: candidates still hold a target that does not accept. Cause: the call
-    was moved for ever without once giving up the event loop.
+    The candidates still contain a target that accepts no calls. The call must not be
+    moved to other targets forever without yielding to the event loop.
     """
     bench = Bench(answer_all(), targets=1)
     bench.directory.accepts = lambda target_id: False
@@ -235,9 +235,10 @@
 
 
 async def test_deadline_stops_the_call_at_its_target():
-    """Targets went on working for callers long gone.
+    """Guards against targets that continue to process calls after their deadline.
 
-    Sequence: the deadline passes while the target works. Cause: nobody told it.
+    The deadline passes while the target processes the call; the call must be
+    cancelled at the target.
     """
 
     async def script(target, call, on_token):
@@ -251,10 +252,10 @@
 
 
 async def test_caller_that_leaves_stops_the_call_at_its_target():
-    """A wheel plan nobody waited for kept an engine busy.
+    """Guards against an engine that stays busy with an abandoned call.
 
-    Sequence: the caller closes its connection; the handler is cancelled.
-    Cause: the target was not told, and its grant was never given back.
+    The caller closes its connection, which cancels the handler. The call must be
+    cancelled at the target and its grant released.
     """
 
     async def script(target, call, on_token):
@@ -275,10 +276,10 @@
 
 @pytest.mark.parametrize("silent_calls", [1, 2])
 async def test_silent_call_gets_a_backup(silent_calls):
-    """A profile check was lost at its deadline although two targets were idle.
+    """Guards against requests that reach their deadline although targets are idle.
 
-    Sequence: the open connection to the first target has gone silent; nothing
-    fails. Cause: the call was only given up by its deadline.
+    The connection to the first target is open but gets no data, so that no error
+    occurs. The call must be hedged before its deadline.
     """
 
     async def script(target, call, on_token):
@@ -289,7 +290,7 @@
     bench = Bench(script)
     answer = await bench.run(create_pipeline(), budget=0.4)
     if silent_calls == 2:
-        # one backup, no more: a silent service must not be flooded
+        # at most one backup call, so as not to overload a service that does not answer
         assert answer.refusal.code is RefusalCode.DEADLINE
         assert len(bench.client.calls) == 2
         return
@@ -298,13 +299,13 @@
     assert first[0] != second[0]
     assert bench.client.cancelled == [first[1].attempt_id]
     assert bench.dispatcher.tickets[1].retry
-    # the silent target is blamed, or calls would go on being sent to it
+    # the silent target gets a failure: otherwise calls would still be sent to it
     kinds = [outcome.kind for outcome in bench.dispatcher.outcomes]
     assert sorted(kind.value for kind in kinds) == ["failure", "success"]
 
 
 async def test_silent_call_that_may_not_be_repeated_gets_none():
-    """A booking was made twice: its first call was only slow."""
+    """Guards against duplicate execution of a call that is only slow."""
 
     async def script(target, call, on_token):
         await asyncio.Event().wait()
@@ -316,10 +317,9 @@
 
 
 async def test_failure_of_one_branch_stops_the_other():
-    """A refused request went on costing in its other branch.
+    """Guards against a refused request that continues to use targets.
 
-    Sequence: two stages run side by side and one fails. Cause: the other one was
-    left running.
+    Two stages run concurrently and one fails; the other one must be cancelled.
     """
 
     async def script(target, call, on_token):
@@ -339,7 +339,7 @@
 
 
 def create_stream(*attempts):
-    """Return a script; each attempt: tokens by offset, and how it ends."""
+    """Return a script; each attempt has its tokens by offset and its final result."""
     queue = list(attempts)
 
     async def script(target, call, on_token):
@@ -368,10 +368,10 @@
     ],
 )
 async def test_cut_stream_goes_on_without_a_gap(attempts, offsets):
-    """A draft came with a hole or a repeated line.
+    """Guards against gaps and repeated tokens in an interrupted stream.
 
-    Sequence: the stream is cut; another engine resumes, or begins again where it
-    can't. Cause: offsets were not carried over to the next attempt.
+    The connection of the stream is lost. Another engine resumes it, or starts again
+    if it can't; the next attempt must continue at the current offset.
     """
     bench = Bench(create_stream(*attempts))
     answer = await bench.run(create_pipeline(DRAFT), stream=True)
@@ -381,10 +381,10 @@
 
 
 async def test_stream_that_can_only_be_contradicted_is_refused():
-    """A broker read an offer that changed its price half way.
+    """Guards against a stream that contradicts its earlier tokens.
 
-    Sequence: the stream is cut, no engine can resume, and the repetition differs
-    from what was given. Cause: it was passed on all the same.
+    The stream is interrupted, no engine can resume it, and the repeated stream
+    differs from the tokens already sent. It must not be forwarded.
     """
     bench = Bench(
         create_stream(
--- a/tests/test_entry/test_status.py
+++ b/tests/test_entry/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of what operators are shown of the targets."""
+"""Tests of greengagelatch_entry.status."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 def test_leaving_target_is_shown_and_may_be_drained_again():
-    """
-    Symptom: a second ``drain --target`` says that there is no such target. Sequence:
-    the first one marks the target as leaving; the command is repeated, as one does
-    whose answer was lost. Cause: a leaving target vanished from what is shown.
+    """Guards against a second ``drain --target`` that reports an unknown target.
+
+    The first command marks the target as leaving, and is repeated as its answer was
+    lost. A leaving target must remain in the status.
     """
     settings = parse(SETTINGS).unwrap()
     peers = Switchboard().join("e-1")
