--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
@@ -8,7 +8,7 @@
 from greengagelatch.request import Answer
 from greengagelatch.verdict import Verdict
 
-from ..inflight import BrokenOffError
+from ..inflight import RequestAbortedError
 from . import Exchange, Filter, Handler
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         try:
             return await self._in_flight.run(proceed(exchange))
-        except BrokenOffError:
+        except RequestAbortedError:
             return self._refuse(exchange)
 
     def _refuse(self, exchange: Exchange) -> Answer:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
@@ -9,12 +9,12 @@
     from collections.abc import Coroutine
     from typing import Any
 
-__all__ = ("BrokenOffError", "InFlight")
+__all__ = ("RequestAbortedError", "InFlight")
 
 Result = TypeVar("Result")
 
 
-class BrokenOffError(Exception):
+class RequestAbortedError(Exception):
     """The request was cancelled by the end of a stop."""
 
 
@@ -40,7 +40,7 @@
         """
         if self._over:
             work.close()
-            raise BrokenOffError
+            raise RequestAbortedError
         bound = asyncio.timeout(None)
         try:
             async with bound:
@@ -52,7 +52,7 @@
         except TimeoutError:
             if not bound.expired():
                 raise
-            raise BrokenOffError from None
+            raise RequestAbortedError from None
 
     def break_off(self) -> None:
         """Cancel all requests in flight and reject new ones."""
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.urgency import compute_rank
 
 from ..filters.stop import STOPPING_RETRY_MS
-from ..inflight import BrokenOffError
+from ..inflight import RequestAbortedError
 from .exchange import CallerDisconnectedError, RelayExchange
 from .refusals import create_error, create_quarantine_error, find_refusal_status
 
@@ -151,7 +151,7 @@
             raise self._refuse(exchange, "this instance is stopping")
         try:
             await self._in_flight.run(proceed(exchange))
-        except BrokenOffError:
+        except RequestAbortedError:
             raise self._refuse(
                 exchange, "cancelled by a stop of this instance"
             ) from None
