--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -301,7 +301,7 @@
             longest=self.settings["drain.longest"],
             close_listener=self.callers.close_listener,
             wait_idle=self.callers.wait_idle,
-            break_off=self.in_flight.break_off,
+            break_off=self.in_flight.abort_all,
         )
         status = StatusView(
             settings=self.settings,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
@@ -54,7 +54,7 @@
                 raise
             raise RequestAbortedError from None
 
-    def break_off(self) -> None:
+    def abort_all(self) -> None:
         """Cancel all requests in flight and reject new ones."""
         self._over = True
         now = asyncio.get_running_loop().time()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -328,7 +328,7 @@
             longest=self.settings.longest_drain,
             close_listener=self.front.close_listener,
             wait_idle=self._wait_idle,
-            break_off=self.in_flight.break_off,
+            break_off=self.in_flight.abort_all,
         )
         self.readiness = ReadinessServer(
             listen=self.settings.readiness_listen,
--- a/tests/test_entry/test_filters/test_stop.py
+++ b/tests/test_entry/test_filters/test_stop.py
@@ -38,7 +38,7 @@
     handler = create_handler(in_flight, verdict, started)
     answering = asyncio.create_task(handler(Exchange(request=REQUEST)))
     await started.wait()
-    in_flight.break_off()
+    in_flight.abort_all()
     answer = await answering
     assert len(in_flight) == 0
     return answer
@@ -64,7 +64,7 @@
 
 async def test_request_that_begins_after_the_end_is_refused():
     in_flight = InFlight()
-    in_flight.break_off()
+    in_flight.abort_all()
     handler = create_handler(in_flight, Verdict.NOT_RUN, asyncio.Event())
     answer = await handler(Exchange(request=REQUEST))
     assert answer.refusal.code is RefusalCode.NOT_READY
@@ -72,7 +72,7 @@
 
 async def test_nothing_of_what_begins_after_the_end_is_run():
     in_flight, started = InFlight(), asyncio.Event()
-    in_flight.break_off()
+    in_flight.abort_all()
     handler = create_handler(in_flight, Verdict.NOT_RUN, started)
     await handler(Exchange(request=REQUEST))
     assert not started.is_set()
@@ -110,7 +110,7 @@
     exchange = Exchange(request=replace(REQUEST, key="k-1"))
     answering = asyncio.create_task(handler(exchange))
     await started.wait()
-    in_flight.break_off()
+    in_flight.abort_all()
     answer = await answering
     assert answer.refusal.verdict is Verdict.MAY_HAVE_RUN
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
