--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -52,7 +52,7 @@
 from .filters.run import RunHandler
 from .filters.steer import SteerFilter
 from .filters.stop import StopFilter
-from .inflight import InFlight
+from .inflight import InFlightRequests
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
 from .stages import StageRunner
@@ -110,7 +110,7 @@
         self.clock = SystemClock()
         self.random = random.Random(settings["instance.seed"] or None)
         self.events = EventBus()
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.metrics = Metrics(settings["statsd.address"])
 
     def compose(self) -> Parts:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
@@ -12,7 +12,7 @@
 from . import Exchange, Filter, Handler
 
 if TYPE_CHECKING:
-    from ..inflight import InFlight
+    from ..inflight import InFlightRequests
 
 __all__ = ("STOPPING_RETRY_MS", "StopFilter")
 
@@ -24,7 +24,7 @@
 class StopFilter(Filter):
     """Cancels requests at the end of a stop, and answers with their verdict."""
 
-    def __init__(self, *, in_flight: InFlight) -> None:
+    def __init__(self, *, in_flight: InFlightRequests) -> None:
         self._in_flight = in_flight
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/inflight.py
@@ -9,7 +9,7 @@
     from collections.abc import Coroutine
     from typing import Any
 
-__all__ = ("RequestAbortedError", "InFlight")
+__all__ = ("RequestAbortedError", "InFlightRequests")
 
 Result = TypeVar("Result")
 
@@ -18,7 +18,7 @@
     """The request was cancelled by the end of a stop."""
 
 
-class InFlight:
+class InFlightRequests:
     """Tracks the requests in flight, and cancels them when the time of a stop is over.
 
     If the process just exited, callers would see closed connections, which tell them
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -24,7 +24,7 @@
 from ..controllers import Controller
 from ..controllers.drain import DrainController
 from ..filters import chain
-from ..inflight import InFlight
+from ..inflight import InFlightRequests
 from .bundle_quarantine import SharedBundleQuarantine
 from .configuration import ConfigurationFollower
 from .crash_detector import CrashDetector
@@ -107,7 +107,7 @@
         self.clock = SystemClock()
         self.random = random.Random()
         self.events = EventBus()
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
         self.followers: frozenset[str] = frozenset()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -26,7 +26,7 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.routes import RouteTable
 
-    from ..inflight import InFlight
+    from ..inflight import InFlightRequests
     from ..metrics import Metrics
     from .decisions import DecisionLog
     from .runners import Runner
@@ -140,7 +140,7 @@
     """
 
     def __init__(
-        self, *, in_flight: InFlight, find_stop_deadline: Callable[[], float]
+        self, *, in_flight: InFlightRequests, find_stop_deadline: Callable[[], float]
     ) -> None:
         self._in_flight = in_flight
         self._find_stop_deadline = find_stop_deadline
--- a/tests/test_entry/test_filters/test_stop.py
+++ b/tests/test_entry/test_filters/test_stop.py
@@ -10,7 +10,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange, chain
 from greengagelatch_entry.filters.stop import StopFilter
-from greengagelatch_entry.inflight import InFlight
+from greengagelatch_entry.inflight import InFlightRequests
 
 REQUEST = Request(
     request_id="r-1",
@@ -22,7 +22,9 @@
 )
 
 
-def create_handler(in_flight: InFlight, verdict: Verdict, started: asyncio.Event):
+def create_handler(
+    in_flight: InFlightRequests, verdict: Verdict, started: asyncio.Event
+):
     """Return a chain whose last handler never answers."""
 
     async def wait_forever(exchange: Exchange) -> Answer:
@@ -34,7 +36,7 @@
 
 
 async def break_off(verdict: Verdict) -> Answer:
-    in_flight, started = InFlight(), asyncio.Event()
+    in_flight, started = InFlightRequests(), asyncio.Event()
     handler = create_handler(in_flight, verdict, started)
     answering = asyncio.create_task(handler(Exchange(request=REQUEST)))
     await started.wait()
@@ -63,7 +65,7 @@
 
 
 async def test_request_that_begins_after_the_end_is_refused():
-    in_flight = InFlight()
+    in_flight = InFlightRequests()
     in_flight.abort_all()
     handler = create_handler(in_flight, Verdict.NOT_RUN, asyncio.Event())
     answer = await handler(Exchange(request=REQUEST))
@@ -71,7 +73,7 @@
 
 
 async def test_nothing_of_what_begins_after_the_end_is_run():
-    in_flight, started = InFlight(), asyncio.Event()
+    in_flight, started = InFlightRequests(), asyncio.Event()
     in_flight.abort_all()
     handler = create_handler(in_flight, Verdict.NOT_RUN, started)
     await handler(Exchange(request=REQUEST))
@@ -80,7 +82,7 @@
 
 async def test_caller_that_leaves_is_not_answered():
     """A disconnected caller cancels its request, which is not the end of a stop."""
-    in_flight, started = InFlight(), asyncio.Event()
+    in_flight, started = InFlightRequests(), asyncio.Event()
     handler = create_handler(in_flight, Verdict.NOT_RUN, started)
     answering = asyncio.create_task(handler(Exchange(request=REQUEST)))
     await started.wait()
@@ -97,7 +99,7 @@
     The run continues detached from its caller, so that a retry finds its outcome,
     and raises the verdict only when it ends.
     """
-    in_flight, started = InFlight(), asyncio.Event()
+    in_flight, started = InFlightRequests(), asyncio.Event()
     runs: list[asyncio.Task[None]] = []
 
     async def shield_run(exchange: Exchange) -> Answer:
