--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -52,7 +52,7 @@
 from .filters.run import RunHandler
 from .filters.steer import SteerFilter
 from .filters.stop import StopFilter
-from .inflight import InFlightRequests
+from .in_flight_requests import InFlightRequests
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
 from .stages import StageRunner
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/stop.py
@@ -8,11 +8,11 @@
 from greengagelatch.request import Answer
 from greengagelatch.verdict import Verdict
 
-from ..inflight import RequestAbortedError
+from ..in_flight_requests import RequestAbortedError
 from . import Exchange, Filter, Handler
 
 if TYPE_CHECKING:
-    from ..inflight import InFlightRequests
+    from ..in_flight_requests import InFlightRequests
 
 __all__ = ("STOPPING_RETRY_MS", "StopFilter")
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -24,7 +24,7 @@
 from ..controllers import Controller
 from ..controllers.drain import DrainController
 from ..filters import chain
-from ..inflight import InFlightRequests
+from ..in_flight_requests import InFlightRequests
 from .bundle_quarantine import SharedBundleQuarantine
 from .configuration import ConfigurationFollower
 from .crash_detector import CrashDetector
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.urgency import compute_rank
 
 from ..filters.stop import STOPPING_RETRY_MS
-from ..inflight import RequestAbortedError
+from ..in_flight_requests import RequestAbortedError
 from .exchange import CallerDisconnectedError, RelayExchange
 from .refusals import create_error, create_quarantine_error, find_refusal_status
 
@@ -26,7 +26,7 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.routes import RouteTable
 
-    from ..inflight import InFlightRequests
+    from ..in_flight_requests import InFlightRequests
     from ..metrics import Metrics
     from .decisions import DecisionLog
     from .runners import Runner
--- a/tests/test_entry/test_filters/test_stop.py
+++ b/tests/test_entry/test_filters/test_stop.py
@@ -10,7 +10,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange, chain
 from greengagelatch_entry.filters.stop import StopFilter
-from greengagelatch_entry.inflight import InFlightRequests
+from greengagelatch_entry.in_flight_requests import InFlightRequests
 
 REQUEST = Request(
     request_id="r-1",
