--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/__init__.py
@@ -26,7 +26,7 @@
     #: sends a token of a streamed answer to the caller; ``None`` for unary answers
     on_token: Callable[[int, str], None] | None = None
     #: values that filters share with later filters, by key
-    notes: dict[str, Any] = field(default_factory=dict)
+    context: dict[str, Any] = field(default_factory=dict)
 
     def raise_verdict(self, verdict: Verdict) -> None:
         """Raise the verdict; a lower value has no effect."""
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -60,7 +60,7 @@
     step = FeasibilityFilter(
         admission=admission, clock=ManualClock(), metrics=Metrics("127.0.0.1:9")
     )
-    return await step.apply(Exchange(request=request, notes=notes), proceed), run
+    return await step.apply(Exchange(request=request, context=notes), proceed), run
 
 
 async def test_request_that_can_not_be_answered_in_time_runs_nothing():
