--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -44,7 +44,7 @@
 from .controllers.targets import TargetsController
 from .filters import Handler, chain
 from .filters.admission import AdmissionFilter
-from .filters.check import SNAPSHOT_NOTE, CheckFilter
+from .filters.check import SNAPSHOT_KEY, CheckFilter
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
 from .filters.identify import Identifier
@@ -364,6 +364,6 @@
 
     def _prioritise(self, exchange: Exchange, stage: Stage) -> int:
         request = exchange.request
-        snapshot = exchange.notes[SNAPSHOT_NOTE]
+        snapshot = exchange.notes[SNAPSHOT_KEY]
         steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
         return steering.priority
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -11,7 +11,7 @@
 from greengagelatch.verdict import Verdict
 
 from . import Exchange, Filter, Handler
-from .check import SNAPSHOT_NOTE
+from .check import SNAPSHOT_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -52,7 +52,7 @@
         known_new = not request.key or request.first_attempt
         if known_new == self._claimed:
             return await proceed(exchange)
-        snapshot = exchange.notes[SNAPSHOT_NOTE]
+        snapshot = exchange.notes[SNAPSHOT_KEY]
         quota = resolve(snapshot, request.workspace, request.pipeline).quota
         if quota is None:
             return await proceed(exchange)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/check.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/check.py
@@ -14,10 +14,10 @@
 
     from greengagelatch.config.snapshot import Snapshot
 
-__all__ = ("SNAPSHOT_NOTE", "CheckFilter")
+__all__ = ("SNAPSHOT_KEY", "CheckFilter")
 
 #: key of the configuration snapshot that the whole request uses
-SNAPSHOT_NOTE = "snapshot"
+SNAPSHOT_KEY = "snapshot"
 #: milliseconds after which an instance may have loaded its configuration
 NOT_READY_RETRY_MS = 1000
 #: milliseconds within which a newly created object may reach this instance
@@ -48,7 +48,7 @@
                 verdict=exchange.verdict,
                 refusal=refusal,
             )
-        exchange.notes[SNAPSHOT_NOTE] = snapshot
+        exchange.notes[SNAPSHOT_KEY] = snapshot
         return await proceed(exchange)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -9,7 +9,7 @@
 from greengagelatch.request import Answer
 
 from . import Filter
-from .check import SNAPSHOT_NOTE
+from .check import SNAPSHOT_KEY
 from .steer import PIPELINE_NOTE
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
-        snapshot = exchange.notes[SNAPSHOT_NOTE]
+        snapshot = exchange.notes[SNAPSHOT_KEY]
         steering = resolve(snapshot, request.workspace, request.pipeline)
         arrival = Arrival(
             workspace=request.workspace,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -8,7 +8,7 @@
 from greengagelatch.config.steering import resolve
 
 from . import Filter
-from .check import SNAPSHOT_NOTE
+from .check import SNAPSHOT_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.config.objects import Pipeline, Stage
@@ -33,7 +33,7 @@
     """
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
-        snapshot: Snapshot = exchange.notes[SNAPSHOT_NOTE]
+        snapshot: Snapshot = exchange.notes[SNAPSHOT_KEY]
         pipeline = _choose_pipeline(snapshot, exchange.request)
         if pipeline.name != exchange.request.pipeline:
             exchange.request = replace(exchange.request, pipeline=pipeline.name)
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_steer.py
@@ -17,7 +17,7 @@
 from greengagelatch.request import Answer, Request
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.check import SNAPSHOT_NOTE
+from greengagelatch_entry.filters.check import SNAPSHOT_KEY
 from greengagelatch_entry.filters.steer import PIPELINE_NOTE, SteerFilter
 
 REQUESTS = 400
@@ -50,7 +50,7 @@
         received=0.0,
         deadline=1.0,
     )
-    exchange = Exchange(request=request, context={SNAPSHOT_NOTE: snapshot})
+    exchange = Exchange(request=request, context={SNAPSHOT_KEY: snapshot})
 
     async def proceed(passed):
         return Answer(request_id=passed.request.request_id, verdict=Verdict.NOT_RUN)
