--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -10,7 +10,7 @@
 
 from . import Filter
 from .check import SNAPSHOT_KEY
-from .steer import PIPELINE_NOTE
+from .steer import PIPELINE_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
@@ -41,7 +41,7 @@
         steering = resolve(snapshot, request.workspace, request.pipeline)
         arrival = Arrival(
             workspace=request.workspace,
-            pipeline=exchange.notes[PIPELINE_NOTE],
+            pipeline=exchange.notes[PIPELINE_KEY],
             priority=steering.priority,
             deadline=request.deadline,
             weights=steering.weights,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .steer import PIPELINE_NOTE
+from .steer import PIPELINE_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.request import Answer
@@ -23,4 +23,4 @@
 
     async def __call__(self, exchange: Exchange) -> Answer:
         """Run the pipeline and return its answer."""
-        return await self._runner.run(exchange, exchange.notes[PIPELINE_NOTE])
+        return await self._runner.run(exchange, exchange.notes[PIPELINE_KEY])
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -17,10 +17,10 @@
 
     from . import Exchange, Handler
 
-__all__ = ("PIPELINE_NOTE", "SteerFilter")
+__all__ = ("PIPELINE_KEY", "SteerFilter")
 
 #: key of the pipeline to run
-PIPELINE_NOTE = "pipeline"
+PIPELINE_KEY = "pipeline"
 
 
 class SteerFilter(Filter):
@@ -43,7 +43,7 @@
         )
         if stages != pipeline.stages:
             pipeline = replace(pipeline, stages=stages)
-        exchange.notes[PIPELINE_NOTE] = pipeline
+        exchange.notes[PIPELINE_KEY] = pipeline
         return await proceed(exchange)
 
 
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -12,7 +12,7 @@
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.check import SNAPSHOT_KEY
 from greengagelatch_entry.filters.feasibility import FeasibilityFilter
-from greengagelatch_entry.filters.steer import PIPELINE_NOTE
+from greengagelatch_entry.filters.steer import PIPELINE_KEY
 from greengagelatch_entry.metrics import Metrics
 
 SNAPSHOT = Snapshot(
@@ -56,7 +56,7 @@
         received=0.0,
         deadline=1005.0,
     )
-    notes = {SNAPSHOT_KEY: SNAPSHOT, PIPELINE_NOTE: SNAPSHOT.pipelines["draft"]}
+    notes = {SNAPSHOT_KEY: SNAPSHOT, PIPELINE_KEY: SNAPSHOT.pipelines["draft"]}
     step = FeasibilityFilter(
         admission=admission, clock=ManualClock(), metrics=Metrics("127.0.0.1:9")
     )
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_steer.py
@@ -18,7 +18,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.check import SNAPSHOT_KEY
-from greengagelatch_entry.filters.steer import PIPELINE_NOTE, SteerFilter
+from greengagelatch_entry.filters.steer import PIPELINE_KEY, SteerFilter
 
 REQUESTS = 400
 
@@ -64,7 +64,7 @@
     counts = Counter()
     for number in range(REQUESTS):
         exchange = await steer(snapshot, number)
-        assert exchange.context[PIPELINE_NOTE].name == exchange.request.pipeline
+        assert exchange.context[PIPELINE_KEY].name == exchange.request.pipeline
         counts[exchange.request.pipeline] += 1
     assert counts["draft"] + counts["draft-next"] == REQUESTS
     assert REQUESTS / 8 < counts["draft-next"] < REQUESTS * 3 / 8
@@ -74,7 +74,7 @@
     snapshot = create_snapshot(to_services="llm=1, llm-next=1")
     counts = Counter()
     for number in range(REQUESTS):
-        (stage,) = (await steer(snapshot, number)).context[PIPELINE_NOTE].stages
+        (stage,) = (await steer(snapshot, number)).context[PIPELINE_KEY].stages
         counts[stage.service] += 1
     assert set(counts) == {"llm", "llm-next"}
     assert min(counts.values()) > REQUESTS / 3
@@ -87,6 +87,6 @@
     Requests of that share must run as if there were no split.
     """
     for values in ({"to_pipelines": "gone=1"}, {"to_services": "desk=1"}):
-        pipeline = (await steer(create_snapshot(**values))).context[PIPELINE_NOTE]
+        pipeline = (await steer(create_snapshot(**values))).context[PIPELINE_KEY]
         assert pipeline.name == "draft"
         assert pipeline.stages[0].service == "llm"
