--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
@@ -17,12 +17,12 @@
     from ..logs import RequestLog
     from ..metrics import Metrics
 
-__all__ = ("TRACE_NOTE", "ObserveFilter")
+__all__ = ("TRACE_KEY", "ObserveFilter")
 
 logger = logging.getLogger(__name__)
 
 #: key of the request's log
-TRACE_NOTE = "trace"
+TRACE_KEY = "trace"
 #: milliseconds after which to retry a request that failed with an internal error
 INTERNAL_RETRY_MS = 1000
 
@@ -37,7 +37,7 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         trace = self._log.start_request(exchange.request)
-        exchange.notes[TRACE_NOTE] = trace
+        exchange.notes[TRACE_KEY] = trace
         try:
             answer = await proceed(exchange)
         except asyncio.CancelledError:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
@@ -16,7 +16,7 @@
 from greengagelatch.stages.retries import may_retry
 from greengagelatch.verdict import Verdict
 
-from .filters.observe import TRACE_NOTE
+from .filters.observe import TRACE_KEY
 from .sending import StageWork
 
 if TYPE_CHECKING:
@@ -204,7 +204,7 @@
 
 
 def _start_trace(exchange: Exchange, stage: Stage) -> StageTrace | None:
-    trace = exchange.notes.get(TRACE_NOTE)
+    trace = exchange.notes.get(TRACE_KEY)
     if trace is None:
         return None
     return trace.start_stage(stage.name, stage.service)
