--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -44,7 +44,7 @@
 from .controllers.targets import TargetsController
 from .filters import Handler, chain
 from .filters.admission import AdmissionFilter
-from .filters.check import SNAPSHOT_KEY, CheckFilter
+from .filters.check import SNAPSHOT_KEY, LookupFilter
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
 from .filters.identify import Identifier
@@ -266,7 +266,7 @@
         filters = (
             ObserveFilter(clock=self.clock, metrics=self.metrics, log=log),
             StopFilter(in_flight=self.in_flight),
-            CheckFilter(snapshot=lambda: self.configuration.snapshot),
+            LookupFilter(snapshot=lambda: self.configuration.snapshot),
             AdmissionFilter(quotas=self.quotas, claimed=False),
             DeduplicationFilter(claims=self.claims),
             AdmissionFilter(quotas=self.quotas, claimed=True),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/check.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/check.py
@@ -14,7 +14,7 @@
 
     from greengagelatch.config.snapshot import Snapshot
 
-__all__ = ("SNAPSHOT_KEY", "CheckFilter")
+__all__ = ("SNAPSHOT_KEY", "LookupFilter")
 
 #: key of the configuration snapshot that the whole request uses
 SNAPSHOT_KEY = "snapshot"
@@ -26,7 +26,7 @@
 MAX_SHOWN = 64
 
 
-class CheckFilter(Filter):
+class LookupFilter(Filter):
     """Looks up pipeline and workspace, and pins the snapshot for later filters.
 
     A request that read the configuration again while it runs could execute its first
--- a/tests/test_entry/test_adapters/test_callers.py
+++ b/tests/test_entry/test_adapters/test_callers.py
@@ -21,7 +21,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.adapters.callers import CallerLimits, CallersServer
 from greengagelatch_entry.filters import chain
-from greengagelatch_entry.filters.check import CheckFilter
+from greengagelatch_entry.filters.check import LookupFilter
 from greengagelatch_entry.filters.identify import Identifier
 from greengagelatch_entry.filters.observe import ObserveFilter
 from greengagelatch_entry.logs import LogLevel, RequestLog
@@ -57,7 +57,7 @@
             ObserveFilter(
                 clock=clock, metrics=self.metrics, log=RequestLog(LogLevel.ERRORS)
             ),
-            CheckFilter(snapshot=lambda: SNAPSHOT),
+            LookupFilter(snapshot=lambda: SNAPSHOT),
         )
         self.server = CallersServer(
             listen=f"{HOST}:0",
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -26,7 +26,7 @@
 from greengagelatch_entry.controllers.quotas import QuotasController
 from greengagelatch_entry.filters import Exchange, chain
 from greengagelatch_entry.filters.admission import AdmissionFilter
-from greengagelatch_entry.filters.check import CheckFilter
+from greengagelatch_entry.filters.check import LookupFilter
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
@@ -82,7 +82,7 @@
             store=self.store, random_source=random.Random(2), **common
         )
         filters = (
-            CheckFilter(snapshot=lambda: self.snapshot),
+            LookupFilter(snapshot=lambda: self.snapshot),
             AdmissionFilter(quotas=self.quotas, claimed=False),
             DeduplicationFilter(claims=self.claims),
             AdmissionFilter(quotas=self.quotas, claimed=True),
