--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -44,10 +44,10 @@
 from .controllers.targets import TargetsController
 from .filters import Handler, chain
 from .filters.admission import AdmissionFilter
-from .filters.check import SNAPSHOT_KEY, LookupFilter
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
 from .filters.identify import Identifier
+from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
 from .filters.run import RunHandler
 from .filters.steer import SteerFilter
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -11,7 +11,7 @@
 from greengagelatch.verdict import Verdict
 
 from . import Exchange, Filter, Handler
-from .check import SNAPSHOT_KEY
+from .lookup import SNAPSHOT_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -9,7 +9,7 @@
 from greengagelatch.request import Answer
 
 from . import Filter
-from .check import SNAPSHOT_KEY
+from .lookup import SNAPSHOT_KEY
 from .steer import PIPELINE_KEY
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -8,7 +8,7 @@
 from greengagelatch.config.steering import resolve
 
 from . import Filter
-from .check import SNAPSHOT_KEY
+from .lookup import SNAPSHOT_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.config.objects import Pipeline, Stage
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -10,8 +10,8 @@
 from greengagelatch.request import Answer, Request
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.check import SNAPSHOT_KEY
 from greengagelatch_entry.filters.feasibility import FeasibilityFilter
+from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
 from greengagelatch_entry.filters.steer import PIPELINE_KEY
 from greengagelatch_entry.metrics import Metrics
 
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_steer.py
@@ -17,7 +17,7 @@
 from greengagelatch.request import Answer, Request
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.check import SNAPSHOT_KEY
+from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
 from greengagelatch_entry.filters.steer import PIPELINE_KEY, SteerFilter
 
 REQUESTS = 400
