--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -50,7 +50,7 @@
 from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
 from .filters.run import RunHandler
-from .filters.steer import SteerFilter
+from .filters.steer import TrafficSplitFilter
 from .filters.stop import StopFilter
 from .in_flight_requests import InFlightRequests
 from .logs import LogLevel, RequestLog
@@ -270,7 +270,7 @@
             AdmissionFilter(quotas=self.quotas, claimed=False),
             DeduplicationFilter(claims=self.claims),
             AdmissionFilter(quotas=self.quotas, claimed=True),
-            SteerFilter(),
+            TrafficSplitFilter(),
             FeasibilityFilter(
                 admission=self.admission, clock=self.clock, metrics=self.metrics
             ),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
@@ -17,13 +17,13 @@
 
     from . import Exchange, Handler
 
-__all__ = ("PIPELINE_KEY", "SteerFilter")
+__all__ = ("PIPELINE_KEY", "TrafficSplitFilter")
 
 #: key of the pipeline to run
 PIPELINE_KEY = "pipeline"
 
 
-class SteerFilter(Filter):
+class TrafficSplitFilter(Filter):
     """Applies the traffic splits of the policies.
 
     It comes after deduplication: an idempotency key belongs to the pipeline that the
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_steer.py
@@ -18,7 +18,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
-from greengagelatch_entry.filters.steer import PIPELINE_KEY, SteerFilter
+from greengagelatch_entry.filters.steer import PIPELINE_KEY, TrafficSplitFilter
 
 REQUESTS = 400
 
@@ -55,7 +55,7 @@
     async def proceed(passed):
         return Answer(request_id=passed.request.request_id, verdict=Verdict.NOT_RUN)
 
-    await SteerFilter().apply(exchange, proceed)
+    await TrafficSplitFilter().apply(exchange, proceed)
     return exchange
 
 
