--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -50,8 +50,8 @@
 from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
 from .filters.run import RunHandler
-from .filters.steer import TrafficSplitFilter
 from .filters.stop import StopFilter
+from .filters.traffic_split import TrafficSplitFilter
 from .in_flight_requests import InFlightRequests
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -10,7 +10,7 @@
 
 from . import Filter
 from .lookup import SNAPSHOT_KEY
-from .steer import PIPELINE_KEY
+from .traffic_split import PIPELINE_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .steer import PIPELINE_KEY
+from .traffic_split import PIPELINE_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.request import Answer
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -12,7 +12,7 @@
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.feasibility import FeasibilityFilter
 from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
-from greengagelatch_entry.filters.steer import PIPELINE_KEY
+from greengagelatch_entry.filters.traffic_split import PIPELINE_KEY
 from greengagelatch_entry.metrics import Metrics
 
 SNAPSHOT = Snapshot(
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_steer.py
@@ -18,7 +18,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
-from greengagelatch_entry.filters.steer import PIPELINE_KEY, TrafficSplitFilter
+from greengagelatch_entry.filters.traffic_split import PIPELINE_KEY, TrafficSplitFilter
 
 REQUESTS = 400
 
