--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -43,7 +43,7 @@
 from .controllers.scheduling import SchedulingController, read_scheduler_rule
 from .controllers.targets import TargetsController
 from .filters import Handler, chain
-from .filters.admission import AdmissionFilter
+from .filters.admission import QuotaFilter
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
 from .filters.identify import Identifier
@@ -267,9 +267,9 @@
             ObserveFilter(clock=self.clock, metrics=self.metrics, log=log),
             StopFilter(in_flight=self.in_flight),
             LookupFilter(snapshot=lambda: self.configuration.snapshot),
-            AdmissionFilter(quotas=self.quotas, claimed=False),
+            QuotaFilter(quotas=self.quotas, claimed=False),
             DeduplicationFilter(claims=self.claims),
-            AdmissionFilter(quotas=self.quotas, claimed=True),
+            QuotaFilter(quotas=self.quotas, claimed=True),
             TrafficSplitFilter(),
             FeasibilityFilter(
                 admission=self.admission, clock=self.clock, metrics=self.metrics
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
@@ -20,13 +20,13 @@
 
     from ..controllers.quotas import QuotasController
 
-__all__ = ("AdmissionFilter",)
+__all__ = ("QuotaFilter",)
 
 #: maximum characters of an invalid value that a refusal shows
 MAX_SHOWN = 64
 
 
-class AdmissionFilter(Filter):
+class QuotaFilter(Filter):
     """Charges each request to its quota once, before or after its key is claimed.
 
     The chain contains this filter twice, before and after deduplication. A request
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -25,7 +25,7 @@
 from greengagelatch_entry.controllers.claims import ClaimsController
 from greengagelatch_entry.controllers.quotas import QuotasController
 from greengagelatch_entry.filters import Exchange, chain
-from greengagelatch_entry.filters.admission import AdmissionFilter
+from greengagelatch_entry.filters.admission import QuotaFilter
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.filters.lookup import LookupFilter
 from greengagelatch_entry.metrics import Metrics
@@ -83,9 +83,9 @@
         )
         filters = (
             LookupFilter(snapshot=lambda: self.snapshot),
-            AdmissionFilter(quotas=self.quotas, claimed=False),
+            QuotaFilter(quotas=self.quotas, claimed=False),
             DeduplicationFilter(claims=self.claims),
-            AdmissionFilter(quotas=self.quotas, claimed=True),
+            QuotaFilter(quotas=self.quotas, claimed=True),
         )
         self._handler = chain(filters, self._run)
 
