--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -43,12 +43,12 @@
 from .controllers.scheduling import SchedulingController, read_scheduler_rule
 from .controllers.targets import TargetsController
 from .filters import Handler, chain
-from .filters.admission import QuotaFilter
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
 from .filters.identify import Identifier
 from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
+from .filters.quota import QuotaFilter
 from .filters.run import RunHandler
 from .filters.stop import StopFilter
 from .filters.traffic_split import TrafficSplitFilter
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -25,9 +25,9 @@
 from greengagelatch_entry.controllers.claims import ClaimsController
 from greengagelatch_entry.controllers.quotas import QuotasController
 from greengagelatch_entry.filters import Exchange, chain
-from greengagelatch_entry.filters.admission import QuotaFilter
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.filters.lookup import LookupFilter
+from greengagelatch_entry.filters.quota import QuotaFilter
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
 from greengagelatch_lab.standins.peers import Switchboard
