--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -14,7 +14,7 @@
 from greengagelatch.verdict import Verdict
 
 from ..filters import Exchange
-from ..filters.identify import Arrival
+from ..filters.identify import ReceivedRequest
 from ..filters.stop import STOPPING_RETRY_MS
 from .caller_answers import create_headers, encode_answer, find_status
 from .caller_bodies import CLOSING_STATUSES, BodyError, read_body
@@ -117,7 +117,7 @@
             )
         except BodyError as error:
             return await self._refuse(request, request_id, error.status, error.refusal)
-        arrival = Arrival(
+        arrival = ReceivedRequest(
             request_id=request_id,
             pipeline=request.path[len(PATH_PREFIX) :],
             headers=request.headers,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
@@ -21,7 +21,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.snapshot import Snapshot
 
-__all__ = ("Arrival", "Identifier", "IdentifierLimits")
+__all__ = ("ReceivedRequest", "Identifier", "IdentifierLimits")
 
 WORKSPACE_HEADER = "X-Workspace"
 DEADLINE_HEADER = "X-Deadline-Ms"
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Arrival:
+class ReceivedRequest:
     """A request as received from the caller, before validation."""
 
     request_id: str
@@ -100,14 +100,14 @@
         """Return a new unique request id."""
         return create_id("request", self._random)
 
-    def identify(self, arrival: Arrival) -> Result[Request, Refusal]:
+    def identify(self, arrival: ReceivedRequest) -> Result[Request, Refusal]:
         """Return the request, or a refusal that names the invalid field."""
         try:
             return Ok(self._read(arrival))
         except _BadFieldError as error:
             return Err(error.refusal)
 
-    def _read(self, arrival: Arrival) -> Request:
+    def _read(self, arrival: ReceivedRequest) -> Request:
         headers = arrival.headers
         workspace = headers.get(WORKSPACE_HEADER, "")
         if not workspace:
@@ -135,7 +135,7 @@
             stream=stream,
         )
 
-    def _read_budget(self, arrival: Arrival) -> int:
+    def _read_budget(self, arrival: ReceivedRequest) -> int:
         text = arrival.headers.get(DEADLINE_HEADER)
         if text is None:
             pipeline = self._snapshot().pipelines.get(arrival.pipeline)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -13,7 +13,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.controllers import Controller
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.identify import Arrival
+from greengagelatch_entry.filters.identify import ReceivedRequest
 
 from .network import Pipe
 from .steps import Step
@@ -175,7 +175,7 @@
         ask.request_id = request_id
         self._markers[request_id] = ask.marker
         await self._announcer.reach(Step.RECEIVED, ask.marker, self.process)
-        arrival = Arrival(
+        arrival = ReceivedRequest(
             request_id=request_id,
             pipeline=ask.pipeline,
             headers=ask.headers,
