--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
@@ -100,7 +100,7 @@
         """Return a new unique request id."""
         return create_id("request", self._random)
 
-    def identify(self, arrival: ReceivedRequest) -> Result[Request, Refusal]:
+    def parse(self, arrival: ReceivedRequest) -> Result[Request, Refusal]:
         """Return the request, or a refusal that names the invalid field."""
         try:
             return Ok(self._read(arrival))
