--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -28,7 +28,7 @@
     from greengagelatch.clock import Clock
 
     from ..filters import Handler
-    from ..filters.identify import Identifier
+    from ..filters.identify import RequestParser
     from ..metrics import Metrics
 
 __all__ = ("CallerLimits", "CallersServer")
@@ -73,7 +73,7 @@
         *,
         listen: str,
         handler: Handler,
-        identifier: Identifier,
+        identifier: RequestParser,
         clock: Clock,
         metrics: Metrics,
         draining: Callable[[], bool],
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -45,7 +45,7 @@
 from .filters import Handler, chain
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
-from .filters.identify import Identifier
+from .filters.identify import RequestParser
 from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
 from .filters.quota import QuotaFilter
@@ -278,7 +278,7 @@
         return chain(filters, RunHandler(runner=runner))
 
     def _build_servers(self) -> None:
-        identifier = Identifier(
+        identifier = RequestParser(
             clock=self.clock,
             random_source=self.random,
             snapshot=lambda: self.configuration.snapshot,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
@@ -21,7 +21,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.snapshot import Snapshot
 
-__all__ = ("ReceivedRequest", "Identifier", "IdentifierLimits")
+__all__ = ("ReceivedRequest", "RequestParser", "IdentifierLimits")
 
 WORKSPACE_HEADER = "X-Workspace"
 DEADLINE_HEADER = "X-Deadline-Ms"
@@ -77,7 +77,7 @@
         )
 
 
-class Identifier:
+class RequestParser:
     """Validates received requests and creates request ids.
 
     :param snapshot: returns the active configuration
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -21,7 +21,7 @@
 from greengagelatch.request import Answer
 from greengagelatch.store import WriteOutcome
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry.filters.identify import Identifier
+from greengagelatch_entry.filters.identify import RequestParser
 
 from ..matrix.front import Front
 from ..matrix.instance import LoopClock
@@ -98,7 +98,7 @@
                 announcer=bench.announcer,
                 markers=bench.markers,
                 handler=self._handle,
-                identifier=Identifier(
+                identifier=RequestParser(
                     clock=clock, random_source=self._random, snapshot=lambda: EMPTY
                 ),
                 clock=clock,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -23,7 +23,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch_entry.filters import Handler
-    from greengagelatch_entry.filters.identify import Identifier
+    from greengagelatch_entry.filters.identify import RequestParser
 
     from .network import Network
     from .processes import SimulatedProcess
@@ -91,7 +91,7 @@
         announcer: Announcer,
         markers: dict[str, str],
         handler: Handler,
-        identifier: Identifier,
+        identifier: RequestParser,
         clock: Clock,
         draining: Callable[[], bool],
         **_adapter: Any,
--- a/tests/test_entry/test_adapters/test_callers.py
+++ b/tests/test_entry/test_adapters/test_callers.py
@@ -21,7 +21,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.adapters.callers import CallerLimits, CallersServer
 from greengagelatch_entry.filters import chain
-from greengagelatch_entry.filters.identify import Identifier
+from greengagelatch_entry.filters.identify import RequestParser
 from greengagelatch_entry.filters.lookup import LookupFilter
 from greengagelatch_entry.filters.observe import ObserveFilter
 from greengagelatch_entry.logs import LogLevel, RequestLog
@@ -62,7 +62,7 @@
         self.server = CallersServer(
             listen=f"{HOST}:0",
             handler=chain(filters, self._run),
-            identifier=Identifier(
+            identifier=RequestParser(
                 clock=clock,
                 random_source=random.Random(5),
                 snapshot=lambda: SNAPSHOT,
