--- a/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
@@ -8,7 +8,7 @@
 
 from .adapters.callers import CallerLimits
 from .adapters.targets import TargetLimits
-from .filters.identify import IdentifierLimits
+from .filters.identify import RequestLimits
 
 if TYPE_CHECKING:
     from greengagelatch.settings import Settings
@@ -34,9 +34,9 @@
     )
 
 
-def read_identifier_limits(settings: Settings) -> IdentifierLimits:
+def read_identifier_limits(settings: Settings) -> RequestLimits:
     """Return the limits on the content of requests."""
-    return IdentifierLimits(max_deadline_ms=settings["callers.max_deadline_ms"])
+    return RequestLimits(max_deadline_ms=settings["callers.max_deadline_ms"])
 
 
 def read_target_limits(settings: Settings) -> TargetLimits:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/identify.py
@@ -21,7 +21,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.snapshot import Snapshot
 
-__all__ = ("ReceivedRequest", "RequestParser", "IdentifierLimits")
+__all__ = ("ReceivedRequest", "RequestParser", "RequestLimits")
 
 WORKSPACE_HEADER = "X-Workspace"
 DEADLINE_HEADER = "X-Deadline-Ms"
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class IdentifierLimits:
+class RequestLimits:
     """Limits on the content of requests."""
 
     #: maximum deadline in milliseconds
@@ -89,12 +89,12 @@
         clock: Clock,
         random_source: random.Random,
         snapshot: Callable[[], Snapshot],
-        limits: IdentifierLimits | None = None,
+        limits: RequestLimits | None = None,
     ) -> None:
         self._clock = clock
         self._random = random_source
         self._snapshot = snapshot
-        self._limits = limits or IdentifierLimits()
+        self._limits = limits or RequestLimits()
 
     def create_request_id(self) -> str:
         """Return a new unique request id."""
