--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -14,7 +14,7 @@
 from greengagelatch.verdict import Verdict
 
 from ..filters import Exchange
-from ..filters.identify import ReceivedRequest
+from ..filters.request_parser import ReceivedRequest
 from ..filters.stop import STOPPING_RETRY_MS
 from .caller_answers import create_headers, encode_answer, find_status
 from .caller_bodies import CLOSING_STATUSES, BodyError, read_body
@@ -28,7 +28,7 @@
     from greengagelatch.clock import Clock
 
     from ..filters import Handler
-    from ..filters.identify import RequestParser
+    from ..filters.request_parser import RequestParser
     from ..metrics import Metrics
 
 __all__ = ("CallerLimits", "CallersServer")
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
@@ -8,7 +8,7 @@
 
 from .adapters.callers import CallerLimits
 from .adapters.targets import TargetLimits
-from .filters.identify import RequestLimits
+from .filters.request_parser import RequestLimits
 
 if TYPE_CHECKING:
     from greengagelatch.settings import Settings
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -45,10 +45,10 @@
 from .filters import Handler, chain
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
-from .filters.identify import RequestParser
 from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
 from .filters.quota import QuotaFilter
+from .filters.request_parser import RequestParser
 from .filters.run import RunHandler
 from .filters.stop import StopFilter
 from .filters.traffic_split import TrafficSplitFilter
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -21,7 +21,7 @@
 from greengagelatch.request import Answer
 from greengagelatch.store import WriteOutcome
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry.filters.identify import RequestParser
+from greengagelatch_entry.filters.request_parser import RequestParser
 
 from ..matrix.front import Front
 from ..matrix.instance import LoopClock
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -13,7 +13,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.controllers import Controller
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.identify import ReceivedRequest
+from greengagelatch_entry.filters.request_parser import ReceivedRequest
 
 from .network import Pipe
 from .steps import Step
@@ -23,7 +23,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch_entry.filters import Handler
-    from greengagelatch_entry.filters.identify import RequestParser
+    from greengagelatch_entry.filters.request_parser import RequestParser
 
     from .network import Network
     from .processes import SimulatedProcess
--- a/tests/test_entry/test_adapters/test_callers.py
+++ b/tests/test_entry/test_adapters/test_callers.py
@@ -21,9 +21,9 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.adapters.callers import CallerLimits, CallersServer
 from greengagelatch_entry.filters import chain
-from greengagelatch_entry.filters.identify import RequestParser
 from greengagelatch_entry.filters.lookup import LookupFilter
 from greengagelatch_entry.filters.observe import ObserveFilter
+from greengagelatch_entry.filters.request_parser import RequestParser
 from greengagelatch_entry.logs import LogLevel, RequestLog
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.waiting import wait_until
