--- a/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
@@ -15,7 +15,7 @@
 
 __all__ = (
     "read_caller_limits",
-    "read_identifier_limits",
+    "read_request_limits",
     "read_retry_rules",
     "read_target_limits",
 )
@@ -34,7 +34,7 @@
     )
 
 
-def read_identifier_limits(settings: Settings) -> RequestLimits:
+def read_request_limits(settings: Settings) -> RequestLimits:
     """Return the limits on the content of requests."""
     return RequestLimits(max_deadline_ms=settings["callers.max_deadline_ms"])
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -28,7 +28,7 @@
 from .attempts import AttemptMaker
 from .bounds import (
     read_caller_limits,
-    read_identifier_limits,
+    read_request_limits,
     read_retry_rules,
     read_target_limits,
 )
@@ -282,7 +282,7 @@
             clock=self.clock,
             random_source=self.random,
             snapshot=lambda: self.configuration.snapshot,
-            limits=read_identifier_limits(self.settings),
+            limits=read_request_limits(self.settings),
         )
         self.callers = CallersServer(
             listen=self.settings["callers.listen"],
