--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -26,12 +26,6 @@
 from .adapters.store import HttpStore
 from .adapters.targets import HttpTargetClient
 from .attempts import AttemptMaker
-from .bounds import (
-    read_caller_limits,
-    read_request_limits,
-    read_retry_rules,
-    read_target_limits,
-)
 from .controllers import Controller
 from .controllers.claims import ClaimsController
 from .controllers.configuration import ConfigurationController
@@ -53,6 +47,12 @@
 from .filters.stop import StopFilter
 from .filters.traffic_split import TrafficSplitFilter
 from .in_flight_requests import InFlightRequests
+from .limits import (
+    read_caller_limits,
+    read_request_limits,
+    read_retry_rules,
+    read_target_limits,
+)
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
 from .stages import StageRunner
