--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -43,7 +43,7 @@
 from .filters.observe import ObserveFilter
 from .filters.quota import QuotaFilter
 from .filters.request_parser import RequestParser
-from .filters.run import RunHandler
+from .filters.run import PipelineHandler
 from .filters.stop import StopFilter
 from .filters.traffic_split import TrafficSplitFilter
 from .in_flight_requests import InFlightRequests
@@ -275,7 +275,7 @@
                 admission=self.admission, clock=self.clock, metrics=self.metrics
             ),
         )
-        return chain(filters, RunHandler(runner=runner))
+        return chain(filters, PipelineHandler(runner=runner))
 
     def _build_servers(self) -> None:
         identifier = RequestParser(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/run.py
@@ -12,10 +12,10 @@
     from ..stages import StageRunner
     from . import Exchange
 
-__all__ = ("RunHandler",)
+__all__ = ("PipelineHandler",)
 
 
-class RunHandler:
+class PipelineHandler:
     """Runs the pipeline that was selected for the request."""
 
     def __init__(self, *, runner: StageRunner) -> None:
