--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -41,9 +41,9 @@
 from .filters.feasibility import FeasibilityFilter
 from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
+from .filters.pipeline_handler import PipelineHandler
 from .filters.quota import QuotaFilter
 from .filters.request_parser import RequestParser
-from .filters.run import PipelineHandler
 from .filters.stop import StopFilter
 from .filters.traffic_split import TrafficSplitFilter
 from .in_flight_requests import InFlightRequests
