--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -124,7 +124,7 @@
             body=body,
             received=received,
         )
-        result = self._identifier.identify(arrival)
+        result = self._identifier.parse(arrival)
         if isinstance(result, Err):
             return await self._refuse(request, request_id, 0, result.err_value)
         exchange = Exchange(request=result.ok_value)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -182,7 +182,7 @@
             body=ask.body,
             received=received,
         )
-        result = self._identifier.identify(arrival)
+        result = self._identifier.parse(arrival)
         if isinstance(result, Err):
             answer = Answer(
                 request_id=request_id,
