--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -267,9 +267,9 @@
             ObserveFilter(clock=self.clock, metrics=self.metrics, log=log),
             StopFilter(in_flight=self.in_flight),
             LookupFilter(snapshot=lambda: self.configuration.snapshot),
-            QuotaFilter(quotas=self.quotas, claimed=False),
+            QuotaFilter(quotas=self.quotas, after_claim=False),
             DeduplicationFilter(claims=self.claims),
-            QuotaFilter(quotas=self.quotas, claimed=True),
+            QuotaFilter(quotas=self.quotas, after_claim=True),
             TrafficSplitFilter(),
             FeasibilityFilter(
                 admission=self.admission, clock=self.clock, metrics=self.metrics
@@ -364,6 +364,6 @@
 
     def _prioritise(self, exchange: Exchange, stage: Stage) -> int:
         request = exchange.request
-        snapshot = exchange.notes[SNAPSHOT_KEY]
+        snapshot = exchange.context[SNAPSHOT_KEY]
         steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
         return steering.priority
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -37,11 +37,11 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
-        snapshot = exchange.notes[SNAPSHOT_KEY]
+        snapshot = exchange.context[SNAPSHOT_KEY]
         steering = resolve(snapshot, request.workspace, request.pipeline)
         arrival = Arrival(
             workspace=request.workspace,
-            pipeline=exchange.notes[PIPELINE_KEY],
+            pipeline=exchange.context[PIPELINE_KEY],
             priority=steering.priority,
             deadline=request.deadline,
             weights=steering.weights,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/lookup.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/lookup.py
@@ -48,7 +48,7 @@
                 verdict=exchange.verdict,
                 refusal=refusal,
             )
-        exchange.notes[SNAPSHOT_KEY] = snapshot
+        exchange.context[SNAPSHOT_KEY] = snapshot
         return await proceed(exchange)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
@@ -37,7 +37,7 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         trace = self._log.start_request(exchange.request)
-        exchange.notes[TRACE_KEY] = trace
+        exchange.context[TRACE_KEY] = trace
         try:
             answer = await proceed(exchange)
         except asyncio.CancelledError:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/pipeline_handler.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/pipeline_handler.py
@@ -23,4 +23,4 @@
 
     async def __call__(self, exchange: Exchange) -> Answer:
         """Run the pipeline and return its answer."""
-        return await self._runner.run(exchange, exchange.notes[PIPELINE_KEY])
+        return await self._runner.run(exchange, exchange.context[PIPELINE_KEY])
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/quota.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/quota.py
@@ -40,19 +40,19 @@
     A request whose answer was replayed, or which was refused without having run, is
     refunded.
 
-    :param claimed: whether this filter comes after deduplication
+    :param after_claim: whether this filter comes after deduplication
     """
 
-    def __init__(self, *, quotas: QuotasController, claimed: bool) -> None:
+    def __init__(self, *, quotas: QuotasController, after_claim: bool) -> None:
         self._quotas = quotas
-        self._claimed = claimed
+        self._after_claim = after_claim
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
         known_new = not request.key or request.first_attempt
-        if known_new == self._claimed:
+        if known_new == self._after_claim:
             return await proceed(exchange)
-        snapshot = exchange.notes[SNAPSHOT_KEY]
+        snapshot = exchange.context[SNAPSHOT_KEY]
         quota = resolve(snapshot, request.workspace, request.pipeline).quota
         if quota is None:
             return await proceed(exchange)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
@@ -33,7 +33,7 @@
     """
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
-        snapshot: Snapshot = exchange.notes[SNAPSHOT_KEY]
+        snapshot: Snapshot = exchange.context[SNAPSHOT_KEY]
         pipeline = _choose_pipeline(snapshot, exchange.request)
         if pipeline.name != exchange.request.pipeline:
             exchange.request = replace(exchange.request, pipeline=pipeline.name)
@@ -43,7 +43,7 @@
         )
         if stages != pipeline.stages:
             pipeline = replace(pipeline, stages=stages)
-        exchange.notes[PIPELINE_KEY] = pipeline
+        exchange.context[PIPELINE_KEY] = pipeline
         return await proceed(exchange)
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/in_flight_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/in_flight_requests.py
@@ -36,7 +36,7 @@
     async def run(self, work: Coroutine[Any, Any, Result]) -> Result:
         """Return the result of ``work``.
 
-        :raises BrokenOffError: if it is cancelled, or starts after the cancellation
+        :raises RequestAbortedError: if it is cancelled, or starts after the cancellation
         """
         if self._over:
             work.close()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
@@ -204,7 +204,7 @@
 
 
 def _start_trace(exchange: Exchange, stage: Stage) -> StageTrace | None:
-    trace = exchange.notes.get(TRACE_KEY)
+    trace = exchange.context.get(TRACE_KEY)
     if trace is None:
         return None
     return trace.start_stage(stage.name, stage.service)
--- a/tests/test_entry/test_filters/test_quota.py
+++ b/tests/test_entry/test_filters/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.filters.admission and the quotas controller."""
+"""Tests of greengagelatch_entry.filters.quota and the quotas controller."""
 
 from __future__ import annotations
 
@@ -83,9 +83,9 @@
         )
         filters = (
             LookupFilter(snapshot=lambda: self.snapshot),
-            QuotaFilter(quotas=self.quotas, claimed=False),
+            QuotaFilter(quotas=self.quotas, after_claim=False),
             DeduplicationFilter(claims=self.claims),
-            QuotaFilter(quotas=self.quotas, claimed=True),
+            QuotaFilter(quotas=self.quotas, after_claim=True),
         )
         self._handler = chain(filters, self._run)
 
--- a/tests/test_entry/test_filters/test_traffic_split.py
+++ b/tests/test_entry/test_filters/test_traffic_split.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.filters.steer."""
+"""Tests of greengagelatch_entry.filters.traffic_split."""
 
 from __future__ import annotations
 
