--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -55,7 +55,7 @@
 )
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
-from .stages import StageRunner
+from .stages import PipelineRunner
 from .status import StatusView
 
 if TYPE_CHECKING:
@@ -252,7 +252,7 @@
             durations=durations,
             rules=read_retry_rules(self.settings),
         )
-        runner = StageRunner(
+        runner = PipelineRunner(
             attempts=self.attempts,
             clock=self.clock,
             metrics=self.metrics,
@@ -261,7 +261,7 @@
         )
         self.handler = self._build_chain(runner)
 
-    def _build_chain(self, runner: StageRunner) -> Handler:
+    def _build_chain(self, runner: PipelineRunner) -> Handler:
         log = RequestLog(LogLevel[self.settings["log.level"].upper()])
         filters = (
             ObserveFilter(clock=self.clock, metrics=self.metrics, log=log),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/pipeline_handler.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/pipeline_handler.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from greengagelatch.request import Answer
 
-    from ..stages import StageRunner
+    from ..stages import PipelineRunner
     from . import Exchange
 
 __all__ = ("PipelineHandler",)
@@ -18,7 +18,7 @@
 class PipelineHandler:
     """Runs the pipeline that was selected for the request."""
 
-    def __init__(self, *, runner: StageRunner) -> None:
+    def __init__(self, *, runner: PipelineRunner) -> None:
         self._runner = runner
 
     async def __call__(self, exchange: Exchange) -> Answer:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
@@ -30,7 +30,7 @@
     from .logs import StageTrace
     from .metrics import Metrics
 
-__all__ = ("StageRunner",)
+__all__ = ("PipelineRunner",)
 
 #: milliseconds after which to retry a request whose deadline was exceeded
 DEADLINE_RETRY_MS = 1000
@@ -82,7 +82,7 @@
         return all(may_retry(stage, request) for stage in self.pipeline.stages)
 
 
-class StageRunner:
+class PipelineRunner:
     """Runs pipelines; stages whose inputs are ready run concurrently.
 
     :param plan: derives each stage's deadline from that of the request
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.attempts import AttemptMaker
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_entry.stages import StageRunner
+from greengagelatch_entry.stages import PipelineRunner
 from greengagelatch_lab.scripted import (
     CountingDispatcher,
     FixedDirectory,
@@ -52,7 +52,7 @@
             random_source=random.Random(7),
             metrics=self.metrics,
         )
-        self.runner = StageRunner(
+        self.runner = PipelineRunner(
             attempts=self.attempts, clock=self.clock, metrics=self.metrics
         )
         self.given = []
