--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -55,7 +55,7 @@
 )
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
-from .stages import PipelineRunner
+from .pipeline_runner import PipelineRunner
 from .status import StatusView
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/pipeline_handler.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/pipeline_handler.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from greengagelatch.request import Answer
 
-    from ..stages import PipelineRunner
+    from ..pipeline_runner import PipelineRunner
     from . import Exchange
 
 __all__ = ("PipelineHandler",)
--- a/tests/test_entry/test_stage_runner.py
+++ b/tests/test_entry/test_stage_runner.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.attempts import AttemptMaker
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_entry.stages import PipelineRunner
+from greengagelatch_entry.pipeline_runner import PipelineRunner
 from greengagelatch_lab.scripted import (
     CountingDispatcher,
     FixedDirectory,
