--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempts.py
@@ -28,7 +28,7 @@
     from .metrics import Metrics
     from .sending import StageWork
 
-__all__ = ("AttemptMaker",)
+__all__ = ("StageCaller",)
 
 #: milliseconds after which to retry a request whose stage failed
 FAILURE_RETRY_MS = 1000
@@ -39,7 +39,7 @@
 LATE_PERCENTILE = 95
 
 
-class AttemptMaker:
+class StageCaller:
     """Calls stages: retries failed attempts and hedges slow ones.
 
     :param durations: durations by ``(pipeline, stage)``, recorded by the dispatcher;
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -25,7 +25,7 @@
 from .adapters.state_dump import StateDump
 from .adapters.store import HttpStore
 from .adapters.targets import HttpTargetClient
-from .attempts import AttemptMaker
+from .attempts import StageCaller
 from .controllers import Controller
 from .controllers.claims import ClaimsController
 from .controllers.configuration import ConfigurationController
@@ -242,7 +242,7 @@
             metrics=self.metrics,
             limits=read_target_limits(self.settings),
         )
-        self.attempts = AttemptMaker(
+        self.attempts = StageCaller(
             dispatcher=self.scheduling,
             directory=self.targets,
             client=self.client,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
@@ -25,7 +25,7 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.objects import Pipeline, Stage
 
-    from .attempts import AttemptMaker
+    from .attempts import StageCaller
     from .filters import Exchange
     from .logs import StageTrace
     from .metrics import Metrics
@@ -92,7 +92,7 @@
     def __init__(
         self,
         *,
-        attempts: AttemptMaker,
+        attempts: StageCaller,
         clock: Clock,
         metrics: Metrics,
         plan: StagePlan = divide_by_share,
--- a/tests/test_entry/test_pipeline_runner.py
+++ b/tests/test_entry/test_pipeline_runner.py
@@ -16,7 +16,7 @@
 from greengagelatch.request import Request
 from greengagelatch.targets import CallFailure, FailureKind, StageAnswer, Target
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry.attempts import AttemptMaker
+from greengagelatch_entry.attempts import StageCaller
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_entry.pipeline_runner import PipelineRunner
@@ -44,7 +44,7 @@
         self.dispatcher = CountingDispatcher(naive, before_grant)
         self.client = ScriptedClient(script)
         self.metrics = Metrics("127.0.0.1:9")
-        self.attempts = AttemptMaker(
+        self.attempts = StageCaller(
             dispatcher=self.dispatcher,
             directory=self.directory,
             client=self.client,
