--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -25,7 +25,6 @@
 from .adapters.state_dump import StateDump
 from .adapters.store import HttpStore
 from .adapters.targets import HttpTargetClient
-from .attempts import StageCaller
 from .controllers import Controller
 from .controllers.claims import ClaimsController
 from .controllers.configuration import ConfigurationController
@@ -56,6 +55,7 @@
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
 from .pipeline_runner import PipelineRunner
+from .stage_caller import StageCaller
 from .status import StatusView
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
@@ -25,10 +25,10 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.objects import Pipeline, Stage
 
-    from .attempts import StageCaller
     from .filters import Exchange
     from .logs import StageTrace
     from .metrics import Metrics
+    from .stage_caller import StageCaller
 
 __all__ = ("PipelineRunner",)
 
--- a/tests/test_entry/test_pipeline_runner.py
+++ b/tests/test_entry/test_pipeline_runner.py
@@ -16,10 +16,10 @@
 from greengagelatch.request import Request
 from greengagelatch.targets import CallFailure, FailureKind, StageAnswer, Target
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry.attempts import StageCaller
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_entry.pipeline_runner import PipelineRunner
+from greengagelatch_entry.stage_caller import StageCaller
 from greengagelatch_lab.scripted import (
     CountingDispatcher,
     FixedDirectory,
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -12,7 +12,7 @@
 from greengagelatch.stages import ledger, tokens
 from greengagelatch.targets.registry import TargetRegistry, TargetRegistryChange
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry import attempts
+from greengagelatch_entry import stage_caller
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_lab.matrix.cells import Cell
 from greengagelatch_lab.matrix.checker import Promise
@@ -43,9 +43,11 @@
 
 LOSSES = {
     "retries of what may have run": Loss(
-        attempts,
+        stage_caller,
         "decide_retry",
-        lambda rules, failure, *, attempts, **_: "attempts" if attempts > 2 else None,
+        lambda rules, failure, *, stage_caller, **_: (
+            "attempts" if stage_caller > 2 else None
+        ),
         "failing stage",
         Step.SENT,
         Promise.DOUBLED,
