--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -30,7 +30,7 @@
     from .logs import StageTrace
     from .metrics import Metrics
 
-__all__ = ("ContradictionError", "Sender", "StageWork")
+__all__ = ("ContradictionError", "AttemptSender", "StageWork")
 
 #: maximum number of concurrent cancellations at targets
 MAX_CANCELS = 256
@@ -90,7 +90,7 @@
         return self.on_token is not None and self.stage.kind is StageKind.GENERATE
 
 
-class Sender:
+class AttemptSender:
     """Makes single attempts, and cancels abandoned ones at their targets."""
 
     def __init__(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -14,7 +14,7 @@
 from greengagelatch.targets import FailureKind
 
 from .racing import CallResult, race
-from .sending import ContradictionError, Sender
+from .sending import AttemptSender, ContradictionError
 
 if TYPE_CHECKING:
     import random
@@ -61,7 +61,7 @@
     ) -> None:
         self._dispatcher = dispatcher
         self._directory = directory
-        self._sender = Sender(
+        self._sender = AttemptSender(
             dispatcher=dispatcher,
             directory=directory,
             client=client,
