--- a/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
@@ -17,7 +17,7 @@
 from greengagelatch.verdict import Verdict
 
 from .filters.observe import TRACE_KEY
-from .sending import StageWork
+from .sending import StageExecution
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -174,13 +174,13 @@
         run.costs[stage.name] = result.ok_value.cost
         return None
 
-    def _create_work(self, run: _Run, stage: Stage, now: float) -> StageWork:
+    def _create_work(self, run: _Run, stage: Stage, now: float) -> StageExecution:
         request = run.exchange.request
         last = run.pipeline.stages[-1] is stage
         priority = 0
         if self._prioritise is not None:
             priority = self._prioritise(run.exchange, stage)
-        return StageWork(
+        return StageExecution(
             request=request,
             stage=stage,
             input=build_input(stage, request.input, run.results),
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -30,7 +30,7 @@
     from .logs import StageTrace
     from .metrics import Metrics
 
-__all__ = ("ContradictionError", "AttemptSender", "StageWork")
+__all__ = ("ContradictionError", "AttemptSender", "StageExecution")
 
 #: maximum number of concurrent cancellations at targets
 MAX_CANCELS = 256
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class StageWork:
+class StageExecution:
     """The state of one stage of one request across its attempts."""
 
     request: Request
@@ -112,7 +112,7 @@
         self._cancels: set[asyncio.Task[bool]] = set()
 
     async def send(
-        self, work: StageWork, grant: Grant, patience: float | None = None
+        self, work: StageExecution, grant: Grant, patience: float | None = None
     ) -> Result[StageAnswer, CallFailure]:
         """Make one attempt and release ``grant`` in every case.
 
@@ -143,7 +143,7 @@
         """Wait for the pending cancellations."""
         await asyncio.gather(*self._cancels, return_exceptions=True)
 
-    def _create_call(self, work: StageWork, patience: float | None) -> StageCall:
+    def _create_call(self, work: StageExecution, patience: float | None) -> StageCall:
         request, stage = work.request, work.stage
         received = work.tokens.tokens if work.resume else ()
         return StageCall(
@@ -212,7 +212,7 @@
 class _Attempt:
     """The state of one attempt; until it has a result, it counts as cancelled."""
 
-    work: StageWork
+    work: StageExecution
     grant: Grant
     call: StageCall
     started: float
@@ -253,7 +253,7 @@
         self.outcome = "contradiction"
 
 
-def _create_listener(work: StageWork) -> TokenListener:
+def _create_listener(work: StageExecution) -> TokenListener:
     def listen(offset: int, text: str) -> None:
         check = work.tokens.append(offset, text)
         if check is TokenCheck.REPEATED:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -26,7 +26,7 @@
     from greengagelatch.targets.directory import TargetDirectory
 
     from .metrics import Metrics
-    from .sending import StageWork
+    from .sending import StageExecution
 
 __all__ = ("StageCaller",)
 
@@ -75,7 +75,7 @@
         self._rules = rules or RetryRules()
         self._patience = patience or HedgeRule()
 
-    async def make(self, work: StageWork) -> Result[StageAnswer, Refusal]:
+    async def make(self, work: StageExecution) -> Result[StageAnswer, Refusal]:
         """Call a stage; return its answer, or the refusal of the whole request."""
         while True:
             acquired = await self._acquire(work)
@@ -95,7 +95,7 @@
         """Wait for the pending cancellations at targets."""
         await self._sender.close()
 
-    async def _try_once(self, work: StageWork, grant: Grant) -> CallResult:
+    async def _try_once(self, work: StageExecution, grant: Grant) -> CallResult:
         work.excluded |= {grant.target.target_id}
         if not work.repeatable:
             return await self._sender.send(work, grant)
@@ -109,7 +109,9 @@
             patience,
         )
 
-    async def _send_backup(self, work: StageWork, late: Grant) -> CallResult | None:
+    async def _send_backup(
+        self, work: StageExecution, late: Grant
+    ) -> CallResult | None:
         self._metrics.count("attempts.late")
         work.late |= {late.target.target_id}
         work.charged = True
@@ -120,7 +122,7 @@
         work.excluded |= {grant.target.target_id}
         return await self._sender.send(work, grant)
 
-    def _choose_patience(self, work: StageWork) -> float | None:
+    def _choose_patience(self, work: StageExecution) -> float | None:
         now = self._clock.now()
         median = late = 0.0
         if self._durations is not None:
@@ -134,7 +136,7 @@
             remaining=work.stage_deadline - now,
         )
 
-    async def _acquire(self, work: StageWork) -> Result[Grant, Refusal]:
+    async def _acquire(self, work: StageExecution) -> Result[Grant, Refusal]:
         unfit: frozenset[str] = frozenset()
         while True:
             self._reconsider(work, unfit)
@@ -149,7 +151,7 @@
             unfit |= {grant.target.target_id}
             self._dispatcher.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
 
-    def _reconsider(self, work: StageWork, unfit: frozenset[str]) -> None:
+    def _reconsider(self, work: StageExecution, unfit: frozenset[str]) -> None:
         """Allow all targets again once each of them has been tried.
 
         A service with one replica would otherwise fail on one broken connection.
@@ -162,7 +164,7 @@
                 return
         work.excluded = frozenset()
 
-    def _consider(self, work: StageWork, failure: CallFailure) -> Refusal | None:
+    def _consider(self, work: StageExecution, failure: CallFailure) -> Refusal | None:
         reason = decide_retry(
             self._rules,
             failure,
@@ -188,7 +190,7 @@
         return _refuse(work, code, failure.message, failure.retry_after_ms)
 
 
-def _create_ticket(work: StageWork, unfit: frozenset[str]) -> Ticket:
+def _create_ticket(work: StageExecution, unfit: frozenset[str]) -> Ticket:
     request, stage = work.request, work.stage
     return Ticket(
         request_id=request.request_id,
@@ -222,7 +224,7 @@
 
 
 def _refuse(
-    work: StageWork,
+    work: StageExecution,
     code: RefusalCode,
     message: str,
     retry_after_ms: int | None = None,
