--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
@@ -30,7 +30,7 @@
     from .logs import StageTrace
     from .metrics import Metrics
 
-__all__ = ("ContradictionError", "AttemptSender", "StageExecution")
+__all__ = ("StreamMismatchError", "AttemptSender", "StageExecution")
 
 #: maximum number of concurrent cancellations at targets
 MAX_CANCELS = 256
@@ -48,7 +48,7 @@
 }
 
 
-class ContradictionError(Exception):
+class StreamMismatchError(Exception):
     """A repeated stream differs from the tokens that the caller already received."""
 
 
@@ -128,7 +128,7 @@
             result = await self._client.call(grant.target, call, listener)
             attempt.judge(result)
             work.answered = work.answered or isinstance(result, Ok)
-        except ContradictionError:
+        except StreamMismatchError:
             attempt.note_contradiction()
             raise
         finally:
@@ -262,7 +262,7 @@
             message = (
                 f"the resumed stream does not match the sent one at token {offset}"
             )
-            raise ContradictionError(message)
+            raise StreamMismatchError(message)
         assert work.on_token is not None
         work.on_token(offset, text)
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -14,7 +14,7 @@
 from greengagelatch.targets import FailureKind
 
 from .racing import CallResult, race
-from .sending import AttemptSender, ContradictionError
+from .sending import AttemptSender, StreamMismatchError
 
 if TYPE_CHECKING:
     import random
@@ -83,7 +83,7 @@
                 return acquired
             try:
                 result = await self._try_once(work, acquired.ok_value)
-            except ContradictionError as error:
+            except StreamMismatchError as error:
                 return Err(_refuse(work, RefusalCode.STAGE_FAILED, str(error)))
             if isinstance(result, Ok):
                 return result
