--- a/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
@@ -16,8 +16,8 @@
 from greengagelatch.stages.retries import may_retry
 from greengagelatch.verdict import Verdict
 
+from .attempt_sender import StageExecution
 from .filters.observe import TRACE_KEY
-from .sending import StageExecution
 
 if TYPE_CHECKING:
     from collections.abc import Callable
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -13,8 +13,8 @@
 from greengagelatch.stages.retries import NoRetryReason, RetryRules, decide_retry
 from greengagelatch.targets import FailureKind
 
+from .attempt_sender import AttemptSender, StreamMismatchError
 from .racing import CallResult, race
-from .sending import AttemptSender, StreamMismatchError
 
 if TYPE_CHECKING:
     import random
@@ -25,8 +25,8 @@
     from greengagelatch.targets import CallFailure, StageAnswer, TargetClient
     from greengagelatch.targets.directory import TargetDirectory
 
+    from .attempt_sender import StageExecution
     from .metrics import Metrics
-    from .sending import StageExecution
 
 __all__ = ("StageCaller",)
 
