--- a/packages/greengagelatch-entry/src/greengagelatch_entry/racing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/racing.py
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-__all__ = ("CallResult", "race")
+__all__ = ("CallResult", "call_with_hedge")
 
 CallResult = Result[StageAnswer, CallFailure]
 
 
-async def race(
+async def call_with_hedge(
     first: Callable[[], Awaitable[CallResult]],
     backup: Callable[[], Awaitable[CallResult | None]],
     patience: float,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -14,7 +14,7 @@
 from greengagelatch.targets import FailureKind
 
 from .attempt_sender import AttemptSender, StreamMismatchError
-from .racing import CallResult, race
+from .racing import CallResult, call_with_hedge
 
 if TYPE_CHECKING:
     import random
@@ -103,7 +103,7 @@
         if work.streamed or patience is None:
             # streams are not hedged: the outputs of two attempts may differ
             return await self._sender.send(work, grant, patience)
-        return await race(
+        return await call_with_hedge(
             lambda: self._sender.send(work, grant),
             lambda: self._send_backup(work, grant),
             patience,
