--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -14,7 +14,7 @@
 from greengagelatch.targets import FailureKind
 
 from .attempt_sender import AttemptSender, StreamMismatchError
-from .racing import CallResult, call_with_hedge
+from .hedged_call import CallResult, call_with_hedge
 
 if TYPE_CHECKING:
     import random
--- a/tests/test_entry/test_racing.py
+++ b/tests/test_entry/test_racing.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.targets import CallFailure, FailureKind, StageAnswer
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry.racing import call_with_hedge
+from greengagelatch_entry.hedged_call import call_with_hedge
 
 PATIENCE = 0.02
 
