--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -45,9 +45,7 @@
     "retries of what may have run": Loss(
         stage_caller,
         "decide_retry",
-        lambda rules, failure, *, stage_caller, **_: (
-            "attempts" if stage_caller > 2 else None
-        ),
+        lambda rules, failure, *, attempts, **_: "attempts" if attempts > 2 else None,
         "failing stage",
         Step.SENT,
         Promise.DOUBLED,
