--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -37,7 +37,7 @@
     placement: Placement
     #: whether the engines are to have the state that the placement specifies
     placed: bool = False
-    demand: OverflowState = field(default_factory=OverflowState)
+    overflow: OverflowState = field(default_factory=OverflowState)
     #: listed targets that are not leaving, by id
     targets: dict[str, Target] = field(default_factory=dict)
     #: ``None`` while the lease is not held
