--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -43,7 +43,7 @@
     #: ``None`` while the lease is not held
     engines: EngineGroup | None = None
     #: whether the configuration was verified to be the newest during this lease
-    current: bool = False
+    configuration_current: bool = False
     #: error of the last failed call, for the state dump
     error: str = ""
 
