--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -45,7 +45,7 @@
     #: whether the configuration was verified to be the newest during this lease
     configuration_current: bool = False
     #: error of the last failed call, for the state dump
-    error: str = ""
+    last_error: str = ""
 
     @property
     def ordering(self) -> bool:
