--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -48,7 +48,7 @@
     last_error: str = ""
 
     @property
-    def ordering(self) -> bool:
+    def has_open_order(self) -> bool:
         """Whether an order is in progress, or may still be."""
         return self.engines is not None and self.engines.ordering
 
