--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -13,7 +13,7 @@
 from greengagelatch.orders.permission import has_turn
 from greengagelatch.orders.rules import Fencing, OrderRules, read_fencing
 
-from ..engine_groups import GroupTable
+from ..engine_groups import PlacementGroups
 from ..ordering import EngineCaller
 from . import Controller
 from .drain import DRAIN_STARTED
@@ -91,7 +91,7 @@
             random_source=random_source,
             metrics=metrics,
         )
-        self._groups = GroupTable(
+        self._groups = PlacementGroups(
             data_centre=settings["instance.data_centre"], targets=targets
         )
         self._calls: set[asyncio.Task[None]] = set()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -23,7 +23,7 @@
 
     from .controllers.targets import TargetsController
 
-__all__ = ("Group", "GroupTable")
+__all__ = ("Group", "PlacementGroups")
 
 DEMAND_RULE = OverflowRule()
 
@@ -53,7 +53,7 @@
         return self.engines is not None and self.engines.ordering
 
 
-class GroupTable:
+class PlacementGroups:
     """Keeps the groups in line with configuration, targets and load."""
 
     def __init__(self, *, data_centre: str, targets: TargetsController) -> None:
