--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -30,7 +30,7 @@
     from greengagelatch.orders.group import EngineStep
     from greengagelatch.settings import Settings
 
-    from ..engine_groups import Group
+    from ..engine_groups import PlacementGroup
     from ..metrics import Metrics
     from .leases import LeasesController
     from .targets import TargetsController
@@ -151,7 +151,7 @@
 
     # one group
 
-    def _serve(self, group: Group) -> None:
+    def _serve(self, group: PlacementGroup) -> None:
         tenure = self._leases.find(group.name)
         if tenure is None or not tenure.held:
             group.engines = None
@@ -173,7 +173,7 @@
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
 
-    def _may_order(self, group: Group, tenure: LeaseState) -> bool:
+    def _may_order(self, group: PlacementGroup, tenure: LeaseState) -> bool:
         if self._draining or not group.placed:
             return False
         group.current = group.current or self._is_current(tenure)
@@ -196,11 +196,13 @@
         # an age is too low by as long as the proof was on its way
         return self._clock.now() - age >= tenure.acquired + self._margin
 
-    def _read_fencing(self, group: Group) -> Fencing:
+    def _read_fencing(self, group: PlacementGroup) -> Fencing:
         service = self._snapshot().services.get(group.service)
         return Fencing.IGNORED if service is None else read_fencing(service)
 
-    async def _call(self, group: Group, engines: EngineGroup, step: EngineStep) -> None:
+    async def _call(
+        self, group: PlacementGroup, engines: EngineGroup, step: EngineStep
+    ) -> None:
         target = group.targets.get(step.target_id)
         try:
             if target is None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
@@ -23,13 +23,13 @@
 
     from .controllers.targets import TargetsController
 
-__all__ = ("Group", "PlacementGroups")
+__all__ = ("PlacementGroup", "PlacementGroups")
 
 DEMAND_RULE = OverflowRule()
 
 
 @dataclass(slots=True)
-class Group:
+class PlacementGroup:
     """The engines of one service in this data centre."""
 
     name: str
@@ -59,12 +59,12 @@
     def __init__(self, *, data_centre: str, targets: TargetsController) -> None:
         self._data_centre = data_centre
         self._targets = targets
-        self._groups: dict[str, Group] = {}
+        self._groups: dict[str, PlacementGroup] = {}
 
     def __len__(self) -> int:
         return len(self._groups)
 
-    def list_groups(self) -> tuple[Group, ...]:
+    def list_groups(self) -> tuple[PlacementGroup, ...]:
         """Return all groups, ordered by name."""
         return tuple(self._groups[name] for name in sorted(self._groups))
 
@@ -74,7 +74,7 @@
         groups = {}
         for service, placement in placements.items():
             name = f"{self._data_centre}/{service}"
-            group = self._groups.get(name) or Group(name, service, placement)
+            group = self._groups.get(name) or PlacementGroup(name, service, placement)
             group.placement = placement
             groups[name] = group
         for name, group in self._groups.items():
@@ -102,7 +102,9 @@
         for group in self._groups.values():
             group.targets = by_service.get(group.service, {})
 
-    def _decide_placed(self, now: float, group: Group, aside: frozenset[str]) -> bool:
+    def _decide_placed(
+        self, now: float, group: PlacementGroup, aside: frozenset[str]
+    ) -> bool:
         if is_preferred(group.placement, self._data_centre):
             return True
         reachable = [
