--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -13,8 +13,8 @@
 from greengagelatch.orders.permission import has_turn
 from greengagelatch.orders.rules import Fencing, OrderRules, read_fencing
 
-from ..engine_groups import PlacementGroups
 from ..ordering import EngineCaller
+from ..placement_groups import PlacementGroups
 from . import Controller
 from .drain import DRAIN_STARTED
 
@@ -30,8 +30,8 @@
     from greengagelatch.orders.group import EngineStep
     from greengagelatch.settings import Settings
 
-    from ..engine_groups import PlacementGroup
     from ..metrics import Metrics
+    from ..placement_groups import PlacementGroup
     from .leases import LeasesController
     from .targets import TargetsController
 
