--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -16,7 +16,7 @@
 
 from .application import Application, ExitCode
 from .composition import compose
-from .garbage import freeze_imports
+from .garbage import configure_garbage_collector
 from .logs import LogOutput, set_up
 
 __all__ = ("main",)
@@ -56,7 +56,7 @@
     except OSError as error:
         print(f"setting log.file = {settings['log.file']!r}: {error}", file=sys.stderr)
         return ExitCode.BAD_START
-    freeze_imports()
+    configure_garbage_collector()
     try:
         return asyncio.run(_serve(settings, output))
     finally:
