--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -16,7 +16,7 @@
 
 from .application import Application, ExitCode
 from .composition import compose
-from .garbage import configure_garbage_collector
+from .garbage_collector import configure_garbage_collector
 from .logs import LogOutput, set_up
 
 __all__ = ("main",)
