--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -17,7 +17,7 @@
 from .application import Application, ExitCode
 from .composition import compose
 from .garbage_collector import configure_garbage_collector
-from .logs import LogOutput, set_up
+from .logs import LogOutput, configure_logging
 
 __all__ = ("main",)
 
@@ -52,7 +52,7 @@
 
 def _run(settings: Settings) -> int:
     try:
-        output = set_up(settings)
+        output = configure_logging(settings)
     except OSError as error:
         print(f"setting log.file = {settings['log.file']!r}: {error}", file=sys.stderr)
         return ExitCode.BAD_START
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -27,7 +27,7 @@
     "STDOUT",
     "StageTrace",
     "open_output",
-    "set_up",
+    "configure_logging",
     "truncate",
 )
 
@@ -158,7 +158,7 @@
     return fields
 
 
-def set_up(settings: Settings) -> LogOutput:
+def configure_logging(settings: Settings) -> LogOutput:
     """Open the output that the setting ``log.file`` names and route all logs to it.
 
     :raises OSError: if the file can't be opened
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -14,7 +14,13 @@
 from greengagelatch.settings import parse
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import logs
-from greengagelatch_entry.logs import LogLevel, LogOutput, RequestLog, set_up, truncate
+from greengagelatch_entry.logs import (
+    LogLevel,
+    LogOutput,
+    RequestLog,
+    configure_logging,
+    truncate,
+)
 
 SETTINGS = """
 [instance]
@@ -41,7 +47,7 @@
 
     def set_up_at(level):
         settings = parse(SETTINGS.format(level=level, path=path)).unwrap()
-        outputs.append(set_up(settings))
+        outputs.append(configure_logging(settings))
         return RequestLog(LogLevel[level.upper()])
 
     def read():
