--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -26,7 +26,7 @@
     "RequestTrace",
     "STDOUT",
     "StageTrace",
-    "open_output",
+    "open_log_output",
     "configure_logging",
     "truncate",
 )
@@ -164,10 +164,10 @@
     :raises OSError: if the file can't be opened
     """
     level = LogLevel[settings["log.level"].upper()]
-    return open_output(settings["log.file"], level, settings["instance.id"])
+    return open_log_output(settings["log.file"], level, settings["instance.id"])
 
 
-def open_output(path: str, level: LogLevel, instance_id: str) -> LogOutput:
+def open_log_output(path: str, level: LogLevel, instance_id: str) -> LogOutput:
     """Open :data:`STDOUT` or a file as the output of all logs.
 
     :raises OSError: if the file can't be opened
