--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/listing.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.peers import MemberState
 
-from ..listings import ListingExchange
+from ..listing_exchange import ListingExchange
 from . import Controller
 
 if TYPE_CHECKING:
