--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -39,11 +39,11 @@
         path = self.option("config")
         if not path:
             self.line_error("--config FILE is required")
-            return ExitCode.BAD_START
+            return ExitCode.STARTUP_FAILED
         result = load(path)
         if isinstance(result, Err):
             self.line_error(str(result.err_value))
-            return ExitCode.BAD_START
+            return ExitCode.STARTUP_FAILED
         if self.option("check"):
             self.line(f"{path}: settings are valid")
             return ExitCode.FINISHED
@@ -55,7 +55,7 @@
         output = configure_logging(settings)
     except OSError as error:
         print(f"setting log.file = {settings['log.file']!r}: {error}", file=sys.stderr)
-        return ExitCode.BAD_START
+        return ExitCode.STARTUP_FAILED
     configure_garbage_collector()
     try:
         return asyncio.run(_serve(settings, output))
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/application.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/application.py
@@ -25,7 +25,7 @@
     #: was over or a stop was requested a second time
     FAILED = 1
     #: invalid settings, or an address that can't be bound
-    BAD_START = 2
+    STARTUP_FAILED = 2
 
 
 class Application:
@@ -54,7 +54,7 @@
         except OSError as error:
             logger.error("failed to start %s: %s", controller.name, error)
             await self._stop(started)
-            return ExitCode.BAD_START
+            return ExitCode.STARTUP_FAILED
         self._announce()
         finished = await self._parts.drain.wait()
         await self._stop(started)
--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -130,5 +130,5 @@
     steps: list[str] = []
     application, _ = create_application(Part("a", steps), UnboundPart("b", steps))
     async with asyncio.timeout(PATIENCE):
-        assert await application.run() == ExitCode.BAD_START
+        assert await application.run() == ExitCode.STARTUP_FAILED
     assert steps == ["start a", "stop a"]
