--- a/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
@@ -16,7 +16,7 @@
 #: prefix of all metric names
 PREFIX = "greengagelatch"
 #: seconds between two flushes of the collected metrics
-INTERVAL = 0.2
+FLUSH_SECONDS = 0.2
 #: maximum number of collected durations; reaching it triggers a flush
 MAX_TIMINGS = 500
 #: maximum bytes of one datagram, so that it fits into one Ethernet frame
@@ -107,7 +107,7 @@
         self._timings.clear()
 
     def _send_if_due(self) -> None:
-        due = self._now() - self._sent >= INTERVAL
+        due = self._now() - self._sent >= FLUSH_SECONDS
         if due or len(self._timings) >= MAX_TIMINGS:
             self.flush()
 
--- a/tests/test_entry/test_metrics.py
+++ b/tests/test_entry/test_metrics.py
@@ -5,7 +5,7 @@
 import socket
 from collections import Counter
 
-from greengagelatch_entry.metrics import INTERVAL, MAX_TIMINGS, Metrics
+from greengagelatch_entry.metrics import FLUSH_SECONDS, MAX_TIMINGS, Metrics
 
 
 class Server:
@@ -33,7 +33,7 @@
         metrics.timing("requests.answered", 0.002)
     metrics.gauge("scheduling.waiting", 4)
     metrics.gauge("scheduling.waiting", 5)
-    now[0] = INTERVAL
+    now[0] = FLUSH_SECONDS
     metrics.count("requests.quota")
     assert Counter(server.read_lines()) == {
         "greengagelatch.requests.answered:3|c": 1,
