--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -32,7 +32,7 @@
 )
 
 #: maximum bytes of the text of one field
-MAX_VALUE = 200
+MAX_VALUE_BYTES = 200
 #: maximum bytes of the message of a ``logging`` record
 MAX_MESSAGE = 1000
 #: maximum bytes of a traceback; its end is kept, as it names the error
@@ -58,7 +58,7 @@
     STAGES = 2
 
 
-def truncate(value: Any, limit: int = MAX_VALUE) -> str:
+def truncate(value: Any, limit: int = MAX_VALUE_BYTES) -> str:
     """Return ``value`` as text of at most ``limit`` bytes, plus an ellipsis.
 
     Lone surrogates, which JSON input may contain, are replaced: the encoder rejects
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -119,7 +119,7 @@
     _run_request(log, refusal)
     last = read()[-1]
     assert (last["outcome"], last["code"]) == ("refused", "no-target")
-    assert len(last["value"]) == logs.MAX_VALUE + 1
+    assert len(last["value"]) == logs.MAX_VALUE_BYTES + 1
 
 
 def test_attempts_of_a_retry_storm_are_counted_not_logged(open_log):
