--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -38,7 +38,7 @@
 #: maximum bytes of a traceback; its end is kept, as it names the error
 MAX_TRACEBACK = 1500
 #: maximum bytes of a line; a pipe that polls as writable accepts this many at once
-MAX_LINE = 4096
+MAX_LINE_BYTES = 4096
 #: maximum stages per request, and attempts per stage, that are logged
 MAX_STAGES = 16
 MAX_ATTEMPTS = 8
@@ -96,7 +96,7 @@
         """Write ``line`` or drop it; return the number of bytes written."""
         if not line:
             return 0
-        if len(line) > MAX_LINE or not self._is_writable():
+        if len(line) > MAX_LINE_BYTES or not self._is_writable():
             self.dropped += 1
             return 0
         try:
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -194,7 +194,7 @@
     reader, writer = os.pipe()
     output = LogOutput(writer, owned=True)
     try:
-        assert output.write(b"x" * (logs.MAX_LINE + 1)) == 0
+        assert output.write(b"x" * (logs.MAX_LINE_BYTES + 1)) == 0
         assert output.dropped == 1
     finally:
         os.close(reader)
