--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -114,10 +114,10 @@
             groups[group.name] = {
                 "fencing": self._read_fencing(group).value,
                 "placed": group.placed,
-                "overflowing": group.demand.overflowing,
+                "overflowing": group.overflow.overflowing,
                 "fence": 0 if engines is None else engines.fence,
-                "configuration_current": group.current,
-                "last_error": group.error,
+                "configuration_current": group.configuration_current,
+                "last_error": group.last_error,
                 "engines": {}
                 if engines is None
                 else engines.dump(now, group.placement),
@@ -143,7 +143,7 @@
         wanted = set()
         busy = set()
         for group in self._groups.list_groups():
-            if group.ordering:
+            if group.has_open_order:
                 busy.add(group.name)
             if group.placed and not self._draining:
                 wanted.add(group.name)
@@ -155,11 +155,11 @@
         tenure = self._leases.find(group.name)
         if tenure is None or not tenure.held:
             group.engines = None
-            group.current = False
+            group.configuration_current = False
             return
         now = self._clock.now()
         if group.engines is None or group.engines.fence != tenure.fence:
-            group.current = False
+            group.configuration_current = False
             group.engines = EngineGroup(fence=tenure.fence, rules=self._rules, now=now)
         steps = group.engines.plan(
             now,
@@ -176,8 +176,10 @@
     def _may_order(self, group: PlacementGroup, tenure: LeaseState) -> bool:
         if self._draining or not group.placed:
             return False
-        group.current = group.current or self._is_current(tenure)
-        if not group.current:
+        group.configuration_current = group.configuration_current or self._is_current(
+            tenure
+        )
+        if not group.configuration_current:
             return False
         now = read_instant(self._clock)
         fencing = self._read_fencing(group)
@@ -209,9 +211,9 @@
                 # it has left since, and its record goes with the next plan
                 engines.fail(self._clock.now(), step, self._rules.interval)
             elif step.order is None:
-                group.error = await self._caller.read(engines, step, target)
+                group.last_error = await self._caller.read_state(engines, step, target)
             else:
-                group.error = await self._caller.order(
+                group.last_error = await self._caller.send_order(
                     group.name, self._read_fencing(group), engines, step, target
                 )
         except Exception:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -61,7 +61,9 @@
         self._random = random_source
         self._metrics = metrics
 
-    async def read(self, engines: EngineGroup, step: EngineStep, target: Target) -> str:
+    async def read_state(
+        self, engines: EngineGroup, step: EngineStep, target: Target
+    ) -> str:
         """Read an engine's state; return an error message, or an empty string."""
         answer = await self._client.read(target)
         now = self._clock.now()
@@ -73,7 +75,7 @@
         engines.end_read(now, step, None, self._choose_delay(engines, step))
         return f"reading the state of {step.target_id} failed: {answer.err_value}"
 
-    async def order(
+    async def send_order(
         self,
         group: str,
         fencing: Fencing,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/placement_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/placement_groups.py
@@ -80,7 +80,7 @@
         for name, group in self._groups.items():
             # a group without a policy stays until its orders end: otherwise its lease
             # would be released and the next holder could start too early
-            if name not in groups and group.ordering:
+            if name not in groups and group.has_open_order:
                 group.placed = False
                 groups[name] = group
         self._groups = groups
@@ -113,5 +113,5 @@
             if candidate.target.target_id not in aside
         ]
         load = measure_load(group.placement, reachable)
-        group.demand = group.demand.update(now, load, DEMAND_RULE)
-        return group.demand.overflowing
+        group.overflow = group.overflow.update(now, load, DEMAND_RULE)
+        return group.overflow.overflowing
