--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -86,7 +86,7 @@
             leases=leases,
             directory=targets,
             rules=self._rules,
-            open=lambda: not self._draining,
+            may_order=lambda: not self._draining,
             clock=clock,
             random_source=random_source,
             metrics=metrics,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -31,13 +31,13 @@
 logger = logging.getLogger(__name__)
 
 #: base of the exponential backoff after failed calls to an engine, in seconds
-RETRY_BASE = 1.0
+RETRY_BASE_SECONDS = 1.0
 
 
 class EngineCaller:
     """Makes the calls that an :class:`EngineGroup` plans and reports their results.
 
-    :param open: whether orders may be sent; false once a stop has begun
+    :param may_order: whether orders may be sent; false once a stop has begun
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         leases: LeasesController,
         directory: TargetDirectory,
         rules: OrderRules,
-        open: Callable[[], bool],
+        may_order: Callable[[], bool],
         clock: Clock,
         random_source: random.Random,
         metrics: Metrics,
@@ -56,7 +56,7 @@
         self._leases = leases
         self._directory = directory
         self._rules = rules
-        self._open = open
+        self._may_order = may_order
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
@@ -86,12 +86,12 @@
         """Send an order; return an error message, or an empty string."""
         assert step.order is not None
 
-        def guard() -> bool:
+        def check_permission() -> bool:
             now = read_instant(self._clock)
             # checked once connected: meanwhile the lease may have expired or the
             # target begun to leave, and then the order must not be sent
             allowed = (
-                self._open()
+                self._may_order()
                 and self._directory.accepts(target.target_id)
                 and may_send(
                     self._leases.find(group),
@@ -108,7 +108,7 @@
             self._metrics.count("orders.sent")
             return True
 
-        answer = await self._client.give(target, step.order, guard)
+        answer = await self._client.give(target, step.order, check_permission)
         now = self._clock.now()
         self._metrics.count(f"orders.outcome.{answer.outcome.value}")
         match answer.outcome:
@@ -135,7 +135,7 @@
     def _choose_delay(self, engines: EngineGroup, step: EngineStep) -> float:
         return compute_backoff(
             engines.count_failures(step.target_id) + 1,
-            base=RETRY_BASE,
-            longest=max(RETRY_BASE, self._rules.interval),
+            base=RETRY_BASE_SECONDS,
+            longest=max(RETRY_BASE_SECONDS, self._rules.interval),
             random_source=self._random,
         )
