--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -22,13 +22,13 @@
 __all__ = ("main",)
 
 PROGRAM_NAME = "greengagelatchd"
-RUN = "run"
+RUN_COMMAND = "run"
 
 
 class DaemonCommand(Command):
     """Runs the daemon, or validates its settings file."""
 
-    name = RUN
+    name = RUN_COMMAND
     description = "Serves pipelines on an entry instance."
     options = [  # noqa: RUF012 - cleo declares them so
         option("config", "c", "Settings file (INI).", flag=False),
@@ -72,7 +72,7 @@
     command_line = CommandLine(PROGRAM_NAME, __version__)
     command_line.add(DaemonCommand())
     # the daemon has a single command, whose name users need not type
-    return command_line.run(ArgvInput([PROGRAM_NAME, RUN, *sys.argv[1:]]))
+    return command_line.run(ArgvInput([PROGRAM_NAME, RUN_COMMAND, *sys.argv[1:]]))
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/application.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/application.py
@@ -45,33 +45,33 @@
         started: list[Controller] = []
         # handlers come before the first controller starts: without them a signal kills
         # the process at once, together with requests that are already in flight
-        self._listen_to_signals()
+        self._install_signal_handlers()
         try:
             for controller in self._parts.controllers:
-                controller.crash_listener = self._note_crash
+                controller.crash_listener = self._handle_crash
                 await controller.start()
                 started.append(controller)
         except OSError as error:
             logger.error("failed to start %s: %s", controller.name, error)
             await self._stop(started)
             return ExitCode.STARTUP_FAILED
-        self._announce()
+        self._print_addresses()
         finished = await self._parts.drain.wait()
         await self._stop(started)
         return ExitCode.FINISHED if finished and not self._failed else ExitCode.FAILED
 
-    def _listen_to_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         loop = asyncio.get_running_loop()
-        for number, handler in self._parts.signals.items():
-            loop.add_signal_handler(number, handler)
+        for signal_number, handler in self._parts.signals.items():
+            loop.add_signal_handler(signal_number, handler)
 
-    def _announce(self) -> None:
+    def _print_addresses(self) -> None:
         """Print the listening addresses, as ports may be assigned by the system."""
         addresses = self._parts.list_addresses()
-        words = [f"{name}={address}" for name, address in addresses.items()]
-        print("ready", *words, flush=True)
+        entries = [f"{name}={address}" for name, address in addresses.items()]
+        print("ready", *entries, flush=True)
 
-    def _note_crash(self, controller: Controller, reason: BaseException) -> None:
+    def _handle_crash(self, controller: Controller, reason: BaseException) -> None:
         logger.error(
             "controller %s failed: %r; stopping the instance", controller.name, reason
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/attempt_sender.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempt_sender.py
@@ -33,14 +33,14 @@
 __all__ = ("StreamMismatchError", "AttemptSender", "StageExecution")
 
 #: maximum number of concurrent cancellations at targets
-MAX_CANCELS = 256
+MAX_CANCELLATIONS = 256
 
 ANSWERED = "answered"
 CANCELLED = "cancelled"
 
 #: outcomes that load balancing records for failures; all others count as target
 #: failures
-_OUTCOMES = {
+_OUTCOME_KINDS = {
     FailureKind.TARGET_REFUSED: OutcomeKind.REJECTED,
     FailureKind.DEADLINE: OutcomeKind.ABANDONED,
     FailureKind.CANCELLED: OutcomeKind.ABANDONED,
@@ -69,14 +69,14 @@
     attempts: int = 0
     excluded: frozenset[str] = frozenset()
     #: whether the next attempt counts against the retry budget
-    charged: bool = False
+    uses_retry_budget: bool = False
     #: total seconds of failed attempts
-    wasted: float = 0.0
+    wasted_seconds: float = 0.0
     tokens: StreamedTokens = field(default_factory=StreamedTokens)
     #: whether the next attempt resumes the stream at the current offset
     resume: bool = True
     #: targets whose slow calls were hedged by a backup call
-    late: frozenset[str] = frozenset()
+    hedged_targets: frozenset[str] = frozenset()
     answered: bool = False
 
     @property
@@ -109,43 +109,48 @@
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
-        self._cancels: set[asyncio.Task[bool]] = set()
+        self._cancellations: set[asyncio.Task[bool]] = set()
 
     async def send(
-        self, work: StageExecution, grant: Grant, patience: float | None = None
+        self,
+        execution: StageExecution,
+        grant: Grant,
+        first_byte_timeout: float | None = None,
     ) -> Result[StageAnswer, CallFailure]:
         """Make one attempt and release ``grant`` in every case.
 
-        :param patience: timeout in seconds until the first byte
-        :raises ContradictionError: if the stream differs from the tokens already sent
+        :param first_byte_timeout: timeout in seconds until the first byte
+        :raises StreamMismatchError: if the stream differs from the tokens already sent
         """
-        call = self._create_call(work, patience)
-        attempt = _Attempt(work, grant, call, self._clock.now())
-        work.attempts += 1
-        work.ledger.begin(call.attempt_id, grant.target.target_id)
+        call = self._create_call(execution, first_byte_timeout)
+        attempt = _Attempt(execution, grant, call, self._clock.now())
+        execution.attempts += 1
+        execution.ledger.begin(call.attempt_id, grant.target.target_id)
         try:
-            listener = _create_listener(work) if call.stream else None
+            listener = _create_listener(execution) if call.stream else None
             result = await self._client.call(grant.target, call, listener)
-            attempt.judge(result)
-            work.answered = work.answered or isinstance(result, Ok)
+            attempt.record_result(result)
+            execution.answered = execution.answered or isinstance(result, Ok)
         except StreamMismatchError:
-            attempt.note_contradiction()
+            attempt.record_mismatch()
             raise
         finally:
             # also on cancellation of the request: a grant that is not released would
             # occupy capacity of the target forever, and an attempt that is not
             # cancelled at the target would continue to consume its resources
-            self._settle(attempt)
-        self._note(grant, result)
+            self._finish_attempt(attempt)
+        self._update_directory(grant, result)
         return result
 
     async def close(self) -> None:
         """Wait for the pending cancellations."""
-        await asyncio.gather(*self._cancels, return_exceptions=True)
+        await asyncio.gather(*self._cancellations, return_exceptions=True)
 
-    def _create_call(self, work: StageExecution, patience: float | None) -> StageCall:
-        request, stage = work.request, work.stage
-        received = work.tokens.tokens if work.resume else ()
+    def _create_call(
+        self, execution: StageExecution, first_byte_timeout: float | None
+    ) -> StageCall:
+        request, stage = execution.request, execution.stage
+        received = execution.tokens.tokens if execution.resume else ()
         return StageCall(
             attempt_id=create_id("attempt", self._random),
             request_id=request.request_id,
@@ -153,30 +158,30 @@
             pipeline=request.pipeline,
             stage=stage.name,
             kind=stage.kind,
-            input=work.input,
-            repeatable=work.repeatable,
+            input=execution.input,
+            repeatable=execution.repeatable,
             deadline=request.deadline,
-            priority=work.priority,
-            stream=work.streamed,
+            priority=execution.priority,
+            stream=execution.streamed,
             resume_at=len(received),
             received=received,
-            first_byte_timeout=patience,
+            first_byte_timeout=first_byte_timeout,
         )
 
-    def _settle(self, attempt: _Attempt) -> None:
-        work, call = attempt.work, attempt.call
+    def _finish_attempt(self, attempt: _Attempt) -> None:
+        execution, call = attempt.execution, attempt.call
         seconds = self._clock.now() - attempt.started
-        attempt.note_overtaken()
-        work.ledger.settle(call.attempt_id, attempt.verdict)
+        attempt.record_overtaken()
+        execution.ledger.settle(call.attempt_id, attempt.verdict)
         self._dispatcher.release(attempt.grant, Outcome(attempt.kind, seconds))
         answered = attempt.outcome == ANSWERED
         if not answered:
-            work.wasted += seconds
-        if attempt.left_running:
+            execution.wasted_seconds += seconds
+        if attempt.may_be_running:
             self._start_cancel(attempt)
-        if work.trace is None:
+        if execution.trace is None:
             return
-        work.trace.log_attempt(
+        execution.trace.log_attempt(
             attempt_id=call.attempt_id,
             target_id=attempt.grant.target.target_id,
             outcome=attempt.outcome,
@@ -186,7 +191,9 @@
             message=attempt.message,
         )
 
-    def _note(self, grant: Grant, result: Result[StageAnswer, CallFailure]) -> None:
+    def _update_directory(
+        self, grant: Grant, result: Result[StageAnswer, CallFailure]
+    ) -> None:
         target_id = grant.target.target_id
         value = result.ok_value if isinstance(result, Ok) else result.err_value
         if value.leaving:
@@ -197,22 +204,22 @@
             self._directory.record_call(target_id, answered=False)
 
     def _start_cancel(self, attempt: _Attempt) -> None:
-        if len(self._cancels) >= MAX_CANCELS:
+        if len(self._cancellations) >= MAX_CANCELLATIONS:
             self._metrics.count("attempts.cancels_dropped")
             return
         self._metrics.count("attempts.cancelled")
         task = asyncio.create_task(
             self._client.cancel(attempt.grant.target, attempt.call.attempt_id)
         )
-        self._cancels.add(task)
-        task.add_done_callback(self._cancels.discard)
+        self._cancellations.add(task)
+        task.add_done_callback(self._cancellations.discard)
 
 
 @dataclass(slots=True)
 class _Attempt:
     """The state of one attempt; until it has a result, it counts as cancelled."""
 
-    work: StageExecution
+    execution: StageExecution
     grant: Grant
     call: StageCall
     started: float
@@ -221,41 +228,41 @@
     outcome: str = CANCELLED
     message: str = ""
     #: whether the target may still be processing the call
-    left_running: bool = True
+    may_be_running: bool = True
 
-    def judge(self, result: Result[StageAnswer, CallFailure]) -> None:
+    def record_result(self, result: Result[StageAnswer, CallFailure]) -> None:
         """Record the result of the call."""
         if isinstance(result, Err):
             failure = result.err_value
-            self.kind = _OUTCOMES.get(failure.kind, OutcomeKind.FAILURE)
+            self.kind = _OUTCOME_KINDS.get(failure.kind, OutcomeKind.FAILURE)
             self.verdict = failure.verdict
             self.outcome = failure.kind.value
             self.message = failure.message
-            self.left_running = needs_cancel(failure)
+            self.may_be_running = needs_cancel(failure)
             return
         self.kind = OutcomeKind.SUCCESS
         self.verdict = Verdict.RAN
         self.outcome = ANSWERED
-        self.left_running = False
+        self.may_be_running = False
 
-    def note_overtaken(self) -> None:
+    def record_overtaken(self) -> None:
         """Record a failure of the target if a backup call was answered first."""
-        if self.outcome != CANCELLED or not self.work.answered:
+        if self.outcome != CANCELLED or not self.execution.answered:
             return
-        if self.grant.target.target_id in self.work.late:
+        if self.grant.target.target_id in self.execution.hedged_targets:
             self.kind = OutcomeKind.FAILURE
             self.outcome = "overtaken"
 
-    def note_contradiction(self) -> None:
+    def record_mismatch(self) -> None:
         """Record a complete stream that contradicts the tokens already sent."""
         self.kind = OutcomeKind.SUCCESS
         self.verdict = Verdict.RAN
         self.outcome = "contradiction"
 
 
-def _create_listener(work: StageExecution) -> TokenListener:
-    def listen(offset: int, text: str) -> None:
-        check = work.tokens.append(offset, text)
+def _create_listener(execution: StageExecution) -> TokenListener:
+    def forward_token(offset: int, text: str) -> None:
+        check = execution.tokens.append(offset, text)
         if check is TokenCheck.REPEATED:
             return
         if check is not TokenCheck.NEW:
@@ -263,7 +270,7 @@
                 f"the resumed stream does not match the sent one at token {offset}"
             )
             raise StreamMismatchError(message)
-        assert work.on_token is not None
-        work.on_token(offset, text)
+        assert execution.on_token is not None
+        execution.on_token(offset, text)
 
-    return listen
+    return forward_token
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -242,7 +242,7 @@
             metrics=self.metrics,
             limits=read_target_limits(self.settings),
         )
-        self.attempts = StageCaller(
+        self.stage_caller = StageCaller(
             dispatcher=self.scheduling,
             directory=self.targets,
             client=self.client,
@@ -250,14 +250,14 @@
             random_source=self.random,
             metrics=self.metrics,
             durations=durations,
-            rules=read_retry_rules(self.settings),
+            retry_rules=read_retry_rules(self.settings),
         )
         runner = PipelineRunner(
-            attempts=self.attempts,
+            stage_caller=self.stage_caller,
             clock=self.clock,
             metrics=self.metrics,
             plan=plan,
-            prioritise=self._prioritise,
+            find_priority=self._find_priority,
         )
         self.handler = self._build_chain(runner)
 
@@ -316,7 +316,7 @@
             state_dump=StateDump(
                 settings=self.settings,
                 metrics=self.metrics,
-                controllers=self._name_controllers,
+                controllers=self._map_controllers,
                 log_output=self.log_output,
             ),
             status=status.describe,
@@ -328,7 +328,7 @@
         )
 
     async def _close(self) -> None:
-        await self.attempts.close()
+        await self.stage_caller.close()
         await self.client.close()
         await self.order_client.close()
         await self.instance_list.close()
@@ -350,19 +350,19 @@
             self.callers,
         )
 
-    def _name_controllers(self) -> dict[str, Controller]:
+    def _map_controllers(self) -> dict[str, Controller]:
         return {controller.name: controller for controller in self._list_controllers()}
 
     def _is_ready(self) -> bool:
         # without a first listing no target is known, and requests would be refused
         # that other instances behind the load balancer can answer
-        informed = self.configuration.ready and self.listing.listing is not None
-        return informed and not self.drain.draining
+        synced = self.configuration.ready and self.listing.listing is not None
+        return synced and not self.drain.draining
 
     def _find_weights(self, workspace: str, pipeline: str) -> Weights:
         return resolve(self.configuration.snapshot, workspace, pipeline).weights
 
-    def _prioritise(self, exchange: Exchange, stage: Stage) -> int:
+    def _find_priority(self, exchange: Exchange, stage: Stage) -> int:
         request = exchange.request
         snapshot = exchange.context[SNAPSHOT_KEY]
         steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/__init__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/__init__.py
@@ -47,13 +47,13 @@
 def chain(filters: tuple[Filter, ...], last: Handler) -> Handler:
     """Return a handler that passes exchanges through ``filters`` to ``last``."""
     handler = last
-    for step in reversed(filters):
-        handler = _bind(step, handler)
+    for current in reversed(filters):
+        handler = _bind_filter(current, handler)
     return handler
 
 
-def _bind(step: Filter, proceed: Handler) -> Handler:
+def _bind_filter(current: Filter, proceed: Handler) -> Handler:
     async def handle(exchange: Exchange) -> Answer:
-        return await step.apply(exchange, proceed)
+        return await current.apply(exchange, proceed)
 
     return handle
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/deduplication.py
@@ -40,9 +40,9 @@
         if isinstance(permit, Answer):
             exchange.raise_verdict(permit.verdict)
             return permit
-        tokens = _Tokens(exchange.on_token)
+        tokens = _TokenForwarder(exchange.on_token)
         if exchange.on_token is not None:
-            exchange.on_token = tokens.take
+            exchange.on_token = tokens.forward
         run = asyncio.create_task(self._run(exchange, proceed, permit))
         try:
             return await asyncio.shield(run)
@@ -63,12 +63,12 @@
         return answer
 
 
-class _Tokens:
+class _TokenForwarder:
     """Forwards tokens to a caller until it disconnects."""
 
     def __init__(self, listener: Callable[[int, str], None] | None) -> None:
         self.listener = listener
 
-    def take(self, offset: int, text: str) -> None:
+    def forward(self, offset: int, text: str) -> None:
         if self.listener is not None:
             self.listener(offset, text)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/lookup.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/lookup.py
@@ -23,7 +23,7 @@
 #: milliseconds within which a newly created object may reach this instance
 UNKNOWN_RETRY_MS = 2000
 #: maximum characters of an invalid value that a refusal shows
-MAX_SHOWN = 64
+MAX_SHOWN_CHARS = 64
 
 
 class LookupFilter(Filter):
@@ -41,7 +41,7 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         snapshot = self._snapshot()
-        refusal = _find_fault(exchange, snapshot)
+        refusal = _find_refusal(exchange, snapshot)
         if refusal is not None:
             return Answer(
                 request_id=exchange.request.request_id,
@@ -52,7 +52,7 @@
         return await proceed(exchange)
 
 
-def _find_fault(exchange: Exchange, snapshot: Snapshot) -> Refusal | None:
+def _find_refusal(exchange: Exchange, snapshot: Snapshot) -> Refusal | None:
     request = exchange.request
     if snapshot.generation == 0:
         return Refusal(
@@ -65,7 +65,7 @@
             code=RefusalCode.UNKNOWN_WORKSPACE,
             message="unknown workspace",
             field="X-Workspace",
-            value=request.workspace[:MAX_SHOWN],
+            value=request.workspace[:MAX_SHOWN_CHARS],
             retry_after_ms=UNKNOWN_RETRY_MS,
         )
     if request.pipeline not in snapshot.pipelines:
@@ -73,7 +73,7 @@
             code=RefusalCode.UNKNOWN_PIPELINE,
             message="unknown pipeline",
             field="pipeline",
-            value=request.pipeline[:MAX_SHOWN],
+            value=request.pipeline[:MAX_SHOWN_CHARS],
             retry_after_ms=UNKNOWN_RETRY_MS,
         )
     return None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
@@ -49,11 +49,11 @@
                 "request %s failed with an internal error", exchange.request.request_id
             )
             answer = _refuse(exchange, "internal error")
-        self._measure(exchange, answer)
+        self._record_metrics(exchange, answer)
         trace.finish(answer)
         return answer
 
-    def _measure(self, exchange: Exchange, answer: Answer) -> None:
+    def _record_metrics(self, exchange: Exchange, answer: Answer) -> None:
         seconds = self._clock.now() - exchange.request.received
         refusal = answer.refusal
         outcome = "answered" if refusal is None else refusal.code.value
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/quota.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/quota.py
@@ -23,7 +23,7 @@
 __all__ = ("QuotaFilter",)
 
 #: maximum characters of an invalid value that a refusal shows
-MAX_SHOWN = 64
+MAX_SHOWN_CHARS = 64
 
 
 class QuotaFilter(Filter):
@@ -65,15 +65,15 @@
         workspace = exchange.request.workspace
         tokens = _TokenCounter(exchange.on_token)
         if exchange.on_token is not None and quota.tokens_per_second is not None:
-            exchange.on_token = tokens.take
-        unused = False
+            exchange.on_token = tokens.forward
+        refundable = False
         try:
             answer = await proceed(exchange)
             verdict = exchange.verdict.raise_to(answer.verdict)
-            unused = answer.replayed or verdict is Verdict.NOT_RUN
+            refundable = answer.replayed or verdict is Verdict.NOT_RUN
             return answer
         finally:
-            if unused:
+            if refundable:
                 self._quotas.give_back(quota, workspace)
             elif tokens.count:
                 self._quotas.charge_tokens(quota, workspace, tokens.count)
@@ -86,7 +86,7 @@
         self._listener = listener
         self.count = 0
 
-    def take(self, offset: int, text: str) -> None:
+    def forward(self, offset: int, text: str) -> None:
         self.count += 1
         if self._listener is not None:
             self._listener(offset, text)
@@ -98,7 +98,7 @@
         code=RefusalCode.QUOTA,
         message="quota of the workspace exceeded",
         field="X-Workspace",
-        value=request.workspace[:MAX_SHOWN],
+        value=request.workspace[:MAX_SHOWN_CHARS],
         retry_after_ms=max(1, math.ceil(retry_after * 1000)),
     )
     return Answer(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/in_flight_requests.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/in_flight_requests.py
@@ -15,7 +15,7 @@
 
 
 class RequestAbortedError(Exception):
-    """The request was cancelled by the end of a stop."""
+    """The request was aborted by the end of a stop."""
 
 
 class InFlightRequests:
@@ -27,36 +27,36 @@
     """
 
     def __init__(self) -> None:
-        self._bounds: set[asyncio.Timeout] = set()
-        self._over = False
+        self._timeouts: set[asyncio.Timeout] = set()
+        self._closed = False
 
     def __len__(self) -> int:
-        return len(self._bounds)
+        return len(self._timeouts)
 
-    async def run(self, work: Coroutine[Any, Any, Result]) -> Result:
-        """Return the result of ``work``.
+    async def run(self, handling: Coroutine[Any, Any, Result]) -> Result:
+        """Run ``handling`` and return its result.
 
-        :raises RequestAbortedError: if it is cancelled, or starts after the cancellation
+        :raises RequestAbortedError: if it is aborted, or starts after :meth:`abort_all`
         """
-        if self._over:
-            work.close()
+        if self._closed:
+            handling.close()
             raise RequestAbortedError
-        bound = asyncio.timeout(None)
+        timeout = asyncio.timeout(None)
         try:
-            async with bound:
-                self._bounds.add(bound)
+            async with timeout:
+                self._timeouts.add(timeout)
                 try:
-                    return await work
+                    return await handling
                 finally:
-                    self._bounds.discard(bound)
+                    self._timeouts.discard(timeout)
         except TimeoutError:
-            if not bound.expired():
+            if not timeout.expired():
                 raise
             raise RequestAbortedError from None
 
     def abort_all(self) -> None:
-        """Cancel all requests in flight and reject new ones."""
-        self._over = True
+        """Abort all requests in flight and reject new ones."""
+        self._closed = True
         now = asyncio.get_running_loop().time()
-        for bound in self._bounds:
-            bound.reschedule(now)
+        for timeout in self._timeouts:
+            timeout.reschedule(now)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/listing_exchange.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/listing_exchange.py
@@ -23,7 +23,7 @@
 __all__ = ("ListingExchange",)
 
 #: timeout in seconds of the query for one page
-QUERY_TIMEOUT = 2.0
+QUERY_TIMEOUT_SECONDS = 2.0
 
 #: maximum rows of a listing that is accepted from a peer
 MAX_ROWS = 100_000
@@ -53,7 +53,7 @@
         self._random = random_source
         self._metrics = metrics
         self._get_newest = get_newest
-        self._next_question = clock.now()
+        self._next_query_at = clock.now()
         #: instance that the newest listing was fetched from; empty if none
         self.learnt_from = ""
         peers.handle(ListingQuery, self._answer_query)
@@ -64,26 +64,26 @@
         Return ``None`` if it has none, and while the rate limit defers queries after
         the last fetched listing.
         """
-        others = self._list_others()
-        if not others or self._clock.now() < self._next_question:
+        peers = self._list_peers()
+        if not peers or self._clock.now() < self._next_query_at:
             return None
-        peer = self._random.choice(others)
+        peer = self._random.choice(peers)
         newest = self._get_newest()
-        known = -1 if newest is None else newest.as_of
-        listing = await self._fetch_from(peer, known)
-        if listing is None or listing.as_of <= known:
+        known_as_of = -1 if newest is None else newest.as_of
+        listing = await self._fetch_from(peer, known_as_of)
+        if listing is None or listing.as_of <= known_as_of:
             return None
         self.learnt_from = peer
-        pause = len(listing.instances) / ROWS_PER_SECOND
-        self._next_question = self._clock.now() + pause
+        query_interval = len(listing.instances) / ROWS_PER_SECOND
+        self._next_query_at = self._clock.now() + query_interval
         return listing
 
-    async def _fetch_from(self, peer: str, known: int) -> Listing | None:
+    async def _fetch_from(self, peer: str, known_as_of: int) -> Listing | None:
         pages: list[ListingPage] = []
         count = 0
         while not pages or count < pages[0].total:
-            question = ListingQuery(known, count)
-            match await self._peers.ask(peer, question, QUERY_TIMEOUT):
+            query = ListingQuery(known_as_of, count)
+            match await self._peers.ask(peer, query, QUERY_TIMEOUT_SECONDS):
                 case Ok(ListingPage() as page) if _continues(pages, page, count):
                     pages.append(page)
                     count += len(page.rows)
@@ -110,7 +110,7 @@
             return ListingPage()
         return build_page(newest, query.offset)
 
-    def _list_others(self) -> list[str]:
+    def _list_peers(self) -> list[str]:
         own_id = self._peers.instance_id
         return [
             member.instance_id
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -34,9 +34,9 @@
 #: maximum bytes of the text of one field
 MAX_VALUE_BYTES = 200
 #: maximum bytes of the message of a ``logging`` record
-MAX_MESSAGE = 1000
+MAX_MESSAGE_BYTES = 1000
 #: maximum bytes of a traceback; its end is kept, as it names the error
-MAX_TRACEBACK = 1500
+MAX_TRACEBACK_BYTES = 1500
 #: maximum bytes of a line; a pipe that polls as writable accepts this many at once
 MAX_LINE_BYTES = 4096
 #: maximum stages per request, and attempts per stage, that are logged
@@ -87,7 +87,7 @@
         self._owned = owned
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._bridge = _Bridge()
+        self._bridge = _LoggingBridge()
         self._destination = eliot.FileDestination(file=self)
         self.written = 0
         self.dropped = 0
@@ -130,7 +130,7 @@
         return any(event & select.POLLOUT for _, event in self._poll.poll(0))
 
 
-class _Bridge(logging.Handler):
+class _LoggingBridge(logging.Handler):
     """Forwards ``logging`` records to eliot, each as one message of limited size.
 
     eliot's own handler writes tracebacks without a limit, as separate messages.
@@ -150,11 +150,11 @@
     fields = {
         "log_level": record.levelname,
         "logger": record.name,
-        "message": truncate(record.getMessage(), MAX_MESSAGE),
+        "message": truncate(record.getMessage(), MAX_MESSAGE_BYTES),
     }
     if record.exc_info and record.exc_info[0] is not None:
         text = "".join(traceback.format_exception(*record.exc_info))
-        fields["traceback"] = truncate(text[-MAX_TRACEBACK:], MAX_TRACEBACK)
+        fields["traceback"] = truncate(text[-MAX_TRACEBACK_BYTES:], MAX_TRACEBACK_BYTES)
     return fields
 
 
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
@@ -20,9 +20,9 @@
 #: maximum number of collected durations; reaching it triggers a flush
 MAX_TIMINGS = 500
 #: maximum bytes of one datagram, so that it fits into one Ethernet frame
-MAX_DATAGRAM = 1432
+MAX_DATAGRAM_BYTES = 1432
 #: characters in names that are statsd's separators or can't be sent
-_FORBIDDEN = str.maketrans(dict.fromkeys(":|@# \n", "_"))
+_UNSAFE_CHARS = str.maketrans(dict.fromkeys(":|@# \n", "_"))
 
 
 class MetricTotals:
@@ -56,8 +56,8 @@
     block. A host name would be resolved in the event loop, so the settings accept
     addresses only. One datagram per metric takes a twentieth of a request's
     processor time, so metrics are batched in datagrams, and counts of the same name
-    are summed. The first call after :data:`INTERVAL` flushes the batch; controllers
-    report gauges regularly, so such a call always comes.
+    are summed. The first call after :data:`FLUSH_SECONDS` flushes the batch;
+    controllers report gauges regularly, so such a call always comes.
 
     :param now: returns monotonic seconds
     """
@@ -67,56 +67,56 @@
         host, _, port = address.rpartition(":")
         host = host.strip("[]")
         self._client = statsd.StatsClient(
-            host, int(port), PREFIX, maxudpsize=MAX_DATAGRAM, ipv6=":" in host
+            host, int(port), PREFIX, maxudpsize=MAX_DATAGRAM_BYTES, ipv6=":" in host
         )
         self._now = now
         self._new_counts: Counter[str] = Counter()
         self._new_gauges: dict[str, float] = {}
         self._timings: list[tuple[str, float]] = []
-        self._sent = now()
+        self._flushed_at = now()
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add ``amount`` to a counter."""
         super().count(name, amount)
         self._new_counts[name] += amount
-        self._send_if_due()
+        self._flush_if_due()
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
         super().gauge(name, value)
         self._new_gauges[name] = value
-        self._send_if_due()
+        self._flush_if_due()
 
     def timing(self, name: str, seconds: float) -> None:
         """Record a duration."""
         self._timings.append((name, seconds))
-        self._send_if_due()
+        self._flush_if_due()
 
     def flush(self) -> None:
         """Send the collected metrics."""
-        self._sent = self._now()
+        self._flushed_at = self._now()
         with self._client.pipeline() as pipeline:
             for name, amount in self._new_counts.items():
-                pipeline.incr(_clean(name), amount)
+                pipeline.incr(_sanitize(name), amount)
             for name, value in self._new_gauges.items():
-                pipeline.gauge(_clean(name), value)
+                pipeline.gauge(_sanitize(name), value)
             for name, seconds in self._timings:
-                pipeline.timing(_clean(name), seconds * 1000)
+                pipeline.timing(_sanitize(name), seconds * 1000)
         self._new_counts.clear()
         self._new_gauges.clear()
         self._timings.clear()
 
-    def _send_if_due(self) -> None:
-        due = self._now() - self._sent >= FLUSH_SECONDS
+    def _flush_if_due(self) -> None:
+        due = self._now() - self._flushed_at >= FLUSH_SECONDS
         if due or len(self._timings) >= MAX_TIMINGS:
             self.flush()
 
 
-def _clean(name: str) -> str:
+def _sanitize(name: str) -> str:
     """Return ``name`` without characters that can't be sent.
 
     Metric names contain the names of operators' objects, and statsd's client raises
     on characters that are not ASCII, which would fail the request.
     """
-    text = name.translate(_FORBIDDEN)
+    text = name.translate(_UNSAFE_CHARS)
     return text if text.isascii() else text.encode("ascii", "replace").decode()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
@@ -43,20 +43,20 @@
     exchange: Exchange
     pipeline: Pipeline
     ledger: AttemptLedger = field(default_factory=AttemptLedger)
-    begun: set[str] = field(default_factory=set)
+    started_stages: set[str] = field(default_factory=set)
     results: dict[str, Any] = field(default_factory=dict)
-    seconds: dict[str, float] = field(default_factory=dict)
+    stage_seconds: dict[str, float] = field(default_factory=dict)
     #: seconds of target time of completed stages, by stage
     costs: dict[str, float] = field(default_factory=dict)
     #: total seconds of failed attempts, by stage
-    wasted: dict[str, float] = field(default_factory=dict)
+    wasted_seconds: dict[str, float] = field(default_factory=dict)
 
     def answer(self, refusal: Refusal | None) -> Answer:
         """Return the final answer; a refusal gets the verdict of the request."""
         verdict = self.exchange.verdict
         result = None
         if refusal is not None:
-            refusal = self._complete(refusal)
+            refusal = self._complete_refusal(refusal)
         else:
             result = self.results[self.pipeline.stages[-1].name]
         return Answer(
@@ -64,18 +64,18 @@
             verdict=verdict,
             result=result,
             refusal=refusal,
-            stage_seconds=self.seconds,
+            stage_seconds=self.stage_seconds,
         )
 
-    def _complete(self, refusal: Refusal) -> Refusal:
+    def _complete_refusal(self, refusal: Refusal) -> Refusal:
         verdict = self.exchange.verdict
         retry_after_ms = refusal.retry_after_ms
-        if verdict is not Verdict.NOT_RUN and not self._may_ask_again():
+        if verdict is not Verdict.NOT_RUN and not self._may_retry():
             # a caller that followed the hint would run the request a second time
             retry_after_ms = None
         return replace(refusal, verdict=verdict, retry_after_ms=retry_after_ms)
 
-    def _may_ask_again(self) -> bool:
+    def _may_retry(self) -> bool:
         request = self.exchange.request
         if request.key:
             return True
@@ -86,23 +86,23 @@
     """Runs pipelines; stages whose inputs are ready run concurrently.
 
     :param plan: derives each stage's deadline from that of the request
-    :param prioritise: returns the priority of a stage's calls
+    :param find_priority: returns the priority of a stage's calls
     """
 
     def __init__(
         self,
         *,
-        attempts: StageCaller,
+        stage_caller: StageCaller,
         clock: Clock,
         metrics: Metrics,
         plan: StagePlan = divide_by_share,
-        prioritise: Callable[[Exchange, Stage], int] | None = None,
+        find_priority: Callable[[Exchange, Stage], int] | None = None,
     ) -> None:
-        self._attempts = attempts
+        self._stage_caller = stage_caller
         self._clock = clock
         self._metrics = metrics
         self._plan = plan
-        self._prioritise = prioritise
+        self._find_priority = find_priority
 
     async def run(self, exchange: Exchange, pipeline: Pipeline) -> Answer:
         """Run all stages and return the result of the last one."""
@@ -122,21 +122,21 @@
             )
         finally:
             exchange.raise_verdict(run.ledger.verdict)
-            self._count_cost(run, useful=refusal is None)
+            self._record_cost(run, useful=refusal is None)
         return run.answer(refusal)
 
     async def _run_stages(self, run: _Run) -> Refusal | None:
         running: set[asyncio.Task[Refusal | None]] = set()
         try:
             while True:
-                ready = find_ready(run.pipeline, run.begun, run.results)
+                ready = find_ready(run.pipeline, run.started_stages, run.results)
                 if len(ready) == 1 and not running:
                     refusal = await self._run_stage(run, ready[0])
                     if refusal is not None:
                         return refusal
                     continue
                 for stage in ready:
-                    run.begun.add(stage.name)
+                    run.started_stages.add(stage.name)
                     running.add(asyncio.create_task(self._run_stage(run, stage)))
                 if not running:
                     return None
@@ -154,32 +154,32 @@
                 await asyncio.gather(*running, return_exceptions=True)
 
     async def _run_stage(self, run: _Run, stage: Stage) -> Refusal | None:
-        run.begun.add(stage.name)
+        run.started_stages.add(stage.name)
         started = self._clock.now()
-        work = self._create_work(run, stage, started)
+        execution = self._create_execution(run, stage, started)
         outcome = "given-up"
         try:
-            result = await self._attempts.make(work)
+            result = await self._stage_caller.call(execution)
             outcome = "refused" if isinstance(result, Err) else "answered"
         finally:
             seconds = self._clock.now() - started
-            run.seconds[stage.name] = seconds
-            run.wasted[stage.name] = work.wasted
+            run.stage_seconds[stage.name] = seconds
+            run.wasted_seconds[stage.name] = execution.wasted_seconds
             self._metrics.timing(f"stage.{run.pipeline.name}.{stage.name}", seconds)
-            if work.trace is not None:
-                work.trace.finish(outcome=outcome, verdict=run.ledger.verdict)
+            if execution.trace is not None:
+                execution.trace.finish(outcome=outcome, verdict=run.ledger.verdict)
         if isinstance(result, Err):
             return result.err_value
         run.results[stage.name] = result.ok_value.output
         run.costs[stage.name] = result.ok_value.cost
         return None
 
-    def _create_work(self, run: _Run, stage: Stage, now: float) -> StageExecution:
+    def _create_execution(self, run: _Run, stage: Stage, now: float) -> StageExecution:
         request = run.exchange.request
         last = run.pipeline.stages[-1] is stage
         priority = 0
-        if self._prioritise is not None:
-            priority = self._prioritise(run.exchange, stage)
+        if self._find_priority is not None:
+            priority = self._find_priority(run.exchange, stage)
         return StageExecution(
             request=request,
             stage=stage,
@@ -191,13 +191,13 @@
             trace=_start_trace(run.exchange, stage),
         )
 
-    def _count_cost(self, run: _Run, *, useful: bool) -> None:
+    def _record_cost(self, run: _Run, *, useful: bool) -> None:
         pipeline = run.pipeline.name
         kind = "useful" if useful else "wasted"
         for name, cost in run.costs.items():
             amount = round(cost * 1000)
             self._metrics.count(f"cost.{pipeline}.{name}.{kind}_ms", amount)
-        for name, cost in run.wasted.items():
+        for name, cost in run.wasted_seconds.items():
             amount = round(cost * 1000)
             if amount > 0:
                 self._metrics.count(f"cost.{pipeline}.{name}.wasted_ms", amount)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/placement_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/placement_groups.py
@@ -25,7 +25,7 @@
 
 __all__ = ("PlacementGroup", "PlacementGroups")
 
-DEMAND_RULE = OverflowRule()
+OVERFLOW_RULE = OverflowRule()
 
 
 @dataclass(slots=True)
@@ -88,10 +88,12 @@
             return
         listed = self._targets.list_targets()
         self._assign_targets(target for target, _ in listed)
-        aside = frozenset(target.target_id for target, aside in listed if aside)
+        ejected = frozenset(
+            target.target_id for target, is_ejected in listed if is_ejected
+        )
         for service in placements:
             group = groups[f"{self._data_centre}/{service}"]
-            group.placed = self._decide_placed(now, group, aside)
+            group.placed = self._decide_placed(now, group, ejected)
 
     def _assign_targets(self, targets: Iterable[Target]) -> None:
         by_service: dict[str, dict[str, Target]] = {}
@@ -103,15 +105,15 @@
             group.targets = by_service.get(group.service, {})
 
     def _decide_placed(
-        self, now: float, group: PlacementGroup, aside: frozenset[str]
+        self, now: float, group: PlacementGroup, ejected: frozenset[str]
     ) -> bool:
         if is_preferred(group.placement, self._data_centre):
             return True
         reachable = [
             candidate
             for candidate in self._targets.candidates(group.service)
-            if candidate.target.target_id not in aside
+            if candidate.target.target_id not in ejected
         ]
         load = measure_load(group.placement, reachable)
-        group.overflow = group.overflow.update(now, load, DEMAND_RULE)
+        group.overflow = group.overflow.update(now, load, OVERFLOW_RULE)
         return group.overflow.overflowing
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/stage_caller.py
@@ -56,8 +56,8 @@
         random_source: random.Random,
         metrics: Metrics,
         durations: DurationTracker | None = None,
-        rules: RetryRules | None = None,
-        patience: HedgeRule | None = None,
+        retry_rules: RetryRules | None = None,
+        hedge_rule: HedgeRule | None = None,
     ) -> None:
         self._dispatcher = dispatcher
         self._directory = directory
@@ -72,22 +72,22 @@
         self._clock = clock
         self._metrics = metrics
         self._durations = durations
-        self._rules = rules or RetryRules()
-        self._patience = patience or HedgeRule()
+        self._retry_rules = retry_rules or RetryRules()
+        self._hedge_rule = hedge_rule or HedgeRule()
 
-    async def make(self, work: StageExecution) -> Result[StageAnswer, Refusal]:
+    async def call(self, execution: StageExecution) -> Result[StageAnswer, Refusal]:
         """Call a stage; return its answer, or the refusal of the whole request."""
         while True:
-            acquired = await self._acquire(work)
+            acquired = await self._acquire(execution)
             if isinstance(acquired, Err):
                 return acquired
             try:
-                result = await self._try_once(work, acquired.ok_value)
+                result = await self._make_attempt(execution, acquired.ok_value)
             except StreamMismatchError as error:
-                return Err(_refuse(work, RefusalCode.STAGE_FAILED, str(error)))
+                return Err(_refuse(execution, RefusalCode.STAGE_FAILED, str(error)))
             if isinstance(result, Ok):
                 return result
-            refusal = self._consider(work, result.err_value)
+            refusal = self._handle_failure(execution, result.err_value)
             if refusal is not None:
                 return Err(refusal)
 
@@ -95,52 +95,56 @@
         """Wait for the pending cancellations at targets."""
         await self._sender.close()
 
-    async def _try_once(self, work: StageExecution, grant: Grant) -> CallResult:
-        work.excluded |= {grant.target.target_id}
-        if not work.repeatable:
-            return await self._sender.send(work, grant)
-        patience = self._choose_patience(work)
-        if work.streamed or patience is None:
+    async def _make_attempt(
+        self, execution: StageExecution, grant: Grant
+    ) -> CallResult:
+        execution.excluded |= {grant.target.target_id}
+        if not execution.repeatable:
+            return await self._sender.send(execution, grant)
+        hedge_delay = self._choose_hedge_delay(execution)
+        if execution.streamed or hedge_delay is None:
             # streams are not hedged: the outputs of two attempts may differ
-            return await self._sender.send(work, grant, patience)
+            return await self._sender.send(execution, grant, hedge_delay)
         return await call_with_hedge(
-            lambda: self._sender.send(work, grant),
-            lambda: self._send_backup(work, grant),
-            patience,
+            lambda: self._sender.send(execution, grant),
+            lambda: self._send_backup(execution, grant),
+            hedge_delay,
         )
 
     async def _send_backup(
-        self, work: StageExecution, late: Grant
+        self, execution: StageExecution, late_grant: Grant
     ) -> CallResult | None:
         self._metrics.count("attempts.late")
-        work.late |= {late.target.target_id}
-        work.charged = True
-        acquired = await self._acquire(work)
+        execution.hedged_targets |= {late_grant.target.target_id}
+        execution.uses_retry_budget = True
+        acquired = await self._acquire(execution)
         if isinstance(acquired, Err):
             return None
         grant = acquired.ok_value
-        work.excluded |= {grant.target.target_id}
-        return await self._sender.send(work, grant)
+        execution.excluded |= {grant.target.target_id}
+        return await self._sender.send(execution, grant)
 
-    def _choose_patience(self, work: StageExecution) -> float | None:
+    def _choose_hedge_delay(self, execution: StageExecution) -> float | None:
         now = self._clock.now()
         median = late = 0.0
         if self._durations is not None:
-            kind = (work.request.pipeline, work.stage.name)
+            kind = (execution.request.pipeline, execution.stage.name)
             median = self._durations.estimate(kind, 50, now, 0.0)
             late = self._durations.estimate(kind, LATE_PERCENTILE, now, 0.0)
         return choose_hedge_delay(
-            self._patience,
+            self._hedge_rule,
             median=median,
             late=late,
-            remaining=work.stage_deadline - now,
+            remaining=execution.stage_deadline - now,
         )
 
-    async def _acquire(self, work: StageExecution) -> Result[Grant, Refusal]:
-        unfit: frozenset[str] = frozenset()
+    async def _acquire(self, execution: StageExecution) -> Result[Grant, Refusal]:
+        unavailable: frozenset[str] = frozenset()
         while True:
-            self._reconsider(work, unfit)
-            result = await self._dispatcher.acquire(_create_ticket(work, unfit))
+            self._readmit_targets(execution, unavailable)
+            result = await self._dispatcher.acquire(
+                _create_ticket(execution, unavailable)
+            )
             if isinstance(result, Err):
                 return result
             grant = result.ok_value
@@ -148,38 +152,42 @@
                 return result
             # the target began to leave after it was selected; nothing was sent
             self._metrics.count("attempts.moved")
-            unfit |= {grant.target.target_id}
+            unavailable |= {grant.target.target_id}
             self._dispatcher.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
 
-    def _reconsider(self, work: StageExecution, unfit: frozenset[str]) -> None:
+    def _readmit_targets(
+        self, execution: StageExecution, unavailable: frozenset[str]
+    ) -> None:
         """Allow all targets again once each of them has been tried.
 
         A service with one replica would otherwise fail on one broken connection.
         """
-        if not work.excluded:
+        if not execution.excluded:
             return
-        for candidate in self._directory.candidates(work.stage.service):
+        for candidate in self._directory.candidates(execution.stage.service):
             target_id = candidate.target.target_id
-            if target_id not in work.excluded and target_id not in unfit:
+            if target_id not in execution.excluded and target_id not in unavailable:
                 return
-        work.excluded = frozenset()
+        execution.excluded = frozenset()
 
-    def _consider(self, work: StageExecution, failure: CallFailure) -> Refusal | None:
+    def _handle_failure(
+        self, execution: StageExecution, failure: CallFailure
+    ) -> Refusal | None:
         reason = decide_retry(
-            self._rules,
+            self._retry_rules,
             failure,
-            repeatable=work.repeatable,
-            attempts=work.attempts,
-            remaining=work.request.deadline - self._clock.now(),
+            repeatable=execution.repeatable,
+            attempts=execution.attempts,
+            remaining=execution.request.deadline - self._clock.now(),
         )
         if reason is None:
             self._metrics.count("attempts.repeated")
             # a call that did not connect adds no load; if it counted against the retry
             # budget, calls to one dead replica would exhaust it for all others
-            work.charged = failure.kind is not FailureKind.CONNECT
+            execution.uses_retry_budget = failure.kind is not FailureKind.CONNECT
             if failure.kind is FailureKind.CANNOT_RESUME:
-                work.resume = False
-                work.excluded = frozenset()
+                execution.resume = False
+                execution.excluded = frozenset()
             return None
         self._metrics.count(f"attempts.given_up.{reason.value}")
         code = RefusalCode.STAGE_FAILED
@@ -187,11 +195,11 @@
             code = RefusalCode.DEADLINE
         elif failure.kind is FailureKind.TARGET_REFUSED:
             code = RefusalCode.OVERLOADED
-        return _refuse(work, code, failure.message, failure.retry_after_ms)
+        return _refuse(execution, code, failure.message, failure.retry_after_ms)
 
 
-def _create_ticket(work: StageExecution, unfit: frozenset[str]) -> Ticket:
-    request, stage = work.request, work.stage
+def _create_ticket(execution: StageExecution, unavailable: frozenset[str]) -> Ticket:
+    request, stage = execution.request, execution.stage
     return Ticket(
         request_id=request.request_id,
         workspace=request.workspace,
@@ -200,12 +208,12 @@
         service=stage.service,
         kind=stage.kind,
         deadline=request.deadline,
-        stage_deadline=work.stage_deadline,
-        priority=work.priority,
-        repeatable=work.repeatable,
-        prefix=_find_prefix(stage.kind, work.input),
-        excluded=work.excluded | unfit,
-        retry=work.charged,
+        stage_deadline=execution.stage_deadline,
+        priority=execution.priority,
+        repeatable=execution.repeatable,
+        prefix=_find_prefix(stage.kind, execution.input),
+        excluded=execution.excluded | unavailable,
+        retry=execution.uses_retry_budget,
     )
 
 
@@ -217,23 +225,23 @@
         return value[:PREFIX_LENGTH]
     if not isinstance(value, dict):
         return ""
-    for holder in (value, *value.values()):
-        if isinstance(holder, dict) and isinstance(holder.get(PREFIX_FIELD), str):
-            return holder[PREFIX_FIELD][:PREFIX_LENGTH]
+    for fields in (value, *value.values()):
+        if isinstance(fields, dict) and isinstance(fields.get(PREFIX_FIELD), str):
+            return fields[PREFIX_FIELD][:PREFIX_LENGTH]
     return ""
 
 
 def _refuse(
-    work: StageExecution,
+    execution: StageExecution,
     code: RefusalCode,
     message: str,
     retry_after_ms: int | None = None,
 ) -> Refusal:
     return Refusal(
         code=code,
-        message=f"stage {work.stage.name}: {message}",
-        verdict=work.ledger.verdict,
+        message=f"stage {execution.stage.name}: {message}",
+        verdict=execution.ledger.verdict,
         field="stage",
-        value=work.stage.name,
+        value=execution.stage.name,
         retry_after_ms=retry_after_ms or FAILURE_RETRY_MS,
     )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/status.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/status.py
@@ -20,7 +20,7 @@
 
 LIVE = "live"
 LEAVING = "leaving"
-SET_ASIDE = "set-aside"
+EJECTED = "set-aside"
 
 
 class StatusView:
@@ -65,8 +65,8 @@
             )
 
     def _describe_targets(self) -> Iterator[TargetStatus]:
-        for target, set_aside in self._targets.list_targets():
-            yield _describe_target(target, SET_ASIDE if set_aside else LIVE)
+        for target, is_ejected in self._targets.list_targets():
+            yield _describe_target(target, EJECTED if is_ejected else LIVE)
         for target in self._targets.list_leaving_targets():
             yield _describe_target(target, LEAVING)
 
--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -17,7 +17,7 @@
 from greengagelatch_entry.metrics import Metrics
 
 #: timeout of every wait in these tests, in seconds
-PATIENCE = 10
+TIMEOUT = 10
 
 
 class Part(Controller):
@@ -68,7 +68,7 @@
         events=EventBus(),
         metrics=Metrics("127.0.0.1:9"),
         balancer_lag=0.0,
-        longest=PATIENCE,
+        longest=TIMEOUT,
         close_listener=do_nothing,
         wait_idle=find_nothing,
         break_off=lambda: None,
@@ -88,7 +88,7 @@
     steps: list[str] = []
     application, drain = create_application(Part("a", steps), Part("b", steps))
     drain.start_drain()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FINISHED
     assert steps == ["start a", "start b", "stop b", "stop a"]
 
@@ -100,7 +100,7 @@
     to run, unless the end of a task stops the process.
     """
     application, _ = create_application(FailingPart("a", []))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FAILED
 
 
@@ -121,7 +121,7 @@
     """
     steps: list[str] = []
     application, _ = create_application(SignalledPart("a", steps), Part("b", steps))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FINISHED
     assert steps == ["start a", "start b", "stop b", "stop a"]
 
@@ -129,6 +129,6 @@
 async def test_taken_address_ends_the_start_and_stops_what_runs():
     steps: list[str] = []
     application, _ = create_application(Part("a", steps), UnboundPart("b", steps))
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.STARTUP_FAILED
     assert steps == ["start a", "stop a"]
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -16,7 +16,7 @@
 from greengagelatch_lab.waiting import wait_until
 
 #: timeout of every wait in these tests, in seconds
-PATIENCE = 10
+TIMEOUT = 10
 
 
 class Listener:
@@ -36,7 +36,7 @@
 
     async def wait_idle(self, seconds: float) -> bool:
         self.steps.append("waiting")
-        await asyncio.wait_for(self.idle.wait(), PATIENCE)
+        await asyncio.wait_for(self.idle.wait(), TIMEOUT)
         return self.finished
 
 
@@ -47,7 +47,7 @@
         events=EventBus(),
         metrics=Metrics("127.0.0.1:9"),
         balancer_lag=lag,
-        longest=PATIENCE,
+        longest=TIMEOUT,
         close_listener=listener.close,
         wait_idle=listener.wait_idle,
         break_off=listener.break_off,
@@ -84,7 +84,7 @@
     await wait_until(lambda: listener.steps == ["closed", "waiting"])
     assert not stop.done()
     listener.idle.set()
-    assert await asyncio.wait_for(stop, PATIENCE)
+    assert await asyncio.wait_for(stop, TIMEOUT)
     assert drain.state is DrainState.STOPPED
 
 
@@ -94,7 +94,7 @@
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
     drain.request_stop()
-    assert await asyncio.wait_for(stop, PATIENCE) is False
+    assert await asyncio.wait_for(stop, TIMEOUT) is False
 
 
 async def test_drain_by_an_operator_is_idempotent():
@@ -111,7 +111,7 @@
     drain.start_drain()
     drain.start_drain()
     listener.idle.set()
-    assert await asyncio.wait_for(stop, PATIENCE)
+    assert await asyncio.wait_for(stop, TIMEOUT)
     assert heard == [True]
 
 
@@ -127,7 +127,7 @@
     drain = create_drain(listener)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
-    assert await asyncio.wait_for(stop, PATIENCE) is False
+    assert await asyncio.wait_for(stop, TIMEOUT) is False
     assert listener.steps == ["closed", "waiting", "broken off", "waiting"]
 
 
@@ -147,7 +147,7 @@
     drain._close_listener = fail
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
-    assert await asyncio.wait_for(stop, PATIENCE) is False
+    assert await asyncio.wait_for(stop, TIMEOUT) is False
     assert listener.steps == ["broken off", "waiting"]
     assert "no such descriptor" in caplog.text
 
@@ -156,4 +156,4 @@
     drain = create_drain(Listener(), lag=2.0)
     assert drain.ends_at == math.inf
     drain.request_stop()
-    assert drain.ends_at == drain.started_at + 2.0 + PATIENCE
+    assert drain.ends_at == drain.started_at + 2.0 + TIMEOUT
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -30,7 +30,7 @@
 )
 
 
-class NotedAdmission(Admission):
+class RecordingAdmission(Admission):
     def __init__(self, refusal) -> None:
         self.refusal = refusal
         self.arrivals = []
@@ -40,7 +40,7 @@
         return self.refusal
 
 
-async def ask(admission):
+async def apply_filter(admission):
     """Return the answer to one request, and the pipelines that were run."""
     run = []
 
@@ -56,11 +56,11 @@
         received=0.0,
         deadline=1005.0,
     )
-    notes = {SNAPSHOT_KEY: SNAPSHOT, PIPELINE_KEY: SNAPSHOT.pipelines["draft"]}
+    context = {SNAPSHOT_KEY: SNAPSHOT, PIPELINE_KEY: SNAPSHOT.pipelines["draft"]}
     step = FeasibilityFilter(
         admission=admission, clock=ManualClock(), metrics=Metrics("127.0.0.1:9")
     )
-    return await step.apply(Exchange(request=request, context=notes), proceed), run
+    return await step.apply(Exchange(request=request, context=context), proceed), run
 
 
 async def test_request_that_can_not_be_answered_in_time_runs_nothing():
@@ -69,15 +69,15 @@
     This would happen if admission control ran concurrently with the pipeline.
     """
     refusal = Refusal(code=RefusalCode.OVERLOADED, message="full", retry_after_ms=1500)
-    answer, run = await ask(NotedAdmission(refusal))
+    answer, run = await apply_filter(RecordingAdmission(refusal))
     assert run == []
     assert answer.verdict is Verdict.NOT_RUN
     assert answer.refusal == refusal
 
 
 async def test_admission_is_told_what_the_policies_say():
-    admission = NotedAdmission(None)
-    answer, run = await ask(admission)
+    admission = RecordingAdmission(None)
+    answer, run = await apply_filter(admission)
     assert run == ["draft"]
     assert answer.refusal is None
     (arrival,) = admission.arrivals
--- a/tests/test_entry/test_filters/test_quota.py
+++ b/tests/test_entry/test_filters/test_quota.py
@@ -89,7 +89,7 @@
         )
         self._handler = chain(filters, self._run)
 
-    async def ask(self, key="", *, first=False, stream=False) -> Answer:
+    async def send(self, key="", *, first=False, stream=False) -> Answer:
         now = self.clock.now()
         request = Request(
             request_id=f"request-{random.random()}",
@@ -122,9 +122,9 @@
 @pytest.mark.parametrize(("key", "first"), [("", False), ("one", True), ("one", False)])
 async def test_refusal_runs_nothing_and_tells_when_to_ask_again(key, first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
-    await entry.ask()
+    await entry.send()
     writes = entry.store.writes
-    refused = await entry.ask(key, first=first)
+    refused = await entry.send(key, first=first)
     assert refused.verdict is Verdict.NOT_RUN
     assert refused.refusal.verdict is Verdict.NOT_RUN
     assert refused.refusal.code is RefusalCode.QUOTA
@@ -134,7 +134,7 @@
     assert (entry.store.writes > writes) == bool(key and not first)
     # the refusal released the claim of the key, if any
     entry.clock.advance(0.5)
-    answer = await entry.ask(key, first=first)
+    answer = await entry.send(key, first=first)
     assert answer.verdict is Verdict.RAN
     assert not answer.replayed
     assert len(entry.ran) == 2
@@ -143,8 +143,8 @@
 @pytest.mark.parametrize("first", [False, True])
 async def test_repeat_gets_its_answer_although_the_quota_is_used_up(first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
-    await entry.ask("one", first=first)
-    repeat = await entry.ask("one")
+    await entry.send("one", first=first)
+    repeat = await entry.send("one")
     assert repeat.replayed
     assert repeat.result == 1
 
@@ -153,22 +153,22 @@
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
     entry.verdict = Verdict.NOT_RUN
     for _ in range(5):
-        assert (await entry.ask()).refusal is None
+        assert (await entry.send()).refusal is None
     entry.verdict = Verdict.MAY_HAVE_RUN
-    await entry.ask()
-    assert (await entry.ask()).refusal.code is RefusalCode.QUOTA
+    await entry.send()
+    assert (await entry.send()).refusal.code is RefusalCode.QUOTA
     assert entry.metrics.value("quotas.given_back") == 5
     assert entry.metrics.value("quotas.refused") == 1
 
 
 async def test_streamed_tokens_are_charged_after_the_answer():
     entry = Entry(tokens_per_second="4", burst_seconds="1")
-    assert (await entry.ask(stream=True)).refusal is None
-    refused = await entry.ask(stream=True)
+    assert (await entry.send(stream=True)).refusal is None
+    refused = await entry.send(stream=True)
     # 6 tokens beyond the burst of 4, and 1 for the next request, at 4 per second
     assert refused.refusal.retry_after_ms == 1750
     entry.clock.advance(1.75)
-    assert (await entry.ask()).refusal is None
+    assert (await entry.send()).refusal is None
     assert entry.quotas.dump()["uses"]["small/depot"]["share"] == 1.0
 
 
--- a/tests/test_entry/test_filters/test_stop.py
+++ b/tests/test_entry/test_filters/test_stop.py
@@ -35,7 +35,7 @@
     return chain((StopFilter(in_flight=in_flight),), wait_forever)
 
 
-async def break_off(verdict: Verdict) -> Answer:
+async def abort_request(verdict: Verdict) -> Answer:
     in_flight, started = InFlightRequests(), asyncio.Event()
     handler = create_handler(in_flight, verdict, started)
     answering = asyncio.create_task(handler(Exchange(request=REQUEST)))
@@ -52,14 +52,14 @@
     The time of the stop is over while a request waits for a stage. If the process
     just exited, its caller would not know that nothing has run.
     """
-    answer = await break_off(Verdict.NOT_RUN)
+    answer = await abort_request(Verdict.NOT_RUN)
     assert answer.refusal.code is RefusalCode.NOT_READY
     assert answer.refusal.verdict is Verdict.NOT_RUN
     assert answer.refusal.retry_after_ms == 0
 
 
 async def test_request_that_may_have_run_is_not_called_not_run():
-    answer = await break_off(Verdict.MAY_HAVE_RUN)
+    answer = await abort_request(Verdict.MAY_HAVE_RUN)
     assert answer.verdict is Verdict.MAY_HAVE_RUN
     assert answer.refusal.verdict is Verdict.MAY_HAVE_RUN
 
--- a/tests/test_entry/test_filters/test_traffic_split.py
+++ b/tests/test_entry/test_filters/test_traffic_split.py
@@ -40,7 +40,7 @@
     )
 
 
-async def steer(snapshot, number=0):
+async def apply_filter(snapshot, number=0):
     """Return the exchange of one request after the filter was applied."""
     request = Request(
         request_id=f"request-{number}",
@@ -63,7 +63,7 @@
     snapshot = create_snapshot(to_pipelines="draft=3, draft-next=1")
     counts = Counter()
     for number in range(REQUESTS):
-        exchange = await steer(snapshot, number)
+        exchange = await apply_filter(snapshot, number)
         assert exchange.context[PIPELINE_KEY].name == exchange.request.pipeline
         counts[exchange.request.pipeline] += 1
     assert counts["draft"] + counts["draft-next"] == REQUESTS
@@ -74,7 +74,7 @@
     snapshot = create_snapshot(to_services="llm=1, llm-next=1")
     counts = Counter()
     for number in range(REQUESTS):
-        (stage,) = (await steer(snapshot, number)).context[PIPELINE_KEY].stages
+        (stage,) = (await apply_filter(snapshot, number)).context[PIPELINE_KEY].stages
         counts[stage.service] += 1
     assert set(counts) == {"llm", "llm-next"}
     assert min(counts.values()) > REQUESTS / 3
@@ -87,6 +87,6 @@
     Requests of that share must run as if there were no split.
     """
     for values in ({"to_pipelines": "gone=1"}, {"to_services": "desk=1"}):
-        pipeline = (await steer(create_snapshot(**values))).context[PIPELINE_KEY]
+        pipeline = (await apply_filter(create_snapshot(**values))).context[PIPELINE_KEY]
         assert pipeline.name == "draft"
         assert pipeline.stages[0].service == "llm"
--- a/tests/test_entry/test_hedged_call.py
+++ b/tests/test_entry/test_hedged_call.py
@@ -11,7 +11,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.hedged_call import call_with_hedge
 
-PATIENCE = 0.02
+HEDGE_DELAY = 0.02
 
 
 def answer(output):
@@ -51,15 +51,17 @@
     backup call must be cancelled.
     """
     first, backup = Call(answer("first"), open_at_once=True), Call(answer("backup"))
-    assert (await call_with_hedge(first, backup, PATIENCE)).ok_value.output == "first"
-    await asyncio.sleep(3 * PATIENCE)
+    assert (
+        await call_with_hedge(first, backup, HEDGE_DELAY)
+    ).ok_value.output == "first"
+    await asyncio.sleep(3 * HEDGE_DELAY)
     assert not backup.started.is_set()
 
 
 async def test_failure_waits_for_the_backup_under_way():
     """Guards against a failed request whose backup call would have been answered."""
     first, backup = Call(fail("first")), Call(answer("backup"))
-    task = asyncio.create_task(call_with_hedge(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     first.gate.set()
     await asyncio.sleep(0)
@@ -71,7 +73,7 @@
 async def test_failed_backup_leaves_the_first_call_alone(backup_result):
     """Guards against a first call that is abandoned as its backup call failed."""
     first, backup = Call(answer("first")), Call(backup_result, open_at_once=True)
-    task = asyncio.create_task(call_with_hedge(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     await asyncio.sleep(0)
     assert not first.cancelled
@@ -81,7 +83,7 @@
 
 async def test_first_answer_stops_the_backup():
     first, backup = Call(answer("first")), Call(answer("backup"))
-    task = asyncio.create_task(call_with_hedge(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     first.gate.set()
     assert (await task).ok_value.output == "first"
@@ -90,7 +92,7 @@
 
 async def test_cancelled_race_leaves_nothing_running():
     first, backup = Call(answer("first")), Call(answer("backup"))
-    task = asyncio.create_task(call_with_hedge(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
@@ -101,7 +103,7 @@
 
 async def test_both_failures_are_one():
     first, backup = Call(fail("first")), Call(fail("backup"), open_at_once=True)
-    task = asyncio.create_task(call_with_hedge(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     first.gate.set()
     assert (await task).err_value.kind is FailureKind.DISCONNECTED
--- a/tests/test_entry/test_pipeline_runner.py
+++ b/tests/test_entry/test_pipeline_runner.py
@@ -44,7 +44,7 @@
         self.dispatcher = CountingDispatcher(naive, before_grant)
         self.client = ScriptedClient(script)
         self.metrics = Metrics("127.0.0.1:9")
-        self.attempts = StageCaller(
+        self.stage_caller = StageCaller(
             dispatcher=self.dispatcher,
             directory=self.directory,
             client=self.client,
@@ -53,7 +53,7 @@
             metrics=self.metrics,
         )
         self.runner = PipelineRunner(
-            attempts=self.attempts, clock=self.clock, metrics=self.metrics
+            stage_caller=self.stage_caller, clock=self.clock, metrics=self.metrics
         )
         self.given = []
 
@@ -77,7 +77,7 @@
     async def run(self, pipeline, **fields):
         exchange = self.create_exchange(**fields)
         answer = await self.runner.run(exchange, pipeline)
-        await self.attempts.close()
+        await self.stage_caller.close()
         assert not self.dispatcher.find_leaks()
         assert answer.verdict is exchange.verdict
         if answer.refusal is not None:
@@ -268,7 +268,7 @@
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
-    await bench.attempts.close()
+    await bench.stage_caller.close()
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
     assert not bench.dispatcher.find_leaks()
     assert bench.client.cancelled == [bench.client.calls[0][1].attempt_id]
