--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -20,7 +20,7 @@
 TIMEOUT = 10
 
 
-class Part(Controller):
+class RecordingController(Controller):
     """A controller that records its start and stop."""
 
     def __init__(self, name: str, steps: list[str]) -> None:
@@ -39,7 +39,7 @@
         return {}
 
 
-class FailingPart(Part):
+class FailingController(RecordingController):
     """A controller whose background task raises."""
 
     @Service.task
@@ -47,7 +47,7 @@
         raise RuntimeError("out of order")
 
 
-class UnboundPart(Part):
+class AddressInUseController(RecordingController):
     """A controller whose address is in use."""
 
     async def on_start(self) -> None:
@@ -58,11 +58,13 @@
     pass
 
 
-async def find_nothing(seconds: float) -> bool:
+async def report_idle(seconds: float) -> bool:
     return True
 
 
-def create_application(*parts: Part) -> tuple[Application, DrainController]:
+def create_application(
+    *parts: RecordingController,
+) -> tuple[Application, DrainController]:
     drain = DrainController(
         clock=ManualClock(),
         events=EventBus(),
@@ -70,10 +72,10 @@
         balancer_lag=0.0,
         longest=TIMEOUT,
         close_listener=do_nothing,
-        wait_idle=find_nothing,
+        wait_idle=report_idle,
         break_off=lambda: None,
     )
-    wired = SimpleNamespace(
+    composed = SimpleNamespace(
         controllers=(*parts, drain),
         drain=drain,
         close=do_nothing,
@@ -81,30 +83,32 @@
         signals={signal.SIGWINCH: drain.start_drain},
         list_addresses=dict,
     )
-    return Application(wired), drain
+    return Application(composed), drain
 
 
-async def test_parts_stop_in_the_reverse_order_of_their_start():
+async def test_controllers_stop_in_the_reverse_order_of_their_start():
     steps: list[str] = []
-    application, drain = create_application(Part("a", steps), Part("b", steps))
+    application, drain = create_application(
+        RecordingController("a", steps), RecordingController("b", steps)
+    )
     drain.start_drain()
     async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FINISHED
     assert steps == ["start a", "start b", "stop b", "stop a"]
 
 
-async def test_failed_background_task_ends_the_process():
+async def test_failed_background_task_stops_the_process():
     """Guards against an instance that serves with an outdated configuration.
 
     The task that receives configuration changes raises, and everything else continues
     to run, unless the end of a task stops the process.
     """
-    application, _ = create_application(FailingPart("a", []))
+    application, _ = create_application(FailingController("a", []))
     async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FAILED
 
 
-class SignalledPart(Part):
+class SignallingController(RecordingController):
     """A controller that sends a signal to the process while it starts."""
 
     async def on_start(self) -> None:
@@ -113,22 +117,26 @@
         await asyncio.sleep(0)
 
 
-async def test_signal_during_the_start_is_not_missed():
+async def test_signal_during_startup_is_handled():
     """Guards against a process that is killed by a stop signal during start-up.
 
     The signal arrives when one controller already serves and others still start. It
     would kill the process if handlers were installed only after all have started.
     """
     steps: list[str] = []
-    application, _ = create_application(SignalledPart("a", steps), Part("b", steps))
+    application, _ = create_application(
+        SignallingController("a", steps), RecordingController("b", steps)
+    )
     async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FINISHED
     assert steps == ["start a", "start b", "stop b", "stop a"]
 
 
-async def test_taken_address_ends_the_start_and_stops_what_runs():
+async def test_address_in_use_aborts_startup_and_stops_started_controllers():
     steps: list[str] = []
-    application, _ = create_application(Part("a", steps), UnboundPart("b", steps))
+    application, _ = create_application(
+        RecordingController("a", steps), AddressInUseController("b", steps)
+    )
     async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.STARTUP_FAILED
     assert steps == ["start a", "stop a"]
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -19,7 +19,7 @@
 TIMEOUT = 10
 
 
-class Listener:
+class FakeListener:
     """A fake of the callers' server that records the order of calls."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         return self.finished
 
 
-def create_drain(listener: Listener, lag: float = 0.0) -> DrainController:
+def create_drain(listener: FakeListener, lag: float = 0.0) -> DrainController:
     """Return a drain controller of ``listener``."""
     return DrainController(
         clock=ManualClock(),
@@ -60,7 +60,7 @@
     The load balancer, which polls readiness, still sends new connections for a while
     after the stop was requested. The listener must not be closed before.
     """
-    listener = Listener()
+    listener = FakeListener()
     drain = create_drain(listener, lag=3600)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
@@ -72,12 +72,12 @@
     await asyncio.gather(stop, return_exceptions=True)
 
 
-async def test_requests_in_flight_are_finished():
+async def test_requests_in_flight_are_completed():
     """Guards against streams without an end event whenever an instance stops.
 
     The stop begins during a stream; the process must not exit before it is complete.
     """
-    listener = Listener()
+    listener = FakeListener()
     drain = create_drain(listener)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
@@ -88,8 +88,8 @@
     assert drain.state is DrainState.STOPPED
 
 
-async def test_second_request_ends_at_once():
-    listener = Listener()
+async def test_second_stop_request_stops_at_once():
+    listener = FakeListener()
     drain = create_drain(listener, lag=3600)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
@@ -103,25 +103,25 @@
     An operator repeats the command as its answer was lost. Unlike a second signal,
     which stops at once, the repeat must have no effect.
     """
-    listener = Listener()
+    listener = FakeListener()
     drain = create_drain(listener)
-    heard = []
-    drain._events.connect(DRAIN_STARTED, lambda: heard.append(True))
+    drain_events = []
+    drain._events.connect(DRAIN_STARTED, lambda: drain_events.append(True))
     stop = asyncio.create_task(drain.wait())
     drain.start_drain()
     drain.start_drain()
     listener.idle.set()
     assert await asyncio.wait_for(stop, TIMEOUT)
-    assert heard == [True]
+    assert drain_events == [True]
 
 
-async def test_what_is_not_finished_in_time_is_broken_off():
+async def test_requests_not_completed_in_time_are_aborted():
     """Guards against connections closed without an answer at the end of a stop.
 
     The time for requests in flight is over. They must be cancelled and get their
     final answers before the process exits.
     """
-    listener = Listener()
+    listener = FakeListener()
     listener.idle.set()
     listener.finished = False
     drain = create_drain(listener)
@@ -131,13 +131,13 @@
     assert listener.steps == ["closed", "waiting", "broken off", "waiting"]
 
 
-async def test_step_that_fails_is_told_and_breaks_off(caplog):
+async def test_failed_step_is_logged_and_requests_are_aborted(caplog):
     """Guards against a stop that skips its later steps after an error.
 
     Closing the listener fails. The error must be logged, and the requests in flight
     must still get their answers.
     """
-    listener = Listener()
+    listener = FakeListener()
     listener.idle.set()
     drain = create_drain(listener)
 
@@ -152,8 +152,8 @@
     assert "no such descriptor" in caplog.text
 
 
-def test_end_of_a_stop_is_known_once_it_is_requested():
-    drain = create_drain(Listener(), lag=2.0)
+def test_drain_deadline_is_known_once_a_stop_is_requested():
+    drain = create_drain(FakeListener(), lag=2.0)
     assert drain.ends_at == math.inf
     drain.request_stop()
     assert drain.ends_at == drain.started_at + 2.0 + TIMEOUT
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -63,7 +63,7 @@
     return await step.apply(Exchange(request=request, context=context), proceed), run
 
 
-async def test_request_that_can_not_be_answered_in_time_runs_nothing():
+async def test_infeasible_request_does_not_run():
     """Guards against a refused request that runs in part but is answered "not run".
 
     This would happen if admission control ran concurrently with the pipeline.
@@ -75,7 +75,7 @@
     assert answer.refusal == refusal
 
 
-async def test_admission_is_told_what_the_policies_say():
+async def test_admission_control_receives_the_values_of_the_policies():
     admission = RecordingAdmission(None)
     answer, run = await apply_filter(admission)
     assert run == ["draft"]
--- a/tests/test_entry/test_filters/test_quota.py
+++ b/tests/test_entry/test_filters/test_quota.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(("key", "first"), [("", False), ("one", True), ("one", False)])
-async def test_refusal_runs_nothing_and_tells_when_to_ask_again(key, first):
+async def test_refused_request_does_not_run_and_gets_a_retry_delay(key, first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
     await entry.send()
     writes = entry.store.writes
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("first", [False, True])
-async def test_repeat_gets_its_answer_although_the_quota_is_used_up(first):
+async def test_retry_gets_the_recorded_answer_when_the_quota_is_exhausted(first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
     await entry.send("one", first=first)
     repeat = await entry.send("one")
@@ -149,7 +149,7 @@
     assert repeat.result == 1
 
 
-async def test_what_used_nothing_is_given_back():
+async def test_requests_that_did_not_run_are_refunded():
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
     entry.verdict = Verdict.NOT_RUN
     for _ in range(5):
@@ -172,7 +172,7 @@
     assert entry.quotas.dump()["uses"]["small/depot"]["share"] == 1.0
 
 
-async def test_instances_learn_of_each_others_demand():
+async def test_instances_exchange_their_demand():
     switchboard = Switchboard()
     clock = ManualClock(100.0)
     entries = [
--- a/tests/test_entry/test_filters/test_stop.py
+++ b/tests/test_entry/test_filters/test_stop.py
@@ -46,7 +46,7 @@
     return answer
 
 
-async def test_request_that_has_not_run_is_refused_so():
+async def test_aborted_request_that_has_not_run_is_answered_not_run():
     """Guards against connections closed without an answer at the end of a stop.
 
     The time of the stop is over while a request waits for a stage. If the process
@@ -58,13 +58,13 @@
     assert answer.refusal.retry_after_ms == 0
 
 
-async def test_request_that_may_have_run_is_not_called_not_run():
+async def test_aborted_request_that_may_have_run_is_not_answered_not_run():
     answer = await abort_request(Verdict.MAY_HAVE_RUN)
     assert answer.verdict is Verdict.MAY_HAVE_RUN
     assert answer.refusal.verdict is Verdict.MAY_HAVE_RUN
 
 
-async def test_request_that_begins_after_the_end_is_refused():
+async def test_request_that_starts_after_the_abort_is_refused():
     in_flight = InFlightRequests()
     in_flight.abort_all()
     handler = create_handler(in_flight, Verdict.NOT_RUN, asyncio.Event())
@@ -72,7 +72,7 @@
     assert answer.refusal.code is RefusalCode.NOT_READY
 
 
-async def test_nothing_of_what_begins_after_the_end_is_run():
+async def test_request_that_starts_after_the_abort_does_not_run():
     in_flight, started = InFlightRequests(), asyncio.Event()
     in_flight.abort_all()
     handler = create_handler(in_flight, Verdict.NOT_RUN, started)
@@ -80,7 +80,7 @@
     assert not started.is_set()
 
 
-async def test_caller_that_leaves_is_not_answered():
+async def test_disconnected_caller_is_not_answered():
     """A disconnected caller cancels its request, which is not the end of a stop."""
     in_flight, started = InFlightRequests(), asyncio.Event()
     handler = create_handler(in_flight, Verdict.NOT_RUN, started)
@@ -92,7 +92,7 @@
     assert len(in_flight) == 0
 
 
-async def test_request_under_a_key_is_not_called_not_run():
+async def test_aborted_request_with_a_key_is_not_answered_not_run():
     """Guards against an answer "not run" to a request that runs later.
 
     A stop cancels a request with an idempotency key while its target processes it.
--- a/tests/test_entry/test_filters/test_traffic_split.py
+++ b/tests/test_entry/test_filters/test_traffic_split.py
@@ -59,7 +59,7 @@
     return exchange
 
 
-async def test_pipelines_share_traffic_as_the_policy_says():
+async def test_pipelines_receive_their_share_of_the_requests():
     snapshot = create_snapshot(to_pipelines="draft=3, draft-next=1")
     counts = Counter()
     for number in range(REQUESTS):
@@ -70,7 +70,7 @@
     assert REQUESTS / 8 < counts["draft-next"] < REQUESTS * 3 / 8
 
 
-async def test_services_share_the_calls_of_a_stage():
+async def test_services_receive_their_share_of_the_calls_of_a_stage():
     snapshot = create_snapshot(to_services="llm=1, llm-next=1")
     counts = Counter()
     for number in range(REQUESTS):
@@ -80,7 +80,7 @@
     assert min(counts.values()) > REQUESTS / 3
 
 
-async def test_names_that_are_gone_or_do_not_fit_are_passed_over():
+async def test_missing_or_unsuitable_names_are_ignored():
     """Guards against refusals right after an operator deletes a pipeline.
 
     A split names a pipeline that was deleted, or a service whose kind was changed.
--- a/tests/test_entry/test_hedged_call.py
+++ b/tests/test_entry/test_hedged_call.py
@@ -1,4 +1,4 @@
-"""Tests of hedged calls."""
+"""Tests of greengagelatch_entry.hedged_call."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         return self.result
 
 
-async def test_answered_call_is_never_followed_by_a_backup():
+async def test_answered_call_gets_no_backup():
     """Guards against a backup call for a request that was already answered.
 
     The first call is answered before the hedge delay has passed; the timer of the
@@ -58,7 +58,7 @@
     assert not backup.started.is_set()
 
 
-async def test_failure_waits_for_the_backup_under_way():
+async def test_failure_waits_for_the_pending_backup():
     """Guards against a failed request whose backup call would have been answered."""
     first, backup = Call(fail("first")), Call(answer("backup"))
     task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("backup_result", [fail("backup"), None])
-async def test_failed_backup_leaves_the_first_call_alone(backup_result):
+async def test_failed_backup_does_not_cancel_the_first_call(backup_result):
     """Guards against a first call that is abandoned as its backup call failed."""
     first, backup = Call(answer("first")), Call(backup_result, open_at_once=True)
     task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
@@ -81,7 +81,7 @@
     assert (await task).ok_value.output == "first"
 
 
-async def test_first_answer_stops_the_backup():
+async def test_first_answer_cancels_the_backup():
     first, backup = Call(answer("first")), Call(answer("backup"))
     task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
@@ -90,7 +90,7 @@
     assert backup.cancelled
 
 
-async def test_cancelled_race_leaves_nothing_running():
+async def test_cancelled_hedged_call_cancels_both_calls():
     first, backup = Call(answer("first")), Call(answer("backup"))
     task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
@@ -101,7 +101,7 @@
     assert backup.cancelled
 
 
-async def test_both_failures_are_one():
+async def test_two_failures_return_one():
     first, backup = Call(fail("first")), Call(fail("backup"), open_at_once=True)
     task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -45,7 +45,7 @@
     path = tmp_path / "log.jsonl"
     outputs = []
 
-    def set_up_at(level):
+    def configure_at(level):
         settings = parse(SETTINGS.format(level=level, path=path)).unwrap()
         outputs.append(configure_logging(settings))
         return RequestLog(LogLevel[level.upper()])
@@ -53,7 +53,7 @@
     def read():
         return [json.loads(line) for line in path.read_text().splitlines()]
 
-    yield set_up_at, read
+    yield configure_at, read
     for output in outputs:
         output.close()
 
@@ -91,8 +91,8 @@
 
 
 def test_all_lines_of_a_request_carry_its_id(open_log):
-    set_up_at, read = open_log
-    _run_request(set_up_at("stages"))
+    configure_at, read = open_log
+    _run_request(configure_at("stages"))
     lines = read()
     assert {line["task_uuid"] for line in lines} == {"r-1"}
     assert {line["instance"] for line in lines} == {"entry-1"}
@@ -103,16 +103,16 @@
 
 
 def test_levels_bound_what_is_logged(open_log):
-    set_up_at, read = open_log
-    _run_request(set_up_at("requests"), attempts=3)
+    configure_at, read = open_log
+    _run_request(configure_at("requests"), attempts=3)
     first, last = read()
     assert first["budget_ms"] == 2000
     assert (last["attempts"], last["failed_attempts"]) == (3, 2)
 
 
 def test_level_errors_logs_refusals_only(open_log):
-    set_up_at, read = open_log
-    log = set_up_at("errors")
+    configure_at, read = open_log
+    log = configure_at("errors")
     _run_request(log)
     assert read() == []
     refusal = Refusal(code=RefusalCode.NO_TARGET, message="none", value="v" * 999)
@@ -123,8 +123,8 @@
 
 
 def test_attempts_of_a_retry_storm_are_counted_not_logged(open_log):
-    set_up_at, read = open_log
-    _run_request(set_up_at("stages"), attempts=100)
+    configure_at, read = open_log
+    _run_request(configure_at("stages"), attempts=100)
     lines = read()
     assert len(lines) == 4 + logs.MAX_ATTEMPTS
     assert lines[-1]["attempts"] == 100
@@ -141,8 +141,8 @@
 
 
 def test_logging_is_bridged_with_a_bounded_traceback(open_log):
-    set_up_at, read = open_log
-    set_up_at("errors")
+    configure_at, read = open_log
+    configure_at("errors")
     logger = logging.getLogger("greengagelatch.test")
     logger.info("not shown on this level")
     try:
@@ -155,20 +155,20 @@
     assert line["traceback"].endswith("yyy\n")
 
 
-def test_record_that_can_not_be_formatted_stops_nobody(open_log, monkeypatch):
+def test_record_that_can_not_be_formatted_does_not_raise(open_log, monkeypatch):
     """Guards against requests that fail with an error of a log call.
 
     A log call has more arguments than its format. The handler must not raise the
     formatting error to its caller.
     """
-    set_up_at, read = open_log
-    set_up_at("requests")
+    configure_at, read = open_log
+    configure_at("requests")
     monkeypatch.setattr(logging, "raiseExceptions", False)
     logging.getLogger("greengagelatch.test").warning("%d", "a", "b")
     assert read() == []
 
 
-def test_stopped_reader_of_stdout_does_not_block():
+def test_stalled_reader_of_stdout_does_not_block():
     """Guards against an instance that is alive and idle but answers no request.
 
     The reader of standard output stalls and the pipe fills up. A blocking write of
--- a/tests/test_entry/test_metrics.py
+++ b/tests/test_entry/test_metrics.py
@@ -8,7 +8,7 @@
 from greengagelatch_entry.metrics import FLUSH_SECONDS, MAX_TIMINGS, Metrics
 
 
-class Server:
+class StatsdServer:
     """A statsd server that receives datagrams on a free port."""
 
     def __init__(self):
@@ -24,9 +24,9 @@
         self._socket.close()
 
 
-def test_metrics_share_datagrams_and_lose_nothing():
+def test_metrics_are_batched_without_loss():
     now = [0.0]
-    server = Server()
+    server = StatsdServer()
     metrics = Metrics(server.address, now=lambda: now[0])
     for _ in range(3):
         metrics.count("requests.answered")
@@ -45,8 +45,8 @@
     server.close()
 
 
-def test_gathered_durations_are_bounded():
-    server = Server()
+def test_number_of_collected_durations_is_limited():
+    server = StatsdServer()
     metrics = Metrics(server.address, now=lambda: 0.0)
     for _ in range(MAX_TIMINGS):
         metrics.timing("stage", 1.0)
@@ -57,13 +57,13 @@
     server.close()
 
 
-def test_name_of_an_object_can_not_break_a_request():
+def test_object_name_that_is_not_ascii_does_not_raise():
     """Guards against internal errors for all requests of one pipeline.
 
     An operator names a pipeline in Japanese, and the name becomes part of a metric
     name. statsd's client raises on characters that are not ASCII.
     """
-    server = Server()
+    server = StatsdServer()
     metrics = Metrics(server.address, now=lambda: 0.0)
     metrics.count("stage.見積もり:a|b")
     metrics.flush()
--- a/tests/test_entry/test_pipeline_runner.py
+++ b/tests/test_entry/test_pipeline_runner.py
@@ -1,4 +1,4 @@
-"""Tests of running pipelines on targets with scripted answers."""
+"""Tests of greengagelatch_entry.pipeline_runner with scripted targets."""
 
 from __future__ import annotations
 
@@ -40,8 +40,10 @@
             Target(f"target-{number}", SERVICE, "hall", "127.0.0.1:1")
             for number in range(targets)
         )
-        naive = RoundRobinDispatcher(directory=self.directory, clock=self.clock)
-        self.dispatcher = CountingDispatcher(naive, before_grant)
+        inner_dispatcher = RoundRobinDispatcher(
+            directory=self.directory, clock=self.clock
+        )
+        self.dispatcher = CountingDispatcher(inner_dispatcher, before_grant)
         self.client = ScriptedClient(script)
         self.metrics = Metrics("127.0.0.1:9")
         self.stage_caller = StageCaller(
@@ -55,7 +57,7 @@
         self.runner = PipelineRunner(
             stage_caller=self.stage_caller, clock=self.clock, metrics=self.metrics
         )
-        self.given = []
+        self.received_tokens = []
 
     def create_exchange(self, *, budget=5.0, stream=False, **fields):
         now = self.clock.now()
@@ -71,7 +73,7 @@
         )
         exchange = Exchange(request=request)
         if stream:
-            exchange.on_token = lambda *token: self.given.append(token)
+            exchange.on_token = lambda *token: self.received_tokens.append(token)
         return exchange
 
     async def run(self, pipeline, **fields):
@@ -108,11 +110,11 @@
 
 def fail_first(failure, times=1):
     """Return a script that fails ``times`` calls and then answers."""
-    left = [times]
+    remaining = [times]
 
     async def script(target, call, on_token):
-        if left[0] > 0:
-            left[0] -= 1
+        if remaining[0] > 0:
+            remaining[0] -= 1
             return failure
         return Ok(StageAnswer(output="done"))
 
@@ -162,7 +164,7 @@
 
 
 @pytest.mark.parametrize("kind", [FailureKind.CONNECT, FailureKind.DISCONNECTED])
-async def test_only_what_reached_a_target_is_charged_as_a_repeat(kind):
+async def test_only_retries_of_calls_that_connected_use_the_retry_budget(kind):
     """Guards against failed requests due to one dead replica of three.
 
     A third of all calls fail to connect. If their retries counted against the retry
@@ -174,7 +176,7 @@
     assert charged == [False, kind is FailureKind.DISCONNECTED]
 
 
-async def test_verdict_of_an_earlier_stage_stays():
+async def test_verdict_of_an_earlier_stage_is_kept():
     """Guards against a verdict "not run" of a request whose first stage ran."""
 
     async def script(target, call, on_token):
@@ -188,14 +190,14 @@
     assert answer.verdict is Verdict.RAN
 
 
-async def test_single_replica_is_tried_again_on_a_new_connection():
+async def test_single_replica_is_retried_on_a_new_connection():
     """Guards against a service with one replica failing on a broken connection."""
     bench = Bench(fail_first(fail(FailureKind.DISCONNECTED)), targets=1)
     answer = await bench.run(create_pipeline())
     assert answer.result == "done"
 
 
-async def test_target_that_leaves_while_a_call_is_queued_gets_nothing():
+async def test_target_that_leaves_while_a_call_is_queued_gets_no_call():
     """Guards against new calls to a leaving target.
 
     The target begins to leave while a call is queued, and the call is then granted to
@@ -212,7 +214,7 @@
     assert [target.target_id for target, _ in bench.client.calls] == ["target-2"]
 
 
-async def test_directory_and_dispatcher_that_disagree_do_not_stop_the_loop():
+async def test_candidate_that_accepts_no_calls_does_not_block_the_event_loop():
     """Guards against a blocked event loop if a granted target never accepts calls.
 
     The candidates still contain a target that accepts no calls. The call must not be
@@ -225,7 +227,7 @@
     assert answer.verdict is Verdict.NOT_RUN
 
 
-async def test_leaving_said_in_an_answer_is_noted():
+async def test_leaving_flag_of_an_answer_marks_the_target_as_leaving():
     async def script(target, call, on_token):
         return Ok(StageAnswer(output=1, leaving=True))
 
@@ -234,7 +236,7 @@
     assert bench.directory.leaving == {"target-0"}
 
 
-async def test_deadline_stops_the_call_at_its_target():
+async def test_deadline_cancels_the_call_at_its_target():
     """Guards against targets that continue to process calls after their deadline.
 
     The deadline passes while the target processes the call; the call must be
@@ -251,7 +253,7 @@
     assert bench.client.cancelled == [bench.client.calls[0][1].attempt_id]
 
 
-async def test_caller_that_leaves_stops_the_call_at_its_target():
+async def test_disconnected_caller_cancels_the_call_at_its_target():
     """Guards against an engine that stays busy with an abandoned call.
 
     The caller closes its connection, which cancels the handler. The call must be
@@ -275,7 +277,7 @@
 
 
 @pytest.mark.parametrize("silent_calls", [1, 2])
-async def test_silent_call_gets_a_backup(silent_calls):
+async def test_silent_call_is_hedged(silent_calls):
     """Guards against requests that reach their deadline although targets are idle.
 
     The connection to the first target is open but gets no data, so that no error
@@ -304,7 +306,7 @@
     assert sorted(kind.value for kind in kinds) == ["failure", "success"]
 
 
-async def test_silent_call_that_may_not_be_repeated_gets_none():
+async def test_silent_call_that_is_not_repeatable_is_not_hedged():
     """Guards against duplicate execution of a call that is only slow."""
 
     async def script(target, call, on_token):
@@ -316,7 +318,7 @@
     assert answer.verdict is Verdict.MAY_HAVE_RUN
 
 
-async def test_failure_of_one_branch_stops_the_other():
+async def test_failure_of_one_branch_cancels_the_other():
     """Guards against a refused request that continues to use targets.
 
     Two stages run concurrently and one fails; the other one must be cancelled.
@@ -353,21 +355,24 @@
     return script
 
 
-CUT = fail(FailureKind.DISCONNECTED, Verdict.RAN)
-CANNOT = fail(FailureKind.CANNOT_RESUME)
+INTERRUPTED = fail(FailureKind.DISCONNECTED, Verdict.RAN)
+RESUME_FAILED = fail(FailureKind.CANNOT_RESUME)
 DRAFT = Stage(name="write", kind=StageKind.GENERATE, service=SERVICE)
 
 
 @pytest.mark.parametrize(
     ("attempts", "offsets"),
     [
-        ([(TOKENS[:2], CUT), (TOKENS, None)], [0, 2]),
-        ([(TOKENS[:2], CUT), (TOKENS[:2], CANNOT), (TOKENS, None)], [0, 2, 0]),
-        ([(TOKENS, CUT), (TOKENS, None)], [0, 4]),
-        ([((), CUT), (TOKENS, None)], [0, 0]),
+        ([(TOKENS[:2], INTERRUPTED), (TOKENS, None)], [0, 2]),
+        (
+            [(TOKENS[:2], INTERRUPTED), (TOKENS[:2], RESUME_FAILED), (TOKENS, None)],
+            [0, 2, 0],
+        ),
+        ([(TOKENS, INTERRUPTED), (TOKENS, None)], [0, 4]),
+        ([((), INTERRUPTED), (TOKENS, None)], [0, 0]),
     ],
 )
-async def test_cut_stream_goes_on_without_a_gap(attempts, offsets):
+async def test_interrupted_stream_continues_without_a_gap(attempts, offsets):
     """Guards against gaps and repeated tokens in an interrupted stream.
 
     The connection of the stream is lost. Another engine resumes it, or starts again
@@ -376,11 +381,11 @@
     bench = Bench(create_stream(*attempts))
     answer = await bench.run(create_pipeline(DRAFT), stream=True)
     assert answer.result == "abcd"
-    assert bench.given == list(enumerate(TOKENS))
+    assert bench.received_tokens == list(enumerate(TOKENS))
     assert [call.resume_at for _, call in bench.client.calls] == offsets
 
 
-async def test_stream_that_can_only_be_contradicted_is_refused():
+async def test_stream_that_contradicts_sent_tokens_is_refused():
     """Guards against a stream that contradicts its earlier tokens.
 
     The stream is interrupted, no engine can resume it, and the repeated stream
@@ -388,17 +393,20 @@
     """
     bench = Bench(
         create_stream(
-            (TOKENS[:2], CUT), ((), CANNOT), (("a", "x", "y"), None), (TOKENS, None)
+            (TOKENS[:2], INTERRUPTED),
+            ((), RESUME_FAILED),
+            (("a", "x", "y"), None),
+            (TOKENS, None),
         )
     )
     answer = await bench.run(create_pipeline(DRAFT), stream=True)
     assert answer.refusal.code is RefusalCode.STAGE_FAILED
     assert answer.verdict is Verdict.RAN
-    assert bench.given == [(0, "a"), (1, "b")]
+    assert bench.received_tokens == [(0, "a"), (1, "b")]
 
 
-async def test_stream_that_may_not_be_repeated_is_not_resumed():
-    bench = Bench(create_stream((TOKENS[:2], CUT), (TOKENS, None)))
+async def test_stream_that_is_not_repeatable_is_not_resumed():
+    bench = Bench(create_stream((TOKENS[:2], INTERRUPTED), (TOKENS, None)))
     stage = Stage(
         name="write", kind=StageKind.GENERATE, service=SERVICE, repeatable=False
     )
@@ -407,7 +415,7 @@
     assert answer.verdict is Verdict.RAN
 
 
-async def test_cost_of_what_ran_for_nothing_is_counted_apart():
+async def test_wasted_cost_is_counted_separately():
     async def script(target, call, on_token):
         if call.stage == "check":
             return Ok(StageAnswer(output=1, cost=0.03))
