--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -365,5 +365,5 @@
     def _find_priority(self, exchange: Exchange, stage: Stage) -> int:
         request = exchange.request
         snapshot = exchange.context[SNAPSHOT_KEY]
-        steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
-        return steering.priority
+        policy = resolve(snapshot, request.workspace, request.pipeline, stage.service)
+        return policy.priority
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -38,13 +38,13 @@
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
         snapshot = exchange.context[SNAPSHOT_KEY]
-        steering = resolve(snapshot, request.workspace, request.pipeline)
+        policy = resolve(snapshot, request.workspace, request.pipeline)
         arrival = Arrival(
             workspace=request.workspace,
             pipeline=exchange.context[PIPELINE_KEY],
-            priority=steering.priority,
+            priority=policy.priority,
             deadline=request.deadline,
-            weights=steering.weights,
+            weights=policy.weights,
         )
         refusal = self._admission.check(arrival, self._clock.now())
         if refusal is None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
@@ -56,8 +56,8 @@
 
 
 def _choose_service(snapshot: Snapshot, request: Request, stage: Stage) -> Stage:
-    steering = resolve(snapshot, request.workspace, request.pipeline, stage.service)
-    split = steering.service_split
+    policy = resolve(snapshot, request.workspace, request.pipeline, stage.service)
+    split = policy.service_split
     if split is None:
         return stage
     picked = split.pick(request.request_id)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -40,8 +40,8 @@
 #: maximum bytes of a line; a pipe that polls as writable accepts this many at once
 MAX_LINE_BYTES = 4096
 #: maximum stages per request, and attempts per stage, that are logged
-MAX_STAGES = 16
-MAX_ATTEMPTS = 8
+MAX_LOGGED_STAGES = 16
+MAX_LOGGED_ATTEMPTS = 8
 
 STDOUT = "-"
 
@@ -213,7 +213,7 @@
         """Start the action of a stage; the caller must finish the trace."""
         self._stages += 1
         action = None
-        if self._level >= LogLevel.STAGES and self._stages <= MAX_STAGES:
+        if self._level >= LogLevel.STAGES and self._stages <= MAX_LOGGED_STAGES:
             with self._action.context():
                 action = eliot.start_action(
                     action_type="greengagelatch:stage",
@@ -288,7 +288,7 @@
         self._request.attempts += 1
         if failed:
             self._request.failures += 1
-        if self._action is None or self._attempts > MAX_ATTEMPTS:
+        if self._action is None or self._attempts > MAX_LOGGED_ATTEMPTS:
             return
         self._action.log(
             "greengagelatch:attempt",
@@ -311,5 +311,5 @@
 
 
 def _to_milliseconds(seconds: Mapping[str, float]) -> dict[str, float]:
-    shown = list(seconds.items())[:MAX_STAGES]
+    shown = list(seconds.items())[:MAX_LOGGED_STAGES]
     return {truncate(name): round(value * 1000, 1) for name, value in shown}
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -100,8 +100,8 @@
 async def test_drain_by_an_operator_is_idempotent():
     """Guards against requests in flight that are cancelled by a second ``drain``.
 
-    An operator repeats the command as its answer was lost. Unlike a second signal,
-    which stops at once, the repeat must have no effect.
+    An operator retries the command as its answer was lost. Unlike a second signal,
+    which stops at once, the retry must have no effect.
     """
     listener = FakeListener()
     drain = create_drain(listener)
--- a/tests/test_entry/test_filters/test_quota.py
+++ b/tests/test_entry/test_filters/test_quota.py
@@ -144,9 +144,9 @@
 async def test_retry_gets_the_recorded_answer_when_the_quota_is_exhausted(first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
     await entry.send("one", first=first)
-    repeat = await entry.send("one")
-    assert repeat.replayed
-    assert repeat.result == 1
+    retry = await entry.send("one")
+    assert retry.replayed
+    assert retry.result == 1
 
 
 async def test_requests_that_did_not_run_are_refunded():
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -126,7 +126,7 @@
     configure_at, read = open_log
     _run_request(configure_at("stages"), attempts=100)
     lines = read()
-    assert len(lines) == 4 + logs.MAX_ATTEMPTS
+    assert len(lines) == 4 + logs.MAX_LOGGED_ATTEMPTS
     assert lines[-1]["attempts"] == 100
 
 
--- a/tests/test_entry/test_pipeline_runner.py
+++ b/tests/test_entry/test_pipeline_runner.py
@@ -31,7 +31,7 @@
 TOKENS = ("a", "b", "c", "d")
 
 
-class Bench:
+class Harness:
     """A stage runner over scripted targets."""
 
     def __init__(self, script, *, targets=3, before_grant=None):
@@ -131,15 +131,15 @@
     The first call of a stage fails once, in every possible way. Retry and verdict
     must follow from what the failure proves about execution.
     """
-    bench = Bench(fail_first(fail(kind, verdict)))
-    answer = await bench.run(create_pipeline(repeatable=repeatable))
+    harness = Harness(fail_first(fail(kind, verdict)))
+    answer = await harness.run(create_pipeline(repeatable=repeatable))
     over = kind in (FailureKind.DEADLINE, FailureKind.CANCELLED)
-    repeated = not over and (repeatable or verdict is Verdict.NOT_RUN)
-    assert len(bench.client.calls) == (2 if repeated else 1)
-    if repeated:
+    retried = not over and (repeatable or verdict is Verdict.NOT_RUN)
+    assert len(harness.client.calls) == (2 if retried else 1)
+    if retried:
         assert answer.result == "done"
         assert answer.verdict is Verdict.RAN
-        first, second = (target.target_id for target, _ in bench.client.calls)
+        first, second = (target.target_id for target, _ in harness.client.calls)
         if kind is not FailureKind.CANNOT_RESUME:
             assert first != second
         return
@@ -156,8 +156,8 @@
     or a request that is not repeatable could never be retried.
     """
     refused = fail(FailureKind.TARGET_REFUSED, Verdict.NOT_RUN, retry_after_ms=70)
-    bench = Bench(fail_first(refused, times=10))
-    answer = await bench.run(create_pipeline(repeatable=False))
+    harness = Harness(fail_first(refused, times=10))
+    answer = await harness.run(create_pipeline(repeatable=False))
     assert answer.refusal.code is RefusalCode.OVERLOADED
     assert answer.verdict is Verdict.NOT_RUN
     assert answer.refusal.retry_after_ms == 70
@@ -170,9 +170,9 @@
     A third of all calls fail to connect. If their retries counted against the retry
     budget, they would exhaust it although two replicas are idle.
     """
-    bench = Bench(fail_first(fail(kind, Verdict.NOT_RUN)))
-    await bench.run(create_pipeline())
-    charged = [ticket.retry for ticket in bench.dispatcher.tickets]
+    harness = Harness(fail_first(fail(kind, Verdict.NOT_RUN)))
+    await harness.run(create_pipeline())
+    charged = [ticket.retry for ticket in harness.dispatcher.tickets]
     assert charged == [False, kind is FailureKind.DISCONNECTED]
 
 
@@ -184,16 +184,16 @@
             return Ok(StageAnswer(output=1))
         return fail(FailureKind.CONNECT, Verdict.NOT_RUN)
 
-    bench = Bench(script)
+    harness = Harness(script)
     pipeline = create_pipeline(create_stage("check"), create_stage("book", "check"))
-    answer = await bench.run(pipeline)
+    answer = await harness.run(pipeline)
     assert answer.verdict is Verdict.RAN
 
 
 async def test_single_replica_is_retried_on_a_new_connection():
     """Guards against a service with one replica failing on a broken connection."""
-    bench = Bench(fail_first(fail(FailureKind.DISCONNECTED)), targets=1)
-    answer = await bench.run(create_pipeline())
+    harness = Harness(fail_first(fail(FailureKind.DISCONNECTED)), targets=1)
+    answer = await harness.run(create_pipeline())
     assert answer.result == "done"
 
 
@@ -205,13 +205,13 @@
     """
 
     def leave(ticket):
-        if not bench.directory.leaving:
-            bench.directory.mark_leaving("target-0")
+        if not harness.directory.leaving:
+            harness.directory.mark_leaving("target-0")
 
-    bench = Bench(answer_all(), before_grant=leave)
-    answer = await bench.run(create_pipeline(repeatable=False))
+    harness = Harness(answer_all(), before_grant=leave)
+    answer = await harness.run(create_pipeline(repeatable=False))
     assert answer.result == "done"
-    assert [target.target_id for target, _ in bench.client.calls] == ["target-2"]
+    assert [target.target_id for target, _ in harness.client.calls] == ["target-2"]
 
 
 async def test_candidate_that_accepts_no_calls_does_not_block_the_event_loop():
@@ -220,9 +220,9 @@
     The candidates still contain a target that accepts no calls. The call must not be
     moved to other targets forever without yielding to the event loop.
     """
-    bench = Bench(answer_all(), targets=1)
-    bench.directory.accepts = lambda target_id: False
-    answer = await bench.run(create_pipeline())
+    harness = Harness(answer_all(), targets=1)
+    harness.directory.accepts = lambda target_id: False
+    answer = await harness.run(create_pipeline())
     assert answer.refusal.code is RefusalCode.NO_TARGET
     assert answer.verdict is Verdict.NOT_RUN
 
@@ -231,9 +231,9 @@
     async def script(target, call, on_token):
         return Ok(StageAnswer(output=1, leaving=True))
 
-    bench = Bench(script)
-    await bench.run(create_pipeline())
-    assert bench.directory.leaving == {"target-0"}
+    harness = Harness(script)
+    await harness.run(create_pipeline())
+    assert harness.directory.leaving == {"target-0"}
 
 
 async def test_deadline_cancels_the_call_at_its_target():
@@ -246,11 +246,11 @@
     async def script(target, call, on_token):
         await asyncio.Event().wait()
 
-    bench = Bench(script)
-    answer = await bench.run(create_pipeline(repeatable=False), budget=0.05)
+    harness = Harness(script)
+    answer = await harness.run(create_pipeline(repeatable=False), budget=0.05)
     assert answer.refusal.code is RefusalCode.DEADLINE
     assert answer.verdict is Verdict.MAY_HAVE_RUN
-    assert bench.client.cancelled == [bench.client.calls[0][1].attempt_id]
+    assert harness.client.cancelled == [harness.client.calls[0][1].attempt_id]
 
 
 async def test_disconnected_caller_cancels_the_call_at_its_target():
@@ -263,17 +263,17 @@
     async def script(target, call, on_token):
         await asyncio.Event().wait()
 
-    bench = Bench(script)
-    exchange = bench.create_exchange()
-    task = asyncio.create_task(bench.runner.run(exchange, create_pipeline()))
-    await wait_until(lambda: bench.client.calls, what="call sent")
+    harness = Harness(script)
+    exchange = harness.create_exchange()
+    task = asyncio.create_task(harness.runner.run(exchange, create_pipeline()))
+    await wait_until(lambda: harness.client.calls, what="call sent")
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
-    await bench.stage_caller.close()
+    await harness.stage_caller.close()
     assert exchange.verdict is Verdict.MAY_HAVE_RUN
-    assert not bench.dispatcher.find_leaks()
-    assert bench.client.cancelled == [bench.client.calls[0][1].attempt_id]
+    assert not harness.dispatcher.find_leaks()
+    assert harness.client.cancelled == [harness.client.calls[0][1].attempt_id]
 
 
 @pytest.mark.parametrize("silent_calls", [1, 2])
@@ -285,24 +285,24 @@
     """
 
     async def script(target, call, on_token):
-        if len(bench.client.calls) <= silent_calls:
+        if len(harness.client.calls) <= silent_calls:
             await asyncio.Event().wait()
         return Ok(StageAnswer(output="done"))
 
-    bench = Bench(script)
-    answer = await bench.run(create_pipeline(), budget=0.4)
+    harness = Harness(script)
+    answer = await harness.run(create_pipeline(), budget=0.4)
     if silent_calls == 2:
         # at most one backup call, so as not to overload a service that does not answer
         assert answer.refusal.code is RefusalCode.DEADLINE
-        assert len(bench.client.calls) == 2
+        assert len(harness.client.calls) == 2
         return
     assert answer.result == "done"
-    first, second = bench.client.calls
+    first, second = harness.client.calls
     assert first[0] != second[0]
-    assert bench.client.cancelled == [first[1].attempt_id]
-    assert bench.dispatcher.tickets[1].retry
+    assert harness.client.cancelled == [first[1].attempt_id]
+    assert harness.dispatcher.tickets[1].retry
     # the silent target gets a failure: otherwise calls would still be sent to it
-    kinds = [outcome.kind for outcome in bench.dispatcher.outcomes]
+    kinds = [outcome.kind for outcome in harness.dispatcher.outcomes]
     assert sorted(kind.value for kind in kinds) == ["failure", "success"]
 
 
@@ -312,9 +312,9 @@
     async def script(target, call, on_token):
         await asyncio.Event().wait()
 
-    bench = Bench(script)
-    answer = await bench.run(create_pipeline(repeatable=False), budget=0.2)
-    assert len(bench.client.calls) == 1
+    harness = Harness(script)
+    answer = await harness.run(create_pipeline(repeatable=False), budget=0.2)
+    assert len(harness.client.calls) == 1
     assert answer.verdict is Verdict.MAY_HAVE_RUN
 
 
@@ -329,15 +329,15 @@
             await asyncio.Event().wait()
         return fail(FailureKind.TARGET_ERROR)
 
-    bench = Bench(script)
+    harness = Harness(script)
     stock = create_stage("stock", repeatable=False)
     price = create_stage("price", repeatable=False)
     pipeline = create_pipeline(stock, price, create_stage("write", "stock", "price"))
-    answer = await bench.run(pipeline)
+    answer = await harness.run(pipeline)
     assert answer.refusal.value == "price"
-    assert {call.stage for _, call in bench.client.calls} == {"stock", "price"}
-    stopped = [c.attempt_id for _, c in bench.client.calls if c.stage == "stock"]
-    assert bench.client.cancelled == stopped
+    assert {call.stage for _, call in harness.client.calls} == {"stock", "price"}
+    stopped = [c.attempt_id for _, c in harness.client.calls if c.stage == "stock"]
+    assert harness.client.cancelled == stopped
 
 
 def create_stream(*attempts):
@@ -378,11 +378,11 @@
     The connection of the stream is lost. Another engine resumes it, or starts again
     if it can't; the next attempt must continue at the current offset.
     """
-    bench = Bench(create_stream(*attempts))
-    answer = await bench.run(create_pipeline(DRAFT), stream=True)
+    harness = Harness(create_stream(*attempts))
+    answer = await harness.run(create_pipeline(DRAFT), stream=True)
     assert answer.result == "abcd"
-    assert bench.received_tokens == list(enumerate(TOKENS))
-    assert [call.resume_at for _, call in bench.client.calls] == offsets
+    assert harness.received_tokens == list(enumerate(TOKENS))
+    assert [call.resume_at for _, call in harness.client.calls] == offsets
 
 
 async def test_stream_that_contradicts_sent_tokens_is_refused():
@@ -391,7 +391,7 @@
     The stream is interrupted, no engine can resume it, and the repeated stream
     differs from the tokens already sent. It must not be forwarded.
     """
-    bench = Bench(
+    harness = Harness(
         create_stream(
             (TOKENS[:2], INTERRUPTED),
             ((), RESUME_FAILED),
@@ -399,19 +399,19 @@
             (TOKENS, None),
         )
     )
-    answer = await bench.run(create_pipeline(DRAFT), stream=True)
+    answer = await harness.run(create_pipeline(DRAFT), stream=True)
     assert answer.refusal.code is RefusalCode.STAGE_FAILED
     assert answer.verdict is Verdict.RAN
-    assert bench.received_tokens == [(0, "a"), (1, "b")]
+    assert harness.received_tokens == [(0, "a"), (1, "b")]
 
 
 async def test_stream_that_is_not_repeatable_is_not_resumed():
-    bench = Bench(create_stream((TOKENS[:2], INTERRUPTED), (TOKENS, None)))
+    harness = Harness(create_stream((TOKENS[:2], INTERRUPTED), (TOKENS, None)))
     stage = Stage(
         name="write", kind=StageKind.GENERATE, service=SERVICE, repeatable=False
     )
-    answer = await bench.run(create_pipeline(stage), stream=True)
-    assert len(bench.client.calls) == 1
+    answer = await harness.run(create_pipeline(stage), stream=True)
+    assert len(harness.client.calls) == 1
     assert answer.verdict is Verdict.RAN
 
 
@@ -421,8 +421,8 @@
             return Ok(StageAnswer(output=1, cost=0.03))
         return fail(FailureKind.TARGET_ERROR)
 
-    bench = Bench(script)
+    harness = Harness(script)
     pipeline = create_pipeline(create_stage("check"), create_stage("book", "check"))
-    await bench.run(pipeline)
-    assert bench.metrics.value("cost.booking.check.wasted_ms") == 30
-    assert bench.metrics.value("cost.booking.check.useful_ms") == 0
+    await harness.run(pipeline)
+    assert harness.metrics.value("cost.booking.check.wasted_ms") == 30
+    assert harness.metrics.value("cost.booking.check.useful_ms") == 0
