--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
@@ -28,8 +28,9 @@
 
     It comes after deduplication: an idempotency key belongs to the pipeline that the
     caller requested, so a retry finds the first answer whichever pipeline the split
-    selects. A pipeline or service that a split names but that no longer exists in the
-    configuration is ignored; otherwise an operator's change would cause refusals.
+    selects. A split is ignored if its pipeline or service is no longer in the
+    configuration, or if the service has another kind than the stage; otherwise an
+    operator's change would cause refusals.
     """
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
