--- a/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/__main__.py
@@ -16,19 +16,19 @@
 
 from .application import Application, ExitCode
 from .composition import compose
-from .garbage import freeze_imports
-from .logs import LogOutput, set_up
+from .garbage_collector import configure_garbage_collector
+from .logs import LogOutput, configure_logging
 
 __all__ = ("main",)
 
 PROGRAM_NAME = "greengagelatchd"
-RUN = "run"
+RUN_COMMAND = "run"
 
 
 class DaemonCommand(Command):
-    """Runs the daemon, or only checks its settings."""
+    """Runs the daemon, or validates its settings file."""
 
-    name = RUN
+    name = RUN_COMMAND
     description = "Serves pipelines on an entry instance."
     options = [  # noqa: RUF012 - cleo declares them so
         option("config", "c", "Settings file (INI).", flag=False),
@@ -39,11 +39,11 @@
         path = self.option("config")
         if not path:
             self.line_error("--config FILE is required")
-            return ExitCode.BAD_START
+            return ExitCode.STARTUP_FAILED
         result = load(path)
         if isinstance(result, Err):
             self.line_error(str(result.err_value))
-            return ExitCode.BAD_START
+            return ExitCode.STARTUP_FAILED
         if self.option("check"):
             self.line(f"{path}: settings are valid")
             return ExitCode.FINISHED
@@ -52,11 +52,11 @@
 
 def _run(settings: Settings) -> int:
     try:
-        output = set_up(settings)
+        output = configure_logging(settings)
     except OSError as error:
         print(f"setting log.file = {settings['log.file']!r}: {error}", file=sys.stderr)
-        return ExitCode.BAD_START
-    freeze_imports()
+        return ExitCode.STARTUP_FAILED
+    configure_garbage_collector()
     try:
         return asyncio.run(_serve(settings, output))
     finally:
@@ -71,8 +71,8 @@
     """Run the command line; return the exit code."""
     command_line = CommandLine(PROGRAM_NAME, __version__)
     command_line.add(DaemonCommand())
-    # the only command needs no name on the command line
-    return command_line.run(ArgvInput([PROGRAM_NAME, RUN, *sys.argv[1:]]))
+    # the daemon has a single command, whose name users need not type
+    return command_line.run(ArgvInput([PROGRAM_NAME, RUN_COMMAND, *sys.argv[1:]]))
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/adapters/callers.py
@@ -14,7 +14,7 @@
 from greengagelatch.verdict import Verdict
 
 from ..filters import Exchange
-from ..filters.identify import Arrival
+from ..filters.request_parser import ReceivedRequest
 from ..filters.stop import STOPPING_RETRY_MS
 from .caller_answers import create_headers, encode_answer, find_status
 from .caller_bodies import CLOSING_STATUSES, BodyError, read_body
@@ -28,7 +28,7 @@
     from greengagelatch.clock import Clock
 
     from ..filters import Handler
-    from ..filters.identify import Identifier
+    from ..filters.request_parser import RequestParser
     from ..metrics import Metrics
 
 __all__ = ("CallerLimits", "CallersServer")
@@ -73,7 +73,7 @@
         *,
         listen: str,
         handler: Handler,
-        identifier: Identifier,
+        identifier: RequestParser,
         clock: Clock,
         metrics: Metrics,
         draining: Callable[[], bool],
@@ -117,14 +117,14 @@
             )
         except BodyError as error:
             return await self._refuse(request, request_id, error.status, error.refusal)
-        arrival = Arrival(
+        arrival = ReceivedRequest(
             request_id=request_id,
             pipeline=request.path[len(PATH_PREFIX) :],
             headers=request.headers,
             body=body,
             received=received,
         )
-        result = self._identifier.identify(arrival)
+        result = self._identifier.parse(arrival)
         if isinstance(result, Err):
             return await self._refuse(request, request_id, 0, result.err_value)
         exchange = Exchange(request=result.ok_value)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/sending.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/attempt_sender.py
@@ -1,4 +1,4 @@
-"""One attempt at a stage: sent once, settled once, its grant released once."""
+"""Single attempts at a stage: each sends one call and releases one grant."""
 
 from __future__ import annotations
 
@@ -30,16 +30,17 @@
     from .logs import StageTrace
     from .metrics import Metrics
 
-__all__ = ("ContradictionError", "Sender", "StageWork")
+__all__ = ("StreamMismatchError", "AttemptSender", "StageExecution")
 
-#: attempts that are being cancelled at targets at the same time
-MAX_CANCELS = 256
+#: maximum number of concurrent cancellations at targets
+MAX_CANCELLATIONS = 256
 
 ANSWERED = "answered"
 CANCELLED = "cancelled"
 
-#: how failures count for the choice of targets; the others are the target's fault
-_OUTCOMES = {
+#: outcomes that load balancing records for failures; all others count as target
+#: failures
+_OUTCOME_KINDS = {
     FailureKind.TARGET_REFUSED: OutcomeKind.REJECTED,
     FailureKind.DEADLINE: OutcomeKind.ABANDONED,
     FailureKind.CANCELLED: OutcomeKind.ABANDONED,
@@ -47,35 +48,35 @@
 }
 
 
-class ContradictionError(Exception):
-    """A repeated stream differs from what the caller already holds."""
+class StreamMismatchError(Exception):
+    """A repeated stream differs from the tokens that the caller already received."""
 
 
 @dataclass(slots=True, kw_only=True)
-class StageWork:
-    """One stage of one request, and what its attempts have come to."""
+class StageExecution:
+    """The state of one stage of one request across its attempts."""
 
     request: Request
     stage: Stage
     input: Any
-    #: monotonic seconds
+    #: in monotonic seconds
     stage_deadline: float
     priority: int
     ledger: AttemptLedger
-    #: gives the caller a token; ``None`` where the stage is not streamed
+    #: sends a token to the caller; ``None`` if the stage is not streamed
     on_token: TokenListener | None = None
     trace: StageTrace | None = None
     attempts: int = 0
     excluded: frozenset[str] = frozenset()
-    #: whether the next attempt counts against the budget of repeated calls
-    charged: bool = False
-    #: seconds that failed attempts took
-    wasted: float = 0.0
+    #: whether the next attempt counts against the retry budget
+    uses_retry_budget: bool = False
+    #: total seconds of failed attempts
+    wasted_seconds: float = 0.0
     tokens: StreamedTokens = field(default_factory=StreamedTokens)
-    #: whether the next attempt asks the target to go on at the present offset
+    #: whether the next attempt resumes the stream at the current offset
     resume: bool = True
-    #: targets that a backup was called in for
-    late: frozenset[str] = frozenset()
+    #: targets whose slow calls were hedged by a backup call
+    hedged_targets: frozenset[str] = frozenset()
     answered: bool = False
 
     @property
@@ -85,12 +86,12 @@
 
     @property
     def streamed(self) -> bool:
-        """Whether the answer is asked for token by token."""
+        """Whether the answer is streamed token by token."""
         return self.on_token is not None and self.stage.kind is StageKind.GENERATE
 
 
-class Sender:
-    """Makes single attempts, and stops at targets those that nobody waits for."""
+class AttemptSender:
+    """Makes single attempts, and cancels abandoned ones at their targets."""
 
     def __init__(
         self,
@@ -108,43 +109,48 @@
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
-        self._cancels: set[asyncio.Task[bool]] = set()
+        self._cancellations: set[asyncio.Task[bool]] = set()
 
     async def send(
-        self, work: StageWork, grant: Grant, patience: float | None = None
+        self,
+        execution: StageExecution,
+        grant: Grant,
+        first_byte_timeout: float | None = None,
     ) -> Result[StageAnswer, CallFailure]:
-        """Make one attempt and release ``grant``, whatever happens.
+        """Make one attempt and release ``grant`` in every case.
 
-        :param patience: seconds without a first byte after which to give up
-        :raises ContradictionError: if the stream differs from what was given
+        :param first_byte_timeout: timeout in seconds until the first byte
+        :raises StreamMismatchError: if the stream differs from the tokens already sent
         """
-        call = self._create_call(work, patience)
-        attempt = _Attempt(work, grant, call, self._clock.now())
-        work.attempts += 1
-        work.ledger.begin(call.attempt_id, grant.target.target_id)
+        call = self._create_call(execution, first_byte_timeout)
+        attempt = _Attempt(execution, grant, call, self._clock.now())
+        execution.attempts += 1
+        execution.ledger.begin(call.attempt_id, grant.target.target_id)
         try:
-            listener = _create_listener(work) if call.stream else None
+            listener = _create_listener(execution) if call.stream else None
             result = await self._client.call(grant.target, call, listener)
-            attempt.judge(result)
-            work.answered = work.answered or isinstance(result, Ok)
-        except ContradictionError:
-            attempt.note_contradiction()
+            attempt.record_result(result)
+            execution.answered = execution.answered or isinstance(result, Ok)
+        except StreamMismatchError:
+            attempt.record_mismatch()
             raise
         finally:
-            # also when the request is cancelled: a grant that is not released takes
-            # up the target's room for good, and an attempt left open at the target
-            # goes on costing
-            self._settle(attempt)
-        self._note(grant, result)
+            # also on cancellation of the request: a grant that is not released would
+            # occupy capacity of the target forever, and an attempt that is not
+            # cancelled at the target would continue to consume its resources
+            self._finish_attempt(attempt)
+        self._update_directory(grant, result)
         return result
 
     async def close(self) -> None:
-        """Wait for the cancellations under way."""
-        await asyncio.gather(*self._cancels, return_exceptions=True)
-
-    def _create_call(self, work: StageWork, patience: float | None) -> StageCall:
-        request, stage = work.request, work.stage
-        received = work.tokens.tokens if work.resume else ()
+        """Wait for the pending cancellations."""
+        await asyncio.gather(*self._cancellations, return_exceptions=True)
+
+    def _create_call(
+        self, execution: StageExecution, first_byte_timeout: float | None
+    ) -> StageCall:
+        request, stage = execution.request, execution.stage
+        received = execution.tokens.tokens if execution.resume else ()
         return StageCall(
             attempt_id=create_id("attempt", self._random),
             request_id=request.request_id,
@@ -152,30 +158,30 @@
             pipeline=request.pipeline,
             stage=stage.name,
             kind=stage.kind,
-            input=work.input,
-            repeatable=work.repeatable,
+            input=execution.input,
+            repeatable=execution.repeatable,
             deadline=request.deadline,
-            priority=work.priority,
-            stream=work.streamed,
+            priority=execution.priority,
+            stream=execution.streamed,
             resume_at=len(received),
             received=received,
-            first_byte_timeout=patience,
+            first_byte_timeout=first_byte_timeout,
         )
 
-    def _settle(self, attempt: _Attempt) -> None:
-        work, call = attempt.work, attempt.call
+    def _finish_attempt(self, attempt: _Attempt) -> None:
+        execution, call = attempt.execution, attempt.call
         seconds = self._clock.now() - attempt.started
-        attempt.note_overtaken()
-        work.ledger.settle(call.attempt_id, attempt.verdict)
+        attempt.record_overtaken()
+        execution.ledger.settle(call.attempt_id, attempt.verdict)
         self._dispatcher.release(attempt.grant, Outcome(attempt.kind, seconds))
         answered = attempt.outcome == ANSWERED
         if not answered:
-            work.wasted += seconds
-        if attempt.left_running:
+            execution.wasted_seconds += seconds
+        if attempt.may_be_running:
             self._start_cancel(attempt)
-        if work.trace is None:
+        if execution.trace is None:
             return
-        work.trace.log_attempt(
+        execution.trace.log_attempt(
             attempt_id=call.attempt_id,
             target_id=attempt.grant.target.target_id,
             outcome=attempt.outcome,
@@ -185,7 +191,9 @@
             message=attempt.message,
         )
 
-    def _note(self, grant: Grant, result: Result[StageAnswer, CallFailure]) -> None:
+    def _update_directory(
+        self, grant: Grant, result: Result[StageAnswer, CallFailure]
+    ) -> None:
         target_id = grant.target.target_id
         value = result.ok_value if isinstance(result, Ok) else result.err_value
         if value.leaving:
@@ -196,22 +204,22 @@
             self._directory.record_call(target_id, answered=False)
 
     def _start_cancel(self, attempt: _Attempt) -> None:
-        if len(self._cancels) >= MAX_CANCELS:
+        if len(self._cancellations) >= MAX_CANCELLATIONS:
             self._metrics.count("attempts.cancels_dropped")
             return
         self._metrics.count("attempts.cancelled")
         task = asyncio.create_task(
             self._client.cancel(attempt.grant.target, attempt.call.attempt_id)
         )
-        self._cancels.add(task)
-        task.add_done_callback(self._cancels.discard)
+        self._cancellations.add(task)
+        task.add_done_callback(self._cancellations.discard)
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """What became of one attempt; until judged, it counts as cancelled midway."""
+    """The state of one attempt; until it has a result, it counts as cancelled."""
 
-    work: StageWork
+    execution: StageExecution
     grant: Grant
     call: StageCall
     started: float
@@ -219,48 +227,50 @@
     verdict: Verdict = Verdict.MAY_HAVE_RUN
     outcome: str = CANCELLED
     message: str = ""
-    #: whether the target may still be at work on it
-    left_running: bool = True
+    #: whether the target may still be processing the call
+    may_be_running: bool = True
 
-    def judge(self, result: Result[StageAnswer, CallFailure]) -> None:
-        """Take over what the result says."""
+    def record_result(self, result: Result[StageAnswer, CallFailure]) -> None:
+        """Record the result of the call."""
         if isinstance(result, Err):
             failure = result.err_value
-            self.kind = _OUTCOMES.get(failure.kind, OutcomeKind.FAILURE)
+            self.kind = _OUTCOME_KINDS.get(failure.kind, OutcomeKind.FAILURE)
             self.verdict = failure.verdict
             self.outcome = failure.kind.value
             self.message = failure.message
-            self.left_running = needs_cancel(failure)
+            self.may_be_running = needs_cancel(failure)
             return
         self.kind = OutcomeKind.SUCCESS
         self.verdict = Verdict.RAN
         self.outcome = ANSWERED
-        self.left_running = False
+        self.may_be_running = False
 
-    def note_overtaken(self) -> None:
-        """Blame the target if it was late and another one has answered instead."""
-        if self.outcome != CANCELLED or not self.work.answered:
+    def record_overtaken(self) -> None:
+        """Record a failure of the target if a backup call was answered first."""
+        if self.outcome != CANCELLED or not self.execution.answered:
             return
-        if self.grant.target.target_id in self.work.late:
+        if self.grant.target.target_id in self.execution.hedged_targets:
             self.kind = OutcomeKind.FAILURE
             self.outcome = "overtaken"
 
-    def note_contradiction(self) -> None:
-        """Note a whole stream that can't be passed on."""
+    def record_mismatch(self) -> None:
+        """Record a complete stream that contradicts the tokens already sent."""
         self.kind = OutcomeKind.SUCCESS
         self.verdict = Verdict.RAN
         self.outcome = "contradiction"
 
 
-def _create_listener(work: StageWork) -> TokenListener:
-    def listen(offset: int, text: str) -> None:
-        check = work.tokens.append(offset, text)
+def _create_listener(execution: StageExecution) -> TokenListener:
+    def forward_token(offset: int, text: str) -> None:
+        check = execution.tokens.append(offset, text)
         if check is TokenCheck.REPEATED:
             return
         if check is not TokenCheck.NEW:
-            message = f"the repetition of a cut stream differs at token {offset}"
-            raise ContradictionError(message)
-        assert work.on_token is not None
-        work.on_token(offset, text)
-
-    return listen
+            message = (
+                f"the resumed stream does not match the sent one at token {offset}"
+            )
+            raise StreamMismatchError(message)
+        assert execution.on_token is not None
+        execution.on_token(offset, text)
+
+    return forward_token
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/composition.py
@@ -1,4 +1,4 @@
-"""The composition root: builds all parts of a daemon and wires them."""
+"""The composition root: builds and wires all components of the daemon."""
 
 from __future__ import annotations
 
@@ -25,13 +25,6 @@
 from .adapters.state_dump import StateDump
 from .adapters.store import HttpStore
 from .adapters.targets import HttpTargetClient
-from .attempts import AttemptMaker
-from .bounds import (
-    read_caller_limits,
-    read_identifier_limits,
-    read_retry_rules,
-    read_target_limits,
-)
 from .controllers import Controller
 from .controllers.claims import ClaimsController
 from .controllers.configuration import ConfigurationController
@@ -43,19 +36,26 @@
 from .controllers.scheduling import SchedulingController, read_scheduler_rule
 from .controllers.targets import TargetsController
 from .filters import Handler, chain
-from .filters.admission import AdmissionFilter
-from .filters.check import SNAPSHOT_NOTE, CheckFilter
 from .filters.deduplication import DeduplicationFilter
 from .filters.feasibility import FeasibilityFilter
-from .filters.identify import Identifier
+from .filters.lookup import SNAPSHOT_KEY, LookupFilter
 from .filters.observe import ObserveFilter
-from .filters.run import RunHandler
-from .filters.steer import SteerFilter
+from .filters.pipeline_handler import PipelineHandler
+from .filters.quota import QuotaFilter
+from .filters.request_parser import RequestParser
 from .filters.stop import StopFilter
-from .inflight import InFlight
+from .filters.traffic_split import TrafficSplitFilter
+from .in_flight_requests import InFlightRequests
+from .limits import (
+    read_caller_limits,
+    read_request_limits,
+    read_retry_rules,
+    read_target_limits,
+)
 from .logs import LogLevel, RequestLog
 from .metrics import Metrics
-from .stages import StageRunner
+from .pipeline_runner import PipelineRunner
+from .stage_caller import StageCaller
 from .status import StatusView
 
 if TYPE_CHECKING:
@@ -71,23 +71,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Parts:
-    """The parts of one daemon."""
+    """The components of one daemon."""
 
-    #: in the order in which they start
+    #: in start order
     controllers: tuple[Controller, ...]
     callers: CallersServer
     operators: OperatorsServer
     peers: PeerHub
     drain: DrainController
-    #: IP address on which callers are served
+    #: IP address of the callers' listener
     host: str
-    #: closes the clients towards targets and the platform
+    #: closes the clients of targets and of the platform
     close: Callable[[], Awaitable[None]]
-    #: what is done on signals, by number
+    #: signal handlers by signal number
     signals: dict[int, Callable[[], None]]
 
     def list_addresses(self) -> dict[str, str]:
-        """Return what this instance listens on."""
+        """Return the listening addresses of this instance by name."""
         ports = {
             "callers": self.callers.port,
             "operators": self.operators.port,
@@ -97,12 +97,12 @@
 
 
 def compose(settings: Settings, log_output: LogOutput | None = None) -> Parts:
-    """Build and wire all parts; nothing is started yet."""
+    """Build and wire all components without starting them."""
     return _Composer(settings, log_output).compose()
 
 
 class _Composer:
-    """Holds what most parts are built from while they are wired."""
+    """Holds the shared dependencies while the components are wired."""
 
     def __init__(self, settings: Settings, log_output: LogOutput | None) -> None:
         self.settings = settings
@@ -110,7 +110,7 @@
         self.clock = SystemClock()
         self.random = random.Random(settings["instance.seed"] or None)
         self.events = EventBus()
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.metrics = Metrics(settings["statsd.address"])
 
     def compose(self) -> Parts:
@@ -242,7 +242,7 @@
             metrics=self.metrics,
             limits=read_target_limits(self.settings),
         )
-        self.attempts = AttemptMaker(
+        self.stage_caller = StageCaller(
             dispatcher=self.scheduling,
             directory=self.targets,
             client=self.client,
@@ -250,39 +250,39 @@
             random_source=self.random,
             metrics=self.metrics,
             durations=durations,
-            rules=read_retry_rules(self.settings),
+            retry_rules=read_retry_rules(self.settings),
         )
-        runner = StageRunner(
-            attempts=self.attempts,
+        runner = PipelineRunner(
+            stage_caller=self.stage_caller,
             clock=self.clock,
             metrics=self.metrics,
             plan=plan,
-            prioritise=self._prioritise,
+            find_priority=self._find_priority,
         )
         self.handler = self._build_chain(runner)
 
-    def _build_chain(self, runner: StageRunner) -> Handler:
+    def _build_chain(self, runner: PipelineRunner) -> Handler:
         log = RequestLog(LogLevel[self.settings["log.level"].upper()])
         filters = (
             ObserveFilter(clock=self.clock, metrics=self.metrics, log=log),
             StopFilter(in_flight=self.in_flight),
-            CheckFilter(snapshot=lambda: self.configuration.snapshot),
-            AdmissionFilter(quotas=self.quotas, claimed=False),
+            LookupFilter(snapshot=lambda: self.configuration.snapshot),
+            QuotaFilter(quotas=self.quotas, after_claim=False),
             DeduplicationFilter(claims=self.claims),
-            AdmissionFilter(quotas=self.quotas, claimed=True),
-            SteerFilter(),
+            QuotaFilter(quotas=self.quotas, after_claim=True),
+            TrafficSplitFilter(),
             FeasibilityFilter(
                 admission=self.admission, clock=self.clock, metrics=self.metrics
             ),
         )
-        return chain(filters, RunHandler(runner=runner))
+        return chain(filters, PipelineHandler(runner=runner))
 
     def _build_servers(self) -> None:
-        identifier = Identifier(
+        identifier = RequestParser(
             clock=self.clock,
             random_source=self.random,
             snapshot=lambda: self.configuration.snapshot,
-            limits=read_identifier_limits(self.settings),
+            limits=read_request_limits(self.settings),
         )
         self.callers = CallersServer(
             listen=self.settings["callers.listen"],
@@ -301,7 +301,7 @@
             max_drain_seconds=self.settings["drain.longest"],
             close_listener=self.callers.close_listener,
             wait_idle=self.callers.wait_idle,
-            abort_requests=self.in_flight.break_off,
+            abort_requests=self.in_flight.abort_all,
         )
         status = StatusView(
             settings=self.settings,
@@ -316,7 +316,7 @@
             state_dump=StateDump(
                 settings=self.settings,
                 metrics=self.metrics,
-                controllers=self._name_controllers,
+                controllers=self._map_controllers,
                 log_output=self.log_output,
             ),
             status=status.describe,
@@ -328,7 +328,7 @@
         )
 
     async def _close(self) -> None:
-        await self.attempts.close()
+        await self.stage_caller.close()
         await self.client.close()
         await self.order_client.close()
         await self.instance_list.close()
@@ -350,22 +350,22 @@
             self.callers,
         )
 
-    def _name_controllers(self) -> dict[str, Controller]:
+    def _map_controllers(self) -> dict[str, Controller]:
         return {controller.name: controller for controller in self._list_controllers()}
 
     def _is_ready(self) -> bool:
-        # without a first listing no target is known: the balancer's other
-        # instances can answer what this one would have to refuse
-        informed = self.configuration.ready and self.listing.listing is not None
-        return informed and not self.drain.draining
+        # without a first listing no target is known, and requests would be refused
+        # that other instances behind the load balancer can answer
+        synced = self.configuration.ready and self.listing.listing is not None
+        return synced and not self.drain.draining
 
     def _find_weights(self, workspace: str, pipeline: str) -> Weights:
         return resolve_policy(self.configuration.snapshot, workspace, pipeline).weights
 
-    def _prioritise(self, exchange: Exchange, stage: Stage) -> int:
+    def _find_priority(self, exchange: Exchange, stage: Stage) -> int:
         request = exchange.request
-        snapshot = exchange.notes[SNAPSHOT_NOTE]
-        steering = resolve_policy(
+        snapshot = exchange.context[SNAPSHOT_KEY]
+        policy = resolve_policy(
             snapshot, request.workspace, request.pipeline, stage.service
         )
-        return steering.priority
+        return policy.priority
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/controllers/orders.py
@@ -13,8 +13,8 @@
 from greengagelatch.orders.permission import may_order
 from greengagelatch.orders.rules import Fencing, OrderRules, read_fencing
 
-from ..engine_groups import GroupTable
 from ..ordering import EngineCaller
+from ..placement_groups import PlacementGroups
 from . import Controller
 from .drain import DRAIN_STARTED
 
@@ -30,8 +30,8 @@
     from greengagelatch.orders.group import EngineCall
     from greengagelatch.settings import Settings
 
-    from ..engine_groups import Group
     from ..metrics import Metrics
+    from ..placement_groups import PlacementGroup
     from .leases import LeasesController
     from .targets import TargetsController
 
@@ -87,12 +87,12 @@
             leases=leases,
             directory=targets,
             rules=self._rules,
-            open=lambda: not self._draining,
+            may_order=lambda: not self._draining,
             clock=clock,
             random_source=random_source,
             metrics=metrics,
         )
-        self._groups = GroupTable(
+        self._groups = PlacementGroups(
             data_centre=settings["instance.data_centre"], targets=targets
         )
         self._calls: set[asyncio.Task[None]] = set()
@@ -115,10 +115,10 @@
             groups[group.name] = {
                 "fencing": self._read_fencing(group).value,
                 "placed": group.placed,
-                "overflowing": group.demand.overflowing,
+                "overflowing": group.overflow.overflowing,
                 "fence": 0 if engines is None else engines.fence,
-                "configuration_current": group.current,
-                "last_error": group.error,
+                "configuration_current": group.configuration_current,
+                "last_error": group.last_error,
                 "engines": {}
                 if engines is None
                 else engines.dump(now, group.placement),
@@ -144,7 +144,7 @@
         desired = set()
         busy = set()
         for group in self._groups.list_groups():
-            if group.ordering:
+            if group.has_open_order:
                 busy.add(group.name)
             if group.placed and not self._draining:
                 desired.add(group.name)
@@ -152,15 +152,15 @@
 
     # one group
 
-    def _reconcile(self, group: Group) -> None:
+    def _reconcile(self, group: PlacementGroup) -> None:
         lease_state = self._leases.find(group.name)
         if lease_state is None or not lease_state.held:
             group.engines = None
-            group.current = False
+            group.configuration_current = False
             return
         now = self._clock.now()
         if group.engines is None or group.engines.fence != lease_state.fence:
-            group.current = False
+            group.configuration_current = False
             group.engines = EngineGroup(
                 fence=lease_state.fence, rules=self._rules, now=now
             )
@@ -176,11 +176,13 @@
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
 
-    def _may_order(self, group: Group, lease_state: LeaseState) -> bool:
+    def _may_order(self, group: PlacementGroup, lease_state: LeaseState) -> bool:
         if self._draining or not group.placed:
             return False
-        group.current = group.current or self._is_current(lease_state)
-        if not group.current:
+        group.configuration_current = group.configuration_current or self._is_current(
+            lease_state
+        )
+        if not group.configuration_current:
             return False
         now = read_instant(self._clock)
         fencing = self._read_fencing(group)
@@ -199,12 +201,12 @@
         # the age is too low by the latency of the call that confirmed it
         return self._clock.now() - age >= lease_state.acquired + self._margin
 
-    def _read_fencing(self, group: Group) -> Fencing:
+    def _read_fencing(self, group: PlacementGroup) -> Fencing:
         service = self._snapshot().services.get(group.service)
         return Fencing.IGNORED if service is None else read_fencing(service)
 
     async def _call(
-        self, group: Group, engines: EngineGroup, engine_call: EngineCall
+        self, group: PlacementGroup, engines: EngineGroup, engine_call: EngineCall
     ) -> None:
         target = group.targets.get(engine_call.target_id)
         try:
@@ -214,9 +216,11 @@
                     self._clock.now(), engine_call, self._rules.interval
                 )
             elif engine_call.order is None:
-                group.error = await self._caller.read(engines, engine_call, target)
+                group.last_error = await self._caller.read_state(
+                    engines, engine_call, target
+                )
             else:
-                group.error = await self._caller.order(
+                group.last_error = await self._caller.send_order(
                     group.name, self._read_fencing(group), engines, engine_call, target
                 )
         except Exception:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/feasibility.py
@@ -1,4 +1,4 @@
-"""Refuses requests that can't be answered whole within their deadline."""
+"""Admission control: refuses requests that can't complete within their deadline."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from greengagelatch.request import Answer
 
 from . import Filter
-from .check import SNAPSHOT_NOTE
-from .steer import PIPELINE_NOTE
+from .lookup import SNAPSHOT_KEY
+from .traffic_split import PIPELINE_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.clock import Clock
@@ -23,11 +23,11 @@
 
 
 class FeasibilityFilter(Filter):
-    """Asks admission before anything of a request is run.
+    """Applies admission control before any stage of a request is called.
 
-    It comes last before the run, when the pipeline is known that the policies have
-    picked. A keyed request that is refused here has its claim already and gives it
-    back, as nothing ran.
+    It is the last filter before the pipeline runs, as it needs to know the pipeline
+    that the policies selected. A request with an idempotency key has already claimed
+    it; if the request is refused here, the claim is released, as nothing ran.
     """
 
     def __init__(self, *, admission: Admission, clock: Clock, metrics: Metrics) -> None:
@@ -37,14 +37,14 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
-        snapshot = exchange.notes[SNAPSHOT_NOTE]
-        steering = resolve_policy(snapshot, request.workspace, request.pipeline)
+        snapshot = exchange.context[SNAPSHOT_KEY]
+        policy = resolve_policy(snapshot, request.workspace, request.pipeline)
         arrival = Arrival(
             workspace=request.workspace,
-            pipeline=exchange.notes[PIPELINE_NOTE],
-            priority=steering.priority,
+            pipeline=exchange.context[PIPELINE_KEY],
+            priority=policy.priority,
             deadline=request.deadline,
-            weights=steering.weights,
+            weights=policy.weights,
         )
         refusal = self._admission.check(arrival, self._clock.now())
         if refusal is None:
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/observe.py
@@ -1,4 +1,4 @@
-"""Measures and logs every request; the outermost filter."""
+"""Records metrics and logs of every request; the outermost filter."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from ..logs import RequestLog
     from ..metrics import Metrics
 
-__all__ = ("TRACE_NOTE", "ObserveFilter")
+__all__ = ("TRACE_KEY", "ObserveFilter")
 
 logger = logging.getLogger(__name__)
 
-#: note that holds the request's log
-TRACE_NOTE = "trace"
-#: milliseconds after which an error of this instance may be gone
+#: key of the request's log
+TRACE_KEY = "trace"
+#: milliseconds after which to retry a request that failed with an internal error
 INTERNAL_RETRY_MS = 1000
 
 
 class ObserveFilter(Filter):
-    """Counts requests by outcome, times them, and answers errors of later steps."""
+    """Counts and times requests by outcome, and answers errors of later filters."""
 
     def __init__(self, *, clock: Clock, metrics: Metrics, log: RequestLog) -> None:
         self._clock = clock
@@ -37,21 +37,23 @@
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         trace = self._log.start_request(exchange.request)
-        exchange.notes[TRACE_NOTE] = trace
+        exchange.context[TRACE_KEY] = trace
         try:
             answer = await proceed(exchange)
         except asyncio.CancelledError:
             self._metrics.count("requests.caller_gone")
-            trace.finish(_refuse(exchange, "the caller left"))
+            trace.finish(_refuse(exchange, "the caller disconnected"))
             raise
         except Exception:
-            logger.exception("request %s failed", exchange.request.request_id)
-            answer = _refuse(exchange, "error of this instance")
-        self._measure(exchange, answer)
+            logger.exception(
+                "request %s failed with an internal error", exchange.request.request_id
+            )
+            answer = _refuse(exchange, "internal error")
+        self._record_metrics(exchange, answer)
         trace.finish(answer)
         return answer
 
-    def _measure(self, exchange: Exchange, answer: Answer) -> None:
+    def _record_metrics(self, exchange: Exchange, answer: Answer) -> None:
         seconds = self._clock.now() - exchange.request.received
         refusal = answer.refusal
         outcome = "answered" if refusal is None else refusal.code.value
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/admission.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/quota.py
@@ -1,4 +1,4 @@
-"""Refuses requests beyond the quota of their workspace."""
+"""Rate limiting: refuses requests that exceed the quota of their workspace."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from greengagelatch.verdict import Verdict
 
 from . import Exchange, Filter, Handler
-from .check import SNAPSHOT_NOTE
+from .lookup import SNAPSHOT_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -20,38 +20,39 @@
 
     from ..controllers.quotas import QuotasController
 
-__all__ = ("AdmissionFilter",)
+__all__ = ("QuotaFilter",)
 
-#: characters of an offending value that are shown
-MAX_SHOWN = 64
+#: maximum characters of an invalid value that a refusal shows
+MAX_SHOWN_CHARS = 64
 
 
-class AdmissionFilter(Filter):
-    """Charges each request once, before or after its key is claimed.
+class QuotaFilter(Filter):
+    """Charges each request to its quota once, before or after its key is claimed.
 
-    It stands in the chain twice, around deduplication. A request without a key, or
-    with one that the caller says it has not sent before, is charged before: its
-    refusal costs no write to the store. Any other one may be the repeat of a request
-    that runs or has run, which only its claim can tell; it is charged after it,
-    so that a repeat gets its answer also when the quota is used up. Refused then,
-    it gives its claim back, as nothing ran.
+    The chain contains this filter twice, before and after deduplication. A request
+    without an idempotency key, or one that the caller declares to be a first attempt,
+    is charged before deduplication, so that its refusal costs no write to the store.
+    Any other request may be the retry of one that is running or has run, which is
+    known only once its key is claimed. It is charged after deduplication, so that a
+    retry gets the recorded answer even if the quota is exhausted. If it is refused
+    there, its claim is released, as nothing ran.
 
-    What used nothing, as it was found under its key or refused without having run,
-    is given back.
+    A request whose answer was replayed, or which was refused without having run, is
+    refunded.
 
-    :param claimed: whether this is the place after deduplication
+    :param after_claim: whether this filter comes after deduplication
     """
 
-    def __init__(self, *, quotas: QuotasController, claimed: bool) -> None:
+    def __init__(self, *, quotas: QuotasController, after_claim: bool) -> None:
         self._quotas = quotas
-        self._claimed = claimed
+        self._after_claim = after_claim
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
         request = exchange.request
         known_new = not request.key or request.first_attempt
-        if known_new == self._claimed:
+        if known_new == self._after_claim:
             return await proceed(exchange)
-        snapshot = exchange.notes[SNAPSHOT_NOTE]
+        snapshot = exchange.context[SNAPSHOT_KEY]
         quota = resolve_policy(snapshot, request.workspace, request.pipeline).quota
         if quota is None:
             return await proceed(exchange)
@@ -64,28 +65,28 @@
         workspace = exchange.request.workspace
         tokens = _TokenCounter(exchange.on_token)
         if exchange.on_token is not None and quota.tokens_per_second is not None:
-            exchange.on_token = tokens.take
-        unused = False
+            exchange.on_token = tokens.forward
+        refundable = False
         try:
             answer = await proceed(exchange)
             verdict = exchange.verdict.raise_to(answer.verdict)
-            unused = answer.replayed or verdict is Verdict.NOT_RUN
+            refundable = answer.replayed or verdict is Verdict.NOT_RUN
             return answer
         finally:
-            if unused:
+            if refundable:
                 self._quotas.refund(quota, workspace)
             elif tokens.count:
                 self._quotas.charge_tokens(quota, workspace, tokens.count)
 
 
 class _TokenCounter:
-    """Counts the tokens that are passed on to a caller."""
+    """Counts the tokens that are sent to a caller."""
 
     def __init__(self, listener: Callable[[int, str], None] | None) -> None:
         self._listener = listener
         self.count = 0
 
-    def take(self, offset: int, text: str) -> None:
+    def forward(self, offset: int, text: str) -> None:
         self.count += 1
         if self._listener is not None:
             self._listener(offset, text)
@@ -95,9 +96,9 @@
     request = exchange.request
     refusal = Refusal(
         code=RefusalCode.QUOTA,
-        message="the workspace's quota is used up",
+        message="quota of the workspace exceeded",
         field="X-Workspace",
-        value=request.workspace[:MAX_SHOWN],
+        value=request.workspace[:MAX_SHOWN_CHARS],
         retry_after_ms=max(1, math.ceil(retry_after * 1000)),
     )
     return Answer(
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/filters/steer.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/filters/traffic_split.py
@@ -1,4 +1,4 @@
-"""Steers a request to the pipeline and services that the policies pick for it."""
+"""Traffic splitting: selects pipeline and services of a request by policy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from greengagelatch.config.policy_resolution import resolve_policy
 
 from . import Filter
-from .check import SNAPSHOT_NOTE
+from .lookup import SNAPSHOT_KEY
 
 if TYPE_CHECKING:
     from greengagelatch.config.objects import Pipeline, Stage
@@ -17,23 +17,24 @@
 
     from . import Exchange, Handler
 
-__all__ = ("PIPELINE_NOTE", "SteerFilter")
+__all__ = ("PIPELINE_KEY", "TrafficSplitFilter")
 
-#: key of the pipeline to run, among the notes of an exchange
-PIPELINE_NOTE = "pipeline"
+#: key of the pipeline to run
+PIPELINE_KEY = "pipeline"
 
 
-class SteerFilter(Filter):
-    """Applies traffic splits.
+class TrafficSplitFilter(Filter):
+    """Applies the traffic splits of the policies.
 
-    It comes after deduplication: a key belongs to the pipeline that the caller
-    named, so a repeat finds the first answer whichever way the split went. What a
-    split names and the configuration does not hold any more is passed over, as the
-    caller would else be refused for an operator's change.
+    It comes after deduplication: an idempotency key belongs to the pipeline that the
+    caller requested, so a retry finds the first answer whichever pipeline the split
+    selects. A split is ignored if its pipeline or service is no longer in the
+    configuration, or if the service has another kind than the stage; otherwise an
+    operator's change would cause refusals.
     """
 
     async def apply(self, exchange: Exchange, proceed: Handler) -> Answer:
-        snapshot: Snapshot = exchange.notes[SNAPSHOT_NOTE]
+        snapshot: Snapshot = exchange.context[SNAPSHOT_KEY]
         pipeline = _choose_pipeline(snapshot, exchange.request)
         if pipeline.name != exchange.request.pipeline:
             exchange.request = replace(exchange.request, pipeline=pipeline.name)
@@ -43,7 +44,7 @@
         )
         if stages != pipeline.stages:
             pipeline = replace(pipeline, stages=stages)
-        exchange.notes[PIPELINE_NOTE] = pipeline
+        exchange.context[PIPELINE_KEY] = pipeline
         return await proceed(exchange)
 
 
@@ -56,10 +57,10 @@
 
 
 def _choose_service(snapshot: Snapshot, request: Request, stage: Stage) -> Stage:
-    steering = resolve_policy(
+    policy = resolve_policy(
         snapshot, request.workspace, request.pipeline, stage.service
     )
-    split = steering.service_split
+    split = policy.service_split
     if split is None:
         return stage
     picked = split.pick(request.request_id)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/bounds.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/limits.py
@@ -1,4 +1,4 @@
-"""Bounds of the request path, read from the settings."""
+"""Limits of the request path, read from the settings."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from .adapters.callers import CallerLimits
 from .adapters.targets import TargetLimits
-from .filters.identify import IdentifierLimits
+from .filters.request_parser import RequestLimits
 
 if TYPE_CHECKING:
     from greengagelatch.settings import Settings
 
 __all__ = (
     "read_caller_limits",
-    "read_identifier_limits",
+    "read_request_limits",
     "read_retry_rules",
     "read_target_limits",
 )
 
 
 def read_caller_limits(settings: Settings) -> CallerLimits:
-    """Return the bounds on callers' connections."""
+    """Return the limits on callers' connections."""
     return CallerLimits(
         max_body_bytes=settings["callers.max_body_bytes"],
         max_header_bytes=settings["callers.max_header_bytes"],
@@ -34,13 +34,13 @@
     )
 
 
-def read_identifier_limits(settings: Settings) -> IdentifierLimits:
-    """Return the bounds on what callers may ask."""
-    return IdentifierLimits(max_deadline_ms=settings["callers.max_deadline_ms"])
+def read_request_limits(settings: Settings) -> RequestLimits:
+    """Return the limits on the content of requests."""
+    return RequestLimits(max_deadline_ms=settings["callers.max_deadline_ms"])
 
 
 def read_target_limits(settings: Settings) -> TargetLimits:
-    """Return the bounds on calls to targets."""
+    """Return the limits on calls to targets."""
     return TargetLimits(
         connect_timeout=settings["targets.connect_timeout"],
         stall_timeout=settings["targets.stall_timeout"],
@@ -52,5 +52,5 @@
 
 
 def read_retry_rules(settings: Settings) -> RetryRules:
-    """Return the bounds on repeated calls."""
+    """Return the limits on retries."""
     return RetryRules(max_attempts=settings["targets.max_attempts"])
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one action tree for each request, and ``logging`` bridged into it."""
+"""Structured logs: one eliot action tree per request, and a ``logging`` bridge."""
 
 from __future__ import annotations
 
@@ -26,42 +26,42 @@
     "RequestTrace",
     "STDOUT",
     "StageTrace",
-    "open_output",
-    "set_up",
+    "open_log_output",
+    "configure_logging",
     "truncate",
 )
 
-#: longest text of one field, in bytes
-MAX_VALUE = 200
-#: longest message of a ``logging`` record, in bytes
-MAX_MESSAGE = 1000
-#: longest traceback, in bytes; its end is kept, as that names the error
-MAX_TRACEBACK = 1500
-#: longest line in bytes; a pipe that polls as writable takes this much at once
-MAX_LINE = 4096
-#: stages of one request, and attempts of one stage, that are logged
-MAX_STAGES = 16
-MAX_ATTEMPTS = 8
+#: maximum bytes of the text of one field
+MAX_VALUE_BYTES = 200
+#: maximum bytes of the message of a ``logging`` record
+MAX_MESSAGE_BYTES = 1000
+#: maximum bytes of a traceback; its end is kept, as it names the error
+MAX_TRACEBACK_BYTES = 1500
+#: maximum bytes of a line; a pipe that polls as writable accepts this many at once
+MAX_LINE_BYTES = 4096
+#: maximum stages per request, and attempts per stage, that are logged
+MAX_LOGGED_STAGES = 16
+MAX_LOGGED_ATTEMPTS = 8
 
 STDOUT = "-"
 
-#: libraries that log each connection's start and end: lines that grow with the number
-#: of peers, of nothing that was decided or is believed
+#: libraries that log each connection's start and end: the volume grows with the number
+#: of peers, and the lines contain no decision and no state of this instance
 QUIET_LIBRARIES = ("websockets",)
 
 
 class LogLevel(IntEnum):
-    """What is logged; each level includes the ones before it."""
+    """Log verbosity; each level includes those before it."""
 
     ERRORS = 0
     REQUESTS = 1
     STAGES = 2
 
 
-def truncate(value: Any, limit: int = MAX_VALUE) -> str:
+def truncate(value: Any, limit: int = MAX_VALUE_BYTES) -> str:
     """Return ``value`` as text of at most ``limit`` bytes, plus an ellipsis.
 
-    Lone surrogates, which JSON input may hold, are replaced: the encoder refuses
+    Lone surrogates, which JSON input may contain, are replaced: the encoder rejects
     them, and the line would be lost.
     """
     text = value if isinstance(value, str) else str(value)
@@ -74,11 +74,11 @@
 
 
 class LogOutput:
-    """Writes log lines to a file descriptor without ever waiting for it.
+    """Writes log lines to a file descriptor without blocking.
 
-    A reader of standard output that has stopped would fill the pipe, and the next
-    write would hold up the event loop: the process is alive, yet answers nobody.
-    So a line is written only if the descriptor takes it at once, and is otherwise
+    If the reader of standard output stalls, the pipe fills up and a blocking write
+    would stop the event loop: the process would be alive but answer no request. A
+    line is therefore written only if the descriptor is writable, and is otherwise
     dropped and counted.
     """
 
@@ -87,16 +87,16 @@
         self._owned = owned
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._bridge = _Bridge()
+        self._bridge = _LoggingBridge()
         self._destination = eliot.FileDestination(file=self)
         self.written = 0
         self.dropped = 0
 
     def write(self, line: bytes) -> int:
-        """Write ``line`` at once or drop it; return the number of bytes written."""
+        """Write ``line`` or drop it; return the number of bytes written."""
         if not line:
             return 0
-        if len(line) > MAX_LINE or not self._is_writable():
+        if len(line) > MAX_LINE_BYTES or not self._is_writable():
             self.dropped += 1
             return 0
         try:
@@ -108,7 +108,7 @@
         return len(line)
 
     def flush(self) -> None:
-        """Do nothing, as nothing is buffered."""
+        """Do nothing, as writes are not buffered."""
 
     def attach(self, level: LogLevel) -> None:
         """Send eliot's messages and ``logging`` records to this output."""
@@ -130,17 +130,17 @@
         return any(event & select.POLLOUT for _, event in self._poll.poll(0))
 
 
-class _Bridge(logging.Handler):
-    """Passes ``logging`` records on to eliot, each as one bounded message.
+class _LoggingBridge(logging.Handler):
+    """Forwards ``logging`` records to eliot, each as one message of limited size.
 
-    eliot's own handler writes tracebacks unbounded, in a message of their own.
+    eliot's own handler writes tracebacks without a limit, as separate messages.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
         try:
             fields = _describe_record(record)
         except Exception:
-            # arguments that don't fit the format must not stop whoever logs
+            # a mismatch of format and arguments must not fail the code that logs
             self.handleError(record)
             return
         eliot.log_message("greengagelatch:log", **fields)
@@ -150,25 +150,25 @@
     fields = {
         "log_level": record.levelname,
         "logger": record.name,
-        "message": truncate(record.getMessage(), MAX_MESSAGE),
+        "message": truncate(record.getMessage(), MAX_MESSAGE_BYTES),
     }
     if record.exc_info and record.exc_info[0] is not None:
         text = "".join(traceback.format_exception(*record.exc_info))
-        fields["traceback"] = truncate(text[-MAX_TRACEBACK:], MAX_TRACEBACK)
+        fields["traceback"] = truncate(text[-MAX_TRACEBACK_BYTES:], MAX_TRACEBACK_BYTES)
     return fields
 
 
-def set_up(settings: Settings) -> LogOutput:
-    """Open the output that ``log.file`` names and route all logs to it.
+def configure_logging(settings: Settings) -> LogOutput:
+    """Open the output that the setting ``log.file`` names and route all logs to it.
 
     :raises OSError: if the file can't be opened
     """
     level = LogLevel[settings["log.level"].upper()]
-    return open_output(settings["log.file"], level, settings["instance.id"])
+    return open_log_output(settings["log.file"], level, settings["instance.id"])
 
 
-def open_output(path: str, level: LogLevel, instance_id: str) -> LogOutput:
-    """Open an output, :data:`STDOUT` or a file, and route all logs to it.
+def open_log_output(path: str, level: LogLevel, instance_id: str) -> LogOutput:
+    """Open :data:`STDOUT` or a file as the output of all logs.
 
     :raises OSError: if the file can't be opened
     """
@@ -183,21 +183,21 @@
 
 
 class RequestLog:
-    """Logs requests as eliot actions whose task is the request's id.
+    """Logs requests as eliot actions whose task id is the request id.
 
-    So all lines of a request, whichever its stage, are found by its id.
+    All lines of a request, whatever the stage, can thus be found by its id.
     """
 
     def __init__(self, level: LogLevel) -> None:
         self._level = level
 
     def start_request(self, request: Request) -> RequestTrace:
-        """Begin a request's action; the trace must be finished."""
+        """Start the action of a request; the caller must finish the trace."""
         return RequestTrace(self._level, request)
 
 
 class RequestTrace:
-    """The log of one request."""
+    """Logs one request."""
 
     def __init__(self, level: LogLevel, request: Request) -> None:
         self._level = level
@@ -210,10 +210,10 @@
             self._action = self._start()
 
     def start_stage(self, stage: str, service: str = "") -> StageTrace:
-        """Begin a stage's action; the trace must be finished."""
+        """Start the action of a stage; the caller must finish the trace."""
         self._stages += 1
         action = None
-        if self._level >= LogLevel.STAGES and self._stages <= MAX_STAGES:
+        if self._level >= LogLevel.STAGES and self._stages <= MAX_LOGGED_STAGES:
             with self._action.context():
                 action = eliot.start_action(
                     action_type="greengagelatch:stage",
@@ -223,7 +223,7 @@
         return StageTrace(self, action)
 
     def finish(self, answer: Answer) -> None:
-        """Log the final answer; on level ``errors`` only a refusal."""
+        """Log the final answer; at level ``errors``, only if it is a refusal."""
         if self._action is None:
             if answer.refusal is None:
                 return
@@ -265,7 +265,7 @@
 
 
 class StageTrace:
-    """The log of one stage of one request."""
+    """Logs one stage of a request."""
 
     def __init__(self, request: RequestTrace, action: eliot.Action | None) -> None:
         self._request = request
@@ -288,7 +288,7 @@
         self._request.attempts += 1
         if failed:
             self._request.failures += 1
-        if self._action is None or self._attempts > MAX_ATTEMPTS:
+        if self._action is None or self._attempts > MAX_LOGGED_ATTEMPTS:
             return
         self._action.log(
             "greengagelatch:attempt",
@@ -301,7 +301,7 @@
         )
 
     def finish(self, *, outcome: str, verdict: Verdict) -> None:
-        """Log how the stage ended."""
+        """Log the outcome of the stage."""
         if self._action is None:
             return
         self._action.add_success_fields(
@@ -311,5 +311,5 @@
 
 
 def _to_milliseconds(seconds: Mapping[str, float]) -> dict[str, float]:
-    shown = list(seconds.items())[:MAX_STAGES]
+    shown = list(seconds.items())[:MAX_LOGGED_STAGES]
     return {truncate(name): round(value * 1000, 1) for name, value in shown}
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timers, sent to statsd and kept for the state dump."""
+"""Counters, gauges and timers, sent to statsd and shown in the state dump."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 __all__ = ("MetricTotals", "Metrics")
 
-#: prefix of every metric's name
+#: prefix of all metric names
 PREFIX = "greengagelatch"
-#: seconds for which metrics are gathered before they are sent
-INTERVAL = 0.2
-#: durations that are gathered at most
+#: seconds between two flushes of the collected metrics
+FLUSH_SECONDS = 0.2
+#: maximum number of collected durations; reaching it triggers a flush
 MAX_TIMINGS = 500
-#: bytes of one datagram, which an Ethernet frame carries whole
-MAX_DATAGRAM = 1432
-#: what separates the parts of a metric, and what can't be sent, in a name
-_FORBIDDEN = str.maketrans(dict.fromkeys(":|@# \n", "_"))
+#: maximum bytes of one datagram, so that it fits into one Ethernet frame
+MAX_DATAGRAM_BYTES = 1432
+#: characters in names that are statsd's separators or can't be sent
+_UNSAFE_CHARS = str.maketrans(dict.fromkeys(":|@# \n", "_"))
 
 
 class MetricTotals:
-    """Running totals, however they are shown."""
+    """Totals of counters and the last values of gauges."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -50,14 +50,14 @@
 
 
 class Metrics(MetricTotals):
-    """Gathers metrics, sends them by UDP and keeps the running totals.
+    """Collects metrics, sends them to statsd by UDP and keeps the totals.
 
-    statsd's client is synchronous, but a datagram to an IP address never waits
-    for anything; a host name would be resolved in the event loop, so settings
-    accept addresses only. A datagram for each metric took a twentieth of a
-    request's processor time, so those of a short while share datagrams, and counts
-    of one name are added up. What is gathered is sent by the first call after
-    :data:`INTERVAL`; controllers report gauges regularly, so there is always one.
+    statsd's client is synchronous, but sending a datagram to an IP address does not
+    block. A host name would be resolved in the event loop, so the settings accept
+    addresses only. One datagram per metric takes a twentieth of a request's
+    processor time, so metrics are batched in datagrams, and counts of the same name
+    are summed. The first call after :data:`FLUSH_SECONDS` flushes the batch;
+    controllers report gauges regularly, so such a call always comes.
 
     :param now: returns monotonic seconds
     """
@@ -67,55 +67,56 @@
         host, _, port = address.rpartition(":")
         host = host.strip("[]")
         self._client = statsd.StatsClient(
-            host, int(port), PREFIX, maxudpsize=MAX_DATAGRAM, ipv6=":" in host
+            host, int(port), PREFIX, maxudpsize=MAX_DATAGRAM_BYTES, ipv6=":" in host
         )
         self._now = now
         self._new_counts: Counter[str] = Counter()
         self._new_gauges: dict[str, float] = {}
         self._timings: list[tuple[str, float]] = []
-        self._sent = now()
+        self._flushed_at = now()
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add ``amount`` to a counter."""
         super().count(name, amount)
         self._new_counts[name] += amount
-        self._send_if_due()
+        self._flush_if_due()
 
     def gauge(self, name: str, value: float) -> None:
         """Set a gauge."""
         super().gauge(name, value)
         self._new_gauges[name] = value
-        self._send_if_due()
+        self._flush_if_due()
 
     def timing(self, name: str, seconds: float) -> None:
-        """Report a duration."""
+        """Record a duration."""
         self._timings.append((name, seconds))
-        self._send_if_due()
+        self._flush_if_due()
 
     def flush(self) -> None:
-        """Send what was gathered."""
-        self._sent = self._now()
+        """Send the collected metrics."""
+        self._flushed_at = self._now()
         with self._client.pipeline() as pipeline:
             for name, amount in self._new_counts.items():
-                pipeline.incr(_clean(name), amount)
+                pipeline.incr(_sanitize(name), amount)
             for name, value in self._new_gauges.items():
-                pipeline.gauge(_clean(name), value)
+                pipeline.gauge(_sanitize(name), value)
             for name, seconds in self._timings:
-                pipeline.timing(_clean(name), seconds * 1000)
+                pipeline.timing(_sanitize(name), seconds * 1000)
         self._new_counts.clear()
         self._new_gauges.clear()
         self._timings.clear()
 
-    def _send_if_due(self) -> None:
-        due = self._now() - self._sent >= INTERVAL
+    def _flush_if_due(self) -> None:
+        due = self._now() - self._flushed_at >= FLUSH_SECONDS
         if due or len(self._timings) >= MAX_TIMINGS:
             self.flush()
 
 
-def _clean(name: str) -> str:
-    """Return a name that can be sent: names hold those of operators' objects.
+def _sanitize(name: str) -> str:
+    """Return ``name`` without characters that can't be sent.
 
-    statsd's client raises on what is not ASCII, in the middle of a request.
+    Metric names contain the names of operators' objects, and statsd's client raises
+    on characters that are not ASCII, which would fail the request.
     """
-    text = name.translate(_FORBIDDEN)
+    text = name.translate(_UNSAFE_CHARS)
     return text if text.isascii() else text.encode("ascii", "replace").decode()
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/ordering.py
@@ -1,4 +1,4 @@
-"""Single calls to engines: readings, and orders guarded by their group's lease."""
+"""Calls to engines: reading state, and orders fenced by their group's lease."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 logger = logging.getLogger(__name__)
 
-#: seconds after the first call in a row that an engine did not take
-RETRY_BASE = 1.0
+#: base of the exponential backoff after failed calls to an engine, in seconds
+RETRY_BASE_SECONDS = 1.0
 
 
 class EngineCaller:
-    """Makes the calls that an :class:`EngineGroup` plans and takes in their ends.
+    """Makes the calls that an :class:`EngineGroup` plans and reports their results.
 
-    :param open: whether orders may be given at all; no longer once a stop has begun
+    :param may_order: whether orders may be sent; false once a stop has begun
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         leases: LeasesController,
         directory: TargetDirectory,
         rules: OrderRules,
-        open: Callable[[], bool],
+        may_order: Callable[[], bool],
         clock: Clock,
         random_source: random.Random,
         metrics: Metrics,
@@ -56,13 +56,15 @@
         self._leases = leases
         self._directory = directory
         self._rules = rules
-        self._open = open
+        self._may_order = may_order
         self._clock = clock
         self._random = random_source
         self._metrics = metrics
 
-    async def read(self, engines: EngineGroup, step: EngineCall, target: Target) -> str:
-        """Read an engine's state; return what went wrong, or an empty text."""
+    async def read_state(
+        self, engines: EngineGroup, step: EngineCall, target: Target
+    ) -> str:
+        """Read an engine's state; return an error message, or an empty string."""
         answer = await self._client.read(target)
         now = self._clock.now()
         match answer:
@@ -71,9 +73,9 @@
                 return ""
         self._metrics.count("orders.read_failures")
         engines.handle_read(now, step, None, self._choose_delay(engines, step))
-        return f"{step.target_id} can't be read: {answer.err_value}"
+        return f"reading the state of {step.target_id} failed: {answer.err_value}"
 
-    async def order(
+    async def send_order(
         self,
         group: str,
         fencing: Fencing,
@@ -81,15 +83,15 @@
         step: EngineCall,
         target: Target,
     ) -> str:
-        """Give an order; return what went wrong, or an empty text."""
+        """Send an order; return an error message, or an empty string."""
         assert step.order is not None
 
-        def guard() -> bool:
+        def check_permission() -> bool:
             now = read_instant(self._clock)
-            # a lease may have lapsed and a target begun to leave while the
-            # connection was made; either would be an order that must not be given
+            # checked once connected: meanwhile the lease may have expired or the
+            # target begun to leave, and then the order must not be sent
             allowed = (
-                self._open()
+                self._may_order()
                 and self._directory.accepts(target.target_id)
                 and may_send(
                     self._leases.find(group),
@@ -106,7 +108,7 @@
             self._metrics.count("orders.sent")
             return True
 
-        answer = await self._client.send(target, step.order, guard)
+        answer = await self._client.send(target, step.order, check_permission)
         now = self._clock.now()
         self._metrics.count(f"orders.outcome.{answer.outcome.value}")
         match answer.outcome:
@@ -116,7 +118,7 @@
             case OrderOutcome.UNKNOWN:
                 engines.handle_order_end(now, step, settled=False)
             case OrderOutcome.OLD_FENCE:
-                # there is a newer holder, whatever this instance's clocks say
+                # a newer holder has the lease, even if it has not expired by this clock
                 engines.handle_order_end(now, step, settled=True)
                 self._leases.abandon(group)
             case _:
@@ -130,7 +132,7 @@
     def _choose_delay(self, engines: EngineGroup, step: EngineCall) -> float:
         return compute_backoff(
             engines.count_failures(step.target_id) + 1,
-            base=RETRY_BASE,
-            longest=max(RETRY_BASE, self._rules.interval),
+            base=RETRY_BASE_SECONDS,
+            longest=max(RETRY_BASE_SECONDS, self._rules.interval),
             random_source=self._random,
         )
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/stages.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/pipeline_runner.py
@@ -1,4 +1,4 @@
-"""Runs the stages of a request's pipeline."""
+"""Execution of the stages of a request's pipeline."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from greengagelatch.stages.retries import may_retry
 from greengagelatch.verdict import Verdict
 
-from .filters.observe import TRACE_NOTE
-from .sending import StageWork
+from .attempt_sender import StageExecution
+from .filters.observe import TRACE_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,38 +25,38 @@
     from greengagelatch.clock import Clock
     from greengagelatch.config.objects import Pipeline, Stage
 
-    from .attempts import AttemptMaker
     from .filters import Exchange
     from .logs import StageTrace
     from .metrics import Metrics
+    from .stage_caller import StageCaller
 
-__all__ = ("StageRunner",)
+__all__ = ("PipelineRunner",)
 
-#: milliseconds after which a request that ran out of time may be asked again
+#: milliseconds after which to retry a request whose deadline was exceeded
 DEADLINE_RETRY_MS = 1000
 
 
 @dataclass(slots=True, kw_only=True)
 class _Run:
-    """One request's run through its pipeline."""
+    """The state of one run of a pipeline."""
 
     exchange: Exchange
     pipeline: Pipeline
     ledger: AttemptLedger = field(default_factory=AttemptLedger)
-    begun: set[str] = field(default_factory=set)
+    started_stages: set[str] = field(default_factory=set)
     results: dict[str, Any] = field(default_factory=dict)
-    seconds: dict[str, float] = field(default_factory=dict)
-    #: seconds of targets' time that led to a result, by stage
+    stage_seconds: dict[str, float] = field(default_factory=dict)
+    #: seconds of target time of completed stages, by stage
     costs: dict[str, float] = field(default_factory=dict)
-    #: seconds that failed attempts took, by stage
-    wasted: dict[str, float] = field(default_factory=dict)
+    #: total seconds of failed attempts, by stage
+    wasted_seconds: dict[str, float] = field(default_factory=dict)
 
     def answer(self, refusal: Refusal | None) -> Answer:
-        """Return the final answer; a refusal is given the run's verdict."""
+        """Return the final answer; a refusal gets the verdict of the request."""
         verdict = self.exchange.verdict
         result = None
         if refusal is not None:
-            refusal = self._complete(refusal)
+            refusal = self._complete_refusal(refusal)
         else:
             result = self.results[self.pipeline.stages[-1].name]
         return Answer(
@@ -64,48 +64,48 @@
             verdict=verdict,
             result=result,
             refusal=refusal,
-            stage_seconds=self.seconds,
+            stage_seconds=self.stage_seconds,
         )
 
-    def _complete(self, refusal: Refusal) -> Refusal:
+    def _complete_refusal(self, refusal: Refusal) -> Refusal:
         verdict = self.exchange.verdict
         retry_after_ms = refusal.retry_after_ms
-        if verdict is not Verdict.NOT_RUN and not self._may_ask_again():
-            # a caller that took the hint would run the request a second time
+        if verdict is not Verdict.NOT_RUN and not self._may_retry():
+            # a caller that followed the hint would run the request a second time
             retry_after_ms = None
         return replace(refusal, verdict=verdict, retry_after_ms=retry_after_ms)
 
-    def _may_ask_again(self) -> bool:
+    def _may_retry(self) -> bool:
         request = self.exchange.request
         if request.key:
             return True
         return all(may_retry(stage, request) for stage in self.pipeline.stages)
 
 
-class StageRunner:
-    """Runs pipelines; stages whose inputs are ready run side by side.
+class PipelineRunner:
+    """Runs pipelines; stages whose inputs are ready run concurrently.
 
-    :param plan: gives each stage its own deadline within the request's
-    :param prioritise: returns the priority of a stage's calls
+    :param plan: derives each stage's deadline from that of the request
+    :param find_priority: returns the priority of a stage's calls
     """
 
     def __init__(
         self,
         *,
-        attempts: AttemptMaker,
+        stage_caller: StageCaller,
         clock: Clock,
         metrics: Metrics,
         plan: StagePlan = divide_by_share,
-        prioritise: Callable[[Exchange, Stage], int] | None = None,
+        find_priority: Callable[[Exchange, Stage], int] | None = None,
     ) -> None:
-        self._attempts = attempts
+        self._stage_caller = stage_caller
         self._clock = clock
         self._metrics = metrics
         self._plan = plan
-        self._prioritise = prioritise
+        self._find_priority = find_priority
 
     async def run(self, exchange: Exchange, pipeline: Pipeline) -> Answer:
-        """Run all stages and answer with the last one's result."""
+        """Run all stages and return the result of the last one."""
         request = exchange.request
         run = _Run(exchange=exchange, pipeline=pipeline)
         refusal: Refusal | None = None
@@ -115,28 +115,28 @@
         except TimeoutError:
             refusal = Refusal(
                 code=RefusalCode.DEADLINE,
-                message="deadline over",
+                message="deadline exceeded",
                 field="X-Deadline-Ms",
                 value=f"{(request.deadline - request.received) * 1000:.0f}",
                 retry_after_ms=DEADLINE_RETRY_MS,
             )
         finally:
             exchange.raise_verdict(run.ledger.verdict)
-            self._count_cost(run, useful=refusal is None)
+            self._record_cost(run, useful=refusal is None)
         return run.answer(refusal)
 
     async def _run_stages(self, run: _Run) -> Refusal | None:
         running: set[asyncio.Task[Refusal | None]] = set()
         try:
             while True:
-                ready = find_ready(run.pipeline, run.begun, run.results)
+                ready = find_ready(run.pipeline, run.started_stages, run.results)
                 if len(ready) == 1 and not running:
                     refusal = await self._run_stage(run, ready[0])
                     if refusal is not None:
                         return refusal
                     continue
                 for stage in ready:
-                    run.begun.add(stage.name)
+                    run.started_stages.add(stage.name)
                     running.add(asyncio.create_task(self._run_stage(run, stage)))
                 if not running:
                     return None
@@ -154,33 +154,33 @@
                 await asyncio.gather(*running, return_exceptions=True)
 
     async def _run_stage(self, run: _Run, stage: Stage) -> Refusal | None:
-        run.begun.add(stage.name)
+        run.started_stages.add(stage.name)
         started = self._clock.now()
-        work = self._create_work(run, stage, started)
+        execution = self._create_execution(run, stage, started)
         outcome = "given-up"
         try:
-            result = await self._attempts.make(work)
+            result = await self._stage_caller.call(execution)
             outcome = "refused" if isinstance(result, Err) else "answered"
         finally:
             seconds = self._clock.now() - started
-            run.seconds[stage.name] = seconds
-            run.wasted[stage.name] = work.wasted
+            run.stage_seconds[stage.name] = seconds
+            run.wasted_seconds[stage.name] = execution.wasted_seconds
             self._metrics.timing(f"stage.{run.pipeline.name}.{stage.name}", seconds)
-            if work.trace is not None:
-                work.trace.finish(outcome=outcome, verdict=run.ledger.verdict)
+            if execution.trace is not None:
+                execution.trace.finish(outcome=outcome, verdict=run.ledger.verdict)
         if isinstance(result, Err):
             return result.err_value
         run.results[stage.name] = result.ok_value.output
         run.costs[stage.name] = result.ok_value.cost
         return None
 
-    def _create_work(self, run: _Run, stage: Stage, now: float) -> StageWork:
+    def _create_execution(self, run: _Run, stage: Stage, now: float) -> StageExecution:
         request = run.exchange.request
         last = run.pipeline.stages[-1] is stage
         priority = 0
-        if self._prioritise is not None:
-            priority = self._prioritise(run.exchange, stage)
-        return StageWork(
+        if self._find_priority is not None:
+            priority = self._find_priority(run.exchange, stage)
+        return StageExecution(
             request=request,
             stage=stage,
             input=build_input(stage, request.input, run.results),
@@ -191,20 +191,20 @@
             trace=_start_trace(run.exchange, stage),
         )
 
-    def _count_cost(self, run: _Run, *, useful: bool) -> None:
+    def _record_cost(self, run: _Run, *, useful: bool) -> None:
         pipeline = run.pipeline.name
         kind = "useful" if useful else "wasted"
         for name, cost in run.costs.items():
             amount = round(cost * 1000)
             self._metrics.count(f"cost.{pipeline}.{name}.{kind}_ms", amount)
-        for name, cost in run.wasted.items():
+        for name, cost in run.wasted_seconds.items():
             amount = round(cost * 1000)
             if amount > 0:
                 self._metrics.count(f"cost.{pipeline}.{name}.wasted_ms", amount)
 
 
 def _start_trace(exchange: Exchange, stage: Stage) -> StageTrace | None:
-    trace = exchange.notes.get(TRACE_NOTE)
+    trace = exchange.context.get(TRACE_KEY)
     if trace is None:
         return None
     return trace.start_stage(stage.name, stage.service)
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/engine_groups.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/placement_groups.py
@@ -1,4 +1,4 @@
-"""The groups of engines in this data centre that placement policies name."""
+"""Groups of engines in this data centre that placement policies manage."""
 
 from __future__ import annotations
 
@@ -23,64 +23,64 @@
 
     from .controllers.targets import TargetsController
 
-__all__ = ("Group", "GroupTable")
+__all__ = ("PlacementGroup", "PlacementGroups")
 
-DEMAND_RULE = OverflowRule()
+OVERFLOW_RULE = OverflowRule()
 
 
 @dataclass(slots=True)
-class Group:
+class PlacementGroup:
     """The engines of one service in this data centre."""
 
     name: str
     service: str
     placement: Placement
-    #: whether the engines here are to hold what the placement names
+    #: whether the engines are to have the state that the placement specifies
     placed: bool = False
-    demand: OverflowState = field(default_factory=OverflowState)
-    #: targets that are neither leaving nor gone, by id
+    overflow: OverflowState = field(default_factory=OverflowState)
+    #: listed targets that are not leaving, by id
     targets: dict[str, Target] = field(default_factory=dict)
     #: ``None`` while the lease is not held
     engines: EngineGroup | None = None
-    #: whether the configuration was proved the newest under this tenure
-    current: bool = False
-    #: last call that came to nothing, for the state dump
-    error: str = ""
+    #: whether the configuration was verified to be the newest during this lease
+    configuration_current: bool = False
+    #: error of the last failed call, for the state dump
+    last_error: str = ""
 
     @property
-    def ordering(self) -> bool:
-        """Whether an order is under way, or may still be."""
+    def has_open_order(self) -> bool:
+        """Whether an order is in progress, or may still be."""
         return self.engines is not None and self.engines.has_open_order
 
 
-class GroupTable:
-    """Keeps the groups up to date with configuration, targets and demand."""
+class PlacementGroups:
+    """Keeps the groups in line with configuration, targets and load."""
 
     def __init__(self, *, data_centre: str, targets: TargetsController) -> None:
         self._data_centre = data_centre
         self._targets = targets
-        self._groups: dict[str, Group] = {}
+        self._groups: dict[str, PlacementGroup] = {}
 
     def __len__(self) -> int:
         return len(self._groups)
 
-    def list_groups(self) -> tuple[Group, ...]:
-        """Return all groups, by name."""
+    def list_groups(self) -> tuple[PlacementGroup, ...]:
+        """Return all groups, ordered by name."""
         return tuple(self._groups[name] for name in sorted(self._groups))
 
     def update(self, now: float, snapshot: Snapshot) -> None:
-        """Take in what has changed; ``now`` is in monotonic seconds."""
+        """Update all groups; ``now`` is in monotonic seconds."""
         placements = find_placements(snapshot)
         groups = {}
         for service, placement in placements.items():
             name = f"{self._data_centre}/{service}"
-            group = self._groups.get(name) or Group(name, service, placement)
+            group = self._groups.get(name) or PlacementGroup(name, service, placement)
             group.placement = placement
             groups[name] = group
         for name, group in self._groups.items():
-            # with its policy gone it has still to end what it began, or its lease
-            # would be given up and the next holder begin too early
-            if name not in groups and group.ordering:
+            # a group without a policy stays until its orders end: otherwise its lease
+            # would be released and the next holder could start too early
+            if name not in groups and group.has_open_order:
                 group.placed = False
                 groups[name] = group
         self._groups = groups
@@ -88,10 +88,12 @@
             return
         listed = self._targets.list_targets()
         self._assign_targets(target for target, _ in listed)
-        aside = frozenset(target.target_id for target, aside in listed if aside)
+        ejected = frozenset(
+            target.target_id for target, is_ejected in listed if is_ejected
+        )
         for service in placements:
             group = groups[f"{self._data_centre}/{service}"]
-            group.placed = self._decide_placed(now, group, aside)
+            group.placed = self._decide_placed(now, group, ejected)
 
     def _assign_targets(self, targets: Iterable[Target]) -> None:
         by_service: dict[str, dict[str, Target]] = {}
@@ -102,14 +104,16 @@
         for group in self._groups.values():
             group.targets = by_service.get(group.service, {})
 
-    def _decide_placed(self, now: float, group: Group, aside: frozenset[str]) -> bool:
+    def _decide_placed(
+        self, now: float, group: PlacementGroup, ejected: frozenset[str]
+    ) -> bool:
         if is_preferred(group.placement, self._data_centre):
             return True
         reachable = [
             candidate
             for candidate in self._targets.candidates(group.service)
-            if candidate.target.target_id not in aside
+            if candidate.target.target_id not in ejected
         ]
         load = measure_load(group.placement, reachable)
-        group.demand = group.demand.update(now, load, DEMAND_RULE)
-        return group.demand.overflowing
+        group.overflow = group.overflow.update(now, load, OVERFLOW_RULE)
+        return group.overflow.overflowing
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/composition.py
@@ -24,7 +24,7 @@
 from ..controllers import Controller
 from ..controllers.drain import DrainController
 from ..filters import chain
-from ..inflight import InFlight
+from ..in_flight_requests import InFlightRequests
 from .bundle_quarantine import SharedBundleQuarantine
 from .configuration import ConfigurationFollower
 from .crash_detector import CrashDetector
@@ -107,7 +107,7 @@
         self.clock = SystemClock()
         self.random = random.Random()
         self.events = EventBus()
-        self.in_flight = InFlight()
+        self.in_flight = InFlightRequests()
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
         self.followers: frozenset[str] = frozenset()
@@ -328,7 +328,7 @@
             max_drain_seconds=self.settings.longest_drain,
             close_listener=self.front.close_listener,
             wait_idle=self._wait_idle,
-            abort_requests=self.in_flight.break_off,
+            abort_requests=self.in_flight.abort_all,
         )
         self.readiness = ReadinessServer(
             listen=self.settings.readiness_listen,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/filters.py
@@ -14,7 +14,7 @@
 from greengagelatch.relay.urgency import compute_rank
 
 from ..filters.stop import STOPPING_RETRY_MS
-from ..inflight import BrokenOffError
+from ..in_flight_requests import RequestAbortedError
 from .exchange import CallerDisconnectedError, RelayExchange
 from .refusals import create_error, create_quarantine_error, find_refusal_status
 
@@ -26,7 +26,7 @@
     from greengagelatch.relay.quarantine import Quarantine
     from greengagelatch.relay.routes import RouteTable
 
-    from ..inflight import InFlight
+    from ..in_flight_requests import InFlightRequests
     from ..metrics import Metrics
     from .decisions import DecisionLog
     from .runners import Runner
@@ -140,7 +140,7 @@
     """
 
     def __init__(
-        self, *, in_flight: InFlight, find_stop_deadline: Callable[[], float]
+        self, *, in_flight: InFlightRequests, find_stop_deadline: Callable[[], float]
     ) -> None:
         self._in_flight = in_flight
         self._find_stop_deadline = find_stop_deadline
@@ -151,7 +151,7 @@
             raise self._refuse(exchange, "this instance is stopping")
         try:
             await self._in_flight.run(proceed(exchange))
-        except BrokenOffError:
+        except RequestAbortedError:
             raise self._refuse(
                 exchange, "cancelled by a stop of this instance"
             ) from None
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/status.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/status.py
@@ -1,4 +1,4 @@
-"""What this instance shows operators of itself, its peers and the targets."""
+"""Status of this instance, its peers and the targets, as shown to operators."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 LIVE = "live"
 LEAVING = "leaving"
-SET_ASIDE = "set-aside"
+EJECTED = "set-aside"
 
 
 class StatusView:
@@ -44,7 +44,7 @@
         self._ready = ready
 
     def describe(self) -> InstanceStatus:
-        """Return the present state."""
+        """Return the current status."""
         return InstanceStatus(
             instance_id=self._settings["instance.id"],
             data_centre=self._settings["instance.data_centre"],
@@ -65,8 +65,8 @@
             )
 
     def _describe_targets(self) -> Iterator[TargetStatus]:
-        for target, set_aside in self._targets.list_targets():
-            yield _describe_target(target, SET_ASIDE if set_aside else LIVE)
+        for target, is_ejected in self._targets.list_targets():
+            yield _describe_target(target, EJECTED if is_ejected else LIVE)
         for target in self._targets.list_leaving_targets():
             yield _describe_target(target, LEAVING)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -13,7 +13,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.controllers import Controller
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.identify import Arrival
+from greengagelatch_entry.filters.request_parser import ReceivedRequest
 
 from .network import Pipe
 from .steps import Step
@@ -23,7 +23,7 @@
 
     from greengagelatch.clock import Clock
     from greengagelatch_entry.filters import Handler
-    from greengagelatch_entry.filters.identify import Identifier
+    from greengagelatch_entry.filters.request_parser import RequestParser
 
     from .network import Network
     from .processes import SimulatedProcess
@@ -91,7 +91,7 @@
         announcer: Announcer,
         markers: dict[str, str],
         handler: Handler,
-        identifier: Identifier,
+        identifier: RequestParser,
         clock: Clock,
         draining: Callable[[], bool],
         **_adapter: Any,
@@ -175,14 +175,14 @@
         ask.request_id = request_id
         self._markers[request_id] = ask.marker
         await self._announcer.reach(Step.RECEIVED, ask.marker, self.process)
-        arrival = Arrival(
+        arrival = ReceivedRequest(
             request_id=request_id,
             pipeline=ask.pipeline,
             headers=ask.headers,
             body=ask.body,
             received=received,
         )
-        result = self._identifier.identify(arrival)
+        result = self._identifier.parse(arrival)
         if isinstance(result, Err):
             answer = Answer(
                 request_id=request_id,
--- a/tests/test_entry/test_adapters/test_callers.py
+++ b/tests/test_entry/test_adapters/test_callers.py
@@ -21,9 +21,9 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.adapters.callers import CallerLimits, CallersServer
 from greengagelatch_entry.filters import chain
-from greengagelatch_entry.filters.check import CheckFilter
-from greengagelatch_entry.filters.identify import Identifier
+from greengagelatch_entry.filters.lookup import LookupFilter
 from greengagelatch_entry.filters.observe import ObserveFilter
+from greengagelatch_entry.filters.request_parser import RequestParser
 from greengagelatch_entry.logs import LogLevel, RequestLog
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.waiting import wait_until
@@ -57,12 +57,12 @@
             ObserveFilter(
                 clock=clock, metrics=self.metrics, log=RequestLog(LogLevel.ERRORS)
             ),
-            CheckFilter(snapshot=lambda: SNAPSHOT),
+            LookupFilter(snapshot=lambda: SNAPSHOT),
         )
         self.server = CallersServer(
             listen=f"{HOST}:0",
             handler=chain(filters, self._run),
-            identifier=Identifier(
+            identifier=RequestParser(
                 clock=clock,
                 random_source=random.Random(5),
                 snapshot=lambda: SNAPSHOT,
--- a/tests/test_entry/test_application.py
+++ b/tests/test_entry/test_application.py
@@ -16,12 +16,12 @@
 from greengagelatch_entry.controllers.drain import DrainController
 from greengagelatch_entry.metrics import Metrics
 
-#: bound of every wait in these tests, in seconds
-PATIENCE = 10
+#: timeout of every wait in these tests, in seconds
+TIMEOUT = 10
 
 
-class Part(Controller):
-    """A controller that notes when it starts and stops."""
+class RecordingController(Controller):
+    """A controller that records its start and stop."""
 
     def __init__(self, name: str, steps: list[str]) -> None:
         super().__init__()
@@ -39,7 +39,7 @@
         return {}
 
 
-class FailingPart(Part):
+class FailingController(RecordingController):
     """A controller whose background task raises."""
 
     @Service.task
@@ -47,8 +47,8 @@
         raise RuntimeError("out of order")
 
 
-class UnboundPart(Part):
-    """A controller whose address is taken."""
+class AddressInUseController(RecordingController):
+    """A controller whose address is in use."""
 
     async def on_start(self) -> None:
         raise OSError("address in use")
@@ -58,54 +58,58 @@
     pass
 
 
-async def find_nothing(seconds: float) -> bool:
+async def report_idle(seconds: float) -> bool:
     return True
 
 
-def create_application(*parts: Part) -> tuple[Application, DrainController]:
+def create_application(
+    *parts: RecordingController,
+) -> tuple[Application, DrainController]:
     drain = DrainController(
         clock=ManualClock(),
         events=EventBus(),
         metrics=Metrics("127.0.0.1:9"),
         balancer_lag=0.0,
-        max_drain_seconds=PATIENCE,
+        max_drain_seconds=TIMEOUT,
         close_listener=do_nothing,
-        wait_idle=find_nothing,
+        wait_idle=report_idle,
         abort_requests=lambda: None,
     )
-    wired = SimpleNamespace(
+    composed = SimpleNamespace(
         controllers=(*parts, drain),
         drain=drain,
         close=do_nothing,
-        # a signal that does nothing by default, so that a missed one ends no test
+        # a signal that is ignored by default, so that the tests survive a missed one
         signals={signal.SIGWINCH: drain.start_drain},
         list_addresses=dict,
     )
-    return Application(wired), drain
+    return Application(composed), drain
 
 
-async def test_parts_stop_in_the_reverse_order_of_their_start():
+async def test_controllers_stop_in_the_reverse_order_of_their_start():
     steps: list[str] = []
-    application, drain = create_application(Part("a", steps), Part("b", steps))
+    application, drain = create_application(
+        RecordingController("a", steps), RecordingController("b", steps)
+    )
     drain.start_drain()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FINISHED
     assert steps == ["start a", "start b", "stop b", "stop a"]
 
 
-async def test_failed_background_task_ends_the_process():
-    """Symptom: one instance goes on serving with a configuration of last week.
+async def test_failed_background_task_stops_the_process():
+    """Guards against an instance that serves with an outdated configuration.
 
-    Sequence: the task that learns of changes raises; everything else runs on.
-    Cause: nobody was told that the task had ended.
+    The task that receives configuration changes raises, and everything else continues
+    to run, unless the end of a task stops the process.
     """
-    application, _ = create_application(FailingPart("a", []))
-    async with asyncio.timeout(PATIENCE):
+    application, _ = create_application(FailingController("a", []))
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FAILED
 
 
-class SignalledPart(Part):
-    """A controller during whose start the process is signalled."""
+class SignallingController(RecordingController):
+    """A controller that sends a signal to the process while it starts."""
 
     async def on_start(self) -> None:
         await super().on_start()
@@ -113,22 +117,26 @@
         await asyncio.sleep(0)
 
 
-async def test_signal_during_the_start_is_not_missed():
-    """Symptom: a process that is told to stop while it starts ends at once.
+async def test_signal_during_startup_is_handled():
+    """Guards against a process that is killed by a stop signal during start-up.
 
-    Sequence: a part serves already, the signal comes, and later parts are starting.
-    Cause: handlers were installed only once all parts had started.
+    The signal arrives when one controller already serves and others still start. It
+    would kill the process if handlers were installed only after all have started.
     """
     steps: list[str] = []
-    application, _ = create_application(SignalledPart("a", steps), Part("b", steps))
-    async with asyncio.timeout(PATIENCE):
+    application, _ = create_application(
+        SignallingController("a", steps), RecordingController("b", steps)
+    )
+    async with asyncio.timeout(TIMEOUT):
         assert await application.run() == ExitCode.FINISHED
     assert steps == ["start a", "start b", "stop b", "stop a"]
 
 
-async def test_taken_address_ends_the_start_and_stops_what_runs():
+async def test_address_in_use_aborts_startup_and_stops_started_controllers():
     steps: list[str] = []
-    application, _ = create_application(Part("a", steps), UnboundPart("b", steps))
-    async with asyncio.timeout(PATIENCE):
-        assert await application.run() == ExitCode.BAD_START
+    application, _ = create_application(
+        RecordingController("a", steps), AddressInUseController("b", steps)
+    )
+    async with asyncio.timeout(TIMEOUT):
+        assert await application.run() == ExitCode.STARTUP_FAILED
     assert steps == ["start a", "stop a"]
--- a/tests/test_entry/test_drain.py
+++ b/tests/test_entry/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of the planned stop."""
+"""Tests of greengagelatch_entry.controllers.drain."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.waiting import wait_until
 
-#: bound of every wait in these tests, in seconds
-PATIENCE = 10
+#: timeout of every wait in these tests, in seconds
+TIMEOUT = 10
 
 
-class Listener:
-    """Stands in for the callers' server and records the order of calls."""
+class FakeListener:
+    """A fake of the callers' server that records the order of calls."""
 
     def __init__(self) -> None:
         self.steps: list[str] = []
         self.idle = asyncio.Event()
-        #: what it says of the requests in flight
+        #: whether all requests in flight are reported as completed
         self.finished = True
 
     async def close(self) -> None:
@@ -36,18 +36,18 @@
 
     async def wait_idle(self, seconds: float) -> bool:
         self.steps.append("waiting")
-        await asyncio.wait_for(self.idle.wait(), PATIENCE)
+        await asyncio.wait_for(self.idle.wait(), TIMEOUT)
         return self.finished
 
 
-def create_drain(listener: Listener, lag: float = 0.0) -> DrainController:
-    """Return a controller that drains ``listener``."""
+def create_drain(listener: FakeListener, lag: float = 0.0) -> DrainController:
+    """Return a drain controller of ``listener``."""
     return DrainController(
         clock=ManualClock(),
         events=EventBus(),
         metrics=Metrics("127.0.0.1:9"),
         balancer_lag=lag,
-        max_drain_seconds=PATIENCE,
+        max_drain_seconds=TIMEOUT,
         close_listener=listener.close,
         wait_idle=listener.wait_idle,
         abort_requests=listener.break_off,
@@ -55,13 +55,12 @@
 
 
 async def test_listener_stays_open_while_the_balancer_lags():
-    """Symptom: connections refused during each rollout.
+    """Guards against refused connections during each rollout.
 
-    Sequence: the instance is told to stop and closes its listener while the
-    balancer, which polls readiness, still sends it new connections.
-    Cause: closing came before the balancer could know.
+    The load balancer, which polls readiness, still sends new connections for a while
+    after the stop was requested. The listener must not be closed before.
     """
-    listener = Listener()
+    listener = FakeListener()
     drain = create_drain(listener, lag=3600)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
@@ -73,73 +72,72 @@
     await asyncio.gather(stop, return_exceptions=True)
 
 
-async def test_requests_in_flight_are_finished():
-    """Symptom: a stream ends without its end event whenever an instance stops.
+async def test_requests_in_flight_are_completed():
+    """Guards against streams without an end event whenever an instance stops.
 
-    Sequence: a stream runs, the stop begins, the process exits.
-    Cause: the stop did not wait for what was in flight.
+    The stop begins during a stream; the process must not exit before it is complete.
     """
-    listener = Listener()
+    listener = FakeListener()
     drain = create_drain(listener)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
     await wait_until(lambda: listener.steps == ["closed", "waiting"])
     assert not stop.done()
     listener.idle.set()
-    assert await asyncio.wait_for(stop, PATIENCE)
+    assert await asyncio.wait_for(stop, TIMEOUT)
     assert drain.state is DrainState.STOPPED
 
 
-async def test_second_request_ends_at_once():
-    listener = Listener()
+async def test_second_stop_request_stops_at_once():
+    listener = FakeListener()
     drain = create_drain(listener, lag=3600)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
     drain.request_stop()
-    assert await asyncio.wait_for(stop, PATIENCE) is False
+    assert await asyncio.wait_for(stop, TIMEOUT) is False
 
 
 async def test_drain_by_an_operator_is_idempotent():
-    """Symptom: an operator repeats ``drain`` and requests in flight are cut.
+    """Guards against requests in flight that are cancelled by a second ``drain``.
 
-    Sequence: drain, its answer is lost, drain again.
-    Cause: the repeat was taken for the second signal, which ends at once.
+    An operator retries the command as its answer was lost. Unlike a second signal,
+    which stops at once, the retry must have no effect.
     """
-    listener = Listener()
+    listener = FakeListener()
     drain = create_drain(listener)
-    heard = []
-    drain._events.connect(DRAIN_STARTED, lambda: heard.append(True))
+    drain_events = []
+    drain._events.connect(DRAIN_STARTED, lambda: drain_events.append(True))
     stop = asyncio.create_task(drain.wait())
     drain.start_drain()
     drain.start_drain()
     listener.idle.set()
-    assert await asyncio.wait_for(stop, PATIENCE)
-    assert heard == [True]
+    assert await asyncio.wait_for(stop, TIMEOUT)
+    assert drain_events == [True]
 
 
-async def test_what_is_not_finished_in_time_is_broken_off():
-    """Symptom: callers see closed connections at the end of a stop.
+async def test_requests_not_completed_in_time_are_aborted():
+    """Guards against connections closed without an answer at the end of a stop.
 
-    Sequence: the time for requests in flight is over, and the process ends.
-    Cause: nobody gave these requests their final answers.
+    The time for requests in flight is over. They must be cancelled and get their
+    final answers before the process exits.
     """
-    listener = Listener()
+    listener = FakeListener()
     listener.idle.set()
     listener.finished = False
     drain = create_drain(listener)
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
-    assert await asyncio.wait_for(stop, PATIENCE) is False
+    assert await asyncio.wait_for(stop, TIMEOUT) is False
     assert listener.steps == ["closed", "waiting", "broken off", "waiting"]
 
 
-async def test_step_that_fails_is_told_and_breaks_off(caplog):
-    """Symptom: an instance ends its stop in silence, and its callers are cut.
+async def test_failed_step_is_logged_and_requests_are_aborted(caplog):
+    """Guards against a stop that skips its later steps after an error.
 
-    Sequence: closing the listener fails.
-    Cause: the error was taken for the result of the stop, and what follows left out.
+    Closing the listener fails. The error must be logged, and the requests in flight
+    must still get their answers.
     """
-    listener = Listener()
+    listener = FakeListener()
     listener.idle.set()
     drain = create_drain(listener)
 
@@ -149,13 +147,13 @@
     drain._close_listener = fail
     stop = asyncio.create_task(drain.wait())
     drain.request_stop()
-    assert await asyncio.wait_for(stop, PATIENCE) is False
+    assert await asyncio.wait_for(stop, TIMEOUT) is False
     assert listener.steps == ["broken off", "waiting"]
     assert "no such descriptor" in caplog.text
 
 
-def test_end_of_a_stop_is_known_once_it_is_requested():
-    drain = create_drain(Listener(), lag=2.0)
+def test_drain_deadline_is_known_once_a_stop_is_requested():
+    drain = create_drain(FakeListener(), lag=2.0)
     assert drain.drain_deadline == math.inf
     drain.request_stop()
-    assert drain.drain_deadline == drain.started_at + 2.0 + PATIENCE
+    assert drain.drain_deadline == drain.started_at + 2.0 + TIMEOUT
--- a/tests/test_entry/test_filters/test_feasibility.py
+++ b/tests/test_entry/test_filters/test_feasibility.py
@@ -10,9 +10,9 @@
 from greengagelatch.request import Answer, Request
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.check import SNAPSHOT_NOTE
 from greengagelatch_entry.filters.feasibility import FeasibilityFilter
-from greengagelatch_entry.filters.steer import PIPELINE_NOTE
+from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
+from greengagelatch_entry.filters.traffic_split import PIPELINE_KEY
 from greengagelatch_entry.metrics import Metrics
 
 SNAPSHOT = Snapshot(
@@ -30,7 +30,7 @@
 )
 
 
-class NotedAdmission(Admission):
+class RecordingAdmission(Admission):
     def __init__(self, refusal) -> None:
         self.refusal = refusal
         self.arrivals = []
@@ -40,8 +40,8 @@
         return self.refusal
 
 
-async def ask(admission):
-    """Return the answer to one request, and the names of what was run."""
+async def apply_filter(admission):
+    """Return the answer to one request, and the pipelines that were run."""
     run = []
 
     async def proceed(exchange):
@@ -56,28 +56,28 @@
         received=0.0,
         deadline=1005.0,
     )
-    notes = {SNAPSHOT_NOTE: SNAPSHOT, PIPELINE_NOTE: SNAPSHOT.pipelines["draft"]}
+    context = {SNAPSHOT_KEY: SNAPSHOT, PIPELINE_KEY: SNAPSHOT.pipelines["draft"]}
     step = FeasibilityFilter(
         admission=admission, clock=ManualClock(), metrics=Metrics("127.0.0.1:9")
     )
-    return await step.apply(Exchange(request=request, notes=notes), proceed), run
+    return await step.apply(Exchange(request=request, context=context), proceed), run
 
 
-async def test_request_that_can_not_be_answered_in_time_runs_nothing():
-    """A refused request was run in part, and its caller told that it was not.
+async def test_infeasible_request_does_not_run():
+    """Guards against a refused request that runs in part but is answered "not run".
 
-    Admission refuses it. Asking admission beside the run would be the cause.
+    This would happen if admission control ran concurrently with the pipeline.
     """
     refusal = Refusal(code=RefusalCode.OVERLOADED, message="full", retry_after_ms=1500)
-    answer, run = await ask(NotedAdmission(refusal))
+    answer, run = await apply_filter(RecordingAdmission(refusal))
     assert run == []
     assert answer.verdict is Verdict.NOT_RUN
     assert answer.refusal == refusal
 
 
-async def test_admission_is_told_what_the_policies_say():
-    admission = NotedAdmission(None)
-    answer, run = await ask(admission)
+async def test_admission_control_receives_the_values_of_the_policies():
+    admission = RecordingAdmission(None)
+    answer, run = await apply_filter(admission)
     assert run == ["draft"]
     assert answer.refusal is None
     (arrival,) = admission.arrivals
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.filters.admission with its controller."""
+"""Tests of greengagelatch_entry.filters.quota and the quotas controller."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from greengagelatch_entry.controllers.claims import ClaimsController
 from greengagelatch_entry.controllers.quotas import QuotasController
 from greengagelatch_entry.filters import Exchange, chain
-from greengagelatch_entry.filters.admission import AdmissionFilter
-from greengagelatch_entry.filters.check import CheckFilter
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
+from greengagelatch_entry.filters.lookup import LookupFilter
+from greengagelatch_entry.filters.quota import QuotaFilter
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
 from greengagelatch_lab.standins.peers import Switchboard
@@ -43,7 +43,7 @@
 
 
 class CountingStore(MemoryStore):
-    """Counts what is written."""
+    """Counts writes."""
 
     writes = 0
 
@@ -53,7 +53,7 @@
 
 
 class Entry:
-    """One instance up to its last handler, which counts what it is given."""
+    """One instance with a last handler that records the requests it receives."""
 
     def __init__(self, **values) -> None:
         self.clock = ManualClock(100.0)
@@ -82,14 +82,14 @@
             store=self.store, random_source=random.Random(2), **common
         )
         filters = (
-            CheckFilter(snapshot=lambda: self.snapshot),
-            AdmissionFilter(quotas=self.quotas, claimed=False),
+            LookupFilter(snapshot=lambda: self.snapshot),
+            QuotaFilter(quotas=self.quotas, after_claim=False),
             DeduplicationFilter(claims=self.claims),
-            AdmissionFilter(quotas=self.quotas, claimed=True),
+            QuotaFilter(quotas=self.quotas, after_claim=True),
         )
         self._handler = chain(filters, self._run)
 
-    async def ask(self, key="", *, first=False, stream=False) -> Answer:
+    async def send(self, key="", *, first=False, stream=False) -> Answer:
         now = self.clock.now()
         request = Request(
             request_id=f"request-{random.random()}",
@@ -120,59 +120,59 @@
 
 
 @pytest.mark.parametrize(("key", "first"), [("", False), ("one", True), ("one", False)])
-async def test_refusal_runs_nothing_and_tells_when_to_ask_again(key, first):
+async def test_refused_request_does_not_run_and_gets_a_retry_delay(key, first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
-    await entry.ask()
+    await entry.send()
     writes = entry.store.writes
-    refused = await entry.ask(key, first=first)
+    refused = await entry.send(key, first=first)
     assert refused.verdict is Verdict.NOT_RUN
     assert refused.refusal.verdict is Verdict.NOT_RUN
     assert refused.refusal.code is RefusalCode.QUOTA
     assert refused.refusal.retry_after_ms == 500
     assert len(entry.ran) == 1
-    # only a key that may have been used before has to be claimed
+    # a key must be claimed only if it may have been used before
     assert (entry.store.writes > writes) == bool(key and not first)
-    # the key, if any, is as good as new
+    # the refusal released the claim of the key, if any
     entry.clock.advance(0.5)
-    answer = await entry.ask(key, first=first)
+    answer = await entry.send(key, first=first)
     assert answer.verdict is Verdict.RAN
     assert not answer.replayed
     assert len(entry.ran) == 2
 
 
 @pytest.mark.parametrize("first", [False, True])
-async def test_repeat_gets_its_answer_although_the_quota_is_used_up(first):
+async def test_retry_gets_the_recorded_answer_when_the_quota_is_exhausted(first):
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
-    await entry.ask("one", first=first)
-    repeat = await entry.ask("one")
-    assert repeat.replayed
-    assert repeat.result == 1
+    await entry.send("one", first=first)
+    retry = await entry.send("one")
+    assert retry.replayed
+    assert retry.result == 1
 
 
-async def test_what_used_nothing_is_given_back():
+async def test_requests_that_did_not_run_are_refunded():
     entry = Entry(requests_per_second="2", burst_seconds="0.5")
     entry.verdict = Verdict.NOT_RUN
     for _ in range(5):
-        assert (await entry.ask()).refusal is None
+        assert (await entry.send()).refusal is None
     entry.verdict = Verdict.MAY_HAVE_RUN
-    await entry.ask()
-    assert (await entry.ask()).refusal.code is RefusalCode.QUOTA
+    await entry.send()
+    assert (await entry.send()).refusal.code is RefusalCode.QUOTA
     assert entry.metrics.value("quotas.given_back") == 5
     assert entry.metrics.value("quotas.refused") == 1
 
 
 async def test_streamed_tokens_are_charged_after_the_answer():
     entry = Entry(tokens_per_second="4", burst_seconds="1")
-    assert (await entry.ask(stream=True)).refusal is None
-    refused = await entry.ask(stream=True)
-    # 6 beyond the burst of 4, and 1 to begin with
+    assert (await entry.send(stream=True)).refusal is None
+    refused = await entry.send(stream=True)
+    # 6 tokens beyond the burst of 4, and 1 for the next request, at 4 per second
     assert refused.refusal.retry_after_ms == 1750
     entry.clock.advance(1.75)
-    assert (await entry.ask()).refusal is None
+    assert (await entry.send()).refusal is None
     assert entry.quotas.dump()["uses"]["small/depot"]["share"] == 1.0
 
 
-async def test_instances_learn_of_each_others_demand():
+async def test_instances_exchange_their_demand():
     switchboard = Switchboard()
     clock = ManualClock(100.0)
     entries = [
--- a/tests/test_entry/test_filters/test_steer.py
+++ b/tests/test_entry/test_filters/test_traffic_split.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_entry.filters.steer."""
+"""Tests of greengagelatch_entry.filters.traffic_split."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from greengagelatch.request import Answer, Request
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters import Exchange
-from greengagelatch_entry.filters.check import SNAPSHOT_NOTE
-from greengagelatch_entry.filters.steer import PIPELINE_NOTE, SteerFilter
+from greengagelatch_entry.filters.lookup import SNAPSHOT_KEY
+from greengagelatch_entry.filters.traffic_split import PIPELINE_KEY, TrafficSplitFilter
 
 REQUESTS = 400
 
@@ -40,8 +40,8 @@
     )
 
 
-async def steer(snapshot, number=0):
-    """Return the exchange of one request after it was steered."""
+async def apply_filter(snapshot, number=0):
+    """Return the exchange of one request after the filter was applied."""
     request = Request(
         request_id=f"request-{number}",
         workspace="depot",
@@ -50,44 +50,43 @@
         received=0.0,
         deadline=1.0,
     )
-    exchange = Exchange(request=request, notes={SNAPSHOT_NOTE: snapshot})
+    exchange = Exchange(request=request, context={SNAPSHOT_KEY: snapshot})
 
     async def proceed(passed):
         return Answer(request_id=passed.request.request_id, verdict=Verdict.NOT_RUN)
 
-    await SteerFilter().apply(exchange, proceed)
+    await TrafficSplitFilter().apply(exchange, proceed)
     return exchange
 
 
-async def test_pipelines_share_traffic_as_the_policy_says():
+async def test_pipelines_receive_their_share_of_the_requests():
     snapshot = create_snapshot(to_pipelines="draft=3, draft-next=1")
     counts = Counter()
     for number in range(REQUESTS):
-        exchange = await steer(snapshot, number)
-        assert exchange.notes[PIPELINE_NOTE].name == exchange.request.pipeline
+        exchange = await apply_filter(snapshot, number)
+        assert exchange.context[PIPELINE_KEY].name == exchange.request.pipeline
         counts[exchange.request.pipeline] += 1
     assert counts["draft"] + counts["draft-next"] == REQUESTS
     assert REQUESTS / 8 < counts["draft-next"] < REQUESTS * 3 / 8
 
 
-async def test_services_share_the_calls_of_a_stage():
+async def test_services_receive_their_share_of_the_calls_of_a_stage():
     snapshot = create_snapshot(to_services="llm=1, llm-next=1")
     counts = Counter()
     for number in range(REQUESTS):
-        (stage,) = (await steer(snapshot, number)).notes[PIPELINE_NOTE].stages
+        (stage,) = (await apply_filter(snapshot, number)).context[PIPELINE_KEY].stages
         counts[stage.service] += 1
     assert set(counts) == {"llm", "llm-next"}
     assert min(counts.values()) > REQUESTS / 3
 
 
-async def test_names_that_are_gone_or_do_not_fit_are_passed_over():
-    """Symptom: callers are refused right after an operator deletes a pipeline.
+async def test_missing_or_unsuitable_names_are_ignored():
+    """Guards against refusals right after an operator deletes a pipeline.
 
-    Sequence: a split names a pipeline or service; it is deleted, or its kind is
-    changed; a request falls to its share.
-    Cause: what the split named was run without a look at what there is.
+    A split names a pipeline that was deleted, or a service whose kind was changed.
+    Requests of that share must run as if there were no split.
     """
     for values in ({"to_pipelines": "gone=1"}, {"to_services": "desk=1"}):
-        pipeline = (await steer(create_snapshot(**values))).notes[PIPELINE_NOTE]
+        pipeline = (await apply_filter(create_snapshot(**values))).context[PIPELINE_KEY]
         assert pipeline.name == "draft"
         assert pipeline.stages[0].service == "llm"
--- a/tests/test_entry/test_racing.py
+++ b/tests/test_entry/test_hedged_call.py
@@ -1,4 +1,4 @@
-"""Races of a call against its backup."""
+"""Tests of greengagelatch_entry.hedged_call."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from greengagelatch.targets import CallFailure, FailureKind, StageAnswer
 from greengagelatch.verdict import Verdict
-from greengagelatch_entry.racing import race
+from greengagelatch_entry.hedged_call import call_with_hedge
 
-PATIENCE = 0.02
+HEDGE_DELAY = 0.02
 
 
 def answer(output):
@@ -24,7 +24,7 @@
 
 
 class Call:
-    """A call that ends with ``result`` once ``gate`` is set."""
+    """A call that returns ``result`` once ``gate`` is set."""
 
     def __init__(self, result, *, open_at_once=False):
         self.result = result
@@ -44,22 +44,24 @@
         return self.result
 
 
-async def test_answered_call_is_never_followed_by_a_backup():
-    """A target was called for a request answered long before.
+async def test_answered_call_gets_no_backup():
+    """Guards against a backup call for a request that was already answered.
 
-    Sequence: the call is answered in time; the time for its backup comes. Cause:
-    the timer was left running.
+    The first call is answered before the hedge delay has passed; the timer of the
+    backup call must be cancelled.
     """
     first, backup = Call(answer("first"), open_at_once=True), Call(answer("backup"))
-    assert (await race(first, backup, PATIENCE)).ok_value.output == "first"
-    await asyncio.sleep(3 * PATIENCE)
+    assert (
+        await call_with_hedge(first, backup, HEDGE_DELAY)
+    ).ok_value.output == "first"
+    await asyncio.sleep(3 * HEDGE_DELAY)
     assert not backup.started.is_set()
 
 
-async def test_failure_waits_for_the_backup_under_way():
-    """A request failed although its backup was about to be answered."""
+async def test_failure_waits_for_the_pending_backup():
+    """Guards against a failed request whose backup call would have been answered."""
     first, backup = Call(fail("first")), Call(answer("backup"))
-    task = asyncio.create_task(race(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     first.gate.set()
     await asyncio.sleep(0)
@@ -68,10 +70,10 @@
 
 
 @pytest.mark.parametrize("backup_result", [fail("backup"), None])
-async def test_failed_backup_leaves_the_first_call_alone(backup_result):
-    """A call was given up because no second one could be made."""
+async def test_failed_backup_does_not_cancel_the_first_call(backup_result):
+    """Guards against a first call that is abandoned as its backup call failed."""
     first, backup = Call(answer("first")), Call(backup_result, open_at_once=True)
-    task = asyncio.create_task(race(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     await asyncio.sleep(0)
     assert not first.cancelled
@@ -79,18 +81,18 @@
     assert (await task).ok_value.output == "first"
 
 
-async def test_first_answer_stops_the_backup():
+async def test_first_answer_cancels_the_backup():
     first, backup = Call(answer("first")), Call(answer("backup"))
-    task = asyncio.create_task(race(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     first.gate.set()
     assert (await task).ok_value.output == "first"
     assert backup.cancelled
 
 
-async def test_cancelled_race_leaves_nothing_running():
+async def test_cancelled_hedged_call_cancels_both_calls():
     first, backup = Call(answer("first")), Call(answer("backup"))
-    task = asyncio.create_task(race(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
@@ -99,9 +101,9 @@
     assert backup.cancelled
 
 
-async def test_both_failures_are_one():
+async def test_two_failures_return_one():
     first, backup = Call(fail("first")), Call(fail("backup"), open_at_once=True)
-    task = asyncio.create_task(race(first, backup, PATIENCE))
+    task = asyncio.create_task(call_with_hedge(first, backup, HEDGE_DELAY))
     await backup.started.wait()
     first.gate.set()
     assert (await task).err_value.kind is FailureKind.DISCONNECTED
--- a/tests/test_entry/test_logs.py
+++ b/tests/test_entry/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs of requests and the bridge from ``logging``."""
+"""Tests of greengagelatch_entry.logs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,13 @@
 from greengagelatch.settings import parse
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import logs
-from greengagelatch_entry.logs import LogLevel, LogOutput, RequestLog, set_up, truncate
+from greengagelatch_entry.logs import (
+    LogLevel,
+    LogOutput,
+    RequestLog,
+    configure_logging,
+    truncate,
+)
 
 SETTINGS = """
 [instance]
@@ -31,23 +37,23 @@
 
 @pytest.fixture
 def open_log(tmp_path):
-    """Return a function that sets logs up and one that reads them back."""
-    # eliot keeps what is logged before its first destination, and hands it to that
-    # one: lines of tests that ran earlier in this process would stand in this file
+    """Return a function that configures logging and one that reads the log."""
+    # eliot buffers messages until its first destination is added: without this, lines
+    # of tests that ran earlier in this process would be written to this file
     eliot.add_destinations(_discard)
     eliot.remove_destination(_discard)
     path = tmp_path / "log.jsonl"
     outputs = []
 
-    def set_up_at(level):
+    def configure_at(level):
         settings = parse(SETTINGS.format(level=level, path=path)).unwrap()
-        outputs.append(set_up(settings))
+        outputs.append(configure_logging(settings))
         return RequestLog(LogLevel[level.upper()])
 
     def read():
         return [json.loads(line) for line in path.read_text().splitlines()]
 
-    yield set_up_at, read
+    yield configure_at, read
     for output in outputs:
         output.close()
 
@@ -85,8 +91,8 @@
 
 
 def test_all_lines_of_a_request_carry_its_id(open_log):
-    set_up_at, read = open_log
-    _run_request(set_up_at("stages"))
+    configure_at, read = open_log
+    _run_request(configure_at("stages"))
     lines = read()
     assert {line["task_uuid"] for line in lines} == {"r-1"}
     assert {line["instance"] for line in lines} == {"entry-1"}
@@ -97,38 +103,37 @@
 
 
 def test_levels_bound_what_is_logged(open_log):
-    set_up_at, read = open_log
-    _run_request(set_up_at("requests"), attempts=3)
+    configure_at, read = open_log
+    _run_request(configure_at("requests"), attempts=3)
     first, last = read()
     assert first["budget_ms"] == 2000
     assert (last["attempts"], last["failed_attempts"]) == (3, 2)
 
 
 def test_level_errors_logs_refusals_only(open_log):
-    set_up_at, read = open_log
-    log = set_up_at("errors")
+    configure_at, read = open_log
+    log = configure_at("errors")
     _run_request(log)
     assert read() == []
     refusal = Refusal(code=RefusalCode.NO_TARGET, message="none", value="v" * 999)
     _run_request(log, refusal)
     last = read()[-1]
     assert (last["outcome"], last["code"]) == ("refused", "no-target")
-    assert len(last["value"]) == logs.MAX_VALUE + 1
+    assert len(last["value"]) == logs.MAX_VALUE_BYTES + 1
 
 
 def test_attempts_of_a_retry_storm_are_counted_not_logged(open_log):
-    set_up_at, read = open_log
-    _run_request(set_up_at("stages"), attempts=100)
+    configure_at, read = open_log
+    _run_request(configure_at("stages"), attempts=100)
     lines = read()
-    assert len(lines) == 4 + logs.MAX_ATTEMPTS
+    assert len(lines) == 4 + logs.MAX_LOGGED_ATTEMPTS
     assert lines[-1]["attempts"] == 100
 
 
 def test_truncate_makes_every_text_encodable():
-    """Symptom: the log line of a request is missing.
+    """Guards against missing log lines of requests.
 
-    A caller sends a lone surrogate in JSON; the encoder of the log refuses it.
-    Cause: text of callers reached the encoder as it came.
+    A caller sends a lone surrogate in JSON, which the encoder of the log rejects.
     """
     assert truncate("\ud800x") == "?x"
     assert truncate("é" * 300) == "é" * 100 + "…"
@@ -136,8 +141,8 @@
 
 
 def test_logging_is_bridged_with_a_bounded_traceback(open_log):
-    set_up_at, read = open_log
-    set_up_at("errors")
+    configure_at, read = open_log
+    configure_at("errors")
     logger = logging.getLogger("greengagelatch.test")
     logger.info("not shown on this level")
     try:
@@ -150,24 +155,24 @@
     assert line["traceback"].endswith("yyy\n")
 
 
-def test_record_that_can_not_be_formatted_stops_nobody(open_log, monkeypatch):
-    """Symptom: a request fails with an error that is raised by its log message.
+def test_record_that_can_not_be_formatted_does_not_raise(open_log, monkeypatch):
+    """Guards against requests that fail with an error of a log call.
 
-    A message has more arguments than its format. Cause: the handler lets the error
-    of formatting through to whoever logs.
+    A log call has more arguments than its format. The handler must not raise the
+    formatting error to its caller.
     """
-    set_up_at, read = open_log
-    set_up_at("requests")
+    configure_at, read = open_log
+    configure_at("requests")
     monkeypatch.setattr(logging, "raiseExceptions", False)
     logging.getLogger("greengagelatch.test").warning("%d", "a", "b")
     assert read() == []
 
 
-def test_stopped_reader_of_stdout_does_not_block():
-    """Symptom: an instance answers nobody, its process is alive and idle.
+def test_stalled_reader_of_stdout_does_not_block():
+    """Guards against an instance that is alive and idle but answers no request.
 
-    Whatever reads standard output stops; the pipe fills; the next write waits for
-    good, and with it the event loop. Cause: log lines were written blocking.
+    The reader of standard output stalls and the pipe fills up. A blocking write of
+    the next log line would stop the event loop.
     """
     reader, writer = os.pipe()
     output = LogOutput(writer, owned=True)
@@ -189,7 +194,7 @@
     reader, writer = os.pipe()
     output = LogOutput(writer, owned=True)
     try:
-        assert output.write(b"x" * (logs.MAX_LINE + 1)) == 0
+        assert output.write(b"x" * (logs.MAX_LINE_BYTES + 1)) == 0
         assert output.dropped == 1
     finally:
         os.close(reader)
--- a/tests/test_entry/test_metrics.py
+++ b/tests/test_entry/test_metrics.py
@@ -1,15 +1,15 @@
-"""Metrics as they arrive at a statsd server."""
+"""Tests of greengagelatch_entry.metrics with a statsd server."""
 
 from __future__ import annotations
 
 import socket
 from collections import Counter
 
-from greengagelatch_entry.metrics import INTERVAL, MAX_TIMINGS, Metrics
+from greengagelatch_entry.metrics import FLUSH_SECONDS, MAX_TIMINGS, Metrics
 
 
-class Server:
-    """Receives datagrams on a port of its own."""
+class StatsdServer:
+    """A statsd server that receives datagrams on a free port."""
 
     def __init__(self):
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -24,16 +24,16 @@
         self._socket.close()
 
 
-def test_metrics_share_datagrams_and_lose_nothing():
+def test_metrics_are_batched_without_loss():
     now = [0.0]
-    server = Server()
+    server = StatsdServer()
     metrics = Metrics(server.address, now=lambda: now[0])
     for _ in range(3):
         metrics.count("requests.answered")
         metrics.timing("requests.answered", 0.002)
     metrics.gauge("scheduling.waiting", 4)
     metrics.gauge("scheduling.waiting", 5)
-    now[0] = INTERVAL
+    now[0] = FLUSH_SECONDS
     metrics.count("requests.quota")
     assert Counter(server.read_lines()) == {
         "greengagelatch.requests.answered:3|c": 1,
@@ -45,8 +45,8 @@
     server.close()
 
 
-def test_gathered_durations_are_bounded():
-    server = Server()
+def test_number_of_collected_durations_is_limited():
+    server = StatsdServer()
     metrics = Metrics(server.address, now=lambda: 0.0)
     for _ in range(MAX_TIMINGS):
         metrics.timing("stage", 1.0)
@@ -57,13 +57,13 @@
     server.close()
 
 
-def test_name_of_an_object_can_not_break_a_request():
-    """Every request of one pipeline was answered by an internal error.
+def test_object_name_that_is_not_ascii_does_not_raise():
+    """Guards against internal errors for all requests of one pipeline.
 
-    Sequence: an operator names a pipeline in Japanese; its name is part of a
-    metric's. Cause: statsd's client raises on what is not ASCII.
+    An operator names a pipeline in Japanese, and the name becomes part of a metric
+    name. statsd's client raises on characters that are not ASCII.
     """
-    server = Server()
+    server = StatsdServer()
     metrics = Metrics(server.address, now=lambda: 0.0)
     metrics.count("stage.見積もり:a|b")
     metrics.flush()
