--- a/packages/greengagelatch-cli/src/greengagelatch_cli/__init__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command-line client."""
+"""Command-line client for operators."""
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/__main__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/__main__.py
@@ -26,7 +26,7 @@
 
 
 def main() -> None:
-    """Run the command and end the process with its exit code."""
+    """Run the command and exit the process with its exit code."""
     sys.exit(run(sys.argv[1:]))
 
 
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/application.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/application.py
@@ -1,4 +1,4 @@
-"""The command-line application and its commands."""
+"""Command-line application and list of its commands."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def create_application() -> Application:
-    """Return the application; errors are left to the caller, who knows the codes."""
+    """Return the application; the caller maps its errors to exit codes."""
     application = Application(NAME, importlib.metadata.version(PACKAGE))
     application.set_display_name(NAME)
     application.auto_exits(False)
@@ -46,12 +46,14 @@
             "server",
             None,
             "Operators' addresses of entry instances, host:port[,host:port], tried"
-            " in this order; else the variable GREENGAGELATCH_SERVER.",
+            " in this order; default: $GREENGAGELATCH_SERVER.",
             flag=False,
         )
     )
     application.definition.add_option(
-        option("output", None, "text or json.", flag=False, default="text")
+        option(
+            "output", None, "Output format, text or json.", flag=False, default="text"
+        )
     )
     for command in COMMANDS:
         application.add(command())
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/client.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operators' servers."""
+"""HTTP client for the operators' servers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 __all__ = ("CallFailure", "Client", "FailureKind", "Reply", "Server", "parse_servers")
 
-#: seconds for one call, and for opening its connection
+#: seconds allowed for a call, and for opening its connection
 CALL_TIMEOUT = 15.0
 CONNECT_TIMEOUT = 3.0
 
@@ -38,17 +38,17 @@
 
 
 class FailureKind(Enum):
-    """Why a call has no reply."""
+    """Reason why a call has no reply."""
 
-    #: no connection was made: the server certainly did not get the call
+    #: no connection was made, so the server did not receive the call
     NOT_SENT = "not-sent"
-    #: the server may have acted on the call
+    #: the server may have received and executed the call
     NO_REPLY = "no-reply"
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """A call without a reply."""
+    """A call that got no reply."""
 
     server: Server
     kind: FailureKind
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A server's reply; ``body`` is empty where it isn't a JSON object."""
+    """A server's reply; ``body`` is empty if the text is not a JSON object."""
 
     server: Server
     status: int
@@ -69,12 +69,12 @@
 
     @property
     def state(self) -> str:
-        """The ``state`` field, which every reply about a change has."""
+        """The ``state`` field, present in every reply about a change."""
         return str(self.body.get("state", ""))
 
 
 def parse_servers(text: str) -> Result[tuple[Server, ...], str]:
-    """Parse ``host:port[,host:port]``; the error is a message."""
+    """Parse ``host:port[,host:port]``; the error is an error message."""
     servers = []
     for part in text.split(","):
         address = part.strip()
@@ -86,11 +86,11 @@
 
 
 class Client:
-    """Calls the operators' servers; use it as an asynchronous context manager.
+    """Calls operators' servers; to be used as an asynchronous context manager.
 
-    Every call has a connection of its own. A kept one that has been dropped would
-    make aiohttp send a GET a second time by itself, and would make the loss of a
-    POST look like the loss of its reply.
+    Every call opens its own connection. If a server had closed a reused connection,
+    aiohttp would silently retry a GET, and a POST that was never received could not
+    be told from one whose reply was lost.
     """
 
     def __init__(self, servers: tuple[Server, ...]) -> None:
@@ -126,7 +126,7 @@
         query: Mapping[str, str] | None = None,
         body: Mapping[str, Any] | None = None,
     ) -> Result[Reply, CallFailure]:
-        """Make one call to one server, once."""
+        """Send one call to one server, without retries."""
         assert self._session is not None
         url = f"http://{server}{path}"
         try:
@@ -143,10 +143,10 @@
     async def read(
         self, path: str, query: Mapping[str, str] | None = None
     ) -> Result[Reply, tuple[CallFailure, ...]]:
-        """Read from the first server that can answer.
+        """Read from the first server that replies without a server error.
 
-        A server that answers with an error of its own is passed over; its reply is
-        returned only if no other server does better.
+        The first server error (status 500 or above) is returned only if no other
+        server replies without one.
         """
         failures = []
         poor: Reply | None = None
@@ -165,7 +165,7 @@
     async def read_all(
         self, path: str, query: Mapping[str, str] | None = None
     ) -> list[Result[Reply, CallFailure]]:
-        """Read from all servers side by side; results are in their order."""
+        """Read from all servers concurrently; results are in the order of servers."""
         calls = [self.call(server, "GET", path, query=query) for server in self.servers]
         return list(await asyncio.gather(*calls))
 
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/__init__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/__init__.py
@@ -1,4 +1,4 @@
-"""Commands; each module holds one group of them."""
+"""Commands, grouped into modules, and their base classes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class UsageError(CleoValueError):
-    """An argument or option whose value can't be used."""
+    """An invalid value of an argument or option."""
 
 
 class OperatorCommand(Command):
@@ -34,7 +34,7 @@
 
     @property
     def output(self) -> Output:
-        """The output in the form chosen by ``--output``, while the command runs."""
+        """The output in the format of ``--output``; set while the command runs."""
         assert self._output is not None
         return self._output
 
@@ -43,7 +43,7 @@
         self._output: Output | None = None
 
     def handle(self) -> int:
-        """Carry out the command; called by cleo."""
+        """Run the command; called by cleo."""
         self._output = Output(self.io, self._read_format())
         try:
             return self.perform()
@@ -57,23 +57,23 @@
 
     @abstractmethod
     def perform(self) -> ExitCode:
-        """Carry out the command."""
+        """Execute the command and return its exit code."""
 
     def abandon(self, code: ExitCode) -> ExitCode:
-        """Say what holds after an end half way; return the code to end with."""
+        """Report the state after an interrupt or error; return the exit code."""
         return code
 
     def read_number(self, option: str, minimum: float) -> float:
         """Return an option's value as a number.
 
-        :raises UsageError: if it is no number or below ``minimum``
+        :raises UsageError: if it is not a finite number of at least ``minimum``
         """
         text = str(self.option(option))
         try:
             number = float(text)
         except ValueError:
             number = float("nan")
-        # false for NaN also
+        # the comparison is false for NaN too
         if not minimum <= number < float("inf"):
             msg = f"--{option} = {text!r}: must be a number of at least {minimum:g}"
             raise UsageError(msg)
@@ -89,25 +89,25 @@
 
 
 class ServerCommand(OperatorCommand):
-    """A command that talks to servers."""
+    """A command that calls servers."""
 
     def perform(self) -> ExitCode:
-        """Connect and carry out the command."""
+        """Execute the command with a client for the servers."""
         return asyncio.run(self._perform_connected())
 
     @abstractmethod
     async def talk(self, client: Client) -> ExitCode:
-        """Carry out the command through ``client``."""
+        """Execute the command through ``client`` and return its exit code."""
 
     def show_unreachable(self, failures: Sequence[CallFailure]) -> ExitCode:
-        """Report that no server answered a read."""
+        """Report that no server replied to a read."""
         lines = ["no server could be reached", *(f"  {one}" for one in failures)]
         data = {"state": "unreachable", "failures": [str(one) for one in failures]}
         self.output.show_error("\n".join(lines), data)
         return ExitCode.UNREACHABLE
 
     def show_refusal(self, reply: Reply) -> ExitCode:
-        """Report a reply to a read that isn't a result."""
+        """Report an error reply to a read."""
         code = ExitCode.REFUSED if reply.status < 500 else ExitCode.UNREACHABLE
         data = dict(reply.body) or {"state": "refused", "message": reply.text}
         self.output.show_error(describe_refusal(reply), data)
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/changes.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/changes.py
@@ -1,4 +1,4 @@
-"""Commands about changes: show, wait, list, rollback."""
+"""Commands for changes: show, wait, list, rollback."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class ShowChange(ServerCommand):
-    """Shows what became of a change."""
+    """Shows the outcome of a change."""
 
     name = "change show"
-    description = "Show what became of a change, and where it is in force."
+    description = "Show the outcome of a change, and where it is in force."
     arguments = (argument("id", "Id of the change."),)
 
     async def talk(self, client: Client) -> ExitCode:
@@ -45,7 +45,7 @@
             self.output.show_error(_describe_absence(change_id, reply), reply.body)
             return ExitCode.UNKNOWN
         if reply.state == "unknown":
-            text = f"{reply.server}: can't tell: the store can't be read"
+            text = f"{reply.server}: outcome unknown: the store is not readable"
             self.output.show_error(text, reply.body)
             return ExitCode.UNKNOWN
         return self.show_refusal(reply)
@@ -72,7 +72,13 @@
     name = "change list"
     description = "List recent changes, newest first."
     options = (
-        option("limit", None, "Most changes to list.", flag=False, default="20"),
+        option(
+            "limit",
+            None,
+            "Maximum number of changes to list.",
+            flag=False,
+            default="20",
+        ),
     )
 
     async def talk(self, client: Client) -> ExitCode:
@@ -93,11 +99,11 @@
 
 
 class RollBack(SubmitCommand):
-    """Puts an earlier generation's content in force again."""
+    """Restores the configuration of an earlier generation."""
 
     name = "rollback"
-    description = "Put the content of an earlier generation in force again."
-    arguments = (argument("generation", "Generation to go back to."),)
+    description = "Restore the configuration of an earlier generation."
+    arguments = (argument("generation", "Generation to restore."),)
     options = SUBMIT_OPTIONS
 
     async def prepare(self, client: Client) -> Sequence[Mapping[str, Any]] | ExitCode:
@@ -129,6 +135,6 @@
     body = reply.body
     return (
         f"change {change_id}: not in force at generation {body.get('generation')};"
-        f" changes are known since {describe_time(body.get('oldest_time'))}.\n"
-        "A write that is still under way may yet take effect."
+        f" changes are retained since {describe_time(body.get('oldest_time'))}.\n"
+        "A write that is still in progress may yet take effect."
     )
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/checks.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/checks.py
@@ -1,4 +1,4 @@
-"""Command that checks files without a server."""
+"""Command that validates files without a server."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 __all__ = ("Check",)
 
-#: in titles of objects, between the kind and the name
+#: separates kind and name in the section title of an object
 TITLE_SEPARATOR = ":"
 
 
 class Content(Enum):
-    """What a file is checked as."""
+    """Type of the content of a file."""
 
     AUTO = "auto"
     SETTINGS = "settings"
@@ -39,17 +39,23 @@
 
 
 class Check(OperatorCommand):
-    """Checks a file of settings or of objects."""
+    """Validates a file of settings or of objects."""
 
     name = "check"
-    description = "Check a file of settings or objects, without a server."
+    description = "Validate a file of settings or objects, without a server."
     arguments = (argument("file", "INI file; - is standard input."),)
     options = (
-        option("as", None, "settings, objects or auto.", flag=False, default="auto"),
+        option(
+            "as",
+            None,
+            "Content of the file: settings, objects or auto.",
+            flag=False,
+            default="auto",
+        ),
         option(
             "complete",
             None,
-            "The file holds all objects: check references between them too.",
+            "The file holds all objects: validate references between them too.",
         ),
     )
 
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/fleet.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/fleet.py
@@ -1,4 +1,4 @@
-"""Commands about entry instances: status, dump, drain."""
+"""Commands for entry instances: status, dump, drain."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 
 class Status(ServerCommand):
-    """Shows the fleet as each of the servers sees it."""
+    """Shows the state of the fleet as reported by each server."""
 
     name = "status"
-    description = "Show entry instances, the generation each has, and targets."
+    description = "Show entry instances with their generations, and targets."
 
     async def talk(self, client: Client) -> ExitCode:
         results = await client.read_all("/status")
@@ -67,11 +67,15 @@
 
 
 class Dump(ServerCommand):
-    """Prints the state of processes."""
+    """Prints the internal state of each server's process."""
 
     name = "dump"
-    description = "Print the state of each server's process as JSON."
-    options = (option("controller", None, "Only this controller.", flag=False),)
+    description = "Print the internal state of each server's process as JSON."
+    options = (
+        option(
+            "controller", None, "Print the state of this controller only.", flag=False
+        ),
+    )
 
     async def talk(self, client: Client) -> ExitCode:
         controller = self.option("controller")
@@ -92,9 +96,14 @@
     """Stops an entry instance gracefully, or marks a target as leaving."""
 
     name = "drain"
-    description = "Stop one entry instance gracefully, or give a target no new work."
+    description = "Stop one entry instance gracefully, or mark a target as leaving."
     options = (
-        option("target", None, "Mark this target as leaving instead.", flag=False),
+        option(
+            "target",
+            None,
+            "Mark this target as leaving instead; it gets no new requests.",
+            flag=False,
+        ),
     )
 
     async def talk(self, client: Client) -> ExitCode:
@@ -110,7 +119,7 @@
                     return self._report(reply)
                 case Err(failure):
                     failures.append(failure)
-        # draining twice is harmless, so each server was tried
+        # draining is idempotent, so the next server is tried after a lost reply too
         if any(failure.kind is FailureKind.NO_REPLY for failure in failures):
             return self._report_unknown(failures)
         return self.show_unreachable(failures)
@@ -123,7 +132,7 @@
         return ExitCode.OK
 
     def _report_unknown(self, failures: Sequence[CallFailure]) -> ExitCode:
-        lines = ["outcome unknown; repeating the command is harmless"]
+        lines = ["outcome unknown; the command can safely be repeated"]
         lines.extend(f"  {failure}" for failure in failures)
         data = {"state": "unknown", "failures": [str(one) for one in failures]}
         self.output.show_error("\n".join(lines), data)
@@ -149,7 +158,7 @@
 
 
 def _list_members(replies: Sequence[Reply]) -> list[tuple[Any, ...]]:
-    """Join what the servers see; differing views of a member are all shown."""
+    """Merge the servers' member lists; differing states of a member are counted."""
     states: dict[str, Counter[str]] = {}
     details: dict[str, Mapping[str, Any]] = {}
     for reply in replies:
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
@@ -1,4 +1,4 @@
-"""Command that labels an object."""
+"""Command that sets and removes labels of an object."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 class Label(SubmitCommand):
     """Sets and removes labels of an object.
 
-    The object is sent back as it was read, so its generation is the change's base:
-    if someone else changes it in between, that is a conflict and not lost.
+    The whole object is written back with the generation that it was read from as
+    the change's base, so that a concurrent change is a conflict, not overwritten.
     """
 
     name = "label"
@@ -56,7 +56,9 @@
         parsed = parse_objects(objects[0]["text"])
         if isinstance(parsed, Err):
             problems = "\n".join(str(problem) for problem in parsed.err_value)
-            self.output.show_error(f"{reply.server}: not understood:\n{problems}")
+            self.output.show_error(
+                f"{reply.server}: sent an invalid {kind} {name!r}:\n{problems}"
+            )
             return ExitCode.REFUSED
         (item,) = parsed.ok_value
         labels = _edit_labels(item.labels, edits)
@@ -75,9 +77,9 @@
                 raise UsageError(msg)
             key, value = word.removesuffix(REMOVE_SUFFIX), None
         if key in edits:
-            msg = f"label {word!r}: its key was given before"
+            msg = f"label {word!r}: duplicate key {key!r}"
             raise UsageError(msg)
-        # a comma or a line break in a value would write other labels or keys
+        # a comma or line break in a value would add other labels or keys
         for part in (key, value):
             fault = "" if part is None else find_name_error(part)
             if fault:
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/objects.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/objects.py
@@ -1,4 +1,4 @@
-"""Commands about objects: apply, get, diff, delete."""
+"""Commands for objects: apply, get, diff, delete."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class Apply(SubmitCommand):
-    """Creates or replaces the objects of files."""
+    """Creates or replaces the objects in files."""
 
     name = "apply"
-    description = "Create or replace objects: one change for each file, whole or not."
+    description = "Create or replace objects; each file is one atomic change."
     arguments = (
         argument("file", "INI file of objects; - is standard input.", multiple=True),
     )
@@ -40,9 +40,9 @@
     async def prepare(self, client: Client) -> Sequence[Mapping[str, Any]] | ExitCode:
         paths = self.argument("file")
         if len(paths) > 1 and self.option("change-id"):
-            msg = "--change-id names one change, so it takes one file"
+            msg = f"--change-id identifies one change, but {len(paths)} files are given"
             raise UsageError(msg)
-        # all are read before any is sent: a wrong name must not stop half way
+        # all files are read first, so that a wrong name fails before any change is sent
         return [_create_change(path) for path in paths]
 
 
@@ -61,7 +61,7 @@
         }
         failures = []
         for server in client.servers:
-            # a dry run changes nothing, so any server may be asked after another
+            # a dry run changes nothing, so after a failure the next server is tried
             match await client.call(server, "POST", "/changes", body=change):
                 case Err(failure):
                     failures.append(failure)
@@ -83,16 +83,16 @@
 
 
 class Get(ServerCommand):
-    """Prints objects in a form that ``apply`` takes."""
+    """Prints objects in the format that ``apply`` reads."""
 
     name = "get"
-    description = "Print objects as INI, in a form that apply takes."
+    description = "Print objects as INI, in the format that apply reads."
     arguments = (
         argument("kind", f"One of {', '.join(KINDS)}.", optional=True),
         argument("name", "Name of one object.", optional=True),
     )
     options = (
-        option("selector", None, "Labels to pick by, as tier=gold.", flag=False),
+        option("selector", None, "Label selector, such as tier=gold.", flag=False),
     )
 
     async def talk(self, client: Client) -> ExitCode:
@@ -129,9 +129,9 @@
 
 
 def check_kind(kind: str) -> str:
-    """Return ``kind`` if there are objects of it.
+    """Return ``kind`` if it is a kind of objects.
 
-    :raises UsageError: if there are none
+    :raises UsageError: if it is not
     """
     if kind not in KINDS:
         msg = f"kind = {kind!r}: must be one of {', '.join(KINDS)}"
@@ -142,7 +142,7 @@
 async def read_objects(
     command: ServerCommand, client: Client, query: Mapping[str, str]
 ) -> Reply | ExitCode:
-    """Read objects with their texts, or report why not and return the code."""
+    """Read objects with their texts, or report the error and return its code."""
     found = await client.read(OBJECTS_PATH, {**query, "format": "json"})
     if isinstance(found, Err):
         return command.show_unreachable(found.err_value)
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/submitting.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/submitting.py
@@ -1,4 +1,4 @@
-"""Commands that submit a change to the configuration."""
+"""Base class of commands that submit changes to the configuration."""
 
 from __future__ import annotations
 
@@ -33,42 +33,42 @@
 
 CHANGE_ID = re.compile(r"[a-zA-Z0-9._-]{1,64}")
 
-#: first line of what ``get`` prints: the generation that an edit begins from
+#: prefix of the first line printed by ``get``, which names the base generation
 GENERATION_PREFIX = "# generation "
 
 SUBMIT_OPTIONS: tuple[Option, ...] = (
     option(
         "change-id",
         None,
-        "Id of the change; repeating a command with it changes nothing twice.",
+        "Id of the change; a change is applied only once per id.",
         flag=False,
     ),
     option(
         "base",
         None,
-        "Generation that the edit began from; later changes of the same objects"
+        "Generation that the edit is based on; later changes of the same objects"
         " are a conflict.",
         flag=False,
     ),
-    option("wait", None, "Wait until every entry instance has the change in force."),
+    option("wait", None, "Wait until the change is in force on every entry instance."),
     option("timeout", None, "Seconds to wait.", flag=False, default="30"),
 )
 
 
 class SubmitCommand(ServerCommand):
-    """A command that submits changes, one after the other."""
+    """A command that submits changes sequentially."""
 
     def __init__(self) -> None:
         super().__init__()
-        #: id of a change that may have been sent and isn't settled
+        #: id of a change that may have been sent and has no known outcome
         self._open_change = ""
 
     @abstractmethod
     async def prepare(self, client: Client) -> Sequence[Mapping[str, Any]] | ExitCode:
-        """Return the changes without their ids, or the code to end with."""
+        """Return the changes without their ids, or an exit code on failure."""
 
     async def talk(self, client: Client) -> ExitCode:
-        """Prepare, submit and, if asked to, wait; stop at the first failure."""
+        """Submit the changes and wait if requested; stop at the first failure."""
         timeout = self.read_number("timeout", 0)
         base = self._read_base()
         changes = await self.prepare(client)
@@ -83,15 +83,15 @@
     async def _submit(
         self, client: Client, change: Mapping[str, Any], timeout: float
     ) -> ExitCode:
-        # the id is known before anything is sent, so whatever happens on the way
-        # the operator can be told what to ask for
+        # the id is recorded before anything is sent, so that after any interrupt or
+        # error the operator is told which change to look up
         given = self._read_change_id()
         change_id = given or _create_change_id()
         self._open_change = change_id
         sent = {**change, "change_id": change_id}
         submission = await submit(client, sent, self.output, new_id=not given)
         waits = submission.code is ExitCode.OK and self.option("wait")
-        # one JSON document for each change: that of the wait says more
+        # one JSON document per change: the result of the wait has more detail
         if not (waits and self.output.is_json):
             self.report(submission)
         if submission.code is not ExitCode.UNKNOWN:
@@ -103,7 +103,7 @@
         )
 
     def report(self, submission: Submission) -> None:
-        """Show what became of the change."""
+        """Show the outcome of a change."""
         data = submission.as_dict()
         if submission.code is ExitCode.OK:
             self.output.show(describe_success(data), data)
@@ -111,7 +111,7 @@
         self.output.show_error(describe_failure(submission), data)
 
     def abandon(self, code: ExitCode) -> ExitCode:
-        """Name the change that may have been sent."""
+        """Report the id of a change that may have been sent; return the exit code."""
         if not self._open_change:
             return code
         self.output.show_error(advise(self._open_change))
@@ -131,9 +131,9 @@
 
 
 def read_file(path: str) -> str:
-    """Return the text of a file, or of standard input for ``-``.
+    """Return the text of a file, or of standard input if ``path`` is ``-``.
 
-    :raises UsageError: if it can't be read as UTF-8
+    :raises UsageError: if the file can't be read or is not UTF-8
     """
     try:
         if path == STDIN:
@@ -145,7 +145,7 @@
 
 
 def split_base(text: str) -> dict[str, int]:
-    """Return the base that a file printed by ``get`` names in its first line."""
+    """Return the base generation in the first line of a file printed by ``get``."""
     first, _, _ = text.partition("\n")
     number = first.removeprefix(GENERATION_PREFIX).strip()
     if first.startswith(GENERATION_PREFIX) and number.isdecimal():
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/exits.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/exits.py
@@ -8,24 +8,24 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended; scripts may rely on the numbers."""
+    """Exit codes; scripts may rely on the numbers."""
 
-    #: done, or found as asked
+    #: succeeded
     OK = 0
-    #: refused or invalid; nothing took effect
+    #: refused, invalid or not found; nothing took effect
     REFUSED = 1
-    #: the command line, a file name or a server's address is wrong
+    #: invalid command line, file name or server address
     USAGE = 2
-    #: another change touched the same objects; nothing took effect
+    #: another change modified the same objects; nothing took effect
     CONFLICT = 3
-    #: a change may or may not have taken effect; settle it by its id
+    #: a change may or may not have taken effect; its id tells which
     UNKNOWN = 4
-    #: no server, or the store behind it, could be reached; nothing took effect
+    #: no server, or not the store behind it, was reachable; nothing took effect
     UNREACHABLE = 5
-    #: what was waited for has not happened in time; the change itself is accepted
+    #: the change was accepted, but is not in force everywhere within the time-out
     TIMED_OUT = 6
-    #: a fault of the command itself, which says nothing about any change;
-    #: an error that ended the process by itself would give 1, "nothing took effect"
+    #: internal error of the command, which tells nothing about any change; it has its
+    #: own code because Python exits with 1, "nothing took effect", on uncaught errors
     INTERNAL = 70
-    #: stopped from the keyboard while nothing was being changed
+    #: interrupted from the keyboard while no change was being submitted
     INTERRUPTED = 130
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/messages.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/messages.py
@@ -1,4 +1,4 @@
-"""What the command says about the answers of servers."""
+"""Texts that describe servers' replies."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 
 
-#: characters shown of an answer that isn't understood
+#: characters shown of a reply that is not valid JSON
 MAX_SHOWN = 200
 
 
@@ -35,13 +35,13 @@
 
 
 def describe_refusal(reply: Reply) -> str:
-    """Return lines that name each field and value to blame."""
+    """Return lines that name each rejected field with its value."""
     body = reply.body
     lines = [f"{reply.server}: refused ({reply.status}): {body.get('message', '')}"]
     if body.get("field"):
         lines.append(f"  {body['field']} = {body.get('value', '')!r}")
     if body.get("oldest") is not None:
-        lines.append(f"  the oldest generation kept is {body['oldest']}")
+        lines.append(f"  the oldest retained generation is {body['oldest']}")
     for problem in body.get("problems", ()):
         lines.append(_describe_problem(problem))
     if not body:
@@ -62,7 +62,7 @@
 
 
 def describe_success(data: Mapping[str, Any]) -> str:
-    """Return lines for an accepted change."""
+    """Return lines that describe an accepted change."""
     change_id, generation = data["change_id"], data.get("generation")
     if data.get("repeated"):
         return f"change {change_id} was already accepted as generation {generation}"
@@ -72,7 +72,7 @@
 
 
 def describe_failure(submission: Submission) -> str:
-    """Return lines for a change that was not accepted or may not have been."""
+    """Return lines that describe a change that may not have been accepted."""
     reply = submission.reply
     match submission.code:
         case ExitCode.UNKNOWN:
@@ -94,11 +94,11 @@
     lines = ["conflict: nothing took effect"]
     for conflict in body.get("conflicts", ()):
         lines.append(
-            f"{conflict['object']}: your edit began from generation"
-            f" {conflict['base']}, but change {conflict['change_id']} made it"
+            f"{conflict['object']}: your edit is based on generation"
+            f" {conflict['base']}, but change {conflict['change_id']} modified it in"
             f" generation {conflict['generation']}"
         )
-        lines.append("now in force:")
+        lines.append("current version:")
         lines.extend(f"  {line}" for line in conflict["current"].splitlines())
         lines.append("yours:")
         lines.extend(f"  {line}" for line in conflict["yours"].splitlines())
@@ -106,10 +106,10 @@
 
 
 def advise(change_id: str) -> str:
-    """Return lines on what to do about a change whose outcome is unknown."""
+    """Return lines that explain how to find an unknown outcome of a change."""
     return (
         f"outcome unknown: change {change_id} may or may not have taken effect.\n"
-        f"Ask: greengagelatch change show {change_id}\n"
-        f"or repeat the command with --change-id {change_id}, which changes nothing"
-        " twice."
+        f"Check with: greengagelatch change show {change_id}\n"
+        f"or repeat the command with --change-id {change_id}, which is applied only"
+        " once."
     )
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/output.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/output.py
@@ -1,4 +1,4 @@
-"""What a command shows: results, errors and progress, as text or JSON."""
+"""Output of results, errors and progress, as text or JSON."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Format(Enum):
-    """Form of results on standard output."""
+    """Format of results on standard output."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class Output:
-    """Writes results to standard output, the rest to standard error.
+    """Writes results to standard output, errors and progress to standard error.
 
-    Everything is written raw: cleo would take ``<`` and ``>`` in names and values
-    for its own mark-up and drop them.
+    Everything is written raw: cleo would interpret ``<`` and ``>`` in names and
+    values as its own mark-up and drop them.
     """
 
     def __init__(self, io: IO, form: Format) -> None:
@@ -39,25 +39,25 @@
 
     @property
     def is_json(self) -> bool:
-        """Whether results are JSON."""
+        """Whether results are written as JSON."""
         return self.form is Format.JSON
 
     def show(self, text: str, data: Any) -> None:
-        """Write a result: ``text``, or ``data`` as JSON."""
+        """Write a result, as ``text`` or as ``data`` in JSON."""
         if self.is_json:
             text = json.dumps(data, indent=2, ensure_ascii=False)
         self._end_progress()
         self._io.write_line(text, type=Type.RAW)
 
     def show_error(self, text: str, data: Mapping[str, Any] | None = None) -> None:
-        """Write an error; ``data``, if given, also goes out as a JSON result."""
+        """Write an error; in JSON format also ``data``, if given, as the result."""
         self._end_progress()
         self._io.write_error_line(text, Verbosity.QUIET, Type.RAW)
         if data is not None and self.is_json:
             self.show("", data)
 
     def show_progress(self, text: str) -> None:
-        """Replace the line of progress on a terminal; else write it if it changed."""
+        """Replace the progress line on a terminal; else write a line if it changed."""
         if text == self._progress:
             return
         self._progress = text
@@ -74,7 +74,7 @@
 
 
 def render_table(headers: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Return aligned columns, without trailing blanks."""
+    """Return a table of left-aligned columns, without trailing blanks."""
     lines = [list(headers), *([_show(cell) for cell in row] for row in rows)]
     widths = [max(len(line[i]) for line in lines) for i in range(len(headers))]
     shown = []
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/submission.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/submission.py
@@ -1,4 +1,4 @@
-"""Sending a change, and settling it when its reply is lost."""
+"""Submission of a change, and search for its outcome if the reply is lost."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 CHANGES_PATH = "/changes"
 
-#: seconds spent on settling a change whose reply was lost, and between two tries
+#: seconds in which the outcome of a change whose reply was lost is looked up, and
+#: seconds between two look-ups
 SETTLE_TIMEOUT = 10.0
 SETTLE_INTERVAL = 0.5
 
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Submission:
-    """What became of a change."""
+    """Outcome of a submitted change."""
 
     code: ExitCode
     change_id: str
@@ -39,7 +40,7 @@
     failures: tuple[CallFailure, ...] = field(default=())
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the JSON form: the server's own words where there are any."""
+        """Return the outcome for JSON output, based on the server's reply if any."""
         if self.code is ExitCode.UNKNOWN:
             described: dict[str, Any] = {"state": "unknown"}
         elif self.reply is not None:
@@ -55,14 +56,14 @@
 async def submit(
     client: Client, change: Mapping[str, Any], output: Output, *, new_id: bool
 ) -> Submission:
-    """Send ``change`` to the first server that takes it.
+    """Send ``change`` to the first server that accepts it.
 
-    A server that might have got it is the last one tried: if the change went to
-    the next one as well, an operator could not tell which of the two replies holds.
-    What became of it is then found by its id.
+    No further server is tried after one that may have received the change: if it
+    were sent to another one too, the operator could not tell which of the two
+    replies is valid. Its outcome is then looked up by the change's id.
 
-    :param new_id: whether the id was made for this change, and not given by the
-        operator, who may have used it before.
+    :param new_id: whether the id was generated for this change; an id given by the
+        operator may have been used before
     """
     change_id = change["change_id"]
     failures: list[CallFailure] = []
@@ -98,12 +99,13 @@
 async def find_change(
     client: Client, change_id: str, *, ask: bool = False
 ) -> Result[Reply, tuple[CallFailure, ...]]:
-    """Return the best that any server knows of a change.
+    """Return the most conclusive reply of any server about a change.
 
-    An instance may lag behind the others, so "not found" at one of them does not
-    end the search; "settled" at any of them does.
+    An instance may lag behind the others, so "not found" from one of them does not
+    end the search, while "settled" from any of them does.
 
-    :param ask: let the server ask the other instances anew where it is in force.
+    :param ask: whether the server queries the other instances again for whether the
+        change is in force there
     """
     query = {"ask": "yes"} if ask else None
     failures = []
@@ -134,7 +136,7 @@
     end = time.monotonic() + SETTLE_TIMEOUT
     code, reply = ExitCode.UNKNOWN, None
     while True:
-        output.show_progress(f"reply lost, looking for change {change_id}")
+        output.show_progress(f"reply lost, looking up change {change_id}")
         found = await find_change(client, change_id)
         if isinstance(found, Ok):
             reply = found.ok_value
@@ -153,10 +155,11 @@
 async def _confirm(
     client: Client, change: Mapping[str, Any], found: Reply
 ) -> tuple[ExitCode, Reply]:
-    """Tell whether a settled id is this change's or was used for another before.
+    """Check whether a settled id belongs to this change or to an earlier one.
 
-    Both look the same by id, and the second would be reported as accepted. Sending
-    the change again tells them apart; it can't take effect, as its id is settled.
+    The look-up by id can't tell them apart, and this change would be reported as
+    accepted even if an earlier one had used its id. Sending the change again tells
+    them apart; it can't take effect, as its id is already settled.
     """
     answered = await client.call(found.server, "POST", CHANGES_PATH, body=change)
     if isinstance(answered, Err):
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/waiting.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until a change is in force on every entry instance."""
+"""Wait until a change is in force on every entry instance."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 async def wait_in_force(
     client: Client, change_id: str, *, timeout: float, output: Output
 ) -> ExitCode:
-    """Wait until every known entry instance confirms the change.
+    """Wait until every known entry instance reports the change as in force.
 
-    An instance out of reach is waited for as well: it may be cut off and still
-    serve callers by what was in force before.
+    Unreachable instances count too: one behind a network partition may still serve
+    callers with the previous configuration.
     """
     end = time.monotonic() + timeout
     reply: Reply | None = None
@@ -62,7 +62,7 @@
     missing: Sequence[Mapping[str, Any]],
 ) -> str:
     if not members:
-        return f"change {change_id}: not known to be accepted yet"
+        return f"change {change_id}: acceptance not confirmed yet"
     confirmed = len(members) - len(missing)
     return f"in force on {confirmed} of {len(members)}"
 
@@ -77,12 +77,12 @@
     if reply is None or reply.state != "settled":
         body = dict(reply.body) if reply else {"state": "unreachable"}
         output.show_error(
-            f"change {change_id}: not known to be accepted after {timeout:g} s", body
+            f"change {change_id}: acceptance not confirmed within {timeout:g} s", body
         )
         return ExitCode.UNKNOWN if reply else ExitCode.UNREACHABLE
-    lines = [f"change {change_id}: accepted, but after {timeout:g} s not in force on:"]
+    lines = [f"change {change_id}: accepted, but within {timeout:g} s not in force on:"]
     for member in missing:
-        reach = ", out of reach" if member["state"] == OUT_OF_REACH else ""
+        reach = ", unreachable" if member["state"] == OUT_OF_REACH else ""
         generation = member.get("generation")
         lines.append(
             f"  {member['instance']} ({member['data_centre']}): {member['state']}"
