--- a/tests/test_platform/test_main.py
+++ b/tests/test_platform/test_main.py
@@ -26,7 +26,7 @@
     heard = []
     monkeypatch.setattr(
         program,
-        "spare_start",
+        "reduce_import_cost",
         lambda: heard.append(signal.getsignal(signal.SIGHUP)),
     )
     program.main(["--check", "--settings", "/nowhere"])
--- a/tests/test_platform/test_settings.py
+++ b/tests/test_platform/test_settings.py
@@ -7,8 +7,8 @@
 import pytest
 
 from greengagelatch_platform.__main__ import main
-from greengagelatch_platform.settings import read_settings
-from greengagelatch_platform.values import FieldError
+from greengagelatch_platform.json_fields import FieldError
+from greengagelatch_platform.settings import parse_settings
 
 SETTINGS = {
     "node-name": "edge-1",
@@ -29,7 +29,7 @@
 
 
 def read(**changes):
-    return read_settings(json.dumps({**SETTINGS, **changes}))
+    return parse_settings(json.dumps({**SETTINGS, **changes}))
 
 
 def test_settings_are_decoded():
@@ -37,8 +37,8 @@
     assert (settings.instance_id, settings.data_centre) == ("edge-1", "north")
     assert settings.store_address == "10.200.1.7:8624"
     assert settings.peers_listen == "10.1.0.41:8628"
-    assert settings.grace == 8
-    assert (settings.repeats.ratio, settings.repeats.slack) == (0.2, 58)
+    assert settings.grace_period == 8
+    assert (settings.retry_budget.ratio, settings.retry_budget.slack) == (0.2, 58)
 
 
 def test_capacity_is_decoded_and_may_be_missing():
