--- a/packages/greengagelatch-cli/src/greengagelatch_cli/__main__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/__main__.py
@@ -8,7 +8,7 @@
 from cleo.io.inputs.argv_input import ArgvInput
 
 from .application import create_application
-from .exits import ExitCode
+from .exit_codes import ExitCode
 
 __all__ = ("main", "run")
 
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/client.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/client.py
@@ -21,9 +21,9 @@
 CALL_TIMEOUT = 15.0
 CONNECT_TIMEOUT = 3.0
 
-HIGHEST_PORT = 65535
+MAX_PORT = 65535
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR = 500
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     for part in text.split(","):
         address = part.strip()
         host, _, port = address.rpartition(":")
-        if not host or not port.isdecimal() or not 0 < int(port) <= HIGHEST_PORT:
+        if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
             return Err(f"server {address!r}: must be host:port")
         servers.append(Server(host, int(port)))
     return Ok(tuple(servers))
@@ -149,17 +149,17 @@
         server replies without one.
         """
         failures = []
-        poor: Reply | None = None
+        error_reply: Reply | None = None
         for server in self.servers:
             match await self.call(server, "GET", path, query=query):
                 case Err(failure):
                     failures.append(failure)
                 case Ok(reply):
-                    if reply.status < SERVER_ERROR:
+                    if reply.status < MIN_SERVER_ERROR:
                         return Ok(reply)
-                    poor = poor or reply
-        if poor is not None:
-            return Ok(poor)
+                    error_reply = error_reply or reply
+        if error_reply is not None:
+            return Ok(error_reply)
         return Err(tuple(failures))
 
     async def read_all(
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/__init__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/__init__.py
@@ -13,7 +13,7 @@
 from result import Err
 
 from ..client import CallFailure, Client, Reply, parse_servers
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from ..messages import describe_refusal
 from ..output import Format, Output
 
@@ -44,26 +44,26 @@
 
     def handle(self) -> int:
         """Run the command; called by cleo."""
-        self._output = Output(self.io, self._read_format())
+        self._output = Output(self.io, self._read_format_option())
         try:
-            return self.perform()
+            return self.run_command()
         except KeyboardInterrupt:
-            return self.abandon(ExitCode.INTERRUPTED)
+            return self.handle_abort(ExitCode.INTERRUPTED)
         except CleoError:
             raise
         except Exception:
             self._output.show_error(traceback.format_exc())
-            return self.abandon(ExitCode.INTERNAL)
+            return self.handle_abort(ExitCode.INTERNAL)
 
     @abstractmethod
-    def perform(self) -> ExitCode:
+    def run_command(self) -> ExitCode:
         """Execute the command and return its exit code."""
 
-    def abandon(self, code: ExitCode) -> ExitCode:
+    def handle_abort(self, code: ExitCode) -> ExitCode:
         """Report the state after an interrupt or error; return the exit code."""
         return code
 
-    def read_number(self, option: str, minimum: float) -> float:
+    def read_number_option(self, option: str, minimum: float) -> float:
         """Return an option's value as a number.
 
         :raises UsageError: if it is not a finite number of at least ``minimum``
@@ -79,7 +79,7 @@
             raise UsageError(msg)
         return number
 
-    def _read_format(self) -> Format:
+    def _read_format_option(self) -> Format:
         text = self.option("output")
         try:
             return Format(text)
@@ -91,18 +91,24 @@
 class ServerCommand(OperatorCommand):
     """A command that calls servers."""
 
-    def perform(self) -> ExitCode:
+    def run_command(self) -> ExitCode:
         """Execute the command with a client for the servers."""
-        return asyncio.run(self._perform_connected())
+        return asyncio.run(self._connect_and_run())
 
     @abstractmethod
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         """Execute the command through ``client`` and return its exit code."""
 
     def show_unreachable(self, failures: Sequence[CallFailure]) -> ExitCode:
         """Report that no server replied to a read."""
-        lines = ["no server could be reached", *(f"  {one}" for one in failures)]
-        data = {"state": "unreachable", "failures": [str(one) for one in failures]}
+        lines = [
+            "no server could be reached",
+            *(f"  {failure}" for failure in failures),
+        ]
+        data = {
+            "state": "unreachable",
+            "failures": [str(failure) for failure in failures],
+        }
         self.output.show_error("\n".join(lines), data)
         return ExitCode.UNREACHABLE
 
@@ -113,7 +119,7 @@
         self.output.show_error(describe_refusal(reply), data)
         return code
 
-    async def _perform_connected(self) -> ExitCode:
+    async def _connect_and_run(self) -> ExitCode:
         text = self.option("server") or os.environ.get(SERVER_VARIABLE, "")
         if not text:
             msg = f"no server: give --server host:port or set {SERVER_VARIABLE}"
@@ -122,4 +128,4 @@
         if isinstance(servers, Err):
             raise UsageError(servers.err_value)
         async with Client(servers.ok_value) as client:
-            return await self.talk(client)
+            return await self.run_with_client(client)
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/changes.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/changes.py
@@ -7,13 +7,13 @@
 from cleo.helpers import argument, option
 from result import Err
 
-from ..exits import ExitCode
-from ..messages import describe_time
+from ..exit_codes import ExitCode
+from ..messages import format_time
 from ..output import render_table
 from ..submission import CHANGES_PATH, find_change
-from ..waiting import wait_in_force
+from ..waiting import wait_until_in_force
 from . import ServerCommand, UsageError
-from .submitting import SUBMIT_OPTIONS, SubmitCommand
+from .submit_command import SUBMIT_OPTIONS, SubmitCommand
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -32,17 +32,17 @@
     description = "Show the outcome of a change, and where it is in force."
     arguments = (argument("id", "Id of the change."),)
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         change_id = self.argument("id")
-        found = await find_change(client, change_id, ask=True)
-        if isinstance(found, Err):
-            return self.show_unreachable(found.err_value)
-        reply = found.ok_value
+        result = await find_change(client, change_id, query_instances=True)
+        if isinstance(result, Err):
+            return self.show_unreachable(result.err_value)
+        reply = result.ok_value
         if reply.state == "settled":
             self.output.show(_describe_change(reply.body), reply.body)
             return ExitCode.OK
         if reply.state == "not-found":
-            self.output.show_error(_describe_absence(change_id, reply), reply.body)
+            self.output.show_error(_describe_not_found(change_id, reply), reply.body)
             return ExitCode.UNKNOWN
         if reply.state == "unknown":
             text = f"{reply.server}: outcome unknown: the store is not readable"
@@ -59,9 +59,9 @@
     arguments = (argument("id", "Id of the change."),)
     options = (option("timeout", None, "Seconds to wait.", flag=False, default="30"),)
 
-    async def talk(self, client: Client) -> ExitCode:
-        timeout = self.read_number("timeout", 0)
-        return await wait_in_force(
+    async def run_with_client(self, client: Client) -> ExitCode:
+        timeout = self.read_number_option("timeout", 0)
+        return await wait_until_in_force(
             client, self.argument("id"), timeout=timeout, output=self.output
         )
 
@@ -81,16 +81,16 @@
         ),
     )
 
-    async def talk(self, client: Client) -> ExitCode:
-        limit = int(self.read_number("limit", 1))
-        found = await client.read(CHANGES_PATH, {"limit": str(limit)})
-        if isinstance(found, Err):
-            return self.show_unreachable(found.err_value)
-        reply = found.ok_value
+    async def run_with_client(self, client: Client) -> ExitCode:
+        limit = int(self.read_number_option("limit", 1))
+        result = await client.read(CHANGES_PATH, {"limit": str(limit)})
+        if isinstance(result, Err):
+            return self.show_unreachable(result.err_value)
+        reply = result.ok_value
         if "changes" not in reply.body:
             return self.show_refusal(reply)
         rows = [
-            (change["generation"], change["change_id"], describe_time(change["time"]))
+            (change["generation"], change["change_id"], format_time(change["time"]))
             for change in reply.body["changes"]
         ]
         table = render_table(("GENERATION", "CHANGE", "TIME"), rows)
@@ -131,10 +131,10 @@
     return f"{line}\n{render_table(MEMBER_HEADERS, rows)}"
 
 
-def _describe_absence(change_id: str, reply: Reply) -> str:
+def _describe_not_found(change_id: str, reply: Reply) -> str:
     body = reply.body
     return (
         f"change {change_id}: not in force at generation {body.get('generation')};"
-        f" changes are retained since {describe_time(body.get('oldest_time'))}.\n"
+        f" changes are retained since {format_time(body.get('oldest_time'))}.\n"
         "A write that is still in progress may yet take effect."
     )
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/checks.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/checks.py
@@ -15,9 +15,9 @@
 from greengagelatch.config.sections import split_sections
 from greengagelatch.config.validation import find_problems
 
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from . import OperatorCommand, UsageError
-from .submitting import read_file
+from .submit_command import read_input
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -30,7 +30,7 @@
 TITLE_SEPARATOR = ":"
 
 
-class Content(Enum):
+class FileContent(Enum):
     """Type of the content of a file."""
 
     AUTO = "auto"
@@ -59,13 +59,13 @@
         ),
     )
 
-    def perform(self) -> ExitCode:
+    def run_command(self) -> ExitCode:
         path = self.argument("file")
-        text = read_file(path)
-        content = self._read_content()
-        if content is Content.AUTO:
-            content = _guess_content(text)
-        if content is Content.SETTINGS:
+        text = read_input(path)
+        content = self._read_content_option()
+        if content is FileContent.AUTO:
+            content = _detect_content(text)
+        if content is FileContent.SETTINGS:
             return self._check_settings(path, text)
         return self._check_objects(path, text)
 
@@ -82,37 +82,40 @@
     def _check_objects(self, path: str, text: str) -> ExitCode:
         parsed = parse_objects(text, path)
         if isinstance(parsed, Err):
-            return self._show_problems(parsed.err_value)
+            return self._report_problems(parsed.err_value)
         objects = {identify(item): item for item in parsed.ok_value}
         if self.option("complete"):
             problems = find_problems(objects, path)
             if problems:
-                return self._show_problems(problems)
+                return self._report_problems(problems)
         line = f"{path}: {len(objects)} objects are valid"
         self.output.show(line, {"state": "checked", "objects": len(objects)})
         return ExitCode.OK
 
-    def _show_problems(self, problems: Sequence[Problem]) -> ExitCode:
+    def _report_problems(self, problems: Sequence[Problem]) -> ExitCode:
         lines = "\n".join(str(problem) for problem in problems)
-        data = {"state": "refused", "problems": [asdict(one) for one in problems]}
+        data = {
+            "state": "refused",
+            "problems": [asdict(problem) for problem in problems],
+        }
         self.output.show_error(lines, data)
         return ExitCode.REFUSED
 
-    def _read_content(self) -> Content:
+    def _read_content_option(self) -> FileContent:
         text = self.option("as")
         try:
-            return Content(text)
+            return FileContent(text)
         except ValueError as error:
             msg = f"--as = {text!r}: must be settings, objects or auto"
             raise UsageError(msg) from error
 
 
-def _guess_content(text: str) -> Content:
+def _detect_content(text: str) -> FileContent:
     sections, _ = split_sections(text, "")
-    known = {setting.name.partition(".")[0] for setting in settings.SETTINGS}
+    setting_groups = {setting.name.partition(".")[0] for setting in settings.SETTINGS}
     for section in sections:
         if TITLE_SEPARATOR in section.title:
-            return Content.OBJECTS
-        if section.title in known:
-            return Content.SETTINGS
-    return Content.OBJECTS
+            return FileContent.OBJECTS
+        if section.title in setting_groups:
+            return FileContent.SETTINGS
+    return FileContent.OBJECTS
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/fleet.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/fleet.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from ..client import CallFailure, FailureKind, Reply
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from ..output import render_table
 from . import ServerCommand, UsageError
 
@@ -34,7 +34,7 @@
 
 UNREACHABLE = "unreachable"
 
-ACCEPTED = 202
+STATUS_ACCEPTED = 202
 
 
 class Status(ServerCommand):
@@ -43,7 +43,7 @@
     name = "status"
     description = "Show entry instances with their generations, and targets."
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         results = await client.read_all("/status")
         replies = [
             result.ok_value
@@ -59,7 +59,7 @@
             tables.append(render_table(MEMBER_HEADERS, _list_members(replies)))
             tables.append(render_table(TARGET_HEADERS, _list_targets(replies[0])))
         data = {
-            str(server): _as_data(result)
+            str(server): _get_json(result)
             for server, result in zip(client.servers, results, strict=True)
         }
         self.output.show("\n\n".join(tables), data)
@@ -77,16 +77,18 @@
         ),
     )
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         controller = self.option("controller")
         query = {"controller": controller} if controller else None
         results = await client.read_all("/dump", query)
         data = {
-            str(server): _as_data(result)
+            str(server): _get_json(result)
             for server, result in zip(client.servers, results, strict=True)
         }
         self.output.show(json.dumps(data, indent=2, ensure_ascii=False), data)
-        statuses = {one.ok_value.status for one in results if isinstance(one, Ok)}
+        statuses = {
+            result.ok_value.status for result in results if isinstance(result, Ok)
+        }
         if not statuses:
             return ExitCode.UNREACHABLE
         return ExitCode.OK if 200 in statuses else ExitCode.REFUSED
@@ -106,7 +108,7 @@
         ),
     )
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         target = self.option("target")
         if target is None and len(client.servers) != 1:
             msg = "drain stops an entry instance: give exactly one --server"
@@ -125,16 +127,16 @@
         return self.show_unreachable(failures)
 
     def _report(self, reply: Reply) -> ExitCode:
-        if reply.status != ACCEPTED:
+        if reply.status != STATUS_ACCEPTED:
             return self.show_refusal(reply)
-        what = reply.body.get("target", f"entry instance at {reply.server}")
-        self.output.show(f"{what}: leaving", reply.body)
+        subject = reply.body.get("target", f"entry instance at {reply.server}")
+        self.output.show(f"{subject}: leaving", reply.body)
         return ExitCode.OK
 
     def _report_unknown(self, failures: Sequence[CallFailure]) -> ExitCode:
         lines = ["outcome unknown; the command can safely be repeated"]
         lines.extend(f"  {failure}" for failure in failures)
-        data = {"state": "unknown", "failures": [str(one) for one in failures]}
+        data = {"state": "unknown", "failures": [str(failure) for failure in failures]}
         self.output.show_error("\n".join(lines), data)
         return ExitCode.UNKNOWN
 
@@ -164,8 +166,8 @@
     for reply in replies:
         for name, member in reply.body.get("members", {}).items():
             states.setdefault(name, Counter())[member["state"]] += 1
-            known = details.setdefault(name, member)
-            if _get_generation(member) > _get_generation(known):
+            latest = details.setdefault(name, member)
+            if _get_generation(member) > _get_generation(latest):
                 details[name] = member
     return [
         (
@@ -197,7 +199,7 @@
     return ", ".join(f"{count} {state}" for state, count in sorted(counts.items()))
 
 
-def _as_data(result: Result[Reply, CallFailure]) -> Any:
+def _get_json(result: Result[Reply, CallFailure]) -> Any:
     if isinstance(result, Err):
         return {"state": UNREACHABLE, "message": result.err_value.message}
     return result.ok_value.body
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
@@ -12,10 +12,10 @@
 from greengagelatch.config.ini_writer import format_object
 from greengagelatch.config.names import find_name_error
 
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from . import UsageError
 from .objects import KINDS, check_kind, read_objects
-from .submitting import SUBMIT_OPTIONS, SubmitCommand
+from .submit_command import SUBMIT_OPTIONS, SubmitCommand
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -61,35 +61,35 @@
             )
             return ExitCode.REFUSED
         (item,) = parsed.ok_value
-        labels = _edit_labels(item.labels, edits)
+        labels = _apply_edits(item.labels, edits)
         text = format_object(replace(item, labels=labels))
         base = reply.body["generation"]
         return ({"mode": "apply", "text": text, "file": "label", "base": base},)
 
 
-def _parse_edits(words: Sequence[str]) -> Mapping[str, str | None]:
+def _parse_edits(labels: Sequence[str]) -> Mapping[str, str | None]:
     edits: dict[str, str | None] = {}
-    for word in words:
-        key, sign, value = word.partition("=")
-        if not sign:
-            if not word.endswith(REMOVE_SUFFIX):
-                msg = f"label {word!r}: must be key=value or key-"
+    for label in labels:
+        key, separator, value = label.partition("=")
+        if not separator:
+            if not label.endswith(REMOVE_SUFFIX):
+                msg = f"label {label!r}: must be key=value or key-"
                 raise UsageError(msg)
-            key, value = word.removesuffix(REMOVE_SUFFIX), None
+            key, value = label.removesuffix(REMOVE_SUFFIX), None
         if key in edits:
-            msg = f"label {word!r}: duplicate key {key!r}"
+            msg = f"label {label!r}: duplicate key {key!r}"
             raise UsageError(msg)
         # a comma or line break in a value would add other labels or keys
         for part in (key, value):
-            fault = "" if part is None else find_name_error(part)
-            if fault:
-                msg = f"label {word!r}: {part!r} {fault}"
+            name_error = "" if part is None else find_name_error(part)
+            if name_error:
+                msg = f"label {label!r}: {part!r} {name_error}"
                 raise UsageError(msg)
         edits[key] = value
     return edits
 
 
-def _edit_labels(
+def _apply_edits(
     labels: Mapping[str, str], edits: Mapping[str, str | None]
 ) -> Mapping[str, str]:
     edited = dict(labels)
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/objects.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/objects.py
@@ -10,10 +10,10 @@
 
 from greengagelatch.config.names import ObjectKind
 
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from ..messages import describe_conflict
 from . import ServerCommand, UsageError
-from .submitting import SUBMIT_OPTIONS, SubmitCommand, read_file, split_base
+from .submit_command import SUBMIT_OPTIONS, SubmitCommand, parse_base, read_input
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -53,7 +53,7 @@
     description = "Show what applying a file would change; nothing is changed."
     arguments = (argument("file", "INI file of objects; - is standard input."),)
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         change = {
             **_create_change(self.argument("file")),
             "change_id": "diff",
@@ -66,8 +66,8 @@
                 case Err(failure):
                     failures.append(failure)
                     continue
-                case answered:
-                    return self._show(answered.ok_value)
+                case result:
+                    return self._show(result.ok_value)
         return self.show_unreachable(failures)
 
     def _show(self, reply: Reply) -> ExitCode:
@@ -77,7 +77,7 @@
         if reply.state != "checked":
             return self.show_refusal(reply)
         changed = reply.body.get("changed", ())
-        text = "".join(_compare(one) for one in changed) or "no change\n"
+        text = "".join(_format_diff(item) for item in changed) or "no change\n"
         self.output.show(text.rstrip("\n"), reply.body)
         return ExitCode.OK
 
@@ -95,7 +95,7 @@
         option("selector", None, "Label selector, such as tier=gold.", flag=False),
     )
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         kind, name = self.argument("kind"), self.argument("name")
         if kind is not None:
             check_kind(kind)
@@ -108,7 +108,7 @@
         if name is not None and not objects:
             self.output.show_error(f"{reply.server}: no {kind} {name!r}", reply.body)
             return ExitCode.REFUSED
-        self.output.show(_join_texts(reply.body), reply.body)
+        self.output.show(_format_objects(reply.body), reply.body)
         return ExitCode.OK
 
 
@@ -143,26 +143,26 @@
     command: ServerCommand, client: Client, query: Mapping[str, str]
 ) -> Reply | ExitCode:
     """Read objects with their texts, or report the error and return its code."""
-    found = await client.read(OBJECTS_PATH, {**query, "format": "json"})
-    if isinstance(found, Err):
-        return command.show_unreachable(found.err_value)
-    reply = found.ok_value
+    result = await client.read(OBJECTS_PATH, {**query, "format": "json"})
+    if isinstance(result, Err):
+        return command.show_unreachable(result.err_value)
+    reply = result.ok_value
     if "objects" not in reply.body:
         return command.show_refusal(reply)
     return reply
 
 
 def _create_change(path: str) -> Mapping[str, Any]:
-    text = read_file(path)
-    return {"mode": "apply", "text": text, "file": path, **split_base(text)}
+    text = read_input(path)
+    return {"mode": "apply", "text": text, "file": path, **parse_base(text)}
 
 
-def _join_texts(body: Mapping[str, Any]) -> str:
-    texts = [one["text"].strip() for one in body["objects"]]
+def _format_objects(body: Mapping[str, Any]) -> str:
+    texts = [item["text"].strip() for item in body["objects"]]
     return "\n\n".join([f"# generation {body['generation']}", *texts])
 
 
-def _compare(change: Mapping[str, str]) -> str:
+def _format_diff(change: Mapping[str, str]) -> str:
     before = change["before"].splitlines(keepends=True)
     after = change["after"].splitlines(keepends=True)
     name = change["object"]
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/submitting.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/submit_command.py
@@ -13,10 +13,10 @@
 
 from greengagelatch.identity import create_id
 
-from ..exits import ExitCode
-from ..messages import advise, describe_failure, describe_success
+from ..exit_codes import ExitCode
+from ..messages import describe_failure, describe_success, describe_unknown_outcome
 from ..submission import submit
-from ..waiting import wait_in_force
+from ..waiting import wait_until_in_force
 from . import ServerCommand, UsageError
 
 if TYPE_CHECKING:
@@ -25,13 +25,13 @@
     from cleo.io.inputs.option import Option
 
     from ..client import Client
-    from ..submission import Submission
+    from ..submission import SubmissionResult
 
-__all__ = ("SUBMIT_OPTIONS", "SubmitCommand", "read_file", "split_base")
+__all__ = ("SUBMIT_OPTIONS", "SubmitCommand", "parse_base", "read_input")
 
 STDIN = "-"
 
-CHANGE_ID = re.compile(r"[a-zA-Z0-9._-]{1,64}")
+CHANGE_ID_PATTERN = re.compile(r"[a-zA-Z0-9._-]{1,64}")
 
 #: prefix of the first line printed by ``get``, which names the base generation
 GENERATION_PREFIX = "# generation "
@@ -61,15 +61,15 @@
     def __init__(self) -> None:
         super().__init__()
         #: id of a change that may have been sent and has no known outcome
-        self._open_change = ""
+        self._pending_change_id = ""
 
     @abstractmethod
     async def prepare(self, client: Client) -> Sequence[Mapping[str, Any]] | ExitCode:
         """Return the changes without their ids, or an exit code on failure."""
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         """Submit the changes and wait if requested; stop at the first failure."""
-        timeout = self.read_number("timeout", 0)
+        timeout = self.read_number_option("timeout", 0)
         base = self._read_base()
         changes = await self.prepare(client)
         if isinstance(changes, ExitCode):
@@ -85,24 +85,26 @@
     ) -> ExitCode:
         # the id is recorded before anything is sent, so that after any interrupt or
         # error the operator is told which change to look up
-        given = self._read_change_id()
-        change_id = given or _create_change_id()
-        self._open_change = change_id
-        sent = {**change, "change_id": change_id}
-        submission = await submit(client, sent, self.output, new_id=not given)
-        waits = submission.code is ExitCode.OK and self.option("wait")
+        given_id = self._read_change_id()
+        change_id = given_id or _create_change_id()
+        self._pending_change_id = change_id
+        change_with_id = {**change, "change_id": change_id}
+        submission = await submit(
+            client, change_with_id, self.output, new_id=not given_id
+        )
+        wait_requested = submission.code is ExitCode.OK and self.option("wait")
         # one JSON document per change: the result of the wait has more detail
-        if not (waits and self.output.is_json):
+        if not (wait_requested and self.output.is_json):
             self.report(submission)
         if submission.code is not ExitCode.UNKNOWN:
-            self._open_change = ""
-        if not waits:
+            self._pending_change_id = ""
+        if not wait_requested:
             return submission.code
-        return await wait_in_force(
+        return await wait_until_in_force(
             client, change_id, timeout=timeout, output=self.output
         )
 
-    def report(self, submission: Submission) -> None:
+    def report(self, submission: SubmissionResult) -> None:
         """Show the outcome of a change."""
         data = submission.as_dict()
         if submission.code is ExitCode.OK:
@@ -110,16 +112,16 @@
             return
         self.output.show_error(describe_failure(submission), data)
 
-    def abandon(self, code: ExitCode) -> ExitCode:
+    def handle_abort(self, code: ExitCode) -> ExitCode:
         """Report the id of a change that may have been sent; return the exit code."""
-        if not self._open_change:
+        if not self._pending_change_id:
             return code
-        self.output.show_error(advise(self._open_change))
+        self.output.show_error(describe_unknown_outcome(self._pending_change_id))
         return ExitCode.UNKNOWN
 
     def _read_change_id(self) -> str:
         change_id = self.option("change-id") or ""
-        if change_id and not CHANGE_ID.fullmatch(change_id):
+        if change_id and not CHANGE_ID_PATTERN.fullmatch(change_id):
             msg = f"--change-id = {change_id!r}: must be 1 to 64 of a-z A-Z 0-9 . _ -"
             raise UsageError(msg)
         return change_id
@@ -127,10 +129,10 @@
     def _read_base(self) -> dict[str, int]:
         if self.option("base") is None:
             return {}
-        return {"base": int(self.read_number("base", 0))}
+        return {"base": int(self.read_number_option("base", 0))}
 
 
-def read_file(path: str) -> str:
+def read_input(path: str) -> str:
     """Return the text of a file, or of standard input if ``path`` is ``-``.
 
     :raises UsageError: if the file can't be read or is not UTF-8
@@ -144,11 +146,11 @@
         raise UsageError(msg) from error
 
 
-def split_base(text: str) -> dict[str, int]:
+def parse_base(text: str) -> dict[str, int]:
     """Return the base generation in the first line of a file printed by ``get``."""
-    first, _, _ = text.partition("\n")
-    number = first.removeprefix(GENERATION_PREFIX).strip()
-    if first.startswith(GENERATION_PREFIX) and number.isdecimal():
+    first_line, _, _ = text.partition("\n")
+    number = first_line.removeprefix(GENERATION_PREFIX).strip()
+    if first_line.startswith(GENERATION_PREFIX) and number.isdecimal():
         return {"base": int(number)}
     return {}
 
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/messages.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/messages.py
@@ -5,21 +5,21 @@
 from datetime import UTC, datetime
 from typing import TYPE_CHECKING, Any
 
-from .exits import ExitCode
+from .exit_codes import ExitCode
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from .client import Reply
-    from .submission import Submission
+    from .submission import SubmissionResult
 
 __all__ = (
-    "advise",
     "describe_conflict",
     "describe_failure",
     "describe_refusal",
     "describe_success",
-    "describe_time",
+    "describe_unknown_outcome",
+    "format_time",
 )
 
 
@@ -27,7 +27,7 @@
 MAX_SHOWN = 200
 
 
-def describe_time(seconds: float | None) -> str:
+def format_time(seconds: float | None) -> str:
     """Return seconds since the Unix epoch as a date and time in UTC."""
     if seconds is None:
         return "?"
@@ -50,15 +50,15 @@
 
 
 def _describe_problem(problem: Mapping[str, str]) -> str:
-    words = []
+    parts = []
     if problem.get("file"):
-        words.append(f"{problem['file']}:")
+        parts.append(f"{problem['file']}:")
     if problem.get("section"):
-        words.append(f"[{problem['section']}]")
+        parts.append(f"[{problem['section']}]")
     if problem.get("key"):
-        words.append(f"{problem['key']} = {problem.get('value', '')!r}")
-    place = " ".join(words).removesuffix(":")
-    return f"  {place}: {problem.get('reason', '')}"
+        parts.append(f"{problem['key']} = {problem.get('value', '')!r}")
+    location = " ".join(parts).removesuffix(":")
+    return f"  {location}: {problem.get('reason', '')}"
 
 
 def describe_success(data: Mapping[str, Any]) -> str:
@@ -71,12 +71,12 @@
     return "\n".join(lines)
 
 
-def describe_failure(submission: Submission) -> str:
+def describe_failure(submission: SubmissionResult) -> str:
     """Return lines that describe a change that may not have been accepted."""
     reply = submission.reply
     match submission.code:
         case ExitCode.UNKNOWN:
-            return advise(submission.change_id)
+            return describe_unknown_outcome(submission.change_id)
         case ExitCode.CONFLICT if reply is not None:
             return describe_conflict(reply.body)
         case ExitCode.UNREACHABLE if reply is not None:
@@ -105,7 +105,7 @@
     return "\n".join(lines)
 
 
-def advise(change_id: str) -> str:
+def describe_unknown_outcome(change_id: str) -> str:
     """Return lines that explain how to find an unknown outcome of a change."""
     return (
         f"outcome unknown: change {change_id} may or may not have taken effect.\n"
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/output.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/output.py
@@ -32,15 +32,15 @@
     values as its own mark-up and drop them.
     """
 
-    def __init__(self, io: IO, form: Format) -> None:
+    def __init__(self, io: IO, output_format: Format) -> None:
         self._io = io
-        self.form = form
+        self.format = output_format
         self._progress = ""
 
     @property
     def is_json(self) -> bool:
         """Whether results are written as JSON."""
-        return self.form is Format.JSON
+        return self.format is Format.JSON
 
     def show(self, text: str, data: Any) -> None:
         """Write a result, as ``text`` or as ``data`` in JSON."""
@@ -77,11 +77,11 @@
     """Return a table of left-aligned columns, without trailing blanks."""
     lines = [list(headers), *([_show(cell) for cell in row] for row in rows)]
     widths = [max(len(line[i]) for line in lines) for i in range(len(headers))]
-    shown = []
+    rendered = []
     for line in lines:
         cells = [cell.ljust(width) for cell, width in zip(line, widths, strict=True)]
-        shown.append(COLUMN_GAP.join(cells).rstrip())
-    return "\n".join(shown)
+        rendered.append(COLUMN_GAP.join(cells).rstrip())
+    return "\n".join(rendered)
 
 
 def _show(cell: Any) -> str:
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/submission.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/submission.py
@@ -12,25 +12,25 @@
 from result import Err, Ok, Result
 
 from .client import CallFailure, Client, FailureKind, Reply
-from .exits import ExitCode
+from .exit_codes import ExitCode
 
 if TYPE_CHECKING:
     from .output import Output
 
-__all__ = ("Submission", "find_change", "submit")
+__all__ = ("SubmissionResult", "find_change", "submit")
 
 CHANGES_PATH = "/changes"
 
 #: seconds in which the outcome of a change whose reply was lost is looked up, and
 #: seconds between two look-ups
-SETTLE_TIMEOUT = 10.0
-SETTLE_INTERVAL = 0.5
+LOOKUP_TIMEOUT = 10.0
+LOOKUP_INTERVAL = 0.5
 
-NOT_APPLIED = 503
+STATUS_NOT_APPLIED = 503
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Submission:
+class SubmissionResult:
     """Outcome of a submitted change."""
 
     code: ExitCode
@@ -42,20 +42,20 @@
     def as_dict(self) -> dict[str, Any]:
         """Return the outcome for JSON output, based on the server's reply if any."""
         if self.code is ExitCode.UNKNOWN:
-            described: dict[str, Any] = {"state": "unknown"}
+            data: dict[str, Any] = {"state": "unknown"}
         elif self.reply is not None:
-            described = dict(self.reply.body)
+            data = dict(self.reply.body)
         else:
-            described = {"state": "unreachable"}
-        described.setdefault("change_id", self.change_id)
+            data = {"state": "unreachable"}
+        data.setdefault("change_id", self.change_id)
         if self.failures:
-            described["failures"] = [str(failure) for failure in self.failures]
-        return described
+            data["failures"] = [str(failure) for failure in self.failures]
+        return data
 
 
 async def submit(
     client: Client, change: Mapping[str, Any], output: Output, *, new_id: bool
-) -> Submission:
+) -> SubmissionResult:
     """Send ``change`` to the first server that accepts it.
 
     No further server is tried after one that may have received the change: if it
@@ -74,21 +74,23 @@
                 failures.append(failure)
                 if failure.kind is FailureKind.NOT_SENT:
                     continue
-                return await _settle(client, change, failures, output, new_id)
+                return await _look_up_outcome(client, change, failures, output, new_id)
             case Ok(reply):
-                if reply.status == NOT_APPLIED and reply.state == "not-applied":
+                if reply.status == STATUS_NOT_APPLIED and reply.state == "not-applied":
                     not_applied = reply
                     continue
-                code = _judge(reply)
+                code = _find_exit_code(reply)
                 if code is ExitCode.UNKNOWN:
-                    return await _settle(client, change, failures, output, new_id)
-                return Submission(
+                    return await _look_up_outcome(
+                        client, change, failures, output, new_id
+                    )
+                return SubmissionResult(
                     code=code,
                     change_id=change_id,
                     reply=reply,
                     failures=tuple(failures),
                 )
-    return Submission(
+    return SubmissionResult(
         code=ExitCode.UNREACHABLE,
         change_id=change_id,
         reply=not_applied,
@@ -97,19 +99,19 @@
 
 
 async def find_change(
-    client: Client, change_id: str, *, ask: bool = False
+    client: Client, change_id: str, *, query_instances: bool = False
 ) -> Result[Reply, tuple[CallFailure, ...]]:
     """Return the most conclusive reply of any server about a change.
 
     An instance may lag behind the others, so "not found" from one of them does not
     end the search, while "settled" from any of them does.
 
-    :param ask: whether the server queries the other instances again for whether the
-        change is in force there
+    :param query_instances: whether the server queries the other instances again
+        for whether the change is in force there
     """
-    query = {"ask": "yes"} if ask else None
+    query = {"ask": "yes"} if query_instances else None
     failures = []
-    best: Reply | None = None
+    best_reply: Reply | None = None
     for server in client.servers:
         path = f"{CHANGES_PATH}/{quote(change_id, safe='')}"
         match await client.call(server, "GET", path, query=query):
@@ -118,42 +120,42 @@
             case Ok(reply):
                 if reply.state == "settled":
                     return Ok(reply)
-                if best is None or reply.status < best.status:
-                    best = reply
-    if best is not None:
-        return Ok(best)
+                if best_reply is None or reply.status < best_reply.status:
+                    best_reply = reply
+    if best_reply is not None:
+        return Ok(best_reply)
     return Err(tuple(failures))
 
 
-async def _settle(
+async def _look_up_outcome(
     client: Client,
     change: Mapping[str, Any],
     failures: list[CallFailure],
     output: Output,
     new_id: bool,
-) -> Submission:
+) -> SubmissionResult:
     change_id = change["change_id"]
-    end = time.monotonic() + SETTLE_TIMEOUT
+    deadline = time.monotonic() + LOOKUP_TIMEOUT
     code, reply = ExitCode.UNKNOWN, None
     while True:
         output.show_progress(f"reply lost, looking up change {change_id}")
-        found = await find_change(client, change_id)
-        if isinstance(found, Ok):
-            reply = found.ok_value
+        result = await find_change(client, change_id)
+        if isinstance(result, Ok):
+            reply = result.ok_value
             if reply.state == "settled" and new_id:
                 code = ExitCode.OK
             elif reply.state == "settled":
-                code, reply = await _confirm(client, change, reply)
-        if code is not ExitCode.UNKNOWN or time.monotonic() >= end:
+                code, reply = await _verify_change_id(client, change, reply)
+        if code is not ExitCode.UNKNOWN or time.monotonic() >= deadline:
             break
-        await asyncio.sleep(SETTLE_INTERVAL)
-    return Submission(
+        await asyncio.sleep(LOOKUP_INTERVAL)
+    return SubmissionResult(
         code=code, change_id=change_id, reply=reply, failures=tuple(failures)
     )
 
 
-async def _confirm(
-    client: Client, change: Mapping[str, Any], found: Reply
+async def _verify_change_id(
+    client: Client, change: Mapping[str, Any], lookup_reply: Reply
 ) -> tuple[ExitCode, Reply]:
     """Check whether a settled id belongs to this change or to an earlier one.
 
@@ -161,13 +163,13 @@
     accepted even if an earlier one had used its id. Sending the change again tells
     them apart; it can't take effect, as its id is already settled.
     """
-    answered = await client.call(found.server, "POST", CHANGES_PATH, body=change)
-    if isinstance(answered, Err):
-        return ExitCode.UNKNOWN, found
-    return _judge(answered.ok_value), answered.ok_value
+    result = await client.call(lookup_reply.server, "POST", CHANGES_PATH, body=change)
+    if isinstance(result, Err):
+        return ExitCode.UNKNOWN, lookup_reply
+    return _find_exit_code(result.ok_value), result.ok_value
 
 
-def _judge(reply: Reply) -> ExitCode:
+def _find_exit_code(reply: Reply) -> ExitCode:
     if reply.status == 200 and reply.state in ("settled", "checked"):
         return ExitCode.OK
     if reply.state == "conflict":
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/waiting.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/waiting.py
@@ -8,7 +8,7 @@
 
 from result import Ok
 
-from .exits import ExitCode
+from .exit_codes import ExitCode
 from .submission import find_change
 
 if TYPE_CHECKING:
@@ -17,14 +17,14 @@
     from .client import Client, Reply
     from .output import Output
 
-__all__ = ("wait_in_force",)
+__all__ = ("wait_until_in_force",)
 
-INTERVAL = 0.5
+POLL_INTERVAL = 0.5
 
-OUT_OF_REACH = "dead"
+STATE_DEAD = "dead"
 
 
-async def wait_in_force(
+async def wait_until_in_force(
     client: Client, change_id: str, *, timeout: float, output: Output
 ) -> ExitCode:
     """Wait until every known entry instance reports the change as in force.
@@ -32,22 +32,22 @@
     Unreachable instances count too: one behind a network partition may still serve
     callers with the previous configuration.
     """
-    end = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     reply: Reply | None = None
     while True:
-        found = await find_change(client, change_id, ask=True)
-        if isinstance(found, Ok):
-            reply = found.ok_value
+        result = await find_change(client, change_id, query_instances=True)
+        if isinstance(result, Ok):
+            reply = result.ok_value
         members = _list_members(reply)
-        missing = [member for member in members if not member.get("in_force")]
-        if members and not missing:
+        unconfirmed = [member for member in members if not member.get("in_force")]
+        if members and not unconfirmed:
             output.show(f"in force on all {len(members)} entry instances", reply.body)
             return ExitCode.OK
-        output.show_progress(_describe_progress(change_id, members, missing))
-        if time.monotonic() >= end:
+        output.show_progress(_describe_progress(change_id, members, unconfirmed))
+        if time.monotonic() >= deadline:
             break
-        await asyncio.sleep(INTERVAL)
-    return _report_timeout(change_id, reply, missing, timeout, output)
+        await asyncio.sleep(POLL_INTERVAL)
+    return _report_timeout(change_id, reply, unconfirmed, timeout, output)
 
 
 def _list_members(reply: Reply | None) -> Sequence[Mapping[str, Any]]:
@@ -59,18 +59,18 @@
 def _describe_progress(
     change_id: str,
     members: Sequence[Mapping[str, Any]],
-    missing: Sequence[Mapping[str, Any]],
+    unconfirmed: Sequence[Mapping[str, Any]],
 ) -> str:
     if not members:
         return f"change {change_id}: acceptance not confirmed yet"
-    confirmed = len(members) - len(missing)
+    confirmed = len(members) - len(unconfirmed)
     return f"in force on {confirmed} of {len(members)}"
 
 
 def _report_timeout(
     change_id: str,
     reply: Reply | None,
-    missing: Sequence[Mapping[str, Any]],
+    unconfirmed: Sequence[Mapping[str, Any]],
     timeout: float,
     output: Output,
 ) -> ExitCode:
@@ -81,12 +81,12 @@
         )
         return ExitCode.UNKNOWN if reply else ExitCode.UNREACHABLE
     lines = [f"change {change_id}: accepted, but within {timeout:g} s not in force on:"]
-    for member in missing:
-        reach = ", unreachable" if member["state"] == OUT_OF_REACH else ""
+    for member in unconfirmed:
+        suffix = ", unreachable" if member["state"] == STATE_DEAD else ""
         generation = member.get("generation")
         lines.append(
             f"  {member['instance']} ({member['data_centre']}): {member['state']}"
-            f"{reach}, generation {'?' if generation is None else generation}"
+            f"{suffix}, generation {'?' if generation is None else generation}"
         )
     output.show_error("\n".join(lines), reply.body)
     return ExitCode.TIMED_OUT
--- a/tests/test_cli/conftest.py
+++ b/tests/test_cli/conftest.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class CommandResult:
     """How a command ended."""
 
     code: int
@@ -53,7 +53,7 @@
         self.script[call] = list(answers)
 
     def bodies(self, call):
-        return [body for made, body in self.calls if made == call]
+        return [body for recorded, body in self.calls if recorded == call]
 
     async def serve(self, request):
         text = await request.text()
@@ -102,16 +102,16 @@
 def run_command(capsys, monkeypatch):
     """Return a function that runs the command with short waits."""
     monkeypatch.delenv("GREENGAGELATCH_SERVER", raising=False)
-    monkeypatch.setattr(submission, "SETTLE_TIMEOUT", 0.3)
-    monkeypatch.setattr(submission, "SETTLE_INTERVAL", 0.01)
-    monkeypatch.setattr(waiting, "INTERVAL", 0.01)
+    monkeypatch.setattr(submission, "LOOKUP_TIMEOUT", 0.3)
+    monkeypatch.setattr(submission, "LOOKUP_INTERVAL", 0.01)
+    monkeypatch.setattr(waiting, "POLL_INTERVAL", 0.01)
 
     async def run_in_thread(*arguments, servers=()):
-        given = list(arguments)
+        command_line = list(arguments)
         if servers:
-            given += ["--server", ",".join(servers)]
-        code = await asyncio.to_thread(run, given)
+            command_line += ["--server", ",".join(servers)]
+        code = await asyncio.to_thread(run, command_line)
         out, err = capsys.readouterr()
-        return Ended(int(code), out, err)
+        return CommandResult(int(code), out, err)
 
     return run_in_thread
--- a/tests/test_cli/test_commands.py
+++ b/tests/test_cli/test_commands.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from greengagelatch_cli.exits import ExitCode
+from greengagelatch_cli.exit_codes import ExitCode
 
 CLOSED = "127.0.0.1:1"
 
--- a/tests/test_cli/test_end_to_end.py
+++ b/tests/test_cli/test_end_to_end.py
@@ -9,7 +9,7 @@
 from greengagelatch.clock import SystemClock
 from greengagelatch.events import EventBus
 from greengagelatch.settings import parse
-from greengagelatch_cli.exits import ExitCode
+from greengagelatch_cli.exit_codes import ExitCode
 from greengagelatch_entry.adapters.operators import OperatorsServer
 from greengagelatch_entry.adapters.operators_configuration import (
     add_configuration_routes,
--- a/tests/test_cli/test_labels.py
+++ b/tests/test_cli/test_labels.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from greengagelatch_cli.exits import ExitCode
+from greengagelatch_cli.exit_codes import ExitCode
 
 FOUND = {
     "generation": 7,
--- a/tests/test_cli/test_submission.py
+++ b/tests/test_cli/test_submission.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from greengagelatch_cli.commands import submitting
-from greengagelatch_cli.exits import ExitCode
+from greengagelatch_cli.commands import submit_command
+from greengagelatch_cli.exit_codes import ExitCode
 
 CLOSED = "127.0.0.1:1"
 
@@ -95,7 +95,7 @@
     change to the next server. Cause: a call without a reply was taken for one that
     was not sent.
     """
-    monkeypatch.setattr(submitting, "_create_change_id", lambda: "c-1")
+    monkeypatch.setattr(submit_command, "_create_change_id", lambda: "c-1")
     server, spare = await start_server(), await start_server()
     server.answer("POST /changes", None)
     server.answer("GET /changes/c-1", NOT_FOUND)
