--- a/tests/test_platform/test_callers.py
+++ b/tests/test_platform/test_callers.py
@@ -25,7 +25,7 @@
     )
 
 
-def test_what_a_request_says_of_itself_is_read():
+def test_request_headers_are_decoded():
     request = decode(
         (b"X-Model", b"m"),
         (b"X-Token-Counts", b"1460,80"),
@@ -46,7 +46,7 @@
     assert prompt.shared_parts == (PromptPart("5c1e", 800), PromptPart("91bd", 410))
 
 
-def test_plain_request_has_no_prompt():
+def test_request_without_optional_headers_has_no_prompt():
     request = decode()
     assert (request.prompt, request.piece_counts, request.resume_after) == (
         None,
@@ -55,21 +55,21 @@
     )
 
 
-def test_key_is_not_among_what_is_passed_on():
+def test_headers_set_by_the_system_are_not_forwarded():
     names = {name.lower() for name, _ in decode((b"X-Other", b"1")).headers}
     assert names == {b"host", b"x-attempt-id", b"x-other"}
 
 
-def test_headers_that_the_connection_lists_are_not_passed_on():
+def test_headers_listed_in_connection_are_not_forwarded():
     request = decode((b"Connection", b"close, X-Hop"), (b"X-Hop", b"1"))
     assert b"X-Hop" not in {name for name, _ in request.headers}
 
 
-def test_connection_can_not_take_away_what_identifies_a_request():
-    """Symptom: a target answers 400 for a request without an id, and runs nothing.
+def test_connection_header_can_not_remove_the_request_id():
+    """Guards against removing the request id as a hop-by-hop header.
 
-    Sequence: a caller lists the id among the headers of its connection.
-    Cause: the list was applied to headers that the system needs.
+    A caller may list the id's header in ``Connection``. Without the id the target
+    rejects the request with status 400.
     """
     names = {name for name, _ in decode((b"Connection", b"X-Attempt-Id")).headers}
     assert b"X-Attempt-Id" in names
@@ -85,7 +85,7 @@
         (b"Last-Event-Id", b"-1"),
     ],
 )
-def test_value_without_a_meaning_is_named(name, value):
+def test_refusal_names_the_invalid_header_and_value(name, value):
     with pytest.raises(RefusedError) as caught:
         decode((name, value))
     refusal = caught.value.refusal
@@ -93,5 +93,5 @@
     assert refusal.value in value.decode()
 
 
-def test_caller_without_a_deadline_waits_for_a_while():
+def test_request_without_a_deadline_gets_a_default_timeout():
     assert decode(headers=HEADERS[:2]).timeout > 0
--- a/tests/test_platform/test_configuration.py
+++ b/tests/test_platform/test_configuration.py
@@ -16,7 +16,7 @@
     return PlatformDeploymentCodec().decode(value, 17)
 
 
-def test_configuration_is_decoded_into_the_products_words():
+def test_configuration_is_decoded_into_internal_types():
     deployment, problems = decode(create_configuration()).unwrap()
     assert problems == ()
     assert (deployment.version, deployment.revision, deployment.requires_key) == (
@@ -39,7 +39,7 @@
     assert deployment.workspaces[0].keys == ("key-of-north",)
 
 
-def test_split_between_services_is_read():
+def test_traffic_split_between_services_is_decoded():
     fields = create_configuration()
     route = fields["routes"][0]
     del route["service"]
@@ -51,7 +51,7 @@
     assert deployment.routes[0].split == (("desk", 90), ("new", 10))
 
 
-def test_configuration_without_workspaces_needs_no_keys():
+def test_configuration_without_workspaces_requires_no_key():
     fields = create_configuration()
     del fields["tenants"]
     deployment, _ = decode(fields).unwrap()
@@ -70,7 +70,7 @@
         ({"public": "yes"}, "public"),
     ],
 )
-def test_route_that_can_not_be_read_is_set_aside_and_named(change, key):
+def test_invalid_route_is_rejected_and_reported(change, key):
     fields = create_configuration()
     count = len(fields["routes"])
     fields["routes"][1] |= change
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"\xff", b"{}", b'{"version": "7"}'])
-def test_configuration_that_can_not_be_read_is_an_error(value):
+def test_malformed_configuration_is_an_error(value):
     assert decode(value).is_err()
 
 
--- a/tests/test_platform/test_listing.py
+++ b/tests/test_platform/test_listing.py
@@ -31,7 +31,7 @@
     assert (target.leaving, target.revision) == (False, 9)
 
 
-def test_start_of_a_target_is_its_incarnation():
+def test_start_time_is_part_of_the_incarnation():
     assert decode(json.dumps(FIELDS).encode()).unwrap().incarnation == Incarnation(
         "i-1"
     )
@@ -41,35 +41,35 @@
 
 
 @pytest.mark.parametrize("born", [True, 1.0, 1.7e12, "1700000000123", -1, [5], 2**63])
-def test_start_that_is_no_whole_number_names_no_target(born):
+def test_entry_with_an_invalid_start_time_is_rejected(born):
     problem = decode(json.dumps({**FIELDS, "born": born}).encode()).unwrap_err()
     assert problem.key == "born"
 
 
 @pytest.mark.parametrize("state", ["resting", "READY", "", 1, None, True])
-def test_state_that_is_not_known_names_no_target(state):
-    """Symptom: requests go to a target that must not have them.
+def test_entry_with_an_unknown_state_is_rejected(state):
+    """Guards against routing requests to a target whose state is not ready.
 
-    Sequence: an entry has a state that no page names.
-    Cause: any state but one counted as ready.
+    Only "ready" may count as ready: an entry with a state unknown to the protocol
+    must not.
     """
     problem = decode(json.dumps({**FIELDS, "state": state}).encode()).unwrap_err()
     assert problem.key == "state"
 
 
 @pytest.mark.parametrize("name", sorted(FIELDS))
-def test_entry_without_a_field_names_no_target(name):
+def test_entry_with_a_missing_field_is_rejected(name):
     fields = {key: value for key, value in FIELDS.items() if key != name}
     assert decode(json.dumps(fields).encode()).unwrap_err().key == name
 
 
 @pytest.mark.parametrize("target_id", ["", "i\r\nX: y", "\u00e9", "i\u2028"])
-def test_id_that_no_header_can_carry_names_no_target(target_id):
+def test_id_that_is_no_valid_header_value_is_rejected(target_id):
     value = json.dumps(FIELDS).encode()
     assert PlatformListingCodec().decode(f"servers/{target_id}", value, 9).is_err()
 
 
-def test_leaving_target_is_known_by_its_state():
+def test_draining_target_is_decoded_as_leaving():
     fields = {**FIELDS, "state": "draining"}
     assert decode(json.dumps(fields).encode()).unwrap().leaving
 
@@ -92,7 +92,7 @@
         {"cold-left-ms": "0"},
     ],
 )
-def test_entry_that_can_not_be_read_is_named(change):
+def test_problem_names_the_entry_and_the_invalid_field(change):
     problem = decode(json.dumps({**FIELDS, **change}).encode()).unwrap_err()
     assert problem.file == "servers/i-1"
     assert problem.key in change
--- a/tests/test_platform/test_main.py
+++ b/tests/test_platform/test_main.py
@@ -11,23 +11,23 @@
 
 @pytest.fixture
 def hangup():
-    """Restore what SIGHUP does."""
+    """Restore the handler of SIGHUP after the test."""
     before = signal.getsignal(signal.SIGHUP)
     yield
     signal.signal(signal.SIGHUP, before)
 
 
-def test_hangup_during_the_start_ends_nothing(hangup, monkeypatch):
-    """Symptom: an instance that was told to read its settings again is down.
+def test_sighup_during_start_is_ignored(hangup, monkeypatch):
+    """Guards against the end of an instance that is told to reload its settings.
 
-    Sequence: it starts, the signal comes while its modules are imported.
-    Cause: a signal without a handler ends the process.
+    The signal arrives while modules are imported, before its handler is installed;
+    its default action ends the process.
     """
-    heard = []
+    handlers = []
     monkeypatch.setattr(
         program,
         "reduce_import_cost",
-        lambda: heard.append(signal.getsignal(signal.SIGHUP)),
+        lambda: handlers.append(signal.getsignal(signal.SIGHUP)),
     )
     program.main(["--check", "--settings", "/nowhere"])
-    assert heard == [signal.SIG_IGN]
+    assert handlers == [signal.SIG_IGN]
--- a/tests/test_platform/test_settings.py
+++ b/tests/test_platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_platform.settings and the program's command line."""
+"""Tests of greengagelatch_platform.settings and of the option ``--check``."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
     assert (settings.retry_budget.ratio, settings.retry_budget.slack) == (0.2, 58)
 
 
-def test_capacity_is_decoded_and_may_be_missing():
+def test_capacity_is_optional():
     capacity = read().capacity
     assert capacity.cores == pytest.approx(2.151)
     assert capacity.link_bytes == 12_500_000
     assert read(limits=None).capacity.cores == 0
 
 
-def test_peers_connect_on_a_free_port_where_no_address_is_given():
+def test_peers_address_defaults_to_the_first_port_of_the_range():
     listen = {name: SETTINGS["listen"][name] for name in ("front", "readiness")}
     assert read(listen=listen).peers_listen == "10.1.0.41:7740"
 
@@ -65,13 +65,13 @@
         ({"listen": {"front": "a:1", "readiness": "a:2"}, "port-range": []}, "port"),
     ],
 )
-def test_bad_field_is_named_with_its_value(change, name):
+def test_error_names_the_invalid_field(change, name):
     with pytest.raises(FieldError) as caught:
         read(**change)
     assert name in str(caught.value)
 
 
-def test_check_says_whether_settings_are_valid(tmp_path, capsys):
+def test_check_validates_the_settings(tmp_path, capsys):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(SETTINGS))
     assert main(["--settings", str(path), "--check"]) == 0
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -1,4 +1,4 @@
-"""Tests of greengagelatch_platform.store against the stand-in."""
+"""Tests of greengagelatch_platform.store against a simulated store."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     await created.close()
 
 
-async def test_entries_are_written_under_a_condition(store):
+async def test_writes_depend_on_the_expected_revision(store):
     first = await store.swap("a", b"1", ABSENT)
     assert first.outcome is WriteOutcome.APPLIED
     again = await store.swap("a", b"2", ABSENT)
@@ -46,49 +46,51 @@
     assert scan.revision == scan.entries[-1].revision + 1
 
 
-async def test_item_that_can_not_be_read_loses_no_other(store, standin, monkeypatch):
-    """Symptom: an instance hears nothing of the store for as long as one item is bad.
+async def test_item_with_an_invalid_value_does_not_affect_others(
+    store, standin, monkeypatch
+):
+    """Guards against losing all entries of the store because one item is invalid.
 
-    Sequence: the text that stands for an item's bytes is not what it should be.
-    Cause: the whole answer was refused.
+    The value of an item is not valid base64; rejecting the whole response would
+    hide all other items while this one exists.
     """
-    describe = StoreStandIn._describe
+    original = StoreStandIn._describe
 
-    def describe_badly(self, key):
-        item = describe(self, key)
+    def describe_with_invalid_value(self, key):
+        item = original(self, key)
         return {**item, "value": "!"} if key == "servers/bad" else item
 
-    monkeypatch.setattr(StoreStandIn, "_describe", describe_badly)
+    monkeypatch.setattr(StoreStandIn, "_describe", describe_with_invalid_value)
     revision = standin.put("servers/a", {"n": 1})
     standin.put("servers/bad", {"n": 1})
     entries = (await store.scan("servers/")).unwrap().entries
-    assert [(one.key, one.value) for one in entries] == [
+    assert [(entry.key, entry.value) for entry in entries] == [
         ("servers/a", b'{"n": 1}'),
         ("servers/bad", b""),
     ]
     changes = (await store.follow("servers/", revision, 1.0)).unwrap()
-    assert [one.value for one in changes.written] == [b""]
+    assert [entry.value for entry in changes.written] == [b""]
 
 
-async def test_changes_are_followed(store, standin):
+async def test_follow_returns_the_last_change_of_each_key(store, standin):
     revision = standin.put("servers/a", {"n": 1})
     standin.put("servers/b", {"n": 1})
     standin.put("servers/b", {"n": 2})
     standin.remove("servers/a")
     changes = (await store.follow("servers/", revision, 1.0)).unwrap()
-    assert [(one.key, one.value) for one in changes.written] == [
+    assert [(entry.key, entry.value) for entry in changes.written] == [
         ("servers/b", b'{"n": 2}')
     ]
     assert [key for key, _ in changes.removed] == ["servers/a"]
 
 
-async def test_watch_without_a_change_ends_after_its_wait(store, standin):
+async def test_watch_without_a_change_returns_after_its_wait(store, standin):
     revision = standin.put("a", {})
     changes = (await store.follow("", revision, 0.05)).unwrap()
     assert (changes.written, changes.removed) == ((), ())
 
 
-async def test_lost_history_is_told(store, standin):
+async def test_compacted_history_is_reported(store, standin):
     revision = standin.put("a", {})
     standin.put("a", {})
     standin.compact()
@@ -96,7 +98,7 @@
     assert result.unwrap_err().kind is StoreErrorKind.COMPACTED
 
 
-async def test_lease_ends_with_its_entries(store, standin):
+async def test_revoking_a_lease_deletes_its_entries(store, standin):
     lease = (await store.grant_lease(60.0)).unwrap()
     await store.swap("a", b"1", ABSENT, lease_id=lease.lease_id)
     assert (await store.renew_lease(lease.lease_id)).is_ok()
@@ -106,7 +108,7 @@
     assert gone.unwrap_err().kind is StoreErrorKind.LEASE_GONE
 
 
-async def test_refusal_says_that_nothing_was_written(store, standin):
+async def test_rate_limited_write_is_not_applied(store, standin):
     standin.fault = StoreFault.BUSY
     result = await store.swap("a", b"1", ABSENT)
     assert result.outcome is WriteOutcome.NOT_APPLIED
@@ -114,11 +116,13 @@
 
 
 @pytest.mark.parametrize("fault", [StoreFault.LOST, StoreFault.SILENT])
-async def test_write_without_an_answer_is_unknown(store, standin, monkeypatch, fault):
-    """Symptom: two instances hold the same entry, each sure that it is alone.
+async def test_write_without_a_response_has_an_unknown_outcome(
+    store, standin, monkeypatch, fault
+):
+    """Guards against two instances that both believe to hold the same entry.
 
-    Sequence: a write is done and its answer is lost; the writer takes it for undone.
-    Cause: no answer was taken for a refusal.
+    A write is applied and its response is lost; the writer must not treat the missing
+    response as a rejection of the write.
     """
     monkeypatch.setattr(store_module, "CALL_TIMEOUT", 0.1)
     monkeypatch.setattr(PlatformStore._call, "__defaults__", (None, 0.1))
@@ -127,7 +131,7 @@
     assert result.outcome is WriteOutcome.UNKNOWN
 
 
-async def test_store_that_is_not_there_is_unreachable(standin):
+async def test_stopped_store_is_reported_as_unreachable(standin):
     address = standin.address
     await standin.stop()
     store = PlatformStore(address=address, metrics=PrometheusMetrics())
--- a/tests/test_platform/test_targets.py
+++ b/tests/test_platform/test_targets.py
@@ -30,7 +30,7 @@
 )
 
 
-def test_request_carries_what_the_system_knows():
+def test_request_has_the_headers_set_by_the_system():
     call = AttemptContext(
         incarnation=Incarnation("i-1", 1_700_000_000_123),
         remaining=0.7504,
@@ -50,7 +50,7 @@
     assert (outbound.target, outbound.body) == ("/x/1", b"body")
 
 
-def test_pieces_of_first_stages_have_a_key_and_others_inputs():
+def test_pieces_are_encoded_with_a_key_or_with_inputs():
     pieces = (
         Piece(request_id="r-1", stage=0, segment=2, key="7c1e"),
         Piece(request_id="r-2", stage=2, segment=0, inputs=("10.0.0.1:80/a",)),
@@ -68,29 +68,29 @@
     ]
 
 
-def test_results_are_read_in_order():
+def test_results_are_decoded_in_order():
     body = b'{"items":[{"handle":"10.0.0.1:80/a"},{"reason":"gone"},{"reason":"new"}]}'
     results = CODEC.read_pieces(body, 3, MAKER)
     assert results[0].handle == "10.0.0.1:80/a"
     assert (results[0].data_centre, results[0].maker) == ("north", MAKER.incarnation)
-    assert [one.failure for one in results] == [
+    assert [result.failure for result in results] == [
         None,
         PieceFailure.GONE,
         PieceFailure.ERROR,
     ]
 
 
-def test_answer_for_another_number_of_pieces_is_not_used():
+def test_malformed_results_are_rejected():
     assert CODEC.read_pieces(b'{"items":[{"handle":"a"}]}', 2, MAKER) is None
     assert CODEC.read_pieces(b"{}", 1, MAKER) is None
     assert CODEC.read_pieces(b"no", 1, MAKER) is None
 
 
-def test_event_ids_are_read():
+def test_event_ids_are_decoded():
     assert CODEC.read_event_id(b"id: 12\ndata: x\n\n") == 12
     assert CODEC.read_event_id(b"x-weight-versions: 3\nid:7\r\ndata: x\r\n\r\n") == 7
     assert CODEC.read_event_id(b"data: id: 4\n\n") is None
 
 
-def test_maker_of_a_result_is_named_by_its_handle():
+def test_handle_contains_the_address_of_the_maker():
     assert CODEC.find_maker_address("10.0.0.1:80/91bd/x") == "10.0.0.1:80"
