--- a/tests/test_cli/conftest.py
+++ b/tests/test_cli/conftest.py
@@ -1,4 +1,4 @@
-"""Scripted operators' servers and a way to run the command."""
+"""Fixtures that start scripted operators' servers and run the command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class CommandResult:
-    """How a command ended."""
+    """Exit code and output of a command."""
 
     code: int
     out: str
@@ -28,10 +28,10 @@
 
 
 class ScriptedServer:
-    """Answers calls from a script, the last answer again and again.
+    """Sends the scripted replies to each call in order, and repeats the last one.
 
-    An answer is ``(status, body)``; ``None`` cuts the connection after the call
-    has been read.
+    A reply is ``(status, body)``; ``None`` closes the connection after the call has
+    been received.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self._released.set()
 
     def hold(self) -> None:
-        """Give no answer until :meth:`release`."""
+        """Send no reply until :meth:`release` is called."""
         self._released.clear()
 
     def release(self) -> None:
@@ -100,7 +100,7 @@
 
 @pytest.fixture
 def run_command(capsys, monkeypatch):
-    """Return a function that runs the command with short waits."""
+    """Return a function that runs the command with short intervals and time-outs."""
     monkeypatch.delenv("GREENGAGELATCH_SERVER", raising=False)
     monkeypatch.setattr(submission, "LOOKUP_TIMEOUT", 0.3)
     monkeypatch.setattr(submission, "LOOKUP_INTERVAL", 0.01)
--- a/tests/test_cli/test_checks.py
+++ b/tests/test_cli/test_checks.py
@@ -1,4 +1,4 @@
-"""Checking files without a server."""
+"""Tests of the check command."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def check(run_command, tmp_path):
-    """Return a function that checks a text."""
+    """Return a function that runs check on a file with the given text."""
     path = tmp_path / "file.ini"
 
     async def run(text, *options):
@@ -36,29 +36,29 @@
     return run
 
 
-async def test_settings(check):
+async def test_settings_are_validated(check):
     assert (await check(SETTINGS)).code == ExitCode.OK
-    ended = await check(SETTINGS.replace("127.0.0.1:1", "store:1", 1))
-    assert ended.code == ExitCode.REFUSED
-    assert "setting platform.store = 'store:1': must be an IP address" in ended.err
-    assert ended.err.count("\n") == 1
+    result = await check(SETTINGS.replace("127.0.0.1:1", "store:1", 1))
+    assert result.code == ExitCode.REFUSED
+    assert "setting platform.store = 'store:1': must be an IP address" in result.err
+    assert result.err.count("\n") == 1
 
 
-async def test_objects_with_all_their_problems(check):
+async def test_all_problems_of_objects_are_reported(check):
     assert (await check(OBJECTS)).code == ExitCode.OK
-    ended = await check(f"{OBJECTS}share = nan\nrepeatable = maybe\n")
-    assert ended.code == ExitCode.REFUSED
-    assert "share = 'nan'" in ended.err
-    assert "repeatable = 'maybe'" in ended.err
+    result = await check(f"{OBJECTS}share = nan\nrepeatable = maybe\n")
+    assert result.code == ExitCode.REFUSED
+    assert "share = 'nan'" in result.err
+    assert "repeatable = 'maybe'" in result.err
 
 
-async def test_references_are_checked_in_a_complete_file_only(check):
-    ended = await check(OBJECTS, "--complete", "--output", "json")
-    assert ended.code == ExitCode.REFUSED
-    (problem,) = ended.data["problems"]
+async def test_references_are_validated_only_with_complete(check):
+    result = await check(OBJECTS, "--complete", "--output", "json")
+    assert result.code == ExitCode.REFUSED
+    (problem,) = result.data["problems"]
     assert (problem["key"], problem["value"]) == ("service", "greengage-llm")
 
 
-async def test_text_that_is_no_ini(check):
-    ended = await check("nothing of the kind")
-    assert ended.code == ExitCode.REFUSED
+async def test_text_that_is_not_ini_is_refused(check):
+    result = await check("nothing of the kind")
+    assert result.code == ExitCode.REFUSED
--- a/tests/test_cli/test_commands.py
+++ b/tests/test_cli/test_commands.py
@@ -1,4 +1,4 @@
-"""Reading commands, fleet commands and usage errors."""
+"""Tests of commands that read, of status, dump and drain, and of usage errors."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from greengagelatch_cli.exit_codes import ExitCode
 
-CLOSED = "127.0.0.1:1"
+UNREACHABLE_SERVER = "127.0.0.1:1"
 
 STATUS = {
     "instance": "entry-1",
@@ -40,57 +40,76 @@
         (("status",), "GREENGAGELATCH_SERVER"),
         (("status", "--server", "entry-1"), "'entry-1'"),
         (("status", "--server", "a:99999"), "'a:99999'"),
-        (("status", "--server", CLOSED, "--output", "xml"), "'xml'"),
-        (("get", "stage", "--server", CLOSED), "'stage'"),
-        (("rollback", "last", "--server", CLOSED), "'last'"),
-        (("change", "wait", "c", "--timeout", "nan", "--server", CLOSED), "'nan'"),
-        (("delete", "policy", "a", "--change-id", "a b", "--server", CLOSED), "'a b'"),
-        (("drain", "--server", f"{CLOSED},{CLOSED}"), "exactly one"),
+        (("status", "--server", UNREACHABLE_SERVER, "--output", "xml"), "'xml'"),
+        (("get", "stage", "--server", UNREACHABLE_SERVER), "'stage'"),
+        (("rollback", "last", "--server", UNREACHABLE_SERVER), "'last'"),
+        (
+            ("change", "wait", "c", "--timeout", "nan", "--server", UNREACHABLE_SERVER),
+            "'nan'",
+        ),
+        (
+            (
+                "delete",
+                "policy",
+                "a",
+                "--change-id",
+                "a b",
+                "--server",
+                UNREACHABLE_SERVER,
+            ),
+            "'a b'",
+        ),
+        (
+            ("drain", "--server", f"{UNREACHABLE_SERVER},{UNREACHABLE_SERVER}"),
+            "exactly one",
+        ),
         (("statsu",), "statsu"),
         (("status", "--colour"), "--colour"),
         (("apply",), "file"),
     ],
 )
-async def test_usage_errors_take_one_line_that_names_the_value(
+async def test_usage_error_is_one_line_that_names_the_value(
     run_command, arguments, named
 ):
-    ended = await run_command(*arguments)
-    assert ended.code == ExitCode.USAGE
-    assert named in ended.err
-    assert ended.err.count("\n") <= 1 or "Did you mean" in ended.err
-    assert ended.out == ""
+    result = await run_command(*arguments)
+    assert result.code == ExitCode.USAGE
+    assert named in result.err
+    assert result.err.count("\n") <= 1 or "Did you mean" in result.err
+    assert result.out == ""
 
 
-async def test_servers_from_the_environment(server, run_command, monkeypatch):
-    monkeypatch.setenv("GREENGAGELATCH_SERVER", f"{CLOSED}, {server.address}")
+async def test_servers_are_read_from_the_environment(server, run_command, monkeypatch):
+    monkeypatch.setenv(
+        "GREENGAGELATCH_SERVER", f"{UNREACHABLE_SERVER}, {server.address}"
+    )
     server.answer("GET /changes", (200, {"generation": 7, "changes": []}))
     assert (await run_command("change", "list")).code == ExitCode.OK
 
 
 async def test_status_shows_unreachable_servers(server, run_command):
     server.answer("GET /status", (200, STATUS))
-    ended = await run_command("status", servers=[CLOSED, server.address])
-    assert ended.code == ExitCode.OK
-    rows = [line.split() for line in ended.out.splitlines()]
-    assert [CLOSED, "unreachable", "-", "-", "-", "-"] in rows
+    result = await run_command("status", servers=[UNREACHABLE_SERVER, server.address])
+    assert result.code == ExitCode.OK
+    rows = [line.split() for line in result.out.splitlines()]
+    assert [UNREACHABLE_SERVER, "unreachable", "-", "-", "-", "-"] in rows
     assert [server.address, "entry-1", "fukuoka-a", "7", "yes", "no"] in rows
     assert ["entry-2", "kumamoto", "suspect", "6"] in rows
     assert ["notify", "1", "leaving,", "1", "live"] in rows
-    ended = await run_command(
-        "status", "--output", "json", servers=[CLOSED, server.address]
+    result = await run_command(
+        "status", "--output", "json", servers=[UNREACHABLE_SERVER, server.address]
     )
-    assert ended.data[CLOSED]["state"] == "unreachable"
-    assert ended.data[server.address] == STATUS
-    ended = await run_command("status", servers=[CLOSED])
-    assert ended.code == ExitCode.UNREACHABLE
+    assert result.data[UNREACHABLE_SERVER]["state"] == "unreachable"
+    assert result.data[server.address] == STATUS
+    result = await run_command("status", servers=[UNREACHABLE_SERVER])
+    assert result.code == ExitCode.UNREACHABLE
 
 
-async def test_get_prints_what_apply_takes(server, run_command):
+async def test_get_prints_the_format_that_apply_reads(server, run_command):
     server.answer("GET /objects", (200, OBJECTS))
-    ended = await run_command(
+    result = await run_command(
         "get", "workspace", "--selector", "tier=gold", servers=[server.address]
     )
-    assert ended.out == "# generation 7\n\n[workspace:broker]\n\n[workspace:desk]\n"
+    assert result.out == "# generation 7\n\n[workspace:broker]\n\n[workspace:desk]\n"
     (query,) = server.bodies("GET /objects")
     assert query == {
         "kind": "workspace",
@@ -99,11 +118,11 @@
     }
 
 
-async def test_get_of_an_absent_object(server, run_command):
+async def test_get_of_a_missing_object_is_refused(server, run_command):
     server.answer("GET /objects", (200, {"generation": 7, "objects": []}))
-    ended = await run_command("get", "workspace", "dsek", servers=[server.address])
-    assert ended.code == ExitCode.REFUSED
-    assert "no workspace 'dsek'" in ended.err
+    result = await run_command("get", "workspace", "dsek", servers=[server.address])
+    assert result.code == ExitCode.REFUSED
+    assert "no workspace 'dsek'" in result.err
 
 
 async def test_diff_changes_nothing(server, run_command, tmp_path):
@@ -118,54 +137,56 @@
     ]
     body = {"state": "checked", "generation": 7, "changed": changed}
     server.answer("POST /changes", (200, body))
-    ended = await run_command("diff", str(path), servers=[server.address])
-    assert ended.code == ExitCode.OK
-    assert "+labels = tier=gold" in ended.out
+    result = await run_command("diff", str(path), servers=[server.address])
+    assert result.code == ExitCode.OK
+    assert "+labels = tier=gold" in result.out
     assert server.bodies("POST /changes")[0]["dry_run"] is True
 
 
-async def test_change_show_prefers_the_server_that_knows(start_server, run_command):
-    """Symptom: an accepted change is reported as not found.
+async def test_change_show_prefers_the_server_that_has_the_change(
+    start_server, run_command
+):
+    """Guards against reporting an accepted change as not found.
 
-    The first server asked lags behind. Cause: its "not found" ended the search.
+    The first server queried lags behind; its "not found" must not end the search.
     """
     lagging, current = await start_server(), await start_server()
     lagging.answer("GET /changes/c-1", (404, {"state": "not-found", "generation": 6}))
     settled = {"state": "settled", "change_id": "c-1", "generation": 7}
     current.answer("GET /changes/c-1", (200, settled))
     servers = [lagging.address, current.address]
-    ended = await run_command("change", "show", "c-1", servers=servers)
-    assert ended.code == ExitCode.OK
-    assert "generation 7" in ended.out
+    result = await run_command("change", "show", "c-1", servers=servers)
+    assert result.code == ExitCode.OK
+    assert "generation 7" in result.out
     current.answer("GET /changes/c-1", (504, {"state": "unknown"}))
-    ended = await run_command("change", "show", "c-1", servers=servers)
-    assert ended.code == ExitCode.UNKNOWN
-    assert "generation 6" in ended.err
+    result = await run_command("change", "show", "c-1", servers=servers)
+    assert result.code == ExitCode.UNKNOWN
+    assert "generation 6" in result.err
 
 
-async def test_dump_of_several_processes(server, run_command):
+async def test_dump_shows_all_servers(server, run_command):
     server.answer("GET /dump", (200, {"version": "0.1.0"}))
-    ended = await run_command("dump", servers=[server.address, CLOSED])
-    assert ended.data[server.address] == {"version": "0.1.0"}
-    assert ended.data[CLOSED]["state"] == "unreachable"
+    result = await run_command("dump", servers=[server.address, UNREACHABLE_SERVER])
+    assert result.data[server.address] == {"version": "0.1.0"}
+    assert result.data[UNREACHABLE_SERVER]["state"] == "unreachable"
     body = {"message": "no such controller", "field": "controller", "value": "x"}
     server.answer("GET /dump", (404, body))
-    ended = await run_command("dump", "--controller", "x", servers=[server.address])
-    assert ended.code == ExitCode.REFUSED
+    result = await run_command("dump", "--controller", "x", servers=[server.address])
+    assert result.code == ExitCode.REFUSED
 
 
-async def test_drain(server, run_command):
+async def test_drain_of_instances_and_targets(server, run_command):
     server.answer("POST /drain", (202, {"state": "leaving"}))
-    ended = await run_command("drain", servers=[server.address])
-    assert ended.code == ExitCode.OK
+    result = await run_command("drain", servers=[server.address])
+    assert result.code == ExitCode.OK
     body = {"message": "no such target", "field": "target", "value": "n-9"}
     server.answer("POST /drain", (404, body))
-    ended = await run_command(
-        "drain", "--target", "n-9", servers=[CLOSED, server.address]
+    result = await run_command(
+        "drain", "--target", "n-9", servers=[UNREACHABLE_SERVER, server.address]
     )
-    assert ended.code == ExitCode.REFUSED
-    assert "target = 'n-9'" in ended.err
+    assert result.code == ExitCode.REFUSED
+    assert "target = 'n-9'" in result.err
     assert server.bodies("POST /drain") == [{}, {"target": "n-9"}]
     server.answer("POST /drain", None)
-    ended = await run_command("drain", servers=[server.address])
-    assert ended.code == ExitCode.UNKNOWN
+    result = await run_command("drain", servers=[server.address])
+    assert result.code == ExitCode.UNKNOWN
--- a/tests/test_cli/test_end_to_end.py
+++ b/tests/test_cli/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The command against operators' servers of two instances that share a store."""
+"""End-to-end tests of the command with two instances that share a store."""
 
 from __future__ import annotations
 
@@ -108,9 +108,7 @@
     return str(path)
 
 
-async def test_change_is_accepted_once_and_in_force_everywhere(
-    fleet, run_command, file
-):
+async def test_change_is_applied_once_and_in_force_everywhere(fleet, run_command, file):
     arguments = ("apply", file, "--change-id", "c-1")
     first = await run_command(*arguments, "--wait", servers=fleet.addresses)
     assert first.code == ExitCode.OK
@@ -122,13 +120,13 @@
     assert {one["generation"] for one in status.data.values()} == {1}
 
 
-async def test_second_of_two_edits_of_one_object_is_a_conflict(
+async def test_concurrent_edits_of_an_object_conflict(
     fleet, run_command, file, tmp_path
 ):
-    """Symptom: an accepted change is gone, and nobody has taken it back.
+    """Guards against silently overwriting an accepted change.
 
-    Two operators fetch the same object; the first one's edit is accepted; the
-    second one's replaces it. Cause: the second edit's base was not looked at.
+    Two operators fetch the same object and the first one's edit is accepted; the
+    second one's must be refused, as its base generation is outdated.
     """
     servers = fleet.addresses
     await run_command("apply", file, "--wait", servers=servers)
@@ -139,49 +137,47 @@
         "label", "workspace", "broker", "site=b", "--wait", servers=servers
     )
     assert labelled.code == ExitCode.OK
-    ended = await run_command("apply", str(edited), servers=servers)
-    assert ended.code == ExitCode.CONFLICT
-    assert "labels = site=b, tier=gold" in ended.err
-    assert "labels = tier=silver" in ended.err
+    result = await run_command("apply", str(edited), servers=servers)
+    assert result.code == ExitCode.CONFLICT
+    assert "labels = site=b, tier=gold" in result.err
+    assert "labels = tier=silver" in result.err
     rolled_back = await run_command("rollback", "1", "--wait", servers=servers)
     assert rolled_back.code == ExitCode.OK
-    ended = await run_command("get", "workspace", "broker", servers=servers)
-    assert "labels = tier=gold" in ended.out
+    result = await run_command("get", "workspace", "broker", servers=servers)
+    assert "labels = tier=gold" in result.out
 
 
-async def test_store_out_of_reach(fleet, run_command, file):
-    """Symptom: a change is reported as failed and takes effect later, or the reverse.
+async def test_outcome_is_correct_if_the_store_is_unreachable(fleet, run_command, file):
+    """Guards against reporting a change as failed that takes effect, or the reverse.
 
-    The store goes out of reach before or while the change is written. Cause: the
-    command said more than the servers knew.
+    The store becomes unreachable before the change is written, or the response to
+    the write is lost.
     """
     fleet.faults.outage = True
-    ended = await run_command("apply", file, servers=fleet.addresses)
-    assert ended.code == ExitCode.UNREACHABLE
-    assert "nothing took effect" in ended.err
+    result = await run_command("apply", file, servers=fleet.addresses)
+    assert result.code == ExitCode.UNREACHABLE
+    assert "nothing took effect" in result.err
     fleet.faults.outage = False
     shown = await run_command(
         "change", "list", "--output", "json", servers=fleet.addresses
     )
     assert shown.data["changes"] == []
     fleet.faults.lose_answers = 1
-    ended = await run_command("apply", file, "--wait", servers=fleet.addresses)
-    assert ended.code == ExitCode.OK
+    result = await run_command("apply", file, "--wait", servers=fleet.addresses)
+    assert result.code == ExitCode.OK
     shown = await run_command(
         "change", "list", "--output", "json", servers=fleet.addresses
     )
     assert len(shown.data["changes"]) == 1
 
 
-async def test_whole_file_is_refused_with_all_its_problems(
-    fleet, run_command, tmp_path
-):
+async def test_invalid_file_is_refused_as_a_whole(fleet, run_command, tmp_path):
     wrong = tmp_path / "wrong.ini"
     wrong.write_text(f"{OBJECTS}[service:late]\nkind = plane\n[policy:a]\nrank = NaN\n")
-    ended = await run_command("apply", str(wrong), servers=fleet.addresses)
-    assert ended.code == ExitCode.REFUSED
-    assert "[service:late] kind = 'plane'" in ended.err
-    assert "[policy:a] rank = 'NaN'" in ended.err
-    ended = await run_command("get", "service", "notify", servers=fleet.addresses)
-    assert ended.code == ExitCode.REFUSED
-    assert "no service 'notify'" in ended.err
+    result = await run_command("apply", str(wrong), servers=fleet.addresses)
+    assert result.code == ExitCode.REFUSED
+    assert "[service:late] kind = 'plane'" in result.err
+    assert "[policy:a] rank = 'NaN'" in result.err
+    result = await run_command("get", "service", "notify", servers=fleet.addresses)
+    assert result.code == ExitCode.REFUSED
+    assert "no service 'notify'" in result.err
--- a/tests/test_cli/test_labels.py
+++ b/tests/test_cli/test_labels.py
@@ -1,4 +1,4 @@
-"""Labelling an object."""
+"""Tests of the label command."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 }
 
 
-async def test_label_sends_the_object_with_the_generation_read(server, run_command):
-    """Symptom: labelling an object undoes another operator's change of it.
+async def test_label_sends_the_base_generation(server, run_command):
+    """Guards against overwriting a concurrent change of the labelled object.
 
-    The command reads the object, the other change is accepted, the command sends
-    the whole object back. Cause: the write did not name what it had read.
+    The command writes back the whole object, so that without the base generation a
+    change accepted between its read and its write would be lost.
     """
     server.answer("GET /objects", (200, FOUND))
     server.answer("POST /changes", (200, {"state": "settled", "generation": 8}))
-    ended = await run_command(
+    result = await run_command(
         "label", "service", "notify", "bay-", "site=b", servers=[server.address]
     )
-    assert ended.code == ExitCode.OK
+    assert result.code == ExitCode.OK
     (change,) = server.bodies("POST /changes")
     assert change["base"] == 7
     assert change["text"] == (
@@ -38,21 +38,21 @@
 
 
 @pytest.mark.parametrize(
-    "word", ["tier", "=gold", "-", "a=b, c=d", "a=b\nkind = plain"]
+    "label", ["tier", "=gold", "-", "a=b, c=d", "a=b\nkind = plain"]
 )
-async def test_label_that_is_none(server, run_command, word):
-    ended = await run_command(
-        "label", "service", "notify", word, servers=[server.address]
+async def test_invalid_label_is_a_usage_error(server, run_command, label):
+    result = await run_command(
+        "label", "service", "notify", label, servers=[server.address]
     )
-    assert ended.code == ExitCode.USAGE
-    assert repr(word) in ended.err
+    assert result.code == ExitCode.USAGE
+    assert repr(label) in result.err
     assert server.calls == []
 
 
-async def test_label_of_an_absent_object(server, run_command):
+async def test_label_of_a_missing_object_is_refused(server, run_command):
     server.answer("GET /objects", (200, {"generation": 7, "objects": []}))
-    ended = await run_command(
+    result = await run_command(
         "label", "service", "notfy", "a=b", servers=[server.address]
     )
-    assert ended.code == ExitCode.REFUSED
-    assert "'notfy'" in ended.err
+    assert result.code == ExitCode.REFUSED
+    assert "'notfy'" in result.err
--- a/tests/test_cli/test_submission.py
+++ b/tests/test_cli/test_submission.py
@@ -1,4 +1,4 @@
-"""What the command does with a change: sent once, settled, explained."""
+"""Tests of the submission of changes and of the reported outcome."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from greengagelatch_cli.commands import submit_command
 from greengagelatch_cli.exit_codes import ExitCode
 
-CLOSED = "127.0.0.1:1"
+UNREACHABLE_SERVER = "127.0.0.1:1"
 
 TEXT = "[workspace:broker]\n"
 
@@ -28,11 +28,11 @@
 
 async def test_apply_sends_one_change_with_its_id(server, run_command, file):
     server.answer("POST /changes", (200, {**SETTLED, "change_id": "c-1"}))
-    ended = await run_command(
+    result = await run_command(
         "apply", file, "--change-id", "c-1", servers=[server.address]
     )
-    assert ended.code == ExitCode.OK
-    assert "c-1 accepted as generation 8" in ended.out
+    assert result.code == ExitCode.OK
+    assert "c-1 accepted as generation 8" in result.out
     (change,) = server.bodies("POST /changes")
     assert change == {
         "mode": "apply",
@@ -42,13 +42,13 @@
     }
 
 
-async def test_edit_of_fetched_objects_names_its_generation(
+async def test_edit_of_fetched_objects_sends_its_base(
     server, run_command, file, tmp_path
 ):
-    """Symptom: an operator's change undoes that of another one, made meanwhile.
+    """Guards against overwriting another operator's concurrent change.
 
-    Both fetch generation 5 and edit it; the second file is applied as if it had
-    been written from scratch. Cause: the edit's base was not sent.
+    Both operators fetch generation 5 and edit it. The second file must be applied
+    with its base generation, so that the server can detect the conflict.
     """
     edited = tmp_path / "edited.ini"
     edited.write_text(f"# generation 5\n{TEXT}")
@@ -62,47 +62,46 @@
     }
     body = {"state": "conflict", "generation": 6, "conflicts": [conflict]}
     server.answer("POST /changes", (409, body))
-    ended = await run_command("apply", str(edited), servers=[server.address])
-    assert ended.code == ExitCode.CONFLICT
+    result = await run_command("apply", str(edited), servers=[server.address])
+    assert result.code == ExitCode.CONFLICT
     assert server.bodies("POST /changes")[0]["base"] == 5
-    assert "c-other" in ended.err
-    assert "generation 5" in ended.err
-    assert "generation 6" in ended.err
-    assert "tier=gold" in ended.err
+    assert "c-other" in result.err
+    assert "generation 5" in result.err
+    assert "generation 6" in result.err
+    assert "tier=gold" in result.err
 
 
-async def test_next_server_gets_what_the_first_certainly_did_not(
+async def test_change_not_received_by_a_server_goes_to_the_next(
     start_server, run_command, file
 ):
     server, spare = await start_server(), await start_server()
     server.answer("POST /changes", (503, {"state": "not-applied", "message": "cut"}))
     spare.answer("POST /changes", (200, SETTLED))
-    ended = await run_command(
-        "apply", file, servers=[CLOSED, server.address, spare.address]
+    result = await run_command(
+        "apply", file, servers=[UNREACHABLE_SERVER, server.address, spare.address]
     )
-    assert ended.code == ExitCode.OK
+    assert result.code == ExitCode.OK
     (first,) = server.bodies("POST /changes")
     (second,) = spare.bodies("POST /changes")
     assert first["change_id"] == second["change_id"]
 
 
-async def test_lost_reply_is_settled_by_id_and_not_sent_again(
+async def test_outcome_is_looked_up_after_a_lost_reply(
     start_server, run_command, file, monkeypatch
 ):
-    """Symptom: one command is accepted as two generations.
+    """Guards against committing one command as two generations.
 
-    The first server takes the change and its reply is lost; the command sends the
-    change to the next server. Cause: a call without a reply was taken for one that
-    was not sent.
+    The first server accepts the change and its reply is lost. The command must look
+    up the change by its id instead of sending it to the next server.
     """
     monkeypatch.setattr(submit_command, "_create_change_id", lambda: "c-1")
     server, spare = await start_server(), await start_server()
     server.answer("POST /changes", None)
     server.answer("GET /changes/c-1", NOT_FOUND)
     spare.answer("GET /changes/c-1", NOT_FOUND, (200, SETTLED))
-    ended = await run_command("apply", file, servers=[server.address, spare.address])
-    assert ended.code == ExitCode.OK
-    assert "generation 8" in ended.out
+    result = await run_command("apply", file, servers=[server.address, spare.address])
+    assert result.code == ExitCode.OK
+    assert "generation 8" in result.out
     assert len(server.bodies("POST /changes")) == 1
     assert spare.bodies("POST /changes") == []
 
@@ -118,36 +117,36 @@
         (None, ExitCode.UNKNOWN),
     ],
 )
-async def test_settled_id_of_another_change_is_not_taken_for_this_one(
+async def test_reused_change_id_is_not_reported_as_accepted(
     server, run_command, file, answer, code
 ):
-    """Symptom: a change is reported as accepted and is in force nowhere.
+    """Guards against reporting a change as accepted that is in force nowhere.
 
-    An operator gives an id that was used before; the refusal is lost; looking for
-    the id finds the earlier change. Cause: the id alone was taken as proof.
+    An operator gives an id that was used before and the refusal is lost; the look-up
+    by id then finds the earlier change, so the id alone is no proof.
     """
     server.answer("POST /changes", None, answer)
     server.answer("GET /changes/c-1", (200, SETTLED))
-    ended = await run_command(
+    result = await run_command(
         "apply", file, "--change-id", "c-1", servers=[server.address]
     )
-    assert ended.code == code
+    assert result.code == code
 
 
 @pytest.mark.parametrize(
     "answer", [None, (504, {"state": "unknown"}), (500, {}), (200, {})]
 )
-async def test_unsettled_change_is_reported_as_unknown(
+async def test_change_that_is_not_found_has_an_unknown_outcome(
     server, run_command, file, answer
 ):
-    """Symptom: an operator repeats a change that has taken effect, or drops one.
+    """Guards against reporting an unknown outcome as "nothing took effect".
 
-    The reply is lost and the store can't be read either; the command reports a
-    failure. Cause: an unknown outcome was shown as "nothing took effect".
+    The reply is lost and the look-up is not conclusive. An operator who trusted such
+    a report would repeat a change that has taken effect, or lose track of one.
     """
     server.answer("POST /changes", answer)
     server.answer("GET /changes/c-1", NOT_FOUND)
-    ended = await run_command(
+    result = await run_command(
         "apply",
         file,
         "--change-id",
@@ -156,10 +155,10 @@
         "json",
         servers=[server.address],
     )
-    assert ended.code == ExitCode.UNKNOWN
-    assert ended.data["state"] == "unknown"
-    assert ended.data["change_id"] == "c-1"
-    assert "change show c-1" in ended.err
+    assert result.code == ExitCode.UNKNOWN
+    assert result.data["state"] == "unknown"
+    assert result.data["change_id"] == "c-1"
+    assert "change show c-1" in result.err
     assert len(server.bodies("POST /changes")) == 1
 
 
@@ -182,42 +181,46 @@
     ]
     body = {"state": "refused", "code": "invalid", "problems": problems}
     server.answer("POST /changes", (400, body))
-    ended = await run_command("apply", file, servers=[server.address])
-    assert ended.code == ExitCode.REFUSED
+    result = await run_command("apply", file, servers=[server.address])
+    assert result.code == ExitCode.REFUSED
     assert (
         "objects.ini: [pipeline quote] stages = 'draft, drafft':"
-        " no such stage: drafft" in ended.err
+        " no such stage: drafft" in result.err
     )
-    assert "[policy <b>fair</b>] rank = 'NaN'" in ended.err
+    assert "[policy <b>fair</b>] rank = 'NaN'" in result.err
 
 
-async def test_nothing_took_effect_where_no_server_got_it(server, run_command, file):
-    ended = await run_command("apply", file, servers=[CLOSED])
-    assert ended.code == ExitCode.UNREACHABLE
-    assert "nothing took effect" in ended.err
+async def test_change_not_received_by_any_server_took_no_effect(
+    server, run_command, file
+):
+    result = await run_command("apply", file, servers=[UNREACHABLE_SERVER])
+    assert result.code == ExitCode.UNREACHABLE
+    assert "nothing took effect" in result.err
     body = {"state": "not-applied", "message": "store out of reach"}
     server.answer("POST /changes", (503, body))
-    ended = await run_command("apply", file, servers=[CLOSED, server.address])
-    assert ended.code == ExitCode.UNREACHABLE
-    assert "store out of reach" in ended.err
+    result = await run_command(
+        "apply", file, servers=[UNREACHABLE_SERVER, server.address]
+    )
+    assert result.code == ExitCode.UNREACHABLE
+    assert "store out of reach" in result.err
 
 
-async def test_files_are_applied_in_order_until_one_fails(
+async def test_files_are_applied_in_order_until_the_first_failure(
     server, run_command, file, tmp_path
 ):
-    ended = await run_command(
+    result = await run_command(
         "apply", file, str(tmp_path / "absent.ini"), servers=[server.address]
     )
-    assert ended.code == ExitCode.USAGE
+    assert result.code == ExitCode.USAGE
     assert server.calls == []
     server.answer("POST /changes", (200, SETTLED), (400, {"code": "invalid"}))
-    ended = await run_command("apply", file, file, file, servers=[server.address])
-    assert ended.code == ExitCode.REFUSED
+    result = await run_command("apply", file, file, file, servers=[server.address])
+    assert result.code == ExitCode.REFUSED
     first, second = server.bodies("POST /changes")
     assert first["change_id"] != second["change_id"]
 
 
-async def test_delete_and_rollback(server, run_command):
+async def test_delete_and_rollback_submit_a_change(server, run_command):
     server.answer("POST /changes", (200, {**SETTLED, "changed": []}))
     await run_command("delete", "policy", "fair", servers=[server.address])
     await run_command("rollback", "3", servers=[server.address])
@@ -226,11 +229,11 @@
     assert (rolled_back["mode"], rolled_back["to_generation"]) == ("rollback", 3)
 
 
-async def test_wait_lists_who_has_not_confirmed(server, run_command, file):
-    """Symptom: a change is reported as in force, and one data centre works without it.
+async def test_wait_lists_unconfirmed_instances(server, run_command, file):
+    """Guards against reporting a change as in force that one data centre lacks.
 
-    That data centre is cut off; its instances look dead and are left out of the
-    count. Cause: an instance out of reach was taken for one that is gone.
+    Instances of a partitioned data centre look dead but may still serve callers, so
+    the wait must count them.
     """
     members = [
         {
@@ -247,38 +250,39 @@
     server.answer("POST /changes", (200, cut))
     server.answer("GET /changes/c-1", (200, cut))
     arguments = ("apply", file, "--change-id", "c-1", "--wait", "--timeout", "0.1")
-    ended = await run_command(*arguments, servers=[server.address])
-    assert ended.code == ExitCode.TIMED_OUT
-    assert "in force on 1 of 2" in ended.err
-    assert "entry-1 (kumamoto): dead, unreachable, generation ?" in ended.err
+    result = await run_command(*arguments, servers=[server.address])
+    assert result.code == ExitCode.TIMED_OUT
+    assert "in force on 1 of 2" in result.err
+    assert "entry-1 (kumamoto): dead, unreachable, generation ?" in result.err
     server.answer("GET /changes/c-1", (200, cut), (200, healed))
     arguments = ("change", "wait", "c-1", "--output", "json")
-    ended = await run_command(*arguments, servers=[server.address])
-    assert ended.code == ExitCode.OK
-    assert ended.data == healed
+    result = await run_command(*arguments, servers=[server.address])
+    assert result.code == ExitCode.OK
+    assert result.data == healed
 
 
-async def test_fault_after_sending_is_no_refusal(server, run_command, file):
-    """Symptom: an exit code that means "nothing took effect" of an accepted change.
+async def test_internal_error_after_sending_has_an_unknown_outcome(
+    server, run_command, file
+):
+    """Guards against exit code 1, "nothing took effect", for an accepted change.
 
-    A reply has a form that the command doesn't understand, and it ends with a
-    traceback. Cause: the code of an uncaught error is that of a refusal.
+    A reply of unexpected form raises an exception; Python exits with 1, the code of
+    a refusal, on uncaught ones.
     """
     server.answer("POST /changes", (409, {"state": "conflict", "conflicts": [1]}))
-    ended = await run_command(
+    result = await run_command(
         "apply", file, "--change-id", "c-1", servers=[server.address]
     )
-    assert ended.code == ExitCode.UNKNOWN
-    assert "change show c-1" in ended.err
+    assert result.code == ExitCode.UNKNOWN
+    assert "change show c-1" in result.err
 
 
 @pytest.mark.processes
-async def test_interrupt_after_sending_names_the_change(start_server, file):
-    """Symptom: an operator stops a slow command and drops a change that is accepted.
+async def test_interrupt_after_sending_reports_the_change_id(start_server, file):
+    """Guards against reporting a change as refused after a keyboard interrupt.
 
-    The change is sent and its reply is late; the command is stopped from the
-    keyboard and ends with the code of a refusal. Cause: whether anything had been
-    sent was not asked at that point.
+    The change is sent and its reply is late when the operator interrupts the
+    command; it must exit with the code for an unknown outcome and name the change.
     """
     server = await start_server()
     server.hold()
