--- a/packages/greengagelatch-cli/src/greengagelatch_cli/exit_codes.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/exit_codes.py
@@ -20,7 +20,7 @@
     CONFLICT = 3
     #: a change may or may not have taken effect; its id tells which
     UNKNOWN = 4
-    #: no server, or not the store behind it, was reachable; nothing took effect
+    #: no server, or none with access to the store, was reachable; nothing took effect
     UNREACHABLE = 5
     #: the change was accepted, but is not in force everywhere within the time-out
     TIMED_OUT = 6
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/waiting.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/waiting.py
@@ -19,6 +19,7 @@
 
 __all__ = ("wait_until_in_force",)
 
+#: seconds between two queries
 POLL_INTERVAL = 0.5
 
 STATE_DEAD = "dead"
