--- a/tests/test_cli/conftest.py
+++ b/tests/test_cli/conftest.py
@@ -49,10 +49,10 @@
     def release(self) -> None:
         self._released.set()
 
-    def answer(self, call, *answers) -> None:
-        self.script[call] = list(answers)
+    def set_replies(self, call, *replies) -> None:
+        self.script[call] = list(replies)
 
-    def bodies(self, call):
+    def list_bodies(self, call):
         return [body for recorded, body in self.calls if recorded == call]
 
     async def serve(self, request):
@@ -61,14 +61,14 @@
         self.called.set()
         self.calls.append((call, json.loads(text) if text else dict(request.query)))
         await self._released.wait()
-        answers = self.script[call]
-        if not answers:
+        replies = self.script[call]
+        if not replies:
             return web.json_response({"message": "not in the script"}, status=404)
-        answer = answers.pop(0) if len(answers) > 1 else answers[0]
-        if answer is None:
+        reply = replies.pop(0) if len(replies) > 1 else replies[0]
+        if reply is None:
             request.transport.close()
             return web.Response()
-        status, body = answer
+        status, body = reply
         return web.json_response(body, status=status)
 
 
--- a/tests/test_cli/test_commands.py
+++ b/tests/test_cli/test_commands.py
@@ -82,12 +82,12 @@
     monkeypatch.setenv(
         "GREENGAGELATCH_SERVER", f"{UNREACHABLE_SERVER}, {server.address}"
     )
-    server.answer("GET /changes", (200, {"generation": 7, "changes": []}))
+    server.set_replies("GET /changes", (200, {"generation": 7, "changes": []}))
     assert (await run_command("change", "list")).code == ExitCode.OK
 
 
 async def test_status_shows_unreachable_servers(server, run_command):
-    server.answer("GET /status", (200, STATUS))
+    server.set_replies("GET /status", (200, STATUS))
     result = await run_command("status", servers=[UNREACHABLE_SERVER, server.address])
     assert result.code == ExitCode.OK
     rows = [line.split() for line in result.out.splitlines()]
@@ -105,12 +105,12 @@
 
 
 async def test_get_prints_the_format_that_apply_reads(server, run_command):
-    server.answer("GET /objects", (200, OBJECTS))
+    server.set_replies("GET /objects", (200, OBJECTS))
     result = await run_command(
         "get", "workspace", "--selector", "tier=gold", servers=[server.address]
     )
     assert result.out == "# generation 7\n\n[workspace:broker]\n\n[workspace:desk]\n"
-    (query,) = server.bodies("GET /objects")
+    (query,) = server.list_bodies("GET /objects")
     assert query == {
         "kind": "workspace",
         "selector": "tier=gold",
@@ -119,7 +119,7 @@
 
 
 async def test_get_of_a_missing_object_is_refused(server, run_command):
-    server.answer("GET /objects", (200, {"generation": 7, "objects": []}))
+    server.set_replies("GET /objects", (200, {"generation": 7, "objects": []}))
     result = await run_command("get", "workspace", "dsek", servers=[server.address])
     assert result.code == ExitCode.REFUSED
     assert "no workspace 'dsek'" in result.err
@@ -136,11 +136,11 @@
         }
     ]
     body = {"state": "checked", "generation": 7, "changed": changed}
-    server.answer("POST /changes", (200, body))
+    server.set_replies("POST /changes", (200, body))
     result = await run_command("diff", str(path), servers=[server.address])
     assert result.code == ExitCode.OK
     assert "+labels = tier=gold" in result.out
-    assert server.bodies("POST /changes")[0]["dry_run"] is True
+    assert server.list_bodies("POST /changes")[0]["dry_run"] is True
 
 
 async def test_change_show_prefers_the_server_that_has_the_change(
@@ -151,42 +151,44 @@
     The first server queried lags behind; its "not found" must not end the search.
     """
     lagging, current = await start_server(), await start_server()
-    lagging.answer("GET /changes/c-1", (404, {"state": "not-found", "generation": 6}))
+    lagging.set_replies(
+        "GET /changes/c-1", (404, {"state": "not-found", "generation": 6})
+    )
     settled = {"state": "settled", "change_id": "c-1", "generation": 7}
-    current.answer("GET /changes/c-1", (200, settled))
+    current.set_replies("GET /changes/c-1", (200, settled))
     servers = [lagging.address, current.address]
     result = await run_command("change", "show", "c-1", servers=servers)
     assert result.code == ExitCode.OK
     assert "generation 7" in result.out
-    current.answer("GET /changes/c-1", (504, {"state": "unknown"}))
+    current.set_replies("GET /changes/c-1", (504, {"state": "unknown"}))
     result = await run_command("change", "show", "c-1", servers=servers)
     assert result.code == ExitCode.UNKNOWN
     assert "generation 6" in result.err
 
 
 async def test_dump_shows_all_servers(server, run_command):
-    server.answer("GET /dump", (200, {"version": "0.1.0"}))
+    server.set_replies("GET /dump", (200, {"version": "0.1.0"}))
     result = await run_command("dump", servers=[server.address, UNREACHABLE_SERVER])
     assert result.data[server.address] == {"version": "0.1.0"}
     assert result.data[UNREACHABLE_SERVER]["state"] == "unreachable"
     body = {"message": "no such controller", "field": "controller", "value": "x"}
-    server.answer("GET /dump", (404, body))
+    server.set_replies("GET /dump", (404, body))
     result = await run_command("dump", "--controller", "x", servers=[server.address])
     assert result.code == ExitCode.REFUSED
 
 
 async def test_drain_of_instances_and_targets(server, run_command):
-    server.answer("POST /drain", (202, {"state": "leaving"}))
+    server.set_replies("POST /drain", (202, {"state": "leaving"}))
     result = await run_command("drain", servers=[server.address])
     assert result.code == ExitCode.OK
     body = {"message": "no such target", "field": "target", "value": "n-9"}
-    server.answer("POST /drain", (404, body))
+    server.set_replies("POST /drain", (404, body))
     result = await run_command(
         "drain", "--target", "n-9", servers=[UNREACHABLE_SERVER, server.address]
     )
     assert result.code == ExitCode.REFUSED
     assert "target = 'n-9'" in result.err
-    assert server.bodies("POST /drain") == [{}, {"target": "n-9"}]
-    server.answer("POST /drain", None)
+    assert server.list_bodies("POST /drain") == [{}, {"target": "n-9"}]
+    server.set_replies("POST /drain", None)
     result = await run_command("drain", servers=[server.address])
     assert result.code == ExitCode.UNKNOWN
--- a/tests/test_cli/test_end_to_end.py
+++ b/tests/test_cli/test_end_to_end.py
@@ -117,7 +117,7 @@
     assert again.code == ExitCode.OK
     assert "already accepted as generation 1" in again.out
     status = await run_command("status", "--output", "json", servers=fleet.addresses)
-    assert {one["generation"] for one in status.data.values()} == {1}
+    assert {body["generation"] for body in status.data.values()} == {1}
 
 
 async def test_concurrent_edits_of_an_object_conflict(
--- a/tests/test_cli/test_labels.py
+++ b/tests/test_cli/test_labels.py
@@ -24,13 +24,13 @@
     The command writes back the whole object, so that without the base generation a
     change accepted between its read and its write would be lost.
     """
-    server.answer("GET /objects", (200, FOUND))
-    server.answer("POST /changes", (200, {"state": "settled", "generation": 8}))
+    server.set_replies("GET /objects", (200, FOUND))
+    server.set_replies("POST /changes", (200, {"state": "settled", "generation": 8}))
     result = await run_command(
         "label", "service", "notify", "bay-", "site=b", servers=[server.address]
     )
     assert result.code == ExitCode.OK
-    (change,) = server.bodies("POST /changes")
+    (change,) = server.list_bodies("POST /changes")
     assert change["base"] == 7
     assert change["text"] == (
         "[service:notify]\nkind = plain\nlabels = site=b, tier=gold\n"
@@ -50,7 +50,7 @@
 
 
 async def test_label_of_a_missing_object_is_refused(server, run_command):
-    server.answer("GET /objects", (200, {"generation": 7, "objects": []}))
+    server.set_replies("GET /objects", (200, {"generation": 7, "objects": []}))
     result = await run_command(
         "label", "service", "notfy", "a=b", servers=[server.address]
     )
--- a/tests/test_cli/test_submission.py
+++ b/tests/test_cli/test_submission.py
@@ -27,13 +27,13 @@
 
 
 async def test_apply_sends_one_change_with_its_id(server, run_command, file):
-    server.answer("POST /changes", (200, {**SETTLED, "change_id": "c-1"}))
+    server.set_replies("POST /changes", (200, {**SETTLED, "change_id": "c-1"}))
     result = await run_command(
         "apply", file, "--change-id", "c-1", servers=[server.address]
     )
     assert result.code == ExitCode.OK
     assert "c-1 accepted as generation 8" in result.out
-    (change,) = server.bodies("POST /changes")
+    (change,) = server.list_bodies("POST /changes")
     assert change == {
         "mode": "apply",
         "text": TEXT,
@@ -61,10 +61,10 @@
         "current": "[workspace:broker]\nlabels = tier=gold",
     }
     body = {"state": "conflict", "generation": 6, "conflicts": [conflict]}
-    server.answer("POST /changes", (409, body))
+    server.set_replies("POST /changes", (409, body))
     result = await run_command("apply", str(edited), servers=[server.address])
     assert result.code == ExitCode.CONFLICT
-    assert server.bodies("POST /changes")[0]["base"] == 5
+    assert server.list_bodies("POST /changes")[0]["base"] == 5
     assert "c-other" in result.err
     assert "generation 5" in result.err
     assert "generation 6" in result.err
@@ -75,14 +75,16 @@
     start_server, run_command, file
 ):
     server, spare = await start_server(), await start_server()
-    server.answer("POST /changes", (503, {"state": "not-applied", "message": "cut"}))
-    spare.answer("POST /changes", (200, SETTLED))
+    server.set_replies(
+        "POST /changes", (503, {"state": "not-applied", "message": "cut"})
+    )
+    spare.set_replies("POST /changes", (200, SETTLED))
     result = await run_command(
         "apply", file, servers=[UNREACHABLE_SERVER, server.address, spare.address]
     )
     assert result.code == ExitCode.OK
-    (first,) = server.bodies("POST /changes")
-    (second,) = spare.bodies("POST /changes")
+    (first,) = server.list_bodies("POST /changes")
+    (second,) = spare.list_bodies("POST /changes")
     assert first["change_id"] == second["change_id"]
 
 
@@ -96,18 +98,18 @@
     """
     monkeypatch.setattr(submit_command, "_create_change_id", lambda: "c-1")
     server, spare = await start_server(), await start_server()
-    server.answer("POST /changes", None)
-    server.answer("GET /changes/c-1", NOT_FOUND)
-    spare.answer("GET /changes/c-1", NOT_FOUND, (200, SETTLED))
+    server.set_replies("POST /changes", None)
+    server.set_replies("GET /changes/c-1", NOT_FOUND)
+    spare.set_replies("GET /changes/c-1", NOT_FOUND, (200, SETTLED))
     result = await run_command("apply", file, servers=[server.address, spare.address])
     assert result.code == ExitCode.OK
     assert "generation 8" in result.out
-    assert len(server.bodies("POST /changes")) == 1
-    assert spare.bodies("POST /changes") == []
+    assert len(server.list_bodies("POST /changes")) == 1
+    assert spare.list_bodies("POST /changes") == []
 
 
 @pytest.mark.parametrize(
-    ("answer", "code"),
+    ("reply", "code"),
     [
         ((200, {**SETTLED, "repeated": True}), ExitCode.OK),
         (
@@ -118,15 +120,15 @@
     ],
 )
 async def test_reused_change_id_is_not_reported_as_accepted(
-    server, run_command, file, answer, code
+    server, run_command, file, reply, code
 ):
     """Guards against reporting a change as accepted that is in force nowhere.
 
     An operator gives an id that was used before and the refusal is lost; the look-up
     by id then finds the earlier change, so the id alone is no proof.
     """
-    server.answer("POST /changes", None, answer)
-    server.answer("GET /changes/c-1", (200, SETTLED))
+    server.set_replies("POST /changes", None, reply)
+    server.set_replies("GET /changes/c-1", (200, SETTLED))
     result = await run_command(
         "apply", file, "--change-id", "c-1", servers=[server.address]
     )
@@ -134,18 +136,18 @@
 
 
 @pytest.mark.parametrize(
-    "answer", [None, (504, {"state": "unknown"}), (500, {}), (200, {})]
+    "reply", [None, (504, {"state": "unknown"}), (500, {}), (200, {})]
 )
 async def test_change_that_is_not_found_has_an_unknown_outcome(
-    server, run_command, file, answer
+    server, run_command, file, reply
 ):
     """Guards against reporting an unknown outcome as "nothing took effect".
 
     The reply is lost and the look-up is not conclusive. An operator who trusted such
     a report would repeat a change that has taken effect, or lose track of one.
     """
-    server.answer("POST /changes", answer)
-    server.answer("GET /changes/c-1", NOT_FOUND)
+    server.set_replies("POST /changes", reply)
+    server.set_replies("GET /changes/c-1", NOT_FOUND)
     result = await run_command(
         "apply",
         file,
@@ -159,7 +161,7 @@
     assert result.data["state"] == "unknown"
     assert result.data["change_id"] == "c-1"
     assert "change show c-1" in result.err
-    assert len(server.bodies("POST /changes")) == 1
+    assert len(server.list_bodies("POST /changes")) == 1
 
 
 async def test_all_problems_of_a_file_are_shown(server, run_command, file):
@@ -180,7 +182,7 @@
         },
     ]
     body = {"state": "refused", "code": "invalid", "problems": problems}
-    server.answer("POST /changes", (400, body))
+    server.set_replies("POST /changes", (400, body))
     result = await run_command("apply", file, servers=[server.address])
     assert result.code == ExitCode.REFUSED
     assert (
@@ -197,7 +199,7 @@
     assert result.code == ExitCode.UNREACHABLE
     assert "nothing took effect" in result.err
     body = {"state": "not-applied", "message": "store out of reach"}
-    server.answer("POST /changes", (503, body))
+    server.set_replies("POST /changes", (503, body))
     result = await run_command(
         "apply", file, servers=[UNREACHABLE_SERVER, server.address]
     )
@@ -213,18 +215,18 @@
     )
     assert result.code == ExitCode.USAGE
     assert server.calls == []
-    server.answer("POST /changes", (200, SETTLED), (400, {"code": "invalid"}))
+    server.set_replies("POST /changes", (200, SETTLED), (400, {"code": "invalid"}))
     result = await run_command("apply", file, file, file, servers=[server.address])
     assert result.code == ExitCode.REFUSED
-    first, second = server.bodies("POST /changes")
+    first, second = server.list_bodies("POST /changes")
     assert first["change_id"] != second["change_id"]
 
 
 async def test_delete_and_rollback_submit_a_change(server, run_command):
-    server.answer("POST /changes", (200, {**SETTLED, "changed": []}))
+    server.set_replies("POST /changes", (200, {**SETTLED, "changed": []}))
     await run_command("delete", "policy", "fair", servers=[server.address])
     await run_command("rollback", "3", servers=[server.address])
-    deleted, rolled_back = server.bodies("POST /changes")
+    deleted, rolled_back = server.list_bodies("POST /changes")
     assert deleted["names"] == ["policy/fair"]
     assert (rolled_back["mode"], rolled_back["to_generation"]) == ("rollback", 3)
 
@@ -247,14 +249,14 @@
     ]
     cut = {**SETTLED, "change_id": "c-1", "in_force": members}
     healed = {**cut, "in_force": [{**one, "in_force": True} for one in members]}
-    server.answer("POST /changes", (200, cut))
-    server.answer("GET /changes/c-1", (200, cut))
+    server.set_replies("POST /changes", (200, cut))
+    server.set_replies("GET /changes/c-1", (200, cut))
     arguments = ("apply", file, "--change-id", "c-1", "--wait", "--timeout", "0.1")
     result = await run_command(*arguments, servers=[server.address])
     assert result.code == ExitCode.TIMED_OUT
     assert "in force on 1 of 2" in result.err
     assert "entry-1 (kumamoto): dead, unreachable, generation ?" in result.err
-    server.answer("GET /changes/c-1", (200, cut), (200, healed))
+    server.set_replies("GET /changes/c-1", (200, cut), (200, healed))
     arguments = ("change", "wait", "c-1", "--output", "json")
     result = await run_command(*arguments, servers=[server.address])
     assert result.code == ExitCode.OK
@@ -269,7 +271,7 @@
     A reply of unexpected form raises an exception; Python exits with 1, the code of
     a refusal, on uncaught ones.
     """
-    server.answer("POST /changes", (409, {"state": "conflict", "conflicts": [1]}))
+    server.set_replies("POST /changes", (409, {"state": "conflict", "conflicts": [1]}))
     result = await run_command(
         "apply", file, "--change-id", "c-1", servers=[server.address]
     )
