--- a/packages/greengagelatch-cli/src/greengagelatch_cli/__main__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/__main__.py
@@ -8,7 +8,7 @@
 from cleo.io.inputs.argv_input import ArgvInput
 
 from .application import create_application
-from .exits import ExitCode
+from .exit_codes import ExitCode
 
 __all__ = ("main", "run")
 
@@ -26,7 +26,7 @@
 
 
 def main() -> None:
-    """Run the command and end the process with its exit code."""
+    """Run the command and exit the process with its exit code."""
     sys.exit(run(sys.argv[1:]))
 
 
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/__init__.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/__init__.py
@@ -1,4 +1,4 @@
-"""Commands; each module holds one group of them."""
+"""Commands, grouped into modules, and their base classes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from result import Err
 
 from ..client import CallFailure, Client, Reply, parse_servers
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from ..messages import describe_refusal
 from ..output import Format, Output
 
@@ -26,7 +26,7 @@
 
 
 class UsageError(CleoValueError):
-    """An argument or option whose value can't be used."""
+    """An invalid value of an argument or option."""
 
 
 class OperatorCommand(Command):
@@ -34,7 +34,7 @@
 
     @property
     def output(self) -> Output:
-        """The output in the form chosen by ``--output``, while the command runs."""
+        """The output in the format of ``--output``; set while the command runs."""
         assert self._output is not None
         return self._output
 
@@ -43,43 +43,43 @@
         self._output: Output | None = None
 
     def handle(self) -> int:
-        """Carry out the command; called by cleo."""
-        self._output = Output(self.io, self._read_format())
+        """Run the command; called by cleo."""
+        self._output = Output(self.io, self._read_format_option())
         try:
-            return self.perform()
+            return self.run_command()
         except KeyboardInterrupt:
-            return self.abandon(ExitCode.INTERRUPTED)
+            return self.handle_abort(ExitCode.INTERRUPTED)
         except CleoError:
             raise
         except Exception:
             self._output.show_error(traceback.format_exc())
-            return self.abandon(ExitCode.INTERNAL)
+            return self.handle_abort(ExitCode.INTERNAL)
 
     @abstractmethod
-    def perform(self) -> ExitCode:
-        """Carry out the command."""
+    def run_command(self) -> ExitCode:
+        """Execute the command and return its exit code."""
 
-    def abandon(self, code: ExitCode) -> ExitCode:
-        """Say what holds after an end half way; return the code to end with."""
+    def handle_abort(self, code: ExitCode) -> ExitCode:
+        """Report the state after an interrupt or error; return the exit code."""
         return code
 
-    def read_number(self, option: str, minimum: float) -> float:
+    def read_number_option(self, option: str, minimum: float) -> float:
         """Return an option's value as a number.
 
-        :raises UsageError: if it is no number or below ``minimum``
+        :raises UsageError: if it is not a finite number of at least ``minimum``
         """
         text = str(self.option(option))
         try:
             number = float(text)
         except ValueError:
             number = float("nan")
-        # false for NaN also
+        # the comparison is false for NaN too
         if not minimum <= number < float("inf"):
             msg = f"--{option} = {text!r}: must be a number of at least {minimum:g}"
             raise UsageError(msg)
         return number
 
-    def _read_format(self) -> Format:
+    def _read_format_option(self) -> Format:
         text = self.option("output")
         try:
             return Format(text)
@@ -89,31 +89,37 @@
 
 
 class ServerCommand(OperatorCommand):
-    """A command that talks to servers."""
+    """A command that calls servers."""
 
-    def perform(self) -> ExitCode:
-        """Connect and carry out the command."""
-        return asyncio.run(self._perform_connected())
+    def run_command(self) -> ExitCode:
+        """Execute the command with a client for the servers."""
+        return asyncio.run(self._connect_and_run())
 
     @abstractmethod
-    async def talk(self, client: Client) -> ExitCode:
-        """Carry out the command through ``client``."""
+    async def run_with_client(self, client: Client) -> ExitCode:
+        """Execute the command through ``client`` and return its exit code."""
 
     def show_unreachable(self, failures: Sequence[CallFailure]) -> ExitCode:
-        """Report that no server answered a read."""
-        lines = ["no server could be reached", *(f"  {one}" for one in failures)]
-        data = {"state": "unreachable", "failures": [str(one) for one in failures]}
+        """Report that no server replied to a read."""
+        lines = [
+            "no server could be reached",
+            *(f"  {failure}" for failure in failures),
+        ]
+        data = {
+            "state": "unreachable",
+            "failures": [str(failure) for failure in failures],
+        }
         self.output.show_error("\n".join(lines), data)
         return ExitCode.UNREACHABLE
 
     def show_refusal(self, reply: Reply) -> ExitCode:
-        """Report a reply to a read that isn't a result."""
+        """Report an error reply to a read."""
         code = ExitCode.REFUSED if reply.status < 500 else ExitCode.UNREACHABLE
         data = dict(reply.body) or {"state": "refused", "message": reply.text}
         self.output.show_error(describe_refusal(reply), data)
         return code
 
-    async def _perform_connected(self) -> ExitCode:
+    async def _connect_and_run(self) -> ExitCode:
         text = self.option("server") or os.environ.get(SERVER_VARIABLE, "")
         if not text:
             msg = f"no server: give --server host:port or set {SERVER_VARIABLE}"
@@ -122,4 +128,4 @@
         if isinstance(servers, Err):
             raise UsageError(servers.err_value)
         async with Client(servers.ok_value) as client:
-            return await self.talk(client)
+            return await self.run_with_client(client)
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/changes.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/changes.py
@@ -1,4 +1,4 @@
-"""Commands about changes: show, wait, list, rollback."""
+"""Commands for changes: show, wait, list, rollback."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from cleo.helpers import argument, option
 from result import Err
 
-from ..exits import ExitCode
-from ..messages import describe_time
+from ..exit_codes import ExitCode
+from ..messages import format_time
 from ..output import render_table
 from ..submission import CHANGES_PATH, find_change
-from ..waiting import wait_in_force
+from ..waiting import wait_until_in_force
 from . import ServerCommand, UsageError
-from .submitting import SUBMIT_OPTIONS, SubmitCommand
+from .submit_command import SUBMIT_OPTIONS, SubmitCommand
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -26,26 +26,26 @@
 
 
 class ShowChange(ServerCommand):
-    """Shows what became of a change."""
+    """Shows the outcome of a change."""
 
     name = "change show"
-    description = "Show what became of a change, and where it is in force."
+    description = "Show the outcome of a change, and where it is in force."
     arguments = (argument("id", "Id of the change."),)
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         change_id = self.argument("id")
-        found = await find_change(client, change_id, ask=True)
-        if isinstance(found, Err):
-            return self.show_unreachable(found.err_value)
-        reply = found.ok_value
+        result = await find_change(client, change_id, query_instances=True)
+        if isinstance(result, Err):
+            return self.show_unreachable(result.err_value)
+        reply = result.ok_value
         if reply.state == "settled":
             self.output.show(_describe_change(reply.body), reply.body)
             return ExitCode.OK
         if reply.state == "not-found":
-            self.output.show_error(_describe_absence(change_id, reply), reply.body)
+            self.output.show_error(_describe_not_found(change_id, reply), reply.body)
             return ExitCode.UNKNOWN
         if reply.state == "unknown":
-            text = f"{reply.server}: can't tell: the store can't be read"
+            text = f"{reply.server}: outcome unknown: the store is not readable"
             self.output.show_error(text, reply.body)
             return ExitCode.UNKNOWN
         return self.show_refusal(reply)
@@ -59,9 +59,9 @@
     arguments = (argument("id", "Id of the change."),)
     options = (option("timeout", None, "Seconds to wait.", flag=False, default="30"),)
 
-    async def talk(self, client: Client) -> ExitCode:
-        timeout = self.read_number("timeout", 0)
-        return await wait_in_force(
+    async def run_with_client(self, client: Client) -> ExitCode:
+        timeout = self.read_number_option("timeout", 0)
+        return await wait_until_in_force(
             client, self.argument("id"), timeout=timeout, output=self.output
         )
 
@@ -72,19 +72,25 @@
     name = "change list"
     description = "List recent changes, newest first."
     options = (
-        option("limit", None, "Most changes to list.", flag=False, default="20"),
+        option(
+            "limit",
+            None,
+            "Maximum number of changes to list.",
+            flag=False,
+            default="20",
+        ),
     )
 
-    async def talk(self, client: Client) -> ExitCode:
-        limit = int(self.read_number("limit", 1))
-        found = await client.read(CHANGES_PATH, {"limit": str(limit)})
-        if isinstance(found, Err):
-            return self.show_unreachable(found.err_value)
-        reply = found.ok_value
+    async def run_with_client(self, client: Client) -> ExitCode:
+        limit = int(self.read_number_option("limit", 1))
+        result = await client.read(CHANGES_PATH, {"limit": str(limit)})
+        if isinstance(result, Err):
+            return self.show_unreachable(result.err_value)
+        reply = result.ok_value
         if "changes" not in reply.body:
             return self.show_refusal(reply)
         rows = [
-            (change["generation"], change["change_id"], describe_time(change["time"]))
+            (change["generation"], change["change_id"], format_time(change["time"]))
             for change in reply.body["changes"]
         ]
         table = render_table(("GENERATION", "CHANGE", "TIME"), rows)
@@ -93,11 +99,11 @@
 
 
 class RollBack(SubmitCommand):
-    """Puts an earlier generation's content in force again."""
+    """Restores the configuration of an earlier generation."""
 
     name = "rollback"
-    description = "Put the content of an earlier generation in force again."
-    arguments = (argument("generation", "Generation to go back to."),)
+    description = "Restore the configuration of an earlier generation."
+    arguments = (argument("generation", "Generation to restore."),)
     options = SUBMIT_OPTIONS
 
     async def prepare(self, client: Client) -> Sequence[Mapping[str, Any]] | ExitCode:
@@ -125,10 +131,10 @@
     return f"{line}\n{render_table(MEMBER_HEADERS, rows)}"
 
 
-def _describe_absence(change_id: str, reply: Reply) -> str:
+def _describe_not_found(change_id: str, reply: Reply) -> str:
     body = reply.body
     return (
         f"change {change_id}: not in force at generation {body.get('generation')};"
-        f" changes are known since {describe_time(body.get('oldest_time'))}.\n"
-        "A write that is still under way may yet take effect."
+        f" changes are retained since {format_time(body.get('oldest_time'))}.\n"
+        "A write that is still in progress may yet take effect."
     )
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/checks.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/checks.py
@@ -1,4 +1,4 @@
-"""Command that checks files without a server."""
+"""Command that validates files without a server."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from greengagelatch.config.sections import split_sections
 from greengagelatch.config.validation import find_problems
 
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from . import OperatorCommand, UsageError
-from .submitting import read_file
+from .submit_command import read_input
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -26,12 +26,12 @@
 
 __all__ = ("Check",)
 
-#: in titles of objects, between the kind and the name
+#: separates kind and name in the section title of an object
 TITLE_SEPARATOR = ":"
 
 
-class Content(Enum):
-    """What a file is checked as."""
+class FileContent(Enum):
+    """Type of the content of a file."""
 
     AUTO = "auto"
     SETTINGS = "settings"
@@ -39,27 +39,33 @@
 
 
 class Check(OperatorCommand):
-    """Checks a file of settings or of objects."""
+    """Validates a file of settings or of objects."""
 
     name = "check"
-    description = "Check a file of settings or objects, without a server."
+    description = "Validate a file of settings or objects, without a server."
     arguments = (argument("file", "INI file; - is standard input."),)
     options = (
-        option("as", None, "settings, objects or auto.", flag=False, default="auto"),
+        option(
+            "as",
+            None,
+            "Content of the file: settings, objects or auto.",
+            flag=False,
+            default="auto",
+        ),
         option(
             "complete",
             None,
-            "The file holds all objects: check references between them too.",
+            "The file holds all objects: validate references between them too.",
         ),
     )
 
-    def perform(self) -> ExitCode:
+    def run_command(self) -> ExitCode:
         path = self.argument("file")
-        text = read_file(path)
-        content = self._read_content()
-        if content is Content.AUTO:
-            content = _guess_content(text)
-        if content is Content.SETTINGS:
+        text = read_input(path)
+        content = self._read_content_option()
+        if content is FileContent.AUTO:
+            content = _detect_content(text)
+        if content is FileContent.SETTINGS:
             return self._check_settings(path, text)
         return self._check_objects(path, text)
 
@@ -76,37 +82,40 @@
     def _check_objects(self, path: str, text: str) -> ExitCode:
         parsed = parse_objects(text, path)
         if isinstance(parsed, Err):
-            return self._show_problems(parsed.err_value)
+            return self._report_problems(parsed.err_value)
         objects = {identify(item): item for item in parsed.ok_value}
         if self.option("complete"):
             problems = find_problems(objects, path)
             if problems:
-                return self._show_problems(problems)
+                return self._report_problems(problems)
         line = f"{path}: {len(objects)} objects are valid"
         self.output.show(line, {"state": "checked", "objects": len(objects)})
         return ExitCode.OK
 
-    def _show_problems(self, problems: Sequence[Problem]) -> ExitCode:
+    def _report_problems(self, problems: Sequence[Problem]) -> ExitCode:
         lines = "\n".join(str(problem) for problem in problems)
-        data = {"state": "refused", "problems": [asdict(one) for one in problems]}
+        data = {
+            "state": "refused",
+            "problems": [asdict(problem) for problem in problems],
+        }
         self.output.show_error(lines, data)
         return ExitCode.REFUSED
 
-    def _read_content(self) -> Content:
+    def _read_content_option(self) -> FileContent:
         text = self.option("as")
         try:
-            return Content(text)
+            return FileContent(text)
         except ValueError as error:
             msg = f"--as = {text!r}: must be settings, objects or auto"
             raise UsageError(msg) from error
 
 
-def _guess_content(text: str) -> Content:
+def _detect_content(text: str) -> FileContent:
     sections, _ = split_sections(text, "")
-    known = {setting.name.partition(".")[0] for setting in settings.SETTINGS}
+    setting_groups = {setting.name.partition(".")[0] for setting in settings.SETTINGS}
     for section in sections:
         if TITLE_SEPARATOR in section.title:
-            return Content.OBJECTS
-        if section.title in known:
-            return Content.SETTINGS
-    return Content.OBJECTS
+            return FileContent.OBJECTS
+        if section.title in setting_groups:
+            return FileContent.SETTINGS
+    return FileContent.OBJECTS
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/labels.py
@@ -1,4 +1,4 @@
-"""Command that labels an object."""
+"""Command that sets and removes labels of an object."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from greengagelatch.config.ini_writer import format_object
 from greengagelatch.config.names import find_name_error
 
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from . import UsageError
 from .objects import KINDS, check_kind, read_objects
-from .submitting import SUBMIT_OPTIONS, SubmitCommand
+from .submit_command import SUBMIT_OPTIONS, SubmitCommand
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -30,8 +30,8 @@
 class Label(SubmitCommand):
     """Sets and removes labels of an object.
 
-    The object is sent back as it was read, so its generation is the change's base:
-    if someone else changes it in between, that is a conflict and not lost.
+    The whole object is written back with the generation that it was read from as
+    the change's base, so that a concurrent change is a conflict, not overwritten.
     """
 
     name = "label"
@@ -56,38 +56,40 @@
         parsed = parse_objects(objects[0]["text"])
         if isinstance(parsed, Err):
             problems = "\n".join(str(problem) for problem in parsed.err_value)
-            self.output.show_error(f"{reply.server}: not understood:\n{problems}")
+            self.output.show_error(
+                f"{reply.server}: sent an invalid {kind} {name!r}:\n{problems}"
+            )
             return ExitCode.REFUSED
         (item,) = parsed.ok_value
-        labels = _edit_labels(item.labels, edits)
+        labels = _apply_edits(item.labels, edits)
         text = format_object(replace(item, labels=labels))
         base = reply.body["generation"]
         return ({"mode": "apply", "text": text, "file": "label", "base": base},)
 
 
-def _parse_edits(words: Sequence[str]) -> Mapping[str, str | None]:
+def _parse_edits(labels: Sequence[str]) -> Mapping[str, str | None]:
     edits: dict[str, str | None] = {}
-    for word in words:
-        key, sign, value = word.partition("=")
-        if not sign:
-            if not word.endswith(REMOVE_SUFFIX):
-                msg = f"label {word!r}: must be key=value or key-"
+    for label in labels:
+        key, separator, value = label.partition("=")
+        if not separator:
+            if not label.endswith(REMOVE_SUFFIX):
+                msg = f"label {label!r}: must be key=value or key-"
                 raise UsageError(msg)
-            key, value = word.removesuffix(REMOVE_SUFFIX), None
+            key, value = label.removesuffix(REMOVE_SUFFIX), None
         if key in edits:
-            msg = f"label {word!r}: its key was given before"
+            msg = f"label {label!r}: duplicate key {key!r}"
             raise UsageError(msg)
-        # a comma or a line break in a value would write other labels or keys
+        # a comma or line break in a value would add other labels or keys
         for part in (key, value):
-            fault = "" if part is None else find_name_error(part)
-            if fault:
-                msg = f"label {word!r}: {part!r} {fault}"
+            name_error = "" if part is None else find_name_error(part)
+            if name_error:
+                msg = f"label {label!r}: {part!r} {name_error}"
                 raise UsageError(msg)
         edits[key] = value
     return edits
 
 
-def _edit_labels(
+def _apply_edits(
     labels: Mapping[str, str], edits: Mapping[str, str | None]
 ) -> Mapping[str, str]:
     edited = dict(labels)
--- a/packages/greengagelatch-cli/src/greengagelatch_cli/commands/objects.py
+++ b/packages/greengagelatch-cli/src/greengagelatch_cli/commands/objects.py
@@ -1,4 +1,4 @@
-"""Commands about objects: apply, get, diff, delete."""
+"""Commands for objects: apply, get, diff, delete."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from greengagelatch.config.names import ObjectKind
 
-from ..exits import ExitCode
+from ..exit_codes import ExitCode
 from ..messages import describe_conflict
 from . import ServerCommand, UsageError
-from .submitting import SUBMIT_OPTIONS, SubmitCommand, read_file, split_base
+from .submit_command import SUBMIT_OPTIONS, SubmitCommand, parse_base, read_input
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -28,10 +28,10 @@
 
 
 class Apply(SubmitCommand):
-    """Creates or replaces the objects of files."""
+    """Creates or replaces the objects in files."""
 
     name = "apply"
-    description = "Create or replace objects: one change for each file, whole or not."
+    description = "Create or replace objects; each file is one atomic change."
     arguments = (
         argument("file", "INI file of objects; - is standard input.", multiple=True),
     )
@@ -40,9 +40,9 @@
     async def prepare(self, client: Client) -> Sequence[Mapping[str, Any]] | ExitCode:
         paths = self.argument("file")
         if len(paths) > 1 and self.option("change-id"):
-            msg = "--change-id names one change, so it takes one file"
+            msg = f"--change-id identifies one change, but {len(paths)} files are given"
             raise UsageError(msg)
-        # all are read before any is sent: a wrong name must not stop half way
+        # all files are read first, so that a wrong name fails before any change is sent
         return [_create_change(path) for path in paths]
 
 
@@ -53,7 +53,7 @@
     description = "Show what applying a file would change; nothing is changed."
     arguments = (argument("file", "INI file of objects; - is standard input."),)
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         change = {
             **_create_change(self.argument("file")),
             "change_id": "diff",
@@ -61,13 +61,13 @@
         }
         failures = []
         for server in client.servers:
-            # a dry run changes nothing, so any server may be asked after another
+            # a dry run changes nothing, so after a failure the next server is tried
             match await client.call(server, "POST", "/changes", body=change):
                 case Err(failure):
                     failures.append(failure)
                     continue
-                case answered:
-                    return self._show(answered.ok_value)
+                case result:
+                    return self._show(result.ok_value)
         return self.show_unreachable(failures)
 
     def _show(self, reply: Reply) -> ExitCode:
@@ -77,25 +77,25 @@
         if reply.state != "checked":
             return self.show_refusal(reply)
         changed = reply.body.get("changed", ())
-        text = "".join(_compare(one) for one in changed) or "no change\n"
+        text = "".join(_format_diff(item) for item in changed) or "no change\n"
         self.output.show(text.rstrip("\n"), reply.body)
         return ExitCode.OK
 
 
 class Get(ServerCommand):
-    """Prints objects in a form that ``apply`` takes."""
+    """Prints objects in the format that ``apply`` reads."""
 
     name = "get"
-    description = "Print objects as INI, in a form that apply takes."
+    description = "Print objects as INI, in the format that apply reads."
     arguments = (
         argument("kind", f"One of {', '.join(KINDS)}.", optional=True),
         argument("name", "Name of one object.", optional=True),
     )
     options = (
-        option("selector", None, "Labels to pick by, as tier=gold.", flag=False),
+        option("selector", None, "Label selector, such as tier=gold.", flag=False),
     )
 
-    async def talk(self, client: Client) -> ExitCode:
+    async def run_with_client(self, client: Client) -> ExitCode:
         kind, name = self.argument("kind"), self.argument("name")
         if kind is not None:
             check_kind(kind)
@@ -108,7 +108,7 @@
         if name is not None and not objects:
             self.output.show_error(f"{reply.server}: no {kind} {name!r}", reply.body)
             return ExitCode.REFUSED
-        self.output.show(_join_texts(reply.body), reply.body)
+        self.output.show(_format_objects(reply.body), reply.body)
         return ExitCode.OK
 
 
@@ -129,9 +129,9 @@
 
 
 def check_kind(kind: str) -> str:
-    """Return ``kind`` if there are objects of it.
+    """Return ``kind`` if it is a kind of objects.
 
-    :raises UsageError: if there are none
+    :raises UsageError: if it is not
     """
     if kind not in KINDS:
         msg = f"kind = {kind!r}: must be one of {', '.join(KINDS)}"
@@ -142,27 +142,27 @@
 async def read_objects(
     command: ServerCommand, client: Client, query: Mapping[str, str]
 ) -> Reply | ExitCode:
-    """Read objects with their texts, or report why not and return the code."""
-    found = await client.read(OBJECTS_PATH, {**query, "format": "json"})
-    if isinstance(found, Err):
-        return command.show_unreachable(found.err_value)
-    reply = found.ok_value
+    """Read objects with their texts, or report the error and return its code."""
+    result = await client.read(OBJECTS_PATH, {**query, "format": "json"})
+    if isinstance(result, Err):
+        return command.show_unreachable(result.err_value)
+    reply = result.ok_value
     if "objects" not in reply.body:
         return command.show_refusal(reply)
     return reply
 
 
 def _create_change(path: str) -> Mapping[str, Any]:
-    text = read_file(path)
-    return {"mode": "apply", "text": text, "file": path, **split_base(text)}
+    text = read_input(path)
+    return {"mode": "apply", "text": text, "file": path, **parse_base(text)}
 
 
-def _join_texts(body: Mapping[str, Any]) -> str:
-    texts = [one["text"].strip() for one in body["objects"]]
+def _format_objects(body: Mapping[str, Any]) -> str:
+    texts = [item["text"].strip() for item in body["objects"]]
     return "\n\n".join([f"# generation {body['generation']}", *texts])
 
 
-def _compare(change: Mapping[str, str]) -> str:
+def _format_diff(change: Mapping[str, str]) -> str:
     before = change["before"].splitlines(keepends=True)
     after = change["after"].splitlines(keepends=True)
     name = change["object"]
--- a/tests/test_cli/conftest.py
+++ b/tests/test_cli/conftest.py
@@ -1,4 +1,4 @@
-"""Scripted operators' servers and a way to run the command."""
+"""Fixtures that start scripted operators' servers and run the command."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 @dataclass(frozen=True)
-class Ended:
-    """How a command ended."""
+class CommandResult:
+    """Exit code and output of a command."""
 
     code: int
     out: str
@@ -28,10 +28,10 @@
 
 
 class ScriptedServer:
-    """Answers calls from a script, the last answer again and again.
+    """Sends the scripted replies to each call in order, and repeats the last one.
 
-    An answer is ``(status, body)``; ``None`` cuts the connection after the call
-    has been read.
+    A reply is ``(status, body)``; ``None`` closes the connection after the call has
+    been received.
     """
 
     def __init__(self) -> None:
@@ -43,17 +43,17 @@
         self._released.set()
 
     def hold(self) -> None:
-        """Give no answer until :meth:`release`."""
+        """Send no reply until :meth:`release` is called."""
         self._released.clear()
 
     def release(self) -> None:
         self._released.set()
 
-    def answer(self, call, *answers) -> None:
-        self.script[call] = list(answers)
+    def set_replies(self, call, *replies) -> None:
+        self.script[call] = list(replies)
 
-    def bodies(self, call):
-        return [body for made, body in self.calls if made == call]
+    def list_bodies(self, call):
+        return [body for recorded, body in self.calls if recorded == call]
 
     async def serve(self, request):
         text = await request.text()
@@ -61,14 +61,14 @@
         self.called.set()
         self.calls.append((call, json.loads(text) if text else dict(request.query)))
         await self._released.wait()
-        answers = self.script[call]
-        if not answers:
+        replies = self.script[call]
+        if not replies:
             return web.json_response({"message": "not in the script"}, status=404)
-        answer = answers.pop(0) if len(answers) > 1 else answers[0]
-        if answer is None:
+        reply = replies.pop(0) if len(replies) > 1 else replies[0]
+        if reply is None:
             request.transport.close()
             return web.Response()
-        status, body = answer
+        status, body = reply
         return web.json_response(body, status=status)
 
 
@@ -100,18 +100,18 @@
 
 @pytest.fixture
 def run_command(capsys, monkeypatch):
-    """Return a function that runs the command with short waits."""
+    """Return a function that runs the command with short intervals and time-outs."""
     monkeypatch.delenv("GREENGAGELATCH_SERVER", raising=False)
-    monkeypatch.setattr(submission, "SETTLE_TIMEOUT", 0.3)
-    monkeypatch.setattr(submission, "SETTLE_INTERVAL", 0.01)
-    monkeypatch.setattr(waiting, "INTERVAL", 0.01)
+    monkeypatch.setattr(submission, "LOOKUP_TIMEOUT", 0.3)
+    monkeypatch.setattr(submission, "LOOKUP_INTERVAL", 0.01)
+    monkeypatch.setattr(waiting, "POLL_INTERVAL", 0.01)
 
     async def run_in_thread(*arguments, servers=()):
-        given = list(arguments)
+        command_line = list(arguments)
         if servers:
-            given += ["--server", ",".join(servers)]
-        code = await asyncio.to_thread(run, given)
+            command_line += ["--server", ",".join(servers)]
+        code = await asyncio.to_thread(run, command_line)
         out, err = capsys.readouterr()
-        return Ended(int(code), out, err)
+        return CommandResult(int(code), out, err)
 
     return run_in_thread
