--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/runners.py
@@ -86,7 +86,7 @@
         route = exchange.route
         facts = RetryContext(
             outcome=outcome,
-            retryable=route.retryable,
+            repeatable=route.repeatable,
             deliveries=len(set(exchange.targets)),
             max_attempts=route.max_attempts,
             unsent=exchange.unsent,
--- a/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
+++ b/packages/greengagelatch-entry/src/greengagelatch_entry/relay/unary.py
@@ -97,7 +97,7 @@
                 target,
                 call,
                 timeout=timeout,
-                fresh=not exchange.route.retryable,
+                fresh=not exchange.route.repeatable,
             )
             if isinstance(result, FailedSend):
                 return result
--- a/packages/greengagelatch/src/greengagelatch/relay/deployment.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/deployment.py
@@ -89,7 +89,7 @@
         )
 
     @property
-    def retryable(self) -> bool:
+    def repeatable(self) -> bool:
         """Whether a request that may already have run may be retried."""
         return self.kind is RouteKind.SAFE or (
             self.kind is RouteKind.STREAMING and self.resumable
--- a/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
+++ b/packages/greengagelatch/src/greengagelatch/relay/outcomes.py
@@ -50,7 +50,7 @@
 
     outcome: SendOutcome
     #: whether a request that may have run may be retried
-    retryable: bool
+    repeatable: bool
     #: number of targets that have received the request so far
     deliveries: int
     max_attempts: int
@@ -81,7 +81,7 @@
         # a target other than the intended one received and rejected it
         misdirected = facts.outcome is SendOutcome.MISDIRECTED
         return NextStep.RETRY if misdirected else NextStep.SEND
-    if not facts.retryable and not facts.outcome.proves_not_run:
+    if not facts.repeatable and not facts.outcome.proves_not_run:
         return NextStep.GIVE_UP
     if facts.deliveries >= facts.max_attempts:
         return NextStep.GIVE_UP
--- a/tests/test_core/test_relay/test_deployment.py
+++ b/tests/test_core/test_relay/test_deployment.py
@@ -44,7 +44,7 @@
 )
 def test_kind_determines_whether_requests_are_retryable(kind, resumable, repeatable):
     route = replace(ROUTE, kind=kind, resumable=resumable)
-    assert route.retryable is repeatable
+    assert route.repeatable is repeatable
 
 
 def test_call_has_a_fixed_cost_and_a_cost_per_piece():
--- a/tests/test_core/test_relay/test_outcomes.py
+++ b/tests/test_core/test_relay/test_outcomes.py
@@ -15,7 +15,7 @@
 
 FACTS = RetryContext(
     outcome=SendOutcome.LOST,
-    retryable=True,
+    repeatable=True,
     deliveries=1,
     max_attempts=2,
     unsent=0,
@@ -35,12 +35,12 @@
     The answer of a target that had made the booking was lost, and the request was
     retried as if it had not run.
     """
-    facts = replace(FACTS, retryable=False, outcome=outcome, max_attempts=5)
+    facts = replace(FACTS, repeatable=False, outcome=outcome, max_attempts=5)
     assert decide_next(facts) is NextStep.GIVE_UP
 
 
 def test_rejected_request_is_retried_at_another_target():
-    facts = replace(FACTS, retryable=False, outcome=SendOutcome.REJECTED)
+    facts = replace(FACTS, repeatable=False, outcome=SendOutcome.REJECTED)
     assert decide_next(facts) is NextStep.RETRY
 
 
@@ -58,7 +58,7 @@
 )
 def test_request_that_did_not_run_is_sent_to_another_target(outcome, step):
     facts = replace(
-        FACTS, retryable=False, outcome=outcome, deliveries=0, max_attempts=1
+        FACTS, repeatable=False, outcome=outcome, deliveries=0, max_attempts=1
     )
     assert decide_next(facts) is step
 
