--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__init__.py
@@ -1,4 +1,4 @@
-"""The load tool: plays a fleet's traffic and checks every answer."""
+"""The load generator: sends a fleet's traffic and verifies every response."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m greengagelatch_lab.load``: loads a running fleet and checks it."""
+"""``python -m greengagelatch_lab.load``: load-tests a running fleet."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 __all__ = ("main",)
 
-#: seconds allowed until the first instance is ready
+#: seconds to wait for the first instance to become ready
 READY_TIMEOUT = 20.0
-#: exit codes
+#: exit codes: no violation, at least one, run not completed
 KEPT, BROKEN, NOT_MEASURED = 0, 1, 2
 
 
 def main() -> int:
-    """Run the load tool; return 1 if any answer broke a promise."""
+    """Run the load generator; return 1 if any guarantee was violated."""
     options = _parse_options()
     try:
         report = asyncio.run(_measure(options))
     except (aiohttp.ClientError, TimeoutError) as error:
-        print(f"not measured: {error!r}", file=sys.stderr)
+        print(f"run not completed: {error!r}", file=sys.stderr)
         return NOT_MEASURED
     print(report.format(), file=_get_progress_file(options))
     if options.output == "json":
@@ -47,19 +47,24 @@
 def _parse_options() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--fleet", choices=sorted(FLEETS), required=True)
-    parser.add_argument("--platform", required=True, help="host:port of its list")
+    parser.add_argument(
+        "--platform", required=True, help="host:port of the list of instances"
+    )
     parser.add_argument(
         "--entry",
         action="append",
         required=True,
         type=_parse_entry,
         metavar="CALLERS/OPERATORS",
-        help="two host:port of one entry instance; once for each",
+        help="host:port for callers and operators of an entry instance; repeatable",
     )
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--scale", type=float, default=1.0)
     parser.add_argument(
-        "--seed", type=int, default=1, help="another one for each run on a fleet"
+        "--seed",
+        type=int,
+        default=1,
+        help="use a different one for each run on the same fleet",
     )
     parser.add_argument("--output", choices=("text", "json"), default="text")
     return parser.parse_args()
@@ -68,7 +73,7 @@
 def _parse_entry(text: str) -> EntryInstance:
     callers, sign, operators = text.partition("/")
     if not sign:
-        raise argparse.ArgumentTypeError("must be CALLERS/OPERATORS")
+        raise argparse.ArgumentTypeError(f"expected CALLERS/OPERATORS, got {text!r}")
     return EntryInstance(instance_id=callers, callers=callers, operators=operators)
 
 
@@ -99,7 +104,7 @@
 
 
 def _get_progress_file(options: argparse.Namespace) -> TextIO:
-    """Return where text goes: not to the output if that is to be JSON."""
+    """Return the file for text: standard error if standard output is JSON."""
     return sys.stderr if options.output == "json" else sys.stdout
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
@@ -1,4 +1,4 @@
-"""Checks of one answer by itself: whole, well formed, and the right one."""
+"""Checks of a single response: complete, well formed and correct."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AnswerIndex:
-    """The right result of every request sent, found by request and by result."""
+    """Expected results, indexed by request marker and by result."""
 
     def __init__(
         self, observations: Iterable[Observation], expectation: Expectation
@@ -38,16 +38,16 @@
             self._owners[_encode(result)] = arrival.marker
 
     def get_result(self, marker: str) -> Any:
-        """Return the right result of the request with ``marker``."""
+        """Return the expected result of the request with ``marker``."""
         return self._results[marker]
 
     def find_owner(self, result: Any) -> str | None:
-        """Return the marker of the request that ``result`` is right for."""
+        """Return the marker of the request that expects ``result``."""
         return self._owners.get(_encode(result))
 
 
 def check_answer(observation: Observation, index: AnswerIndex) -> Iterator[Violation]:
-    """Yield what is wrong with one answer."""
+    """Yield the violations found in one response."""
     ending = observation.ending
     if ending is Ending.UNSENT:
         return
@@ -70,25 +70,25 @@
 
 
 def describe(observation: Observation, kind: ViolationKind, detail: str) -> Violation:
-    """Return a violation that names the observation's request."""
+    """Return a violation for the observation's request."""
     return Violation(
         kind=kind,
         index=observation.arrival.index,
         request_id=observation.request_id,
         pipeline=observation.arrival.pipeline,
-        detail=f"{detail} (through {observation.instance})",
+        detail=f"{detail} (via instance {observation.instance})",
     )
 
 
 def _find_form_fault(observation: Observation) -> str:
     if not observation.request_id:
-        return "no request id"
+        return "response without a request id"
     if observation.verdict not in VERDICTS:
-        return f"verdict {observation.verdict!r}"
+        return f"unknown verdict {observation.verdict!r}"
     if observation.ending is Ending.RESULT and observation.verdict != "ran":
-        return f"a result with verdict {observation.verdict!r}"
+        return f"result with verdict {observation.verdict!r} instead of 'ran'"
     if observation.ending is Ending.REFUSAL and not observation.code:
-        return f"refusal without a code, status {observation.status}"
+        return f"refusal without an error code, status {observation.status}"
     return ""
 
 
@@ -97,12 +97,12 @@
         return ""
     offsets = [offset for offset, _ in observation.tokens]
     if offsets != list(range(len(offsets))):
-        return f"offsets {_shorten(offsets)}"
+        return f"token offsets not contiguous: {_shorten(offsets)}"
     if observation.count != len(offsets):
-        return f"{len(offsets)} tokens, count {observation.count}"
+        return f"received {len(offsets)} tokens, stated count {observation.count}"
     digest = xxhash.xxh64_hexdigest(_join(observation).encode())
     if observation.digest != digest:
-        return f"digest {observation.digest}, tokens have {digest}"
+        return f"stated digest {observation.digest}, digest of the tokens {digest}"
     return ""
 
 
@@ -117,10 +117,10 @@
             continue
         owner = index.find_owner(result)
         if owner is None:
-            detail = f"got {_shorten(result)}, right is {_shorten(right)}"
+            detail = f"got {_shorten(result)}, expected {_shorten(right)}"
             yield describe(observation, ViolationKind.WRONG, detail)
             return
-        detail = f"got the answer of the request with marker {owner}"
+        detail = f"got the result of the request with marker {owner}"
         yield describe(observation, ViolationKind.CROSSED, detail)
         return
 
@@ -128,11 +128,11 @@
 def _check_begun_stream(
     observation: Observation, index: AnswerIndex
 ) -> Iterator[Violation]:
-    """Check tokens given before a refusal: the caller may have used them."""
+    """Check the tokens sent before a refusal: the caller may have used them."""
     text = _join(observation)
     right = index.get_result(observation.arrival.marker)
     if text and not str(right).startswith(text):
-        detail = f"refused after tokens {_shorten(text)}, right is {_shorten(right)}"
+        detail = f"refused after tokens {_shorten(text)}, expected {_shorten(right)}"
         yield describe(observation, ViolationKind.WRONG, detail)
 
 
@@ -144,7 +144,7 @@
     return json.dumps(result, sort_keys=True)
 
 
-#: characters of a value shown in a violation
+#: maximum characters of a value quoted in a violation
 MAX_SHOWN = 60
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals: which request is sent when, drawn from one seed."""
+"""Arrivals: the requests of a run and their send times, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -11,43 +11,44 @@
 
 __all__ = ("Arrival", "plan_arrivals")
 
-#: seconds after which a keyed request is sent again, least and most
+#: minimum and maximum seconds before a request is resent with the same key
 REPEAT_DELAY = (0.02, 1.5)
-#: beginnings of prompts that the requests of one workspace and pipeline share
+#: number of prompt prefixes shared by the requests of a workspace and pipeline
 PROMPT_BEGINNINGS = 4
-#: random bits of a marker: two alike in one run are improbable
+#: random bits of a marker, enough to make collisions within a run improbable
 MARKER_BITS = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """One request that is to be sent at a set moment, answered or not."""
+    """One request, scheduled for a fixed time independent of any response."""
 
     index: int
-    #: seconds after the start of the run
+    #: scheduled time in seconds after the start of the run
     offset: float
     workspace: str
     pipeline: str
     input: Any
-    #: text found in ``input`` alone; it tells this request's records from others'
+    #: unique text in ``input`` that identifies the records of this request
     marker: str
     deadline_ms: int
     stream: bool = False
     repeatable: bool = True
-    #: idempotency key, empty where there is none
+    #: idempotency key; empty if none is sent
     key: str = ""
-    #: index of the arrival that this one repeats with the same key and input
+    #: index of the arrival that this one resends with the same key and input
     repeat_of: int | None = None
 
 
 def plan_arrivals(
     fleet: Fleet, *, seconds: float, scale: float, random_source: random.Random
 ) -> tuple[Arrival, ...]:
-    """Draw the arrivals of ``seconds`` of the fleet's traffic, by their moment.
+    """Draw the arrivals of ``seconds`` of the fleet's traffic, ordered by time.
 
-    The moments don't depend on any answer: a slow fleet is sent no less.
+    Arrivals follow a Poisson process and do not depend on responses (open loop), so
+    a slow fleet receives the same load.
 
-    :param scale: multiplies the rate of every pipeline
+    :param scale: factor for the request rate of every pipeline
     """
     drawn: list[Arrival] = []
     for traffic in fleet.traffic:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
@@ -1,4 +1,4 @@
-"""The platform's balancer, as the load tool's callers see it."""
+"""A client-side stand-in for the platform's load balancer."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 __all__ = ("Balancer", "EntryInstance")
 
-#: seconds between two looks at whether an instance is ready: the balancer's lag
+#: seconds between readiness checks of an instance: the load balancer's lag
 POLL_INTERVAL = 0.5
-#: seconds allowed for one look
+#: time-out of a readiness check in seconds
 POLL_TIMEOUT = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryInstance:
-    """One entry instance's addresses, each as ``host:port``."""
+    """Addresses of one entry instance, each as ``host:port``."""
 
     instance_id: str
     callers: str
@@ -32,8 +32,10 @@
 class Balancer:
     """Picks a ready instance for each request.
 
-    Whether an instance is ready is asked for now and then only, so requests are
-    still sent to an instance for a while after it began to leave.
+    Readiness is polled, so requests are still sent to an instance for about
+    one interval after it starts to drain.
+
+    :param interval: seconds between readiness checks of an instance
     """
 
     def __init__(
@@ -47,22 +49,22 @@
 
     @property
     def ready(self) -> frozenset[str]:
-        """Ids of the instances that are given requests."""
+        """Ids of the instances that receive requests."""
         return frozenset(self._ready)
 
     def add(self, instance: EntryInstance) -> None:
-        """Begin to look at ``instance``."""
+        """Start polling the readiness of ``instance``."""
         self._polls[instance] = asyncio.create_task(self._poll(instance))
 
     def remove(self, instance: EntryInstance) -> None:
-        """Give ``instance`` no more requests and stop looking at it."""
+        """Send no more requests to ``instance`` and stop polling it."""
         self._ready.pop(instance.instance_id, None)
         poll = self._polls.pop(instance, None)
         if poll is not None:
             poll.cancel()
 
     def pick(self, avoid: str = "") -> EntryInstance | None:
-        """Return a ready instance, other than ``avoid`` if there is one."""
+        """Return a random ready instance, ``avoid`` only if no other is ready."""
         names = sorted(name for name in self._ready if name != avoid)
         if not names:
             return self._ready.get(avoid)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
@@ -1,4 +1,4 @@
-"""Checks all answers of a run against each other and the targets' records."""
+"""Checks all responses of a run against each other and the targets' records."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class Checker:
-    """Finds every broken promise of one run.
+    """Finds every guarantee that was violated in one run.
 
-    :param observations: all requests of the run, sent or not
-    :param records: the records of all targets, read after the last answer
+    :param observations: all requests of the run, including those not sent
+    :param records: the records of all targets, read after the last response
     """
 
     def __init__(
@@ -45,13 +45,13 @@
             self._effects.update(record.effects)
             for run in record.runs:
                 self._runs[run.request].append(run)
-        # requests with one marker are one request, asked for more than once
+        # requests with the same marker are the same request, sent more than once
         self._groups: dict[str, list[Observation]] = defaultdict(list)
         for observation in observations:
             self._groups[observation.arrival.marker].append(observation)
 
     def check(self) -> list[Violation]:
-        """Return all violations; empty if every promise was kept."""
+        """Return all violations; empty if every guarantee held."""
         found = list(self._check_records())
         index = AnswerIndex(self._observations, self._expectation)
         for observation in self._observations:
@@ -68,7 +68,9 @@
     def _check_records(self) -> Iterator[Violation]:
         for record in self._records:
             if record.dropped:
-                detail = f"{record.target} no longer knows {record.dropped} runs"
+                detail = (
+                    f"{record.target} evicted {record.dropped} runs from its record"
+                )
                 yield Violation(kind=ViolationKind.RECORD_LOST, detail=detail)
 
     def _check_not_run(self, observation: Observation) -> Iterator[Violation]:
@@ -76,11 +78,11 @@
             return
         runs = self._runs.get(observation.request_id)
         if runs:
-            detail = f"refused with {observation.code}; ran: {_list_runs(runs)}"
+            detail = f"refused with {observation.code}, but ran {_list_runs(runs)}"
             yield describe(observation, ViolationKind.FALSE_NOT_RUN, detail)
 
     def _check_recorded(self, observation: Observation) -> Iterator[Violation]:
-        # a replayed result was run for the request that first had the key
+        # a replayed result was executed for the first request with the key
         if observation.ending is not Ending.RESULT or observation.replayed:
             return
         runs = self._runs.get(observation.request_id, ())
@@ -88,12 +90,12 @@
         stages = self._expectation.list_stages(observation.arrival.pipeline)
         missing = [stage for stage in stages if stage not in finished]
         if missing:
-            detail = f"no finished run of {', '.join(missing)}"
+            detail = f"no completed run recorded for {', '.join(missing)}"
             yield describe(observation, ViolationKind.NOT_RECORDED, detail)
 
     def _check_fault(self, observation: Observation) -> Iterator[Violation]:
         if observation.code == INTERNAL:
-            detail = "refused because of an error inside the instance"
+            detail = "refused because of an internal error of the instance"
             yield describe(observation, ViolationKind.FAULT, detail)
 
     def _check_ids(self) -> Iterator[Violation]:
@@ -103,7 +105,7 @@
                 continue
             first = owners.setdefault(observation.request_id, observation)
             if first.arrival.marker != observation.arrival.marker:
-                detail = f"has the request id of arrival {first.arrival.index}"
+                detail = f"request id already used by arrival {first.arrival.index}"
                 yield describe(observation, ViolationKind.CROSSED, detail)
 
     def _check_doubled(self, group: Sequence[Observation]) -> Iterator[Violation]:
@@ -117,13 +119,15 @@
             effects = self._effects[(arrival.marker, stage)]
             if counts[stage] <= 1 and effects <= 1:
                 continue
-            detail = f"{stage}: {counts[stage]} runs, {effects} effects"
+            detail = (
+                f"{stage} must run once: {counts[stage]} runs, {effects} side effects"
+            )
             yield describe(group[0], ViolationKind.DOUBLED, detail)
 
     def _check_effects_of_not_run(
         self, group: Sequence[Observation]
     ) -> Iterator[Violation]:
-        """Find effects of a request all of whose answers say that nothing ran."""
+        """Find side effects of a request whose responses all state that nothing ran."""
         for observation in group:
             unsent = observation.ending is Ending.UNSENT
             if not unsent and observation.verdict != NOT_RUN:
@@ -131,7 +135,9 @@
         arrival = group[0].arrival
         for stage in self._expectation.list_stages(arrival.pipeline):
             if self._effects[(arrival.marker, stage)]:
-                detail = f"no answer says that it ran; effect of {stage}"
+                detail = (
+                    f"no response states that it ran, but {stage} had a side effect"
+                )
                 yield describe(group[0], ViolationKind.FALSE_NOT_RUN, detail)
 
     def _list_group_runs(self, group: Sequence[Observation]) -> list[StageRecord]:
@@ -140,4 +146,4 @@
 
 
 def _list_runs(runs: Sequence[StageRecord]) -> str:
-    return ", ".join(f"{run.stage} as {run.attempt}" for run in runs)
+    return ", ".join(f"{run.stage} (attempt {run.attempt})" for run in runs)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checking.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checking.py
@@ -1,4 +1,4 @@
-"""Puts a run together: draws its arrivals and checks what came back."""
+"""Plans a run from a seed and verifies its responses."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 def plan_run(
     fleet: Fleet, *, seconds: float, scale: float, seed: int
 ) -> tuple[Arrival, ...]:
-    """Return the arrivals of a run; the same seed gives the same ones.
+    """Return the arrivals of a run; they are the same for the same seed.
 
-    Their keys and markers are drawn from the seed as well, so each run on the same
-    targets needs another one.
+    Idempotency keys and markers are also drawn from the seed, so every run on the
+    same targets needs a different one.
     """
     return plan_arrivals(
         fleet, seconds=seconds, scale=scale, random_source=random.Random(seed)
@@ -38,7 +38,7 @@
 async def check_run(
     fleet: Fleet, run: LoadRun, targets: Sequence[dict[str, Any]]
 ) -> Report:
-    """Check all answers of a run that has ended and report on it.
+    """Check all responses of a completed run and return its report.
 
     :param targets: the fleet's targets, as the platform lists them
     """
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -1,4 +1,4 @@
-"""Sends one request as a caller does and notes all that comes back."""
+"""HTTP client that sends requests as a caller and records the responses."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 
 __all__ = ("CallerClient",)
 
-#: connections kept open to all instances together
+#: limit on open connections to all instances together
 MAX_CONNECTIONS = 256
+#: seconds beyond the deadline after which a request counts as unanswered
 GRACE = 5.0
-#: bytes of one event
+#: maximum size of a server-sent event in bytes
 MAX_EVENT = 1024 * 1024
 EVENT_STREAM = "text/event-stream"
 
 
 @dataclass(slots=True)
 class _Reading:
-    """What has come back so far."""
+    """The part of a response received so far."""
 
     fields: dict[str, Any] = field(default_factory=dict)
     ending: Ending = Ending.CUT
@@ -44,12 +45,12 @@
 
 
 class CallerClient:
-    """Sends requests over a bounded number of kept connections.
+    """Sends requests over a bounded pool of persistent connections.
 
-    Nothing is sent twice: an answer that doesn't come is what is to be measured.
+    Requests are never retried, since missing responses are to be measured.
 
-    :param grace: seconds beyond its deadline after which a request counts as never
-        answered
+    :param grace: seconds beyond its deadline after which a request counts as
+        unanswered
     """
 
     def __init__(
@@ -78,9 +79,9 @@
     async def send(
         self, arrival: Arrival, instance: EntryInstance, due: float
     ) -> Observation:
-        """Send a request and wait for its whole answer.
+        """Send a request and wait for the complete response.
 
-        :param due: loop time at which it was to be sent
+        :param due: event loop time at which the request was scheduled
         """
         reading = _Reading()
         limit = due + arrival.deadline_ms / 1000 + self._grace
@@ -89,7 +90,9 @@
                 await self._exchange(arrival, instance, due, reading)
         except TimeoutError:
             reading.ending = Ending.SILENT
-            reading.message = f"no whole answer {self._grace:g} s after the deadline"
+            reading.message = (
+                f"response incomplete {self._grace:g} s after the deadline"
+            )
         except (aiohttp.ClientError, OSError, ValueError) as error:
             reading.ending = Ending.CUT
             reading.message = repr(error)
@@ -138,12 +141,14 @@
         for event in parser.feed(chunk):
             _take_event(event, _get_time() - due, reading)
     if reading.ending is Ending.CUT:
-        reading.message = f"no end after {len(reading.tokens)} tokens"
+        reading.message = (
+            f"stream ended without a final event after {len(reading.tokens)} tokens"
+        )
 
 
 def _take_event(event: Event, seconds: float, reading: _Reading) -> None:
     if reading.ending is not Ending.CUT:
-        raise ValueError(f"event {event.name} after the last one")
+        raise ValueError(f"event {event.name!r} after the final event of the stream")
     fields = json.loads(event.data)
     if event.name == "token":
         reading.tokens.append((fields["offset"], fields["text"]))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/costs.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/costs.py
@@ -1,4 +1,4 @@
-"""Cost by stage, useful and wasted, from the targets' records."""
+"""Useful and wasted processing time per stage, from the targets' records."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 __all__ = ("StageCost", "measure_costs")
 
-#: pipeline of runs whose request no caller got an answer to
+#: pipeline of runs whose request id appears in no response
 UNKNOWN = "unknown"
 
 
 @dataclass(slots=True)
 class StageCost:
-    """Milliseconds of targets' time spent on one stage of one pipeline."""
+    """Milliseconds of processing time spent by targets on a stage of a pipeline."""
 
     pipeline: str
     stage: str
@@ -31,10 +31,10 @@
 def measure_costs(
     observations: Sequence[Observation], records: Sequence[TargetRecord]
 ) -> list[StageCost]:
-    """Return the cost of every stage, by name.
+    """Return the cost of every stage, sorted by pipeline and stage name.
 
-    One finished run of a stage counts as useful if its request was answered whole
-    within its deadline; all other runs are waste.
+    One completed run of each stage counts as useful if its request got a result
+    within the deadline; all other runs count as wasted.
     """
     pipelines: dict[str, str] = {}
     in_time: set[str] = set()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/expectation.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/expectation.py
@@ -1,4 +1,4 @@
-"""The one right answer to each request, computed from its input alone."""
+"""The expected result of a request, computed from its input."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Expectation:
-    """Computes right answers from the pipelines that operators applied."""
+    """Computes expected results from the configured pipelines."""
 
     def __init__(self, pipelines: Mapping[str, Pipeline]) -> None:
         self._pipelines = pipelines
@@ -27,9 +27,9 @@
         return tuple(self._pipelines)
 
     def expect_result(self, pipeline_name: str, given: Any) -> Any:
-        """Return the result of a pipeline for the input ``given``.
+        """Return the expected result of a pipeline for the input ``given``.
 
-        Where the last stage generates, it is the text of all its tokens.
+        If the last stage generates, this is the text of all its tokens.
         """
         pipeline = self._pipelines[pipeline_name]
         results: dict[str, Any] = {}
@@ -45,6 +45,6 @@
         return tuple(stage.name for stage in self._pipelines[pipeline_name].stages)
 
     def find_unrepeatable(self, pipeline_name: str) -> frozenset[str]:
-        """Return the names of the stages that may run at most once for a request."""
+        """Return the names of the stages that must not run twice for a request."""
         stages = self._pipelines[pipeline_name].stages
         return frozenset(stage.name for stage in stages if not stage.repeatable)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -1,4 +1,4 @@
-"""What a caller saw of its request."""
+"""Outcomes of requests as observed by their callers."""
 
 from __future__ import annotations
 
@@ -13,50 +13,51 @@
 
 
 class Ending(Enum):
-    """How a request ended for its caller."""
+    """How a request ended from the view of its caller."""
 
     RESULT = "result"
     REFUSAL = "refusal"
-    #: the answer began or the request was sent, and the connection ended
+    #: the connection failed or closed before the response was complete
     CUT = "cut"
-    #: no answer long after the deadline
+    #: no complete response within the grace period after the deadline
     SILENT = "silent"
-    #: no entry instance was ready, so the balancer had none to send it to
+    #: not sent because no entry instance was ready
     UNSENT = "unsent"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Observation:
-    """One request and all that its caller got.
+    """One request and the response that its caller received.
 
-    Times are seconds since the request was to be sent, so that a client that falls
-    behind does not hide a wait.
+    Times are seconds since the scheduled send time, so that a client that falls
+    behind does not hide queueing delay (coordinated omission).
     """
 
     arrival: Arrival
     ending: Ending
-    #: id of the entry instance it was sent to
+    #: id of the entry instance that the request was sent to
     instance: str = ""
     status: int = 0
     request_id: str = ""
     verdict: str = ""
-    #: code of a refusal
+    #: error code of a refusal
     code: str = ""
     message: str = ""
     result: Any = None
     replayed: bool = False
-    #: offset and text of each token, in the order of arrival
+    #: offset and text of each token, in the order received
     tokens: tuple[tuple[int, str], ...] = ()
-    #: count and digest stated by the end of a stream
+    #: token count and digest stated in the final event of a stream
     count: int | None = None
     digest: str = ""
+    #: total latency
     seconds: float = 0.0
-    #: seconds until each token
+    #: latency of each token
     token_seconds: tuple[float, ...] = ()
 
     @property
     def in_time(self) -> bool:
-        """Whether a result came within the request's deadline."""
+        """Whether a result was received within the request's deadline."""
         if self.ending is not Ending.RESULT:
             return False
         return self.seconds * 1000 <= self.arrival.deadline_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/reading.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/reading.py
@@ -14,22 +14,25 @@
 
 __all__ = ("list_targets", "read_records")
 
-#: seconds allowed for one read
+#: time-out of a call in seconds
 TIMEOUT = 20.0
+#: outcome of a completed run
 DONE = "done"
 
 
 async def list_targets(platform: str) -> list[dict[str, Any]]:
-    """Return the targets that the platform lists at the address ``platform``."""
+    """Return the targets listed by the platform at ``platform``."""
     async with _create_session() as session:
         listing = await _get(session, platform, "/instances")
     return [item for item in listing["instances"] if item["kind"] == "target"]
 
 
 async def read_records(targets: Sequence[dict[str, Any]]) -> list[TargetRecord]:
-    """Return the record of every target, entries as the platform lists them.
+    """Return the record of every target.
 
-    :raises aiohttp.ClientError: if a target can't be read: nothing is proved then
+    :param targets: entries as the platform lists them
+    :raises aiohttp.ClientError: if a target can't be read; the run can't be
+        verified without its record
     """
     async with _create_session() as session:
         reads = [_read_record(session, target) for target in targets]
@@ -72,7 +75,7 @@
 
 async def _get(session: aiohttp.ClientSession, address: str, path: str) -> Any:
     async with session.get(f"http://{address}{path}") as response:
-        # only plain services keep effects
+        # only plain services record side effects
         if response.status == 404 and path == "/effects":
             return {}
         response.raise_for_status()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/records.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/records.py
@@ -1,4 +1,4 @@
-"""What the targets recorded of the calls made to them."""
+"""Execution records kept by the targets."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StageRecord:
-    """One run of a stage call, by the word of the target that ran it."""
+    """One run of a stage, as recorded by the target that executed it."""
 
     attempt: str
     request: str
     stage: str
-    #: whether it ran to its end
+    #: whether the run completed
     finished: bool
-    #: milliseconds of the target's time
+    #: processing time in milliseconds
     cost_ms: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetRecord:
-    """All that one target recorded."""
+    """The complete record of one target."""
 
     target: str
     service: str
     runs: tuple[StageRecord, ...]
-    #: side effects by ``(effect, stage)``; the effect is the marker of an arrival
+    #: number of side effects by ``(marker, stage)``, with the marker of the arrival
     effects: Mapping[tuple[str, str], int] = field(default_factory=dict)
-    #: runs that the target no longer knows; above 0 nothing can be proved
+    #: number of runs evicted from the record; above 0 the run can't be verified
     dropped: int = 0
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -19,28 +19,28 @@
 
 __all__ = ("Report", "build_report")
 
-#: violations that are printed; all of them are counted
+#: maximum number of violations listed; all of them are counted
 MAX_PRINTED = 20
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """What one run measured."""
+    """Results of one run."""
 
     fleet: str
     total: Tally
-    #: repeats of a key, which are not part of the other tallies
+    #: requests resent with the same key, excluded from the other statistics
     repeats: Tally
     pipelines: Mapping[str, Tally]
     workspaces: Mapping[str, Tally]
     costs: Sequence[StageCost]
     violations: Sequence[Violation]
-    #: seconds by which the client itself was late to send, at most
+    #: maximum delay of the client behind the schedule in seconds
     client_lag: float
 
     @property
     def kept(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether no guarantee was violated."""
         return not self.violations
 
     def encode(self) -> dict[str, Any]:
@@ -69,7 +69,7 @@
         lines.append(_format_tally("all first sends", self.total))
         lines.append(_format_tally("repeats of a key", self.repeats))
         lines += ["", *_format_costs(self.costs)]
-        lines += ["", f"client late by at most {self.client_lag * 1000:.0f} ms"]
+        lines += ["", f"maximum client lag {self.client_lag * 1000:.0f} ms"]
         for violation in self.violations[:MAX_PRINTED]:
             lines.append(f"VIOLATION {violation}")
         hidden = len(self.violations) - MAX_PRINTED
@@ -86,7 +86,7 @@
     violations: Sequence[Violation],
     client_lag: float,
 ) -> Report:
-    """Return the report of a run that was checked."""
+    """Build the report of a run from its observations and violations."""
     total, repeats = Tally(), Tally()
     pipelines: dict[str, Tally] = defaultdict(Tally)
     workspaces: dict[str, Tally] = defaultdict(Tally)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -1,4 +1,4 @@
-"""An open-loop run: sends arrivals when they are due, whatever comes back."""
+"""An open-loop run: sends requests on schedule, regardless of responses."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 __all__ = ("LoadRun",)
 
-#: seconds between two lines of progress
+#: seconds between progress lines
 PROGRESS_INTERVAL = 5.0
 
 
 class LoadRun:
-    """Sends arrivals through a balancer and keeps what callers saw.
+    """Sends arrivals through a balancer and collects the observations.
 
-    :param end_when_unserved: end the arrivals as soon as no entry instance is
-        ready, as callers of a fleet that is switched off would
-    :param show: prints a line of progress
+    :param end_when_unserved: stop sending as soon as no entry instance is ready,
+        as the callers of a fleet that is shut down would
+    :param show: called with each progress line
     """
 
     def __init__(
@@ -42,34 +42,34 @@
         self._client = client
         self._end_when_unserved = end_when_unserved
         self._show = show
-        #: instance that each arrival was sent to, by index
+        #: id of the instance that each arrival was sent to, by index
         self._instances: dict[int, str] = {}
         self._in_flight: set[asyncio.Task[None]] = set()
         self._sent = 0
         self._ended = False
         self._started = 0.0
         self.observations: list[Observation] = []
-        #: seconds by which this client was late to send, at most
+        #: maximum delay of this client behind the schedule in seconds
         self.client_lag = 0.0
 
     @property
     def in_flight(self) -> int:
-        """Number of requests sent and not answered."""
+        """Number of requests awaiting a response."""
         return len(self._in_flight)
 
     @property
     def elapsed(self) -> float:
-        """Seconds since the run began; zero before."""
+        """Seconds since the start of the run; zero before."""
         if not self._started:
             return 0.0
         return asyncio.get_running_loop().time() - self._started
 
     def end(self) -> None:
-        """Send no further arrivals; those sent are still waited for."""
+        """Send no further arrivals; requests in flight are still awaited."""
         self._ended = True
 
     async def run(self) -> list[Observation]:
-        """Send all arrivals and wait until each has ended."""
+        """Send all arrivals and wait for all responses."""
         loop = asyncio.get_running_loop()
         self._started = loop.time()
         progress = asyncio.create_task(self._show_progress())
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
@@ -1,4 +1,4 @@
-"""Counts and latency histograms of the requests of one kind."""
+"""Outcome counts and latency histograms of a set of requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = ("Tally", "summarize")
 
-#: bounds of the histograms in microseconds, and their significant digits
+#: range of the histograms in microseconds, and their significant digits
 LOWEST = 1
 HIGHEST = 600_000_000
 DIGITS = 3
@@ -25,10 +25,10 @@
 
 
 class Tally:
-    """What became of a set of requests.
+    """Outcome and latency statistics of a set of requests.
 
-    Attainment is the share of requests answered whole within their deadline, out
-    of all that the callers made, sent or not.
+    Attainment is the share of requests that got a result within their deadline, out
+    of all requests due, including those that could not be sent.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self._token_gap = _create_histogram()
 
     def add(self, observation: Observation) -> None:
-        """Count one request."""
+        """Add one request to the statistics."""
         self.made += 1
         self.in_time += observation.in_time
         self.endings[observation.ending.value] += 1
@@ -61,11 +61,11 @@
 
     @property
     def attainment(self) -> float:
-        """Share of requests answered whole in time; 1 if there were none."""
+        """Share of requests with a result in time; 1 if there were no requests."""
         return self.in_time / self.made if self.made else 1.0
 
     def encode(self) -> dict[str, Any]:
-        """Return the counts, and percentiles in milliseconds."""
+        """Return the counts, and the latency percentiles in milliseconds."""
         return {
             "made": self.made,
             "in_time": self.in_time,
@@ -80,7 +80,7 @@
 
 
 def summarize(histogram: HdrHistogram) -> dict[str, float]:
-    """Return percentiles and the largest value in milliseconds."""
+    """Return the percentiles and the maximum in milliseconds; empty if no value."""
     count = histogram.get_total_count()
     if not count:
         return {}
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
@@ -1,4 +1,4 @@
-"""Broken promises that a checker finds."""
+"""Violated guarantees that the checker reports."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
 
 
 class ViolationKind(Enum):
-    """Which promise to the caller was broken."""
+    """Which guarantee to the caller was violated."""
 
-    #: the connection ended before the answer did
+    #: the connection failed or closed before the response was complete
     CUT = "cut"
-    #: no answer long after the deadline
+    #: no complete response within the grace period after the deadline
     SILENT = "silent"
-    #: the answer is not as the protocol says
+    #: the response does not conform to the protocol
     MALFORMED = "malformed"
-    #: tokens are missing or repeated, or don't match the stated count and digest
+    #: tokens are missing or duplicated, or don't match the stated count or digest
     INCOMPLETE = "incomplete"
+    #: the result differs from the expected one
     WRONG = "wrong"
-    #: the answer or its id belongs to another request
+    #: the result or request id belongs to another request
     CROSSED = "crossed"
-    #: something that may not be repeated ran more than once
+    #: a stage that must run at most once ran more than once
     DOUBLED = "doubled"
-    #: refused as "not run" though a target ran some of it
+    #: refused as "not run" although a target ran at least one stage
     FALSE_NOT_RUN = "false-not-run"
-    #: refused because of an error inside the entry instance
+    #: refused because of an internal error of the entry instance
     FAULT = "fault"
-    #: answered with a result that no target's run accounts for
+    #: a result without a completed run of every stage in the targets' records
     NOT_RECORDED = "not-recorded"
-    #: a target's record is not whole, so nothing can be proved by it
+    #: a target's record is incomplete, so the run can't be verified
     RECORD_LOST = "record-lost"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Violation:
-    """One broken promise, with what is needed to look into it."""
+    """One violated guarantee, with the details needed to investigate it."""
 
     kind: ViolationKind
-    #: index of the arrival; ``None`` where no single one is concerned
+    #: index of the arrival; ``None`` if no single arrival is concerned
     index: int | None = None
     request_id: str = ""
     pipeline: str = ""
