--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/__init__.py
@@ -1,4 +1,4 @@
-"""The two fleets that greengagelatch serves today, as data."""
+"""Definitions of the fleets that greengagelatch serves, and their traffic."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of a fleet, started from a settings file of its own."""
+"""An entry daemon of a fleet, started as a process with its own settings file."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class Daemon:
-    """A daemon with ports from the system.
+    """An entry daemon process that listens on ports assigned by the system.
 
-    :param platform: address of the platform's service and list
-    :param settings: further settings by ``section.key``
-    :param network: paths between data centres; ``None``: all reach each other directly
-    :param command: module to run instead of the daemon's own, and its arguments before
-        those of the daemon
+    :param platform: address of the platform's store and list of instances
+    :param settings: additional settings by ``section.key``
+    :param network: paths between data centres; ``None`` for direct connections
+    :param command: module to run instead of the daemon's own, followed by arguments
+        to pass before those of the daemon
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._addresses: dict[str, str] = {}
 
     async def start(self) -> None:
-        """Write the settings, start the process and learn its addresses."""
+        """Write the settings file, start the process and read its addresses."""
         self._write_settings()
         await self.process.start()
         words = self.process.ready.split()
@@ -79,7 +79,7 @@
 
     @property
     def entry(self) -> EntryInstance:
-        """Addresses for callers and the balancer."""
+        """Addresses for callers and for the load balancer's readiness checks."""
         return EntryInstance(
             instance_id=self.instance_id,
             callers=self._addresses["callers"],
@@ -92,7 +92,7 @@
         return self._addresses["peers"]
 
     def describe(self, state: str = "live") -> dict[str, str]:
-        """Return this daemon as an entry of the platform's list."""
+        """Return this daemon's entry for the platform's list of instances."""
         return describe_instance(
             self.instance_id,
             "entry",
@@ -113,7 +113,7 @@
 
 
 def _find_command(data_centre: str, network: Network | None) -> tuple[str, ...]:
-    """Return the module to run and its arguments before those of the daemon."""
+    """Return the module to run and the arguments to pass before the daemon's."""
     if network is None:
         return (MODULE,)
     return (ROUTED_MODULE, f"--from={network.get_number(data_centre)}")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
@@ -1,4 +1,4 @@
-"""A fleet of one plain service whose bookings may not be repeated, for tests."""
+"""A test fleet with one plain service whose stage is not repeatable."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def create_desk(replicas: int) -> Fleet:
-    """Return the fleet with ``replicas`` targets in one data centre."""
+    """Create the fleet with ``replicas`` targets in a single data centre."""
     service = FleetService(name="desk", kind=StageKind.PLAIN, replicas=replicas)
     return Fleet(
         name="desk",
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/model.py
@@ -1,4 +1,4 @@
-"""Types that describe a fleet and the traffic on it."""
+"""Types that describe a fleet and its traffic."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetService:
-    """One service and how many targets provide it."""
+    """One service and the number of targets that provide it."""
 
     name: str
     kind: StageKind
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrafficWorkspace:
-    """One workspace and its weight in the fleet's traffic."""
+    """One workspace and its share of the fleet's traffic, as a relative weight."""
 
     name: str
     weight: float
@@ -32,25 +32,25 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Traffic:
-    """How often and in which form one pipeline is called."""
+    """Request rate and request parameters of one pipeline."""
 
     pipeline: str
-    #: requests a second at scale 1
+    #: requests per second at scale 1
     rate: float
     deadline_ms: int
-    #: tokens of the answer, least and most; only where a stage generates
+    #: minimum and maximum tokens generated; ``(0, 0)`` if no stage generates
     tokens: tuple[int, int] = (0, 0)
     stream: bool = False
     repeatable: bool = True
-    #: share of the requests that carry an idempotency key
+    #: fraction of the requests that carry an idempotency key
     keyed: float = 0.0
-    #: share of the keyed requests that are sent again through another instance
+    #: fraction of the keyed requests that are resent through another instance
     repeated: float = 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fleet:
-    """One fleet: where it runs, what it offers and who calls it."""
+    """One fleet: its data centres, services, workspaces and traffic."""
 
     name: str
     data_centres: tuple[str, ...]
@@ -59,14 +59,14 @@
     traffic: tuple[Traffic, ...]
 
     def read_objects(self) -> str:
-        """Return the INI text of the objects that the fleet's operators apply."""
+        """Return the INI text of the fleet's configuration objects."""
         file = resources.files(__package__).joinpath(f"{self.name}.ini")
         return file.read_text(encoding="utf-8")
 
     def read_pipelines(self) -> dict[str, Pipeline]:
-        """Return the pipelines among the objects, by name.
+        """Return the pipelines among the configuration objects, by name.
 
-        :raises ValueError: if the objects can't be read
+        :raises ValueError: if the objects can't be parsed
         """
         result = parse_objects(self.read_objects(), f"{self.name}.ini")
         if isinstance(result, Err):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -1,11 +1,11 @@
-"""Paths between data centres, each of which can be cut or silenced by itself.
-
-Every process has an IP number of its own, ``127.D.0.N``, with the number of its data
-centre as ``D``. Whoever connects to it from another data centre ``S`` is led to
-``127.D.S.N``, where a :class:`~greengagelatch_lab.standins.link.Link` passes the bytes
-on. So an address means the same to all instances, wherever they learnt it, and still
-each data centre has its own way to it. The daemons' own end of this is
-:mod:`.routed`.
+"""Emulated network paths between data centres, for network fault injection.
+
+Each path can be disconnected or blackholed separately. Every process has its own IP
+address ``127.D.0.N``, where ``D`` is the number of its data centre. Connections to it
+from another data centre ``S`` are redirected to ``127.D.S.N``, where a
+:class:`~greengagelatch_lab.standins.link.Link` forwards the bytes. An address is thus
+the same for all instances, whichever source they have it from, while each data centre
+has its own path to it. The daemons redirect their connections in :mod:`.routed`.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 __all__ = ("Network", "Path", "PathKind", "find_way")
 
-#: first octet of all addresses, and third octet of those not led through a link
+#: first octet of all addresses, and third octet of those not reached through a link
 LOOPBACK = 127
 DIRECT = 0
-#: first numbers of an instance in its data centre; the last octet has no room for more
+#: range of the last octet, the number of a process in its data centre
 FIRST = 1
 LAST = 254
 
 
 class PathKind(Enum):
-    """What a path leads to."""
+    """Kind of process at the end of a path."""
 
     PLATFORM = "platform"
     PEER = "peer"
@@ -43,22 +43,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Path:
-    """The way from one data centre to one process elsewhere."""
+    """The network path from one data centre to one process outside it."""
 
     source: str
-    #: data centre that it leads to; empty for the platform
+    #: data centre of the process; empty for the platform
     destination: str
     kind: PathKind
     link: Link
 
     def joins(self, data_centre: str) -> bool:
-        """Whether it leads from or to ``data_centre``, and not to the platform."""
+        """Whether the path connects ``data_centre`` to another data centre."""
         ends = (self.source, self.destination)
         return self.kind is not PathKind.PLATFORM and data_centre in ends
 
 
 class Network:
-    """The paths between the data centres of a fleet, and from each to the platform."""
+    """Paths between the data centres of a fleet, and from each to the platform."""
 
     def __init__(self, data_centres: Sequence[str]) -> None:
         self._numbers = {name: number for number, name in enumerate(data_centres, 1)}
@@ -71,10 +71,12 @@
         return self._numbers[data_centre]
 
     def assign_host(self, data_centre: str) -> str:
-        """Return an IP number that no other process of the data centre has."""
+        """Return an IP address unused by other processes of the data centre."""
         number = next(self._hosts[data_centre])
         if number > LAST:
-            raise RuntimeError(f"{data_centre} has no room for more processes")
+            raise RuntimeError(
+                f"no IP address left in data centre {data_centre}: {LAST} in use"
+            )
         return f"{LOOPBACK}.{self._numbers[data_centre]}.{DIRECT}.{number}"
 
     def get_platform(self, data_centre: str) -> str:
@@ -89,7 +91,7 @@
             self._platforms[name] = link.address
 
     async def open_paths(self, data_centre: str, address: str, kind: PathKind) -> None:
-        """Open a path to ``address`` from every data centre but its own."""
+        """Open a path to ``address`` from every data centre except its own."""
         for name, number in self._numbers.items():
             if name == data_centre:
                 continue
@@ -133,10 +135,9 @@
 
 
 def find_way(source: int, host: str) -> str:
-    """Return where a connection from data centre ``source`` is led.
+    """Return the host that a connection from data centre ``source`` is redirected to.
 
-    An address that belongs to no data centre, or to the source itself, is left as it
-    is.
+    A host in no data centre, or in the source itself, is returned unchanged.
     """
     try:
         octets = list(ipaddress.IPv4Address(host).packed)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
@@ -1,4 +1,4 @@
-"""Plays a fleet's traffic on a running fleet, in the background."""
+"""Generates a fleet's traffic on the running fleet in the background."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 __all__ = ("Playing", "play")
 
-#: seconds allowed until the balancer sees every daemon
+#: seconds to wait until the balancer reports every daemon ready
 READY_TIMEOUT = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Playing:
-    """Traffic that is being played."""
+    """Traffic that is being generated in the background."""
 
     runner: FleetRunner
     balancer: Balancer
     run: LoadRun
-    #: ends when every request has
+    #: done when every request has ended
     task: asyncio.Task
 
     async def check(self) -> Report:
-        """Wait until every request has ended, and check them all."""
+        """Wait until every request has ended, and verify the responses."""
         await self.task
         return await check_run(self.runner.fleet, self.run, self.runner.targets)
 
@@ -50,9 +50,9 @@
     end_when_unserved: bool = False,
     show: Callable[[str], None] | None = None,
 ) -> AsyncIterator[Playing]:
-    """Begin to play the fleet's traffic once the balancer sees every daemon.
+    """Start the fleet's traffic once the balancer reports every daemon ready.
 
-    The parameters are those of :func:`plan_run` and :class:`LoadRun`.
+    For the parameters see :func:`plan_run` and :class:`LoadRun`.
     """
     arrivals = plan_run(runner.fleet, seconds=seconds, scale=scale, seed=seed)
     async with (
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/registry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/registry.py
@@ -1,4 +1,4 @@
-"""The platform stand-in's list of instances, as its operators change it."""
+"""Client of the platform stand-in's list of instances."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 __all__ = ("Registry", "describe_instance")
 
-#: seconds allowed for one call
+#: time-out of a call in seconds
 TIMEOUT = 10.0
 
 
 class Registry:
-    """Enters instances into the platform's list and takes them out."""
+    """Registers and deregisters instances with the platform."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -37,15 +37,15 @@
         await self._session.close()
 
     async def put(self, instances: Sequence[dict[str, str]]) -> None:
-        """Enter instances, or change those already listed."""
+        """Register instances, or update those already registered."""
         await self._control("instances", {"put": list(instances)})
 
     async def remove(self, instance_ids: Sequence[str]) -> None:
-        """Take instances out of the list."""
+        """Deregister instances."""
         await self._control("instances", {"remove": list(instance_ids)})
 
     async def set_faults(self, **faults: Any) -> None:
-        """Set faults of the platform, such as ``list_lag_s``."""
+        """Inject faults into the platform, such as ``list_lag_s``."""
         await self._control("faults", faults)
 
     async def _control(self, name: str, body: dict[str, Any]) -> None:
@@ -63,7 +63,7 @@
     state: str = "live",
     service: str = "",
 ) -> dict[str, str]:
-    """Return an entry of the list as the platform encodes it."""
+    """Return the entry of an instance in the encoding of the platform's list."""
     return {
         "id": instance_id,
         "kind": kind,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/routed.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/routed.py
@@ -1,8 +1,8 @@
-"""``python -m greengagelatch_lab.fleets.routed``: a daemon with paths of its own.
+"""``python -m greengagelatch_lab.fleets.routed``: a daemon with redirected connections.
 
-It runs the daemon as it is, with ``--from NUMBER`` taken off its arguments. Its event
-loop stands in for the network of its data centre: it leads connections to processes of
-other data centres through the paths of :mod:`.network`.
+It runs the unmodified daemon with ``--from NUMBER`` removed from its arguments. Its
+event loop emulates the network of its data centre: connections to processes of other
+data centres are redirected to the paths of :mod:`.network`.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class RoutedLoop(asyncio.SelectorEventLoop):
-    """Leads connections to other data centres through their paths.
+    """Event loop that redirects connections to other data centres.
 
-    Both HTTP and WebSocket clients connect by ``sock_connect``.
+    It overrides ``sock_connect``, which both HTTP and WebSocket clients use.
 
-    :param source: number of the data centre that this process is in
+    :param source: number of the data centre of this process
     """
 
     def __init__(self, source: int) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -1,4 +1,4 @@
-"""Runs a whole fleet on loopback: platform, targets and daemons."""
+"""Runs a complete fleet on loopback: platform, targets and daemons."""
 
 from __future__ import annotations
 
@@ -32,25 +32,26 @@
 PLAIN_MODULE = "greengagelatch_lab.standins.plain"
 CLIENT_MODULE = "greengagelatch_cli"
 
-#: entry instances of one data centre
+#: entry instances per data centre
 ENTRIES_PER_DATA_CENTRE = 3
-#: settings that suit short runs; the balancer of the load tool lags by half a second
+#: settings for short runs; the load generator polls readiness every half second
 SETTINGS = {"drain.balancer_lag": "1.5", "drain.longest": "10"}
-#: seconds allowed until every daemon is ready, and for a planned stop
+#: seconds to wait until every daemon is ready, and for a graceful shutdown
 READY_TIMEOUT = 30.0
 STOP_TIMEOUT = 20.0
-#: seconds allowed to the operators' client
+#: seconds that the command-line client may run
 CLIENT_TIMEOUT = 40.0
+#: seconds between readiness checks
 POLL_INTERVAL = 0.05
 
 
 class FleetRunner:
-    """Starts a fleet's processes and ends them all.
+    """Starts the processes of a fleet and terminates them on exit.
 
-    :param directory: for the settings, outputs and logs of the processes
-    :param entries: entry instances of one data centre
-    :param settings: further settings of the daemons, by ``section.key``
-    :param routed: whether data centres have paths that can be cut, see :attr:`network`
+    :param directory: directory for the settings, output and logs of the processes
+    :param entries: entry instances per data centre
+    :param settings: additional settings of the daemons, by ``section.key``
+    :param routed: whether to emulate paths between data centres, see :attr:`network`
     """
 
     def __init__(
@@ -63,12 +64,12 @@
         routed: bool = False,
     ) -> None:
         self.fleet = fleet
-        #: paths between the data centres, if they have any
+        #: paths between the data centres; ``None`` for direct connections
         self.network = Network(fleet.data_centres) if routed else None
         self.daemons: list[Daemon] = []
-        #: data centre of every daemon that was ever started, by id
+        #: data centre of every daemon started so far, by instance id
         self.places: dict[str, str] = {}
-        #: the targets, as the platform lists them
+        #: the targets, as entries of the platform's list
         self.targets: list[dict[str, str]] = []
         self._directory = directory
         self._entries = entries
@@ -79,9 +80,9 @@
 
     @property
     def registry(self) -> Registry:
-        """The platform's list; there is none before the start."""
+        """Client of the platform's list of instances, available after the start."""
         if self._registry is None:
-            raise RuntimeError("the fleet was not started")
+            raise RuntimeError(f"fleet {self.fleet.name} is not started")
         return self._registry
 
     async def __aenter__(self) -> FleetRunner:
@@ -102,7 +103,10 @@
         await self._stack.aclose()
 
     def find_process(self, name: str) -> Process:
-        """Return the process of a target or daemon that was started last."""
+        """Return the most recently started process of a target or daemon.
+
+        :raises LookupError: if no process has this name
+        """
         for process in reversed(self._group.processes):
             if process.name == name:
                 return process
@@ -114,9 +118,9 @@
         data_centre: str,
         settings: Mapping[str, str] | None = None,
     ) -> Daemon:
-        """Start one more daemon and enter it into the platform's list.
+        """Start a daemon and register it with the platform.
 
-        :param settings: settings of this daemon alone, by ``section.key``
+        :param settings: additional settings of this daemon, by ``section.key``
         """
         platform = self.registry.address
         if self.network is not None:
@@ -130,7 +134,7 @@
             network=self.network,
         )
         self.places[instance_id] = data_centre
-        # the group ends it with the others, also if its start fails
+        # added first, so that the group terminates it even if its start fails
         self._group.processes.append(daemon.process)
         await daemon.start()
         await self._open_paths(data_centre, daemon.peers, PathKind.PEER)
@@ -139,20 +143,21 @@
         return daemon
 
     async def apply_objects(self, text: str = "") -> str:
-        """Apply objects by the operators' client, and wait until they are in force.
+        """Apply configuration objects and wait until they are in force.
 
-        :param text: INI of the objects; empty: the fleet's own
-        :raises ProcessError: if they are refused, or not in force everywhere in time
+        :param text: INI text of the objects; by default those of the fleet
+        :raises ProcessError: if the objects are rejected, or not in force on every
+            instance before the time-out
         """
         path = self._directory / f"{self.fleet.name}.ini"
         path.write_text(text or self.fleet.read_objects(), encoding="utf-8")
         return await self.run_client("apply", str(path), "--wait")
 
     async def run_client(self, *arguments: str, at: Daemon | None = None) -> str:
-        """Run the operators' client and return what it printed.
+        """Run the command-line client and return its output.
 
-        :param at: the only daemon to ask; by default any
-        :raises ProcessError: if it fails
+        :param at: daemon to connect to; by default any
+        :raises ProcessError: if the client fails or exceeds its time-out
         """
         asked = self.daemons if at is None else [at]
         servers = ",".join(daemon.entry.operators for daemon in asked)
@@ -170,14 +175,18 @@
         except TimeoutError:
             process.kill()
             await process.wait()
-            raise ProcessError(f"{arguments} took over {CLIENT_TIMEOUT} s") from None
+            raise ProcessError(
+                f"client {arguments} timed out after {CLIENT_TIMEOUT} s"
+            ) from None
         text = output.decode(errors="replace").strip()
         if process.returncode:
-            raise ProcessError(f"{arguments} ended with {process.returncode}: {text}")
+            raise ProcessError(
+                f"client {arguments} exited with {process.returncode}: {text}"
+            )
         return text
 
     async def wait_ready(self, *daemons: Daemon) -> None:
-        """Wait until ``daemons``, by default all, may be given requests."""
+        """Wait until ``daemons``, by default all, accept requests."""
         timeout = aiohttp.ClientTimeout(total=POLL_INTERVAL * 20)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             waits = [_wait_ready(session, daemon) for daemon in daemons or self.daemons]
@@ -185,11 +194,11 @@
                 async with asyncio.timeout(READY_TIMEOUT):
                     await asyncio.gather(*waits)
             except TimeoutError:
-                msg = f"not every daemon is ready after {READY_TIMEOUT} s"
+                msg = f"daemons not ready after {READY_TIMEOUT} s"
                 raise ProcessError(msg) from None
 
     async def stop_daemon(self, daemon: Daemon) -> int:
-        """Stop a daemon as planned; return its exit status."""
+        """Shut a daemon down gracefully; return its exit status."""
         daemon.process.terminate()
         status = await daemon.process.wait(STOP_TIMEOUT)
         self.daemons.remove(daemon)
@@ -249,7 +258,7 @@
                 if response.status == 200:
                     return
         except (aiohttp.ClientError, TimeoutError):
-            # it may not listen yet; the caller bounds the wait
+            # it may not listen yet; the caller sets the time-out
             pass
         await asyncio.sleep(POLL_INTERVAL)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/tool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/tool.py
@@ -1,4 +1,4 @@
-"""Runs a tool that starts processes, so that it always ends them."""
+"""Entry point for tools that start processes and must terminate them."""
 
 from __future__ import annotations
 
@@ -13,16 +13,15 @@
 
 Value = TypeVar("Value")
 
-#: exit status of a process ended by SIGTERM, as shells give it
+#: exit status that shells report for a process terminated by SIGTERM
 TERMINATED = 128 + signal.SIGTERM
 
 
 def run_tool(work: Coroutine[None, None, Value]) -> Value:
-    """Run ``work`` in a loop of its own and return what it returns.
+    """Run ``work`` in a new event loop and return its result.
 
-    SIGTERM cancels the work instead of ending the process at once. Otherwise the
-    processes that it started would be left behind, and show up as load on the
-    machine with nobody to end them.
+    SIGTERM cancels ``work`` instead of terminating the process at once, so that its
+    child processes are cleaned up. Orphaned children would keep loading the machine.
     """
     try:
         return asyncio.run(_run(work))
