--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
@@ -69,7 +69,7 @@
         for record in self._records:
             if record.dropped:
                 detail = (
-                    f"{record.target} evicted {record.dropped} runs from its record"
+                    f"{record.target} dropped {record.dropped} runs from its record"
                 )
                 yield Violation(kind=ViolationKind.RECORD_LOST, detail=detail)
 
@@ -120,7 +120,8 @@
             if counts[stage] <= 1 and effects <= 1:
                 continue
             detail = (
-                f"{stage} must run once: {counts[stage]} runs, {effects} side effects"
+                f"{stage} must run at most once:"
+                f" {counts[stage]} runs, {effects} side effects"
             )
             yield describe(group[0], ViolationKind.DOUBLED, detail)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -47,7 +47,7 @@
 class CallerClient:
     """Sends requests over a bounded pool of persistent connections.
 
-    Requests are never retried, since missing responses are to be measured.
+    The client itself never retries, since missing responses are to be measured.
 
     :param grace: seconds beyond its deadline after which a request counts as
         unanswered
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/records.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/records.py
@@ -30,5 +30,5 @@
     runs: tuple[StageRecord, ...]
     #: number of side effects by ``(marker, stage)``, with the marker of the arrival
     effects: Mapping[tuple[str, str], int] = field(default_factory=dict)
-    #: number of runs evicted from the record; above 0 the run can't be verified
+    #: number of runs dropped from the record; above 0 the run can't be verified
     dropped: int = 0
