--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from .observations import Ending
+from .observations import RequestOutcome
 from .violations import Violation, ViolationKind
 
 if TYPE_CHECKING:
@@ -49,18 +49,18 @@
 def check_answer(observation: Observation, index: AnswerIndex) -> Iterator[Violation]:
     """Yield the violations found in one response."""
     ending = observation.ending
-    if ending is Ending.UNSENT:
+    if ending is RequestOutcome.UNSENT:
         return
-    if ending is Ending.CUT:
+    if ending is RequestOutcome.CUT:
         yield describe(observation, ViolationKind.CUT, observation.message)
         return
-    if ending is Ending.SILENT:
+    if ending is RequestOutcome.SILENT:
         yield describe(observation, ViolationKind.SILENT, observation.message)
         return
     fault = _find_form_fault(observation)
     if fault:
         yield describe(observation, ViolationKind.MALFORMED, fault)
-    if ending is Ending.REFUSAL:
+    if ending is RequestOutcome.REFUSAL:
         yield from _check_begun_stream(observation, index)
         return
     fault = _find_gap(observation)
@@ -85,9 +85,9 @@
         return "response without a request id"
     if observation.verdict not in VERDICTS:
         return f"unknown verdict {observation.verdict!r}"
-    if observation.ending is Ending.RESULT and observation.verdict != "ran":
+    if observation.ending is RequestOutcome.RESULT and observation.verdict != "ran":
         return f"result with verdict {observation.verdict!r} instead of 'ran'"
-    if observation.ending is Ending.REFUSAL and not observation.code:
+    if observation.ending is RequestOutcome.REFUSAL and not observation.code:
         return f"refusal without an error code, status {observation.status}"
     return ""
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -11,7 +11,7 @@
 
 from greengagelatch_entry.adapters.event_stream import EventParser
 
-from .observations import Ending, Observation
+from .observations import Observation, RequestOutcome
 
 if TYPE_CHECKING:
     from types import TracebackType
@@ -37,7 +37,7 @@
     """The part of a response received so far."""
 
     fields: dict[str, Any] = field(default_factory=dict)
-    ending: Ending = Ending.CUT
+    ending: RequestOutcome = RequestOutcome.CUT
     status: int = 0
     tokens: list[tuple[int, str]] = field(default_factory=list)
     token_seconds: list[float] = field(default_factory=list)
@@ -89,12 +89,12 @@
             async with asyncio.timeout_at(limit):
                 await self._exchange(arrival, instance, due, reading)
         except TimeoutError:
-            reading.ending = Ending.SILENT
+            reading.ending = RequestOutcome.SILENT
             reading.message = (
                 f"response incomplete {self._grace:g} s after the deadline"
             )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            reading.ending = Ending.CUT
+            reading.ending = RequestOutcome.CUT
             reading.message = repr(error)
         return _observe(arrival, instance, reading, _get_time() - due)
 
@@ -116,7 +116,9 @@
                 return
             reading.fields = json.loads(await response.read())
             refused = response.status >= 400
-            reading.ending = Ending.REFUSAL if refused else Ending.RESULT
+            reading.ending = (
+                RequestOutcome.REFUSAL if refused else RequestOutcome.RESULT
+            )
 
 
 def _create_headers(arrival: Arrival) -> dict[str, str]:
@@ -140,14 +142,14 @@
     async for chunk in response.content.iter_any():
         for event in parser.feed(chunk):
             _take_event(event, _get_time() - due, reading)
-    if reading.ending is Ending.CUT:
+    if reading.ending is RequestOutcome.CUT:
         reading.message = (
             f"stream ended without a final event after {len(reading.tokens)} tokens"
         )
 
 
 def _take_event(event: Event, seconds: float, reading: _Reading) -> None:
-    if reading.ending is not Ending.CUT:
+    if reading.ending is not RequestOutcome.CUT:
         raise ValueError(f"event {event.name!r} after the final event of the stream")
     fields = json.loads(event.data)
     if event.name == "token":
@@ -155,7 +157,9 @@
         reading.token_seconds.append(seconds)
         return
     reading.fields = fields
-    reading.ending = Ending.RESULT if event.name == "end" else Ending.REFUSAL
+    reading.ending = (
+        RequestOutcome.RESULT if event.name == "end" else RequestOutcome.REFUSAL
+    )
 
 
 def _observe(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -9,10 +9,10 @@
 if TYPE_CHECKING:
     from .arrivals import Arrival
 
-__all__ = ("Ending", "Observation")
+__all__ = ("RequestOutcome", "Observation")
 
 
-class Ending(Enum):
+class RequestOutcome(Enum):
     """How a request ended from the view of its caller."""
 
     RESULT = "result"
@@ -34,7 +34,7 @@
     """
 
     arrival: Arrival
-    ending: Ending
+    ending: RequestOutcome
     #: id of the entry instance that the request was sent to
     instance: str = ""
     status: int = 0
@@ -58,6 +58,6 @@
     @property
     def in_time(self) -> bool:
         """Whether a result was received within the request's deadline."""
-        if self.ending is not Ending.RESULT:
+        if self.ending is not RequestOutcome.RESULT:
             return False
         return self.seconds * 1000 <= self.arrival.deadline_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .observations import Ending, Observation
+from .observations import Observation, RequestOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Sequence
@@ -95,7 +95,7 @@
                 if self._end_when_unserved:
                     return
                 self.observations.append(
-                    Observation(arrival=arrival, ending=Ending.UNSENT)
+                    Observation(arrival=arrival, ending=RequestOutcome.UNSENT)
                 )
                 continue
             self._instances[arrival.index] = instance.instance_id
@@ -118,9 +118,12 @@
         if self._show is None:
             return
         in_time = sum(item.in_time for item in self.observations)
-        refused = sum(item.ending is Ending.REFUSAL for item in self.observations)
+        refused = sum(
+            item.ending is RequestOutcome.REFUSAL for item in self.observations
+        )
         cut = sum(
-            item.ending in (Ending.CUT, Ending.SILENT) for item in self.observations
+            item.ending in (RequestOutcome.CUT, RequestOutcome.SILENT)
+            for item in self.observations
         )
         self._show(
             f"{self.elapsed:6.1f} s: {self._sent} sent,"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from .observations import Ending
+from .observations import RequestOutcome
 
 if TYPE_CHECKING:
     from .observations import Observation
@@ -47,9 +47,9 @@
         self.in_time += observation.in_time
         self.endings[observation.ending.value] += 1
         self.replayed += observation.replayed
-        if observation.ending is Ending.REFUSAL:
+        if observation.ending is RequestOutcome.REFUSAL:
             self.refusals[f"{observation.code} ({observation.verdict})"] += 1
-        if observation.ending is not Ending.RESULT:
+        if observation.ending is not RequestOutcome.RESULT:
             return
         _record(self._latency, observation.seconds)
         times = observation.token_seconds
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -11,7 +11,7 @@
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.costs import measure_costs
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending, Observation
+from greengagelatch_lab.load.observations import Observation, RequestOutcome
 from greengagelatch_lab.load.records import StageRecord, TargetRecord
 from greengagelatch_lab.load.report import build_report
 from greengagelatch_lab.load.violations import ViolationKind
@@ -45,7 +45,7 @@
     result = EXPECTATION.expect_result(arrival.pipeline, arrival.input)
     values = {
         "arrival": arrival,
-        "ending": Ending.RESULT,
+        "ending": RequestOutcome.RESULT,
         "instance": "entry-1",
         "status": 200,
         "request_id": f"request-{arrival.index}",
@@ -65,7 +65,7 @@
 def refuse(arrival, verdict="not-run"):
     return answer(
         arrival,
-        ending=Ending.REFUSAL,
+        ending=RequestOutcome.REFUSAL,
         status=503,
         verdict=verdict,
         code="overloaded",
@@ -168,7 +168,7 @@
     assert check([item], record(item)) == [ViolationKind.WRONG]
 
 
-@pytest.mark.parametrize("ending", [Ending.CUT, Ending.SILENT])
+@pytest.mark.parametrize("ending", [RequestOutcome.CUT, RequestOutcome.SILENT])
 def test_answer_without_end_is_caught(ending):
     item = answer(find_arrival("shift-plan"), ending=ending)
     assert check([item], record(item)) == [ViolationKind[ending.name]]
@@ -257,7 +257,7 @@
         answer(find_repeat(first.arrival), replayed=True),
         answer(find_arrival("status"), seconds=99.0),
         refuse(find_arrival("audit")),
-        Observation(arrival=find_arrival("shift-plan"), ending=Ending.UNSENT),
+        Observation(arrival=find_arrival("shift-plan"), ending=RequestOutcome.UNSENT),
     ]
     report = build_report(
         fleet="luzon",
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -12,7 +12,7 @@
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.balancer import Balancer, EntryInstance
 from greengagelatch_lab.load.client import CallerClient
-from greengagelatch_lab.load.observations import Ending, Observation
+from greengagelatch_lab.load.observations import Observation, RequestOutcome
 from greengagelatch_lab.load.run import LoadRun
 from greengagelatch_lab.waiting import wait_until
 
@@ -69,11 +69,11 @@
 @pytest.mark.parametrize(
     ("handle", "ending"),
     [
-        (stream(TOKEN, END), Ending.RESULT),
-        (stream(TOKEN, REFUSAL), Ending.REFUSAL),
-        (stream(TOKEN), Ending.CUT),
-        (stream(TOKEN, abort=True), Ending.CUT),
-        (stream(TOKEN, END, TOKEN), Ending.CUT),
+        (stream(TOKEN, END), RequestOutcome.RESULT),
+        (stream(TOKEN, REFUSAL), RequestOutcome.REFUSAL),
+        (stream(TOKEN), RequestOutcome.CUT),
+        (stream(TOKEN, abort=True), RequestOutcome.CUT),
+        (stream(TOKEN, END, TOKEN), RequestOutcome.CUT),
     ],
     ids=["whole", "refused", "no-end", "aborted", "goes-on-after-the-end"],
 )
@@ -90,7 +90,7 @@
         await hold.wait()
 
     observation = await send(handle, deadline_ms=50)
-    assert observation.ending is Ending.SILENT
+    assert observation.ending is RequestOutcome.SILENT
 
 
 async def test_refused_connection_counts_as_cut():
@@ -99,7 +99,7 @@
     async with CallerClient() as client:
         now = asyncio.get_running_loop().time()
         observation = await client.send(create_arrival(), instance, now)
-    assert observation.ending is Ending.CUT
+    assert observation.ending is RequestOutcome.CUT
 
 
 async def test_headers_say_what_may_be_repeated():
@@ -140,7 +140,7 @@
     async def send(self, arrival, instance, due):
         self.sent.append((arrival.index, instance))
         await self.released.wait()
-        return Observation(arrival=arrival, ending=Ending.RESULT)
+        return Observation(arrival=arrival, ending=RequestOutcome.RESULT)
 
 
 class FixedBalancer:
@@ -183,4 +183,4 @@
         end_when_unserved=end,
     )
     observations = await run.run()
-    assert [item.ending for item in observations] == [Ending.UNSENT] * expected
+    assert [item.ending for item in observations] == [RequestOutcome.UNSENT] * expected
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -3,13 +3,18 @@
 from __future__ import annotations
 
 from greengagelatch_lab.load.arrivals import Arrival
-from greengagelatch_lab.load.observations import Ending, Observation
+from greengagelatch_lab.load.observations import Observation, RequestOutcome
 from greengagelatch_lab.outages.sides import Window, measure_sides
 
 PLACES = {"n-1": "north", "s-1": "south"}
 
 
-def observe(offset: float, instance: str, ending: Ending = Ending.RESULT, **values):
+def observe(
+    offset: float,
+    instance: str,
+    ending: RequestOutcome = RequestOutcome.RESULT,
+    **values,
+):
     arrival = Arrival(
         index=0,
         offset=offset,
@@ -30,7 +35,7 @@
     ]
     observations = [
         observe(0.9, "n-1"),
-        observe(1.0, "n-1", Ending.REFUSAL),
+        observe(1.0, "n-1", RequestOutcome.REFUSAL),
         observe(1.5, "n-1"),
         observe(1.5, "s-1"),
         observe(1.6, "s-1", repeat_of=3, key="key"),
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -15,7 +15,7 @@
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending
+from greengagelatch_lab.load.observations import RequestOutcome
 from greengagelatch_lab.load.reading import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
@@ -70,7 +70,7 @@
                 raise AssertionError(failure)
         records = await read_records(self._runner.targets)
         # a killed instance can't answer its caller
-        answered = [s for s in self.observations if s.ending is not Ending.CUT]
+        answered = [s for s in self.observations if s.ending is not RequestOutcome.CUT]
         checker = Checker(
             observations=answered,
             records=records,
@@ -101,10 +101,10 @@
         await trial.wait_for_call()
         killed.process.kill()
         await killed.process.wait()
-        assert (await first).ending is Ending.CUT
+        assert (await first).ending is RequestOutcome.CUT
         for _ in range(2):
             repeat = await trial.ask(other, 8000)
-            assert repeat.ending is Ending.REFUSAL
+            assert repeat.ending is RequestOutcome.REFUSAL
             assert repeat.verdict == "may-have-run"
         await trial.check()
 
@@ -128,7 +128,7 @@
         await trial.wait_for_call()
         paused.process.pause()
         during = await trial.ask(other, 3000)
-        assert during.ending is Ending.REFUSAL
+        assert during.ending is RequestOutcome.REFUSAL
         assert during.verdict == "may-have-run"
         paused.process.resume()
         answer = await first
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -15,7 +15,7 @@
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending
+from greengagelatch_lab.load.observations import RequestOutcome
 from greengagelatch_lab.load.reading import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
@@ -96,7 +96,7 @@
         during = await caller.ask(stopped, late)
         during += await caller.ask(killed, late)
         paused.process.resume()
-        assert [seen.ending for seen in during] == [Ending.RESULT] * 2 * COUNT
+        assert [seen.ending for seen in during] == [RequestOutcome.RESULT] * 2 * COUNT
         after = await caller.ask(paused, late)
         assert [seen.replayed for seen in after] == [True] * COUNT
 
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -11,7 +11,7 @@
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.client import CallerClient
-from greengagelatch_lab.load.observations import Ending
+from greengagelatch_lab.load.observations import RequestOutcome
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
 
@@ -70,4 +70,4 @@
         )
         due = asyncio.get_running_loop().time()
         seen = await client.send(arrival, new.entry, due)
-    assert seen.ending is Ending.RESULT
+    assert seen.ending is RequestOutcome.RESULT
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -15,7 +15,7 @@
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending
+from greengagelatch_lab.load.observations import RequestOutcome
 from greengagelatch_lab.load.reading import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(60)]
@@ -126,6 +126,6 @@
         observations=observations, records=records, expectation=read_expectation()
     )
     assert [str(violation) for violation in checker.check()] == []
-    assert [item.ending for item in observations] == [Ending.RESULT] * 3
+    assert [item.ending for item in observations] == [RequestOutcome.RESULT] * 3
     assert len(observations[1].tokens) == 150
     assert status == 0
