--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
@@ -48,19 +48,19 @@
 
 def check_answer(observation: Observation, index: AnswerIndex) -> Iterator[Violation]:
     """Yield the violations found in one response."""
-    ending = observation.ending
-    if ending is RequestOutcome.UNSENT:
+    outcome = observation.outcome
+    if outcome is RequestOutcome.UNSENT:
         return
-    if ending is RequestOutcome.CUT:
+    if outcome is RequestOutcome.CUT:
         yield describe(observation, ViolationKind.CUT, observation.message)
         return
-    if ending is RequestOutcome.SILENT:
+    if outcome is RequestOutcome.SILENT:
         yield describe(observation, ViolationKind.SILENT, observation.message)
         return
     fault = _find_form_fault(observation)
     if fault:
         yield describe(observation, ViolationKind.MALFORMED, fault)
-    if ending is RequestOutcome.REFUSAL:
+    if outcome is RequestOutcome.REFUSAL:
         yield from _check_begun_stream(observation, index)
         return
     fault = _find_gap(observation)
@@ -85,9 +85,9 @@
         return "response without a request id"
     if observation.verdict not in VERDICTS:
         return f"unknown verdict {observation.verdict!r}"
-    if observation.ending is RequestOutcome.RESULT and observation.verdict != "ran":
+    if observation.outcome is RequestOutcome.RESULT and observation.verdict != "ran":
         return f"result with verdict {observation.verdict!r} instead of 'ran'"
-    if observation.ending is RequestOutcome.REFUSAL and not observation.code:
+    if observation.outcome is RequestOutcome.REFUSAL and not observation.code:
         return f"refusal without an error code, status {observation.status}"
     return ""
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
@@ -83,7 +83,7 @@
 
     def _check_recorded(self, observation: Observation) -> Iterator[Violation]:
         # a replayed result was executed for the first request with the key
-        if observation.ending is not RequestOutcome.RESULT or observation.replayed:
+        if observation.outcome is not RequestOutcome.RESULT or observation.replayed:
             return
         runs = self._runs.get(observation.request_id, ())
         finished = {run.stage for run in runs if run.finished}
@@ -130,7 +130,7 @@
     ) -> Iterator[Violation]:
         """Find side effects of a request whose responses all state that nothing ran."""
         for observation in group:
-            unsent = observation.ending is RequestOutcome.UNSENT
+            unsent = observation.outcome is RequestOutcome.UNSENT
             if not unsent and observation.verdict != NOT_RUN:
                 return
         arrival = group[0].arrival
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -37,7 +37,7 @@
     """The part of a response received so far."""
 
     fields: dict[str, Any] = field(default_factory=dict)
-    ending: RequestOutcome = RequestOutcome.CUT
+    outcome: RequestOutcome = RequestOutcome.CUT
     status: int = 0
     tokens: list[tuple[int, str]] = field(default_factory=list)
     token_seconds: list[float] = field(default_factory=list)
@@ -89,12 +89,12 @@
             async with asyncio.timeout_at(limit):
                 await self._exchange(arrival, instance, due, reading)
         except TimeoutError:
-            reading.ending = RequestOutcome.SILENT
+            reading.outcome = RequestOutcome.SILENT
             reading.message = (
                 f"response incomplete {self._grace:g} s after the deadline"
             )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            reading.ending = RequestOutcome.CUT
+            reading.outcome = RequestOutcome.CUT
             reading.message = repr(error)
         return _observe(arrival, instance, reading, _get_time() - due)
 
@@ -116,7 +116,7 @@
                 return
             reading.fields = json.loads(await response.read())
             refused = response.status >= 400
-            reading.ending = (
+            reading.outcome = (
                 RequestOutcome.REFUSAL if refused else RequestOutcome.RESULT
             )
 
@@ -142,14 +142,14 @@
     async for chunk in response.content.iter_any():
         for event in parser.feed(chunk):
             _take_event(event, _get_time() - due, reading)
-    if reading.ending is RequestOutcome.CUT:
+    if reading.outcome is RequestOutcome.CUT:
         reading.message = (
             f"stream ended without a final event after {len(reading.tokens)} tokens"
         )
 
 
 def _take_event(event: Event, seconds: float, reading: _Reading) -> None:
-    if reading.ending is not RequestOutcome.CUT:
+    if reading.outcome is not RequestOutcome.CUT:
         raise ValueError(f"event {event.name!r} after the final event of the stream")
     fields = json.loads(event.data)
     if event.name == "token":
@@ -157,7 +157,7 @@
         reading.token_seconds.append(seconds)
         return
     reading.fields = fields
-    reading.ending = (
+    reading.outcome = (
         RequestOutcome.RESULT if event.name == "end" else RequestOutcome.REFUSAL
     )
 
@@ -168,7 +168,7 @@
     fields = reading.fields
     return Observation(
         arrival=arrival,
-        ending=reading.ending,
+        outcome=reading.outcome,
         instance=instance.instance_id,
         status=reading.status,
         request_id=fields.get("request", ""),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -34,7 +34,7 @@
     """
 
     arrival: Arrival
-    ending: RequestOutcome
+    outcome: RequestOutcome
     #: id of the entry instance that the request was sent to
     instance: str = ""
     status: int = 0
@@ -58,6 +58,6 @@
     @property
     def in_time(self) -> bool:
         """Whether a result was received within the request's deadline."""
-        if self.ending is not RequestOutcome.RESULT:
+        if self.outcome is not RequestOutcome.RESULT:
             return False
         return self.seconds * 1000 <= self.arrival.deadline_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -135,9 +135,9 @@
 
 def _format_rest(tally: Tally) -> str:
     parts = [f"{code} {count}" for code, count in sorted(tally.refusals.items())]
-    for ending, count in sorted(tally.endings.items()):
-        if ending not in ("result", "refusal"):
-            parts.append(f"{ending} {count}")
+    for outcome, count in sorted(tally.endings.items()):
+        if outcome not in ("result", "refusal"):
+            parts.append(f"{outcome} {count}")
     late = tally.endings["result"] - tally.in_time
     if late:
         parts.append(f"late {late}")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -95,7 +95,7 @@
                 if self._end_when_unserved:
                     return
                 self.observations.append(
-                    Observation(arrival=arrival, ending=RequestOutcome.UNSENT)
+                    Observation(arrival=arrival, outcome=RequestOutcome.UNSENT)
                 )
                 continue
             self._instances[arrival.index] = instance.instance_id
@@ -119,10 +119,10 @@
             return
         in_time = sum(item.in_time for item in self.observations)
         refused = sum(
-            item.ending is RequestOutcome.REFUSAL for item in self.observations
+            item.outcome is RequestOutcome.REFUSAL for item in self.observations
         )
         cut = sum(
-            item.ending in (RequestOutcome.CUT, RequestOutcome.SILENT)
+            item.outcome in (RequestOutcome.CUT, RequestOutcome.SILENT)
             for item in self.observations
         )
         self._show(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
@@ -45,11 +45,11 @@
         """Add one request to the statistics."""
         self.made += 1
         self.in_time += observation.in_time
-        self.endings[observation.ending.value] += 1
+        self.endings[observation.outcome.value] += 1
         self.replayed += observation.replayed
-        if observation.ending is RequestOutcome.REFUSAL:
+        if observation.outcome is RequestOutcome.REFUSAL:
             self.refusals[f"{observation.code} ({observation.verdict})"] += 1
-        if observation.ending is not RequestOutcome.RESULT:
+        if observation.outcome is not RequestOutcome.RESULT:
             return
         _record(self._latency, observation.seconds)
         times = observation.token_seconds
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -45,7 +45,7 @@
     result = EXPECTATION.expect_result(arrival.pipeline, arrival.input)
     values = {
         "arrival": arrival,
-        "ending": RequestOutcome.RESULT,
+        "outcome": RequestOutcome.RESULT,
         "instance": "entry-1",
         "status": 200,
         "request_id": f"request-{arrival.index}",
@@ -65,7 +65,7 @@
 def refuse(arrival, verdict="not-run"):
     return answer(
         arrival,
-        ending=RequestOutcome.REFUSAL,
+        outcome=RequestOutcome.REFUSAL,
         status=503,
         verdict=verdict,
         code="overloaded",
@@ -168,10 +168,10 @@
     assert check([item], record(item)) == [ViolationKind.WRONG]
 
 
-@pytest.mark.parametrize("ending", [RequestOutcome.CUT, RequestOutcome.SILENT])
-def test_answer_without_end_is_caught(ending):
-    item = answer(find_arrival("shift-plan"), ending=ending)
-    assert check([item], record(item)) == [ViolationKind[ending.name]]
+@pytest.mark.parametrize("outcome", [RequestOutcome.CUT, RequestOutcome.SILENT])
+def test_answer_without_end_is_caught(outcome):
+    item = answer(find_arrival("shift-plan"), outcome=outcome)
+    assert check([item], record(item)) == [ViolationKind[outcome.name]]
 
 
 def drop_token(item):
@@ -257,7 +257,7 @@
         answer(find_repeat(first.arrival), replayed=True),
         answer(find_arrival("status"), seconds=99.0),
         refuse(find_arrival("audit")),
-        Observation(arrival=find_arrival("shift-plan"), ending=RequestOutcome.UNSENT),
+        Observation(arrival=find_arrival("shift-plan"), outcome=RequestOutcome.UNSENT),
     ]
     report = build_report(
         fleet="luzon",
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("handle", "ending"),
+    ("handle", "outcome"),
     [
         (stream(TOKEN, END), RequestOutcome.RESULT),
         (stream(TOKEN, REFUSAL), RequestOutcome.REFUSAL),
@@ -77,9 +77,9 @@
     ],
     ids=["whole", "refused", "no-end", "aborted", "goes-on-after-the-end"],
 )
-async def test_stream_endings(handle, ending):
+async def test_stream_endings(handle, outcome):
     observation = await send(handle, stream=True)
-    assert observation.ending is ending
+    assert observation.outcome is outcome
 
 
 async def test_answer_that_never_comes_is_silent():
@@ -90,7 +90,7 @@
         await hold.wait()
 
     observation = await send(handle, deadline_ms=50)
-    assert observation.ending is RequestOutcome.SILENT
+    assert observation.outcome is RequestOutcome.SILENT
 
 
 async def test_refused_connection_counts_as_cut():
@@ -99,7 +99,7 @@
     async with CallerClient() as client:
         now = asyncio.get_running_loop().time()
         observation = await client.send(create_arrival(), instance, now)
-    assert observation.ending is RequestOutcome.CUT
+    assert observation.outcome is RequestOutcome.CUT
 
 
 async def test_headers_say_what_may_be_repeated():
@@ -140,7 +140,7 @@
     async def send(self, arrival, instance, due):
         self.sent.append((arrival.index, instance))
         await self.released.wait()
-        return Observation(arrival=arrival, ending=RequestOutcome.RESULT)
+        return Observation(arrival=arrival, outcome=RequestOutcome.RESULT)
 
 
 class FixedBalancer:
@@ -183,4 +183,4 @@
         end_when_unserved=end,
     )
     observations = await run.run()
-    assert [item.ending for item in observations] == [RequestOutcome.UNSENT] * expected
+    assert [item.outcome for item in observations] == [RequestOutcome.UNSENT] * expected
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -12,7 +12,7 @@
 def observe(
     offset: float,
     instance: str,
-    ending: RequestOutcome = RequestOutcome.RESULT,
+    outcome: RequestOutcome = RequestOutcome.RESULT,
     **values,
 ):
     arrival = Arrival(
@@ -25,7 +25,7 @@
         deadline_ms=1000,
         **values,
     )
-    return Observation(arrival=arrival, ending=ending, instance=instance)
+    return Observation(arrival=arrival, outcome=outcome, instance=instance)
 
 
 def test_requests_count_by_when_and_where_they_were_sent():
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -70,7 +70,7 @@
                 raise AssertionError(failure)
         records = await read_records(self._runner.targets)
         # a killed instance can't answer its caller
-        answered = [s for s in self.observations if s.ending is not RequestOutcome.CUT]
+        answered = [s for s in self.observations if s.outcome is not RequestOutcome.CUT]
         checker = Checker(
             observations=answered,
             records=records,
@@ -101,10 +101,10 @@
         await trial.wait_for_call()
         killed.process.kill()
         await killed.process.wait()
-        assert (await first).ending is RequestOutcome.CUT
+        assert (await first).outcome is RequestOutcome.CUT
         for _ in range(2):
             repeat = await trial.ask(other, 8000)
-            assert repeat.ending is RequestOutcome.REFUSAL
+            assert repeat.outcome is RequestOutcome.REFUSAL
             assert repeat.verdict == "may-have-run"
         await trial.check()
 
@@ -128,7 +128,7 @@
         await trial.wait_for_call()
         paused.process.pause()
         during = await trial.ask(other, 3000)
-        assert during.ending is RequestOutcome.REFUSAL
+        assert during.outcome is RequestOutcome.REFUSAL
         assert during.verdict == "may-have-run"
         paused.process.resume()
         answer = await first
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -96,7 +96,7 @@
         during = await caller.ask(stopped, late)
         during += await caller.ask(killed, late)
         paused.process.resume()
-        assert [seen.ending for seen in during] == [RequestOutcome.RESULT] * 2 * COUNT
+        assert [seen.outcome for seen in during] == [RequestOutcome.RESULT] * 2 * COUNT
         after = await caller.ask(paused, late)
         assert [seen.replayed for seen in after] == [True] * COUNT
 
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -70,4 +70,4 @@
         )
         due = asyncio.get_running_loop().time()
         seen = await client.send(arrival, new.entry, due)
-    assert seen.ending is RequestOutcome.RESULT
+    assert seen.outcome is RequestOutcome.RESULT
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -126,6 +126,6 @@
         observations=observations, records=records, expectation=read_expectation()
     )
     assert [str(violation) for violation in checker.check()] == []
-    assert [item.ending for item in observations] == [RequestOutcome.RESULT] * 3
+    assert [item.outcome for item in observations] == [RequestOutcome.RESULT] * 3
     assert len(observations[1].tokens) == 150
     assert status == 0
