--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
@@ -51,8 +51,8 @@
     outcome = observation.outcome
     if outcome is RequestOutcome.UNSENT:
         return
-    if outcome is RequestOutcome.CUT:
-        yield describe(observation, ViolationKind.CUT, observation.message)
+    if outcome is RequestOutcome.DISCONNECTED:
+        yield describe(observation, ViolationKind.DISCONNECTED, observation.message)
         return
     if outcome is RequestOutcome.SILENT:
         yield describe(observation, ViolationKind.SILENT, observation.message)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -37,7 +37,7 @@
     """The part of a response received so far."""
 
     fields: dict[str, Any] = field(default_factory=dict)
-    outcome: RequestOutcome = RequestOutcome.CUT
+    outcome: RequestOutcome = RequestOutcome.DISCONNECTED
     status: int = 0
     tokens: list[tuple[int, str]] = field(default_factory=list)
     token_seconds: list[float] = field(default_factory=list)
@@ -94,7 +94,7 @@
                 f"response incomplete {self._grace:g} s after the deadline"
             )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            reading.outcome = RequestOutcome.CUT
+            reading.outcome = RequestOutcome.DISCONNECTED
             reading.message = repr(error)
         return _observe(arrival, instance, reading, _get_time() - due)
 
@@ -142,14 +142,14 @@
     async for chunk in response.content.iter_any():
         for event in parser.feed(chunk):
             _take_event(event, _get_time() - due, reading)
-    if reading.outcome is RequestOutcome.CUT:
+    if reading.outcome is RequestOutcome.DISCONNECTED:
         reading.message = (
             f"stream ended without a final event after {len(reading.tokens)} tokens"
         )
 
 
 def _take_event(event: Event, seconds: float, reading: _Reading) -> None:
-    if reading.outcome is not RequestOutcome.CUT:
+    if reading.outcome is not RequestOutcome.DISCONNECTED:
         raise ValueError(f"event {event.name!r} after the final event of the stream")
     fields = json.loads(event.data)
     if event.name == "token":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -18,7 +18,7 @@
     RESULT = "result"
     REFUSAL = "refusal"
     #: the connection failed or closed before the response was complete
-    CUT = "cut"
+    DISCONNECTED = "cut"
     #: no complete response within the grace period after the deadline
     SILENT = "silent"
     #: not sent because no entry instance was ready
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -122,7 +122,7 @@
             item.outcome is RequestOutcome.REFUSAL for item in self.observations
         )
         cut = sum(
-            item.outcome in (RequestOutcome.CUT, RequestOutcome.SILENT)
+            item.outcome in (RequestOutcome.DISCONNECTED, RequestOutcome.SILENT)
             for item in self.observations
         )
         self._show(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
@@ -12,7 +12,7 @@
     """Which guarantee to the caller was violated."""
 
     #: the connection failed or closed before the response was complete
-    CUT = "cut"
+    DISCONNECTED = "cut"
     #: no complete response within the grace period after the deadline
     SILENT = "silent"
     #: the response does not conform to the protocol
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -168,7 +168,9 @@
     assert check([item], record(item)) == [ViolationKind.WRONG]
 
 
-@pytest.mark.parametrize("outcome", [RequestOutcome.CUT, RequestOutcome.SILENT])
+@pytest.mark.parametrize(
+    "outcome", [RequestOutcome.DISCONNECTED, RequestOutcome.SILENT]
+)
 def test_answer_without_end_is_caught(outcome):
     item = answer(find_arrival("shift-plan"), outcome=outcome)
     assert check([item], record(item)) == [ViolationKind[outcome.name]]
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -71,9 +71,9 @@
     [
         (stream(TOKEN, END), RequestOutcome.RESULT),
         (stream(TOKEN, REFUSAL), RequestOutcome.REFUSAL),
-        (stream(TOKEN), RequestOutcome.CUT),
-        (stream(TOKEN, abort=True), RequestOutcome.CUT),
-        (stream(TOKEN, END, TOKEN), RequestOutcome.CUT),
+        (stream(TOKEN), RequestOutcome.DISCONNECTED),
+        (stream(TOKEN, abort=True), RequestOutcome.DISCONNECTED),
+        (stream(TOKEN, END, TOKEN), RequestOutcome.DISCONNECTED),
     ],
     ids=["whole", "refused", "no-end", "aborted", "goes-on-after-the-end"],
 )
@@ -99,7 +99,7 @@
     async with CallerClient() as client:
         now = asyncio.get_running_loop().time()
         observation = await client.send(create_arrival(), instance, now)
-    assert observation.outcome is RequestOutcome.CUT
+    assert observation.outcome is RequestOutcome.DISCONNECTED
 
 
 async def test_headers_say_what_may_be_repeated():
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -70,7 +70,9 @@
                 raise AssertionError(failure)
         records = await read_records(self._runner.targets)
         # a killed instance can't answer its caller
-        answered = [s for s in self.observations if s.outcome is not RequestOutcome.CUT]
+        answered = [
+            s for s in self.observations if s.outcome is not RequestOutcome.DISCONNECTED
+        ]
         checker = Checker(
             observations=answered,
             records=records,
@@ -101,7 +103,7 @@
         await trial.wait_for_call()
         killed.process.kill()
         await killed.process.wait()
-        assert (await first).outcome is RequestOutcome.CUT
+        assert (await first).outcome is RequestOutcome.DISCONNECTED
         for _ in range(2):
             repeat = await trial.ask(other, 8000)
             assert repeat.outcome is RequestOutcome.REFUSAL
