--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
@@ -54,8 +54,8 @@
     if outcome is RequestOutcome.DISCONNECTED:
         yield describe(observation, ViolationKind.DISCONNECTED, observation.message)
         return
-    if outcome is RequestOutcome.SILENT:
-        yield describe(observation, ViolationKind.SILENT, observation.message)
+    if outcome is RequestOutcome.TIMED_OUT:
+        yield describe(observation, ViolationKind.TIMED_OUT, observation.message)
         return
     fault = _find_form_fault(observation)
     if fault:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -89,7 +89,7 @@
             async with asyncio.timeout_at(limit):
                 await self._exchange(arrival, instance, due, reading)
         except TimeoutError:
-            reading.outcome = RequestOutcome.SILENT
+            reading.outcome = RequestOutcome.TIMED_OUT
             reading.message = (
                 f"response incomplete {self._grace:g} s after the deadline"
             )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -20,7 +20,7 @@
     #: the connection failed or closed before the response was complete
     DISCONNECTED = "cut"
     #: no complete response within the grace period after the deadline
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     #: not sent because no entry instance was ready
     UNSENT = "unsent"
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -122,7 +122,7 @@
             item.outcome is RequestOutcome.REFUSAL for item in self.observations
         )
         cut = sum(
-            item.outcome in (RequestOutcome.DISCONNECTED, RequestOutcome.SILENT)
+            item.outcome in (RequestOutcome.DISCONNECTED, RequestOutcome.TIMED_OUT)
             for item in self.observations
         )
         self._show(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
@@ -14,7 +14,7 @@
     #: the connection failed or closed before the response was complete
     DISCONNECTED = "cut"
     #: no complete response within the grace period after the deadline
-    SILENT = "silent"
+    TIMED_OUT = "silent"
     #: the response does not conform to the protocol
     MALFORMED = "malformed"
     #: tokens are missing or duplicated, or don't match the stated count or digest
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -47,7 +47,7 @@
 #: seconds for which arrivals are drawn; they end with the last fault
 LONGEST = 600.0
 
-EXCUSED = (ViolationKind.DISCONNECTED, ViolationKind.SILENT)
+EXCUSED = (ViolationKind.DISCONNECTED, ViolationKind.TIMED_OUT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome", [RequestOutcome.DISCONNECTED, RequestOutcome.SILENT]
+    "outcome", [RequestOutcome.DISCONNECTED, RequestOutcome.TIMED_OUT]
 )
 def test_answer_without_end_is_caught(outcome):
     item = answer(find_arrival("shift-plan"), outcome=outcome)
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -90,7 +90,7 @@
         await hold.wait()
 
     observation = await send(handle, deadline_ms=50)
-    assert observation.outcome is RequestOutcome.SILENT
+    assert observation.outcome is RequestOutcome.TIMED_OUT
 
 
 async def test_refused_connection_counts_as_cut():
