--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
@@ -107,7 +107,7 @@
     requests = []
     for received, arrival in planned:
         # a repeat of a keyed request is answered by the first one's result
-        if arrival.repeat_of is not None:
+        if arrival.retry_of is not None:
             continue
         pipeline = snapshot.pipelines[arrival.pipeline]
         requests.append(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
@@ -37,7 +37,7 @@
     #: idempotency key; empty if none is sent
     key: str = ""
     #: index of the arrival that this one resends with the same key and input
-    repeat_of: int | None = None
+    retry_of: int | None = None
 
 
 def plan_arrivals(
@@ -102,4 +102,4 @@
 
 def _repeat(first: Arrival, index: int, random_source: random.Random) -> Arrival:
     offset = first.offset + random_source.uniform(*REPEAT_DELAY)
-    return replace(first, index=index, offset=offset, repeat_of=first.index)
+    return replace(first, index=index, offset=offset, retry_of=first.index)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -130,7 +130,7 @@
         headers["X-Repeatable"] = "no"
     if arrival.key:
         headers["Idempotency-Key"] = arrival.key
-        if arrival.repeat_of is None:
+        if arrival.retry_of is None:
             headers["X-First-Attempt"] = "yes"
     return headers
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -92,7 +92,7 @@
     workspaces: dict[str, Tally] = defaultdict(Tally)
     for observation in observations:
         arrival = observation.arrival
-        if arrival.repeat_of is not None:
+        if arrival.retry_of is not None:
             repeats.add(observation)
             continue
         total.add(observation)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -88,8 +88,8 @@
             if self._ended:
                 return
             avoid = ""
-            if arrival.repeat_of is not None:
-                avoid = self._instances.get(arrival.repeat_of, "")
+            if arrival.retry_of is not None:
+                avoid = self._instances.get(arrival.retry_of, "")
             instance = self._balancer.pick(avoid)
             if instance is None:
                 if self._end_when_unserved:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -84,7 +84,7 @@
 
 
 def _repeat(first: Arrival, number: int) -> Arrival:
-    return dataclasses.replace(first, index=first.index + number, repeat_of=first.index)
+    return dataclasses.replace(first, index=first.index + number, retry_of=first.index)
 
 
 async def _send(client: CallerClient, arrival: Arrival, daemon: Daemon) -> Observation:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -73,7 +73,7 @@
         for name in names:
             tallies[(window.fault, name)] = Tally()
     for observation in observations:
-        if observation.arrival.repeat_of is not None:
+        if observation.arrival.retry_of is not None:
             continue
         for window in windows:
             if not window.begin <= observation.arrival.offset < window.end:
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -19,9 +19,7 @@
 
 EXPECTATION = Expectation(LUZON.read_pipelines())
 ARRIVALS = plan_run(LUZON, seconds=30, scale=1, seed=7)
-REPEATS = {
-    item.repeat_of for item in ARRIVALS if item.repeat_of and not item.repeatable
-}
+REPEATS = {item.retry_of for item in ARRIVALS if item.retry_of and not item.repeatable}
 
 
 def find_arrival(pipeline, *, number=0, repeated=False):
@@ -30,14 +28,14 @@
         item
         for item in ARRIVALS
         if item.pipeline == pipeline
-        and item.repeat_of is None
+        and item.retry_of is None
         and (item.index in REPEATS) == repeated
     ]
     return found[number]
 
 
 def find_repeat(first):
-    return next(item for item in ARRIVALS if item.repeat_of == first.index)
+    return next(item for item in ARRIVALS if item.retry_of == first.index)
 
 
 def answer(arrival, **changes):
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -110,7 +110,7 @@
         return web.json_response({"request": "r", "verdict": "ran", "result": 1})
 
     await send(handle, key="k", repeatable=False)
-    await send(handle, key="k", repeatable=False, repeat_of=0)
+    await send(handle, key="k", repeatable=False, retry_of=0)
     first, repeat = seen
     assert first["Idempotency-Key"] == repeat["Idempotency-Key"] == "k"
     assert first["X-Repeatable"] == repeat["X-Repeatable"] == "no"
@@ -162,7 +162,7 @@
     to a slow fleet, and so never shows the wait that callers would have.
     """
     first = create_arrival(0, key="k")
-    arrivals = [first, create_arrival(1), create_arrival(2, key="k", repeat_of=0)]
+    arrivals = [first, create_arrival(1), create_arrival(2, key="k", retry_of=0)]
     client = HeldClient()
     balancer = FixedBalancer("one", "other")
     run = LoadRun(arrivals=arrivals, balancer=balancer, client=client)
