--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -103,7 +103,7 @@
         seconds=options.seconds + STOP_SECONDS,
         scale=options.scale,
         seed=options.seed,
-        end_when_unserved=True,
+        stop_when_unavailable=True,
         show=_show,
     ) as playing:
         await asyncio.sleep(options.seconds)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
@@ -47,7 +47,7 @@
     seconds: float,
     scale: float = 1.0,
     seed: int = 1,
-    end_when_unserved: bool = False,
+    stop_when_unavailable: bool = False,
     show: Callable[[str], None] | None = None,
 ) -> AsyncIterator[Playing]:
     """Start the fleet's traffic once the balancer reports every daemon ready.
@@ -71,7 +71,7 @@
             arrivals=arrivals,
             balancer=balancer,
             client=client,
-            end_when_unserved=end_when_unserved,
+            stop_when_unavailable=stop_when_unavailable,
             show=show,
         )
         task = asyncio.create_task(run.run())
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -23,7 +23,7 @@
 class LoadRun:
     """Sends arrivals through a balancer and collects the observations.
 
-    :param end_when_unserved: stop sending as soon as no entry instance is ready,
+    :param stop_when_unavailable: stop sending as soon as no entry instance is ready,
         as the callers of a fleet that is shut down would
     :param show: called with each progress line
     """
@@ -34,13 +34,13 @@
         arrivals: Sequence[Arrival],
         balancer: Balancer,
         client: CallerClient,
-        end_when_unserved: bool = False,
+        stop_when_unavailable: bool = False,
         show: Callable[[str], None] | None = None,
     ) -> None:
         self._arrivals = arrivals
         self._balancer = balancer
         self._client = client
-        self._end_when_unserved = end_when_unserved
+        self._end_when_unserved = stop_when_unavailable
         self._show = show
         #: id of the instance that each arrival was sent to, by index
         self._instances: dict[int, str] = {}
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -180,7 +180,7 @@
         arrivals=[create_arrival()],
         balancer=FixedBalancer(),
         client=HeldClient(),
-        end_when_unserved=end,
+        stop_when_unavailable=end,
     )
     observations = await run.run()
     assert [item.outcome for item in observations] == [RequestOutcome.UNSENT] * expected
