--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .costs import measure_costs
-from .tallies import Tally
+from .tallies import RequestStatistics
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -28,11 +28,11 @@
     """Results of one run."""
 
     fleet: str
-    total: Tally
+    total: RequestStatistics
     #: requests resent with the same key, excluded from the other statistics
-    repeats: Tally
-    pipelines: Mapping[str, Tally]
-    workspaces: Mapping[str, Tally]
+    repeats: RequestStatistics
+    pipelines: Mapping[str, RequestStatistics]
+    workspaces: Mapping[str, RequestStatistics]
     costs: Sequence[StageCost]
     violations: Sequence[Violation]
     #: maximum delay of the client behind the schedule in seconds
@@ -87,9 +87,9 @@
     client_lag: float,
 ) -> Report:
     """Build the report of a run from its observations and violations."""
-    total, repeats = Tally(), Tally()
-    pipelines: dict[str, Tally] = defaultdict(Tally)
-    workspaces: dict[str, Tally] = defaultdict(Tally)
+    total, repeats = RequestStatistics(), RequestStatistics()
+    pipelines: dict[str, RequestStatistics] = defaultdict(RequestStatistics)
+    workspaces: dict[str, RequestStatistics] = defaultdict(RequestStatistics)
     for observation in observations:
         arrival = observation.arrival
         if arrival.retry_of is not None:
@@ -110,7 +110,7 @@
     )
 
 
-def _encode_tallies(tallies: Mapping[str, Tally]) -> dict[str, Any]:
+def _encode_tallies(tallies: Mapping[str, RequestStatistics]) -> dict[str, Any]:
     return {name: tally.encode() for name, tally in tallies.items()}
 
 
@@ -121,7 +121,7 @@
     )
 
 
-def _format_tally(name: str, tally: Tally) -> str:
+def _format_tally(name: str, tally: RequestStatistics) -> str:
     values = tally.encode()
     latency = values["latency_ms"]
     times = "".join(f"{latency.get(key, '-'):>8}" for key in ("p50", "p95", "p99"))
@@ -133,7 +133,7 @@
     )
 
 
-def _format_rest(tally: Tally) -> str:
+def _format_rest(tally: RequestStatistics) -> str:
     parts = [f"{code} {count}" for code, count in sorted(tally.refusals.items())]
     for outcome, count in sorted(tally.endings.items()):
         if outcome not in ("result", "refusal"):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from .observations import Observation
 
-__all__ = ("Tally", "summarize")
+__all__ = ("RequestStatistics", "summarize")
 
 #: range of the histograms in microseconds, and their significant digits
 LOWEST = 1
@@ -24,7 +24,7 @@
 PERCENTILES = (50, 95, 99)
 
 
-class Tally:
+class RequestStatistics:
     """Outcome and latency statistics of a set of requests.
 
     Attainment is the share of requests that got a result within their deadline, out
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ..load.tallies import Tally
+from ..load.tallies import RequestStatistics
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
@@ -36,7 +36,7 @@
 
     fault: str
     name: str
-    tally: Tally
+    tally: RequestStatistics
 
     def format(self) -> str:
         """Return a line of text."""
@@ -67,11 +67,11 @@
 
     :param places: data centre of each instance, by id
     """
-    tallies: dict[tuple[str, str], Tally] = {}
+    tallies: dict[tuple[str, str], RequestStatistics] = {}
     for window in windows:
         names = (window.data_centre, REST) if window.data_centre else (ALL,)
         for name in names:
-            tallies[(window.fault, name)] = Tally()
+            tallies[(window.fault, name)] = RequestStatistics()
     for observation in observations:
         if observation.arrival.retry_of is not None:
             continue
