--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .costs import measure_costs
-from .tallies import RequestStatistics
+from .request_statistics import RequestStatistics
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ..load.tallies import RequestStatistics
+from ..load.request_statistics import RequestStatistics
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
