--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -75,7 +75,8 @@
         """Return the result as JSON-compatible values."""
         return {
             "passed": self.passed,
-            "answers": self.report.total.made + self.report.repeats.made,
+            "answers": self.report.total.request_count
+            + self.report.repeats.request_count,
             "attainment": round(self.report.total.attainment, 4),
             "violations": [str(item) for item in self.violations],
             "excused": self.excused,
