--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -118,7 +118,7 @@
 
 
 def _print_verdict(name: str, result: DemoResult) -> None:
-    total, repeats = result.report.total, result.report.repeats
+    total, repeats = result.report.total, result.report.retries
     kinds = result.report.encode()["violations"]
     broken = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     print(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -30,7 +30,7 @@
     fleet: str
     total: RequestStatistics
     #: requests resent with the same key, excluded from the other statistics
-    repeats: RequestStatistics
+    retries: RequestStatistics
     pipelines: Mapping[str, RequestStatistics]
     workspaces: Mapping[str, RequestStatistics]
     costs: Sequence[StageCost]
@@ -48,7 +48,7 @@
         return {
             "fleet": self.fleet,
             "total": self.total.encode(),
-            "repeats": self.repeats.encode(),
+            "repeats": self.retries.encode(),
             "pipelines": _encode_tallies(self.pipelines),
             "workspaces": _encode_tallies(self.workspaces),
             "costs": [asdict(cost) for cost in self.costs],
@@ -67,7 +67,7 @@
             lines.append(_format_tally(name, tally))
         lines += ["", _format_head("")]
         lines.append(_format_tally("all first sends", self.total))
-        lines.append(_format_tally("repeats of a key", self.repeats))
+        lines.append(_format_tally("repeats of a key", self.retries))
         lines += ["", *_format_costs(self.costs)]
         lines += ["", f"maximum client lag {self.client_lag * 1000:.0f} ms"]
         for violation in self.violations[:MAX_PRINTED]:
@@ -101,7 +101,7 @@
     return Report(
         fleet=fleet,
         total=total,
-        repeats=repeats,
+        retries=repeats,
         pipelines=dict(sorted(pipelines.items())),
         workspaces=dict(sorted(workspaces.items())),
         costs=measure_costs(observations, records),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -76,7 +76,7 @@
         return {
             "passed": self.passed,
             "answers": self.report.total.request_count
-            + self.report.repeats.request_count,
+            + self.report.retries.request_count,
             "attainment": round(self.report.total.attainment, 4),
             "violations": [str(item) for item in self.violations],
             "excused": self.excused,
