--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -53,7 +53,7 @@
     def passed(self) -> bool:
         """Whether every promise was kept and every daemon stopped cleanly."""
         served = self.report.total.attainment >= LEAST_ATTAINMENT
-        return served and self.report.kept and not any(self.statuses)
+        return served and self.report.passed and not any(self.statuses)
 
 
 def main() -> int:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -41,7 +41,7 @@
     print(report.format(), file=_get_progress_file(options))
     if options.output == "json":
         print(json.dumps(report.encode()))
-    return KEPT if report.kept else BROKEN
+    return KEPT if report.passed else BROKEN
 
 
 def _parse_options() -> argparse.Namespace:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -39,7 +39,7 @@
     client_lag: float
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether no guarantee was violated."""
         return not self.violations
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -54,7 +54,7 @@
             print(f"not measured: {error!r}\nrolling restart FAILED")
             return 1
     print(report.format())
-    passed = report.kept and report.total.in_time > 0 and not any(statuses)
+    passed = report.passed and report.total.in_time > 0 and not any(statuses)
     print(
         f"{len(statuses)} daemons replaced, exit statuses {set(statuses)}, attainment"
         f" {report.total.attainment:.2%}, violations: {len(report.violations)}"
