--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -21,7 +21,7 @@
 import aiohttp
 
 from .fleets import FLEETS
-from .fleets.playing import play
+from .fleets.playing import generate_traffic
 from .fleets.runner import FleetRunner
 from .fleets.tool import run_tool
 from .processes import ProcessError
@@ -98,7 +98,7 @@
 
 
 async def _serve(runner: FleetRunner, options: argparse.Namespace) -> DemoResult:
-    async with play(
+    async with generate_traffic(
         runner,
         seconds=options.seconds + STOP_SECONDS,
         scale=options.scale,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
@@ -18,7 +18,7 @@
     from ..load import Report
     from .runner import FleetRunner
 
-__all__ = ("Playing", "play")
+__all__ = ("Playing", "generate_traffic")
 
 #: seconds to wait until the balancer reports every daemon ready
 READY_TIMEOUT = 10.0
@@ -41,7 +41,7 @@
 
 
 @asynccontextmanager
-async def play(
+async def generate_traffic(
     runner: FleetRunner,
     *,
     seconds: float,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -22,7 +22,7 @@
 import aiohttp
 
 from ..fleets import FLEETS
-from ..fleets.playing import play
+from ..fleets.playing import generate_traffic
 from ..fleets.runner import FleetRunner
 from ..fleets.tool import run_tool
 from ..load.violations import ViolationKind
@@ -118,7 +118,7 @@
         await runner.wait_ready()
         watch = GenerationWatch(runner)
         watching = asyncio.create_task(watch.run())
-        async with play(
+        async with generate_traffic(
             runner,
             seconds=LONGEST,
             scale=options.scale,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -17,7 +17,7 @@
 import aiohttp
 
 from .fleets import FLEETS
-from .fleets.playing import play
+from .fleets.playing import generate_traffic
 from .fleets.runner import FleetRunner
 from .fleets.tool import run_tool
 from .processes import ProcessError
@@ -70,7 +70,7 @@
         _show(await runner.apply_objects())
         await runner.wait_ready()
         await runner.registry.set_faults(list_lag_s=options.list_lag)
-        async with play(
+        async with generate_traffic(
             runner,
             seconds=LONGEST,
             scale=options.scale,
