--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
@@ -18,14 +18,14 @@
     from ..load import Report
     from .runner import FleetRunner
 
-__all__ = ("Playing", "generate_traffic")
+__all__ = ("BackgroundTraffic", "generate_traffic")
 
 #: seconds to wait until the balancer reports every daemon ready
 READY_TIMEOUT = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Playing:
+class BackgroundTraffic:
     """Traffic that is being generated in the background."""
 
     runner: FleetRunner
@@ -49,7 +49,7 @@
     seed: int = 1,
     stop_when_unavailable: bool = False,
     show: Callable[[str], None] | None = None,
-) -> AsyncIterator[Playing]:
+) -> AsyncIterator[BackgroundTraffic]:
     """Start the fleet's traffic once the balancer reports every daemon ready.
 
     For the parameters see :func:`plan_run` and :class:`LoadRun`.
@@ -76,7 +76,9 @@
         )
         task = asyncio.create_task(run.run())
         try:
-            yield Playing(runner=runner, balancer=balancer, run=run, task=task)
+            yield BackgroundTraffic(
+                runner=runner, balancer=balancer, run=run, task=task
+            )
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from ..fleets.daemon import Daemon
-    from ..fleets.playing import Playing
+    from ..fleets.playing import BackgroundTraffic
 
 __all__ = ("Fault", "LastingFault", "Scene")
 
@@ -18,7 +18,7 @@
 class Scene:
     """A fleet that serves, and what has struck it so far."""
 
-    playing: Playing
+    playing: BackgroundTraffic
     random_source: random.Random
     #: entry instances whose callers may see a connection end or stay silent
     struck: set[str] = field(default_factory=set)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from .fleets import Fleet
     from .fleets.daemon import Daemon
-    from .fleets.playing import Playing
+    from .fleets.playing import BackgroundTraffic
     from .load import Report
 
 __all__ = ("main",)
@@ -86,7 +86,7 @@
             return await playing.check(), statuses
 
 
-async def _replace(playing: Playing, daemon: Daemon) -> int:
+async def _replace(playing: BackgroundTraffic, daemon: Daemon) -> int:
     """Replace one daemon as the platform would; return its exit status."""
     runner = playing.runner
     old = daemon.entry
