--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -21,7 +21,7 @@
 import aiohttp
 
 from .fleets import FLEETS
-from .fleets.playing import generate_traffic
+from .fleets.background_traffic import generate_traffic
 from .fleets.runner import FleetRunner
 from .fleets.tool import run_tool
 from .processes import ProcessError
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from ..fleets.background_traffic import BackgroundTraffic
     from ..fleets.daemon import Daemon
-    from ..fleets.playing import BackgroundTraffic
 
 __all__ = ("Fault", "LastingFault", "Scene")
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -17,15 +17,15 @@
 import aiohttp
 
 from .fleets import FLEETS
-from .fleets.playing import generate_traffic
+from .fleets.background_traffic import generate_traffic
 from .fleets.runner import FleetRunner
 from .fleets.tool import run_tool
 from .processes import ProcessError
 
 if TYPE_CHECKING:
     from .fleets import Fleet
+    from .fleets.background_traffic import BackgroundTraffic
     from .fleets.daemon import Daemon
-    from .fleets.playing import BackgroundTraffic
     from .load import Report
 
 __all__ = ("main",)
