--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..fleets.tool import run_tool
+from ..fleets.tool import run_with_cleanup
 from ..processes import ProcessGroup
 from . import (
     claims,
@@ -123,7 +123,7 @@
     if unknown:
         parser.error(f"no such measurement: {', '.join(unknown)}")
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
-        found = run_tool(_run(names, Path(directory)))
+        found = run_with_cleanup(_run(names, Path(directory)))
     print(json.dumps({"series": [series.encode() for series in found]}), flush=True)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -23,7 +23,7 @@
 from .fleets import FLEETS
 from .fleets.background_traffic import generate_traffic
 from .fleets.runner import FleetRunner
-from .fleets.tool import run_tool
+from .fleets.tool import run_with_cleanup
 from .processes import ProcessError
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
             work = _run_fleet(FLEETS[name], Path(directory), options)
             try:
-                results[name] = run_tool(work)
+                results[name] = run_with_cleanup(work)
             except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
                 print(f"{name}: not measured: {error!r}\ndemo FAILED")
                 return 1
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/tool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/tool.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
-__all__ = ("run_tool",)
+__all__ = ("run_with_cleanup",)
 
 Value = TypeVar("Value")
 
@@ -17,7 +17,7 @@
 TERMINATED = 128 + signal.SIGTERM
 
 
-def run_tool(work: Coroutine[None, None, Value]) -> Value:
+def run_with_cleanup(work: Coroutine[None, None, Value]) -> Value:
     """Run ``work`` in a new event loop and return its result.
 
     SIGTERM cancels ``work`` instead of terminating the process at once, so that its
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -24,7 +24,7 @@
 from ..fleets import FLEETS
 from ..fleets.background_traffic import generate_traffic
 from ..fleets.runner import FleetRunner
-from ..fleets.tool import run_tool
+from ..fleets.tool import run_with_cleanup
 from ..load.violations import ViolationKind
 from ..processes import ProcessError
 from . import Scene
@@ -99,7 +99,7 @@
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
         work = _run(FLEETS[options.fleet], Path(directory), options)
         try:
-            result = run_tool(work)
+            result = run_with_cleanup(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
             print(f"not measured: {error!r}\noutages FAILED")
             return 1
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -19,7 +19,7 @@
 from .fleets import FLEETS
 from .fleets.background_traffic import generate_traffic
 from .fleets.runner import FleetRunner
-from .fleets.tool import run_tool
+from .fleets.tool import run_with_cleanup
 from .processes import ProcessError
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
         work = _roll_fleet(FLEETS[options.fleet], Path(directory), options)
         try:
-            report, statuses = run_tool(work)
+            report, statuses = run_with_cleanup(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
             print(f"not measured: {error!r}\nrolling restart FAILED")
             return 1
