--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__main__.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..fleets.tool import run_with_cleanup
+from ..fleets.process_cleanup import run_with_cleanup
 from ..processes import ProcessGroup
 from . import (
     claims,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -23,8 +23,8 @@
 
 from ..fleets import FLEETS
 from ..fleets.background_traffic import generate_traffic
+from ..fleets.process_cleanup import run_with_cleanup
 from ..fleets.runner import FleetRunner
-from ..fleets.tool import run_with_cleanup
 from ..load.violations import ViolationKind
 from ..processes import ProcessError
 from . import Scene
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -18,8 +18,8 @@
 
 from .fleets import FLEETS
 from .fleets.background_traffic import generate_traffic
+from .fleets.process_cleanup import run_with_cleanup
 from .fleets.runner import FleetRunner
-from .fleets.tool import run_with_cleanup
 from .processes import ProcessError
 
 if TYPE_CHECKING:
