--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.registry import Registry, create_list_entry
 from ..processes import Process, ProcessGroup
 from ..waiting import wait_until
 from .farm import DATA_CENTRES
@@ -224,7 +224,7 @@
 
 
 def _describe_target(number: int, address: str) -> dict[str, str]:
-    return describe_instance(
+    return create_list_entry(
         f"target-{number:03d}",
         "target",
         DATA_CENTRES[number % len(DATA_CENTRES)],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
@@ -33,7 +33,7 @@
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
 from greengagelatch_entry.metrics import Metrics
 
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.registry import Registry, create_list_entry
 
 if TYPE_CHECKING:
     from greengagelatch.config.snapshot import Snapshot
@@ -99,7 +99,7 @@
     def describe(self) -> dict[str, str]:
         """Return the member as an entry of the platform's list."""
         address = f"127.0.0.1:{self._hub.port}"
-        return describe_instance(self.name, "entry", self.data_centre, address)
+        return create_list_entry(self.name, "entry", self.data_centre, address)
 
     def _read_settings(self, platform: str) -> Settings:
         text = SETTINGS.format(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.registry import Registry, create_list_entry
 from ..processes import Process, ProcessGroup
 from .fits import Point, Series
 from .meters import ProcessMeter
@@ -295,7 +295,7 @@
 def _describe(
     process: Process, number: int = 0, service: str = "service"
 ) -> dict[str, str]:
-    return describe_instance(
+    return create_list_entry(
         f"{service}-{number}", "target", DATA_CENTRE, process.ready, service=service
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -20,7 +20,7 @@
 from greengagelatch_entry.adapters.instances import HttpInstanceList
 from greengagelatch_entry.metrics import Metrics
 
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.registry import Registry, create_list_entry
 from ..processes import ProcessGroup
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
@@ -146,7 +146,7 @@
 
 
 def _describe(number: int, port: int = 8080) -> dict[str, str]:
-    return describe_instance(
+    return create_list_entry(
         f"target-{number:05d}",
         "target",
         f"centre-{number % DATA_CENTRES:02d}",
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -8,7 +8,7 @@
 
 from ..load.balancer import EntryInstance
 from ..processes import Process
-from .registry import describe_instance
+from .registry import create_list_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -93,7 +93,7 @@
 
     def describe(self, state: str = "live") -> dict[str, str]:
         """Return this daemon's entry for the platform's list of instances."""
-        return describe_instance(
+        return create_list_entry(
             self.instance_id,
             "entry",
             self.data_centre,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/registry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/registry.py
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
     from types import TracebackType
 
-__all__ = ("Registry", "describe_instance")
+__all__ = ("Registry", "create_list_entry")
 
 #: time-out of a call in seconds
 TIMEOUT = 10.0
@@ -54,7 +54,7 @@
             response.raise_for_status()
 
 
-def describe_instance(
+def create_list_entry(
     instance_id: str,
     kind: str,
     data_centre: str,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -14,7 +14,7 @@
 from ..processes import ProcessError, ProcessGroup
 from .daemon import LOOPBACK, Daemon
 from .network import Network, PathKind
-from .registry import Registry, describe_instance
+from .registry import Registry, create_list_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -241,7 +241,7 @@
             f"--seed={number + 1}",
         )
         await self._open_paths(data_centre, process.ready, PathKind.TARGET)
-        return describe_instance(
+        return create_list_entry(
             name, "target", data_centre, process.ready, service=service.name
         )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -17,7 +17,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.registry import Registry, create_list_entry
 from ..processes import Process, ProcessGroup
 from .echo import TOKENS
 from .ways import Rate, Way, measure_latencies, measure_rate
@@ -134,7 +134,7 @@
     await daemon.start()
     async with Registry(platform.ready) as registry:
         targets = [
-            describe_instance(name, "target", DATA_CENTRE, echo.ready, service=service)
+            create_list_entry(name, "target", DATA_CENTRE, echo.ready, service=service)
             for name, service in (("target-1", SERVICE), ("target-2", ENGINE))
         ]
         await registry.put([*targets, daemon.describe()])
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -9,7 +9,7 @@
 import pytest
 
 from greengagelatch_lab.fleets.daemon import Daemon
-from greengagelatch_lab.fleets.registry import Registry, describe_instance
+from greengagelatch_lab.fleets.registry import Registry, create_list_entry
 from greengagelatch_lab.halting import HALTED
 from greengagelatch_lab.processes import ProcessGroup
 
@@ -108,7 +108,7 @@
             "--order-ms=20",
         )
         async with Registry(platform.ready) as registry:
-            target = describe_instance(
+            target = create_list_entry(
                 "engine", "target", "centre", engine.ready, service="writer"
             )
             await registry.put([target])
