--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, create_list_entry
+from ..fleets.registry import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from ..waiting import wait_until
 from .farm import DATA_CENTRES
@@ -161,7 +161,7 @@
         echo = await self._group.run_module("echo", ECHO, ANY_PORT)
         self._platform = platform.ready
         slots = asyncio.Semaphore(STARTS)
-        async with Registry(platform.ready) as registry:
+        async with InstanceListClient(platform.ready) as registry:
             await registry.put(
                 [_describe_target(n, echo.ready) for n in range(TARGETS)]
             )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
@@ -33,7 +33,7 @@
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
 from greengagelatch_entry.metrics import Metrics
 
-from ..fleets.registry import Registry, create_list_entry
+from ..fleets.registry import InstanceListClient, create_list_entry
 
 if TYPE_CHECKING:
     from greengagelatch.config.snapshot import Snapshot
@@ -141,7 +141,7 @@
     for member in members:
         for controller in member.controllers:
             await controller.start()
-    async with Registry(platform) as registry:
+    async with InstanceListClient(platform) as registry:
         await registry.put([member.describe() for member in members])
     print("ready", count, flush=True)
     stopped = asyncio.Event()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, create_list_entry
+from ..fleets.registry import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from .fits import Point, Series
 from .meters import ProcessMeter
@@ -77,7 +77,7 @@
         )
         group.processes.append(daemon.process)
         await daemon.start()
-        async with Registry(platform.ready) as registry:
+        async with InstanceListClient(platform.ready) as registry:
             await registry.put([*targets, daemon.describe()])
         bench = cls(group, session, daemon, platform)
         await bench._apply(objects)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -20,7 +20,7 @@
 from greengagelatch_entry.adapters.instances import HttpInstanceList
 from greengagelatch_entry.metrics import Metrics
 
-from ..fleets.registry import Registry, create_list_entry
+from ..fleets.registry import InstanceListClient, create_list_entry
 from ..processes import ProcessGroup
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
@@ -48,7 +48,7 @@
     points = []
     for count in replicas:
         platform = await group.run_module(f"platform-{count}", PLATFORM)
-        async with Registry(platform.ready) as registry:
+        async with InstanceListClient(platform.ready) as registry:
             rows = [_describe(number) for number in range(count)]
             for start in range(0, count, BATCH):
                 await registry.put(rows[start : start + BATCH])
@@ -112,7 +112,7 @@
     )
 
 
-async def _read_listing(registry: Registry, count: int) -> Point:
+async def _read_listing(registry: InstanceListClient, count: int) -> Point:
     reader = HttpInstanceList(
         address=registry.address, timeout=TIMEOUT, metrics=Metrics(STATSD)
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/registry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/registry.py
@@ -10,13 +10,13 @@
     from collections.abc import Sequence
     from types import TracebackType
 
-__all__ = ("Registry", "create_list_entry")
+__all__ = ("InstanceListClient", "create_list_entry")
 
 #: time-out of a call in seconds
 TIMEOUT = 10.0
 
 
-class Registry:
+class InstanceListClient:
     """Registers and deregisters instances with the platform."""
 
     def __init__(self, address: str) -> None:
@@ -25,7 +25,7 @@
             timeout=aiohttp.ClientTimeout(total=TIMEOUT)
         )
 
-    async def __aenter__(self) -> Registry:
+    async def __aenter__(self) -> InstanceListClient:
         return self
 
     async def __aexit__(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -14,7 +14,7 @@
 from ..processes import ProcessError, ProcessGroup
 from .daemon import LOOPBACK, Daemon
 from .network import Network, PathKind
-from .registry import Registry, create_list_entry
+from .registry import InstanceListClient, create_list_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -76,10 +76,10 @@
         self._settings = {**SETTINGS, **(settings or {})}
         self._group = ProcessGroup(directory)
         self._stack = AsyncExitStack()
-        self._registry: Registry | None = None
+        self._registry: InstanceListClient | None = None
 
     @property
-    def registry(self) -> Registry:
+    def registry(self) -> InstanceListClient:
         """Client of the platform's list of instances, available after the start."""
         if self._registry is None:
             raise RuntimeError(f"fleet {self.fleet.name} is not started")
@@ -206,7 +206,7 @@
 
     async def _start(self) -> None:
         platform = await self._group.run_module("platform", PLATFORM_MODULE)
-        registry = Registry(platform.ready)
+        registry = InstanceListClient(platform.ready)
         self._registry = await self._stack.enter_async_context(registry)
         if self.network is not None:
             await self._stack.enter_async_context(self.network)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -17,7 +17,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, create_list_entry
+from ..fleets.registry import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from .echo import TOKENS
 from .ways import Rate, Way, measure_latencies, measure_rate
@@ -132,7 +132,7 @@
     )
     group.processes.append(daemon.process)
     await daemon.start()
-    async with Registry(platform.ready) as registry:
+    async with InstanceListClient(platform.ready) as registry:
         targets = [
             create_list_entry(name, "target", DATA_CENTRE, echo.ready, service=service)
             for name, service in (("target-1", SERVICE), ("target-2", ENGINE))
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -9,7 +9,7 @@
 import pytest
 
 from greengagelatch_lab.fleets.daemon import Daemon
-from greengagelatch_lab.fleets.registry import Registry, create_list_entry
+from greengagelatch_lab.fleets.registry import InstanceListClient, create_list_entry
 from greengagelatch_lab.halting import HALTED
 from greengagelatch_lab.processes import ProcessGroup
 
@@ -107,7 +107,7 @@
             f"--fencing={fencing}",
             "--order-ms=20",
         )
-        async with Registry(platform.ready) as registry:
+        async with InstanceListClient(platform.ready) as registry:
             target = create_list_entry(
                 "engine", "target", "centre", engine.ready, service="writer"
             )
