--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import InstanceListClient, create_list_entry
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from ..waiting import wait_until
 from .farm import DATA_CENTRES
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
@@ -33,7 +33,7 @@
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
 from greengagelatch_entry.metrics import Metrics
 
-from ..fleets.registry import InstanceListClient, create_list_entry
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 
 if TYPE_CHECKING:
     from greengagelatch.config.snapshot import Snapshot
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import InstanceListClient, create_list_entry
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from .fits import Point, Series
 from .meters import ProcessMeter
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -20,7 +20,7 @@
 from greengagelatch_entry.adapters.instances import HttpInstanceList
 from greengagelatch_entry.metrics import Metrics
 
-from ..fleets.registry import InstanceListClient, create_list_entry
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import ProcessGroup
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -8,7 +8,7 @@
 
 from ..load.balancer import EntryInstance
 from ..processes import Process
-from .registry import create_list_entry
+from .instance_list import create_list_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -13,8 +13,8 @@
 
 from ..processes import ProcessError, ProcessGroup
 from .daemon import LOOPBACK, Daemon
+from .instance_list import InstanceListClient, create_list_entry
 from .network import Network, PathKind
-from .registry import InstanceListClient, create_list_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -17,7 +17,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import InstanceListClient, create_list_entry
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from .echo import TOKENS
 from .ways import Rate, Way, measure_latencies, measure_rate
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -9,7 +9,10 @@
 import pytest
 
 from greengagelatch_lab.fleets.daemon import Daemon
-from greengagelatch_lab.fleets.registry import InstanceListClient, create_list_entry
+from greengagelatch_lab.fleets.instance_list import (
+    InstanceListClient,
+    create_list_entry,
+)
 from greengagelatch_lab.halting import HALTED
 from greengagelatch_lab.processes import ProcessGroup
 
