--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -23,7 +23,7 @@
     from collections.abc import Iterable, Sequence
     from types import TracebackType
 
-__all__ = ("Network", "Path", "PathKind", "find_way")
+__all__ = ("Network", "Path", "PathKind", "redirect_host")
 
 #: first octet of all addresses, and third octet of those not reached through a link
 LOOPBACK = 127
@@ -96,7 +96,7 @@
             if name == data_centre:
                 continue
             host, _, port = address.rpartition(":")
-            link = Link(address, listen=f"{find_way(number, host)}:{port}")
+            link = Link(address, listen=f"{redirect_host(number, host)}:{port}")
             await self._open(name, data_centre, kind, link)
 
     def find_platform_paths(self, data_centre: str) -> list[Path]:
@@ -134,7 +134,7 @@
         self.paths.append(path)
 
 
-def find_way(source: int, host: str) -> str:
+def redirect_host(source: int, host: str) -> str:
     """Return the host that a connection from data centre ``source`` is redirected to.
 
     A host in no data centre, or in the source itself, is returned unchanged.
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/routed.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/routed.py
@@ -14,7 +14,7 @@
 
 from greengagelatch_entry.__main__ import main as run_daemon
 
-from .network import find_way
+from .network import redirect_host
 
 if TYPE_CHECKING:
     import socket
@@ -36,7 +36,7 @@
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
         host, *rest = address
-        await super().sock_connect(sock, (find_way(self._source, host), *rest))
+        await super().sock_connect(sock, (redirect_host(self._source, host), *rest))
 
 
 class _RoutedPolicy(asyncio.DefaultEventLoopPolicy):
--- a/tests/test_lab/test_network.py
+++ b/tests/test_lab/test_network.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagelatch_lab.fleets.network import Network, PathKind, find_way
+from greengagelatch_lab.fleets.network import Network, PathKind, redirect_host
 from greengagelatch_lab.fleets.routed import RoutedLoop
 
 NORTH, SOUTH = "north", "south"
@@ -26,7 +26,7 @@
     ],
 )
 def test_only_other_data_centres_are_led_elsewhere(host, led_to):
-    assert find_way(2, host) == led_to
+    assert redirect_host(2, host) == led_to
 
 
 def ask(number: int, address: str) -> bytes:
