--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -23,7 +23,7 @@
     from collections.abc import Iterable, Sequence
     from types import TracebackType
 
-__all__ = ("Network", "Path", "PathKind", "redirect_host")
+__all__ = ("Network", "NetworkPath", "PathKind", "redirect_host")
 
 #: first octet of all addresses, and third octet of those not reached through a link
 LOOPBACK = 127
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Path:
+class NetworkPath:
     """The network path from one data centre to one process outside it."""
 
     source: str
@@ -64,7 +64,7 @@
         self._numbers = {name: number for number, name in enumerate(data_centres, 1)}
         self._hosts = {name: itertools.count(FIRST) for name in data_centres}
         self._platforms: dict[str, str] = {}
-        self.paths: list[Path] = []
+        self.paths: list[NetworkPath] = []
 
     def get_number(self, data_centre: str) -> int:
         """Return the number of a data centre."""
@@ -99,7 +99,7 @@
             link = Link(address, listen=f"{redirect_host(number, host)}:{port}")
             await self._open(name, data_centre, kind, link)
 
-    def find_platform_paths(self, data_centre: str) -> list[Path]:
+    def find_platform_paths(self, data_centre: str) -> list[NetworkPath]:
         """Return the paths from a data centre to the platform."""
         return [
             path
@@ -107,7 +107,7 @@
             if path.kind is PathKind.PLATFORM and path.source == data_centre
         ]
 
-    def find_paths(self, data_centre: str, *kinds: PathKind) -> list[Path]:
+    def find_paths(self, data_centre: str, *kinds: PathKind) -> list[NetworkPath]:
         """Return the paths between a data centre and the others."""
         return [
             path
@@ -130,7 +130,7 @@
         self, source: str, destination: str, kind: PathKind, link: Link
     ) -> None:
         await link.start()
-        path = Path(source=source, destination=destination, kind=kind, link=link)
+        path = NetworkPath(source=source, destination=destination, kind=kind, link=link)
         self.paths.append(path)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -12,7 +12,7 @@
     from collections.abc import Sequence
 
     from ..fleets.daemon import Daemon
-    from ..fleets.network import Network, Path
+    from ..fleets.network import Network, NetworkPath
 
 __all__ = ("PARTITIONS",)
 
@@ -35,7 +35,7 @@
         self.name = name
         self._platform = platform
         self._kinds = kinds
-        self._paths: list[Path] = []
+        self._paths: list[NetworkPath] = []
         self._generation = 0
 
     async def begin(self, scene: Scene) -> None:
@@ -65,7 +65,7 @@
             scene.broken.append(f"{self.name}: not a member afterwards: {pair}")
         self.cut_off = ""
 
-    async def strike(self, path: Path) -> None:
+    async def strike(self, path: NetworkPath) -> None:
         """Bring the fault about on one path."""
         await path.link.cut()
 
@@ -73,7 +73,7 @@
         """Whether a change made elsewhere can get to the data centre meanwhile."""
         return not (self._platform and PathKind.PEER in self._kinds)
 
-    def _find_paths(self, network: Network) -> list[Path]:
+    def _find_paths(self, network: Network) -> list[NetworkPath]:
         paths = network.find_paths(self.cut_off, *self._kinds)
         if self._platform:
             paths += network.find_platform_paths(self.cut_off)
@@ -92,14 +92,14 @@
 class PathSilence(PathFault):
     """The paths swallow all bytes, also those of new connections."""
 
-    async def strike(self, path: Path) -> None:
+    async def strike(self, path: NetworkPath) -> None:
         path.link.silence()
 
 
 class OpenSilence(PathFault):
     """Open connections go silent for good, while new ones work."""
 
-    async def strike(self, path: Path) -> None:
+    async def strike(self, path: NetworkPath) -> None:
         path.link.silence(only_open=True)
 
     def lets_news_pass(self) -> bool:
