--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -51,7 +51,7 @@
     kind: PathKind
     link: Link
 
-    def joins(self, data_centre: str) -> bool:
+    def connects(self, data_centre: str) -> bool:
         """Whether the path connects ``data_centre`` to another data centre."""
         ends = (self.source, self.destination)
         return self.kind is not PathKind.PLATFORM and data_centre in ends
@@ -112,7 +112,7 @@
         return [
             path
             for path in self.paths
-            if path.joins(data_centre) and path.kind in kinds
+            if path.connects(data_centre) and path.kind in kinds
         ]
 
     async def __aenter__(self) -> Network:
