--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -79,7 +79,7 @@
             )
         return f"{LOOPBACK}.{self._numbers[data_centre]}.{DIRECT}.{number}"
 
-    def get_platform(self, data_centre: str) -> str:
+    def get_platform_address(self, data_centre: str) -> str:
         """Return the address at which a data centre reaches the platform."""
         return self._platforms[data_centre]
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -124,7 +124,7 @@
         """
         platform = self.registry.address
         if self.network is not None:
-            platform = self.network.get_platform(data_centre)
+            platform = self.network.get_platform_address(data_centre)
         daemon = Daemon(
             instance_id,
             data_centre,
