--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
@@ -6,7 +6,7 @@
 
 from .model import Fleet, FleetService
 
-__all__ = ("DESK_OBJECTS", "create_desk")
+__all__ = ("DESK_OBJECTS", "create_booking_fleet")
 
 DESK_OBJECTS = """
 [service:desk]
@@ -24,7 +24,7 @@
 """
 
 
-def create_desk(replicas: int) -> Fleet:
+def create_booking_fleet(replicas: int) -> Fleet:
     """Create the fleet with ``replicas`` targets in a single data centre."""
     service = FleetService(name="desk", kind=StageKind.PLAIN, replicas=replicas)
     return Fleet(
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Pipeline
-from greengagelatch_lab.fleets.desk import DESK_OBJECTS, create_desk
+from greengagelatch_lab.fleets.desk import DESK_OBJECTS, create_booking_fleet
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.checker import Checker
@@ -20,7 +20,7 @@
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
 
-DESK = create_desk(1)
+DESK = create_booking_fleet(1)
 
 #: size of the request, as a multiple of the default; the call lasts about 2 s
 SIZE = 200
