--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
@@ -6,9 +6,9 @@
 
 from .model import Fleet, FleetService
 
-__all__ = ("DESK_OBJECTS", "create_booking_fleet")
+__all__ = ("BOOKING_OBJECTS", "create_booking_fleet")
 
-DESK_OBJECTS = """
+BOOKING_OBJECTS = """
 [service:desk]
 kind = plain
 
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Pipeline
-from greengagelatch_lab.fleets.desk import DESK_OBJECTS, create_booking_fleet
+from greengagelatch_lab.fleets.desk import BOOKING_OBJECTS, create_booking_fleet
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.checker import Checker
@@ -63,7 +63,7 @@
 
     async def check(self) -> None:
         """Check the callers' observations against the records of the service."""
-        match parse_objects(DESK_OBJECTS):
+        match parse_objects(BOOKING_OBJECTS):
             case Ok(objects):
                 pipelines = [item for item in objects if isinstance(item, Pipeline)]
             case failure:
@@ -95,7 +95,7 @@
         FleetRunner(DESK, tmp_path, entries=2) as runner,
         CallerClient() as client,
     ):
-        await runner.apply_objects(DESK_OBJECTS)
+        await runner.apply_objects(BOOKING_OBJECTS)
         await runner.wait_ready()
         killed, other = runner.daemons
         trial = Trial(runner, client)
@@ -122,7 +122,7 @@
         FleetRunner(DESK, tmp_path, entries=2) as runner,
         CallerClient() as client,
     ):
-        await runner.apply_objects(DESK_OBJECTS)
+        await runner.apply_objects(BOOKING_OBJECTS)
         await runner.wait_ready()
         paused, other = runner.daemons
         trial = Trial(runner, client)
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Pipeline
-from greengagelatch_lab.fleets.desk import DESK_OBJECTS, create_booking_fleet
+from greengagelatch_lab.fleets.desk import BOOKING_OBJECTS, create_booking_fleet
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.checker import Checker
@@ -61,7 +61,7 @@
 
 
 def read_expectation() -> Expectation:
-    match parse_objects(DESK_OBJECTS):
+    match parse_objects(BOOKING_OBJECTS):
         case Ok(objects):
             pipelines = [item for item in objects if isinstance(item, Pipeline)]
             return Expectation({item.name: item for item in pipelines})
@@ -82,7 +82,7 @@
         FleetRunner(DESK, tmp_path, entries=3, settings=settings) as runner,
         CallerClient() as client,
     ):
-        await runner.apply_objects(DESK_OBJECTS)
+        await runner.apply_objects(BOOKING_OBJECTS)
         await runner.wait_ready()
         paused, killed, stopped = runner.daemons
         caller = Caller(client)
