--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Pipeline
-from greengagelatch_lab.fleets.desk import BOOKING_OBJECTS, create_booking_fleet
+from greengagelatch_lab.fleets.booking import BOOKING_OBJECTS, create_booking_fleet
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.checker import Checker
