--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -122,7 +122,7 @@
     kinds = result.report.encode()["violations"]
     broken = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     print(
-        f"{name}: {total.request_count + repeats.request_count} answers checked, attainment"
+        f"{name}: {total.requests + repeats.requests} answers checked, attainment"
         f" {total.attainment:.2%}, {result.in_flight_at_stop} in flight at the stop,"
         f" exit statuses {set(result.statuses)}, violations: {broken or 'none'}"
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/report.py
@@ -128,7 +128,7 @@
     first = values["first_token_ms"].get("p95", "-")
     gap = values["token_gap_ms"].get("p95", "-")
     return (
-        f"{name:<18}{tally.request_count:>6}{tally.attainment:>9.1%}{times}"
+        f"{name:<18}{tally.requests:>6}{tally.attainment:>9.1%}{times}"
         f"{first:>9}{gap:>9}  {_format_rest(tally)}"
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self) -> None:
-        self.request_count = 0
+        self.requests = 0
         self.in_time = 0
         self.endings: Counter[str] = Counter()
         self.refusals: Counter[str] = Counter()
@@ -43,7 +43,7 @@
 
     def add(self, observation: Observation) -> None:
         """Add one request to the statistics."""
-        self.request_count += 1
+        self.requests += 1
         self.in_time += observation.in_time
         self.endings[observation.outcome.value] += 1
         self.replayed += observation.replayed
@@ -62,12 +62,12 @@
     @property
     def attainment(self) -> float:
         """Share of requests with a result in time; 1 if there were no requests."""
-        return self.in_time / self.request_count if self.request_count else 1.0
+        return self.in_time / self.requests if self.requests else 1.0
 
     def encode(self) -> dict[str, Any]:
         """Return the counts, and the latency percentiles in milliseconds."""
         return {
-            "made": self.request_count,
+            "made": self.requests,
             "in_time": self.in_time,
             "attainment": round(self.attainment, 4),
             "endings": dict(self.endings),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -75,8 +75,7 @@
         """Return the result as JSON-compatible values."""
         return {
             "passed": self.passed,
-            "answers": self.report.total.request_count
-            + self.report.retries.request_count,
+            "answers": self.report.total.requests + self.report.retries.requests,
             "attainment": round(self.report.total.attainment, 4),
             "violations": [str(item) for item in self.violations],
             "excused": self.excused,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -44,7 +44,7 @@
             f"{code} {count}" for code, count in sorted(self.tally.refusals.items())
         )
         return (
-            f"{self.fault:<20}{self.name:<16}{self.tally.request_count:>6}"
+            f"{self.fault:<20}{self.name:<16}{self.tally.requests:>6}"
             f"{self.tally.attainment:>9.1%}  {refusals}"
         )
 
@@ -53,7 +53,7 @@
         return {
             "fault": self.fault,
             "side": self.name,
-            "made": self.tally.request_count,
+            "made": self.tally.requests,
             "attainment": round(self.tally.attainment, 4),
         }
 
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -266,8 +266,8 @@
         violations=[],
         client_lag=0.0,
     )
-    assert (report.total.request_count, report.total.in_time) == (4, 1)
-    assert report.retries.request_count == 1
+    assert (report.total.requests, report.total.in_time) == (4, 1)
+    assert report.retries.requests == 1
     assert report.total.refusals == {"overloaded (not-run)": 1}
     assert "all first sends" in report.format()
 
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -43,9 +43,7 @@
         observe(3.5, ""),
     ]
     sides = measure_sides(windows, observations, PLACES)
-    found = [
-        (s.fault, s.name, s.tally.request_count, s.tally.attainment) for s in sides
-    ]
+    found = [(s.fault, s.name, s.tally.requests, s.tally.attainment) for s in sides]
     assert found == [
         ("cut", "north", 2, 0.5),
         ("cut", "the others", 1, 1.0),
