--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -83,7 +83,7 @@
         """Return the address at which a data centre reaches the platform."""
         return self._platforms[data_centre]
 
-    async def open_platform(self, address: str) -> None:
+    async def open_platform_paths(self, address: str) -> None:
         """Open a path to the platform from every data centre."""
         for name in self._numbers:
             link = Link(address)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -210,7 +210,7 @@
         self._registry = await self._stack.enter_async_context(registry)
         if self.network is not None:
             await self._stack.enter_async_context(self.network)
-            await self.network.open_platform(registry.address)
+            await self.network.open_platform_paths(registry.address)
         starts = []
         for service in self.fleet.services:
             for number in range(service.replicas):
