--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -76,14 +76,14 @@
         self._settings = {**SETTINGS, **(settings or {})}
         self._group = ProcessGroup(directory)
         self._stack = AsyncExitStack()
-        self._registry: InstanceListClient | None = None
+        self._instance_list: InstanceListClient | None = None
 
     @property
-    def registry(self) -> InstanceListClient:
+    def instance_list(self) -> InstanceListClient:
         """Client of the platform's list of instances, available after the start."""
-        if self._registry is None:
+        if self._instance_list is None:
             raise RuntimeError(f"fleet {self.fleet.name} is not started")
-        return self._registry
+        return self._instance_list
 
     async def __aenter__(self) -> FleetRunner:
         await self._stack.enter_async_context(self._group)
@@ -122,7 +122,7 @@
 
         :param settings: additional settings of this daemon, by ``section.key``
         """
-        platform = self.registry.address
+        platform = self.instance_list.address
         if self.network is not None:
             platform = self.network.get_platform_address(data_centre)
         daemon = Daemon(
@@ -139,7 +139,7 @@
         await daemon.start()
         await self._open_paths(data_centre, daemon.peers, PathKind.PEER)
         self.daemons.append(daemon)
-        await self.registry.put([daemon.describe()])
+        await self.instance_list.put([daemon.describe()])
         return daemon
 
     async def apply_objects(self, text: str = "") -> str:
@@ -207,7 +207,7 @@
     async def _start(self) -> None:
         platform = await self._group.run_module("platform", PLATFORM_MODULE)
         registry = InstanceListClient(platform.ready)
-        self._registry = await self._stack.enter_async_context(registry)
+        self._instance_list = await self._stack.enter_async_context(registry)
         if self.network is not None:
             await self._stack.enter_async_context(self.network)
             await self.network.open_platform_paths(registry.address)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
@@ -100,10 +100,10 @@
         self._after = after
 
     async def begin(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(**self._during)
+        await scene.playing.runner.instance_list.set_faults(**self._during)
 
     async def end(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(**self._after)
+        await scene.playing.runner.instance_list.set_faults(**self._after)
 
 
 class OperatorsRacing(LastingFault):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -105,4 +105,4 @@
     )
     balancer.add(replacement.entry)
     balancer.remove(daemon.entry)
-    await runner.registry.remove([daemon.instance_id])
+    await runner.instance_list.remove([daemon.instance_id])
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -18,7 +18,7 @@
 
     async def begin(self, scene: Scene) -> None:
         runner = scene.playing.runner
-        await runner.registry.set_faults(outage=True)
+        await runner.instance_list.set_faults(outage=True)
         data_centre = scene.random_source.choice(runner.fleet.data_centres)
         known = scene.random_source.sample(runner.daemons, SEEDS)
         daemon = await runner.start_daemon(
@@ -33,4 +33,4 @@
         scene.playing.balancer.add(daemon.entry)
 
     async def end(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(outage=False)
+        await scene.playing.runner.instance_list.set_faults(outage=False)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -69,7 +69,7 @@
     async with FleetRunner(fleet, directory) as runner:
         _show(await runner.apply_objects())
         await runner.wait_ready()
-        await runner.registry.set_faults(list_lag_s=options.list_lag)
+        await runner.instance_list.set_faults(list_lag_s=options.list_lag)
         async with generate_traffic(
             runner,
             seconds=LONGEST,
@@ -90,7 +90,7 @@
     """Replace one daemon as the platform would; return its exit status."""
     runner = playing.runner
     old = daemon.entry
-    await runner.registry.put([daemon.describe("leaving")])
+    await runner.instance_list.put([daemon.describe("leaving")])
     stop = asyncio.create_task(runner.stop_daemon(daemon))
     replacement = await runner.start_daemon(
         f"{daemon.instance_id}-next", daemon.data_centre
@@ -99,7 +99,7 @@
     await runner.wait_ready(replacement)
     status = await stop
     playing.balancer.remove(old)
-    await runner.registry.remove([daemon.instance_id])
+    await runner.instance_list.remove([daemon.instance_id])
     _show(f"{daemon.instance_id} replaced, exit status {status}")
     return status
 
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -52,7 +52,7 @@
     ):
         await runner.apply_objects(OBJECTS)
         await runner.wait_ready()
-        await runner.registry.set_faults(outage=True)
+        await runner.instance_list.set_faults(outage=True)
         for path in runner.network.find_platform_paths("south"):
             path.link.silence()
         old = runner.daemons[0]
