--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -68,7 +68,7 @@
         self.network = Network(fleet.data_centres) if routed else None
         self.daemons: list[Daemon] = []
         #: data centre of every daemon started so far, by instance id
-        self.places: dict[str, str] = {}
+        self.daemon_data_centres: dict[str, str] = {}
         #: the targets, as entries of the platform's list
         self.targets: list[dict[str, str]] = []
         self._directory = directory
@@ -133,7 +133,7 @@
             settings={**self._settings, **(settings or {})},
             network=self.network,
         )
-        self.places[instance_id] = data_centre
+        self.daemon_data_centres[instance_id] = data_centre
         # added first, so that the group terminates it even if its start fails
         self._group.processes.append(daemon.process)
         await daemon.start()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -141,7 +141,9 @@
         reverted=watch.reverted,
         late_work=late_work,
         broken=scene.broken,
-        sides=measure_sides(windows, playing.run.observations, runner.places),
+        sides=measure_sides(
+            windows, playing.run.observations, runner.daemon_data_centres
+        ),
         looks=watch.looks,
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -22,7 +22,7 @@
         data_centre = scene.random_source.choice(runner.fleet.data_centres)
         known = scene.random_source.sample(runner.daemons, SEEDS)
         daemon = await runner.start_daemon(
-            f"{data_centre}-late-{len(runner.places)}",
+            f"{data_centre}-late-{len(runner.daemon_data_centres)}",
             data_centre,
             {"peers.seeds": ",".join(other.peers for other in known)},
         )
