--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -51,7 +51,7 @@
     :param directory: directory for the settings, output and logs of the processes
     :param entries: entry instances per data centre
     :param settings: additional settings of the daemons, by ``section.key``
-    :param routed: whether to emulate paths between data centres, see :attr:`network`
+    :param emulate_network: whether to emulate paths between data centres, see :attr:`network`
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         *,
         entries: int = ENTRIES_PER_DATA_CENTRE,
         settings: Mapping[str, str] | None = None,
-        routed: bool = False,
+        emulate_network: bool = False,
     ) -> None:
         self.fleet = fleet
         #: paths between the data centres; ``None`` for direct connections
-        self.network = Network(fleet.data_centres) if routed else None
+        self.network = Network(fleet.data_centres) if emulate_network else None
         self.daemons: list[Daemon] = []
         #: data centre of every daemon started so far, by instance id
         self.daemon_data_centres: dict[str, str] = {}
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -112,7 +112,7 @@
 
 
 async def _run(fleet: Fleet, directory: Path, options: argparse.Namespace) -> Result:
-    async with FleetRunner(fleet, directory, routed=True) as runner:
+    async with FleetRunner(fleet, directory, emulate_network=True) as runner:
         await runner.apply_objects()
         await runner.wait_ready()
         watch = GenerationWatch(runner)
