--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -48,7 +48,7 @@
         self.data_centre = data_centre
         host = LOOPBACK if network is None else network.assign_host(data_centre)
         self._path = directory / f"{instance_id}.ini"
-        self._values = {
+        self._settings = {
             "instance.id": instance_id,
             "instance.data_centre": data_centre,
             "callers.listen": f"{host}:0",
@@ -74,8 +74,8 @@
         """Write the settings file, start the process and read its addresses."""
         self._write_settings()
         await self.process.start()
-        words = self.process.ready.split()
-        self._addresses = dict(word.split("=", 1) for word in words)
+        fields = self.process.ready.split()
+        self._addresses = dict(field.split("=", 1) for field in fields)
 
     @property
     def entry(self) -> EntryInstance:
@@ -103,7 +103,7 @@
 
     def _write_settings(self) -> None:
         sections: dict[str, dict[str, str]] = defaultdict(dict)
-        for name, value in self._values.items():
+        for name, value in self._settings.items():
             section, _, key = name.partition(".")
             sections[section][key] = value
         parser = configparser.ConfigParser(interpolation=None)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/kyushu.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/kyushu.py
@@ -47,8 +47,8 @@
             rate=12,
             deadline_ms=2000,
             repeatable=False,
-            keyed=0.7,
-            repeated=0.3,
+            keyed_fraction=0.7,
+            retry_fraction=0.3,
         ),
     ),
 )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/model.py
@@ -43,9 +43,9 @@
     stream: bool = False
     repeatable: bool = True
     #: fraction of the requests that carry an idempotency key
-    keyed: float = 0.0
+    keyed_fraction: float = 0.0
     #: fraction of the keyed requests that are resent through another instance
-    repeated: float = 0.0
+    retry_fraction: float = 0.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -26,11 +26,11 @@
 __all__ = ("Network", "NetworkPath", "PathKind", "redirect_host")
 
 #: first octet of all addresses, and third octet of those not reached through a link
-LOOPBACK = 127
-DIRECT = 0
+LOOPBACK_OCTET = 127
+DIRECT_OCTET = 0
 #: range of the last octet, the number of a process in its data centre
-FIRST = 1
-LAST = 254
+MIN_HOST_NUMBER = 1
+MAX_HOST_NUMBER = 254
 
 
 class PathKind(Enum):
@@ -62,8 +62,8 @@
 
     def __init__(self, data_centres: Sequence[str]) -> None:
         self._numbers = {name: number for number, name in enumerate(data_centres, 1)}
-        self._hosts = {name: itertools.count(FIRST) for name in data_centres}
-        self._platforms: dict[str, str] = {}
+        self._hosts = {name: itertools.count(MIN_HOST_NUMBER) for name in data_centres}
+        self._platform_addresses: dict[str, str] = {}
         self.paths: list[NetworkPath] = []
 
     def get_number(self, data_centre: str) -> int:
@@ -73,22 +73,23 @@
     def assign_host(self, data_centre: str) -> str:
         """Return an IP address unused by other processes of the data centre."""
         number = next(self._hosts[data_centre])
-        if number > LAST:
+        if number > MAX_HOST_NUMBER:
             raise RuntimeError(
-                f"no IP address left in data centre {data_centre}: {LAST} in use"
+                f"no IP address left in data centre {data_centre}:"
+                f" {MAX_HOST_NUMBER} in use"
             )
-        return f"{LOOPBACK}.{self._numbers[data_centre]}.{DIRECT}.{number}"
+        return f"{LOOPBACK_OCTET}.{self._numbers[data_centre]}.{DIRECT_OCTET}.{number}"
 
     def get_platform_address(self, data_centre: str) -> str:
         """Return the address at which a data centre reaches the platform."""
-        return self._platforms[data_centre]
+        return self._platform_addresses[data_centre]
 
     async def open_platform_paths(self, address: str) -> None:
         """Open a path to the platform from every data centre."""
         for name in self._numbers:
             link = Link(address)
-            await self._open(name, "", PathKind.PLATFORM, link)
-            self._platforms[name] = link.address
+            await self._open_path(name, "", PathKind.PLATFORM, link)
+            self._platform_addresses[name] = link.address
 
     async def open_paths(self, data_centre: str, address: str, kind: PathKind) -> None:
         """Open a path to ``address`` from every data centre except its own."""
@@ -97,7 +98,7 @@
                 continue
             host, _, port = address.rpartition(":")
             link = Link(address, listen=f"{redirect_host(number, host)}:{port}")
-            await self._open(name, data_centre, kind, link)
+            await self._open_path(name, data_centre, kind, link)
 
     def find_platform_paths(self, data_centre: str) -> list[NetworkPath]:
         """Return the paths from a data centre to the platform."""
@@ -124,9 +125,9 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        await _stop(path.link for path in self.paths)
+        await _stop_links(path.link for path in self.paths)
 
-    async def _open(
+    async def _open_path(
         self, source: str, destination: str, kind: PathKind, link: Link
     ) -> None:
         await link.start()
@@ -143,12 +144,16 @@
         octets = list(ipaddress.IPv4Address(host).packed)
     except ValueError:
         return host
-    first, data_centre, passed, _ = octets
-    if first != LOOPBACK or passed != DIRECT or data_centre in (DIRECT, source):
+    first, data_centre, link_octet, _ = octets
+    if (
+        first != LOOPBACK_OCTET
+        or link_octet != DIRECT_OCTET
+        or data_centre in (DIRECT_OCTET, source)
+    ):
         return host
     octets[2] = source
     return ".".join(str(octet) for octet in octets)
 
 
-async def _stop(links: Iterable[Link]) -> None:
+async def _stop_links(links: Iterable[Link]) -> None:
     await asyncio.gather(*(link.stop() for link in links))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -35,7 +35,7 @@
 #: entry instances per data centre
 ENTRIES_PER_DATA_CENTRE = 3
 #: settings for short runs; the load generator polls readiness every half second
-SETTINGS = {"drain.balancer_lag": "1.5", "drain.longest": "10"}
+SHORT_RUN_SETTINGS = {"drain.balancer_lag": "1.5", "drain.longest": "10"}
 #: seconds to wait until every daemon is ready, and for a graceful shutdown
 READY_TIMEOUT = 30.0
 STOP_TIMEOUT = 20.0
@@ -51,7 +51,8 @@
     :param directory: directory for the settings, output and logs of the processes
     :param entries: entry instances per data centre
     :param settings: additional settings of the daemons, by ``section.key``
-    :param emulate_network: whether to emulate paths between data centres, see :attr:`network`
+    :param emulate_network: whether to emulate paths between data centres, see
+        :attr:`network`
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         self.targets: list[dict[str, str]] = []
         self._directory = directory
         self._entries = entries
-        self._settings = {**SETTINGS, **(settings or {})}
+        self._settings = {**SHORT_RUN_SETTINGS, **(settings or {})}
         self._group = ProcessGroup(directory)
         self._stack = AsyncExitStack()
         self._instance_list: InstanceListClient | None = None
@@ -159,8 +160,8 @@
         :param at: daemon to connect to; by default any
         :raises ProcessError: if the client fails or exceeds its time-out
         """
-        asked = self.daemons if at is None else [at]
-        servers = ",".join(daemon.entry.operators for daemon in asked)
+        daemons = self.daemons if at is None else [at]
+        servers = ",".join(daemon.entry.operators for daemon in daemons)
         command = ("-m", CLIENT_MODULE, *arguments, "--server", servers)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -206,17 +207,17 @@
 
     async def _start(self) -> None:
         platform = await self._group.run_module("platform", PLATFORM_MODULE)
-        registry = InstanceListClient(platform.ready)
-        self._instance_list = await self._stack.enter_async_context(registry)
+        instance_list = InstanceListClient(platform.ready)
+        self._instance_list = await self._stack.enter_async_context(instance_list)
         if self.network is not None:
             await self._stack.enter_async_context(self.network)
-            await self.network.open_platform_paths(registry.address)
+            await self.network.open_platform_paths(instance_list.address)
         starts = []
         for service in self.fleet.services:
             for number in range(service.replicas):
                 starts.append(self._start_target(service, number))
         self.targets = list(await asyncio.gather(*starts))
-        await registry.put(self.targets)
+        await instance_list.put(self.targets)
         starts = []
         for data_centre in self.fleet.data_centres:
             for number in range(self._entries):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -27,21 +27,21 @@
 #: seconds to wait for the first instance to become ready
 READY_TIMEOUT = 20.0
 #: exit codes: no violation, at least one, run not completed
-KEPT, BROKEN, NOT_MEASURED = 0, 1, 2
+PASSED, FAILED, INCOMPLETE = 0, 1, 2
 
 
 def main() -> int:
     """Run the load generator; return 1 if any guarantee was violated."""
     options = _parse_options()
     try:
-        report = asyncio.run(_measure(options))
+        report = asyncio.run(_run_load(options))
     except (aiohttp.ClientError, TimeoutError) as error:
         print(f"run not completed: {error!r}", file=sys.stderr)
-        return NOT_MEASURED
+        return INCOMPLETE
     print(report.format(), file=_get_progress_file(options))
     if options.output == "json":
         print(json.dumps(report.encode()))
-    return KEPT if report.passed else BROKEN
+    return PASSED if report.passed else FAILED
 
 
 def _parse_options() -> argparse.Namespace:
@@ -77,7 +77,7 @@
     return EntryInstance(instance_id=callers, callers=callers, operators=operators)
 
 
-async def _measure(options: argparse.Namespace) -> Report:
+async def _run_load(options: argparse.Namespace) -> Report:
     fleet = FLEETS[options.fleet]
     arrivals = plan_run(
         fleet, seconds=options.seconds, scale=options.scale, seed=options.seed
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/answers.py
@@ -16,60 +16,68 @@
     from .expectation import Expectation
     from .observations import Observation
 
-__all__ = ("AnswerIndex", "check_answer", "describe")
+__all__ = ("ExpectedResults", "check_response", "create_violation")
 
 VERDICTS = ("not-run", "may-have-run", "ran")
 
 
-class AnswerIndex:
+class ExpectedResults:
     """Expected results, indexed by request marker and by result."""
 
     def __init__(
         self, observations: Iterable[Observation], expectation: Expectation
     ) -> None:
         self._results: dict[str, Any] = {}
-        self._owners: dict[str, str] = {}
+        self._markers: dict[str, str] = {}
         for observation in observations:
             arrival = observation.arrival
             if arrival.marker in self._results:
                 continue
-            result = expectation.expect_result(arrival.pipeline, arrival.input)
+            result = expectation.compute_result(arrival.pipeline, arrival.input)
             self._results[arrival.marker] = result
-            self._owners[_encode(result)] = arrival.marker
+            self._markers[_encode(result)] = arrival.marker
 
-    def get_result(self, marker: str) -> Any:
+    def get(self, marker: str) -> Any:
         """Return the expected result of the request with ``marker``."""
         return self._results[marker]
 
-    def find_owner(self, result: Any) -> str | None:
+    def find_marker(self, result: Any) -> str | None:
         """Return the marker of the request that expects ``result``."""
-        return self._owners.get(_encode(result))
+        return self._markers.get(_encode(result))
 
 
-def check_answer(observation: Observation, index: AnswerIndex) -> Iterator[Violation]:
+def check_response(
+    observation: Observation, expected_results: ExpectedResults
+) -> Iterator[Violation]:
     """Yield the violations found in one response."""
     outcome = observation.outcome
     if outcome is RequestOutcome.UNSENT:
         return
     if outcome is RequestOutcome.DISCONNECTED:
-        yield describe(observation, ViolationKind.DISCONNECTED, observation.message)
+        yield create_violation(
+            observation, ViolationKind.DISCONNECTED, observation.message
+        )
         return
     if outcome is RequestOutcome.TIMED_OUT:
-        yield describe(observation, ViolationKind.TIMED_OUT, observation.message)
+        yield create_violation(
+            observation, ViolationKind.TIMED_OUT, observation.message
+        )
         return
-    fault = _find_form_fault(observation)
-    if fault:
-        yield describe(observation, ViolationKind.MALFORMED, fault)
+    error = _find_protocol_error(observation)
+    if error:
+        yield create_violation(observation, ViolationKind.MALFORMED, error)
     if outcome is RequestOutcome.REFUSAL:
-        yield from _check_begun_stream(observation, index)
+        yield from _check_partial_stream(observation, expected_results)
         return
-    fault = _find_gap(observation)
-    if fault:
-        yield describe(observation, ViolationKind.INCOMPLETE, fault)
-    yield from _check_result(observation, index)
+    error = _find_stream_error(observation)
+    if error:
+        yield create_violation(observation, ViolationKind.INCOMPLETE, error)
+    yield from _check_result(observation, expected_results)
 
 
-def describe(observation: Observation, kind: ViolationKind, detail: str) -> Violation:
+def create_violation(
+    observation: Observation, kind: ViolationKind, detail: str
+) -> Violation:
     """Return a violation for the observation's request."""
     return Violation(
         kind=kind,
@@ -80,7 +88,7 @@
     )
 
 
-def _find_form_fault(observation: Observation) -> str:
+def _find_protocol_error(observation: Observation) -> str:
     if not observation.request_id:
         return "response without a request id"
     if observation.verdict not in VERDICTS:
@@ -92,7 +100,7 @@
     return ""
 
 
-def _find_gap(observation: Observation) -> str:
+def _find_stream_error(observation: Observation) -> str:
     if not observation.arrival.stream:
         return ""
     offsets = [offset for offset, _ in observation.tokens]
@@ -100,43 +108,45 @@
         return f"token offsets not contiguous: {_shorten(offsets)}"
     if observation.count != len(offsets):
         return f"received {len(offsets)} tokens, stated count {observation.count}"
-    digest = xxhash.xxh64_hexdigest(_join(observation).encode())
+    digest = xxhash.xxh64_hexdigest(_join_tokens(observation).encode())
     if observation.digest != digest:
         return f"stated digest {observation.digest}, digest of the tokens {digest}"
     return ""
 
 
-def _check_result(observation: Observation, index: AnswerIndex) -> Iterator[Violation]:
+def _check_result(
+    observation: Observation, expected_results: ExpectedResults
+) -> Iterator[Violation]:
     marker = observation.arrival.marker
-    right = index.get_result(marker)
-    given = [observation.result]
+    expected = expected_results.get(marker)
+    received = [observation.result]
     if observation.arrival.stream:
-        given.append(_join(observation))
-    for result in given:
-        if result == right:
+        received.append(_join_tokens(observation))
+    for result in received:
+        if result == expected:
             continue
-        owner = index.find_owner(result)
-        if owner is None:
-            detail = f"got {_shorten(result)}, expected {_shorten(right)}"
-            yield describe(observation, ViolationKind.WRONG, detail)
+        other_marker = expected_results.find_marker(result)
+        if other_marker is None:
+            detail = f"got {_shorten(result)}, expected {_shorten(expected)}"
+            yield create_violation(observation, ViolationKind.WRONG_RESULT, detail)
             return
-        detail = f"got the result of the request with marker {owner}"
-        yield describe(observation, ViolationKind.CROSSED, detail)
+        detail = f"got the result of the request with marker {other_marker}"
+        yield create_violation(observation, ViolationKind.MISROUTED, detail)
         return
 
 
-def _check_begun_stream(
-    observation: Observation, index: AnswerIndex
+def _check_partial_stream(
+    observation: Observation, expected_results: ExpectedResults
 ) -> Iterator[Violation]:
     """Check the tokens sent before a refusal: the caller may have used them."""
-    text = _join(observation)
-    right = index.get_result(observation.arrival.marker)
-    if text and not str(right).startswith(text):
-        detail = f"refused after tokens {_shorten(text)}, expected {_shorten(right)}"
-        yield describe(observation, ViolationKind.WRONG, detail)
+    text = _join_tokens(observation)
+    expected = expected_results.get(observation.arrival.marker)
+    if text and not str(expected).startswith(text):
+        detail = f"refused after tokens {_shorten(text)}, expected {_shorten(expected)}"
+        yield create_violation(observation, ViolationKind.WRONG_RESULT, detail)
 
 
-def _join(observation: Observation) -> str:
+def _join_tokens(observation: Observation) -> str:
     return "".join(text for _, text in observation.tokens)
 
 
@@ -145,11 +155,11 @@
 
 
 #: maximum characters of a value quoted in a violation
-MAX_SHOWN = 60
+MAX_QUOTED_CHARACTERS = 60
 
 
 def _shorten(value: Any) -> str:
     text = repr(value)
-    if len(text) <= MAX_SHOWN:
+    if len(text) <= MAX_QUOTED_CHARACTERS:
         return text
-    return f"{text[:MAX_SHOWN]}…"
+    return f"{text[:MAX_QUOTED_CHARACTERS]}…"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
@@ -12,9 +12,9 @@
 __all__ = ("Arrival", "plan_arrivals")
 
 #: minimum and maximum seconds before a request is resent with the same key
-REPEAT_DELAY = (0.02, 1.5)
+RETRY_DELAY_SECONDS = (0.02, 1.5)
 #: number of prompt prefixes shared by the requests of a workspace and pipeline
-PROMPT_BEGINNINGS = 4
+PROMPT_PREFIXES = 4
 #: random bits of a marker, enough to make collisions within a run improbable
 MARKER_BITS = 64
 
@@ -54,15 +54,15 @@
     for traffic in fleet.traffic:
         offset = random_source.expovariate(traffic.rate * scale)
         while offset < seconds:
-            arrival = _draw(fleet, traffic, offset, len(drawn), random_source)
+            arrival = _draw_arrival(fleet, traffic, offset, len(drawn), random_source)
             drawn.append(arrival)
-            if arrival.key and random_source.random() < traffic.repeated:
-                drawn.append(_repeat(arrival, len(drawn), random_source))
+            if arrival.key and random_source.random() < traffic.retry_fraction:
+                drawn.append(_create_retry(arrival, len(drawn), random_source))
             offset += random_source.expovariate(traffic.rate * scale)
     return tuple(sorted(drawn, key=lambda arrival: arrival.offset))
 
 
-def _draw(
+def _draw_arrival(
     fleet: Fleet,
     traffic: Traffic,
     offset: float,
@@ -73,7 +73,7 @@
     weights = [workspace.weight for workspace in fleet.workspaces]
     workspace = random_source.choices(names, weights)[0]
     marker = f"{random_source.getrandbits(MARKER_BITS):016x}"
-    keyed = random_source.random() < traffic.keyed
+    keyed = random_source.random() < traffic.keyed_fraction
     return Arrival(
         index=index,
         offset=offset,
@@ -91,15 +91,15 @@
 def _draw_input(
     traffic: Traffic, workspace: str, marker: str, random_source: random.Random
 ) -> dict[str, Any]:
-    number = random_source.randrange(PROMPT_BEGINNINGS)
+    number = random_source.randrange(PROMPT_PREFIXES)
     prefix = f"{workspace}/{traffic.pipeline}/{number}"
-    given = {"prompt": f"{prefix}: {marker}", "prefix": prefix, "effect": marker}
-    least, most = traffic.tokens
-    if most:
-        given["tokens"] = random_source.randint(least, most)
-    return given
+    fields = {"prompt": f"{prefix}: {marker}", "prefix": prefix, "effect": marker}
+    minimum, maximum = traffic.tokens
+    if maximum:
+        fields["tokens"] = random_source.randint(minimum, maximum)
+    return fields
 
 
-def _repeat(first: Arrival, index: int, random_source: random.Random) -> Arrival:
-    offset = first.offset + random_source.uniform(*REPEAT_DELAY)
+def _create_retry(first: Arrival, index: int, random_source: random.Random) -> Arrival:
+    offset = first.offset + random_source.uniform(*RETRY_DELAY_SECONDS)
     return replace(first, index=index, offset=offset, retry_of=first.index)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
@@ -90,13 +90,13 @@
 
     async def _poll(self, instance: EntryInstance) -> None:
         while True:
-            if await self._ask(instance):
+            if await self._is_ready(instance):
                 self._ready[instance.instance_id] = instance
             else:
                 self._ready.pop(instance.instance_id, None)
             await asyncio.sleep(self._interval)
 
-    async def _ask(self, instance: EntryInstance) -> bool:
+    async def _is_ready(self, instance: EntryInstance) -> bool:
         try:
             async with self._session.get(
                 f"http://{instance.operators}/readyz"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from .answers import AnswerIndex, check_answer, describe
+from .answers import ExpectedResults, check_response, create_violation
 from .observations import RequestOutcome
 from .violations import Violation, ViolationKind
 
@@ -14,7 +14,7 @@
 
     from .expectation import Expectation
     from .observations import Observation
-    from .records import StageRecord, TargetRecord
+    from .records import StageRun, TargetRecord
 
 __all__ = ("Checker",)
 
@@ -39,12 +39,12 @@
         self._observations = observations
         self._records = records
         self._expectation = expectation
-        self._runs: dict[str, list[StageRecord]] = defaultdict(list)
+        self._runs_by_request: dict[str, list[StageRun]] = defaultdict(list)
         self._effects: Counter[tuple[str, str]] = Counter()
         for record in records:
             self._effects.update(record.effects)
             for run in record.runs:
-                self._runs[run.request].append(run)
+                self._runs_by_request[run.request_id].append(run)
         # requests with the same marker are the same request, sent more than once
         self._groups: dict[str, list[Observation]] = defaultdict(list)
         for observation in observations:
@@ -52,18 +52,18 @@
 
     def check(self) -> list[Violation]:
         """Return all violations; empty if every guarantee held."""
-        found = list(self._check_records())
-        index = AnswerIndex(self._observations, self._expectation)
+        violations = list(self._check_records())
+        expected_results = ExpectedResults(self._observations, self._expectation)
         for observation in self._observations:
-            found.extend(check_answer(observation, index))
-            found.extend(self._check_not_run(observation))
-            found.extend(self._check_recorded(observation))
-            found.extend(self._check_fault(observation))
-        found.extend(self._check_ids())
+            violations.extend(check_response(observation, expected_results))
+            violations.extend(self._check_not_run_verdict(observation))
+            violations.extend(self._check_has_record(observation))
+            violations.extend(self._check_internal_error(observation))
+        violations.extend(self._check_ids())
         for group in self._groups.values():
-            found.extend(self._check_doubled(group))
-            found.extend(self._check_effects_of_not_run(group))
-        return found
+            violations.extend(self._check_duplicate_runs(group))
+            violations.extend(self._check_not_run_effects(group))
+        return violations
 
     def _check_records(self) -> Iterator[Violation]:
         for record in self._records:
@@ -71,32 +71,32 @@
                 detail = (
                     f"{record.target} dropped {record.dropped} runs from its record"
                 )
-                yield Violation(kind=ViolationKind.RECORD_LOST, detail=detail)
+                yield Violation(kind=ViolationKind.INCOMPLETE_RECORD, detail=detail)
 
-    def _check_not_run(self, observation: Observation) -> Iterator[Violation]:
+    def _check_not_run_verdict(self, observation: Observation) -> Iterator[Violation]:
         if observation.verdict != NOT_RUN or not observation.request_id:
             return
-        runs = self._runs.get(observation.request_id)
+        runs = self._runs_by_request.get(observation.request_id)
         if runs:
             detail = f"refused with {observation.code}, but ran {_list_runs(runs)}"
-            yield describe(observation, ViolationKind.FALSE_NOT_RUN, detail)
+            yield create_violation(observation, ViolationKind.FALSE_NOT_RUN, detail)
 
-    def _check_recorded(self, observation: Observation) -> Iterator[Violation]:
+    def _check_has_record(self, observation: Observation) -> Iterator[Violation]:
         # a replayed result was executed for the first request with the key
         if observation.outcome is not RequestOutcome.RESULT or observation.replayed:
             return
-        runs = self._runs.get(observation.request_id, ())
+        runs = self._runs_by_request.get(observation.request_id, ())
         finished = {run.stage for run in runs if run.finished}
         stages = self._expectation.list_stages(observation.arrival.pipeline)
         missing = [stage for stage in stages if stage not in finished]
         if missing:
             detail = f"no completed run recorded for {', '.join(missing)}"
-            yield describe(observation, ViolationKind.NOT_RECORDED, detail)
+            yield create_violation(observation, ViolationKind.NOT_RECORDED, detail)
 
-    def _check_fault(self, observation: Observation) -> Iterator[Violation]:
+    def _check_internal_error(self, observation: Observation) -> Iterator[Violation]:
         if observation.code == INTERNAL:
             detail = "refused because of an internal error of the instance"
-            yield describe(observation, ViolationKind.FAULT, detail)
+            yield create_violation(observation, ViolationKind.INTERNAL_ERROR, detail)
 
     def _check_ids(self) -> Iterator[Violation]:
         owners: dict[str, Observation] = {}
@@ -106,9 +106,11 @@
             first = owners.setdefault(observation.request_id, observation)
             if first.arrival.marker != observation.arrival.marker:
                 detail = f"request id already used by arrival {first.arrival.index}"
-                yield describe(observation, ViolationKind.CROSSED, detail)
+                yield create_violation(observation, ViolationKind.MISROUTED, detail)
 
-    def _check_doubled(self, group: Sequence[Observation]) -> Iterator[Violation]:
+    def _check_duplicate_runs(
+        self, group: Sequence[Observation]
+    ) -> Iterator[Violation]:
         arrival = group[0].arrival
         stages = frozenset(self._expectation.list_stages(arrival.pipeline))
         if arrival.repeatable:
@@ -123,9 +125,9 @@
                 f"{stage} must run at most once:"
                 f" {counts[stage]} runs, {effects} side effects"
             )
-            yield describe(group[0], ViolationKind.DOUBLED, detail)
+            yield create_violation(group[0], ViolationKind.DUPLICATE_RUN, detail)
 
-    def _check_effects_of_not_run(
+    def _check_not_run_effects(
         self, group: Sequence[Observation]
     ) -> Iterator[Violation]:
         """Find side effects of a request whose responses all state that nothing ran."""
@@ -139,12 +141,16 @@
                 detail = (
                     f"no response states that it ran, but {stage} had a side effect"
                 )
-                yield describe(group[0], ViolationKind.FALSE_NOT_RUN, detail)
+                yield create_violation(group[0], ViolationKind.FALSE_NOT_RUN, detail)
 
-    def _list_group_runs(self, group: Sequence[Observation]) -> list[StageRecord]:
+    def _list_group_runs(self, group: Sequence[Observation]) -> list[StageRun]:
         ids = {item.request_id for item in group if item.request_id}
-        return [run for request in sorted(ids) for run in self._runs.get(request, ())]
+        return [
+            run
+            for request_id in sorted(ids)
+            for run in self._runs_by_request.get(request_id, ())
+        ]
 
 
-def _list_runs(runs: Sequence[StageRecord]) -> str:
+def _list_runs(runs: Sequence[StageRun]) -> str:
     return ", ".join(f"{run.stage} (attempt {run.attempt})" for run in runs)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -26,14 +26,14 @@
 #: limit on open connections to all instances together
 MAX_CONNECTIONS = 256
 #: seconds beyond the deadline after which a request counts as unanswered
-GRACE = 5.0
+GRACE_SECONDS = 5.0
 #: maximum size of a server-sent event in bytes
-MAX_EVENT = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 EVENT_STREAM = "text/event-stream"
 
 
 @dataclass(slots=True)
-class _Reading:
+class _PartialResponse:
     """The part of a response received so far."""
 
     fields: dict[str, Any] = field(default_factory=dict)
@@ -54,7 +54,7 @@
     """
 
     def __init__(
-        self, *, max_connections: int = MAX_CONNECTIONS, grace: float = GRACE
+        self, *, max_connections: int = MAX_CONNECTIONS, grace: float = GRACE_SECONDS
     ) -> None:
         self._max_connections = max_connections
         self._grace = grace
@@ -83,40 +83,40 @@
 
         :param due: event loop time at which the request was scheduled
         """
-        reading = _Reading()
+        partial = _PartialResponse()
         limit = due + arrival.deadline_ms / 1000 + self._grace
         try:
             async with asyncio.timeout_at(limit):
-                await self._exchange(arrival, instance, due, reading)
+                await self._exchange(arrival, instance, due, partial)
         except TimeoutError:
-            reading.outcome = RequestOutcome.TIMED_OUT
-            reading.message = (
+            partial.outcome = RequestOutcome.TIMED_OUT
+            partial.message = (
                 f"response incomplete {self._grace:g} s after the deadline"
             )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            reading.outcome = RequestOutcome.DISCONNECTED
-            reading.message = repr(error)
-        return _observe(arrival, instance, reading, _get_time() - due)
+            partial.outcome = RequestOutcome.DISCONNECTED
+            partial.message = repr(error)
+        return _create_observation(arrival, instance, partial, _get_time() - due)
 
     async def _exchange(
         self,
         arrival: Arrival,
         instance: EntryInstance,
         due: float,
-        reading: _Reading,
+        partial: _PartialResponse,
     ) -> None:
         async with self._session.post(
             f"http://{instance.callers}/v1/pipelines/{arrival.pipeline}",
             json={"input": arrival.input, "stream": arrival.stream},
             headers=_create_headers(arrival),
         ) as response:
-            reading.status = response.status
+            partial.status = response.status
             if response.content_type == EVENT_STREAM:
-                await _read_stream(response, due, reading)
+                await _read_stream(response, due, partial)
                 return
-            reading.fields = json.loads(await response.read())
+            partial.fields = json.loads(await response.read())
             refused = response.status >= 400
-            reading.outcome = (
+            partial.outcome = (
                 RequestOutcome.REFUSAL if refused else RequestOutcome.RESULT
             )
 
@@ -136,52 +136,52 @@
 
 
 async def _read_stream(
-    response: aiohttp.ClientResponse, due: float, reading: _Reading
+    response: aiohttp.ClientResponse, due: float, partial: _PartialResponse
 ) -> None:
-    parser = EventParser(MAX_EVENT)
+    parser = EventParser(MAX_EVENT_BYTES)
     async for chunk in response.content.iter_any():
         for event in parser.feed(chunk):
-            _take_event(event, _get_time() - due, reading)
-    if reading.outcome is RequestOutcome.DISCONNECTED:
-        reading.message = (
-            f"stream ended without a final event after {len(reading.tokens)} tokens"
+            _handle_event(event, _get_time() - due, partial)
+    if partial.outcome is RequestOutcome.DISCONNECTED:
+        partial.message = (
+            f"stream ended without a final event after {len(partial.tokens)} tokens"
         )
 
 
-def _take_event(event: Event, seconds: float, reading: _Reading) -> None:
-    if reading.outcome is not RequestOutcome.DISCONNECTED:
+def _handle_event(event: Event, seconds: float, partial: _PartialResponse) -> None:
+    if partial.outcome is not RequestOutcome.DISCONNECTED:
         raise ValueError(f"event {event.name!r} after the final event of the stream")
     fields = json.loads(event.data)
     if event.name == "token":
-        reading.tokens.append((fields["offset"], fields["text"]))
-        reading.token_seconds.append(seconds)
+        partial.tokens.append((fields["offset"], fields["text"]))
+        partial.token_seconds.append(seconds)
         return
-    reading.fields = fields
-    reading.outcome = (
+    partial.fields = fields
+    partial.outcome = (
         RequestOutcome.RESULT if event.name == "end" else RequestOutcome.REFUSAL
     )
 
 
-def _observe(
-    arrival: Arrival, instance: EntryInstance, reading: _Reading, seconds: float
+def _create_observation(
+    arrival: Arrival, instance: EntryInstance, partial: _PartialResponse, seconds: float
 ) -> Observation:
-    fields = reading.fields
+    fields = partial.fields
     return Observation(
         arrival=arrival,
-        outcome=reading.outcome,
+        outcome=partial.outcome,
         instance=instance.instance_id,
-        status=reading.status,
+        status=partial.status,
         request_id=fields.get("request", ""),
         verdict=fields.get("verdict", ""),
         code=fields.get("code", ""),
-        message=reading.message or fields.get("message", ""),
+        message=partial.message or fields.get("message", ""),
         result=fields.get("result"),
         replayed=fields.get("replayed", False),
-        tokens=tuple(reading.tokens),
+        tokens=tuple(partial.tokens),
         count=fields.get("count"),
         digest=fields.get("digest", ""),
         seconds=seconds,
-        token_seconds=tuple(reading.token_seconds),
+        token_seconds=tuple(partial.token_seconds),
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/costs.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/costs.py
@@ -11,10 +11,10 @@
     from .observations import Observation
     from .records import TargetRecord
 
-__all__ = ("StageCost", "measure_costs")
+__all__ = ("StageCost", "compute_costs")
 
 #: pipeline of runs whose request id appears in no response
-UNKNOWN = "unknown"
+UNKNOWN_PIPELINE = "unknown"
 
 
 @dataclass(slots=True)
@@ -28,7 +28,7 @@
     runs: int = 0
 
 
-def measure_costs(
+def compute_costs(
     observations: Sequence[Observation], records: Sequence[TargetRecord]
 ) -> list[StageCost]:
     """Return the cost of every stage, sorted by pipeline and stage name.
@@ -43,17 +43,17 @@
         if observation.in_time:
             in_time.add(observation.request_id)
     costs: dict[tuple[str, str], StageCost] = {}
-    used: set[tuple[str, str]] = set()
+    counted: set[tuple[str, str]] = set()
     for record in records:
         for run in record.runs:
-            pipeline = pipelines.get(run.request, UNKNOWN)
+            pipeline = pipelines.get(run.request_id, UNKNOWN_PIPELINE)
             cost = costs.setdefault(
                 (pipeline, run.stage), StageCost(pipeline, run.stage)
             )
             cost.runs += 1
-            use = (run.request, run.stage)
-            if run.finished and run.request in in_time and use not in used:
-                used.add(use)
+            stage_run = (run.request_id, run.stage)
+            if run.finished and run.request_id in in_time and stage_run not in counted:
+                counted.add(stage_run)
                 cost.useful_ms += run.cost_ms
                 continue
             cost.wasted_ms += run.cost_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/expectation.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/expectation.py
@@ -26,15 +26,15 @@
         """Return the names of all pipelines."""
         return tuple(self._pipelines)
 
-    def expect_result(self, pipeline_name: str, given: Any) -> Any:
-        """Return the expected result of a pipeline for the input ``given``.
+    def compute_result(self, pipeline_name: str, pipeline_input: Any) -> Any:
+        """Return the expected result of a pipeline for the input ``pipeline_input``.
 
         If the last stage generates, this is the text of all its tokens.
         """
         pipeline = self._pipelines[pipeline_name]
         results: dict[str, Any] = {}
         for stage in pipeline.stages:
-            stage_input = build_input(stage, given, results)
+            stage_input = build_input(stage, pipeline_input, results)
             results[stage.name] = expected_output(
                 pipeline.name, stage.name, stage.kind, stage_input
             )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/reading.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/reading.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from .records import StageRecord, TargetRecord
+from .records import StageRun, TargetRecord
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -15,7 +15,7 @@
 __all__ = ("list_targets", "read_records")
 
 #: time-out of a call in seconds
-TIMEOUT = 20.0
+TIMEOUT_SECONDS = 20.0
 #: outcome of a completed run
 DONE = "done"
 
@@ -55,10 +55,10 @@
     )
 
 
-def _decode_run(run: dict[str, Any]) -> StageRecord:
-    return StageRecord(
+def _decode_run(run: dict[str, Any]) -> StageRun:
+    return StageRun(
         attempt=run["attempt"],
-        request=run["request"],
+        request_id=run["request"],
         stage=run["stage"],
         finished=run["outcome"] == DONE,
         cost_ms=run["cost_ms"],
@@ -83,4 +83,4 @@
 
 
 def _create_session() -> aiohttp.ClientSession:
-    return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=TIMEOUT))
+    return aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=TIMEOUT_SECONDS))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
@@ -16,10 +16,10 @@
 __all__ = ("RequestStatistics", "summarize")
 
 #: range of the histograms in microseconds, and their significant digits
-LOWEST = 1
-HIGHEST = 600_000_000
-DIGITS = 3
-MICROSECONDS = 1_000_000
+MIN_MICROSECONDS = 1
+MAX_MICROSECONDS = 600_000_000
+SIGNIFICANT_DIGITS = 3
+MICROSECONDS_PER_SECOND = 1_000_000
 
 PERCENTILES = (50, 95, 99)
 
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.requests = 0
         self.in_time = 0
-        self.endings: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
         self.refusals: Counter[str] = Counter()
         self.replayed = 0
         self._latency = _create_histogram()
@@ -45,7 +45,7 @@
         """Add one request to the statistics."""
         self.requests += 1
         self.in_time += observation.in_time
-        self.endings[observation.outcome.value] += 1
+        self.outcomes[observation.outcome.value] += 1
         self.replayed += observation.replayed
         if observation.outcome is RequestOutcome.REFUSAL:
             self.refusals[f"{observation.code} ({observation.verdict})"] += 1
@@ -70,7 +70,7 @@
             "made": self.requests,
             "in_time": self.in_time,
             "attainment": round(self.attainment, 4),
-            "endings": dict(self.endings),
+            "endings": dict(self.outcomes),
             "refusals": dict(self.refusals),
             "replayed": self.replayed,
             "latency_ms": summarize(self._latency),
@@ -93,9 +93,9 @@
 
 
 def _create_histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST, HIGHEST, DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 def _record(histogram: HdrHistogram, seconds: float) -> None:
-    value = round(seconds * MICROSECONDS)
-    histogram.record_value(min(max(value, LOWEST), HIGHEST))
+    value = round(seconds * MICROSECONDS_PER_SECOND)
+    histogram.record_value(min(max(value, MIN_MICROSECONDS), MAX_MICROSECONDS))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -40,13 +40,13 @@
         self._arrivals = arrivals
         self._balancer = balancer
         self._client = client
-        self._end_when_unserved = stop_when_unavailable
+        self._stop_when_unavailable = stop_when_unavailable
         self._show = show
         #: id of the instance that each arrival was sent to, by index
         self._instances: dict[int, str] = {}
         self._in_flight: set[asyncio.Task[None]] = set()
         self._sent = 0
-        self._ended = False
+        self._stopped = False
         self._started = 0.0
         self.observations: list[Observation] = []
         #: maximum delay of this client behind the schedule in seconds
@@ -66,33 +66,33 @@
 
     def end(self) -> None:
         """Send no further arrivals; requests in flight are still awaited."""
-        self._ended = True
+        self._stopped = True
 
     async def run(self) -> list[Observation]:
         """Send all arrivals and wait for all responses."""
         loop = asyncio.get_running_loop()
         self._started = loop.time()
-        progress = asyncio.create_task(self._show_progress())
+        progress = asyncio.create_task(self._report_periodically())
         try:
             await self._send_all(loop)
             await asyncio.gather(*self._in_flight)
         finally:
             progress.cancel()
-        self._print()
+        self._report_progress()
         return self.observations
 
     async def _send_all(self, loop: asyncio.AbstractEventLoop) -> None:
         for arrival in self._arrivals:
             due = self._started + arrival.offset
             await asyncio.sleep(max(due - loop.time(), 0))
-            if self._ended:
+            if self._stopped:
                 return
             avoid = ""
             if arrival.retry_of is not None:
                 avoid = self._instances.get(arrival.retry_of, "")
             instance = self._balancer.pick(avoid)
             if instance is None:
-                if self._end_when_unserved:
+                if self._stop_when_unavailable:
                     return
                 self.observations.append(
                     Observation(arrival=arrival, outcome=RequestOutcome.UNSENT)
@@ -101,20 +101,20 @@
             self._instances[arrival.index] = instance.instance_id
             self._sent += 1
             self.client_lag = max(self.client_lag, loop.time() - due)
-            work = self._client.send(arrival, instance, due)
-            task = asyncio.create_task(self._keep(work))
+            exchange = self._client.send(arrival, instance, due)
+            task = asyncio.create_task(self._record(exchange))
             self._in_flight.add(task)
             task.add_done_callback(self._in_flight.discard)
 
-    async def _keep(self, work: Awaitable[Observation]) -> None:
-        self.observations.append(await work)
+    async def _record(self, exchange: Awaitable[Observation]) -> None:
+        self.observations.append(await exchange)
 
-    async def _show_progress(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
             await asyncio.sleep(PROGRESS_INTERVAL)
-            self._print()
+            self._report_progress()
 
-    def _print(self) -> None:
+    def _report_progress(self) -> None:
         if self._show is None:
             return
         in_time = sum(item.in_time for item in self.observations)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/violations.py
@@ -20,19 +20,19 @@
     #: tokens are missing or duplicated, or don't match the stated count or digest
     INCOMPLETE = "incomplete"
     #: the result differs from the expected one
-    WRONG = "wrong"
+    WRONG_RESULT = "wrong"
     #: the result or request id belongs to another request
-    CROSSED = "crossed"
+    MISROUTED = "crossed"
     #: a stage that must run at most once ran more than once
-    DOUBLED = "doubled"
+    DUPLICATE_RUN = "doubled"
     #: refused as "not run" although a target ran at least one stage
     FALSE_NOT_RUN = "false-not-run"
     #: refused because of an internal error of the entry instance
-    FAULT = "fault"
+    INTERNAL_ERROR = "fault"
     #: a result without a completed run of every stage in the targets' records
     NOT_RECORDED = "not-recorded"
     #: a target's record is incomplete, so the run can't be verified
-    RECORD_LOST = "record-lost"
+    INCOMPLETE_RECORD = "record-lost"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -9,10 +9,10 @@
 from greengagelatch_lab.fleets import FLEETS, LUZON
 from greengagelatch_lab.load import plan_run
 from greengagelatch_lab.load.checker import Checker
-from greengagelatch_lab.load.costs import measure_costs
+from greengagelatch_lab.load.costs import compute_costs
 from greengagelatch_lab.load.expectation import Expectation
 from greengagelatch_lab.load.observations import Observation, RequestOutcome
-from greengagelatch_lab.load.records import StageRecord, TargetRecord
+from greengagelatch_lab.load.records import StageRun, TargetRecord
 from greengagelatch_lab.load.report import build_report
 from greengagelatch_lab.load.violations import ViolationKind
 from greengagelatch_lab.standins.answers import digest_tokens
@@ -40,7 +40,7 @@
 
 def answer(arrival, **changes):
     """Return the observation of a right, whole and timely answer."""
-    result = EXPECTATION.expect_result(arrival.pipeline, arrival.input)
+    result = EXPECTATION.compute_result(arrival.pipeline, arrival.input)
     values = {
         "arrival": arrival,
         "outcome": RequestOutcome.RESULT,
@@ -82,9 +82,9 @@
             effects[(arrival.marker, stage)] = times
             for number in range(times):
                 runs.append(
-                    StageRecord(
+                    StageRun(
                         attempt=f"{item.request_id}-{stage}-{number}",
-                        request=item.request_id,
+                        request_id=item.request_id,
                         stage=stage,
                         finished=True,
                         cost_ms=5.0,
@@ -121,7 +121,7 @@
     run, and the record shows two runs and two effects under one request id.
     """
     item = answer(find_arrival("booking"))
-    assert set(check([item], record(item, times=2))) == {ViolationKind.DOUBLED}
+    assert set(check([item], record(item, times=2))) == {ViolationKind.DUPLICATE_RUN}
 
 
 def test_doubled_effect_of_a_repeat_is_caught():
@@ -133,7 +133,7 @@
     first = answer(find_arrival("booking", repeated=True))
     repeat = answer(find_repeat(first.arrival))
     kinds = check([first, repeat], record(first), record(repeat))
-    assert set(kinds) == {ViolationKind.DOUBLED}
+    assert set(kinds) == {ViolationKind.DUPLICATE_RUN}
 
 
 def test_rerun_of_a_repeatable_stage_passes():
@@ -152,18 +152,18 @@
         dataclasses.replace(one, result=other.result),
         dataclasses.replace(other, result=one.result),
     ]
-    assert check(swapped, record(one, other)) == [ViolationKind.CROSSED] * 2
+    assert check(swapped, record(one, other)) == [ViolationKind.MISROUTED] * 2
 
 
 def test_shared_request_id_is_caught():
     one, other = (answer(find_arrival("status", number=n)) for n in range(2))
     other = dataclasses.replace(other, request_id=one.request_id)
-    assert ViolationKind.CROSSED in check([one, other], record(one))
+    assert ViolationKind.MISROUTED in check([one, other], record(one))
 
 
 def test_wrong_result_is_caught():
     item = answer(find_arrival("status"), result={"digest": "0"})
-    assert check([item], record(item)) == [ViolationKind.WRONG]
+    assert check([item], record(item)) == [ViolationKind.WRONG_RESULT]
 
 
 @pytest.mark.parametrize(
@@ -196,7 +196,7 @@
     item = answer(find_arrival("shift-plan"))
     tokens = ((0, "else "),)
     refused = dataclasses.replace(refuse(item.arrival, "may-have-run"), tokens=tokens)
-    assert check([refused], record(item)) == [ViolationKind.WRONG]
+    assert check([refused], record(item)) == [ViolationKind.WRONG_RESULT]
 
 
 def test_false_not_run_is_caught():
@@ -224,7 +224,7 @@
     """
     item = refuse(find_arrival("booking"))
     fault = dataclasses.replace(item, code="internal")
-    assert check([fault], record()) == [ViolationKind.FAULT]
+    assert check([fault], record()) == [ViolationKind.INTERNAL_ERROR]
 
 
 def test_true_not_run_passes():
@@ -239,14 +239,14 @@
 def test_lost_record_is_caught():
     item = answer(find_arrival("status"))
     lost = dataclasses.replace(record(item), dropped=1)
-    assert check([item], lost) == [ViolationKind.RECORD_LOST]
+    assert check([item], lost) == [ViolationKind.INCOMPLETE_RECORD]
 
 
 def test_costs_of_late_requests_and_of_further_runs_are_waste():
     in_time = answer(find_arrival("status"))
     late = answer(find_arrival("status", number=1), seconds=99.0)
     records = [record(in_time, times=2), record(late)]
-    (cost,) = measure_costs([in_time, late], records)
+    (cost,) = compute_costs([in_time, late], records)
     assert (cost.useful_ms, cost.wasted_ms, cost.runs) == (5.0, 10.0, 3)
 
 
