--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -16,7 +16,7 @@
 from .balancer import Balancer, EntryInstance
 from .checking import check_run, plan_run
 from .client import CallerClient
-from .reading import list_targets
+from .record_client import list_targets
 from .run import LoadRun
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checking.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checking.py
@@ -8,7 +8,7 @@
 from .arrivals import plan_arrivals
 from .checker import Checker
 from .expectation import Expectation
-from .reading import read_records
+from .record_client import read_records
 from .report import build_report
 
 if TYPE_CHECKING:
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -16,7 +16,7 @@
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
 from greengagelatch_lab.load.observations import RequestOutcome
-from greengagelatch_lab.load.reading import read_records
+from greengagelatch_lab.load.record_client import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
 
