--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/checker.py
@@ -5,8 +5,8 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from .answers import ExpectedResults, check_response, create_violation
 from .observations import RequestOutcome
+from .response_checks import ExpectedResults, check_response, create_violation
 from .violations import Violation, ViolationKind
 
 if TYPE_CHECKING:
