--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__init__.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from .balancer import Balancer, EntryInstance
-from .checking import check_run, plan_run
 from .report import Report
 from .run import LoadRun
+from .verification import check_run, plan_run
 
 __all__ = ("Balancer", "EntryInstance", "LoadRun", "Report", "check_run", "plan_run")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -14,10 +14,10 @@
 from ..fleets import FLEETS
 from ..waiting import wait_until
 from .balancer import Balancer, EntryInstance
-from .checking import check_run, plan_run
 from .client import CallerClient
 from .record_client import list_targets
 from .run import LoadRun
+from .verification import check_run, plan_run
 
 if TYPE_CHECKING:
     from .report import Report
