--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -64,7 +64,7 @@
             return 0.0
         return asyncio.get_running_loop().time() - self._started
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Send no further arrivals; requests in flight are still awaited."""
         self._stopped = True
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -128,7 +128,7 @@
             windows = []
             for name in options.fault or FAULTS:
                 windows.append(await _strike(scene, name, options.seconds))
-            playing.run.end()
+            playing.run.stop()
             report = await playing.check()
         watching.cancel()
         await asyncio.gather(watching, return_exceptions=True)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -82,7 +82,7 @@
             for daemon in list(runner.daemons):
                 statuses.append(await _replace(playing, daemon))
             await asyncio.sleep(MARGIN)
-            playing.run.end()
+            playing.run.stop()
             return await playing.check(), statuses
 
 
