--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -104,7 +104,7 @@
         scale=options.scale,
         seed=options.seed,
         stop_when_unavailable=True,
-        show=_show,
+        on_progress=_show,
     ) as playing:
         await asyncio.sleep(options.seconds)
         in_flight = playing.run.in_flight
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/background_traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/background_traffic.py
@@ -48,7 +48,7 @@
     scale: float = 1.0,
     seed: int = 1,
     stop_when_unavailable: bool = False,
-    show: Callable[[str], None] | None = None,
+    on_progress: Callable[[str], None] | None = None,
 ) -> AsyncIterator[BackgroundTraffic]:
     """Start the fleet's traffic once the balancer reports every daemon ready.
 
@@ -72,7 +72,7 @@
             balancer=balancer,
             client=client,
             stop_when_unavailable=stop_when_unavailable,
-            show=show,
+            on_progress=on_progress,
         )
         task = asyncio.create_task(run.run())
         try:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -97,7 +97,7 @@
             arrivals=arrivals,
             balancer=balancer,
             client=client,
-            show=lambda line: print(line, file=output, flush=True),
+            on_progress=lambda line: print(line, file=output, flush=True),
         )
         await run.run()
     return await check_run(fleet, run, await list_targets(options.platform))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -25,7 +25,7 @@
 
     :param stop_when_unavailable: stop sending as soon as no entry instance is ready,
         as the callers of a fleet that is shut down would
-    :param show: called with each progress line
+    :param on_progress: called with each progress line
     """
 
     def __init__(
@@ -35,13 +35,13 @@
         balancer: Balancer,
         client: CallerClient,
         stop_when_unavailable: bool = False,
-        show: Callable[[str], None] | None = None,
+        on_progress: Callable[[str], None] | None = None,
     ) -> None:
         self._arrivals = arrivals
         self._balancer = balancer
         self._client = client
         self._stop_when_unavailable = stop_when_unavailable
-        self._show = show
+        self._on_progress = on_progress
         #: id of the instance that each arrival was sent to, by index
         self._instances: dict[int, str] = {}
         self._in_flight: set[asyncio.Task[None]] = set()
@@ -115,7 +115,7 @@
             self._report_progress()
 
     def _report_progress(self) -> None:
-        if self._show is None:
+        if self._on_progress is None:
             return
         in_time = sum(item.in_time for item in self.observations)
         refused = sum(
@@ -125,7 +125,7 @@
             item.outcome in (RequestOutcome.DISCONNECTED, RequestOutcome.TIMED_OUT)
             for item in self.observations
         )
-        self._show(
+        self._on_progress(
             f"{self.elapsed:6.1f} s: {self._sent} sent,"
             f" {len(self._in_flight)} in flight, {in_time} answered in time,"
             f" {refused} refused, {cut} cut,"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -122,7 +122,7 @@
             seconds=LONGEST,
             scale=options.scale,
             seed=options.seed,
-            show=_show,
+            on_progress=_show,
         ) as playing:
             scene = Scene(playing=playing, random_source=random.Random(options.seed))
             windows = []
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -75,7 +75,7 @@
             seconds=LONGEST,
             scale=options.scale,
             seed=options.seed,
-            show=_show,
+            on_progress=_show,
         ) as playing:
             await asyncio.sleep(MARGIN)
             statuses = []
