--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -87,7 +87,7 @@
         )
 
     @property
-    def peers(self) -> str:
+    def peer_address(self) -> str:
         """Address for other entry instances."""
         return self._addresses["peers"]
 
@@ -97,7 +97,7 @@
             self.instance_id,
             "entry",
             self.data_centre,
-            self.peers,
+            self.peer_address,
             state=state,
         )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -138,7 +138,7 @@
         # added first, so that the group terminates it even if its start fails
         self._group.processes.append(daemon.process)
         await daemon.start()
-        await self._open_paths(data_centre, daemon.peers, PathKind.PEER)
+        await self._open_paths(data_centre, daemon.peer_address, PathKind.PEER)
         self.daemons.append(daemon)
         await self.instance_list.put([daemon.describe()])
         return daemon
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -24,7 +24,7 @@
         daemon = await runner.start_daemon(
             f"{data_centre}-late-{len(runner.daemon_data_centres)}",
             data_centre,
-            {"peers.seeds": ",".join(other.peers for other in known)},
+            {"peers.seeds": ",".join(other.peer_address for other in known)},
         )
         try:
             await runner.wait_ready(daemon)
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -56,7 +56,7 @@
         for path in runner.network.find_platform_paths("south"):
             path.link.silence()
         old = runner.daemons[0]
-        seeds = f"127.0.0.1:1, {old.peers}"
+        seeds = f"127.0.0.1:1, {old.peer_address}"
         new = await runner.start_daemon("south-next", "south", {"peers.seeds": seeds})
         await runner.wait_ready(new)
         arrival = Arrival(
