--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -167,7 +167,7 @@
             )
             starts = [self._start_daemon(n, slots) for n in range(self._size)]
             self.daemons = list(await asyncio.gather(*starts))
-            await registry.put([daemon.describe() for daemon in self.daemons])
+            await registry.put([daemon.create_list_entry() for daemon in self.daemons])
 
     async def add_company(self, generation: int) -> None:
         """Start the members that are no daemons, some at a time."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -78,7 +78,7 @@
         group.processes.append(daemon.process)
         await daemon.start()
         async with InstanceListClient(platform.ready) as registry:
-            await registry.put([*targets, daemon.describe()])
+            await registry.put([*targets, daemon.create_list_entry()])
         bench = cls(group, session, daemon, platform)
         await bench._apply(objects)
         await bench._wait_ready()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -91,7 +91,7 @@
         """Address for other entry instances."""
         return self._addresses["peers"]
 
-    def describe(self, state: str = "live") -> dict[str, str]:
+    def create_list_entry(self, state: str = "live") -> dict[str, str]:
         """Return this daemon's entry for the platform's list of instances."""
         return create_list_entry(
             self.instance_id,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -140,7 +140,7 @@
         await daemon.start()
         await self._open_paths(data_centre, daemon.peer_address, PathKind.PEER)
         self.daemons.append(daemon)
-        await self.instance_list.put([daemon.describe()])
+        await self.instance_list.put([daemon.create_list_entry()])
         return daemon
 
     async def apply_objects(self, text: str = "") -> str:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -137,7 +137,7 @@
             create_list_entry(name, "target", DATA_CENTRE, echo.ready, service=service)
             for name, service in (("target-1", SERVICE), ("target-2", ENGINE))
         ]
-        await registry.put([*targets, daemon.describe()])
+        await registry.put([*targets, daemon.create_list_entry()])
     await _apply(group, daemon)
     ways = {
         "direct": _create_call("direct", echo),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -90,7 +90,7 @@
     """Replace one daemon as the platform would; return its exit status."""
     runner = playing.runner
     old = daemon.entry
-    await runner.instance_list.put([daemon.describe("leaving")])
+    await runner.instance_list.put([daemon.create_list_entry("leaving")])
     stop = asyncio.create_task(runner.stop_daemon(daemon))
     replacement = await runner.start_daemon(
         f"{daemon.instance_id}-next", daemon.data_centre
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -62,7 +62,7 @@
         )
         self._group.processes.append(daemon.process)
         await daemon.start()
-        await self._registry.put([daemon.describe()])
+        await self._registry.put([daemon.create_list_entry()])
         return daemon
 
     async def place(self, daemon, model):
