--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -86,7 +86,7 @@
 
     async def call(self, pipeline: str, *, stream: bool, tokens: int = 1) -> None:
         """Make one request and read its whole answer."""
-        url = f"http://{self.daemon.entry.callers}/v1/pipelines/{pipeline}"
+        url = f"http://{self.daemon.entry.caller_address}/v1/pipelines/{pipeline}"
         headers = {"X-Workspace": WORKSPACE, "X-Deadline-Ms": str(DEADLINE_MS)}
         body = {"input": {"tokens": tokens}, "stream": stream}
         data = json.dumps(body).encode()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -82,7 +82,7 @@
         """Addresses for callers and for the load balancer's readiness checks."""
         return EntryInstance(
             instance_id=self.instance_id,
-            callers=self._addresses["callers"],
+            caller_address=self._addresses["callers"],
             operators=self._addresses["operators"],
         )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -74,7 +74,9 @@
     callers, sign, operators = text.partition("/")
     if not sign:
         raise argparse.ArgumentTypeError(f"expected CALLERS/OPERATORS, got {text!r}")
-    return EntryInstance(instance_id=callers, callers=callers, operators=operators)
+    return EntryInstance(
+        instance_id=callers, caller_address=callers, operators=operators
+    )
 
 
 async def _run_load(options: argparse.Namespace) -> Report:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
@@ -25,7 +25,7 @@
     """Addresses of one entry instance, each as ``host:port``."""
 
     instance_id: str
-    callers: str
+    caller_address: str
     operators: str
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -106,7 +106,7 @@
         partial: _PartialResponse,
     ) -> None:
         async with self._session.post(
-            f"http://{instance.callers}/v1/pipelines/{arrival.pipeline}",
+            f"http://{instance.caller_address}/v1/pipelines/{arrival.pipeline}",
             json={"input": arrival.input, "stream": arrival.stream},
             headers=_create_headers(arrival),
         ) as response:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -183,7 +183,7 @@
 def _create_request(pipeline: str, daemon: Daemon, *, stream: bool = False) -> Way:
     return Way(
         name=pipeline,
-        url=f"http://{daemon.entry.callers}/v1/pipelines/{pipeline}",
+        url=f"http://{daemon.entry.caller_address}/v1/pipelines/{pipeline}",
         headers={"X-Workspace": WORKSPACE, "X-Deadline-Ms": "5000"},
         body=json.dumps({"input": CALL["input"], "stream": stream}).encode(),
         pid=daemon.process.pid,
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -41,7 +41,9 @@
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     address = f"127.0.0.1:{runner.addresses[0][1]}"
     try:
-        yield EntryInstance(instance_id="entry", callers=address, operators=address)
+        yield EntryInstance(
+            instance_id="entry", caller_address=address, operators=address
+        )
     finally:
         await runner.cleanup()
 
@@ -151,7 +153,7 @@
     def pick(self, avoid=""):
         for name in self.names:
             if name != avoid:
-                return EntryInstance(instance_id=name, callers="", operators="")
+                return EntryInstance(instance_id=name, caller_address="", operators="")
         return None
 
 
