--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -102,7 +102,9 @@
             "text": text,
             "file": "objects.ini",
         }
-        url = f"http://{self._random.choice(self.daemons).entry.operators}/changes"
+        url = (
+            f"http://{self._random.choice(self.daemons).entry.operator_address}/changes"
+        )
         async with self._session.post(url, json=body) as response:
             answer = await response.json()
         if answer.get("state") != "settled":
@@ -142,7 +144,7 @@
         """Return the counters of all daemons."""
         reading = Reading()
         for daemon in self.daemons:
-            dump = await self._get(f"http://{daemon.entry.operators}/dump")
+            dump = await self._get(f"http://{daemon.entry.operator_address}/dump")
             counters = dump["metrics"]["counters"]
             reading.sent += counters.get("peers.wire_out", 0)
             reading.received += counters.get("peers.wire_in", 0)
@@ -201,7 +203,7 @@
         return daemon
 
     async def _wait_one(self, daemon: Daemon, generation: int) -> float:
-        url = f"http://{daemon.entry.operators}/generation"
+        url = f"http://{daemon.entry.operator_address}/generation"
         while True:
             answer = await self._get(url)
             if answer["generation"] >= generation:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -106,12 +106,12 @@
 
     async def read_counters(self) -> dict[str, int]:
         """Return the daemon's counters."""
-        url = f"http://{self.daemon.entry.operators}/dump"
+        url = f"http://{self.daemon.entry.operator_address}/dump"
         async with self.session.get(url) as response:
             return (await response.json())["metrics"]["counters"]
 
     async def _apply(self, objects: str) -> None:
-        url = f"http://{self.daemon.entry.operators}/changes"
+        url = f"http://{self.daemon.entry.operator_address}/changes"
         body = {"change_id": "objects", "mode": "apply", "text": objects}
         async with self.session.post(url, json=body) as response:
             answer = await response.json()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -83,7 +83,7 @@
         return EntryInstance(
             instance_id=self.instance_id,
             caller_address=self._addresses["callers"],
-            operators=self._addresses["operators"],
+            operator_address=self._addresses["operators"],
         )
 
     @property
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -161,7 +161,7 @@
         :raises ProcessError: if the client fails or exceeds its time-out
         """
         daemons = self.daemons if at is None else [at]
-        servers = ",".join(daemon.entry.operators for daemon in daemons)
+        servers = ",".join(daemon.entry.operator_address for daemon in daemons)
         command = ("-m", CLIENT_MODULE, *arguments, "--server", servers)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -252,7 +252,7 @@
 
 
 async def _wait_ready(session: aiohttp.ClientSession, daemon: Daemon) -> None:
-    url = f"http://{daemon.entry.operators}/readyz"
+    url = f"http://{daemon.entry.operator_address}/readyz"
     while True:
         try:
             async with session.get(url) as response:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/__main__.py
@@ -75,7 +75,7 @@
     if not sign:
         raise argparse.ArgumentTypeError(f"expected CALLERS/OPERATORS, got {text!r}")
     return EntryInstance(
-        instance_id=callers, caller_address=callers, operators=operators
+        instance_id=callers, caller_address=callers, operator_address=operators
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/balancer.py
@@ -26,7 +26,7 @@
 
     instance_id: str
     caller_address: str
-    operators: str
+    operator_address: str
 
 
 class Balancer:
@@ -99,7 +99,7 @@
     async def _is_ready(self, instance: EntryInstance) -> bool:
         try:
             async with self._session.get(
-                f"http://{instance.operators}/readyz"
+                f"http://{instance.operator_address}/readyz"
             ) as response:
                 return response.status == 200
         except (aiohttp.ClientError, TimeoutError):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/convergence.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/convergence.py
@@ -92,7 +92,7 @@
 async def _read_status(
     session: aiohttp.ClientSession, daemon: Daemon
 ) -> dict[str, Any]:
-    url = f"http://{daemon.entry.operators}/status"
+    url = f"http://{daemon.entry.operator_address}/status"
     async with session.get(url) as response:
         return await response.json()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/watch.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/watch.py
@@ -33,7 +33,7 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 for daemon in list(self._runner.daemons):
-                    url = f"http://{daemon.entry.operators}/status"
+                    url = f"http://{daemon.entry.operator_address}/status"
                     await self._look(session, daemon.instance_id, url)
                 await asyncio.sleep(POLL_INTERVAL)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -160,7 +160,7 @@
         sys.executable,
         *command,
         "--server",
-        daemon.entry.operators,
+        daemon.entry.operator_address,
         stdin=asyncio.subprocess.DEVNULL,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -42,7 +42,7 @@
     address = f"127.0.0.1:{runner.addresses[0][1]}"
     try:
         yield EntryInstance(
-            instance_id="entry", caller_address=address, operators=address
+            instance_id="entry", caller_address=address, operator_address=address
         )
     finally:
         await runner.cleanup()
@@ -153,7 +153,9 @@
     def pick(self, avoid=""):
         for name in self.names:
             if name != avoid:
-                return EntryInstance(instance_id=name, caller_address="", operators="")
+                return EntryInstance(
+                    instance_id=name, caller_address="", operator_address=""
+                )
         return None
 
 
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -73,7 +73,7 @@
             "text": OBJECTS.format(fencing=self.fencing, model=model),
             "file": "objects.ini",
         }
-        url = f"http://{daemon.entry.operators}/changes"
+        url = f"http://{daemon.entry.operator_address}/changes"
         async with self._session.post(url, json=body) as response:
             assert response.status == 200, await response.text()
 
@@ -82,7 +82,7 @@
             return await response.json()
 
     async def count(self, daemon, name):
-        dump = await self.read(daemon.entry.operators, "/dump")
+        dump = await self.read(daemon.entry.operator_address, "/dump")
         return dump["metrics"]["counters"].get(name, 0)
 
     async def read_models(self):
