--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool's checker catches every kind of broken promise."""
+"""Tests that the load generator's checker detects every kind of violation."""
 
 from __future__ import annotations
 
@@ -19,27 +19,28 @@
 
 EXPECTATION = Expectation(LUZON.read_pipelines())
 ARRIVALS = plan_run(LUZON, seconds=30, scale=1, seed=7)
-REPEATS = {item.retry_of for item in ARRIVALS if item.retry_of and not item.repeatable}
+#: indices of arrivals with a retry that are not repeatable
+RETRIED = {item.retry_of for item in ARRIVALS if item.retry_of and not item.repeatable}
 
 
-def find_arrival(pipeline, *, number=0, repeated=False):
-    """Return a first send to ``pipeline``, one with a repeat if so asked."""
+def find_arrival(pipeline, *, number=0, retried=False):
+    """Return a first attempt for ``pipeline``, with or without a later retry."""
     found = [
         item
         for item in ARRIVALS
         if item.pipeline == pipeline
         and item.retry_of is None
-        and (item.index in REPEATS) == repeated
+        and (item.index in RETRIED) == retried
     ]
     return found[number]
 
 
-def find_repeat(first):
+def find_retry(first):
     return next(item for item in ARRIVALS if item.retry_of == first.index)
 
 
-def answer(arrival, **changes):
-    """Return the observation of a right, whole and timely answer."""
+def observe_result(arrival, **changes):
+    """Return the observation of a correct and complete response in time."""
     result = EXPECTATION.compute_result(arrival.pipeline, arrival.input)
     values = {
         "arrival": arrival,
@@ -52,7 +53,7 @@
         "seconds": 0.5,
     }
     if arrival.stream:
-        texts = tuple(f"{word} " for word in result.split())
+        texts = tuple(f"{token} " for token in result.split())
         values["tokens"] = tuple(enumerate(texts))
         values["token_seconds"] = tuple(0.01 * n for n in range(1, len(texts) + 1))
         values["count"] = len(texts)
@@ -60,8 +61,8 @@
     return Observation(**(values | changes))
 
 
-def refuse(arrival, verdict="not-run"):
-    return answer(
+def observe_refusal(arrival, verdict="not-run"):
+    return observe_result(
         arrival,
         outcome=RequestOutcome.REFUSAL,
         status=503,
@@ -73,7 +74,7 @@
 
 
 def record(*observations, times=1):
-    """Return a target's record in which each observed request ran ``times``."""
+    """Return a target's record in which each request ran ``times`` times."""
     runs = []
     effects = {}
     for item in observations:
@@ -103,51 +104,51 @@
 
 
 @pytest.mark.parametrize("pipeline", EXPECTATION.list_pipelines())
-def test_whole_and_right_answers_pass(pipeline):
-    observations = [answer(find_arrival(pipeline, number=n)) for n in range(3)]
+def test_correct_responses_pass(pipeline):
+    observations = [observe_result(find_arrival(pipeline, number=n)) for n in range(3)]
     assert check(observations, record(*observations)) == []
 
 
-def test_repeat_that_is_replayed_passes():
-    first = answer(find_arrival("booking", repeated=True))
-    repeat = answer(find_repeat(first.arrival), replayed=True)
-    assert check([first, repeat], record(first)) == []
+def test_replayed_retry_passes():
+    first = observe_result(find_arrival("booking", retried=True))
+    retry = observe_result(find_retry(first.arrival), replayed=True)
+    assert check([first, retry], record(first)) == []
 
 
-def test_doubled_run_is_caught():
-    """Two bookings for one request.
+def test_duplicate_run_is_detected():
+    """Guards against two bookings for one request.
 
-    A call that may not be repeated is sent again after its answer was lost; both
-    run, and the record shows two runs and two effects under one request id.
+    A call that is not repeatable is resent after its response was lost. Both run,
+    and the record shows two runs and two side effects under one request id.
     """
-    item = answer(find_arrival("booking"))
+    item = observe_result(find_arrival("booking"))
     assert set(check([item], record(item, times=2))) == {ViolationKind.DUPLICATE_RUN}
 
 
-def test_doubled_effect_of_a_repeat_is_caught():
-    """One key, two bookings, each under its own request id.
+def test_duplicate_effect_of_a_retry_is_detected():
+    """Guards against two bookings for one idempotency key.
 
-    A repeat reaches another instance, which does not find the claim and runs it;
-    neither request id ran twice, only the effect's total shows the double.
+    A retry reaches another instance, which does not find the claim and runs it.
+    Each request id ran once; only the total of the side effects shows the duplicate.
     """
-    first = answer(find_arrival("booking", repeated=True))
-    repeat = answer(find_repeat(first.arrival))
-    kinds = check([first, repeat], record(first), record(repeat))
+    first = observe_result(find_arrival("booking", retried=True))
+    retry = observe_result(find_retry(first.arrival))
+    kinds = check([first, retry], record(first), record(retry))
     assert set(kinds) == {ViolationKind.DUPLICATE_RUN}
 
 
-def test_rerun_of_a_repeatable_stage_passes():
-    item = answer(find_arrival("status"))
+def test_second_run_of_a_repeatable_stage_passes():
+    item = observe_result(find_arrival("status"))
     assert check([item], record(item, times=2)) == []
 
 
-def test_crossed_answers_are_caught():
-    """Two callers get each other's answers.
+def test_swapped_results_are_detected():
+    """Guards against two callers that receive each other's results.
 
-    Answers of two attempts are swapped on their way back; each is whole and of the
-    right form, and only its content tells.
+    The responses of two attempts are swapped on the way back. Each is complete and
+    well formed, so that only its content shows the fault.
     """
-    one, other = (answer(find_arrival("status", number=n)) for n in range(2))
+    one, other = (observe_result(find_arrival("status", number=n)) for n in range(2))
     swapped = [
         dataclasses.replace(one, result=other.result),
         dataclasses.replace(other, result=one.result),
@@ -155,22 +156,22 @@
     assert check(swapped, record(one, other)) == [ViolationKind.MISROUTED] * 2
 
 
-def test_shared_request_id_is_caught():
-    one, other = (answer(find_arrival("status", number=n)) for n in range(2))
+def test_shared_request_id_is_detected():
+    one, other = (observe_result(find_arrival("status", number=n)) for n in range(2))
     other = dataclasses.replace(other, request_id=one.request_id)
     assert ViolationKind.MISROUTED in check([one, other], record(one))
 
 
-def test_wrong_result_is_caught():
-    item = answer(find_arrival("status"), result={"digest": "0"})
+def test_wrong_result_is_detected():
+    item = observe_result(find_arrival("status"), result={"digest": "0"})
     assert check([item], record(item)) == [ViolationKind.WRONG_RESULT]
 
 
 @pytest.mark.parametrize(
     "outcome", [RequestOutcome.DISCONNECTED, RequestOutcome.TIMED_OUT]
 )
-def test_answer_without_end_is_caught(outcome):
-    item = answer(find_arrival("shift-plan"), outcome=outcome)
+def test_incomplete_response_is_detected(outcome):
+    item = observe_result(find_arrival("shift-plan"), outcome=outcome)
     assert check([item], record(item)) == [ViolationKind[outcome.name]]
 
 
@@ -178,85 +179,87 @@
     return dataclasses.replace(item, tokens=item.tokens[:3] + item.tokens[4:])
 
 
-def drop_end(item):
+def drop_last_token(item):
     return dataclasses.replace(item, tokens=item.tokens[:-1])
 
 
-def spoil_digest(item):
+def corrupt_digest(item):
     return dataclasses.replace(item, digest="0" * 16)
 
 
-@pytest.mark.parametrize("spoil", [drop_token, drop_end, spoil_digest])
-def test_stream_that_is_not_whole_is_caught(spoil):
-    item = spoil(answer(find_arrival("shift-plan")))
+@pytest.mark.parametrize("corrupt", [drop_token, drop_last_token, corrupt_digest])
+def test_incomplete_stream_is_detected(corrupt):
+    item = corrupt(observe_result(find_arrival("shift-plan")))
     assert ViolationKind.INCOMPLETE in check([item], record(item))
 
 
-def test_contradicted_token_before_a_refusal_is_caught():
-    item = answer(find_arrival("shift-plan"))
+def test_wrong_token_before_a_refusal_is_detected():
+    item = observe_result(find_arrival("shift-plan"))
     tokens = ((0, "else "),)
-    refused = dataclasses.replace(refuse(item.arrival, "may-have-run"), tokens=tokens)
+    refused = dataclasses.replace(
+        observe_refusal(item.arrival, "may-have-run"), tokens=tokens
+    )
     assert check([refused], record(item)) == [ViolationKind.WRONG_RESULT]
 
 
-def test_false_not_run_is_caught():
-    """A caller told "not run" books again elsewhere, and both bookings stand.
+def test_false_not_run_is_detected():
+    """Guards against a second booking by a caller that was told "not run".
 
     The connection to the target fails after the call was sent, and the instance
-    takes this for a call that was never sent.
+    treats the call as never sent. The caller books again, and both bookings remain.
     """
-    item = refuse(find_arrival("booking"))
+    item = observe_refusal(find_arrival("booking"))
     assert set(check([item], record(item))) == {ViolationKind.FALSE_NOT_RUN}
 
 
-def test_effect_behind_a_not_run_is_caught_without_its_id():
-    item = refuse(find_arrival("booking"))
+def test_effect_despite_not_run_is_detected_under_another_id():
+    item = observe_refusal(find_arrival("booking"))
     other = dataclasses.replace(item, request_id="request-elsewhere")
     assert set(check([item], record(other))) == {ViolationKind.FALSE_NOT_RUN}
 
 
-def test_error_inside_an_instance_is_caught():
-    """A run is called good although a third of its requests were refused.
+def test_internal_error_is_detected():
+    """Guards against a run that passes although a third of its requests were refused.
 
-    An exception in the choice of a target refuses every drafting call with
-    "internal", "not run". The refusal is true, so no promise to the caller is
-    broken, and nothing but a look at the report shows that something is wrong.
+    An exception while choosing a target refuses every drafting call with the code
+    "internal" and the verdict "not run". The verdict is true, so no other check
+    reports a violation.
     """
-    item = refuse(find_arrival("booking"))
+    item = observe_refusal(find_arrival("booking"))
     fault = dataclasses.replace(item, code="internal")
     assert check([fault], record()) == [ViolationKind.INTERNAL_ERROR]
 
 
 def test_true_not_run_passes():
-    assert check([refuse(find_arrival("booking"))], record()) == []
+    assert check([observe_refusal(find_arrival("booking"))], record()) == []
 
 
-def test_result_without_a_run_is_caught():
-    item = answer(find_arrival("profile-check"))
+def test_result_without_a_run_is_detected():
+    item = observe_result(find_arrival("profile-check"))
     assert check([item], record()) == [ViolationKind.NOT_RECORDED]
 
 
-def test_lost_record_is_caught():
-    item = answer(find_arrival("status"))
+def test_incomplete_record_is_detected():
+    item = observe_result(find_arrival("status"))
     lost = dataclasses.replace(record(item), dropped=1)
     assert check([item], lost) == [ViolationKind.INCOMPLETE_RECORD]
 
 
-def test_costs_of_late_requests_and_of_further_runs_are_waste():
-    in_time = answer(find_arrival("status"))
-    late = answer(find_arrival("status", number=1), seconds=99.0)
+def test_late_requests_and_duplicate_runs_are_wasted_costs():
+    in_time = observe_result(find_arrival("status"))
+    late = observe_result(find_arrival("status", number=1), seconds=99.0)
     records = [record(in_time, times=2), record(late)]
     (cost,) = compute_costs([in_time, late], records)
     assert (cost.useful_ms, cost.wasted_ms, cost.runs) == (5.0, 10.0, 3)
 
 
 def test_report_counts_every_request_once():
-    first = answer(find_arrival("booking", repeated=True))
+    first = observe_result(find_arrival("booking", retried=True))
     observations = [
         first,
-        answer(find_repeat(first.arrival), replayed=True),
-        answer(find_arrival("status"), seconds=99.0),
-        refuse(find_arrival("audit")),
+        observe_result(find_retry(first.arrival), replayed=True),
+        observe_result(find_arrival("status"), seconds=99.0),
+        observe_refusal(find_arrival("audit")),
         Observation(arrival=find_arrival("shift-plan"), outcome=RequestOutcome.UNSENT),
     ]
     report = build_report(
@@ -273,7 +276,7 @@
 
 
 @pytest.mark.parametrize("fleet", FLEETS.values(), ids=FLEETS)
-def test_arrivals_follow_the_seed_and_fit_the_objects(fleet):
+def test_arrivals_depend_on_the_seed_and_match_the_pipelines(fleet):
     pipelines = fleet.read_pipelines()
     services = {service.name: service.kind for service in fleet.services}
     for pipeline in pipelines.values():
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -1,4 +1,4 @@
-"""The load tool's caller notes every way in which an answer can fail to be whole."""
+"""Tests of how the load generator's client classifies incomplete responses."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @asynccontextmanager
 async def serve(handle, ready=lambda: 200):
-    """Serve callers by ``handle`` and readiness by ``ready`` at one address."""
+    """Serve requests with ``handle`` and readiness with ``ready`` at one address."""
 
     async def answer_ready(request):
         return web.Response(status=ready())
@@ -77,15 +77,15 @@
         (stream(TOKEN, abort=True), RequestOutcome.DISCONNECTED),
         (stream(TOKEN, END, TOKEN), RequestOutcome.DISCONNECTED),
     ],
-    ids=["whole", "refused", "no-end", "aborted", "goes-on-after-the-end"],
+    ids=["complete", "refused", "no-end-event", "aborted", "event-after-the-end"],
 )
-async def test_stream_endings(handle, outcome):
+async def test_stream_outcomes(handle, outcome):
     observation = await send(handle, stream=True)
     assert observation.outcome is outcome
 
 
-async def test_answer_that_never_comes_is_silent():
-    """A caller waits for ever on a connection that has gone silent."""
+async def test_missing_response_times_out():
+    """Guards against waiting forever on a connection that stays silent."""
     hold = asyncio.Event()
 
     async def handle(request):
@@ -95,7 +95,7 @@
     assert observation.outcome is RequestOutcome.TIMED_OUT
 
 
-async def test_refused_connection_counts_as_cut():
+async def test_refused_connection_counts_as_disconnected():
     async with serve(stream()) as instance:
         pass
     async with CallerClient() as client:
@@ -104,20 +104,20 @@
     assert observation.outcome is RequestOutcome.DISCONNECTED
 
 
-async def test_headers_say_what_may_be_repeated():
-    seen = []
+async def test_headers_state_repeatability_and_first_attempt():
+    received = []
 
     async def handle(request):
-        seen.append(request.headers)
+        received.append(request.headers)
         return web.json_response({"request": "r", "verdict": "ran", "result": 1})
 
     await send(handle, key="k", repeatable=False)
     await send(handle, key="k", repeatable=False, retry_of=0)
-    first, repeat = seen
-    assert first["Idempotency-Key"] == repeat["Idempotency-Key"] == "k"
-    assert first["X-Repeatable"] == repeat["X-Repeatable"] == "no"
+    first, retry = received
+    assert first["Idempotency-Key"] == retry["Idempotency-Key"] == "k"
+    assert first["X-Repeatable"] == retry["X-Repeatable"] == "no"
     assert first["X-First-Attempt"] == "yes"
-    assert "X-First-Attempt" not in repeat
+    assert "X-First-Attempt" not in retry
 
 
 async def test_balancer_follows_readiness():
@@ -132,8 +132,8 @@
         await wait_until(lambda: balancer.pick() is None)
 
 
-class HeldClient:
-    """Answers nothing until it is released."""
+class BlockingClient:
+    """Holds all responses back until it is released."""
 
     def __init__(self):
         self.sent = []
@@ -159,15 +159,15 @@
         return None
 
 
-async def test_arrivals_do_not_wait_for_answers_and_repeats_go_elsewhere():
-    """A slow fleet looks fast.
+async def test_open_loop_arrivals_and_retries_through_another_instance():
+    """Guards against latencies that look too low on a slow fleet.
 
-    A client that waits for one answer before it sends the next request sends less
-    to a slow fleet, and so never shows the wait that callers would have.
+    A client that waits for a response before it sends the next request (closed loop)
+    sends less to a slow fleet, and never observes the queueing delay of callers.
     """
     first = create_arrival(0, key="k")
     arrivals = [first, create_arrival(1), create_arrival(2, key="k", retry_of=0)]
-    client = HeldClient()
+    client = BlockingClient()
     balancer = FixedBalancer("one", "other")
     run = LoadRun(arrivals=arrivals, balancer=balancer, client=client)
     task = asyncio.create_task(run.run())
@@ -183,7 +183,7 @@
     run = LoadRun(
         arrivals=[create_arrival()],
         balancer=FixedBalancer(),
-        client=HeldClient(),
+        client=BlockingClient(),
         stop_when_unavailable=end,
     )
     observations = await run.run()
