--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
@@ -35,7 +35,7 @@
     stream: bool = False
     repeatable: bool = True
     #: idempotency key; empty if none is sent
-    key: str = ""
+    idempotency_key: str = ""
     #: index of the arrival that this one resends with the same key and input
     retry_of: int | None = None
 
@@ -56,7 +56,10 @@
         while offset < seconds:
             arrival = _draw_arrival(fleet, traffic, offset, len(drawn), random_source)
             drawn.append(arrival)
-            if arrival.key and random_source.random() < traffic.retry_fraction:
+            if (
+                arrival.idempotency_key
+                and random_source.random() < traffic.retry_fraction
+            ):
                 drawn.append(_create_retry(arrival, len(drawn), random_source))
             offset += random_source.expovariate(traffic.rate * scale)
     return tuple(sorted(drawn, key=lambda arrival: arrival.offset))
@@ -84,7 +87,7 @@
         deadline_ms=traffic.deadline_ms,
         stream=traffic.stream,
         repeatable=traffic.repeatable,
-        key=f"key-{marker}" if keyed else "",
+        idempotency_key=f"key-{marker}" if keyed else "",
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -128,8 +128,8 @@
     }
     if not arrival.repeatable:
         headers["X-Repeatable"] = "no"
-    if arrival.key:
-        headers["Idempotency-Key"] = arrival.key
+    if arrival.idempotency_key:
+        headers["Idempotency-Key"] = arrival.idempotency_key
         if arrival.retry_of is None:
             headers["X-First-Attempt"] = "yes"
     return headers
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -79,7 +79,7 @@
         marker=marker,
         deadline_ms=traffic.deadline_ms,
         repeatable=False,
-        key=f"key-{marker}",
+        idempotency_key=f"key-{marker}",
     )
 
 
--- a/tests/test_lab/test_load_client.py
+++ b/tests/test_lab/test_load_client.py
@@ -111,8 +111,8 @@
         received.append(request.headers)
         return web.json_response({"request": "r", "verdict": "ran", "result": 1})
 
-    await send(handle, key="k", repeatable=False)
-    await send(handle, key="k", repeatable=False, retry_of=0)
+    await send(handle, idempotency_key="k", repeatable=False)
+    await send(handle, idempotency_key="k", repeatable=False, retry_of=0)
     first, retry = received
     assert first["Idempotency-Key"] == retry["Idempotency-Key"] == "k"
     assert first["X-Repeatable"] == retry["X-Repeatable"] == "no"
@@ -165,8 +165,12 @@
     A client that waits for a response before it sends the next request (closed loop)
     sends less to a slow fleet, and never observes the queueing delay of callers.
     """
-    first = create_arrival(0, key="k")
-    arrivals = [first, create_arrival(1), create_arrival(2, key="k", retry_of=0)]
+    first = create_arrival(0, idempotency_key="k")
+    arrivals = [
+        first,
+        create_arrival(1),
+        create_arrival(2, idempotency_key="k", retry_of=0),
+    ]
     client = BlockingClient()
     balancer = FixedBalancer("one", "other")
     run = LoadRun(arrivals=arrivals, balancer=balancer, client=client)
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -38,7 +38,7 @@
         observe(1.0, "n-1", RequestOutcome.REFUSAL),
         observe(1.5, "n-1"),
         observe(1.5, "s-1"),
-        observe(1.6, "s-1", retry_of=3, key="key"),
+        observe(1.6, "s-1", retry_of=3, idempotency_key="key"),
         observe(2.0, "s-1"),
         observe(3.5, ""),
     ]
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -45,7 +45,7 @@
             marker="marker",
             deadline_ms=deadline_ms,
             repeatable=False,
-            key="key",
+            idempotency_key="key",
         )
         due = asyncio.get_running_loop().time()
         seen = await self._client.send(arrival, daemon.entry, due)
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -56,7 +56,7 @@
         marker=marker,
         deadline_ms=8000,
         repeatable=False,
-        key=f"key-{number}",
+        idempotency_key=f"key-{number}",
     )
 
 
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -112,7 +112,7 @@
         await runner.wait_ready()
         loop = asyncio.get_running_loop()
         leaving, staying = runner.daemons
-        keyed = create_arrival(1, "booking", repeatable=False, key="key-1")
+        keyed = create_arrival(1, "booking", repeatable=False, idempotency_key="key-1")
         stream = create_arrival(2, "draft", tokens=150, stream=True)
         last = create_arrival(3, "booking", repeatable=False)
         observations = [await client.send(keyed, leaving.entry, loop.time())]
