--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -180,7 +180,7 @@
         tokens=tuple(partial.tokens),
         count=fields.get("count"),
         digest=fields.get("digest", ""),
-        seconds=seconds,
+        latency_seconds=seconds,
         token_seconds=tuple(partial.token_seconds),
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -51,7 +51,7 @@
     count: int | None = None
     digest: str = ""
     #: total latency
-    seconds: float = 0.0
+    latency_seconds: float = 0.0
     #: latency of each token
     token_seconds: tuple[float, ...] = ()
 
@@ -60,4 +60,4 @@
         """Whether a result was received within the request's deadline."""
         if self.outcome is not RequestOutcome.RESULT:
             return False
-        return self.seconds * 1000 <= self.arrival.deadline_ms
+        return self.latency_seconds * 1000 <= self.arrival.deadline_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
@@ -51,7 +51,7 @@
             self.refusals[f"{observation.code} ({observation.verdict})"] += 1
         if observation.outcome is not RequestOutcome.RESULT:
             return
-        _record(self._latency, observation.seconds)
+        _record(self._latency, observation.latency_seconds)
         times = observation.token_seconds
         if not times:
             return
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -50,7 +50,7 @@
         "request_id": f"request-{arrival.index}",
         "verdict": "ran",
         "result": result,
-        "seconds": 0.5,
+        "latency_seconds": 0.5,
     }
     if arrival.stream:
         texts = tuple(f"{token} " for token in result.split())
@@ -247,7 +247,7 @@
 
 def test_late_requests_and_duplicate_runs_are_wasted_costs():
     in_time = observe_result(find_arrival("status"))
-    late = observe_result(find_arrival("status", number=1), seconds=99.0)
+    late = observe_result(find_arrival("status", number=1), latency_seconds=99.0)
     records = [record(in_time, times=2), record(late)]
     (cost,) = compute_costs([in_time, late], records)
     assert (cost.useful_ms, cost.wasted_ms, cost.runs) == (5.0, 10.0, 3)
@@ -258,7 +258,7 @@
     observations = [
         first,
         observe_result(find_retry(first.arrival), replayed=True),
-        observe_result(find_arrival("status"), seconds=99.0),
+        observe_result(find_arrival("status"), latency_seconds=99.0),
         observe_refusal(find_arrival("audit")),
         Observation(arrival=find_arrival("shift-plan"), outcome=RequestOutcome.UNSENT),
     ]
