--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -40,7 +40,7 @@
     outcome: RequestOutcome = RequestOutcome.DISCONNECTED
     status: int = 0
     tokens: list[tuple[int, str]] = field(default_factory=list)
-    token_seconds: list[float] = field(default_factory=list)
+    token_latencies: list[float] = field(default_factory=list)
     message: str = ""
 
 
@@ -154,7 +154,7 @@
     fields = json.loads(event.data)
     if event.name == "token":
         partial.tokens.append((fields["offset"], fields["text"]))
-        partial.token_seconds.append(seconds)
+        partial.token_latencies.append(seconds)
         return
     partial.fields = fields
     partial.outcome = (
@@ -181,7 +181,7 @@
         count=fields.get("count"),
         digest=fields.get("digest", ""),
         latency_seconds=seconds,
-        token_seconds=tuple(partial.token_seconds),
+        token_latencies=tuple(partial.token_latencies),
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/observations.py
@@ -52,8 +52,8 @@
     digest: str = ""
     #: total latency
     latency_seconds: float = 0.0
-    #: latency of each token
-    token_seconds: tuple[float, ...] = ()
+    #: latency of each token in seconds
+    token_latencies: tuple[float, ...] = ()
 
     @property
     def in_time(self) -> bool:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
@@ -52,7 +52,7 @@
         if observation.outcome is not RequestOutcome.RESULT:
             return
         _record(self._latency, observation.latency_seconds)
-        times = observation.token_seconds
+        times = observation.token_latencies
         if not times:
             return
         _record(self._first_token, times[0])
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -55,7 +55,7 @@
     if arrival.stream:
         texts = tuple(f"{token} " for token in result.split())
         values["tokens"] = tuple(enumerate(texts))
-        values["token_seconds"] = tuple(0.01 * n for n in range(1, len(texts) + 1))
+        values["token_latencies"] = tuple(0.01 * n for n in range(1, len(texts) + 1))
         values["count"] = len(texts)
         values["digest"] = digest_tokens(texts)
     return Observation(**(values | changes))
