--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
@@ -73,7 +73,7 @@
     for traffic in fleet.traffic:
         for stage in snapshot.pipelines[traffic.pipeline].stages:
             if stage.kind is StageKind.GENERATE:
-                tokens = sum(traffic.tokens) / 2
+                tokens = sum(traffic.token_range) / 2
                 busy += traffic.rate * (engine.prefill + tokens * token)
     replicas = sum(
         service.replicas
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/kyushu.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/kyushu.py
@@ -30,15 +30,17 @@
             pipeline="quote-draft",
             rate=5,
             deadline_ms=6000,
-            tokens=(40, 160),
+            token_range=(40, 160),
             stream=True,
         ),
-        Traffic(pipeline="shortage-scan", rate=6, deadline_ms=5000, tokens=(16, 48)),
+        Traffic(
+            pipeline="shortage-scan", rate=6, deadline_ms=5000, token_range=(16, 48)
+        ),
         Traffic(
             pipeline="broker-chat",
             rate=14,
             deadline_ms=3000,
-            tokens=(8, 32),
+            token_range=(8, 32),
             stream=True,
         ),
         Traffic(pipeline="stock-lookup", rate=35, deadline_ms=1500),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/luzon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/luzon.py
@@ -35,12 +35,14 @@
             retry_fraction=0.3,
         ),
         Traffic(pipeline="status", rate=40, deadline_ms=1500),
-        Traffic(pipeline="profile-check", rate=10, deadline_ms=3000, tokens=(4, 12)),
+        Traffic(
+            pipeline="profile-check", rate=10, deadline_ms=3000, token_range=(4, 12)
+        ),
         Traffic(
             pipeline="shift-plan",
             rate=5,
             deadline_ms=6000,
-            tokens=(40, 160),
+            token_range=(40, 160),
             stream=True,
         ),
         Traffic(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/model.py
@@ -39,7 +39,7 @@
     rate: float
     deadline_ms: int
     #: minimum and maximum tokens generated; ``(0, 0)`` if no stage generates
-    tokens: tuple[int, int] = (0, 0)
+    token_range: tuple[int, int] = (0, 0)
     stream: bool = False
     repeatable: bool = True
     #: fraction of the requests that carry an idempotency key
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/arrivals.py
@@ -97,7 +97,7 @@
     number = random_source.randrange(PROMPT_PREFIXES)
     prefix = f"{workspace}/{traffic.pipeline}/{number}"
     fields = {"prompt": f"{prefix}: {marker}", "prefix": prefix, "effect": marker}
-    minimum, maximum = traffic.tokens
+    minimum, maximum = traffic.token_range
     if maximum:
         fields["tokens"] = random_source.randint(minimum, maximum)
     return fields
