--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -154,14 +154,14 @@
         path.write_text(text or self.fleet.read_objects(), encoding="utf-8")
         return await self.run_client("apply", str(path), "--wait")
 
-    async def run_client(self, *arguments: str, at: Daemon | None = None) -> str:
+    async def run_client(self, *arguments: str, daemon: Daemon | None = None) -> str:
         """Run the command-line client and return its output.
 
-        :param at: daemon to connect to; by default any
+        :param daemon: daemon to connect to; by default any
         :raises ProcessError: if the client fails or exceeds its time-out
         """
-        daemons = self.daemons if at is None else [at]
-        servers = ",".join(daemon.entry.operator_address for daemon in daemons)
+        daemons = self.daemons if daemon is None else [daemon]
+        servers = ",".join(item.entry.operator_address for item in daemons)
         command = ("-m", CLIENT_MODULE, *arguments, "--server", servers)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -50,7 +50,7 @@
         changer = scene.random_source.choice(elsewhere)
         workspace = runner.fleet.workspaces[0].name
         await runner.run_client(
-            "label", "workspace", workspace, f"during={self.name}", at=changer
+            "label", "workspace", workspace, f"during={self.name}", daemon=changer
         )
         self._generation = await read_generation(changer)
         told = runner.daemons if self.lets_news_pass() else elsewhere
