--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -49,7 +49,7 @@
     """Starts the processes of a fleet and terminates them on exit.
 
     :param directory: directory for the settings, output and logs of the processes
-    :param entries: entry instances per data centre
+    :param entries_per_data_centre: entry instances per data centre
     :param settings: additional settings of the daemons, by ``section.key``
     :param emulate_network: whether to emulate paths between data centres, see
         :attr:`network`
@@ -60,7 +60,7 @@
         fleet: Fleet,
         directory: Path,
         *,
-        entries: int = ENTRIES_PER_DATA_CENTRE,
+        entries_per_data_centre: int = ENTRIES_PER_DATA_CENTRE,
         settings: Mapping[str, str] | None = None,
         emulate_network: bool = False,
     ) -> None:
@@ -73,7 +73,7 @@
         #: the targets, as entries of the platform's list
         self.targets: list[dict[str, str]] = []
         self._directory = directory
-        self._entries = entries
+        self._entries_per_data_centre = entries_per_data_centre
         self._settings = {**SHORT_RUN_SETTINGS, **(settings or {})}
         self._group = ProcessGroup(directory)
         self._stack = AsyncExitStack()
@@ -220,7 +220,7 @@
         await instance_list.put(self.targets)
         starts = []
         for data_centre in self.fleet.data_centres:
-            for number in range(self._entries):
+            for number in range(self._entries_per_data_centre):
                 name = f"{data_centre}-entry-{number + 1}"
                 starts.append(self.start_daemon(name, data_centre))
         await asyncio.gather(*starts)
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -92,7 +92,7 @@
     must outlive its instance, and a claim without an outcome must not count as free.
     """
     async with (
-        FleetRunner(DESK, tmp_path, entries=2) as runner,
+        FleetRunner(DESK, tmp_path, entries_per_data_centre=2) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(BOOKING_OBJECTS)
@@ -119,7 +119,7 @@
     answer of the holder must not end its claim.
     """
     async with (
-        FleetRunner(DESK, tmp_path, entries=2) as runner,
+        FleetRunner(DESK, tmp_path, entries_per_data_centre=2) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(BOOKING_OBJECTS)
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -79,7 +79,9 @@
     """
     settings = {"drain.balancer_lag": "0.2"}
     async with (
-        FleetRunner(DESK, tmp_path, entries=3, settings=settings) as runner,
+        FleetRunner(
+            DESK, tmp_path, entries_per_data_centre=3, settings=settings
+        ) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(BOOKING_OBJECTS)
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -47,7 +47,9 @@
     replaced instance would then reduce the fleet.
     """
     async with (
-        FleetRunner(PORTAL, tmp_path, entries=1, emulate_network=True) as runner,
+        FleetRunner(
+            PORTAL, tmp_path, entries_per_data_centre=1, emulate_network=True
+        ) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(OBJECTS)
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -105,7 +105,9 @@
     """
     settings = {"drain.balancer_lag": "0.2"}
     async with (
-        FleetRunner(SMALL, tmp_path, entries=2, settings=settings) as runner,
+        FleetRunner(
+            SMALL, tmp_path, entries_per_data_centre=2, settings=settings
+        ) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(OBJECTS)
