--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -49,7 +49,7 @@
     """Starts the processes of a fleet and terminates them on exit.
 
     :param directory: directory for the settings, output and logs of the processes
-    :param entries_per_data_centre: entry instances per data centre
+    :param entries_per_data_centre: number of entry instances in each data centre
     :param settings: additional settings of the daemons, by ``section.key``
     :param emulate_network: whether to emulate paths between data centres, see
         :attr:`network`
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/run.py
@@ -121,13 +121,13 @@
         refused = sum(
             item.outcome is RequestOutcome.REFUSAL for item in self.observations
         )
-        cut = sum(
+        failed = sum(
             item.outcome in (RequestOutcome.DISCONNECTED, RequestOutcome.TIMED_OUT)
             for item in self.observations
         )
         self._on_progress(
             f"{self.elapsed:6.1f} s: {self._sent} sent,"
             f" {len(self._in_flight)} in flight, {in_time} answered in time,"
-            f" {refused} refused, {cut} cut,"
+            f" {refused} refused, {failed} failed,"
             f" {len(self._balancer.ready)} instances ready"
         )
