--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from ..waiting import wait_until
 from .farm import DATA_CENTRES
@@ -102,7 +102,9 @@
             "text": text,
             "file": "objects.ini",
         }
-        url = f"http://{self._random.choice(self.daemons).entry.operators}/changes"
+        url = (
+            f"http://{self._random.choice(self.daemons).entry.operator_address}/changes"
+        )
         async with self._session.post(url, json=body) as response:
             answer = await response.json()
         if answer.get("state") != "settled":
@@ -142,7 +144,7 @@
         """Return the counters of all daemons."""
         reading = Reading()
         for daemon in self.daemons:
-            dump = await self._get(f"http://{daemon.entry.operators}/dump")
+            dump = await self._get(f"http://{daemon.entry.operator_address}/dump")
             counters = dump["metrics"]["counters"]
             reading.sent += counters.get("peers.wire_out", 0)
             reading.received += counters.get("peers.wire_in", 0)
@@ -161,13 +163,13 @@
         echo = await self._group.run_module("echo", ECHO, ANY_PORT)
         self._platform = platform.ready
         slots = asyncio.Semaphore(STARTS)
-        async with Registry(platform.ready) as registry:
+        async with InstanceListClient(platform.ready) as registry:
             await registry.put(
                 [_describe_target(n, echo.ready) for n in range(TARGETS)]
             )
             starts = [self._start_daemon(n, slots) for n in range(self._size)]
             self.daemons = list(await asyncio.gather(*starts))
-            await registry.put([daemon.describe() for daemon in self.daemons])
+            await registry.put([daemon.create_list_entry() for daemon in self.daemons])
 
     async def add_company(self, generation: int) -> None:
         """Start the members that are no daemons, some at a time."""
@@ -201,7 +203,7 @@
         return daemon
 
     async def _wait_one(self, daemon: Daemon, generation: int) -> float:
-        url = f"http://{daemon.entry.operators}/generation"
+        url = f"http://{daemon.entry.operator_address}/generation"
         while True:
             answer = await self._get(url)
             if answer["generation"] >= generation:
@@ -224,7 +226,7 @@
 
 
 def _describe_target(number: int, address: str) -> dict[str, str]:
-    return describe_instance(
+    return create_list_entry(
         f"target-{number:03d}",
         "target",
         DATA_CENTRES[number % len(DATA_CENTRES)],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -11,7 +11,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from .fits import Point, Series
 from .meters import ProcessMeter
@@ -77,8 +77,8 @@
         )
         group.processes.append(daemon.process)
         await daemon.start()
-        async with Registry(platform.ready) as registry:
-            await registry.put([*targets, daemon.describe()])
+        async with InstanceListClient(platform.ready) as registry:
+            await registry.put([*targets, daemon.create_list_entry()])
         bench = cls(group, session, daemon, platform)
         await bench._apply(objects)
         await bench._wait_ready()
@@ -86,7 +86,7 @@
 
     async def call(self, pipeline: str, *, stream: bool, tokens: int = 1) -> None:
         """Make one request and read its whole answer."""
-        url = f"http://{self.daemon.entry.callers}/v1/pipelines/{pipeline}"
+        url = f"http://{self.daemon.entry.caller_address}/v1/pipelines/{pipeline}"
         headers = {"X-Workspace": WORKSPACE, "X-Deadline-Ms": str(DEADLINE_MS)}
         body = {"input": {"tokens": tokens}, "stream": stream}
         data = json.dumps(body).encode()
@@ -106,12 +106,12 @@
 
     async def read_counters(self) -> dict[str, int]:
         """Return the daemon's counters."""
-        url = f"http://{self.daemon.entry.operators}/dump"
+        url = f"http://{self.daemon.entry.operator_address}/dump"
         async with self.session.get(url) as response:
             return (await response.json())["metrics"]["counters"]
 
     async def _apply(self, objects: str) -> None:
-        url = f"http://{self.daemon.entry.operators}/changes"
+        url = f"http://{self.daemon.entry.operator_address}/changes"
         body = {"change_id": "objects", "mode": "apply", "text": objects}
         async with self.session.post(url, json=body) as response:
             answer = await response.json()
@@ -295,7 +295,7 @@
 def _describe(
     process: Process, number: int = 0, service: str = "service"
 ) -> dict[str, str]:
-    return describe_instance(
+    return create_list_entry(
         f"{service}-{number}", "target", DATA_CENTRE, process.ready, service=service
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -21,9 +21,9 @@
 import aiohttp
 
 from .fleets import FLEETS
-from .fleets.playing import play
+from .fleets.background_traffic import generate_traffic
+from .fleets.process_cleanup import run_with_cleanup
 from .fleets.runner import FleetRunner
-from .fleets.tool import run_tool
 from .processes import ProcessError
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
     def passed(self) -> bool:
         """Whether every promise was kept and every daemon stopped cleanly."""
         served = self.report.total.attainment >= LEAST_ATTAINMENT
-        return served and self.report.kept and not any(self.statuses)
+        return served and self.report.passed and not any(self.statuses)
 
 
 def main() -> int:
@@ -69,7 +69,7 @@
         with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
             work = _run_fleet(FLEETS[name], Path(directory), options)
             try:
-                results[name] = run_tool(work)
+                results[name] = run_with_cleanup(work)
             except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
                 print(f"{name}: not measured: {error!r}\ndemo FAILED")
                 return 1
@@ -98,13 +98,13 @@
 
 
 async def _serve(runner: FleetRunner, options: argparse.Namespace) -> DemoResult:
-    async with play(
+    async with generate_traffic(
         runner,
         seconds=options.seconds + STOP_SECONDS,
         scale=options.scale,
         seed=options.seed,
-        end_when_unserved=True,
-        show=_show,
+        stop_when_unavailable=True,
+        on_progress=_show,
     ) as playing:
         await asyncio.sleep(options.seconds)
         in_flight = playing.run.in_flight
@@ -118,11 +118,11 @@
 
 
 def _print_verdict(name: str, result: DemoResult) -> None:
-    total, repeats = result.report.total, result.report.repeats
+    total, repeats = result.report.total, result.report.retries
     kinds = result.report.encode()["violations"]
     broken = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     print(
-        f"{name}: {total.made + repeats.made} answers checked, attainment"
+        f"{name}: {total.requests + repeats.requests} answers checked, attainment"
         f" {total.attainment:.2%}, {result.in_flight_at_stop} in flight at the stop,"
         f" exit statuses {set(result.statuses)}, violations: {broken or 'none'}"
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
@@ -73,7 +73,7 @@
     for traffic in fleet.traffic:
         for stage in snapshot.pipelines[traffic.pipeline].stages:
             if stage.kind is StageKind.GENERATE:
-                tokens = sum(traffic.tokens) / 2
+                tokens = sum(traffic.token_range) / 2
                 busy += traffic.rate * (engine.prefill + tokens * token)
     replicas = sum(
         service.replicas
@@ -107,7 +107,7 @@
     requests = []
     for received, arrival in planned:
         # a repeat of a keyed request is answered by the first one's result
-        if arrival.repeat_of is not None:
+        if arrival.retry_of is not None:
             continue
         pipeline = snapshot.pipelines[arrival.pipeline]
         requests.append(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/background_traffic.py
@@ -1,4 +1,4 @@
-"""Plays a fleet's traffic on a running fleet, in the background."""
+"""Generates a fleet's traffic on the running fleet in the background."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
     from ..load import Report
     from .runner import FleetRunner
 
-__all__ = ("Playing", "play")
+__all__ = ("BackgroundTraffic", "generate_traffic")
 
-#: seconds allowed until the balancer sees every daemon
+#: seconds to wait until the balancer reports every daemon ready
 READY_TIMEOUT = 10.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Playing:
-    """Traffic that is being played."""
+class BackgroundTraffic:
+    """Traffic that is being generated in the background."""
 
     runner: FleetRunner
     balancer: Balancer
     run: LoadRun
-    #: ends when every request has
+    #: done when every request has ended
     task: asyncio.Task
 
     async def check(self) -> Report:
-        """Wait until every request has ended, and check them all."""
+        """Wait until every request has ended, and verify the responses."""
         await self.task
         return await check_run(self.runner.fleet, self.run, self.runner.targets)
 
 
 @asynccontextmanager
-async def play(
+async def generate_traffic(
     runner: FleetRunner,
     *,
     seconds: float,
     scale: float = 1.0,
     seed: int = 1,
-    end_when_unserved: bool = False,
-    show: Callable[[str], None] | None = None,
-) -> AsyncIterator[Playing]:
-    """Begin to play the fleet's traffic once the balancer sees every daemon.
+    stop_when_unavailable: bool = False,
+    on_progress: Callable[[str], None] | None = None,
+) -> AsyncIterator[BackgroundTraffic]:
+    """Start the fleet's traffic once the balancer reports every daemon ready.
 
-    The parameters are those of :func:`plan_run` and :class:`LoadRun`.
+    For the parameters see :func:`plan_run` and :class:`LoadRun`.
     """
     arrivals = plan_run(runner.fleet, seconds=seconds, scale=scale, seed=seed)
     async with (
@@ -71,12 +71,14 @@
             arrivals=arrivals,
             balancer=balancer,
             client=client,
-            end_when_unserved=end_when_unserved,
-            show=show,
+            stop_when_unavailable=stop_when_unavailable,
+            on_progress=on_progress,
         )
         task = asyncio.create_task(run.run())
         try:
-            yield Playing(runner=runner, balancer=balancer, run=run, task=task)
+            yield BackgroundTraffic(
+                runner=runner, balancer=balancer, run=run, task=task
+            )
         finally:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/desk.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/booking.py
@@ -1,4 +1,4 @@
-"""A fleet of one plain service whose bookings may not be repeated, for tests."""
+"""A test fleet with one plain service whose stage is not repeatable."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from .model import Fleet, FleetService
 
-__all__ = ("DESK_OBJECTS", "create_desk")
+__all__ = ("BOOKING_OBJECTS", "create_booking_fleet")
 
-DESK_OBJECTS = """
+BOOKING_OBJECTS = """
 [service:desk]
 kind = plain
 
@@ -24,8 +24,8 @@
 """
 
 
-def create_desk(replicas: int) -> Fleet:
-    """Return the fleet with ``replicas`` targets in one data centre."""
+def create_booking_fleet(replicas: int) -> Fleet:
+    """Create the fleet with ``replicas`` targets in a single data centre."""
     service = FleetService(name="desk", kind=StageKind.PLAIN, replicas=replicas)
     return Fleet(
         name="desk",
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon of a fleet, started from a settings file of its own."""
+"""An entry daemon of a fleet, started as a process with its own settings file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ..load.balancer import EntryInstance
 from ..processes import Process
-from .registry import describe_instance
+from .instance_list import create_list_entry
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -24,13 +24,13 @@
 
 
 class Daemon:
-    """A daemon with ports from the system.
+    """An entry daemon process that listens on ports assigned by the system.
 
-    :param platform: address of the platform's service and list
-    :param settings: further settings by ``section.key``
-    :param network: paths between data centres; ``None``: all reach each other directly
-    :param command: module to run instead of the daemon's own, and its arguments before
-        those of the daemon
+    :param platform: address of the platform's store and list of instances
+    :param settings: additional settings by ``section.key``
+    :param network: paths between data centres; ``None`` for direct connections
+    :param command: module to run instead of the daemon's own, followed by arguments
+        to pass before those of the daemon
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.data_centre = data_centre
         host = LOOPBACK if network is None else network.assign_host(data_centre)
         self._path = directory / f"{instance_id}.ini"
-        self._values = {
+        self._settings = {
             "instance.id": instance_id,
             "instance.data_centre": data_centre,
             "callers.listen": f"{host}:0",
@@ -71,39 +71,39 @@
         self._addresses: dict[str, str] = {}
 
     async def start(self) -> None:
-        """Write the settings, start the process and learn its addresses."""
+        """Write the settings file, start the process and read its addresses."""
         self._write_settings()
         await self.process.start()
-        words = self.process.ready.split()
-        self._addresses = dict(word.split("=", 1) for word in words)
+        fields = self.process.ready.split()
+        self._addresses = dict(field.split("=", 1) for field in fields)
 
     @property
     def entry(self) -> EntryInstance:
-        """Addresses for callers and the balancer."""
+        """Addresses for callers and for the load balancer's readiness checks."""
         return EntryInstance(
             instance_id=self.instance_id,
-            callers=self._addresses["callers"],
-            operators=self._addresses["operators"],
+            caller_address=self._addresses["callers"],
+            operator_address=self._addresses["operators"],
         )
 
     @property
-    def peers(self) -> str:
+    def peer_address(self) -> str:
         """Address for other entry instances."""
         return self._addresses["peers"]
 
-    def describe(self, state: str = "live") -> dict[str, str]:
-        """Return this daemon as an entry of the platform's list."""
-        return describe_instance(
+    def create_list_entry(self, state: str = "live") -> dict[str, str]:
+        """Return this daemon's entry for the platform's list of instances."""
+        return create_list_entry(
             self.instance_id,
             "entry",
             self.data_centre,
-            self.peers,
+            self.peer_address,
             state=state,
         )
 
     def _write_settings(self) -> None:
         sections: dict[str, dict[str, str]] = defaultdict(dict)
-        for name, value in self._values.items():
+        for name, value in self._settings.items():
             section, _, key = name.partition(".")
             sections[section][key] = value
         parser = configparser.ConfigParser(interpolation=None)
@@ -113,7 +113,7 @@
 
 
 def _find_command(data_centre: str, network: Network | None) -> tuple[str, ...]:
-    """Return the module to run and its arguments before those of the daemon."""
+    """Return the module to run and the arguments to pass before the daemon's."""
     if network is None:
         return (MODULE,)
     return (ROUTED_MODULE, f"--from={network.get_number(data_centre)}")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/luzon.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/luzon.py
@@ -31,18 +31,26 @@
             rate=12,
             deadline_ms=2000,
             repeatable=False,
-            keyed=0.7,
-            repeated=0.3,
+            keyed_fraction=0.7,
+            retry_fraction=0.3,
         ),
         Traffic(pipeline="status", rate=40, deadline_ms=1500),
-        Traffic(pipeline="profile-check", rate=10, deadline_ms=3000, tokens=(4, 12)),
+        Traffic(
+            pipeline="profile-check", rate=10, deadline_ms=3000, token_range=(4, 12)
+        ),
         Traffic(
             pipeline="shift-plan",
             rate=5,
             deadline_ms=6000,
-            tokens=(40, 160),
+            token_range=(40, 160),
             stream=True,
         ),
-        Traffic(pipeline="audit", rate=6, deadline_ms=4000, keyed=0.3, repeated=0.2),
+        Traffic(
+            pipeline="audit",
+            rate=6,
+            deadline_ms=4000,
+            keyed_fraction=0.3,
+            retry_fraction=0.2,
+        ),
     ),
 )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -1,11 +1,11 @@
-"""Paths between data centres, each of which can be cut or silenced by itself.
-
-Every process has an IP number of its own, ``127.D.0.N``, with the number of its data
-centre as ``D``. Whoever connects to it from another data centre ``S`` is led to
-``127.D.S.N``, where a :class:`~greengagelatch_lab.standins.link.Link` passes the bytes
-on. So an address means the same to all instances, wherever they learnt it, and still
-each data centre has its own way to it. The daemons' own end of this is
-:mod:`.routed`.
+"""Emulated network paths between data centres, for network fault injection.
+
+Each path can be disconnected or blackholed separately. Every process has its own IP
+address ``127.D.0.N``, where ``D`` is the number of its data centre. Connections to it
+from another data centre ``S`` are redirected to ``127.D.S.N``, where a
+:class:`~greengagelatch_lab.standins.link.Link` forwards the bytes. An address is thus
+the same for all instances, whichever source they have it from, while each data centre
+has its own path to it. The daemons redirect their connections in :mod:`.routed`.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     from collections.abc import Iterable, Sequence
     from types import TracebackType
 
-__all__ = ("Network", "Path", "PathKind", "find_way")
+__all__ = ("Network", "NetworkPath", "PathKind", "redirect_host")
 
-#: first octet of all addresses, and third octet of those not led through a link
-LOOPBACK = 127
-DIRECT = 0
-#: first numbers of an instance in its data centre; the last octet has no room for more
-FIRST = 1
-LAST = 254
+#: first octet of all addresses, and third octet of those not reached through a link
+LOOPBACK_OCTET = 127
+DIRECT_OCTET = 0
+#: range of the last octet, the number of a process in its data centre
+MIN_HOST_NUMBER = 1
+MAX_HOST_NUMBER = 254
 
 
 class PathKind(Enum):
-    """What a path leads to."""
+    """Kind of process at the end of a path."""
 
     PLATFORM = "platform"
     PEER = "peer"
@@ -42,62 +42,65 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Path:
-    """The way from one data centre to one process elsewhere."""
+class NetworkPath:
+    """The network path from one data centre to one process outside it."""
 
     source: str
-    #: data centre that it leads to; empty for the platform
+    #: data centre of the process; empty for the platform
     destination: str
     kind: PathKind
     link: Link
 
-    def joins(self, data_centre: str) -> bool:
-        """Whether it leads from or to ``data_centre``, and not to the platform."""
+    def connects(self, data_centre: str) -> bool:
+        """Whether the path connects ``data_centre`` to another data centre."""
         ends = (self.source, self.destination)
         return self.kind is not PathKind.PLATFORM and data_centre in ends
 
 
 class Network:
-    """The paths between the data centres of a fleet, and from each to the platform."""
+    """Paths between the data centres of a fleet, and from each to the platform."""
 
     def __init__(self, data_centres: Sequence[str]) -> None:
         self._numbers = {name: number for number, name in enumerate(data_centres, 1)}
-        self._hosts = {name: itertools.count(FIRST) for name in data_centres}
-        self._platforms: dict[str, str] = {}
-        self.paths: list[Path] = []
+        self._hosts = {name: itertools.count(MIN_HOST_NUMBER) for name in data_centres}
+        self._platform_addresses: dict[str, str] = {}
+        self.paths: list[NetworkPath] = []
 
     def get_number(self, data_centre: str) -> int:
         """Return the number of a data centre."""
         return self._numbers[data_centre]
 
     def assign_host(self, data_centre: str) -> str:
-        """Return an IP number that no other process of the data centre has."""
+        """Return an IP address unused by other processes of the data centre."""
         number = next(self._hosts[data_centre])
-        if number > LAST:
-            raise RuntimeError(f"{data_centre} has no room for more processes")
-        return f"{LOOPBACK}.{self._numbers[data_centre]}.{DIRECT}.{number}"
-
-    def get_platform(self, data_centre: str) -> str:
+        if number > MAX_HOST_NUMBER:
+            raise RuntimeError(
+                f"no IP address left in data centre {data_centre}:"
+                f" {MAX_HOST_NUMBER} in use"
+            )
+        return f"{LOOPBACK_OCTET}.{self._numbers[data_centre]}.{DIRECT_OCTET}.{number}"
+
+    def get_platform_address(self, data_centre: str) -> str:
         """Return the address at which a data centre reaches the platform."""
-        return self._platforms[data_centre]
+        return self._platform_addresses[data_centre]
 
-    async def open_platform(self, address: str) -> None:
+    async def open_platform_paths(self, address: str) -> None:
         """Open a path to the platform from every data centre."""
         for name in self._numbers:
             link = Link(address)
-            await self._open(name, "", PathKind.PLATFORM, link)
-            self._platforms[name] = link.address
+            await self._open_path(name, "", PathKind.PLATFORM, link)
+            self._platform_addresses[name] = link.address
 
     async def open_paths(self, data_centre: str, address: str, kind: PathKind) -> None:
-        """Open a path to ``address`` from every data centre but its own."""
+        """Open a path to ``address`` from every data centre except its own."""
         for name, number in self._numbers.items():
             if name == data_centre:
                 continue
             host, _, port = address.rpartition(":")
-            link = Link(address, listen=f"{find_way(number, host)}:{port}")
-            await self._open(name, data_centre, kind, link)
+            link = Link(address, listen=f"{redirect_host(number, host)}:{port}")
+            await self._open_path(name, data_centre, kind, link)
 
-    def find_platform_paths(self, data_centre: str) -> list[Path]:
+    def find_platform_paths(self, data_centre: str) -> list[NetworkPath]:
         """Return the paths from a data centre to the platform."""
         return [
             path
@@ -105,12 +108,12 @@
             if path.kind is PathKind.PLATFORM and path.source == data_centre
         ]
 
-    def find_paths(self, data_centre: str, *kinds: PathKind) -> list[Path]:
+    def find_paths(self, data_centre: str, *kinds: PathKind) -> list[NetworkPath]:
         """Return the paths between a data centre and the others."""
         return [
             path
             for path in self.paths
-            if path.joins(data_centre) and path.kind in kinds
+            if path.connects(data_centre) and path.kind in kinds
         ]
 
     async def __aenter__(self) -> Network:
@@ -122,32 +125,35 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        await _stop(path.link for path in self.paths)
+        await _stop_links(path.link for path in self.paths)
 
-    async def _open(
+    async def _open_path(
         self, source: str, destination: str, kind: PathKind, link: Link
     ) -> None:
         await link.start()
-        path = Path(source=source, destination=destination, kind=kind, link=link)
+        path = NetworkPath(source=source, destination=destination, kind=kind, link=link)
         self.paths.append(path)
 
 
-def find_way(source: int, host: str) -> str:
-    """Return where a connection from data centre ``source`` is led.
+def redirect_host(source: int, host: str) -> str:
+    """Return the host that a connection from data centre ``source`` is redirected to.
 
-    An address that belongs to no data centre, or to the source itself, is left as it
-    is.
+    A host in no data centre, or in the source itself, is returned unchanged.
     """
     try:
         octets = list(ipaddress.IPv4Address(host).packed)
     except ValueError:
         return host
-    first, data_centre, passed, _ = octets
-    if first != LOOPBACK or passed != DIRECT or data_centre in (DIRECT, source):
+    first, data_centre, link_octet, _ = octets
+    if (
+        first != LOOPBACK_OCTET
+        or link_octet != DIRECT_OCTET
+        or data_centre in (DIRECT_OCTET, source)
+    ):
         return host
     octets[2] = source
     return ".".join(str(octet) for octet in octets)
 
 
-async def _stop(links: Iterable[Link]) -> None:
+async def _stop_links(links: Iterable[Link]) -> None:
     await asyncio.gather(*(link.stop() for link in links))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/runner.py
@@ -1,4 +1,4 @@
-"""Runs a whole fleet on loopback: platform, targets and daemons."""
+"""Runs a complete fleet on loopback: platform, targets and daemons."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 from ..processes import ProcessError, ProcessGroup
 from .daemon import LOOPBACK, Daemon
+from .instance_list import InstanceListClient, create_list_entry
 from .network import Network, PathKind
-from .registry import Registry, describe_instance
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -32,25 +32,27 @@
 PLAIN_MODULE = "greengagelatch_lab.standins.plain"
 CLIENT_MODULE = "greengagelatch_cli"
 
-#: entry instances of one data centre
+#: entry instances per data centre
 ENTRIES_PER_DATA_CENTRE = 3
-#: settings that suit short runs; the balancer of the load tool lags by half a second
-SETTINGS = {"drain.balancer_lag": "1.5", "drain.longest": "10"}
-#: seconds allowed until every daemon is ready, and for a planned stop
+#: settings for short runs; the load generator polls readiness every half second
+SHORT_RUN_SETTINGS = {"drain.balancer_lag": "1.5", "drain.longest": "10"}
+#: seconds to wait until every daemon is ready, and for a graceful shutdown
 READY_TIMEOUT = 30.0
 STOP_TIMEOUT = 20.0
-#: seconds allowed to the operators' client
+#: seconds that the command-line client may run
 CLIENT_TIMEOUT = 40.0
+#: seconds between readiness checks
 POLL_INTERVAL = 0.05
 
 
 class FleetRunner:
-    """Starts a fleet's processes and ends them all.
+    """Starts the processes of a fleet and terminates them on exit.
 
-    :param directory: for the settings, outputs and logs of the processes
-    :param entries: entry instances of one data centre
-    :param settings: further settings of the daemons, by ``section.key``
-    :param routed: whether data centres have paths that can be cut, see :attr:`network`
+    :param directory: directory for the settings, output and logs of the processes
+    :param entries_per_data_centre: number of entry instances in each data centre
+    :param settings: additional settings of the daemons, by ``section.key``
+    :param emulate_network: whether to emulate paths between data centres, see
+        :attr:`network`
     """
 
     def __init__(
@@ -58,31 +60,31 @@
         fleet: Fleet,
         directory: Path,
         *,
-        entries: int = ENTRIES_PER_DATA_CENTRE,
+        entries_per_data_centre: int = ENTRIES_PER_DATA_CENTRE,
         settings: Mapping[str, str] | None = None,
-        routed: bool = False,
+        emulate_network: bool = False,
     ) -> None:
         self.fleet = fleet
-        #: paths between the data centres, if they have any
-        self.network = Network(fleet.data_centres) if routed else None
+        #: paths between the data centres; ``None`` for direct connections
+        self.network = Network(fleet.data_centres) if emulate_network else None
         self.daemons: list[Daemon] = []
-        #: data centre of every daemon that was ever started, by id
-        self.places: dict[str, str] = {}
-        #: the targets, as the platform lists them
+        #: data centre of every daemon started so far, by instance id
+        self.daemon_data_centres: dict[str, str] = {}
+        #: the targets, as entries of the platform's list
         self.targets: list[dict[str, str]] = []
         self._directory = directory
-        self._entries = entries
-        self._settings = {**SETTINGS, **(settings or {})}
+        self._entries_per_data_centre = entries_per_data_centre
+        self._settings = {**SHORT_RUN_SETTINGS, **(settings or {})}
         self._group = ProcessGroup(directory)
         self._stack = AsyncExitStack()
-        self._registry: Registry | None = None
+        self._instance_list: InstanceListClient | None = None
 
     @property
-    def registry(self) -> Registry:
-        """The platform's list; there is none before the start."""
-        if self._registry is None:
-            raise RuntimeError("the fleet was not started")
-        return self._registry
+    def instance_list(self) -> InstanceListClient:
+        """Client of the platform's list of instances, available after the start."""
+        if self._instance_list is None:
+            raise RuntimeError(f"fleet {self.fleet.name} is not started")
+        return self._instance_list
 
     async def __aenter__(self) -> FleetRunner:
         await self._stack.enter_async_context(self._group)
@@ -102,7 +104,10 @@
         await self._stack.aclose()
 
     def find_process(self, name: str) -> Process:
-        """Return the process of a target or daemon that was started last."""
+        """Return the most recently started process of a target or daemon.
+
+        :raises LookupError: if no process has this name
+        """
         for process in reversed(self._group.processes):
             if process.name == name:
                 return process
@@ -114,13 +119,13 @@
         data_centre: str,
         settings: Mapping[str, str] | None = None,
     ) -> Daemon:
-        """Start one more daemon and enter it into the platform's list.
+        """Start a daemon and register it with the platform.
 
-        :param settings: settings of this daemon alone, by ``section.key``
+        :param settings: additional settings of this daemon, by ``section.key``
         """
-        platform = self.registry.address
+        platform = self.instance_list.address
         if self.network is not None:
-            platform = self.network.get_platform(data_centre)
+            platform = self.network.get_platform_address(data_centre)
         daemon = Daemon(
             instance_id,
             data_centre,
@@ -129,33 +134,34 @@
             settings={**self._settings, **(settings or {})},
             network=self.network,
         )
-        self.places[instance_id] = data_centre
-        # the group ends it with the others, also if its start fails
+        self.daemon_data_centres[instance_id] = data_centre
+        # added first, so that the group terminates it even if its start fails
         self._group.processes.append(daemon.process)
         await daemon.start()
-        await self._open_paths(data_centre, daemon.peers, PathKind.PEER)
+        await self._open_paths(data_centre, daemon.peer_address, PathKind.PEER)
         self.daemons.append(daemon)
-        await self.registry.put([daemon.describe()])
+        await self.instance_list.put([daemon.create_list_entry()])
         return daemon
 
     async def apply_objects(self, text: str = "") -> str:
-        """Apply objects by the operators' client, and wait until they are in force.
+        """Apply configuration objects and wait until they are in force.
 
-        :param text: INI of the objects; empty: the fleet's own
-        :raises ProcessError: if they are refused, or not in force everywhere in time
+        :param text: INI text of the objects; by default those of the fleet
+        :raises ProcessError: if the objects are rejected, or not in force on every
+            instance before the time-out
         """
         path = self._directory / f"{self.fleet.name}.ini"
         path.write_text(text or self.fleet.read_objects(), encoding="utf-8")
         return await self.run_client("apply", str(path), "--wait")
 
-    async def run_client(self, *arguments: str, at: Daemon | None = None) -> str:
-        """Run the operators' client and return what it printed.
+    async def run_client(self, *arguments: str, daemon: Daemon | None = None) -> str:
+        """Run the command-line client and return its output.
 
-        :param at: the only daemon to ask; by default any
-        :raises ProcessError: if it fails
+        :param daemon: daemon to connect to; by default any
+        :raises ProcessError: if the client fails or exceeds its time-out
         """
-        asked = self.daemons if at is None else [at]
-        servers = ",".join(daemon.entry.operators for daemon in asked)
+        daemons = self.daemons if daemon is None else [daemon]
+        servers = ",".join(item.entry.operator_address for item in daemons)
         command = ("-m", CLIENT_MODULE, *arguments, "--server", servers)
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -170,14 +176,18 @@
         except TimeoutError:
             process.kill()
             await process.wait()
-            raise ProcessError(f"{arguments} took over {CLIENT_TIMEOUT} s") from None
+            raise ProcessError(
+                f"client {arguments} timed out after {CLIENT_TIMEOUT} s"
+            ) from None
         text = output.decode(errors="replace").strip()
         if process.returncode:
-            raise ProcessError(f"{arguments} ended with {process.returncode}: {text}")
+            raise ProcessError(
+                f"client {arguments} exited with {process.returncode}: {text}"
+            )
         return text
 
     async def wait_ready(self, *daemons: Daemon) -> None:
-        """Wait until ``daemons``, by default all, may be given requests."""
+        """Wait until ``daemons``, by default all, accept requests."""
         timeout = aiohttp.ClientTimeout(total=POLL_INTERVAL * 20)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             waits = [_wait_ready(session, daemon) for daemon in daemons or self.daemons]
@@ -185,11 +195,11 @@
                 async with asyncio.timeout(READY_TIMEOUT):
                     await asyncio.gather(*waits)
             except TimeoutError:
-                msg = f"not every daemon is ready after {READY_TIMEOUT} s"
+                msg = f"daemons not ready after {READY_TIMEOUT} s"
                 raise ProcessError(msg) from None
 
     async def stop_daemon(self, daemon: Daemon) -> int:
-        """Stop a daemon as planned; return its exit status."""
+        """Shut a daemon down gracefully; return its exit status."""
         daemon.process.terminate()
         status = await daemon.process.wait(STOP_TIMEOUT)
         self.daemons.remove(daemon)
@@ -197,20 +207,20 @@
 
     async def _start(self) -> None:
         platform = await self._group.run_module("platform", PLATFORM_MODULE)
-        registry = Registry(platform.ready)
-        self._registry = await self._stack.enter_async_context(registry)
+        instance_list = InstanceListClient(platform.ready)
+        self._instance_list = await self._stack.enter_async_context(instance_list)
         if self.network is not None:
             await self._stack.enter_async_context(self.network)
-            await self.network.open_platform(registry.address)
+            await self.network.open_platform_paths(instance_list.address)
         starts = []
         for service in self.fleet.services:
             for number in range(service.replicas):
                 starts.append(self._start_target(service, number))
         self.targets = list(await asyncio.gather(*starts))
-        await registry.put(self.targets)
+        await instance_list.put(self.targets)
         starts = []
         for data_centre in self.fleet.data_centres:
-            for number in range(self._entries):
+            for number in range(self._entries_per_data_centre):
                 name = f"{data_centre}-entry-{number + 1}"
                 starts.append(self.start_daemon(name, data_centre))
         await asyncio.gather(*starts)
@@ -232,7 +242,7 @@
             f"--seed={number + 1}",
         )
         await self._open_paths(data_centre, process.ready, PathKind.TARGET)
-        return describe_instance(
+        return create_list_entry(
             name, "target", data_centre, process.ready, service=service.name
         )
 
@@ -242,14 +252,14 @@
 
 
 async def _wait_ready(session: aiohttp.ClientSession, daemon: Daemon) -> None:
-    url = f"http://{daemon.entry.operators}/readyz"
+    url = f"http://{daemon.entry.operator_address}/readyz"
     while True:
         try:
             async with session.get(url) as response:
                 if response.status == 200:
                     return
         except (aiohttp.ClientError, TimeoutError):
-            # it may not listen yet; the caller bounds the wait
+            # it may not listen yet; the caller sets the time-out
             pass
         await asyncio.sleep(POLL_INTERVAL)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/client.py
@@ -1,4 +1,4 @@
-"""Sends one request as a caller does and notes all that comes back."""
+"""HTTP client that sends requests as a caller and records the responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from greengagelatch_entry.adapters.event_stream import EventParser
 
-from .observations import Ending, Observation
+from .observations import Observation, RequestOutcome
 
 if TYPE_CHECKING:
     from types import TracebackType
@@ -23,37 +23,38 @@
 
 __all__ = ("CallerClient",)
 
-#: connections kept open to all instances together
+#: limit on open connections to all instances together
 MAX_CONNECTIONS = 256
-GRACE = 5.0
-#: bytes of one event
-MAX_EVENT = 1024 * 1024
+#: seconds beyond the deadline after which a request counts as unanswered
+GRACE_SECONDS = 5.0
+#: maximum size of a server-sent event in bytes
+MAX_EVENT_BYTES = 1024 * 1024
 EVENT_STREAM = "text/event-stream"
 
 
 @dataclass(slots=True)
-class _Reading:
-    """What has come back so far."""
+class _PartialResponse:
+    """The part of a response received so far."""
 
     fields: dict[str, Any] = field(default_factory=dict)
-    ending: Ending = Ending.CUT
+    outcome: RequestOutcome = RequestOutcome.DISCONNECTED
     status: int = 0
     tokens: list[tuple[int, str]] = field(default_factory=list)
-    token_seconds: list[float] = field(default_factory=list)
+    token_latencies: list[float] = field(default_factory=list)
     message: str = ""
 
 
 class CallerClient:
-    """Sends requests over a bounded number of kept connections.
+    """Sends requests over a bounded pool of persistent connections.
 
-    Nothing is sent twice: an answer that doesn't come is what is to be measured.
+    The client itself never retries, since missing responses are to be measured.
 
-    :param grace: seconds beyond its deadline after which a request counts as never
-        answered
+    :param grace: seconds beyond its deadline after which a request counts as
+        unanswered
     """
 
     def __init__(
-        self, *, max_connections: int = MAX_CONNECTIONS, grace: float = GRACE
+        self, *, max_connections: int = MAX_CONNECTIONS, grace: float = GRACE_SECONDS
     ) -> None:
         self._max_connections = max_connections
         self._grace = grace
@@ -78,42 +79,46 @@
     async def send(
         self, arrival: Arrival, instance: EntryInstance, due: float
     ) -> Observation:
-        """Send a request and wait for its whole answer.
+        """Send a request and wait for the complete response.
 
-        :param due: loop time at which it was to be sent
+        :param due: event loop time at which the request was scheduled
         """
-        reading = _Reading()
+        partial = _PartialResponse()
         limit = due + arrival.deadline_ms / 1000 + self._grace
         try:
             async with asyncio.timeout_at(limit):
-                await self._exchange(arrival, instance, due, reading)
+                await self._exchange(arrival, instance, due, partial)
         except TimeoutError:
-            reading.ending = Ending.SILENT
-            reading.message = f"no whole answer {self._grace:g} s after the deadline"
+            partial.outcome = RequestOutcome.TIMED_OUT
+            partial.message = (
+                f"response incomplete {self._grace:g} s after the deadline"
+            )
         except (aiohttp.ClientError, OSError, ValueError) as error:
-            reading.ending = Ending.CUT
-            reading.message = repr(error)
-        return _observe(arrival, instance, reading, _get_time() - due)
+            partial.outcome = RequestOutcome.DISCONNECTED
+            partial.message = repr(error)
+        return _create_observation(arrival, instance, partial, _get_time() - due)
 
     async def _exchange(
         self,
         arrival: Arrival,
         instance: EntryInstance,
         due: float,
-        reading: _Reading,
+        partial: _PartialResponse,
     ) -> None:
         async with self._session.post(
-            f"http://{instance.callers}/v1/pipelines/{arrival.pipeline}",
+            f"http://{instance.caller_address}/v1/pipelines/{arrival.pipeline}",
             json={"input": arrival.input, "stream": arrival.stream},
             headers=_create_headers(arrival),
         ) as response:
-            reading.status = response.status
+            partial.status = response.status
             if response.content_type == EVENT_STREAM:
-                await _read_stream(response, due, reading)
+                await _read_stream(response, due, partial)
                 return
-            reading.fields = json.loads(await response.read())
+            partial.fields = json.loads(await response.read())
             refused = response.status >= 400
-            reading.ending = Ending.REFUSAL if refused else Ending.RESULT
+            partial.outcome = (
+                RequestOutcome.REFUSAL if refused else RequestOutcome.RESULT
+            )
 
 
 def _create_headers(arrival: Arrival) -> dict[str, str]:
@@ -123,56 +128,60 @@
     }
     if not arrival.repeatable:
         headers["X-Repeatable"] = "no"
-    if arrival.key:
-        headers["Idempotency-Key"] = arrival.key
-        if arrival.repeat_of is None:
+    if arrival.idempotency_key:
+        headers["Idempotency-Key"] = arrival.idempotency_key
+        if arrival.retry_of is None:
             headers["X-First-Attempt"] = "yes"
     return headers
 
 
 async def _read_stream(
-    response: aiohttp.ClientResponse, due: float, reading: _Reading
+    response: aiohttp.ClientResponse, due: float, partial: _PartialResponse
 ) -> None:
-    parser = EventParser(MAX_EVENT)
+    parser = EventParser(MAX_EVENT_BYTES)
     async for chunk in response.content.iter_any():
         for event in parser.feed(chunk):
-            _take_event(event, _get_time() - due, reading)
-    if reading.ending is Ending.CUT:
-        reading.message = f"no end after {len(reading.tokens)} tokens"
+            _handle_event(event, _get_time() - due, partial)
+    if partial.outcome is RequestOutcome.DISCONNECTED:
+        partial.message = (
+            f"stream ended without a final event after {len(partial.tokens)} tokens"
+        )
 
 
-def _take_event(event: Event, seconds: float, reading: _Reading) -> None:
-    if reading.ending is not Ending.CUT:
-        raise ValueError(f"event {event.name} after the last one")
+def _handle_event(event: Event, seconds: float, partial: _PartialResponse) -> None:
+    if partial.outcome is not RequestOutcome.DISCONNECTED:
+        raise ValueError(f"event {event.name!r} after the final event of the stream")
     fields = json.loads(event.data)
     if event.name == "token":
-        reading.tokens.append((fields["offset"], fields["text"]))
-        reading.token_seconds.append(seconds)
+        partial.tokens.append((fields["offset"], fields["text"]))
+        partial.token_latencies.append(seconds)
         return
-    reading.fields = fields
-    reading.ending = Ending.RESULT if event.name == "end" else Ending.REFUSAL
+    partial.fields = fields
+    partial.outcome = (
+        RequestOutcome.RESULT if event.name == "end" else RequestOutcome.REFUSAL
+    )
 
 
-def _observe(
-    arrival: Arrival, instance: EntryInstance, reading: _Reading, seconds: float
+def _create_observation(
+    arrival: Arrival, instance: EntryInstance, partial: _PartialResponse, seconds: float
 ) -> Observation:
-    fields = reading.fields
+    fields = partial.fields
     return Observation(
         arrival=arrival,
-        ending=reading.ending,
+        outcome=partial.outcome,
         instance=instance.instance_id,
-        status=reading.status,
+        status=partial.status,
         request_id=fields.get("request", ""),
         verdict=fields.get("verdict", ""),
         code=fields.get("code", ""),
-        message=reading.message or fields.get("message", ""),
+        message=partial.message or fields.get("message", ""),
         result=fields.get("result"),
         replayed=fields.get("replayed", False),
-        tokens=tuple(reading.tokens),
+        tokens=tuple(partial.tokens),
         count=fields.get("count"),
         digest=fields.get("digest", ""),
-        seconds=seconds,
-        token_seconds=tuple(reading.token_seconds),
+        latency_seconds=seconds,
+        token_latencies=tuple(partial.token_latencies),
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/load/tallies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/load/request_statistics.py
@@ -1,4 +1,4 @@
-"""Counts and latency histograms of the requests of one kind."""
+"""Outcome counts and latency histograms of a set of requests."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 from hdrh.histogram import HdrHistogram
 
-from .observations import Ending
+from .observations import RequestOutcome
 
 if TYPE_CHECKING:
     from .observations import Observation
 
-__all__ = ("Tally", "summarize")
+__all__ = ("RequestStatistics", "summarize")
 
-#: bounds of the histograms in microseconds, and their significant digits
-LOWEST = 1
-HIGHEST = 600_000_000
-DIGITS = 3
-MICROSECONDS = 1_000_000
+#: range of the histograms in microseconds, and their significant digits
+MIN_MICROSECONDS = 1
+MAX_MICROSECONDS = 600_000_000
+SIGNIFICANT_DIGITS = 3
+MICROSECONDS_PER_SECOND = 1_000_000
 
 PERCENTILES = (50, 95, 99)
 
 
-class Tally:
-    """What became of a set of requests.
+class RequestStatistics:
+    """Outcome and latency statistics of a set of requests.
 
-    Attainment is the share of requests answered whole within their deadline, out
-    of all that the callers made, sent or not.
+    Attainment is the share of requests that got a result within their deadline, out
+    of all requests due, including those that could not be sent.
     """
 
     def __init__(self) -> None:
-        self.made = 0
+        self.requests = 0
         self.in_time = 0
-        self.endings: Counter[str] = Counter()
+        self.outcomes: Counter[str] = Counter()
         self.refusals: Counter[str] = Counter()
         self.replayed = 0
         self._latency = _create_histogram()
@@ -42,17 +42,17 @@
         self._token_gap = _create_histogram()
 
     def add(self, observation: Observation) -> None:
-        """Count one request."""
-        self.made += 1
+        """Add one request to the statistics."""
+        self.requests += 1
         self.in_time += observation.in_time
-        self.endings[observation.ending.value] += 1
+        self.outcomes[observation.outcome.value] += 1
         self.replayed += observation.replayed
-        if observation.ending is Ending.REFUSAL:
+        if observation.outcome is RequestOutcome.REFUSAL:
             self.refusals[f"{observation.code} ({observation.verdict})"] += 1
-        if observation.ending is not Ending.RESULT:
+        if observation.outcome is not RequestOutcome.RESULT:
             return
-        _record(self._latency, observation.seconds)
-        times = observation.token_seconds
+        _record(self._latency, observation.latency_seconds)
+        times = observation.token_latencies
         if not times:
             return
         _record(self._first_token, times[0])
@@ -61,16 +61,16 @@
 
     @property
     def attainment(self) -> float:
-        """Share of requests answered whole in time; 1 if there were none."""
-        return self.in_time / self.made if self.made else 1.0
+        """Share of requests with a result in time; 1 if there were no requests."""
+        return self.in_time / self.requests if self.requests else 1.0
 
     def encode(self) -> dict[str, Any]:
-        """Return the counts, and percentiles in milliseconds."""
+        """Return the counts, and the latency percentiles in milliseconds."""
         return {
-            "made": self.made,
+            "made": self.requests,
             "in_time": self.in_time,
             "attainment": round(self.attainment, 4),
-            "endings": dict(self.endings),
+            "endings": dict(self.outcomes),
             "refusals": dict(self.refusals),
             "replayed": self.replayed,
             "latency_ms": summarize(self._latency),
@@ -80,7 +80,7 @@
 
 
 def summarize(histogram: HdrHistogram) -> dict[str, float]:
-    """Return percentiles and the largest value in milliseconds."""
+    """Return the percentiles and the maximum in milliseconds; empty if no value."""
     count = histogram.get_total_count()
     if not count:
         return {}
@@ -93,9 +93,9 @@
 
 
 def _create_histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST, HIGHEST, DIGITS)
+    return HdrHistogram(MIN_MICROSECONDS, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 def _record(histogram: HdrHistogram, seconds: float) -> None:
-    value = round(seconds * MICROSECONDS)
-    histogram.record_value(min(max(value, LOWEST), HIGHEST))
+    value = round(seconds * MICROSECONDS_PER_SECOND)
+    histogram.record_value(min(max(value, MIN_MICROSECONDS), MAX_MICROSECONDS))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
+    from ..fleets.background_traffic import BackgroundTraffic
     from ..fleets.daemon import Daemon
-    from ..fleets.playing import Playing
 
 __all__ = ("Fault", "LastingFault", "Scene")
 
@@ -18,7 +18,7 @@
 class Scene:
     """A fleet that serves, and what has struck it so far."""
 
-    playing: Playing
+    playing: BackgroundTraffic
     random_source: random.Random
     #: entry instances whose callers may see a connection end or stay silent
     struck: set[str] = field(default_factory=set)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -22,9 +22,9 @@
 import aiohttp
 
 from ..fleets import FLEETS
-from ..fleets.playing import play
+from ..fleets.background_traffic import generate_traffic
+from ..fleets.process_cleanup import run_with_cleanup
 from ..fleets.runner import FleetRunner
-from ..fleets.tool import run_tool
 from ..load.violations import ViolationKind
 from ..processes import ProcessError
 from . import Scene
@@ -47,7 +47,7 @@
 #: seconds for which arrivals are drawn; they end with the last fault
 LONGEST = 600.0
 
-EXCUSED = (ViolationKind.CUT, ViolationKind.SILENT)
+EXCUSED = (ViolationKind.DISCONNECTED, ViolationKind.TIMED_OUT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -75,7 +75,7 @@
         """Return the result as JSON-compatible values."""
         return {
             "passed": self.passed,
-            "answers": self.report.total.made + self.report.repeats.made,
+            "answers": self.report.total.requests + self.report.retries.requests,
             "attainment": round(self.report.total.attainment, 4),
             "violations": [str(item) for item in self.violations],
             "excused": self.excused,
@@ -98,7 +98,7 @@
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
         work = _run(FLEETS[options.fleet], Path(directory), options)
         try:
-            result = run_tool(work)
+            result = run_with_cleanup(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
             print(f"not measured: {error!r}\noutages FAILED")
             return 1
@@ -112,23 +112,23 @@
 
 
 async def _run(fleet: Fleet, directory: Path, options: argparse.Namespace) -> Result:
-    async with FleetRunner(fleet, directory, routed=True) as runner:
+    async with FleetRunner(fleet, directory, emulate_network=True) as runner:
         await runner.apply_objects()
         await runner.wait_ready()
         watch = GenerationWatch(runner)
         watching = asyncio.create_task(watch.run())
-        async with play(
+        async with generate_traffic(
             runner,
             seconds=LONGEST,
             scale=options.scale,
             seed=options.seed,
-            show=_show,
+            on_progress=_show,
         ) as playing:
             scene = Scene(playing=playing, random_source=random.Random(options.seed))
             windows = []
             for name in options.fault or FAULTS:
                 windows.append(await _strike(scene, name, options.seconds))
-            playing.run.end()
+            playing.run.stop()
             report = await playing.check()
         watching.cancel()
         await asyncio.gather(watching, return_exceptions=True)
@@ -141,7 +141,9 @@
         reverted=watch.reverted,
         late_work=late_work,
         broken=scene.broken,
-        sides=measure_sides(windows, playing.run.observations, runner.places),
+        sides=measure_sides(
+            windows, playing.run.observations, runner.daemon_data_centres
+        ),
         looks=watch.looks,
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -79,12 +79,12 @@
         marker=marker,
         deadline_ms=traffic.deadline_ms,
         repeatable=False,
-        key=f"key-{marker}",
+        idempotency_key=f"key-{marker}",
     )
 
 
 def _repeat(first: Arrival, number: int) -> Arrival:
-    return dataclasses.replace(first, index=first.index + number, repeat_of=first.index)
+    return dataclasses.replace(first, index=first.index + number, retry_of=first.index)
 
 
 async def _send(client: CallerClient, arrival: Arrival, daemon: Daemon) -> Observation:
@@ -105,4 +105,4 @@
     )
     balancer.add(replacement.entry)
     balancer.remove(daemon.entry)
-    await runner.registry.remove([daemon.instance_id])
+    await runner.instance_list.remove([daemon.instance_id])
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from ..load.tallies import Tally
+from ..load.request_statistics import RequestStatistics
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
@@ -36,7 +36,7 @@
 
     fault: str
     name: str
-    tally: Tally
+    tally: RequestStatistics
 
     def format(self) -> str:
         """Return a line of text."""
@@ -44,7 +44,7 @@
             f"{code} {count}" for code, count in sorted(self.tally.refusals.items())
         )
         return (
-            f"{self.fault:<20}{self.name:<16}{self.tally.made:>6}"
+            f"{self.fault:<20}{self.name:<16}{self.tally.requests:>6}"
             f"{self.tally.attainment:>9.1%}  {refusals}"
         )
 
@@ -53,7 +53,7 @@
         return {
             "fault": self.fault,
             "side": self.name,
-            "made": self.tally.made,
+            "made": self.tally.requests,
             "attainment": round(self.tally.attainment, 4),
         }
 
@@ -67,13 +67,13 @@
 
     :param places: data centre of each instance, by id
     """
-    tallies: dict[tuple[str, str], Tally] = {}
+    tallies: dict[tuple[str, str], RequestStatistics] = {}
     for window in windows:
         names = (window.data_centre, REST) if window.data_centre else (ALL,)
         for name in names:
-            tallies[(window.fault, name)] = Tally()
+            tallies[(window.fault, name)] = RequestStatistics()
     for observation in observations:
-        if observation.arrival.repeat_of is not None:
+        if observation.arrival.retry_of is not None:
             continue
         for window in windows:
             if not window.begin <= observation.arrival.offset < window.end:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -18,13 +18,13 @@
 
     async def begin(self, scene: Scene) -> None:
         runner = scene.playing.runner
-        await runner.registry.set_faults(outage=True)
+        await runner.instance_list.set_faults(outage=True)
         data_centre = scene.random_source.choice(runner.fleet.data_centres)
         known = scene.random_source.sample(runner.daemons, SEEDS)
         daemon = await runner.start_daemon(
-            f"{data_centre}-late-{len(runner.places)}",
+            f"{data_centre}-late-{len(runner.daemon_data_centres)}",
             data_centre,
-            {"peers.seeds": ",".join(other.peers for other in known)},
+            {"peers.seeds": ",".join(other.peer_address for other in known)},
         )
         try:
             await runner.wait_ready(daemon)
@@ -33,4 +33,4 @@
         scene.playing.balancer.add(daemon.entry)
 
     async def end(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(outage=False)
+        await scene.playing.runner.instance_list.set_faults(outage=False)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -17,7 +17,7 @@
 import aiohttp
 
 from ..fleets.daemon import Daemon
-from ..fleets.registry import Registry, describe_instance
+from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from .echo import TOKENS
 from .ways import Rate, Way, measure_latencies, measure_rate
@@ -132,12 +132,12 @@
     )
     group.processes.append(daemon.process)
     await daemon.start()
-    async with Registry(platform.ready) as registry:
+    async with InstanceListClient(platform.ready) as registry:
         targets = [
-            describe_instance(name, "target", DATA_CENTRE, echo.ready, service=service)
+            create_list_entry(name, "target", DATA_CENTRE, echo.ready, service=service)
             for name, service in (("target-1", SERVICE), ("target-2", ENGINE))
         ]
-        await registry.put([*targets, daemon.describe()])
+        await registry.put([*targets, daemon.create_list_entry()])
     await _apply(group, daemon)
     ways = {
         "direct": _create_call("direct", echo),
@@ -160,7 +160,7 @@
         sys.executable,
         *command,
         "--server",
-        daemon.entry.operators,
+        daemon.entry.operator_address,
         stdin=asyncio.subprocess.DEVNULL,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
@@ -183,7 +183,7 @@
 def _create_request(pipeline: str, daemon: Daemon, *, stream: bool = False) -> Way:
     return Way(
         name=pipeline,
-        url=f"http://{daemon.entry.callers}/v1/pipelines/{pipeline}",
+        url=f"http://{daemon.entry.caller_address}/v1/pipelines/{pipeline}",
         headers={"X-Workspace": WORKSPACE, "X-Deadline-Ms": "5000"},
         body=json.dumps({"input": CALL["input"], "stream": stream}).encode(),
         pid=daemon.process.pid,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -17,15 +17,15 @@
 import aiohttp
 
 from .fleets import FLEETS
-from .fleets.playing import play
+from .fleets.background_traffic import generate_traffic
+from .fleets.process_cleanup import run_with_cleanup
 from .fleets.runner import FleetRunner
-from .fleets.tool import run_tool
 from .processes import ProcessError
 
 if TYPE_CHECKING:
     from .fleets import Fleet
+    from .fleets.background_traffic import BackgroundTraffic
     from .fleets.daemon import Daemon
-    from .fleets.playing import Playing
     from .load import Report
 
 __all__ = ("main",)
@@ -49,12 +49,12 @@
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
         work = _roll_fleet(FLEETS[options.fleet], Path(directory), options)
         try:
-            report, statuses = run_tool(work)
+            report, statuses = run_with_cleanup(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
             print(f"not measured: {error!r}\nrolling restart FAILED")
             return 1
     print(report.format())
-    passed = report.kept and report.total.in_time > 0 and not any(statuses)
+    passed = report.passed and report.total.in_time > 0 and not any(statuses)
     print(
         f"{len(statuses)} daemons replaced, exit statuses {set(statuses)}, attainment"
         f" {report.total.attainment:.2%}, violations: {len(report.violations)}"
@@ -69,28 +69,28 @@
     async with FleetRunner(fleet, directory) as runner:
         _show(await runner.apply_objects())
         await runner.wait_ready()
-        await runner.registry.set_faults(list_lag_s=options.list_lag)
-        async with play(
+        await runner.instance_list.set_faults(list_lag_s=options.list_lag)
+        async with generate_traffic(
             runner,
             seconds=LONGEST,
             scale=options.scale,
             seed=options.seed,
-            show=_show,
+            on_progress=_show,
         ) as playing:
             await asyncio.sleep(MARGIN)
             statuses = []
             for daemon in list(runner.daemons):
                 statuses.append(await _replace(playing, daemon))
             await asyncio.sleep(MARGIN)
-            playing.run.end()
+            playing.run.stop()
             return await playing.check(), statuses
 
 
-async def _replace(playing: Playing, daemon: Daemon) -> int:
+async def _replace(playing: BackgroundTraffic, daemon: Daemon) -> int:
     """Replace one daemon as the platform would; return its exit status."""
     runner = playing.runner
     old = daemon.entry
-    await runner.registry.put([daemon.describe("leaving")])
+    await runner.instance_list.put([daemon.create_list_entry("leaving")])
     stop = asyncio.create_task(runner.stop_daemon(daemon))
     replacement = await runner.start_daemon(
         f"{daemon.instance_id}-next", daemon.data_centre
@@ -99,7 +99,7 @@
     await runner.wait_ready(replacement)
     status = await stop
     playing.balancer.remove(old)
-    await runner.registry.remove([daemon.instance_id])
+    await runner.instance_list.remove([daemon.instance_id])
     _show(f"{daemon.instance_id} replaced, exit status {status}")
     return status
 
--- a/tests/test_processes/test_halted_holder.py
+++ b/tests/test_processes/test_halted_holder.py
@@ -9,7 +9,10 @@
 import pytest
 
 from greengagelatch_lab.fleets.daemon import Daemon
-from greengagelatch_lab.fleets.registry import Registry, describe_instance
+from greengagelatch_lab.fleets.instance_list import (
+    InstanceListClient,
+    create_list_entry,
+)
 from greengagelatch_lab.halting import HALTED
 from greengagelatch_lab.processes import ProcessGroup
 
@@ -59,7 +62,7 @@
         )
         self._group.processes.append(daemon.process)
         await daemon.start()
-        await self._registry.put([daemon.describe()])
+        await self._registry.put([daemon.create_list_entry()])
         return daemon
 
     async def place(self, daemon, model):
@@ -70,7 +73,7 @@
             "text": OBJECTS.format(fencing=self.fencing, model=model),
             "file": "objects.ini",
         }
-        url = f"http://{daemon.entry.operators}/changes"
+        url = f"http://{daemon.entry.operator_address}/changes"
         async with self._session.post(url, json=body) as response:
             assert response.status == 200, await response.text()
 
@@ -79,7 +82,7 @@
             return await response.json()
 
     async def count(self, daemon, name):
-        dump = await self.read(daemon.entry.operators, "/dump")
+        dump = await self.read(daemon.entry.operator_address, "/dump")
         return dump["metrics"]["counters"].get(name, 0)
 
     async def read_models(self):
@@ -107,8 +110,8 @@
             f"--fencing={fencing}",
             "--order-ms=20",
         )
-        async with Registry(platform.ready) as registry:
-            target = describe_instance(
+        async with InstanceListClient(platform.ready) as registry:
+            target = create_list_entry(
                 "engine", "target", "centre", engine.ready, service="writer"
             )
             await registry.put([target])
--- a/tests/test_processes/test_keyed_calls.py
+++ b/tests/test_processes/test_keyed_calls.py
@@ -9,18 +9,18 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Pipeline
-from greengagelatch_lab.fleets.desk import DESK_OBJECTS, create_desk
+from greengagelatch_lab.fleets.booking import BOOKING_OBJECTS, create_booking_fleet
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending
-from greengagelatch_lab.load.reading import read_records
+from greengagelatch_lab.load.observations import RequestOutcome
+from greengagelatch_lab.load.record_client import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
 
-DESK = create_desk(1)
+DESK = create_booking_fleet(1)
 
 #: size of the request, as a multiple of the default; the call lasts about 2 s
 SIZE = 200
@@ -45,7 +45,7 @@
             marker="marker",
             deadline_ms=deadline_ms,
             repeatable=False,
-            key="key",
+            idempotency_key="key",
         )
         due = asyncio.get_running_loop().time()
         seen = await self._client.send(arrival, daemon.entry, due)
@@ -63,14 +63,16 @@
 
     async def check(self) -> None:
         """Check the callers' observations against the records of the service."""
-        match parse_objects(DESK_OBJECTS):
+        match parse_objects(BOOKING_OBJECTS):
             case Ok(objects):
                 pipelines = [item for item in objects if isinstance(item, Pipeline)]
             case failure:
                 raise AssertionError(failure)
         records = await read_records(self._runner.targets)
         # a killed instance can't answer its caller
-        answered = [s for s in self.observations if s.ending is not Ending.CUT]
+        answered = [
+            s for s in self.observations if s.outcome is not RequestOutcome.DISCONNECTED
+        ]
         checker = Checker(
             observations=answered,
             records=records,
@@ -90,10 +92,10 @@
     must outlive its instance, and a claim without an outcome must not count as free.
     """
     async with (
-        FleetRunner(DESK, tmp_path, entries=2) as runner,
+        FleetRunner(DESK, tmp_path, entries_per_data_centre=2) as runner,
         CallerClient() as client,
     ):
-        await runner.apply_objects(DESK_OBJECTS)
+        await runner.apply_objects(BOOKING_OBJECTS)
         await runner.wait_ready()
         killed, other = runner.daemons
         trial = Trial(runner, client)
@@ -101,10 +103,10 @@
         await trial.wait_for_call()
         killed.process.kill()
         await killed.process.wait()
-        assert (await first).ending is Ending.CUT
+        assert (await first).outcome is RequestOutcome.DISCONNECTED
         for _ in range(2):
             repeat = await trial.ask(other, 8000)
-            assert repeat.ending is Ending.REFUSAL
+            assert repeat.outcome is RequestOutcome.REFUSAL
             assert repeat.verdict == "may-have-run"
         await trial.check()
 
@@ -117,10 +119,10 @@
     answer of the holder must not end its claim.
     """
     async with (
-        FleetRunner(DESK, tmp_path, entries=2) as runner,
+        FleetRunner(DESK, tmp_path, entries_per_data_centre=2) as runner,
         CallerClient() as client,
     ):
-        await runner.apply_objects(DESK_OBJECTS)
+        await runner.apply_objects(BOOKING_OBJECTS)
         await runner.wait_ready()
         paused, other = runner.daemons
         trial = Trial(runner, client)
@@ -128,7 +130,7 @@
         await trial.wait_for_call()
         paused.process.pause()
         during = await trial.ask(other, 3000)
-        assert during.ending is Ending.REFUSAL
+        assert during.outcome is RequestOutcome.REFUSAL
         assert during.verdict == "may-have-run"
         paused.process.resume()
         answer = await first
--- a/tests/test_processes/test_keyed_requests.py
+++ b/tests/test_processes/test_keyed_requests.py
@@ -9,18 +9,18 @@
 
 from greengagelatch.config.ini import parse_objects
 from greengagelatch.config.objects import Pipeline
-from greengagelatch_lab.fleets.desk import DESK_OBJECTS, create_desk
+from greengagelatch_lab.fleets.booking import BOOKING_OBJECTS, create_booking_fleet
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending
-from greengagelatch_lab.load.reading import read_records
+from greengagelatch_lab.load.observations import RequestOutcome
+from greengagelatch_lab.load.record_client import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
 
-DESK = create_desk(2)
+DESK = create_booking_fleet(2)
 
 #: requests in each step; enough that each instance is the preferred writer of some
 COUNT = 12
@@ -56,12 +56,12 @@
         marker=marker,
         deadline_ms=8000,
         repeatable=False,
-        key=f"key-{number}",
+        idempotency_key=f"key-{number}",
     )
 
 
 def read_expectation() -> Expectation:
-    match parse_objects(DESK_OBJECTS):
+    match parse_objects(BOOKING_OBJECTS):
         case Ok(objects):
             pipelines = [item for item in objects if isinstance(item, Pipeline)]
             return Expectation({item.name: item for item in pipelines})
@@ -79,10 +79,12 @@
     """
     settings = {"drain.balancer_lag": "0.2"}
     async with (
-        FleetRunner(DESK, tmp_path, entries=3, settings=settings) as runner,
+        FleetRunner(
+            DESK, tmp_path, entries_per_data_centre=3, settings=settings
+        ) as runner,
         CallerClient() as client,
     ):
-        await runner.apply_objects(DESK_OBJECTS)
+        await runner.apply_objects(BOOKING_OBJECTS)
         await runner.wait_ready()
         paused, killed, stopped = runner.daemons
         caller = Caller(client)
@@ -96,7 +98,7 @@
         during = await caller.ask(stopped, late)
         during += await caller.ask(killed, late)
         paused.process.resume()
-        assert [seen.ending for seen in during] == [Ending.RESULT] * 2 * COUNT
+        assert [seen.outcome for seen in during] == [RequestOutcome.RESULT] * 2 * COUNT
         after = await caller.ask(paused, late)
         assert [seen.replayed for seen in after] == [True] * COUNT
 
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -11,7 +11,7 @@
 from greengagelatch_lab.fleets.runner import FleetRunner
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.client import CallerClient
-from greengagelatch_lab.load.observations import Ending
+from greengagelatch_lab.load.observations import RequestOutcome
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(90)]
 
@@ -47,16 +47,18 @@
     replaced instance would then reduce the fleet.
     """
     async with (
-        FleetRunner(PORTAL, tmp_path, entries=1, routed=True) as runner,
+        FleetRunner(
+            PORTAL, tmp_path, entries_per_data_centre=1, emulate_network=True
+        ) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(OBJECTS)
         await runner.wait_ready()
-        await runner.registry.set_faults(outage=True)
+        await runner.instance_list.set_faults(outage=True)
         for path in runner.network.find_platform_paths("south"):
             path.link.silence()
         old = runner.daemons[0]
-        seeds = f"127.0.0.1:1, {old.peers}"
+        seeds = f"127.0.0.1:1, {old.peer_address}"
         new = await runner.start_daemon("south-next", "south", {"peers.seeds": seeds})
         await runner.wait_ready(new)
         arrival = Arrival(
@@ -70,4 +72,4 @@
         )
         due = asyncio.get_running_loop().time()
         seen = await client.send(arrival, new.entry, due)
-    assert seen.ending is Ending.RESULT
+    assert seen.outcome is RequestOutcome.RESULT
--- a/tests/test_processes/test_whole_path.py
+++ b/tests/test_processes/test_whole_path.py
@@ -15,8 +15,8 @@
 from greengagelatch_lab.load.checker import Checker
 from greengagelatch_lab.load.client import CallerClient
 from greengagelatch_lab.load.expectation import Expectation
-from greengagelatch_lab.load.observations import Ending
-from greengagelatch_lab.load.reading import read_records
+from greengagelatch_lab.load.observations import RequestOutcome
+from greengagelatch_lab.load.record_client import read_records
 
 pytestmark = [pytest.mark.processes, pytest.mark.timeout(60)]
 
@@ -105,14 +105,16 @@
     """
     settings = {"drain.balancer_lag": "0.2"}
     async with (
-        FleetRunner(SMALL, tmp_path, entries=2, settings=settings) as runner,
+        FleetRunner(
+            SMALL, tmp_path, entries_per_data_centre=2, settings=settings
+        ) as runner,
         CallerClient() as client,
     ):
         await runner.apply_objects(OBJECTS)
         await runner.wait_ready()
         loop = asyncio.get_running_loop()
         leaving, staying = runner.daemons
-        keyed = create_arrival(1, "booking", repeatable=False, key="key-1")
+        keyed = create_arrival(1, "booking", repeatable=False, idempotency_key="key-1")
         stream = create_arrival(2, "draft", tokens=150, stream=True)
         last = create_arrival(3, "booking", repeatable=False)
         observations = [await client.send(keyed, leaving.entry, loop.time())]
@@ -126,6 +128,6 @@
         observations=observations, records=records, expectation=read_expectation()
     )
     assert [str(violation) for violation in checker.check()] == []
-    assert [item.ending for item in observations] == [Ending.RESULT] * 3
+    assert [item.outcome for item in observations] == [RequestOutcome.RESULT] * 3
     assert len(observations[1].tokens) == 150
     assert status == 0
