--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Cost of the parts of an instance by the size of the fleet."""
+"""Measures how the cost of an instance's components grows with the fleet."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/__main__.py
@@ -1,7 +1,8 @@
-"""``python -m greengagelatch_lab.capacity``: measures each role's cost by its drivers.
+"""Run by ``python -m greengagelatch_lab.capacity``: capacity benchmarks.
 
-Points and fitted lines are printed as they come; the last line is JSON with all of
-them. With names as arguments only these measurements run.
+Each benchmark varies the drivers of one component's cost, such as the number of
+members, and fits a linear model. Points and models are printed as they are ready; the
+last line of output is JSON with all of them. Arguments select benchmarks by name.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 __all__ = ("MEASUREMENTS", "main")
 
-#: sizes of fleets on virtual time, and of those with links in one process
+#: fleet sizes simulated in virtual time, and those with real links in one process
 MEMBERS = (9, 50, 150, 300)
 LINKED = (9, 24, 40)
 VIRTUAL_SECONDS = 20.0
@@ -99,7 +100,7 @@
     return Series(role=role, points=points, lines=lines)
 
 
-#: by name, in the order in which they run
+#: benchmarks by name, in the order in which they run
 MEASUREMENTS = {
     "targets": _measure_targets,
     "claims": _measure_claims,
@@ -113,7 +114,7 @@
 
 
 def main() -> None:
-    """Run the measurements, one after the other."""
+    """Run the named benchmarks one after the other, or all of them."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument(
         "names", nargs="*", metavar="NAME", help=", ".join(MEASUREMENTS)
@@ -121,7 +122,7 @@
     names = parser.parse_args().names or list(MEASUREMENTS)
     unknown = sorted(set(names) - MEASUREMENTS.keys())
     if unknown:
-        parser.error(f"no such measurement: {', '.join(unknown)}")
+        parser.error(f"unknown benchmark: {', '.join(unknown)}")
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
         found = run_tool(_run(names, Path(directory)))
     print(json.dumps({"series": [series.encode() for series in found]}), flush=True)
@@ -133,7 +134,7 @@
         begun = time.monotonic()
         path = directory / name
         path.mkdir()
-        # each has processes of its own, which end before the next one begins
+        # each benchmark starts its own processes and stops them before the next begins
         async with ProcessGroup(path) as group:
             async for series in MEASUREMENTS[name](group):
                 print(f"{series.format()}\n", flush=True)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -1,4 +1,4 @@
-"""Cost of the writer of one shard of claims."""
+"""Benchmarks the writer of one claim shard."""
 
 from __future__ import annotations
 
@@ -26,20 +26,24 @@
 __all__ = ("measure_memory_of_claims", "measure_writer")
 
 STATSD = "127.0.0.1:9"
-#: claims a second of one shard
+#: claims per second in one shard
 RATES = (2, 10, 30, 100)
-#: claims that stand in the head when the measurement begins
+#: claims already in the shard head when the measurement begins
 HELD = (0, 350)
+#: numbers of sealed claims held in memory
 RETAINED = (1000, 8000, 32_000)
+#: duration of each measurement in seconds
 SECONDS = 3.0
+#: seconds between two writes of the shard head
 INTERVAL = 0.1
-#: seconds that the store takes for a call
+#: simulated latency of each store call in seconds
 STORE_DELAY = 0.002
+#: seconds until a claim must have been committed
 TIMEOUT = 20.0
 
 
 class _CountingStore(MemoryStore):
-    """Counts the bytes of the values that are read and written."""
+    """A store with latency that counts the bytes of values read and written."""
 
     def __init__(self) -> None:
         super().__init__(clock=SystemClock())
@@ -68,7 +72,7 @@
     held: Sequence[int] = HELD,
     seconds: float = SECONDS,
 ) -> Series:
-    """Commit claims at a steady rate to a head that already holds some."""
+    """Commit claims at a steady rate to a shard head that already holds some."""
     points = []
     for before in held:
         for rate in rates:
@@ -83,7 +87,7 @@
 
 
 def measure_memory_of_claims(counts: Sequence[int] = RETAINED) -> Series:
-    """Hold sealed claims, as a writer does of its shard."""
+    """Measure the memory and the encoded size of a segment of sealed claims."""
     points = []
     for count in counts:
         claims = [_create_claim(number) for number in range(count)]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -1,4 +1,4 @@
-"""Cost of a change of the configuration to those who make it and those who learn it."""
+"""Benchmarks configuration changes at the instances that apply and receive them."""
 
 from __future__ import annotations
 
@@ -27,20 +27,21 @@
 
 STATSD = "127.0.0.1:9"
 WORKSPACES = (10, 300, 1200)
-#: changes made before the measurement begins
+#: number of changes applied before the measurement begins
 HISTORIES = (0, 300, 1100)
-#: changes that each point is the mean of
+#: number of changes over which each point is averaged
 ROUNDS = 10
 PIPELINES = 9
 STAGES = 5
-#: workspaces for each policy
+#: number of workspaces per policy
 SHARE = 4
+#: timeout of fetches and changes in seconds
 TIMEOUT = 10.0
 
 
 @dataclass(slots=True)
 class _Replica:
-    """One instance's part in the configuration, without its network."""
+    """Configuration components of one instance, on an in-memory network."""
 
     store: MemoryStore
     peers: MemoryPeers
@@ -73,7 +74,7 @@
 
 
 class _Trio:
-    """One instance that makes changes, one that watches, one that hears of them."""
+    """Three instances: one applies changes, one watches the store, one asks a peer."""
 
     def __init__(self, workspaces: int) -> None:
         self.store = MemoryStore(clock=SystemClock())
@@ -86,7 +87,7 @@
         self._random = random.Random(workspaces)
 
     async def begin(self) -> None:
-        """Put all objects in force, by one change."""
+        """Apply all objects in one change."""
         texts = [_describe_workspace(n, 0) for n in range(self._workspaces)]
         texts += [_describe_policy(n) for n in range(0, self._workspaces, SHARE)]
         texts.append("[service:model]\nkind = generate\n")
@@ -94,16 +95,16 @@
         await self._apply("\n".join(texts))
 
     async def change(self) -> None:
-        """Change one workspace, as an operator does."""
+        """Change one random workspace."""
         number = self._random.randrange(self._workspaces)
         await self._apply(_describe_workspace(number, self._number))
 
     async def read_head(self) -> Entry:
-        """Return the head as a watch gives it."""
+        """Return the stored head, as a watch would deliver it."""
         return (await self.store.get(HEAD_KEY)).unwrap()
 
     async def learn(self) -> None:
-        """Bring the others up to date."""
+        """Bring the watching and the fetching instance up to date."""
         await self.watcher.learner.adopt_entry(await self.read_head())
         await self.listener.learner.adopt_from_peer("watcher")
 
@@ -119,7 +120,7 @@
         )
         outcome = await self.maker.driver.change(request)
         if not isinstance(outcome, Settled):
-            raise RuntimeError(f"change {self._number} was not settled: {outcome}")
+            raise RuntimeError(f"change {self._number} did not settle: {outcome}")
 
 
 async def measure_changes(
@@ -127,7 +128,7 @@
     histories: Sequence[int] = HISTORIES,
     rounds: int = ROUNDS,
 ) -> Series:
-    """Make changes of one object each, after more and more earlier ones."""
+    """Apply changes of one object each, with a growing number of earlier changes."""
     points = []
     for count in workspaces:
         trio = _Trio(count)
@@ -185,13 +186,13 @@
         figures={
             "make_cpu_ms": make / rounds,
             "watch_cpu_ms": watch / rounds,
-            # by the one that asks and the one that is asked together
+            # sum of the requesting and the answering instance
             "fetch_cpu_ms": fetch / rounds,
             "head_kb": len((await trio.read_head()).value) / 1000,
             "fetched_kb": fetched / rounds / 1000,
             "memory_kb": memory.bytes / 1000,
             "store_writes": (calls["swap"] + calls["delete"]) / rounds,
-            # one read of the head each round is this measurement's own
+            # without the read of the head that the benchmark itself makes each round
             "store_reads": calls["get"] / rounds - 1,
         },
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons on one platform without callers, and the company they keep."""
+"""Starts a fleet of daemons and lightweight members without caller traffic."""
 
 from __future__ import annotations
 
@@ -35,24 +35,26 @@
 ECHO = "greengagelatch_lab.overhead.echo"
 FARM = "greengagelatch_lab.capacity.farm"
 ANY_PORT = "127.0.0.1:0"
-#: members in one process
+#: lightweight members in one process
 FARM_SIZE = 20
-#: daemons started side by side
+#: daemons started concurrently
 STARTS = 6
 WORKSPACES = 300
-#: listed targets, all served by one process
+#: listed targets, all served by the same process
 TARGETS = 40
 SERVICES = 4
-#: seconds until all members must have the first configuration
+#: seconds until all members must have the first configuration generation
 START_TIMEOUT = 120.0
+#: seconds between two queries for a generation
 POLL = 0.02
+#: timeout of HTTP calls in seconds
 TIMEOUT = 30.0
 SETTINGS = {"drain.balancer_lag": "0", "drain.longest": "2"}
 
 
 @dataclass(slots=True)
 class Reading:
-    """Counters of all daemons at one moment."""
+    """Counters of all daemons at one point in time."""
 
     sent: int = 0
     received: int = 0
@@ -61,10 +63,10 @@
 
 
 class RunningFleet:
-    """Daemons on one platform, without callers.
+    """Daemons and lightweight members on one simulated platform, without callers.
 
     :param size: number of daemons
-    :param company: members that are no daemons
+    :param company: number of lightweight members, which run no full daemon
     """
 
     def __init__(self, directory: Path, size: int, company: int = 0) -> None:
@@ -106,17 +108,17 @@
         async with self._session.post(url, json=body) as response:
             answer = await response.json()
         if answer.get("state") != "settled":
-            raise RuntimeError(f"a change was not settled: {answer}")
+            raise RuntimeError(f"change {self._number} did not settle: {answer}")
         return answer["generation"]
 
     async def wait_in_force(self, generation: int) -> list[float]:
-        """Return when each daemon has a generation in force, in monotonic seconds."""
+        """Return the monotonic times at which each daemon has a generation in force."""
         waits = [self._wait_one(daemon, generation) for daemon in self.daemons]
         async with asyncio.timeout(TIMEOUT):
             return list(await asyncio.gather(*waits))
 
     def find_in_force(self, generation: int) -> float:
-        """Return when all company had a generation, in monotonic seconds."""
+        """Return the monotonic time when all lightweight members had a generation."""
         latest = 0.0
         for farm in self.farms:
             text = farm.stdout.read_text(encoding="utf-8")
@@ -126,7 +128,7 @@
         return latest
 
     def sum_lags(self) -> float:
-        """Return the seconds that processes of company have stood still so far."""
+        """Return the event-loop lag that member processes reported, in seconds."""
         total = 0.0
         for farm in self.farms:
             text = farm.stdout.read_text(encoding="utf-8")
@@ -135,11 +137,11 @@
         return total
 
     def has_all(self, generation: int) -> bool:
-        """Whether all company has a generation."""
+        """Return whether all lightweight members have a generation."""
         return math.isfinite(self.find_in_force(generation))
 
     async def read(self) -> Reading:
-        """Return the counters of all daemons."""
+        """Return the summed counters and the memory of all daemons."""
         reading = Reading()
         for daemon in self.daemons:
             dump = await self._get(f"http://{daemon.entry.operators}/dump")
@@ -152,7 +154,7 @@
         return reading
 
     async def count_calls(self) -> Counter[str]:
-        """Return the calls that the platform has counted."""
+        """Return the number of calls by kind that the platform has received."""
         answer = await self._get(f"http://{self._platform}/control/calls")
         return Counter(answer["calls"])
 
@@ -170,7 +172,7 @@
             await registry.put([daemon.describe() for daemon in self.daemons])
 
     async def add_company(self, generation: int) -> None:
-        """Start the members that are no daemons, some at a time."""
+        """Start the lightweight members, one process at a time."""
         for first in range(0, self._company, FARM_SIZE):
             farm = await self._group.run_module(
                 f"farm-{first}",
@@ -180,11 +182,11 @@
                 f"--count={min(FARM_SIZE, self._company - first)}",
             )
             self.farms.append(farm)
-            # starting all at once is another matter than running them
+            # a start of all members at once is a different load from the one measured
             await wait_until(
                 partial(self.has_all, generation),
                 timeout=START_TIMEOUT,
-                what="the first configuration at all members",
+                what="the first configuration generation at all members",
             )
 
     async def _start_daemon(self, number: int, slots: asyncio.Semaphore) -> Daemon:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
@@ -1,11 +1,14 @@
-"""Many members of a fleet in one process, as company for the daemons measured.
-
-Each has the links, the failure detector and the configuration of a daemon, and no
-callers, targets or operators. The list of instances is read once for all of them.
-Run with ``--platform``, ``--first`` and ``--count``; it lists its members itself and
-prints a line ``ready`` with their number, then a line ``in-force GENERATION SECONDS``
-each time that all of them have moved on, in seconds of the machine's monotonic clock,
-and a line ``late SECONDS`` whenever the loop was late by so much.
+"""Many lightweight fleet members in one process, next to the daemons measured.
+
+Each member has the links, the failure detector and the configuration of a daemon, but
+no callers, targets or operators' server. The instance list is read once for all of
+them. Run with ``--platform``, ``--first`` and ``--count``; the process registers its
+members and prints
+
+- ``ready COUNT`` once they have started,
+- ``in-force GENERATION SECONDS`` when all of them have reached a generation, with the
+  time of the machine's monotonic clock,
+- ``late SECONDS`` whenever the event loop lags by that much.
 """
 
 from __future__ import annotations
@@ -43,10 +46,13 @@
 
 STATSD = "127.0.0.1:9"
 DATA_CENTRES = tuple(f"centre-{number:02d}" for number in range(11))
+#: seconds between two reads of the instance list
 LIST_INTERVAL = 5.0
+#: seconds between two checks of the event-loop lag
 LAG_TICK = 0.1
-#: lag in seconds that is told of
+#: smallest event-loop lag in seconds that is reported
 LATE = 0.2
+#: timeout of platform calls in seconds
 TIMEOUT = 10.0
 SETTINGS = """
 [instance]
@@ -63,7 +69,7 @@
 
 
 class _Member:
-    """One member: links, failure detection and configuration."""
+    """One member with links, failure detection and configuration."""
 
     def __init__(self, number: int, platform: str) -> None:
         self.name = f"member-{number:04d}"
@@ -81,7 +87,7 @@
             settings=settings,
             metrics=metrics,
         )
-        # daemons ask for leaving targets until somebody answers
+        # daemons repeat this query until a peer answers
         self._hub.handle(LeavingQuery, lambda sender, query: TargetsLeaving(()))
         self._hub.handle(TargetsLeaving, lambda sender, message: None)
         configuration = ConfigurationController(
@@ -97,7 +103,7 @@
         self.controllers: tuple[Controller, ...] = (self._hub, configuration)
 
     def describe(self) -> dict[str, str]:
-        """Return the member as an entry of the platform's list."""
+        """Return the member's entry in the platform's instance list."""
         address = f"127.0.0.1:{self._hub.port}"
         return describe_instance(self.name, "entry", self.data_centre, address)
 
@@ -109,7 +115,7 @@
 
 
 class _Progress:
-    """Tells when all members have a generation."""
+    """Reports each configuration generation that all members have reached."""
 
     def __init__(self, members: list[_Member]) -> None:
         self._generations = {member.name: 0 for member in members}
@@ -126,7 +132,7 @@
 
 
 async def _tell_lag() -> None:
-    """Tell of the times at which all members stood still together."""
+    """Report event-loop lag, during which no member of this process can act."""
     while True:
         due = time.monotonic() + LAG_TICK
         await asyncio.sleep(LAG_TICK)
@@ -169,7 +175,7 @@
 
 
 def main() -> None:
-    """Run members until SIGTERM; they end with the process, as after a crash."""
+    """Run members until SIGTERM; the process then exits without stopping them."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--platform", required=True)
     parser.add_argument("--first", type=int, default=0)
@@ -177,7 +183,7 @@
     options = parser.parse_args()
     loop = asyncio.new_event_loop()
     loop.run_until_complete(_run(options.platform, options.first, options.count))
-    # services that were not stopped would be waited for
+    # closes the loop without waiting for the services, which were not stopped
     sys.stdout.flush()
     loop.close()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fits.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fits.py
@@ -1,4 +1,4 @@
-"""Measured points and the straight lines through them."""
+"""Measured points and the linear models fitted to them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Point:
-    """One measurement: what was varied, and what was measured."""
+    """One measurement: values of the independent variables and measured figures."""
 
     drivers: Mapping[str, float]
     figures: Mapping[str, float]
@@ -23,22 +23,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Fit:
-    """``figure = base + slope * driver + …``, by least squares."""
+    """A least-squares linear model ``figure = base + slope * driver + …``."""
 
     figure: str
     base: float
     slopes: Mapping[str, float]
-    #: largest distance of a point from the line, over the largest figure
+    #: largest absolute residual divided by the largest absolute figure
     error: float
 
     def predict(self, **drivers: float) -> float:
-        """Return the figure that the line gives."""
+        """Return the figure that the model predicts."""
         return self.base + sum(
             slope * drivers[name] for name, slope in self.slopes.items()
         )
 
     def format(self) -> str:
-        """Return the line as text."""
+        """Return the model as text."""
         terms = [f"{self.base:.4g}"]
         terms += [f"{slope:.4g} * {name}" for name, slope in self.slopes.items()]
         return f"{self.figure} = {' + '.join(terms)}  (largest error {self.error:.0%})"
@@ -46,9 +46,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Series:
-    """What was measured of one role, with the lines through it.
+    """Measurements of one component, with the linear models fitted to them.
 
-    :param lines: drivers of each figure that a line is wanted of
+    :param lines: drivers of each figure for which a model is fitted
     """
 
     role: str
@@ -56,11 +56,11 @@
     lines: Mapping[str, Sequence[str]] = field(default_factory=dict)
 
     def fit(self, figure: str) -> Fit:
-        """Return the line of one figure."""
+        """Return the fitted model of one figure."""
         return fit_points(self.points, figure, self.lines[figure])
 
     def format(self) -> str:
-        """Return points and lines as text."""
+        """Return points and models as text."""
         rows = [self.role]
         for point in self.points:
             drivers = ", ".join(f"{k}={v:g}" for k, v in point.drivers.items())
@@ -70,7 +70,7 @@
         return "\n".join(rows)
 
     def encode(self) -> dict[str, object]:
-        """Return points and lines in the form of JSON."""
+        """Return points and models as a JSON-serialisable dict."""
         fits = [self.fit(figure) for figure in self.lines]
         return {
             "role": self.role,
@@ -86,20 +86,22 @@
 
 
 def fit_points(points: Sequence[Point], figure: str, drivers: Sequence[str]) -> Fit:
-    """Return the line nearest to the points by the sum of squared distances.
+    """Fit a linear model to the points by ordinary least squares.
 
-    :raises ValueError: if there are too few points to tell the drivers apart
+    :raises ValueError: if there are too few points, or the drivers are collinear
     """
     rows = [[1.0, *(point.drivers[name] for name in drivers)] for point in points]
     matrix = numpy.array(rows)
     values = numpy.array([point.figures[figure] for point in points])
-    # a driver is scaled to at most 1, or tens of thousands beside one would be
-    # taken for the same within rounding
+    # each driver is scaled to at most 1: with values in the tens of thousands beside
+    # values of 1, rounding would make the matrix appear rank-deficient
     scales = numpy.abs(matrix).max(axis=0)
     scales[scales == 0] = 1.0
     found, _, rank, _ = numpy.linalg.lstsq(matrix / scales, values, rcond=None)
     if rank < len(drivers) + 1:
-        raise ValueError(f"{figure}: the points don't tell {drivers} apart")
+        raise ValueError(
+            f"{figure}: drivers {drivers} are collinear or have too few points"
+        )
     found = found / scales
     distance = float(numpy.abs(matrix @ found - values).max())
     largest = float(numpy.abs(values).max())
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -1,4 +1,4 @@
-"""Many failure detectors in one process, on virtual time and without sockets."""
+"""Simulates failure detectors in one process, in virtual time without sockets."""
 
 from __future__ import annotations
 
@@ -20,21 +20,24 @@
 
 DATA_CENTRES = ("fukuoka-a", "fukuoka-b", "kumamoto")
 
+#: step of virtual time in seconds
 TICK = 0.1
+#: one-way message latency in seconds
 DELAY = 0.002
+#: virtual time at the start, in seconds
 START = 1000.0
 FIRST_INCARNATION = 1_780_000_000
 
 
 @dataclass(slots=True)
 class Node:
-    """One instance of the fleet."""
+    """One simulated instance."""
 
     detector: Detector
     identity: Identity
     paused: bool = False
     stopped: bool = False
-    #: bytes of messages sent, and their number by type
+    #: bytes of all messages sent, and the number of messages by type
     sent_bytes: int = 0
     sent: Counter[str] = field(default_factory=Counter)
 
@@ -49,9 +52,9 @@
 
 
 class DetectorFleet:
-    """Detectors whose messages are delivered after a delay, or lost.
+    """Detectors on a simulated network that delays and loses messages.
 
-    :param judged: whether to count false suspicions, which takes time of its own.
+    :param judged: whether to count false suspicions, which costs processor time.
     :param loses: whether a message from the first to the second instance is lost.
     """
 
@@ -68,7 +71,7 @@
         self.loses = loses or (lambda sender, receiver: False)
         self.random = random.Random(seed)
         self.nodes: dict[str, Node] = {}
-        #: transitions to suspect or dead of instances that were running
+        #: transitions to suspect and to dead of instances that were running
         self.false_suspicions = 0
         self.false_deaths = 0
         self._rules = rules or DetectorRules()
@@ -80,7 +83,7 @@
             self.add(index)
 
     def add(self, index: int, *, incarnation: int = 0) -> Node:
-        """Start an instance that knows nobody, in place of any of that number."""
+        """Start an instance with an empty member table, replacing any of that index."""
         instance_id = f"entry-{index:05d}"
         identity = Identity(
             instance_id=instance_id,
@@ -98,7 +101,7 @@
         return node
 
     def list_instances(self, *, leaving: frozenset[str] = frozenset()) -> Listing:
-        """Return a new listing that shows all instances that were not stopped."""
+        """Return a new listing of all instances that were not stopped."""
         self._as_of += 1
         rows = [
             Instance(
@@ -118,26 +121,26 @@
         return Listing(self._as_of, tuple(rows))
 
     def show(self, listing: Listing) -> None:
-        """Give a listing to all running instances."""
+        """Apply a listing at all running instances."""
         for instance_id, node in self.nodes.items():
             if not node.stopped and not node.paused:
                 step = node.detector.apply_listing(self.now, listing)
                 self.perform(instance_id, step)
 
     def introduce_all(self) -> None:
-        """Let all instances know each other, as after a long time."""
+        """Give every instance the member records of all, as after convergence."""
         updates = [node.detector.own.update for node in self.nodes.values()]
         for instance_id in self.nodes:
             self.teach(instance_id, updates)
 
     def teach(self, instance_id: str, updates: Iterable[MemberUpdate]) -> None:
-        """Give one instance a table of members, as from a peer."""
+        """Deliver a member table to one instance, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
         node = self.nodes[instance_id]
         self.perform(instance_id, node.detector.receive(self.now, "", table))
 
     def introduce(self, instance_id: str) -> None:
-        """Let one instance meet all others, as by opening links to them."""
+        """Register one instance and all others with each other, as by opening links."""
         node = self.nodes[instance_id]
         for other_id, other in self.nodes.items():
             if other is node or other.stopped:
@@ -148,7 +151,7 @@
             self.perform(other_id, step)
 
     def run(self, seconds: float) -> None:
-        """Let ``seconds`` of virtual time pass."""
+        """Advance virtual time by ``seconds``."""
         end = self.now + seconds
         while self.now < end:
             self.now += TICK
@@ -164,7 +167,7 @@
                 self._count_false(node, before)
 
     def perform(self, sender: str, step: DetectorOutput) -> None:
-        """Send what a detector wants sent."""
+        """Send the messages of a detector's output."""
         node = self.nodes[sender]
         for send in step.sends:
             node.sent[send.message.wire_name] += 1
@@ -181,12 +184,12 @@
             heapq.heappush(self._queue, delivery)
 
     def view(self, observer: str, observed: str) -> MemberState | None:
-        """Return what one instance believes of another."""
+        """Return the state of one instance in the member table of another."""
         record = self.nodes[observer].detector.table.find(observed)
         return None if record is None else record.state
 
     def views(self, observed: str) -> Counter[MemberState | None]:
-        """Return what all other running instances believe of one."""
+        """Count the states of one instance in the tables of all other running ones."""
         return Counter(
             self.view(observer, observed)
             for observer, node in self.nodes.items()
@@ -194,7 +197,7 @@
         )
 
     def _deliver(self) -> None:
-        # messages that answer others are due within the same tick
+        # replies to messages of this tick are due within the same tick
         while self._queue and self._queue[0].due <= self.now + TICK:
             delivery = heapq.heappop(self._queue)
             node = self.nodes[delivery.receiver]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet_check.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet_check.py
@@ -1,4 +1,4 @@
-"""What whole daemons spend on control, idle and while the configuration changes."""
+"""Benchmarks the control-plane cost of daemons, idle and during changes."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 __all__ = ("measure_crowd", "measure_fleet")
 
 SIZES = (3, 9, 18, 27, 40)
-#: members in all among which a few daemons are measured, and how many of these
+#: total members of fleets in which a few daemons are measured
 CROWDS = (13, 43, 83)
+#: number of daemons among them
 MEASURED = 3
-#: seconds until links and probes have settled, and of each measurement
+#: seconds until links and probes have stabilised, and of each measurement
 SETTLE = 6.0
 CROWD_SETTLE = 20.0
 SECONDS = 10.0
@@ -44,7 +45,7 @@
     settle: float = SETTLE,
     interval: float = CHANGE_INTERVAL,
 ) -> tuple[Series, Series, Series]:
-    """Run fleets of several sizes: idle, under changes, and how long these take."""
+    """Measure fleets of several sizes when idle, under changes, and their latency."""
     idle, changing, spread = [], [], []
     for size in sizes:
         path = directory / f"fleet-{size}"
@@ -68,7 +69,7 @@
     settle: float = CROWD_SETTLE,
     interval: float = CHANGE_INTERVAL,
 ) -> tuple[Series, Series, Series]:
-    """Measure a few daemons among more and more members, idle and under changes."""
+    """Measure a few daemons in fleets of growing size, idle and under changes."""
     idle, changing, spread = [], [], []
     for size in sizes:
         path = directory / f"crowd-{size}"
@@ -85,7 +86,7 @@
             await wait_until(
                 partial(fleet.has_all, made[-1][0]),
                 timeout=START_TIMEOUT,
-                what="the last change at all members",
+                what="the generation of the last change at all members",
             )
             delays = [fleet.find_in_force(one) - accepted for one, accepted in made]
             spread.append(_describe_delays(size, delays))
@@ -110,8 +111,8 @@
         "cpu_percent": statistics.mean(spent),
         "cpu_percent_worst": max(spent),
         "company_percent": busiest,
-        # seconds that members stood still together: they share processes, and are
-        # suspected then for no fault of theirs
+        # event-loop lag in seconds: the members of a process are blocked together
+        # and suspected meanwhile although they have not failed
         "company_late_s": late,
         "memory_mb": statistics.mean(after.megabytes),
         "bytes_per_s": (after.sent - before.sent) / share,
@@ -130,7 +131,7 @@
 async def _change_for(
     fleet: RunningFleet, seconds: float, interval: float, delays: list[float]
 ) -> None:
-    """Make changes at a steady pace and note when each is in force everywhere."""
+    """Apply changes at a fixed interval and record each propagation delay."""
     end = time.monotonic() + seconds
     number = 0
     while time.monotonic() < end:
@@ -144,7 +145,7 @@
 async def _change_unwatched(
     fleet: RunningFleet, seconds: float, interval: float, made: list[tuple[int, float]]
 ) -> None:
-    """Make changes at a steady pace, and ask nobody for them."""
+    """Apply changes at a fixed interval without polling the daemons for them."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         number = len(made) + 1
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
@@ -1,4 +1,4 @@
-"""Calls to the store that leases of target groups cost."""
+"""Benchmarks the store calls and processor time of target group leases."""
 
 from __future__ import annotations
 
@@ -23,11 +23,14 @@
 STATSD = "127.0.0.1:9"
 GROUPS = (1, 11, 40)
 INSTANCES = (2, 12)
+#: duration of a lease in seconds
 TTL = 4.0
-#: the first of these are not counted: leases are got then
+#: seconds before the measurement begins, in which the leases are acquired
 START = 2.0
 SECONDS = 4.0
+#: longest action that a lease protects, in seconds
 LONGEST_ACTION = 0.3
+#: seconds for which the list of members is cached
 SHOWN_LIFE = 1.0
 DATA_CENTRE = "centre"
 SETTINGS = f"""
@@ -48,7 +51,7 @@
 class _NearPeers(MemoryPeers):
     """Peers that are all in the same data centre.
 
-    Members are listed anew once a second, as by the network of daemons.
+    The list of members is refreshed once a second, as a daemon does it.
     """
 
     _shown: tuple[Member, ...] = ()
@@ -70,9 +73,9 @@
     instances: Sequence[int] = INSTANCES,
     seconds: float = SECONDS,
 ) -> Series:
-    """Let instances of one data centre share out the leases of some groups.
+    """Distribute the leases of some groups over instances of one data centre.
 
-    The figures are by the duration of a lease, so that they hold for any.
+    The figures are per lease duration (TTL), so that they apply to any TTL.
     """
     points = []
     for count in instances:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/links.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/links.py
@@ -1,4 +1,4 @@
-"""Cost of real links between entry instances that share one event loop."""
+"""Benchmarks real links between entry instances that share one event loop."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 instances = 127.0.0.1:1
 """
 
-#: seconds until links are open and what was learnt at the start has gone round
+#: seconds until links are open and the initial gossip has been disseminated
 SETTLING = 20.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LinkCost:
-    """Cost of membership for one instance, with all that links add."""
+    """Cost of membership for one instance, including its links."""
 
     members: int
     links: float
-    #: with handshakes, heartbeats and frame headers, but not those of TCP and IP
+    #: with handshakes, heartbeats and frame headers, without TCP and IP headers
     wire_bytes_per_second: float
     message_bytes_per_second: float
     dials_per_second: float
@@ -48,7 +48,7 @@
 
 
 async def measure_links(members: int, seconds: float) -> LinkCost:
-    """Measure ``members`` instances over loopback, in one process."""
+    """Measure ``members`` instances over loopback in one process."""
     hubs = [_create(number) for number in range(members)]
     for hub, _, _ in hubs:
         await hub.start()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -1,8 +1,8 @@
-"""Cost of membership and of the target directory, by the size of the fleet.
+"""Benchmarks membership and the target registry by the size of the fleet.
 
-``python -m greengagelatch_lab.capacity.membership`` prints a table and, on its last
-line, the same as JSON. Sizes of fleets are measured at the level of decisions, with
-the real codec; a few real links over loopback show what the wire adds.
+``python -m greengagelatch_lab.capacity.membership`` prints tables and, on its last
+line, the same figures as JSON. Large fleets are simulated without a network, but with
+the real codec; small fleets with real links over loopback show the network's share.
 """
 
 from __future__ import annotations
@@ -38,20 +38,22 @@
 
 SERVICES = 5
 SUBSET = 20
+#: most load polls per second, and seconds between two polls of a target
 LOAD_RATE = 20.0
 LOAD_INTERVAL = 1.0
+#: seconds between two reads of the instance list
 LISTING_INTERVAL = 11.4
 REQUESTS_PER_SECOND = 50
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberCost:
-    """Cost of failure detection for one instance; replaced: one each 20 s."""
+    """Cost of failure detection for one instance; churn replaces one each 20 s."""
 
     members: int
     messages_per_second: float
     bytes_per_second: float
-    #: the same while instances are being replaced
+    #: bytes per second while instances are being replaced
     churn_bytes_per_second: float
     cpu_share: float
     memory_bytes: int
@@ -59,19 +61,19 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LedgerCost:
-    """Cost of the target directory for one instance, without its HTTP calls."""
+    """Cost of the target registry for one instance, without its HTTP calls."""
 
     replicas: int
     watched: int
     polls_per_second: float
     cpu_share: float
-    #: longest single step, which is a changed listing
+    #: processor time of applying a changed listing, the longest single step
     listing_seconds: float
     memory_bytes: int
 
 
 def measure_members(members: int, seconds: float) -> MemberCost:
-    """Measure failure detection in a fleet of ``members``."""
+    """Measure failure detection in a simulated fleet of ``members``."""
     fleet = DetectorFleet(members, seed=1, judged=False)
     fleet.introduce_all()
     fleet.run(5)
@@ -89,12 +91,12 @@
 
 
 def measure_ledger(replicas: int, seconds: int) -> LedgerCost:
-    """Measure the target directory with ``replicas`` in five services."""
+    """Measure the target registry with ``replicas`` in five services."""
     listings = [_make_listing(as_of, replicas) for as_of in (1, 2)]
     ledger = TargetRegistry(
         instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
     )
-    # entry instances grow with the targets
+    # the number of entry instances grows with the number of targets
     ledger.set_instance_count(
         max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1])
     )
@@ -175,7 +177,7 @@
 
 
 def _measure_memory(build: Callable[[], Any]) -> int:
-    """Return the bytes that are kept by what ``build`` returns."""
+    """Return the bytes held by the object that ``build`` returns."""
     with measure_memory() as meter:
         kept = build()
     del kept
@@ -183,7 +185,7 @@
 
 
 def _make_listing(as_of: int, replicas: int) -> Listing:
-    # one target in a hundred is replaced from one listing to the next
+    # one target in a hundred is replaced between two listings
     rows = [
         Instance(
             instance_id=f"target-{index}-{as_of if index % 100 == 0 else 0}",
@@ -230,7 +232,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Measure all sizes and print them."""
+    """Run the benchmarks of all sizes and print their figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=40.0)
     parser.add_argument("--members", type=int, nargs="*", default=MEMBER_COUNTS)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/meters.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/meters.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and bytes of what is measured."""
+"""Meters of processor time and memory."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 @dataclass(slots=True)
 class Meter:
-    """What a measured block took; known once it has ended."""
+    """Resources used by a measured block, set when the block ends."""
 
-    #: processor time of this process in milliseconds
+    #: processor time of this process in the block, in milliseconds
     cpu_ms: float = 0.0
     #: bytes allocated in the block and still in use at its end
     bytes: int = 0
@@ -41,7 +41,10 @@
 
 @contextmanager
 def measure_memory() -> Iterator[Meter]:
-    """Measure the memory that a block leaves in use; it runs far slower."""
+    """Measure the memory that a block leaves in use.
+
+    Tracing allocations slows the block down considerably.
+    """
     meter = Meter()
     gc.collect()
     tracemalloc.start()
@@ -56,7 +59,10 @@
 
 
 class ProcessMeter:
-    """Processor time and memory of another process, from one moment on."""
+    """Measures processor time and memory of another process.
+
+    Processor time counts from the creation of the meter.
+    """
 
     def __init__(self, pid: int) -> None:
         self._process = psutil.Process(pid)
@@ -64,11 +70,11 @@
         self._cpu = self._read_cpu()
 
     def read_cpu_ms(self) -> float:
-        """Return the processor time spent since the start, in milliseconds."""
+        """Return the processor time since the creation, in milliseconds."""
         return (self._read_cpu() - self._cpu) * MILLISECONDS
 
     def read_cpu_percent(self) -> float:
-        """Return the processor time since the start, in percent of a core."""
+        """Return the processor time since the creation, in percent of a core."""
         elapsed = time.monotonic() - self._begun
         return (self._read_cpu() - self._cpu) / elapsed * 100
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -1,4 +1,4 @@
-"""Cost of requests, tokens and polls to one daemon."""
+"""Benchmarks requests, streamed tokens and load polls at one daemon."""
 
 from __future__ import annotations
 
@@ -33,23 +33,25 @@
 POLL_RATES = (1, 20, 60)
 POLL_TARGETS = 400
 POLL_SERVICES = 20
+#: duration of each measurement, and of the warm-up before polls, in seconds
 SECONDS = 6.0
 SETTLE = 3.0
 DEADLINE_MS = 20_000
-#: names under which one process is listed: limits of concurrency are learnt for each
-#: target and begin low
+#: number of targets as which one process is listed: concurrency limits adapt for each
+#: target and start low
 ALIASES = 40
 WIDE = {"targets.subset": str(ALIASES)}
+#: seconds until the daemon must answer a first request
 READY_TIMEOUT = 20.0
 CAPACITY = 1024
-#: time of one call of the service whose requests stay in flight
+#: milliseconds that a call takes at the service whose requests stay in flight
 SLOW_MS = 6000
 SETTINGS = {"drain.balancer_lag": "0", "drain.longest": "8", "log.level": "requests"}
 
 
 @dataclass(slots=True)
 class _Bench:
-    """One daemon, its platform and its targets."""
+    """One daemon under test with its simulated platform and targets."""
 
     group: ProcessGroup
     session: aiohttp.ClientSession
@@ -66,7 +68,7 @@
         settings: Mapping[str, str],
         objects: str,
     ) -> _Bench:
-        """Start platform and daemon and wait until a request is answered."""
+        """Start platform and daemon and wait until a request succeeds."""
         platform = await group.run_module(f"{name}-platform", PLATFORM)
         daemon = Daemon(
             name,
@@ -85,7 +87,7 @@
         return bench
 
     async def call(self, pipeline: str, *, stream: bool, tokens: int = 1) -> None:
-        """Make one request and read its whole answer."""
+        """Send one request and read its whole response."""
         url = f"http://{self.daemon.entry.callers}/v1/pipelines/{pipeline}"
         headers = {"X-Workspace": WORKSPACE, "X-Deadline-Ms": str(DEADLINE_MS)}
         body = {"input": {"tokens": tokens}, "stream": stream}
@@ -93,10 +95,12 @@
         async with self.session.post(url, data=data, headers=headers) as response:
             answer = await response.read()
         if response.status != 200 or b"event: refusal" in answer:
-            raise RuntimeError(f"status {response.status}: {answer[-300:]!r}")
+            raise RuntimeError(
+                f"{pipeline}: status {response.status}: {answer[-300:]!r}"
+            )
 
     async def call_at(self, rate: float, number: int, pipeline: str, **how) -> None:
-        """Begin ``number`` requests at a steady rate and wait for them all."""
+        """Start ``number`` requests at a fixed rate and wait for all of them."""
         begun = time.monotonic()
         calls = []
         for index in range(number):
@@ -116,7 +120,7 @@
         async with self.session.post(url, json=body) as response:
             answer = await response.json()
         if answer.get("state") != "settled":
-            raise RuntimeError(f"objects were not applied: {answer}")
+            raise RuntimeError(f"change of the objects did not settle: {answer}")
 
     async def _wait_ready(self) -> None:
         async with asyncio.timeout(READY_TIMEOUT):
@@ -135,7 +139,7 @@
     rates: Sequence[float] = RATES,
     seconds: float = SECONDS,
 ) -> Series:
-    """Serve whole answers of pipelines of several lengths at several rates."""
+    """Serve unary requests to pipelines of several lengths at several rates."""
     echo = await group.run_module("echo", ECHO, ANY_PORT)
     objects = _describe_objects("plain", {f"p{n}": n for n in stages})
     async with _open_session() as session:
@@ -167,7 +171,7 @@
     rate: float = STREAMS_PER_SECOND,
     seconds: float = SECONDS,
 ) -> Series:
-    """Serve streamed answers of several lengths."""
+    """Serve streamed responses of several lengths."""
     engine = await group.run_module(
         "engine",
         ENGINE,
@@ -202,7 +206,7 @@
 async def measure_in_flight(
     group: ProcessGroup, counts: Sequence[int] = IN_FLIGHT, slow_ms: int = SLOW_MS
 ) -> Series:
-    """Hold more and more requests in flight and read the memory."""
+    """Measure memory with a growing number of requests in flight."""
     slow = await group.run_module(
         "slow",
         PLAIN,
@@ -211,7 +215,7 @@
         f"--service-ms={slow_ms}",
     )
     echo = await group.run_module("quick", ECHO, ANY_PORT)
-    # repeatable calls that take long would get a backup
+    # long calls of a repeatable stage would be hedged
     objects = _describe_objects("plain", {"p1": 1}, ready="quick", repeatable="no")
     targets = [*_describe_aliases(slow), _describe(echo, service="quick")]
     async with _open_session() as session:
@@ -240,7 +244,7 @@
     targets: int = POLL_TARGETS,
     seconds: float = SECONDS,
 ) -> Series:
-    """Poll the load of many targets, which one process stands for."""
+    """Poll the load of many targets, all served by one process."""
     echo = await group.run_module("polled", ECHO, ANY_PORT)
     rows = [
         _describe(echo, number, f"service-{number % POLL_SERVICES}")
@@ -279,7 +283,7 @@
 
 
 async def _measure_idle(bench: _Bench, seconds: float) -> float:
-    """Return the milliseconds of processor time that an idle second costs."""
+    """Return the idle processor time in milliseconds per second."""
     meter = ProcessMeter(bench.daemon.process.pid)
     await asyncio.sleep(seconds)
     return meter.read_cpu_ms() / seconds
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -1,4 +1,4 @@
-"""Cost of the directory of targets and of choosing among them."""
+"""Benchmarks the instance list, the target registry and target selection."""
 
 from __future__ import annotations
 
@@ -28,23 +28,24 @@
 __all__ = ("measure_choice", "measure_directory", "measure_listing")
 
 PLATFORM = "greengagelatch_lab.standins.platform"
-#: nobody listens there; datagrams to it are lost
+#: no server listens on this port; datagrams to it are lost
 STATSD = "127.0.0.1:9"
 REPLICAS = (50, 500, 2000, 6000, 12_000)
 CANDIDATES = (3, 20, 100, 400)
 SERVICES = 11
 DATA_CENTRES = 11
-#: instances entered into the platform's list by one call
+#: instances registered with the platform in one call
 BATCH = 2000
 LISTING_ROUNDS = 3
 CHOICES = 2000
+#: timeout of HTTP calls in seconds
 TIMEOUT = 30.0
 
 
 async def measure_listing(
     group: ProcessGroup, replicas: Sequence[int] = REPLICAS
 ) -> Series:
-    """Read the platform's list over HTTP, changed and unchanged."""
+    """Fetch the instance list over HTTP, when changed and when unchanged."""
     points = []
     for count in replicas:
         platform = await group.run_module(f"platform-{count}", PLATFORM)
@@ -66,7 +67,7 @@
 
 
 async def measure_directory(replicas: Sequence[int] = REPLICAS) -> Series:
-    """Keep all targets in a ledger and take in a listing with one change."""
+    """Hold all targets in a registry and apply listings with one change each."""
     points = []
     for count in replicas:
         with measure_memory() as held:
@@ -96,7 +97,7 @@
 def measure_choice(
     candidates: Sequence[int] = CANDIDATES, choices: int = CHOICES
 ) -> Series:
-    """Schedule calls one after the other among more and more candidates."""
+    """Schedule sequential calls among a growing number of candidates."""
     points = []
     for count in candidates:
         scheduler = _create_scheduler(count)
@@ -141,7 +142,7 @@
     with measure_cpu() as spent:
         answer = await reader.fetch()
     if answer.is_err():
-        raise RuntimeError(f"the list was not read: {answer.err_value}")
+        raise RuntimeError(f"instance list not fetched: {answer.err_value}")
     return spent.cpu_ms
 
 
@@ -158,7 +159,8 @@
 def _create_listing(count: int, as_of: int) -> Listing:
     rows = []
     for number in range(count):
-        # read anew each time, as from bytes: equal texts must not be shared
+        # decoded from JSON for each instance, as in a daemon, so that equal strings
+        # are not shared in memory
         row = json.loads(json.dumps(_describe(number, 8080 if number else as_of)))
         instance = Instance(
             instance_id=row["id"],
@@ -196,10 +198,10 @@
         return True
 
     def mark_leaving(self, target_id: str) -> None:
-        """Do nothing; none leaves here."""
+        """Do nothing: no target leaves in this benchmark."""
 
     def record_call(self, target_id: str, *, answered: bool) -> None:
-        """Do nothing; all are reached here."""
+        """Do nothing: all targets are reachable in this benchmark."""
 
 
 def _create_scheduler(count: int) -> Scheduler:
--- a/tests/test_lab/test_capacity/test_fits.py
+++ b/tests/test_lab/test_capacity/test_fits.py
@@ -26,7 +26,7 @@
 
 def test_drivers_that_vary_together_are_refused():
     points = create_points((1, 2, 5), (2, 4, 7), (3, 6, 9))
-    with pytest.raises(ValueError, match="tell"):
+    with pytest.raises(ValueError, match=r"cost: drivers \('a', 'b'\) are collinear"):
         fit_points(points, "cost", ("a", "b"))
 
 
--- a/tests/test_lab/test_capacity/test_membership.py
+++ b/tests/test_lab/test_capacity/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of the measurement of membership and of the target directory."""
+"""Tests of the benchmarks of membership and of the target registry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from greengagelatch_lab.capacity.membership import main
 
-#: bytes a second that one entry instance may spend on its peers
+#: limit of bytes per second that one entry instance sends to its peers
 BUDGET = 2048
 
 
--- a/tests/test_lab/test_capacity/test_roles.py
+++ b/tests/test_lab/test_capacity/test_roles.py
@@ -1,4 +1,4 @@
-"""Small runs of each measurement: what it counts, not how long it takes."""
+"""Short runs of each benchmark, checking the counts and not the timings."""
 
 import math
 
@@ -48,7 +48,7 @@
     series = await claims.measure_writer((5, 200), held=(0, 20), seconds=0.5)
     rows = series.points
     assert rows[1].drivers["batch"] > 2 * rows[0].drivers["batch"]
-    # a head that holds more is larger
+    # a head with more claims is larger
     assert rows[2].drivers["head_kb"] > rows[0].drivers["head_kb"]
 
 
@@ -73,7 +73,7 @@
 
 @pytest.mark.processes
 async def test_whole_and_streamed_answers_are_all_served(group):
-    # an answer that is refused or cut ends the measurement with an error
+    # a refused or incomplete response raises an error in the benchmark
     series = await serving.measure_requests(group, (1, 3), (10, 20), seconds=1.0)
     assert [point.drivers["stages"] for point in series.points] == [1, 1, 3, 3]
     series = await serving.measure_tokens(group, (5, 60), rate=5, seconds=1.0)
