--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__init__.py
@@ -1,3 +1,3 @@
-"""Measures what the daemon adds to a call, and what one core of it carries."""
+"""Benchmarks the latency that the daemon adds and its throughput per core."""
 
 from __future__ import annotations
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -1,7 +1,7 @@
-"""Run as ``python -m greengagelatch_lab.overhead``; the last line is JSON.
+"""Run by ``python -m greengagelatch_lab.overhead``; prints one line of JSON.
 
-One target, one pass-through, one daemon and the platform's stand-in run as processes
-of their own; the medians and ratios of one line come from one run.
+One target, one pass-through proxy, one daemon and the simulated platform run as
+separate processes. All medians and ratios of a line come from the same run.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 SERVICE = "lathe-desk"
 ENGINE = "planner-llm"
 WORKSPACE = "metro-east"
-#: stages of the longer pipeline
+#: number of stages of the pipeline "three"
 STAGES = 3
 
 OBJECTS = f"""
@@ -84,13 +84,14 @@
 """
 
 MICROSECONDS = 1_000_000
+#: rounds of requests before and during the latency measurement
 WARM_UP = 200
 LATENCY_ROUNDS = 600
 RATE_ROUNDS = 3
 RATE_SECONDS = 3.0
-#: ways whose throughput is measured
+#: request paths whose throughput is measured
 RATED = ("passing", "one", "keyed", "stream")
-#: seconds until the daemon must have answered a first request
+#: seconds until the daemon must answer a first request
 READY_TIMEOUT = 20.0
 
 CALL = {
@@ -110,7 +111,7 @@
 
 
 async def main() -> None:
-    """Start everything, measure, and print the figures."""
+    """Start all processes, run the benchmark and print its figures as JSON."""
     with tempfile.TemporaryDirectory() as name:
         async with ProcessGroup(Path(name)) as group:
             ways = await _start(group)
@@ -167,7 +168,9 @@
     )
     output, _ = await process.communicate()
     if process.returncode:
-        raise RuntimeError(f"objects not applied: {output.decode(errors='replace')}")
+        raise RuntimeError(
+            f"applying objects failed: {output.decode(errors='replace')}"
+        )
 
 
 def _create_call(name: str, process: Process) -> Way:
@@ -192,7 +195,7 @@
 
 
 async def _wait_ready(way: Way) -> None:
-    """Wait until the daemon has learnt its target and its objects."""
+    """Wait until a request succeeds: the daemon knows its target and objects."""
     async with asyncio.timeout(READY_TIMEOUT), aiohttp.ClientSession() as session:
         while True:
             async with session.post(
@@ -206,7 +209,7 @@
 async def _measure(
     session: aiohttp.ClientSession, ways: dict[str, Way]
 ) -> dict[str, float]:
-    # a stream takes the time of its tokens
+    # the latency of a stream is dominated by its token interval
     compared = [way for way in ways.values() if not way.stream]
     await measure_latencies(session, compared, WARM_UP)
     medians = await measure_latencies(session, compared, LATENCY_ROUNDS)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/echo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/echo.py
@@ -1,4 +1,4 @@
-"""A target that answers at once, so that nothing but the way to it is measured."""
+"""A target that responds immediately, so that only the path to it is measured."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 __all__ = ("TOKENS", "main")
 
-#: tokens of each streamed answer, and seconds between two of them, as engines that
-#: batch continuously give them
+#: tokens of each streamed response, and seconds between two of them, as for an engine
+#: with continuous batching
 TOKENS = 50
 TOKEN_INTERVAL = 0.02
 TEXT = " lathe"
@@ -56,7 +56,7 @@
 
 
 def main() -> None:
-    """Serve on the address given as the only argument."""
+    """Serve on the address given as the only command-line argument."""
     app = web.Application()
     app.router.add_post("/call", _call)
     app.router.add_get("/load", _get_load)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/passing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/passing.py
@@ -1,4 +1,4 @@
-"""A bare pass-through on aiohttp, as the least that a proxy of that library costs."""
+"""A minimal pass-through proxy on aiohttp, as the baseline for the daemon."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def main() -> None:
-    """Serve on the first argument what the target at the second one answers."""
+    """Forward calls from the address of the first argument to that of the second."""
     listen, target = sys.argv[1:]
     url = f"http://{target}/call"
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/ways.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/ways.py
@@ -1,4 +1,4 @@
-"""The ways to the target that are compared, and how each is taken and timed."""
+"""Request paths to the target, and the measurement of latency and throughput."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 __all__ = ("Rate", "Way", "measure_latencies", "measure_rate")
 
-#: requests under way at the same time when a rate is measured
+#: concurrent requests when throughput is measured
 CONCURRENCY = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Way:
-    """One way to the target."""
+    """One request path to the target: direct, through a proxy or through a daemon."""
 
     name: str
     url: str
     headers: dict[str, str]
     body: bytes
-    #: process whose processor time counts
+    #: process whose processor time is measured
     pid: int
-    #: whether each request carries a key of its own
+    #: whether each request carries a unique idempotency key
     keyed: bool = False
-    #: whether the answer is a stream of tokens
+    #: whether the response is a stream of tokens
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """What one way carried."""
+    """Throughput of one path, per second and per second of processor time."""
 
     per_second: float
     per_core_second: float
@@ -45,9 +45,10 @@
 async def measure_latencies(
     session: aiohttp.ClientSession, ways: list[Way], rounds: int
 ) -> dict[str, float]:
-    """Return the median of each way in milliseconds, one call at a time.
+    """Return the median latency of each path in milliseconds, one call at a time.
 
-    The ways take turns, so that whatever else the machine does strikes all alike.
+    Calls alternate between the paths, so that other load on the machine affects all
+    of them equally.
     """
     times: dict[str, list[float]] = {way.name: [] for way in ways}
     for _ in range(rounds):
@@ -61,7 +62,7 @@
 async def measure_rate(
     session: aiohttp.ClientSession, way: Way, seconds: float
 ) -> Rate:
-    """Return requests a second, and a second of the process's own processor time."""
+    """Return requests per second and per second of the process's processor time."""
     process = psutil.Process(way.pid)
     before = process.cpu_times()
     started = time.perf_counter()
@@ -94,4 +95,4 @@
         if not way.stream:
             json.loads(body)
         elif b"event: end" not in body:
-            raise RuntimeError(f"{way.name}: a stream without end: {body[-200:]!r}")
+            raise RuntimeError(f"{way.name}: no end event: {body[-200:]!r}")
