--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Trials of quotas over many instances, at the level of decisions."""
+"""Simulation of distributed quotas over many instances, without a network."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -1,4 +1,4 @@
-"""Measures how closely quotas are kept, and what that costs."""
+"""Measures the accuracy of distributed quotas and the cost of their gossip."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 #: requests per second of the quota
 RATE = 200.0
-#: part of the reports that are lost
+#: share of the reports that are lost
 LOSS = 0.2
-#: rounds of each phase, and of a window over which use is averaged
+#: rounds in each phase, and in each window over which use is averaged
 ROUNDS = 60
 WINDOW = 5
 SIZES = (9, 50)
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the table of phases and the table of costs."""
     print("instances phase               most  least  last20  (of the quota)")
     for size in SIZES:
         measure_phases(size)
@@ -32,7 +32,7 @@
 
 
 def measure_phases(size: int) -> None:
-    """Print use in each phase; demand is twice the quota or more throughout."""
+    """Print use in each phase; demand is always at least twice the quota."""
     model = create_model(size)
     even = [2 * RATE / size] * size
     single = [0.1 * RATE / size] * size
@@ -59,7 +59,7 @@
 
 
 def print_phase(model: QuotaModel, name: str) -> None:
-    """Run a phase and print the use in its windows."""
+    """Run a phase and print the highest, lowest and last use as shares of the quota."""
     counts = model.run(ROUNDS)
     windows = [
         sum(counts[start : start + WINDOW]) / WINDOW / RATE
@@ -71,7 +71,7 @@
 
 
 def measure_cost(size: int, keys: int) -> None:
-    """Print what gossip costs with all keys in use at all instances."""
+    """Print the cost of gossip with all keys in use at all instances."""
     model = create_model(size, keys=keys)
     model.demand = [0.5] * size
     rounds = 20
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
@@ -1,4 +1,4 @@
-"""Many ledgers in one process, with demand, lost gossip and cuts."""
+"""Simulates quota ledgers with demand, lost gossip and network partitions."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 __all__ = ("QuotaModel",)
 
-#: instances that are told in a round
+#: gossip fan-out: peers to which an instance reports in each round
 LISTENERS = 2
 
 
 class QuotaModel:
-    """Runs in rounds of a second; tests change its fields between them.
+    """A simulation in rounds of one second; fields may be changed between rounds.
 
     :param centres: data centre of each instance.
-    :param loss: part of the reports that are lost.
+    :param loss: share of the reports that are lost.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.workspaces = [f"workspace-{number}" for number in range(keys)]
         #: requests per second of each workspace at each instance
         self.demand = [0.0] * len(self.centres)
-        #: data centres that others can't reach
+        #: data centres partitioned from all others
         self.cut: set[str] = set()
         #: instances that have crashed
         self.crashed: set[int] = set()
@@ -130,7 +130,7 @@
         return len(ends) == 1 or not ends & self.cut
 
     def _draw(self, rate: float) -> int:
-        """Return a Poisson number."""
+        """Return a Poisson-distributed random number with mean ``rate``."""
         count = 0
         passed = self.random.expovariate(rate) if rate > 0 else 2.0
         while passed < 1.0:
