--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -48,11 +48,11 @@
     print_phase(model, "all moves to one")
     model.demand = even
     print_phase(model, "and back")
-    model.cut = {"dc0"}
+    model.partitioned = {"dc0"}
     print_phase(model, "cut")
     model.demand = outside
     print_phase(model, "cut, thrice outside")
-    model.cut = set()
+    model.partitioned = set()
     print_phase(model, "healed")
     model.crashed = {1}
     print_phase(model, "one crashed")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
@@ -43,7 +43,7 @@
         #: requests per second of each workspace at each instance
         self.demand = [0.0] * len(self.centres)
         #: data centres partitioned from all others
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         #: instances that have crashed
         self.crashed: set[int] = set()
         #: bytes of reports that each instance has sent
@@ -127,7 +127,7 @@
         if other in self.crashed:
             return False
         ends = {self.centres[index], self.centres[other]}
-        return len(ends) == 1 or not ends & self.cut
+        return len(ends) == 1 or not ends & self.partitioned
 
     def _draw(self, rate: float) -> int:
         """Return a Poisson-distributed random number with mean ``rate``."""
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -81,7 +81,7 @@
     model = create_model(loss=0.2, seed=seed)
     model.demand = [20.0] * 9
     model.run(CONVERGED)
-    model.cut = {"north"}
+    model.partitioned = {"north"}
     check_rounds(model, CONVERGED, TOLERANCE)
     model.demand = moved
     check_rounds(model, CONVERGED, TOLERANCE_MOVING)
@@ -92,7 +92,7 @@
     model = create_model(hold=40.0)
     model.demand = [20.0] * 9
     model.run(CONVERGED)
-    model.cut = {"north"}
+    model.partitioned = {"north"}
     check_rounds(model, 39, TOLERANCE)
     model.run(10)
     assert model.sum_shares() == pytest.approx(2.0, abs=0.15)
