--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -6,7 +6,7 @@
 
 from greengagelatch.config.effects import Quota
 
-from .model import QuotaModel
+from .model import QuotaSimulation
 
 #: requests per second of the quota
 RATE = 200.0
@@ -58,7 +58,7 @@
     print_phase(model, "one crashed")
 
 
-def print_phase(model: QuotaModel, name: str) -> None:
+def print_phase(model: QuotaSimulation, name: str) -> None:
     """Run a phase and print the highest, lowest and last use as shares of the quota."""
     counts = model.run(ROUNDS)
     windows = [
@@ -86,11 +86,11 @@
     )
 
 
-def create_model(size: int, keys: int = 1) -> QuotaModel:
+def create_model(size: int, keys: int = 1) -> QuotaSimulation:
     """Return a model with the instances spread over its data centres."""
     centres = [f"dc{index % CENTRES[size]}" for index in range(size)]
     quota = Quota(policy="measured", requests_per_second=RATE)
-    return QuotaModel(centres, quota, loss=LOSS, keys=keys)
+    return QuotaSimulation(centres, quota, loss=LOSS, keys=keys)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
@@ -11,13 +11,13 @@
 from greengagelatch.quotas import QuotaKey
 from greengagelatch.quotas.ledger import QuotaLedger
 
-__all__ = ("QuotaModel",)
+__all__ = ("QuotaSimulation",)
 
 #: gossip fan-out: peers to which an instance reports in each round
 LISTENERS = 2
 
 
-class QuotaModel:
+class QuotaSimulation:
     """A simulation in rounds of one second; fields may be changed between rounds.
 
     :param centres: data centre of each instance.
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -11,7 +11,7 @@
 from greengagelatch.config.effects import Quota
 from greengagelatch.quotas import QuotaKey
 from greengagelatch.quotas.membership import CRASH_GRACE
-from greengagelatch_lab.quotas.model import QuotaModel
+from greengagelatch_lab.quotas.model import QuotaSimulation
 
 RATE = 100.0
 #: rounds in which shares converge after a shift of demand
@@ -25,7 +25,7 @@
 
 def create_model(**options):
     quota = Quota(policy="small", requests_per_second=RATE)
-    return QuotaModel(CENTRES, quota, **options)
+    return QuotaSimulation(CENTRES, quota, **options)
 
 
 def check_rounds(model, rounds, spare):
