--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -6,7 +6,7 @@
 
 from greengagelatch.config.effects import Quota
 
-from .model import QuotaSimulation
+from .simulation import QuotaSimulation
 
 #: requests per second of the quota
 RATE = 200.0
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -11,7 +11,7 @@
 from greengagelatch.config.effects import Quota
 from greengagelatch.quotas import QuotaKey
 from greengagelatch.quotas.membership import CRASH_GRACE
-from greengagelatch_lab.quotas.model import QuotaSimulation
+from greengagelatch_lab.quotas.simulation import QuotaSimulation
 
 RATE = 100.0
 #: rounds in which shares converge after a shift of demand
