--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -131,9 +131,11 @@
         """Give every instance the member records of all, as after convergence."""
         updates = [node.detector.own.update for node in self.nodes.values()]
         for instance_id in self.nodes:
-            self.teach(instance_id, updates)
+            self.deliver_members(instance_id, updates)
 
-    def teach(self, instance_id: str, updates: Iterable[MemberUpdate]) -> None:
+    def deliver_members(
+        self, instance_id: str, updates: Iterable[MemberUpdate]
+    ) -> None:
         """Deliver a member table to one instance, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
         node = self.nodes[instance_id]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -155,14 +155,14 @@
         running[0],
         fleet.nodes[running[0]].detector.register_peer(fleet.now, node.identity),
     )
-    fleet.teach(node.identity.instance_id, known.list_all_updates())
+    fleet.deliver_members(node.identity.instance_id, known.list_all_updates())
 
 
 def _build_detector(members: int) -> DetectorFleet:
     fleet = DetectorFleet(1, seed=1)
     others = DetectorFleet(members, seed=1)
     updates = [node.detector.own.update for node in others.nodes.values()]
-    fleet.teach(next(iter(fleet.nodes)), updates)
+    fleet.deliver_members(next(iter(fleet.nodes)), updates)
     return fleet
 
 
