--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -127,7 +127,7 @@
                 step = node.detector.apply_listing(self.now, listing)
                 self.perform(instance_id, step)
 
-    def introduce_all(self) -> None:
+    def converge(self) -> None:
         """Give every instance the member records of all, as after convergence."""
         updates = [node.detector.own.update for node in self.nodes.values()]
         for instance_id in self.nodes:
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -18,7 +18,7 @@
 
 def start_fleet(size: int, **options) -> DetectorFleet:
     fleet = DetectorFleet(size, seed=7, **options)
-    fleet.introduce_all()
+    fleet.converge()
     fleet.run(5)
     return fleet
 
@@ -123,7 +123,7 @@
     """
     fleet = DetectorFleet(2, seed=1)
     fleet.show(fleet.list_instances(leaving=frozenset({SECOND})))
-    fleet.introduce_all()
+    fleet.converge()
     fleet.run(5)
     assert fleet.view(FIRST, SECOND) is MemberState.LEAVING
 
