--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -141,7 +141,7 @@
         node = self.nodes[instance_id]
         self.perform(instance_id, node.detector.receive(self.now, "", table))
 
-    def introduce(self, instance_id: str) -> None:
+    def register_with_all(self, instance_id: str) -> None:
         """Register one instance and all others with each other, as by opening links."""
         node = self.nodes[instance_id]
         for other_id, other in self.nodes.items():
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -26,7 +26,7 @@
 def restart_detector(fleet: DetectorFleet, instance_id: str, incarnation: int) -> Node:
     index = int(instance_id.rpartition("-")[2])
     node = fleet.add(index, incarnation=incarnation)
-    fleet.introduce(instance_id)
+    fleet.register_with_all(instance_id)
     return node
 
 
