--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -120,7 +120,7 @@
         ]
         return Listing(self._as_of, tuple(rows))
 
-    def show(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a listing at all running instances."""
         for instance_id, node in self.nodes.items():
             if not node.stopped and not node.paused:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -145,7 +145,7 @@
     running = [key for key, node in fleet.nodes.items() if not node.stopped]
     fleet.nodes[fleet.random.choice(running)].stopped = True
     node = fleet.add(len(fleet.nodes))
-    fleet.show(fleet.list_instances())
+    fleet.apply_listing(fleet.list_instances())
     known = fleet.nodes[fleet.random.choice(running)].detector
     fleet.perform(
         node.identity.instance_id,
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -103,7 +103,7 @@
     fleet.perform(FIRST, fleet.nodes[FIRST].detector.leave(fleet.now))
     fleet.run(5)
     fleet.nodes[FIRST].stopped = True
-    fleet.show(stale)
+    fleet.apply_listing(stale)
     dead = dataclasses.replace(before, state=MemberState.DEAD)
     late = Probe(1, (encode_update(before), encode_update(dead)))
     for instance_id, node in fleet.nodes.items():
@@ -122,7 +122,7 @@
     it as leaving, then it connects, and its hello must not override the list.
     """
     fleet = DetectorFleet(2, seed=1)
-    fleet.show(fleet.list_instances(leaving=frozenset({SECOND})))
+    fleet.apply_listing(fleet.list_instances(leaving=frozenset({SECOND})))
     fleet.converge()
     fleet.run(5)
     assert fleet.view(FIRST, SECOND) is MemberState.LEAVING
@@ -141,7 +141,7 @@
         address="10.9.9.9:8082",
         state=InstanceState.LIVE,
     )
-    fleet.show(Listing(10, (vanished,)))
+    fleet.apply_listing(Listing(10, (vanished,)))
     fleet.run(30)
     assert all_views_show(fleet, SECOND, MemberState.ALIVE)
     record = fleet.nodes[FIRST].detector.table.find("entry-vanished")
