--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -125,7 +125,7 @@
         for instance_id, node in self.nodes.items():
             if not node.stopped and not node.paused:
                 step = node.detector.apply_listing(self.now, listing)
-                self.perform(instance_id, step)
+                self.send_output(instance_id, step)
 
     def converge(self) -> None:
         """Give every instance the member records of all, as after convergence."""
@@ -139,7 +139,7 @@
         """Deliver a member table to one instance, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
         node = self.nodes[instance_id]
-        self.perform(instance_id, node.detector.receive(self.now, "", table))
+        self.send_output(instance_id, node.detector.receive(self.now, "", table))
 
     def register_with_all(self, instance_id: str) -> None:
         """Register one instance and all others with each other, as by opening links."""
@@ -148,9 +148,9 @@
             if other is node or other.stopped:
                 continue
             step = node.detector.register_peer(self.now, other.identity)
-            self.perform(instance_id, step)
+            self.send_output(instance_id, step)
             step = other.detector.register_peer(self.now, node.identity)
-            self.perform(other_id, step)
+            self.send_output(other_id, step)
 
     def run(self, seconds: float) -> None:
         """Advance virtual time by ``seconds``."""
@@ -162,13 +162,13 @@
                 if node.paused or node.stopped:
                     continue
                 if not self._judged:
-                    self.perform(instance_id, node.detector.advance(self.now))
+                    self.send_output(instance_id, node.detector.advance(self.now))
                     continue
                 before = self._count_bad(node)
-                self.perform(instance_id, node.detector.advance(self.now))
+                self.send_output(instance_id, node.detector.advance(self.now))
                 self._count_false(node, before)
 
-    def perform(self, sender: str, step: DetectorOutput) -> None:
+    def send_output(self, sender: str, step: DetectorOutput) -> None:
         """Send the messages of a detector's output."""
         node = self.nodes[sender]
         for send in step.sends:
@@ -211,7 +211,7 @@
                 heapq.heappush(self._queue, delivery)
                 continue
             step = node.detector.receive(self.now, delivery.sender, delivery.message)
-            self.perform(delivery.receiver, step)
+            self.send_output(delivery.receiver, step)
 
     def _count_bad(self, node: Node) -> tuple[set[str], set[str]]:
         table = node.detector.table
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -147,11 +147,11 @@
     node = fleet.add(len(fleet.nodes))
     fleet.apply_listing(fleet.list_instances())
     known = fleet.nodes[fleet.random.choice(running)].detector
-    fleet.perform(
+    fleet.send_output(
         node.identity.instance_id,
         node.detector.register_peer(fleet.now, fleet.nodes[running[0]].identity),
     )
-    fleet.perform(
+    fleet.send_output(
         running[0],
         fleet.nodes[running[0]].detector.register_peer(fleet.now, node.identity),
     )
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -100,7 +100,7 @@
     fleet = start_fleet(9)
     stale = fleet.list_instances()
     before = fleet.nodes[FIRST].detector.own.update
-    fleet.perform(FIRST, fleet.nodes[FIRST].detector.leave(fleet.now))
+    fleet.send_output(FIRST, fleet.nodes[FIRST].detector.leave(fleet.now))
     fleet.run(5)
     fleet.nodes[FIRST].stopped = True
     fleet.apply_listing(stale)
@@ -109,7 +109,7 @@
     for instance_id, node in fleet.nodes.items():
         if not node.stopped:
             step = node.detector.receive(fleet.now, SECOND, late)
-            fleet.perform(instance_id, step)
+            fleet.send_output(instance_id, step)
     fleet.run(5)
     assert all_views_show(fleet, FIRST, MemberState.LEAVING)
     fleet.run(60)
@@ -226,10 +226,10 @@
     node = fleet.add(9)
     newcomer = node.identity.instance_id
     step = node.detector.register_peer(fleet.now, fleet.nodes[FIRST].identity)
-    fleet.perform(newcomer, step)
+    fleet.send_output(newcomer, step)
     table = fleet.nodes[FIRST].detector.list_all_updates()
     answer = MembersTable(tuple(encode_update(update) for update in table))
-    fleet.perform(newcomer, node.detector.receive(fleet.now, FIRST, answer))
+    fleet.send_output(newcomer, node.detector.receive(fleet.now, FIRST, answer))
     fleet.run(10)
     assert len(node.detector.table) == 9
     assert all_views_show(fleet, newcomer, MemberState.ALIVE)
