--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -190,7 +190,7 @@
         record = self.nodes[observer].detector.table.find(observed)
         return None if record is None else record.state
 
-    def views(self, observed: str) -> Counter[MemberState | None]:
+    def count_states(self, observed: str) -> Counter[MemberState | None]:
         """Count the states of one instance in the tables of all other running ones."""
         return Counter(
             self.view(observer, observed)
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -31,7 +31,7 @@
 
 
 def all_views_show(fleet: DetectorFleet, observed: str, state: MemberState) -> bool:
-    return set(fleet.views(observed)) == {state}
+    return set(fleet.count_states(observed)) == {state}
 
 
 def test_stopped_instance_is_dead_everywhere():
