--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -185,7 +185,7 @@
             )
             heapq.heappush(self._queue, delivery)
 
-    def view(self, observer: str, observed: str) -> MemberState | None:
+    def find_state(self, observer: str, observed: str) -> MemberState | None:
         """Return the state of one instance in the member table of another."""
         record = self.nodes[observer].detector.table.find(observed)
         return None if record is None else record.state
@@ -193,7 +193,7 @@
     def count_states(self, observed: str) -> Counter[MemberState | None]:
         """Count the states of one instance in the tables of all other running ones."""
         return Counter(
-            self.view(observer, observed)
+            self.find_state(observer, observed)
             for observer, node in self.nodes.items()
             if observer != observed and not node.stopped and not node.paused
         )
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -50,7 +50,7 @@
     """
     fleet = start_fleet(9, loses=lambda sender, to: (sender, to) == (FIRST, SECOND))
     fleet.run(60)
-    assert fleet.view(FIRST, SECOND) is MemberState.ALIVE
+    assert fleet.find_state(FIRST, SECOND) is MemberState.ALIVE
     assert fleet.false_suspicions == 0
 
 
@@ -71,8 +71,8 @@
         # no answer arrives, so probes of both stay pending
         detector.advance(fleet.now + tick / 20)
     detector.advance(fleet.now + 60)
-    assert fleet.view(FIRST, SECOND) is MemberState.ALIVE
-    assert fleet.view(FIRST, THIRD) is MemberState.SUSPECT
+    assert fleet.find_state(FIRST, SECOND) is MemberState.ALIVE
+    assert fleet.find_state(FIRST, THIRD) is MemberState.SUSPECT
 
 
 def test_continued_instance_is_alive_again_everywhere():
@@ -125,7 +125,7 @@
     fleet.apply_listing(fleet.list_instances(leaving=frozenset({SECOND})))
     fleet.converge()
     fleet.run(5)
-    assert fleet.view(FIRST, SECOND) is MemberState.LEAVING
+    assert fleet.find_state(FIRST, SECOND) is MemberState.LEAVING
 
 
 def test_list_may_be_out_of_date_in_both_directions():
@@ -163,8 +163,8 @@
     }
     fleet.loses = lambda sender, receiver: (sender in inside) != (receiver in inside)
     fleet.run(300)
-    assert fleet.view(FIRST, THIRD) is MemberState.DEAD
-    assert fleet.view(THIRD, FIRST) is MemberState.DEAD
+    assert fleet.find_state(FIRST, THIRD) is MemberState.DEAD
+    assert fleet.find_state(THIRD, FIRST) is MemberState.DEAD
     fleet.loses = lambda sender, receiver: False
     fleet.run(60)
     assert all(
