--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -52,10 +52,10 @@
 
 
 class DetectorFleet:
-    """Detectors on a simulated network that delays and loses messages.
+    """Detectors on a simulated network that delays and is_lost messages.
 
     :param judged: whether to count false suspicions, which costs processor time.
-    :param loses: whether a message from the first to the second instance is lost.
+    :param is_lost: whether a message from the first to the second instance is lost.
     """
 
     def __init__(
@@ -65,10 +65,10 @@
         seed: int,
         rules: DetectorRules | None = None,
         judged: bool = True,
-        loses: Callable[[str, str], bool] | None = None,
+        is_lost: Callable[[str, str], bool] | None = None,
     ) -> None:
         self.now = START
-        self.loses = loses or (lambda sender, receiver: False)
+        self.is_lost = is_lost or (lambda sender, receiver: False)
         self.random = random.Random(seed)
         self.nodes: dict[str, Node] = {}
         #: transitions to suspect and to dead of instances that were running
@@ -177,7 +177,7 @@
             receiver = self.nodes.get(send.instance_id)
             if receiver is None or receiver.stopped:
                 continue
-            if self.loses(sender, send.instance_id):
+            if self.is_lost(sender, send.instance_id):
                 continue
             self._number += 1
             delivery = _Delivery(
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -48,7 +48,7 @@
     messages from the first instance to the second are lost and all other paths work,
     so only direct probes fail.
     """
-    fleet = start_fleet(9, loses=lambda sender, to: (sender, to) == (FIRST, SECOND))
+    fleet = start_fleet(9, is_lost=lambda sender, to: (sender, to) == (FIRST, SECOND))
     fleet.run(60)
     assert fleet.find_state(FIRST, SECOND) is MemberState.ALIVE
     assert fleet.false_suspicions == 0
@@ -161,11 +161,11 @@
         for instance_id, node in fleet.nodes.items()
         if node.identity.data_centre == "kumamoto"
     }
-    fleet.loses = lambda sender, receiver: (sender in inside) != (receiver in inside)
+    fleet.is_lost = lambda sender, receiver: (sender in inside) != (receiver in inside)
     fleet.run(300)
     assert fleet.find_state(FIRST, THIRD) is MemberState.DEAD
     assert fleet.find_state(THIRD, FIRST) is MemberState.DEAD
-    fleet.loses = lambda sender, receiver: False
+    fleet.is_lost = lambda sender, receiver: False
     fleet.run(60)
     assert all(
         all_views_show(fleet, instance_id, MemberState.ALIVE)
@@ -214,7 +214,7 @@
     lost at random, and healthy instances must not be declared dead.
     """
     source = random.Random(3)
-    fleet = start_fleet(50, loses=lambda sender, receiver: source.random() < 0.05)
+    fleet = start_fleet(50, is_lost=lambda sender, receiver: source.random() < 0.05)
     fleet.run(120)
     assert fleet.false_deaths == 0
     # of 50 observers and 120 probes each
