--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -54,7 +54,7 @@
 class DetectorFleet:
     """Detectors on a simulated network that delays and is_lost messages.
 
-    :param judged: whether to count false suspicions, which costs processor time.
+    :param count_false_positives: whether to count false suspicions, which costs processor time.
     :param is_lost: whether a message from the first to the second instance is lost.
     """
 
@@ -64,7 +64,7 @@
         *,
         seed: int,
         rules: DetectorRules | None = None,
-        judged: bool = True,
+        count_false_positives: bool = True,
         is_lost: Callable[[str, str], bool] | None = None,
     ) -> None:
         self.now = START
@@ -75,7 +75,7 @@
         self.false_suspicions = 0
         self.false_deaths = 0
         self._rules = rules or DetectorRules()
-        self._judged = judged
+        self._count_false_positives = count_false_positives
         self._queue: list[_Delivery] = []
         self._number = 0
         self._as_of = 0
@@ -161,7 +161,7 @@
             for instance_id, node in list(self.nodes.items()):
                 if node.paused or node.stopped:
                     continue
-                if not self._judged:
+                if not self._count_false_positives:
                     self.send_output(instance_id, node.detector.advance(self.now))
                     continue
                 before = self._count_bad(node)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -74,7 +74,7 @@
 
 def measure_members(members: int, seconds: float) -> MemberCost:
     """Measure failure detection in a simulated fleet of ``members``."""
-    fleet = DetectorFleet(members, seed=1, judged=False)
+    fleet = DetectorFleet(members, seed=1, count_false_positives=False)
     fleet.converge()
     fleet.run(5)
     quiet = _run_fleet(fleet, seconds, churn=False)
