--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -16,7 +16,7 @@
 from greengagelatch.peers import MemberState
 from greengagelatch.peers.codec import Envelope, Message, encode
 
-__all__ = ("DATA_CENTRES", "DetectorFleet", "Node")
+__all__ = ("DATA_CENTRES", "DetectorFleet", "SimulatedInstance")
 
 DATA_CENTRES = ("fukuoka-a", "fukuoka-b", "kumamoto")
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Node:
+class SimulatedInstance:
     """One simulated instance."""
 
     detector: Detector
@@ -70,7 +70,7 @@
         self.now = START
         self.is_lost = is_lost or (lambda sender, receiver: False)
         self.random = random.Random(seed)
-        self.nodes: dict[str, Node] = {}
+        self.nodes: dict[str, SimulatedInstance] = {}
         #: transitions to suspect and to dead of instances that were running
         self.false_suspicions = 0
         self.false_deaths = 0
@@ -82,7 +82,7 @@
         for index in range(size):
             self.add(index)
 
-    def add(self, index: int, *, incarnation: int = 0) -> Node:
+    def add(self, index: int, *, incarnation: int = 0) -> SimulatedInstance:
         """Start an instance with an empty member table, replacing any of that index."""
         instance_id = f"entry-{index:05d}"
         identity = Identity(
@@ -96,7 +96,7 @@
             rules=self._rules,
             random_source=random.Random(self.random.random()),
         )
-        node = Node(detector, identity)
+        node = SimulatedInstance(detector, identity)
         self.nodes[instance_id] = node
         return node
 
@@ -213,13 +213,15 @@
             step = node.detector.receive(self.now, delivery.sender, delivery.message)
             self.send_output(delivery.receiver, step)
 
-    def _count_bad(self, node: Node) -> tuple[set[str], set[str]]:
+    def _count_bad(self, node: SimulatedInstance) -> tuple[set[str], set[str]]:
         table = node.detector.table
         suspects = {r.instance_id for r in table.select(MemberState.SUSPECT)}
         dead = {r.instance_id for r in table.select(MemberState.DEAD)}
         return suspects, dead
 
-    def _count_false(self, node: Node, before: tuple[set[str], set[str]]) -> None:
+    def _count_false(
+        self, node: SimulatedInstance, before: tuple[set[str], set[str]]
+    ) -> None:
         suspects, dead = self._count_bad(node)
         for instance_id in suspects - before[0]:
             self.false_suspicions += self._runs(instance_id)
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -11,7 +11,7 @@
 from greengagelatch.membership.records import MemberUpdate, encode_update
 from greengagelatch.membership.steps import DetectorRules, Identity
 from greengagelatch.peers import MemberState
-from greengagelatch_lab.capacity.fleet import DetectorFleet, Node
+from greengagelatch_lab.capacity.fleet import DetectorFleet, SimulatedInstance
 
 FIRST, SECOND, THIRD = "entry-00000", "entry-00001", "entry-00002"
 
@@ -23,7 +23,9 @@
     return fleet
 
 
-def restart_detector(fleet: DetectorFleet, instance_id: str, incarnation: int) -> Node:
+def restart_detector(
+    fleet: DetectorFleet, instance_id: str, incarnation: int
+) -> SimulatedInstance:
     index = int(instance_id.rpartition("-")[2])
     node = fleet.add(index, incarnation=incarnation)
     fleet.register_with_all(instance_id)
