--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fleet.py
@@ -70,7 +70,7 @@
         self.now = START
         self.is_lost = is_lost or (lambda sender, receiver: False)
         self.random = random.Random(seed)
-        self.nodes: dict[str, SimulatedInstance] = {}
+        self.instances: dict[str, SimulatedInstance] = {}
         #: transitions to suspect and to dead of instances that were running
         self.false_suspicions = 0
         self.false_deaths = 0
@@ -97,7 +97,7 @@
             random_source=random.Random(self.random.random()),
         )
         node = SimulatedInstance(detector, identity)
-        self.nodes[instance_id] = node
+        self.instances[instance_id] = node
         return node
 
     def list_instances(self, *, leaving: frozenset[str] = frozenset()) -> Listing:
@@ -115,22 +115,22 @@
                     else InstanceState.LIVE
                 ),
             )
-            for instance_id, node in self.nodes.items()
+            for instance_id, node in self.instances.items()
             if not node.stopped
         ]
         return Listing(self._as_of, tuple(rows))
 
     def apply_listing(self, listing: Listing) -> None:
         """Apply a listing at all running instances."""
-        for instance_id, node in self.nodes.items():
+        for instance_id, node in self.instances.items():
             if not node.stopped and not node.paused:
                 step = node.detector.apply_listing(self.now, listing)
                 self.send_output(instance_id, step)
 
     def converge(self) -> None:
         """Give every instance the member records of all, as after convergence."""
-        updates = [node.detector.own.update for node in self.nodes.values()]
-        for instance_id in self.nodes:
+        updates = [node.detector.own.update for node in self.instances.values()]
+        for instance_id in self.instances:
             self.deliver_members(instance_id, updates)
 
     def deliver_members(
@@ -138,13 +138,13 @@
     ) -> None:
         """Deliver a member table to one instance, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
-        node = self.nodes[instance_id]
+        node = self.instances[instance_id]
         self.send_output(instance_id, node.detector.receive(self.now, "", table))
 
     def register_with_all(self, instance_id: str) -> None:
         """Register one instance and all others with each other, as by opening links."""
-        node = self.nodes[instance_id]
-        for other_id, other in self.nodes.items():
+        node = self.instances[instance_id]
+        for other_id, other in self.instances.items():
             if other is node or other.stopped:
                 continue
             step = node.detector.register_peer(self.now, other.identity)
@@ -158,7 +158,7 @@
         while self.now < end:
             self.now += TICK
             self._deliver()
-            for instance_id, node in list(self.nodes.items()):
+            for instance_id, node in list(self.instances.items()):
                 if node.paused or node.stopped:
                     continue
                 if not self._count_false_positives:
@@ -170,11 +170,11 @@
 
     def send_output(self, sender: str, step: DetectorOutput) -> None:
         """Send the messages of a detector's output."""
-        node = self.nodes[sender]
+        node = self.instances[sender]
         for send in step.sends:
             node.sent[send.message.wire_name] += 1
             node.sent_bytes += len(encode(Envelope(send.message)))
-            receiver = self.nodes.get(send.instance_id)
+            receiver = self.instances.get(send.instance_id)
             if receiver is None or receiver.stopped:
                 continue
             if self.is_lost(sender, send.instance_id):
@@ -187,14 +187,14 @@
 
     def find_state(self, observer: str, observed: str) -> MemberState | None:
         """Return the state of one instance in the member table of another."""
-        record = self.nodes[observer].detector.table.find(observed)
+        record = self.instances[observer].detector.table.find(observed)
         return None if record is None else record.state
 
     def count_states(self, observed: str) -> Counter[MemberState | None]:
         """Count the states of one instance in the tables of all other running ones."""
         return Counter(
             self.find_state(observer, observed)
-            for observer, node in self.nodes.items()
+            for observer, node in self.instances.items()
             if observer != observed and not node.stopped and not node.paused
         )
 
@@ -202,7 +202,7 @@
         # replies to messages of this tick are due within the same tick
         while self._queue and self._queue[0].due <= self.now + TICK:
             delivery = heapq.heappop(self._queue)
-            node = self.nodes[delivery.receiver]
+            node = self.instances[delivery.receiver]
             if node.stopped:
                 continue
             if node.paused:
@@ -229,5 +229,5 @@
             self.false_deaths += self._runs(instance_id)
 
     def _runs(self, instance_id: str) -> bool:
-        node = self.nodes.get(instance_id)
+        node = self.instances.get(instance_id)
         return node is not None and not node.stopped and not node.paused
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -122,7 +122,7 @@
 def _run_fleet(
     fleet: DetectorFleet, seconds: float, *, churn: bool
 ) -> dict[str, float]:
-    nodes = fleet.nodes.values()
+    nodes = fleet.instances.values()
     bytes_before = sum(node.sent_bytes for node in nodes)
     messages_before = sum(node.sent.total() for node in nodes)
     begun = time.process_time()
@@ -142,18 +142,18 @@
 
 
 def _replace_one(fleet: DetectorFleet) -> None:
-    running = [key for key, node in fleet.nodes.items() if not node.stopped]
-    fleet.nodes[fleet.random.choice(running)].stopped = True
-    node = fleet.add(len(fleet.nodes))
+    running = [key for key, node in fleet.instances.items() if not node.stopped]
+    fleet.instances[fleet.random.choice(running)].stopped = True
+    node = fleet.add(len(fleet.instances))
     fleet.apply_listing(fleet.list_instances())
-    known = fleet.nodes[fleet.random.choice(running)].detector
+    known = fleet.instances[fleet.random.choice(running)].detector
     fleet.send_output(
         node.identity.instance_id,
-        node.detector.register_peer(fleet.now, fleet.nodes[running[0]].identity),
+        node.detector.register_peer(fleet.now, fleet.instances[running[0]].identity),
     )
     fleet.send_output(
         running[0],
-        fleet.nodes[running[0]].detector.register_peer(fleet.now, node.identity),
+        fleet.instances[running[0]].detector.register_peer(fleet.now, node.identity),
     )
     fleet.deliver_members(node.identity.instance_id, known.list_all_updates())
 
@@ -161,8 +161,8 @@
 def _build_detector(members: int) -> DetectorFleet:
     fleet = DetectorFleet(1, seed=1)
     others = DetectorFleet(members, seed=1)
-    updates = [node.detector.own.update for node in others.nodes.values()]
-    fleet.deliver_members(next(iter(fleet.nodes)), updates)
+    updates = [node.detector.own.update for node in others.instances.values()]
+    fleet.deliver_members(next(iter(fleet.instances)), updates)
     return fleet
 
 
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -38,7 +38,7 @@
 
 def test_stopped_instance_is_dead_everywhere():
     fleet = start_fleet(9)
-    fleet.nodes[SECOND].stopped = True
+    fleet.instances[SECOND].stopped = True
     fleet.run(20)
     assert all_views_show(fleet, SECOND, MemberState.DEAD)
     assert fleet.false_deaths == 0
@@ -63,9 +63,9 @@
     continues unless the time of the pause is left out.
     """
     fleet = start_fleet(3)
-    detector = fleet.nodes[FIRST].detector
+    detector = fleet.instances[FIRST].detector
     suspect = dataclasses.replace(
-        fleet.nodes[THIRD].detector.own.update, state=MemberState.SUSPECT
+        fleet.instances[THIRD].detector.own.update, state=MemberState.SUSPECT
     )
     probe = Probe(1, (encode_update(suspect),))
     detector.receive(fleet.now, SECOND, probe)
@@ -84,10 +84,10 @@
     does not override that.
     """
     fleet = start_fleet(9)
-    fleet.nodes[FIRST].paused = True
+    fleet.instances[FIRST].paused = True
     fleet.run(60)
     assert all_views_show(fleet, FIRST, MemberState.DEAD)
-    fleet.nodes[FIRST].paused = False
+    fleet.instances[FIRST].paused = False
     fleet.run(20)
     assert all_views_show(fleet, FIRST, MemberState.ALIVE)
     assert fleet.false_suspicions == 0
@@ -101,14 +101,14 @@
     """
     fleet = start_fleet(9)
     stale = fleet.list_instances()
-    before = fleet.nodes[FIRST].detector.own.update
-    fleet.send_output(FIRST, fleet.nodes[FIRST].detector.leave(fleet.now))
+    before = fleet.instances[FIRST].detector.own.update
+    fleet.send_output(FIRST, fleet.instances[FIRST].detector.leave(fleet.now))
     fleet.run(5)
-    fleet.nodes[FIRST].stopped = True
+    fleet.instances[FIRST].stopped = True
     fleet.apply_listing(stale)
     dead = dataclasses.replace(before, state=MemberState.DEAD)
     late = Probe(1, (encode_update(before), encode_update(dead)))
-    for instance_id, node in fleet.nodes.items():
+    for instance_id, node in fleet.instances.items():
         if not node.stopped:
             step = node.detector.receive(fleet.now, SECOND, late)
             fleet.send_output(instance_id, step)
@@ -146,7 +146,7 @@
     fleet.apply_listing(Listing(10, (vanished,)))
     fleet.run(30)
     assert all_views_show(fleet, SECOND, MemberState.ALIVE)
-    record = fleet.nodes[FIRST].detector.table.find("entry-vanished")
+    record = fleet.instances[FIRST].detector.table.find("entry-vanished")
     assert record.state is MemberState.DEAD
     assert not record.confirmed
 
@@ -160,7 +160,7 @@
     fleet = start_fleet(9)
     inside = {
         instance_id
-        for instance_id, node in fleet.nodes.items()
+        for instance_id, node in fleet.instances.items()
         if node.identity.data_centre == "kumamoto"
     }
     fleet.is_lost = lambda sender, receiver: (sender in inside) != (receiver in inside)
@@ -171,7 +171,7 @@
     fleet.run(60)
     assert all(
         all_views_show(fleet, instance_id, MemberState.ALIVE)
-        for instance_id in fleet.nodes
+        for instance_id in fleet.instances
     )
 
 
@@ -227,9 +227,9 @@
     fleet = start_fleet(9)
     node = fleet.add(9)
     newcomer = node.identity.instance_id
-    step = node.detector.register_peer(fleet.now, fleet.nodes[FIRST].identity)
+    step = node.detector.register_peer(fleet.now, fleet.instances[FIRST].identity)
     fleet.send_output(newcomer, step)
-    table = fleet.nodes[FIRST].detector.list_all_updates()
+    table = fleet.instances[FIRST].detector.list_all_updates()
     answer = MembersTable(tuple(encode_update(update) for update in table))
     fleet.send_output(newcomer, node.detector.receive(fleet.now, FIRST, answer))
     fleet.run(10)
@@ -244,7 +244,7 @@
     about the earlier process override its own until it raises its incarnation.
     """
     fleet = start_fleet(5)
-    fleet.nodes[FIRST].stopped = True
+    fleet.instances[FIRST].stopped = True
     fleet.run(20)
     assert all_views_show(fleet, FIRST, MemberState.DEAD)
     restart_detector(fleet, FIRST, incarnation=5)
@@ -254,7 +254,7 @@
 
 def test_instance_refutes_being_dead_but_not_leaving():
     fleet = DetectorFleet(1, seed=1)
-    own = fleet.nodes[FIRST].detector.own
+    own = fleet.instances[FIRST].detector.own
 
     def refute(state: MemberState) -> int:
         update = MemberUpdate(
