--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/links.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/links.py
@@ -15,7 +15,7 @@
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
 from greengagelatch_entry.metrics import Metrics
 
-from .fleet import DATA_CENTRES
+from .detector_fleet import DATA_CENTRES
 
 __all__ = ("LinkCost", "measure_links")
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -22,7 +22,7 @@
 from greengagelatch.targets.polling import PollSchedule
 from greengagelatch.targets.registry import TargetRegistry, TargetRegistryRules
 
-from .fleet import DATA_CENTRES, DetectorFleet
+from .detector_fleet import DATA_CENTRES, DetectorFleet
 from .links import measure_links
 from .meters import measure_memory
 
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -11,7 +11,7 @@
 from greengagelatch.membership.records import MemberUpdate, encode_update
 from greengagelatch.membership.steps import DetectorRules, Identity
 from greengagelatch.peers import MemberState
-from greengagelatch_lab.capacity.fleet import DetectorFleet, SimulatedInstance
+from greengagelatch_lab.capacity.detector_fleet import DetectorFleet, SimulatedInstance
 
 FIRST, SECOND, THIRD = "entry-00000", "entry-00001", "entry-00002"
 
