--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/detector_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/detector_fleet.py
@@ -52,9 +52,10 @@
 
 
 class DetectorFleet:
-    """Detectors on a simulated network that delays and is_lost messages.
+    """Detectors on a simulated network that delays and loses messages.
 
-    :param count_false_positives: whether to count false suspicions, which costs processor time.
+    :param count_false_positives: whether to count suspicions and deaths of running
+        instances, which costs processor time.
     :param is_lost: whether a message from the first to the second instance is lost.
     """
 
