--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -23,19 +23,19 @@
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
 
-__all__ = ("measure_memory_of_claims", "measure_writer")
+__all__ = ("measure_segment_memory", "measure_writer")
 
 STATSD = "127.0.0.1:9"
 #: claims per second in one shard
 RATES = (2, 10, 30, 100)
 #: claims already in the shard head when the measurement begins
-HELD = (0, 350)
+INITIAL_CLAIMS = (0, 350)
 #: numbers of sealed claims held in memory
-RETAINED = (1000, 8000, 32_000)
+SEALED_CLAIMS = (1000, 8000, 32_000)
 #: duration of each measurement in seconds
-SECONDS = 3.0
+MEASUREMENT_SECONDS = 3.0
 #: seconds between two writes of the shard head
-INTERVAL = 0.1
+WRITE_SECONDS = 0.1
 #: simulated latency of each store call in seconds
 STORE_DELAY = 0.002
 #: seconds until a claim must have been committed
@@ -69,73 +69,73 @@
 
 async def measure_writer(
     rates: Sequence[float] = RATES,
-    held: Sequence[int] = HELD,
-    seconds: float = SECONDS,
+    initial_claims: Sequence[int] = INITIAL_CLAIMS,
+    seconds: float = MEASUREMENT_SECONDS,
 ) -> Series:
     """Commit claims at a steady rate to a shard head that already holds some."""
     points = []
-    for before in held:
+    for initial in initial_claims:
         for rate in rates:
-            points.append(await _measure_rate(rate, before, seconds))
+            points.append(await _measure_rate(rate, initial, seconds))
     return Series(
         role="writer of one shard of claims",
         points=points,
-        lines={
+        fit_drivers={
             "cpu_ms_per_swap": ("batch", "head_kb"),
         },
     )
 
 
-def measure_memory_of_claims(counts: Sequence[int] = RETAINED) -> Series:
+def measure_segment_memory(counts: Sequence[int] = SEALED_CLAIMS) -> Series:
     """Measure the memory and the encoded size of a segment of sealed claims."""
     points = []
     for count in counts:
         claims = [_create_claim(number) for number in range(count)]
-        data = len(encode_segment(Segment.create(1, claims)))
+        encoded_bytes = len(encode_segment(Segment.create(1, claims)))
         del claims
-        with measure_memory() as held:
+        with measure_memory() as usage:
             segment = Segment.create(1, [_create_claim(n) for n in range(count)])
         figures = {
-            "memory_kb": held.bytes / 1000,
-            "stored_kb": data / 1000,
+            "memory_kb": usage.retained_bytes / 1000,
+            "stored_kb": encoded_bytes / 1000,
         }
         points.append(Point(drivers={"claims": len(segment)}, figures=figures))
     return Series(
         role="claims retained by the writer of a shard",
         points=points,
-        lines={"memory_kb": ("claims",), "stored_kb": ("claims",)},
+        fit_drivers={"memory_kb": ("claims",), "stored_kb": ("claims",)},
     )
 
 
-async def _measure_rate(rate: float, before: int, seconds: float) -> Point:
+async def _measure_rate(rate: float, initial: int, seconds: float) -> Point:
     store = _CountingStore()
     writer = _create_writer(store)
-    await asyncio.gather(*(_claim(writer, -number - 1) for number in range(before)))
-    await asyncio.sleep(INTERVAL)
-    calls, written = store.calls.copy(), store.bytes_written
+    await asyncio.gather(*(_acquire(writer, -number - 1) for number in range(initial)))
+    await asyncio.sleep(WRITE_SECONDS)
+    calls_before, bytes_before = store.calls.copy(), store.bytes_written
     waits = []
     begun = time.monotonic()
-    with measure_cpu() as spent:
+    with measure_cpu() as usage:
         tasks = []
         for number in range(max(1, int(rate * seconds))):
             await asyncio.sleep(max(0.0, begun + number / rate - time.monotonic()))
-            tasks.append(asyncio.create_task(_claim(writer, number)))
+            tasks.append(asyncio.create_task(_acquire(writer, number)))
         waits = sorted(await asyncio.gather(*tasks))
     elapsed = time.monotonic() - begun
     await writer.close(1.0)
-    swaps = store.calls["swap"] - calls["swap"]
-    reads = store.calls["get"] - calls["get"]
+    swaps = store.calls["swap"] - calls_before["swap"]
+    reads = store.calls["get"] - calls_before["get"]
     return Point(
         drivers={
             "rate": rate,
             "batch": len(tasks) / swaps,
-            "head_kb": (store.bytes_written - written) / swaps / 1000,
+            "head_kb": (store.bytes_written - bytes_before) / swaps / 1000,
         },
         figures={
             "swaps_per_s": swaps / elapsed,
             "reads_per_s": reads / elapsed,
-            "cpu_ms_per_swap": spent.cpu_ms / swaps,
-            "cpu_ms_per_claim": spent.cpu_ms / len(tasks),
+            "cpu_ms_per_swap": usage.cpu_ms / swaps,
+            "cpu_ms_per_claim": usage.cpu_ms / len(tasks),
             "wait_ms_p95": waits[int(len(waits) * 0.95)] * 1000,
         },
     )
@@ -155,12 +155,12 @@
         clock=SystemClock(),
         random_source=random.Random(1),
         limits=limits,
-        interval=INTERVAL,
+        interval=WRITE_SECONDS,
         metrics=Metrics(STATSD),
     )
 
 
-async def _claim(writer: ShardWriter, number: int) -> float:
+async def _acquire(writer: ShardWriter, number: int) -> float:
     begun = time.monotonic()
     claim = _create_claim(number)
     operation = Acquire(claim.key, claim.digest, claim.token)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -34,13 +34,13 @@
 PIPELINES = 9
 STAGES = 5
 #: number of workspaces per policy
-SHARE = 4
+WORKSPACES_PER_POLICY = 4
 #: timeout of fetches and changes in seconds
 TIMEOUT = 10.0
 
 
 @dataclass(slots=True)
-class _Replica:
+class _ConfigurationInstance:
     """Configuration components of one instance, on an in-memory network."""
 
     store: MemoryStore
@@ -73,43 +73,45 @@
         )
 
 
-class _Trio:
+class _Instances:
     """Three instances: one applies changes, one watches the store, one asks a peer."""
 
     def __init__(self, workspaces: int) -> None:
         self.store = MemoryStore(clock=SystemClock())
-        self.switchboard = Switchboard()
-        self.maker = self._join("maker")
-        self.watcher = self._join("watcher")
-        self.listener = self._join("listener")
+        self.network = Switchboard()
+        self.writer = self._create_instance("maker")
+        self.watcher = self._create_instance("watcher")
+        self.fetcher = self._create_instance("listener")
         self._workspaces = workspaces
         self._number = 0
         self._random = random.Random(workspaces)
 
-    async def begin(self) -> None:
+    async def apply_initial_objects(self) -> None:
         """Apply all objects in one change."""
-        texts = [_describe_workspace(n, 0) for n in range(self._workspaces)]
-        texts += [_describe_policy(n) for n in range(0, self._workspaces, SHARE)]
+        texts = [_format_workspace(n, 0) for n in range(self._workspaces)]
+        texts += [
+            _format_policy(n) for n in range(0, self._workspaces, WORKSPACES_PER_POLICY)
+        ]
         texts.append("[service:model]\nkind = generate\n")
-        texts += [_describe_pipeline(n) for n in range(PIPELINES)]
+        texts += [_format_pipeline(n) for n in range(PIPELINES)]
         await self._apply("\n".join(texts))
 
-    async def change(self) -> None:
+    async def change_workspace(self) -> None:
         """Change one random workspace."""
         number = self._random.randrange(self._workspaces)
-        await self._apply(_describe_workspace(number, self._number))
+        await self._apply(_format_workspace(number, self._number))
 
     async def read_head(self) -> Entry:
         """Return the stored head, as a watch would deliver it."""
         return (await self.store.get(HEAD_KEY)).unwrap()
 
-    async def learn(self) -> None:
+    async def synchronise(self) -> None:
         """Bring the watching and the fetching instance up to date."""
         await self.watcher.learner.adopt_entry(await self.read_head())
-        await self.listener.learner.adopt_from_peer("watcher")
+        await self.fetcher.learner.adopt_from_peer("watcher")
 
-    def _join(self, name: str) -> _Replica:
-        return _Replica(store=self.store, peers=self.switchboard.join(name))
+    def _create_instance(self, name: str) -> _ConfigurationInstance:
+        return _ConfigurationInstance(store=self.store, peers=self.network.join(name))
 
     async def _apply(self, text: str) -> None:
         self._number += 1
@@ -118,7 +120,7 @@
             mode=ChangeMode.APPLY,
             objects=parse_objects(text, "objects.ini").unwrap(),
         )
-        outcome = await self.maker.driver.change(request)
+        outcome = await self.writer.driver.change(request)
         if not isinstance(outcome, Settled):
             raise RuntimeError(f"change {self._number} did not settle: {outcome}")
 
@@ -131,21 +133,21 @@
     """Apply changes of one object each, with a growing number of earlier changes."""
     points = []
     for count in workspaces:
-        trio = _Trio(count)
-        await trio.begin()
-        made = 0
+        instances = _Instances(count)
+        await instances.apply_initial_objects()
+        applied = 0
         for history in sorted(histories):
-            while made < history:
-                await trio.change()
-                made += 1
-            await trio.learn()
-            points.append(await _measure_point(trio, count, history, rounds))
-            made += rounds
+            while applied < history:
+                await instances.change_workspace()
+                applied += 1
+            await instances.synchronise()
+            points.append(await _measure_point(instances, count, history, rounds))
+            applied += rounds
     drivers = ("workspaces", "history")
     return Series(
         role="configuration, one change of one object",
         points=points,
-        lines={
+        fit_drivers={
             "make_cpu_ms": drivers,
             "watch_cpu_ms": drivers,
             "fetch_cpu_ms": drivers,
@@ -157,40 +159,42 @@
 
 
 async def _measure_point(
-    trio: _Trio, workspaces: int, history: int, rounds: int
+    instances: _Instances, workspaces: int, history: int, rounds: int
 ) -> Point:
-    make = watch = fetch = fetched = 0.0
-    calls = trio.store.calls.copy()
+    write_ms = watch_ms = fetch_ms = fetched_bytes = 0.0
+    calls = instances.store.calls.copy()
     for _ in range(rounds):
-        with measure_cpu() as made:
-            await trio.change()
-        entry = await trio.read_head()
-        with measure_cpu() as watched:
-            await trio.watcher.learner.adopt_entry(entry)
-        head = trio.watcher.replica.head
-        missing = trio.listener.replica.find_missing(head.shards.values())
-        with measure_cpu() as heard:
-            await trio.listener.learner.adopt_from_peer("watcher")
-        make += made.cpu_ms
-        watch += watched.cpu_ms
-        fetch += heard.cpu_ms
+        with measure_cpu() as write_usage:
+            await instances.change_workspace()
+        entry = await instances.read_head()
+        with measure_cpu() as watch_usage:
+            await instances.watcher.learner.adopt_entry(entry)
+        head = instances.watcher.replica.head
+        missing = instances.fetcher.replica.find_missing(head.shards.values())
+        with measure_cpu() as fetch_usage:
+            await instances.fetcher.learner.adopt_from_peer("watcher")
+        write_ms += write_usage.cpu_ms
+        watch_ms += watch_usage.cpu_ms
+        fetch_ms += fetch_usage.cpu_ms
         delta = encode_delta(head, head.generation - 1) or b""
-        held = [trio.watcher.replica.get(ref.key) for ref in missing]
-        fetched += len(delta) + sum(len(one.data) for one in held if one)
-    calls = trio.store.calls - calls
-    newcomer = trio._join(f"newcomer-{history}")
-    with measure_memory() as memory:
-        await newcomer.learner.adopt_entry(await trio.read_head())
+        fetched_shards = [instances.watcher.replica.get(ref.key) for ref in missing]
+        fetched_bytes += len(delta) + sum(
+            len(one.data) for one in fetched_shards if one
+        )
+    calls = instances.store.calls - calls
+    newcomer = instances._create_instance(f"newcomer-{history}")
+    with measure_memory() as memory_usage:
+        await newcomer.learner.adopt_entry(await instances.read_head())
     return Point(
         drivers={"workspaces": workspaces, "history": history},
         figures={
-            "make_cpu_ms": make / rounds,
-            "watch_cpu_ms": watch / rounds,
+            "make_cpu_ms": write_ms / rounds,
+            "watch_cpu_ms": watch_ms / rounds,
             # sum of the requesting and the answering instance
-            "fetch_cpu_ms": fetch / rounds,
-            "head_kb": len((await trio.read_head()).value) / 1000,
-            "fetched_kb": fetched / rounds / 1000,
-            "memory_kb": memory.bytes / 1000,
+            "fetch_cpu_ms": fetch_ms / rounds,
+            "head_kb": len((await instances.read_head()).value) / 1000,
+            "fetched_kb": fetched_bytes / rounds / 1000,
+            "memory_kb": memory_usage.retained_bytes / 1000,
             "store_writes": (calls["swap"] + calls["delete"]) / rounds,
             # without the read of the head that the benchmark itself makes each round
             "store_reads": calls["get"] / rounds - 1,
@@ -198,14 +202,14 @@
     )
 
 
-def _describe_workspace(number: int, version: int) -> str:
+def _format_workspace(number: int, version: int) -> str:
     return (
         f"[workspace:workspace-{number:04d}]\n"
         f"labels = id=n{number:04d}, version=v{version}\n"
     )
 
 
-def _describe_policy(number: int) -> str:
+def _format_policy(number: int) -> str:
     return (
         f"[policy:policy-{number:04d}]\neffect = priority\n"
         f"workspaces = id=n{number:04d}\nrank = {number}\n"
@@ -213,7 +217,7 @@
     )
 
 
-def _describe_pipeline(number: int) -> str:
+def _format_pipeline(number: int) -> str:
     stages = [f"stage-{n}" for n in range(STAGES)]
     rows = [f"[pipeline:pipeline-{number}]\nstages = {', '.join(stages)}\n"]
     for name in stages:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/detector_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/detector_fleet.py
@@ -23,7 +23,7 @@
 #: step of virtual time in seconds
 TICK = 0.1
 #: one-way message latency in seconds
-DELAY = 0.002
+LATENCY = 0.002
 #: virtual time at the start, in seconds
 START = 1000.0
 FIRST_INCARNATION = 1_780_000_000
@@ -97,9 +97,9 @@
             rules=self._rules,
             random_source=random.Random(self.random.random()),
         )
-        node = SimulatedInstance(detector, identity)
-        self.instances[instance_id] = node
-        return node
+        instance = SimulatedInstance(detector, identity)
+        self.instances[instance_id] = instance
+        return instance
 
     def list_instances(self, *, leaving: frozenset[str] = frozenset()) -> Listing:
         """Return a new listing of all instances that were not stopped."""
@@ -108,29 +108,29 @@
             Instance(
                 instance_id=instance_id,
                 kind=InstanceKind.ENTRY,
-                data_centre=node.identity.data_centre,
-                address=node.identity.address,
+                data_centre=instance.identity.data_centre,
+                address=instance.identity.address,
                 state=(
                     InstanceState.LEAVING
                     if instance_id in leaving
                     else InstanceState.LIVE
                 ),
             )
-            for instance_id, node in self.instances.items()
-            if not node.stopped
+            for instance_id, instance in self.instances.items()
+            if not instance.stopped
         ]
         return Listing(self._as_of, tuple(rows))
 
     def apply_listing(self, listing: Listing) -> None:
         """Apply a listing at all running instances."""
-        for instance_id, node in self.instances.items():
-            if not node.stopped and not node.paused:
-                step = node.detector.apply_listing(self.now, listing)
-                self.send_output(instance_id, step)
+        for instance_id, instance in self.instances.items():
+            if not instance.stopped and not instance.paused:
+                output = instance.detector.apply_listing(self.now, listing)
+                self.send_output(instance_id, output)
 
     def converge(self) -> None:
         """Give every instance the member records of all, as after convergence."""
-        updates = [node.detector.own.update for node in self.instances.values()]
+        updates = [instance.detector.own.update for instance in self.instances.values()]
         for instance_id in self.instances:
             self.deliver_members(instance_id, updates)
 
@@ -139,19 +139,19 @@
     ) -> None:
         """Deliver a member table to one instance, as from a peer."""
         table = MembersTable(tuple(encode_update(update) for update in updates))
-        node = self.instances[instance_id]
-        self.send_output(instance_id, node.detector.receive(self.now, "", table))
+        instance = self.instances[instance_id]
+        self.send_output(instance_id, instance.detector.receive(self.now, "", table))
 
     def register_with_all(self, instance_id: str) -> None:
         """Register one instance and all others with each other, as by opening links."""
-        node = self.instances[instance_id]
+        instance = self.instances[instance_id]
         for other_id, other in self.instances.items():
-            if other is node or other.stopped:
+            if other is instance or other.stopped:
                 continue
-            step = node.detector.register_peer(self.now, other.identity)
-            self.send_output(instance_id, step)
-            step = other.detector.register_peer(self.now, node.identity)
-            self.send_output(other_id, step)
+            output = instance.detector.register_peer(self.now, other.identity)
+            self.send_output(instance_id, output)
+            output = other.detector.register_peer(self.now, instance.identity)
+            self.send_output(other_id, output)
 
     def run(self, seconds: float) -> None:
         """Advance virtual time by ``seconds``."""
@@ -159,22 +159,22 @@
         while self.now < end:
             self.now += TICK
             self._deliver()
-            for instance_id, node in list(self.instances.items()):
-                if node.paused or node.stopped:
+            for instance_id, instance in list(self.instances.items()):
+                if instance.paused or instance.stopped:
                     continue
                 if not self._count_false_positives:
-                    self.send_output(instance_id, node.detector.advance(self.now))
+                    self.send_output(instance_id, instance.detector.advance(self.now))
                     continue
-                before = self._count_bad(node)
-                self.send_output(instance_id, node.detector.advance(self.now))
-                self._count_false(node, before)
+                before = self._list_unhealthy(instance)
+                self.send_output(instance_id, instance.detector.advance(self.now))
+                self._record_false_positives(instance, before)
 
-    def send_output(self, sender: str, step: DetectorOutput) -> None:
+    def send_output(self, sender: str, output: DetectorOutput) -> None:
         """Send the messages of a detector's output."""
-        node = self.instances[sender]
-        for send in step.sends:
-            node.sent[send.message.wire_name] += 1
-            node.sent_bytes += len(encode(Envelope(send.message)))
+        instance = self.instances[sender]
+        for send in output.sends:
+            instance.sent[send.message.wire_name] += 1
+            instance.sent_bytes += len(encode(Envelope(send.message)))
             receiver = self.instances.get(send.instance_id)
             if receiver is None or receiver.stopped:
                 continue
@@ -182,7 +182,7 @@
                 continue
             self._number += 1
             delivery = _Delivery(
-                self.now + DELAY, self._number, sender, send.instance_id, send.message
+                self.now + LATENCY, self._number, sender, send.instance_id, send.message
             )
             heapq.heappush(self._queue, delivery)
 
@@ -195,40 +195,42 @@
         """Count the states of one instance in the tables of all other running ones."""
         return Counter(
             self.find_state(observer, observed)
-            for observer, node in self.instances.items()
-            if observer != observed and not node.stopped and not node.paused
+            for observer, instance in self.instances.items()
+            if observer != observed and not instance.stopped and not instance.paused
         )
 
     def _deliver(self) -> None:
         # replies to messages of this tick are due within the same tick
         while self._queue and self._queue[0].due <= self.now + TICK:
             delivery = heapq.heappop(self._queue)
-            node = self.instances[delivery.receiver]
-            if node.stopped:
+            instance = self.instances[delivery.receiver]
+            if instance.stopped:
                 continue
-            if node.paused:
+            if instance.paused:
                 self._number += 1
                 delivery.due = self.now + 2 * TICK
                 heapq.heappush(self._queue, delivery)
                 continue
-            step = node.detector.receive(self.now, delivery.sender, delivery.message)
-            self.send_output(delivery.receiver, step)
+            output = instance.detector.receive(
+                self.now, delivery.sender, delivery.message
+            )
+            self.send_output(delivery.receiver, output)
 
-    def _count_bad(self, node: SimulatedInstance) -> tuple[set[str], set[str]]:
-        table = node.detector.table
+    def _list_unhealthy(self, instance: SimulatedInstance) -> tuple[set[str], set[str]]:
+        table = instance.detector.table
         suspects = {r.instance_id for r in table.select(MemberState.SUSPECT)}
         dead = {r.instance_id for r in table.select(MemberState.DEAD)}
         return suspects, dead
 
-    def _count_false(
-        self, node: SimulatedInstance, before: tuple[set[str], set[str]]
+    def _record_false_positives(
+        self, instance: SimulatedInstance, before: tuple[set[str], set[str]]
     ) -> None:
-        suspects, dead = self._count_bad(node)
+        suspects, dead = self._list_unhealthy(instance)
         for instance_id in suspects - before[0]:
-            self.false_suspicions += self._runs(instance_id)
+            self.false_suspicions += self._is_running(instance_id)
         for instance_id in dead - before[1]:
-            self.false_deaths += self._runs(instance_id)
+            self.false_deaths += self._is_running(instance_id)
 
-    def _runs(self, instance_id: str) -> bool:
-        node = self.instances.get(instance_id)
-        return node is not None and not node.stopped and not node.paused
+    def _is_running(self, instance_id: str) -> bool:
+        instance = self.instances.get(instance_id)
+        return instance is not None and not instance.stopped and not instance.paused
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fits.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/fits.py
@@ -53,11 +53,11 @@
 
     role: str
     points: Sequence[Point]
-    lines: Mapping[str, Sequence[str]] = field(default_factory=dict)
+    fit_drivers: Mapping[str, Sequence[str]] = field(default_factory=dict)
 
     def fit(self, figure: str) -> Fit:
         """Return the fitted model of one figure."""
-        return fit_points(self.points, figure, self.lines[figure])
+        return fit_points(self.points, figure, self.fit_drivers[figure])
 
     def format(self) -> str:
         """Return points and models as text."""
@@ -66,12 +66,12 @@
             drivers = ", ".join(f"{k}={v:g}" for k, v in point.drivers.items())
             figures = ", ".join(f"{k}={v:.4g}" for k, v in point.figures.items())
             rows.append(f"  {drivers}: {figures}")
-        rows += [f"  {self.fit(figure).format()}" for figure in self.lines]
+        rows += [f"  {self.fit(figure).format()}" for figure in self.fit_drivers]
         return "\n".join(rows)
 
     def encode(self) -> dict[str, object]:
         """Return points and models as a JSON-serialisable dict."""
-        fits = [self.fit(figure) for figure in self.lines]
+        fits = [self.fit(figure) for figure in self.fit_drivers]
         return {
             "role": self.role,
             "points": [
@@ -79,8 +79,8 @@
                 for point in self.points
             ],
             "fits": {
-                one.figure: {"base": one.base, **one.slopes, "error": one.error}
-                for one in fits
+                fit.figure: {"base": fit.base, **fit.slopes, "error": fit.error}
+                for fit in fits
             },
         }
 
@@ -97,17 +97,17 @@
     # values of 1, rounding would make the matrix appear rank-deficient
     scales = numpy.abs(matrix).max(axis=0)
     scales[scales == 0] = 1.0
-    found, _, rank, _ = numpy.linalg.lstsq(matrix / scales, values, rcond=None)
+    coefficients, _, rank, _ = numpy.linalg.lstsq(matrix / scales, values, rcond=None)
     if rank < len(drivers) + 1:
         raise ValueError(
             f"{figure}: drivers {drivers} are collinear or have too few points"
         )
-    found = found / scales
-    distance = float(numpy.abs(matrix @ found - values).max())
-    largest = float(numpy.abs(values).max())
+    coefficients = coefficients / scales
+    max_residual = float(numpy.abs(matrix @ coefficients - values).max())
+    max_figure = float(numpy.abs(values).max())
     return Fit(
         figure=figure,
-        base=float(found[0]),
-        slopes={name: float(found[n + 1]) for n, name in enumerate(drivers)},
-        error=distance / largest if largest else 0.0,
+        base=float(coefficients[0]),
+        slopes={name: float(coefficients[n + 1]) for n, name in enumerate(drivers)},
+        error=max_residual / max_figure if max_figure else 0.0,
     )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
@@ -26,12 +26,12 @@
 #: duration of a lease in seconds
 TTL = 4.0
 #: seconds before the measurement begins, in which the leases are acquired
-START = 2.0
-SECONDS = 4.0
+WARM_UP_SECONDS = 2.0
+MEASUREMENT_SECONDS = 4.0
 #: longest action that a lease protects, in seconds
 LONGEST_ACTION = 0.3
 #: seconds for which the list of members is cached
-SHOWN_LIFE = 1.0
+MEMBERS_CACHE_SECONDS = 1.0
 DATA_CENTRE = "centre"
 SETTINGS = f"""
 [instance]
@@ -48,30 +48,30 @@
 """
 
 
-class _NearPeers(MemoryPeers):
+class _SingleCentrePeers(MemoryPeers):
     """Peers that are all in the same data centre.
 
     The list of members is refreshed once a second, as a daemon does it.
     """
 
-    _shown: tuple[Member, ...] = ()
-    _shown_until = 0.0
+    _cached: tuple[Member, ...] = ()
+    _cached_until = 0.0
 
     def members(self) -> tuple[Member, ...]:
         now = time.monotonic()
-        if now >= self._shown_until:
-            self._shown_until = now + SHOWN_LIFE
-            self._shown = tuple(
+        if now >= self._cached_until:
+            self._cached_until = now + MEMBERS_CACHE_SECONDS
+            self._cached = tuple(
                 dataclasses.replace(member, data_centre=DATA_CENTRE)
                 for member in super().members()
             )
-        return self._shown
+        return self._cached
 
 
 async def measure_leases(
     groups: Sequence[int] = GROUPS,
     instances: Sequence[int] = INSTANCES,
-    seconds: float = SECONDS,
+    seconds: float = MEASUREMENT_SECONDS,
 ) -> Series:
     """Distribute the leases of some groups over instances of one data centre.
 
@@ -84,7 +84,7 @@
     return Series(
         role="order holders, leases",
         points=points,
-        lines={
+        fit_drivers={
             "calls_per_ttl": ("groups", "instances"),
             "cpu_ms_per_ttl": ("groups", "instances"),
         },
@@ -93,38 +93,38 @@
 
 async def _measure_point(instances: int, groups: int, seconds: float) -> Point:
     store = MemoryStore(clock=SystemClock())
-    switchboard = Switchboard()
+    network = Switchboard()
     settings = parse(SETTINGS).unwrap()
     names = {f"group-{number}" for number in range(groups)}
     controllers = []
     for number in range(instances):
-        peers = _NearPeers(switchboard, f"entry-{number}")
-        switchboard.join(peers.instance_id)
-        controllers.append(_create(store, peers, settings))
+        peers = _SingleCentrePeers(network, f"entry-{number}")
+        network.join(peers.instance_id)
+        controllers.append(_create_controller(store, peers, settings))
     for controller in controllers:
         await controller.start()
         controller.set_desired_groups(names, busy=frozenset())
     try:
-        await asyncio.sleep(START)
-        before, begun = store.calls.copy(), time.monotonic()
-        with measure_cpu() as spent:
+        await asyncio.sleep(WARM_UP_SECONDS)
+        calls_before, begun = store.calls.copy(), time.monotonic()
+        with measure_cpu() as usage:
             await asyncio.sleep(seconds)
-        lives = (time.monotonic() - begun) / TTL
-        calls = store.calls - before
+        elapsed_ttls = (time.monotonic() - begun) / TTL
+        calls = store.calls - calls_before
     finally:
         for controller in controllers:
             await controller.stop()
     return Point(
         drivers={"instances": instances, "groups": groups},
         figures={
-            "calls_per_ttl": calls.total() / lives,
-            "keeps_per_ttl": calls["keep"] / lives,
-            "cpu_ms_per_ttl": spent.cpu_ms / lives,
+            "calls_per_ttl": calls.total() / elapsed_ttls,
+            "keeps_per_ttl": calls["keep"] / elapsed_ttls,
+            "cpu_ms_per_ttl": usage.cpu_ms / elapsed_ttls,
         },
     )
 
 
-def _create(
+def _create_controller(
     store: MemoryStore, peers: MemoryPeers, settings: Settings
 ) -> LeasesController:
     return LeasesController(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/lightweight_members.py
@@ -47,11 +47,11 @@
 STATSD = "127.0.0.1:9"
 DATA_CENTRES = tuple(f"centre-{number:02d}" for number in range(11))
 #: seconds between two reads of the instance list
-LIST_INTERVAL = 5.0
+LIST_SECONDS = 5.0
 #: seconds between two checks of the event-loop lag
-LAG_TICK = 0.1
+LAG_CHECK_SECONDS = 0.1
 #: smallest event-loop lag in seconds that is reported
-LATE = 0.2
+MIN_REPORTED_LAG = 0.2
 #: timeout of platform calls in seconds
 TIMEOUT = 10.0
 SETTINGS = """
@@ -114,36 +114,38 @@
         return parse(text).unwrap()
 
 
-class _Progress:
+class _GenerationReporter:
     """Reports each configuration generation that all members have reached."""
 
     def __init__(self, members: list[_Member]) -> None:
         self._generations = {member.name: 0 for member in members}
-        self._told = 0
+        self._reported = 0
         for member in members:
-            member.events.connect(CONFIGURATION_CHANGED, partial(self._note, member))
+            member.events.connect(
+                CONFIGURATION_CHANGED, partial(self._record_generation, member)
+            )
 
-    def _note(self, member: _Member, snapshot: Snapshot) -> None:
+    def _record_generation(self, member: _Member, snapshot: Snapshot) -> None:
         self._generations[member.name] = snapshot.generation
         lowest = min(self._generations.values())
-        if lowest > self._told:
-            self._told = lowest
+        if lowest > self._reported:
+            self._reported = lowest
             print("in-force", lowest, time.monotonic(), flush=True)
 
 
-async def _tell_lag() -> None:
+async def _report_loop_lag() -> None:
     """Report event-loop lag, during which no member of this process can act."""
     while True:
-        due = time.monotonic() + LAG_TICK
-        await asyncio.sleep(LAG_TICK)
-        late = time.monotonic() - due
-        if late >= LATE:
-            print("late", round(late, 3), flush=True)
+        due = time.monotonic() + LAG_CHECK_SECONDS
+        await asyncio.sleep(LAG_CHECK_SECONDS)
+        lag = time.monotonic() - due
+        if lag >= MIN_REPORTED_LAG:
+            print("late", round(lag, 3), flush=True)
 
 
 async def _run(platform: str, first: int, count: int) -> None:
     members = [_Member(first + n, platform) for n in range(count)]
-    _Progress(members)
+    _GenerationReporter(members)
     for member in members:
         for controller in member.controllers:
             await controller.start()
@@ -155,7 +157,7 @@
     reader = HttpInstanceList(
         address=platform, timeout=TIMEOUT, metrics=Metrics(STATSD)
     )
-    watch = asyncio.create_task(_tell_lag())
+    lag_task = asyncio.create_task(_report_loop_lag())
     try:
         while not stopped.is_set():
             answer = await reader.fetch()
@@ -163,12 +165,12 @@
                 if answer.is_ok():
                     member.events.emit(LISTING_RECEIVED, answer.ok_value)
             try:
-                async with asyncio.timeout(LIST_INTERVAL):
+                async with asyncio.timeout(LIST_SECONDS):
                     await stopped.wait()
             except TimeoutError:
                 continue
     finally:
-        watch.cancel()
+        lag_task.cancel()
         await reader.close()
         for member in members:
             await member.store.close()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/links.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/links.py
@@ -31,7 +31,7 @@
 """
 
 #: seconds until links are open and the initial gossip has been disseminated
-SETTLING = 20.0
+SETTLE_SECONDS = 20.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -49,13 +49,15 @@
 
 async def measure_links(members: int, seconds: float) -> LinkCost:
     """Measure ``members`` instances over loopback in one process."""
-    hubs = [_create(number) for number in range(members)]
+    hubs = [_create_hub(number) for number in range(members)]
     for hub, _, _ in hubs:
         await hub.start()
-    listing = Listing(1, tuple(_describe(hub, n) for n, (hub, _, _) in enumerate(hubs)))
+    listing = Listing(
+        1, tuple(_create_list_entry(hub, n) for n, (hub, _, _) in enumerate(hubs))
+    )
     for _, events, _ in hubs:
         events.emit(LISTING_RECEIVED, listing)
-    await asyncio.sleep(SETTLING)
+    await asyncio.sleep(SETTLE_SECONDS)
     before = _sum_counters(hubs)
     begun = time.process_time()
     await asyncio.sleep(seconds)
@@ -64,18 +66,18 @@
     links = sum(len(hub.dump()["links"]) for hub, _, _ in hubs)
     for hub, _, _ in hubs:
         await hub.stop()
-    share = members * seconds
+    instance_seconds = members * seconds
     return LinkCost(
         members=members,
         links=links / members,
-        wire_bytes_per_second=(after[0] - before[0]) / share,
-        message_bytes_per_second=(after[1] - before[1]) / share,
-        dials_per_second=(after[2] - before[2]) / share,
-        cpu_share=cpu / share,
+        wire_bytes_per_second=(after[0] - before[0]) / instance_seconds,
+        message_bytes_per_second=(after[1] - before[1]) / instance_seconds,
+        dials_per_second=(after[2] - before[2]) / instance_seconds,
+        cpu_share=cpu / instance_seconds,
     )
 
 
-def _create(number: int) -> tuple[PeerHub, EventBus, Metrics]:
+def _create_hub(number: int) -> tuple[PeerHub, EventBus, Metrics]:
     data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
     text = SETTINGS.format(number=number, data_centre=data_centre)
     events, metrics = EventBus(), Metrics("127.0.0.1:9")
@@ -89,7 +91,7 @@
     return hub, events, metrics
 
 
-def _describe(hub: PeerHub, number: int) -> Instance:
+def _create_list_entry(hub: PeerHub, number: int) -> Instance:
     return Instance(
         instance_id=hub.instance_id,
         kind=InstanceKind.ENTRY,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/membership.py
@@ -26,12 +26,12 @@
 from .links import measure_links
 from .meters import measure_memory
 
-__all__ = ("main", "measure_ledger", "measure_members")
+__all__ = ("main", "measure_members", "measure_target_registry")
 
 MEMBER_COUNTS = (9, 50, 150, 300, 570)
 REPLICA_COUNTS = (50, 200, 1000, 4000, 12000)
 LINKED_COUNTS = (9, 40)
-LARGEST = MEMBER_COUNTS[-1]
+MAX_MEMBERS = MEMBER_COUNTS[-1]
 
 #: virtual seconds between two replacements of an instance
 CHURN_INTERVAL = 20.0
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LedgerCost:
+class TargetRegistryCost:
     """Cost of the target registry for one instance, without its HTTP calls."""
 
     replicas: int
@@ -77,114 +77,121 @@
     fleet = DetectorFleet(members, seed=1, count_false_positives=False)
     fleet.converge()
     fleet.run(5)
-    quiet = _run_fleet(fleet, seconds, churn=False)
-    churned = _run_fleet(fleet, seconds, churn=True)
-    share = members * seconds
+    steady = _run_fleet(fleet, seconds, churn=False)
+    churning = _run_fleet(fleet, seconds, churn=True)
+    instance_seconds = members * seconds
     return MemberCost(
         members=members,
-        messages_per_second=quiet["messages"] / share,
-        bytes_per_second=quiet["bytes"] / share,
-        churn_bytes_per_second=churned["bytes"] / share,
-        cpu_share=max(quiet["cpu"], churned["cpu"]) / share,
+        messages_per_second=steady["messages"] / instance_seconds,
+        bytes_per_second=steady["bytes"] / instance_seconds,
+        churn_bytes_per_second=churning["bytes"] / instance_seconds,
+        cpu_share=max(steady["cpu"], churning["cpu"]) / instance_seconds,
         memory_bytes=_measure_memory(lambda: _build_detector(members)),
     )
 
 
-def measure_ledger(replicas: int, seconds: int) -> LedgerCost:
+def measure_target_registry(replicas: int, seconds: int) -> TargetRegistryCost:
     """Measure the target registry with ``replicas`` in five services."""
-    listings = [_make_listing(as_of, replicas) for as_of in (1, 2)]
-    ledger = TargetRegistry(
+    listings = [_create_listing(as_of, replicas) for as_of in (1, 2)]
+    registry = TargetRegistry(
         instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
     )
     # the number of entry instances grows with the number of targets
-    ledger.set_instance_count(
-        max(MEMBER_COUNTS[0], replicas * LARGEST // REPLICA_COUNTS[-1])
+    registry.set_instance_count(
+        max(MEMBER_COUNTS[0], replicas * MAX_MEMBERS // REPLICA_COUNTS[-1])
     )
-    ledger.apply_listing(listings[0])
+    registry.apply_listing(listings[0])
     begun = time.process_time()
-    ledger.apply_listing(listings[1])
+    registry.apply_listing(listings[1])
     listing_seconds = time.process_time() - begun
     schedule = PollSchedule(rate=LOAD_RATE, random_source=random.Random(1))
     begun = time.process_time()
-    polls = _run_directory(ledger, schedule, seconds)
+    polls = _run_registry(registry, schedule, seconds)
     cpu = time.process_time() - begun
-    watched = len(ledger.list_watched(0.0))
-    return LedgerCost(
+    watched = len(registry.list_watched(0.0))
+    return TargetRegistryCost(
         replicas=replicas,
         watched=watched,
         polls_per_second=polls / seconds,
         cpu_share=cpu / seconds + listing_seconds / LISTING_INTERVAL,
         listing_seconds=listing_seconds,
-        memory_bytes=_measure_memory(lambda: _build_ledger(listings[0])),
+        memory_bytes=_measure_memory(lambda: _build_registry(listings[0])),
     )
 
 
 def _run_fleet(
     fleet: DetectorFleet, seconds: float, *, churn: bool
 ) -> dict[str, float]:
-    nodes = fleet.instances.values()
-    bytes_before = sum(node.sent_bytes for node in nodes)
-    messages_before = sum(node.sent.total() for node in nodes)
+    instances = fleet.instances.values()
+    bytes_before = sum(instance.sent_bytes for instance in instances)
+    messages_before = sum(instance.sent.total() for instance in instances)
     begun = time.process_time()
     remaining = seconds
     while remaining > 0:
         step = min(CHURN_INTERVAL, remaining)
         if churn:
-            _replace_one(fleet)
+            _replace_instance(fleet)
         fleet.run(step)
         remaining -= step
     cpu = time.process_time() - begun
     return {
-        "bytes": sum(node.sent_bytes for node in nodes) - bytes_before,
-        "messages": sum(node.sent.total() for node in nodes) - messages_before,
+        "bytes": sum(instance.sent_bytes for instance in instances) - bytes_before,
+        "messages": sum(instance.sent.total() for instance in instances)
+        - messages_before,
         "cpu": cpu,
     }
 
 
-def _replace_one(fleet: DetectorFleet) -> None:
-    running = [key for key, node in fleet.instances.items() if not node.stopped]
+def _replace_instance(fleet: DetectorFleet) -> None:
+    running = [key for key, instance in fleet.instances.items() if not instance.stopped]
     fleet.instances[fleet.random.choice(running)].stopped = True
-    node = fleet.add(len(fleet.instances))
+    instance = fleet.add(len(fleet.instances))
     fleet.apply_listing(fleet.list_instances())
-    known = fleet.instances[fleet.random.choice(running)].detector
+    peer_detector = fleet.instances[fleet.random.choice(running)].detector
     fleet.send_output(
-        node.identity.instance_id,
-        node.detector.register_peer(fleet.now, fleet.instances[running[0]].identity),
+        instance.identity.instance_id,
+        instance.detector.register_peer(
+            fleet.now, fleet.instances[running[0]].identity
+        ),
     )
     fleet.send_output(
         running[0],
-        fleet.instances[running[0]].detector.register_peer(fleet.now, node.identity),
+        fleet.instances[running[0]].detector.register_peer(
+            fleet.now, instance.identity
+        ),
+    )
+    fleet.deliver_members(
+        instance.identity.instance_id, peer_detector.list_all_updates()
     )
-    fleet.deliver_members(node.identity.instance_id, known.list_all_updates())
 
 
 def _build_detector(members: int) -> DetectorFleet:
     fleet = DetectorFleet(1, seed=1)
     others = DetectorFleet(members, seed=1)
-    updates = [node.detector.own.update for node in others.instances.values()]
+    updates = [instance.detector.own.update for instance in others.instances.values()]
     fleet.deliver_members(next(iter(fleet.instances)), updates)
     return fleet
 
 
-def _build_ledger(listing: Listing) -> TargetRegistry:
-    ledger = TargetRegistry(
+def _build_registry(listing: Listing) -> TargetRegistry:
+    registry = TargetRegistry(
         instance_id="entry-1", rules=TargetRegistryRules(min_subset=SUBSET)
     )
-    ledger.apply_listing(listing)
+    registry.apply_listing(listing)
     for number in range(SERVICES):
-        ledger.list_candidates(0.0, f"service-{number}")
-    return ledger
+        registry.list_candidates(0.0, f"service-{number}")
+    return registry
 
 
 def _measure_memory(build: Callable[[], Any]) -> int:
     """Return the bytes held by the object that ``build`` returns."""
-    with measure_memory() as meter:
-        kept = build()
-    del kept
-    return meter.bytes
+    with measure_memory() as usage:
+        retained = build()
+    del retained
+    return usage.retained_bytes
 
 
-def _make_listing(as_of: int, replicas: int) -> Listing:
+def _create_listing(as_of: int, replicas: int) -> Listing:
     # one target in a hundred is replaced between two listings
     rows = [
         Instance(
@@ -199,21 +206,23 @@
     return Listing(as_of, tuple(rows))
 
 
-def _run_directory(ledger: TargetRegistry, schedule: PollSchedule, seconds: int) -> int:
+def _run_registry(
+    registry: TargetRegistry, schedule: PollSchedule, seconds: int
+) -> int:
     polls = 0
     for tick in range(seconds * 10):
         now = tick / 10
         if tick % 10 == 0:
-            ledger.expire_reports(now)
-            watched = ledger.list_watched(now - 60)
+            registry.expire_reports(now)
+            watched = registry.list_watched(now - 60)
             schedule.watch(now, dict.fromkeys(watched, LOAD_INTERVAL))
         for target_id in schedule.take_due(now, 32):
             polls += 1
             report = LoadReport(in_flight=1, queued=0, capacity=4, taken=now)
-            ledger.apply_report(target_id, report)
+            registry.apply_report(target_id, report)
             schedule.reschedule(now, target_id, LOAD_INTERVAL)
         for number in range(REQUESTS_PER_SECOND // 10):
-            ledger.list_candidates(now, f"service-{number % SERVICES}")
+            registry.list_candidates(now, f"service-{number % SERVICES}")
     return polls
 
 
@@ -240,7 +249,7 @@
     parser.add_argument("--linked", type=int, nargs="*", default=LINKED_COUNTS)
     options = parser.parse_args(arguments)
     members = [measure_members(size, options.seconds) for size in options.members]
-    replicas = [measure_ledger(size, 100) for size in options.replicas]
+    replicas = [measure_target_registry(size, 100) for size in options.replicas]
     links = [
         asyncio.run(measure_links(size, options.seconds)) for size in options.linked
     ]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/meters.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/meters.py
@@ -14,46 +14,46 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ("Meter", "ProcessMeter", "measure_cpu", "measure_memory")
+__all__ = ("ProcessMeter", "ResourceUsage", "measure_cpu", "measure_memory")
 
 MILLISECONDS = 1000.0
 
 
 @dataclass(slots=True)
-class Meter:
+class ResourceUsage:
     """Resources used by a measured block, set when the block ends."""
 
     #: processor time of this process in the block, in milliseconds
     cpu_ms: float = 0.0
     #: bytes allocated in the block and still in use at its end
-    bytes: int = 0
+    retained_bytes: int = 0
 
 
 @contextmanager
-def measure_cpu() -> Iterator[Meter]:
+def measure_cpu() -> Iterator[ResourceUsage]:
     """Measure the processor time of a block."""
-    meter = Meter()
+    usage = ResourceUsage()
     gc.collect()
     begun = time.process_time()
-    yield meter
-    meter.cpu_ms = (time.process_time() - begun) * MILLISECONDS
+    yield usage
+    usage.cpu_ms = (time.process_time() - begun) * MILLISECONDS
 
 
 @contextmanager
-def measure_memory() -> Iterator[Meter]:
+def measure_memory() -> Iterator[ResourceUsage]:
     """Measure the memory that a block leaves in use.
 
     Tracing allocations slows the block down considerably.
     """
-    meter = Meter()
+    usage = ResourceUsage()
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        yield meter
+        yield usage
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
-        meter.bytes = after - before
+        usage.retained_bytes = after - before
     finally:
         tracemalloc.stop()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/running_fleet.py
@@ -17,7 +17,7 @@
 from ..fleets.registry import Registry, describe_instance
 from ..processes import Process, ProcessGroup
 from ..waiting import wait_until
-from .farm import DATA_CENTRES
+from .lightweight_members import DATA_CENTRES
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -25,20 +25,20 @@
 __all__ = (
     "START_TIMEOUT",
     "WORKSPACES",
-    "Reading",
+    "CounterSnapshot",
     "RunningFleet",
-    "describe_objects",
-    "describe_workspace",
+    "format_objects",
+    "format_workspace",
 )
 
 PLATFORM = "greengagelatch_lab.standins.platform"
 ECHO = "greengagelatch_lab.overhead.echo"
-FARM = "greengagelatch_lab.capacity.farm"
+MEMBERS_MODULE = "greengagelatch_lab.capacity.lightweight_members"
 ANY_PORT = "127.0.0.1:0"
 #: lightweight members in one process
-FARM_SIZE = 20
+MEMBERS_PER_PROCESS = 20
 #: daemons started concurrently
-STARTS = 6
+MAX_CONCURRENT_STARTS = 6
 WORKSPACES = 300
 #: listed targets, all served by the same process
 TARGETS = 40
@@ -46,20 +46,20 @@
 #: seconds until all members must have the first configuration generation
 START_TIMEOUT = 120.0
 #: seconds between two queries for a generation
-POLL = 0.02
+POLL_SECONDS = 0.02
 #: timeout of HTTP calls in seconds
 TIMEOUT = 30.0
 SETTINGS = {"drain.balancer_lag": "0", "drain.longest": "2"}
 
 
 @dataclass(slots=True)
-class Reading:
+class CounterSnapshot:
     """Counters of all daemons at one point in time."""
 
-    sent: int = 0
-    received: int = 0
-    kinds: Counter[str] = field(default_factory=Counter)
-    megabytes: list[float] = field(default_factory=list)
+    sent_bytes: int = 0
+    received_bytes: int = 0
+    counters: Counter[str] = field(default_factory=Counter)
+    memory_mb: list[float] = field(default_factory=list)
 
 
 class RunningFleet:
@@ -69,11 +69,11 @@
     :param company: number of lightweight members, which run no full daemon
     """
 
-    def __init__(self, directory: Path, size: int, company: int = 0) -> None:
+    def __init__(self, directory: Path, size: int, member_count: int = 0) -> None:
         self._group = ProcessGroup(directory)
         self._size = size
-        self._company = company
-        self.farms: list[Process] = []
+        self._member_count = member_count
+        self.member_processes: list[Process] = []
         self._random = random.Random(size)
         self._number = 0
         self.daemons: list[Daemon] = []
@@ -113,45 +113,47 @@
 
     async def wait_in_force(self, generation: int) -> list[float]:
         """Return the monotonic times at which each daemon has a generation in force."""
-        waits = [self._wait_one(daemon, generation) for daemon in self.daemons]
+        waits = [
+            self._wait_for_generation(daemon, generation) for daemon in self.daemons
+        ]
         async with asyncio.timeout(TIMEOUT):
             return list(await asyncio.gather(*waits))
 
-    def find_in_force(self, generation: int) -> float:
+    def find_in_force_time(self, generation: int) -> float:
         """Return the monotonic time when all lightweight members had a generation."""
         latest = 0.0
-        for farm in self.farms:
-            text = farm.stdout.read_text(encoding="utf-8")
+        for process in self.member_processes:
+            text = process.stdout.read_text(encoding="utf-8")
             rows = [line.split() for line in text.splitlines() if "in-force" in line]
             times = [float(row[2]) for row in rows if int(row[1]) >= generation]
             latest = max(latest, min(times, default=math.inf))
         return latest
 
-    def sum_lags(self) -> float:
+    def sum_loop_lag(self) -> float:
         """Return the event-loop lag that member processes reported, in seconds."""
         total = 0.0
-        for farm in self.farms:
-            text = farm.stdout.read_text(encoding="utf-8")
+        for process in self.member_processes:
+            text = process.stdout.read_text(encoding="utf-8")
             rows = [line.split() for line in text.splitlines() if "late" in line]
             total += sum(float(row[1]) for row in rows)
         return total
 
-    def has_all(self, generation: int) -> bool:
+    def is_in_force(self, generation: int) -> bool:
         """Return whether all lightweight members have a generation."""
-        return math.isfinite(self.find_in_force(generation))
+        return math.isfinite(self.find_in_force_time(generation))
 
-    async def read(self) -> Reading:
+    async def read_counters(self) -> CounterSnapshot:
         """Return the summed counters and the memory of all daemons."""
-        reading = Reading()
+        snapshot = CounterSnapshot()
         for daemon in self.daemons:
             dump = await self._get(f"http://{daemon.entry.operators}/dump")
             counters = dump["metrics"]["counters"]
-            reading.sent += counters.get("peers.wire_out", 0)
-            reading.received += counters.get("peers.wire_in", 0)
-            reading.megabytes.append(dump["memory_bytes"] / 1e6)
+            snapshot.sent_bytes += counters.get("peers.wire_out", 0)
+            snapshot.received_bytes += counters.get("peers.wire_in", 0)
+            snapshot.memory_mb.append(dump["memory_bytes"] / 1e6)
             for name, value in counters.items():
-                reading.kinds[name] += value
-        return reading
+                snapshot.counters[name] += value
+        return snapshot
 
     async def count_calls(self) -> Counter[str]:
         """Return the number of calls by kind that the platform has received."""
@@ -162,29 +164,29 @@
         platform = await self._group.run_module("platform", PLATFORM)
         echo = await self._group.run_module("echo", ECHO, ANY_PORT)
         self._platform = platform.ready
-        slots = asyncio.Semaphore(STARTS)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         async with Registry(platform.ready) as registry:
             await registry.put(
-                [_describe_target(n, echo.ready) for n in range(TARGETS)]
+                [_create_target_entry(n, echo.ready) for n in range(TARGETS)]
             )
             starts = [self._start_daemon(n, slots) for n in range(self._size)]
             self.daemons = list(await asyncio.gather(*starts))
             await registry.put([daemon.describe() for daemon in self.daemons])
 
-    async def add_company(self, generation: int) -> None:
+    async def start_members(self, generation: int) -> None:
         """Start the lightweight members, one process at a time."""
-        for first in range(0, self._company, FARM_SIZE):
-            farm = await self._group.run_module(
+        for first in range(0, self._member_count, MEMBERS_PER_PROCESS):
+            process = await self._group.run_module(
                 f"farm-{first}",
-                FARM,
+                MEMBERS_MODULE,
                 f"--platform={self._platform}",
                 f"--first={first}",
-                f"--count={min(FARM_SIZE, self._company - first)}",
+                f"--count={min(MEMBERS_PER_PROCESS, self._member_count - first)}",
             )
-            self.farms.append(farm)
+            self.member_processes.append(process)
             # a start of all members at once is a different load from the one measured
             await wait_until(
-                partial(self.has_all, generation),
+                partial(self.is_in_force, generation),
                 timeout=START_TIMEOUT,
                 what="the first configuration generation at all members",
             )
@@ -202,30 +204,30 @@
             await daemon.start()
         return daemon
 
-    async def _wait_one(self, daemon: Daemon, generation: int) -> float:
+    async def _wait_for_generation(self, daemon: Daemon, generation: int) -> float:
         url = f"http://{daemon.entry.operators}/generation"
         while True:
             answer = await self._get(url)
             if answer["generation"] >= generation:
                 return time.monotonic()
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_SECONDS)
 
     async def _get(self, url: str) -> dict[str, Any]:
         async with self._session.get(url) as response:
             return await response.json()
 
 
-def describe_workspace(number: int, version: int) -> str:
+def format_workspace(number: int, version: int) -> str:
     return f"[workspace:workspace-{number:04d}]\nlabels = version=v{version}\n"
 
 
-def describe_objects() -> str:
+def format_objects() -> str:
     rows = [f"[service:service-{n}]\nkind = plain\n" for n in range(SERVICES)]
-    rows += [describe_workspace(number, 0) for number in range(WORKSPACES)]
+    rows += [format_workspace(number, 0) for number in range(WORKSPACES)]
     return "\n".join(rows)
 
 
-def _describe_target(number: int, address: str) -> dict[str, str]:
+def _create_target_entry(number: int, address: str) -> dict[str, str]:
     return describe_instance(
         f"target-{number:03d}",
         "target",
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/serving.py
@@ -34,13 +34,13 @@
 POLL_TARGETS = 400
 POLL_SERVICES = 20
 #: duration of each measurement, and of the warm-up before polls, in seconds
-SECONDS = 6.0
-SETTLE = 3.0
+MEASUREMENT_SECONDS = 6.0
+SETTLE_SECONDS = 3.0
 DEADLINE_MS = 20_000
 #: number of targets as which one process is listed: concurrency limits adapt for each
 #: target and start low
-ALIASES = 40
-WIDE = {"targets.subset": str(ALIASES)}
+ALIAS_COUNT = 40
+SUBSET_SETTINGS = {"targets.subset": str(ALIAS_COUNT)}
 #: seconds until the daemon must answer a first request
 READY_TIMEOUT = 20.0
 CAPACITY = 1024
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class _Bench:
+class _TestEnvironment:
     """One daemon under test with its simulated platform and targets."""
 
     group: ProcessGroup
@@ -67,7 +67,7 @@
         targets: Sequence[dict[str, str]],
         settings: Mapping[str, str],
         objects: str,
-    ) -> _Bench:
+    ) -> _TestEnvironment:
         """Start platform and daemon and wait until a request succeeds."""
         platform = await group.run_module(f"{name}-platform", PLATFORM)
         daemon = Daemon(
@@ -81,10 +81,10 @@
         await daemon.start()
         async with Registry(platform.ready) as registry:
             await registry.put([*targets, daemon.describe()])
-        bench = cls(group, session, daemon, platform)
-        await bench._apply(objects)
-        await bench._wait_ready()
-        return bench
+        environment = cls(group, session, daemon, platform)
+        await environment._apply(objects)
+        await environment._wait_ready()
+        return environment
 
     async def call(self, pipeline: str, *, stream: bool, tokens: int = 1) -> None:
         """Send one request and read its whole response."""
@@ -99,13 +99,15 @@
                 f"{pipeline}: status {response.status}: {answer[-300:]!r}"
             )
 
-    async def call_at(self, rate: float, number: int, pipeline: str, **how) -> None:
+    async def call_at_rate(
+        self, rate: float, number: int, pipeline: str, **options
+    ) -> None:
         """Start ``number`` requests at a fixed rate and wait for all of them."""
         begun = time.monotonic()
         calls = []
         for index in range(number):
             await asyncio.sleep(max(0.0, begun + index / rate - time.monotonic()))
-            calls.append(asyncio.create_task(self.call(pipeline, **how)))
+            calls.append(asyncio.create_task(self.call(pipeline, **options)))
         await asyncio.gather(*calls)
 
     async def read_counters(self) -> dict[str, int]:
@@ -137,31 +139,31 @@
     group: ProcessGroup,
     stages: Sequence[int] = STAGES,
     rates: Sequence[float] = RATES,
-    seconds: float = SECONDS,
+    seconds: float = MEASUREMENT_SECONDS,
 ) -> Series:
     """Serve unary requests to pipelines of several lengths at several rates."""
     echo = await group.run_module("echo", ECHO, ANY_PORT)
-    objects = _describe_objects("plain", {f"p{n}": n for n in stages})
+    objects = _format_objects("plain", {f"p{n}": n for n in stages})
     async with _open_session() as session:
-        bench = await _Bench.start(
-            group, session, "requests", [_describe(echo)], {}, objects
+        environment = await _TestEnvironment.start(
+            group, session, "requests", [_create_list_entry(echo)], {}, objects
         )
-        idle = await _measure_idle(bench, seconds)
+        idle_ms = await _measure_idle(environment, seconds)
         points = []
         for count in stages:
             for rate in rates:
                 number = max(5, int(rate * seconds))
-                meter = ProcessMeter(bench.daemon.process.pid)
+                meter = ProcessMeter(environment.daemon.process.pid)
                 begun = time.monotonic()
-                await bench.call_at(rate, number, f"p{count}", stream=False)
-                own = meter.read_cpu_ms() - idle * (time.monotonic() - begun)
-                figures = {"cpu_ms": own / number}
+                await environment.call_at_rate(rate, number, f"p{count}", stream=False)
+                cpu_ms = meter.read_cpu_ms() - idle_ms * (time.monotonic() - begun)
+                figures = {"cpu_ms": cpu_ms / number}
                 point = Point(drivers={"stages": count, "rate": rate}, figures=figures)
                 points.append(point)
     return Series(
         role="serving, one whole answer",
         points=points,
-        lines={"cpu_ms": ("stages", "rate")},
+        fit_drivers={"cpu_ms": ("stages", "rate")},
     )
 
 
@@ -169,7 +171,7 @@
     group: ProcessGroup,
     tokens: Sequence[int] = TOKENS,
     rate: float = STREAMS_PER_SECOND,
-    seconds: float = SECONDS,
+    seconds: float = MEASUREMENT_SECONDS,
 ) -> Series:
     """Serve streamed responses of several lengths."""
     engine = await group.run_module(
@@ -180,26 +182,36 @@
         "--batch-growth=0",
         "--prefill-ms=1",
     )
-    objects = _describe_objects("generate", {"p1": 1})
+    objects = _format_objects("generate", {"p1": 1})
     async with _open_session() as session:
-        bench = await _Bench.start(
-            group, session, "tokens", _describe_aliases(engine), WIDE, objects
+        environment = await _TestEnvironment.start(
+            group,
+            session,
+            "tokens",
+            _create_alias_entries(engine),
+            SUBSET_SETTINGS,
+            objects,
         )
-        idle = await _measure_idle(bench, seconds)
+        idle_ms = await _measure_idle(environment, seconds)
         points = []
         for count in tokens:
             number = max(3, int(rate * seconds))
-            meter = ProcessMeter(bench.daemon.process.pid)
+            meter = ProcessMeter(environment.daemon.process.pid)
             begun = time.monotonic()
-            await bench.call_at(rate, number, "p1", stream=True, tokens=count)
+            await environment.call_at_rate(
+                rate, number, "p1", stream=True, tokens=count
+            )
             elapsed = time.monotonic() - begun
-            own = meter.read_cpu_ms() - idle * elapsed
-            figures = {"cpu_ms": own / number, "tokens_per_s": number * count / elapsed}
+            cpu_ms = meter.read_cpu_ms() - idle_ms * elapsed
+            figures = {
+                "cpu_ms": cpu_ms / number,
+                "tokens_per_s": number * count / elapsed,
+            }
             points.append(Point(drivers={"tokens": count}, figures=figures))
     return Series(
         role="serving, one streamed answer of one stage",
         points=points,
-        lines={"cpu_ms": ("tokens",)},
+        fit_drivers={"cpu_ms": ("tokens",)},
     )
 
 
@@ -216,25 +228,27 @@
     )
     echo = await group.run_module("quick", ECHO, ANY_PORT)
     # long calls of a repeatable stage would be hedged
-    objects = _describe_objects("plain", {"p1": 1}, ready="quick", repeatable="no")
-    targets = [*_describe_aliases(slow), _describe(echo, service="quick")]
+    objects = _format_objects("plain", {"p1": 1}, ready="quick", repeatable="no")
+    targets = [*_create_alias_entries(slow), _create_list_entry(echo, service="quick")]
     async with _open_session() as session:
-        bench = await _Bench.start(group, session, "in-flight", targets, WIDE, objects)
+        environment = await _TestEnvironment.start(
+            group, session, "in-flight", targets, SUBSET_SETTINGS, objects
+        )
         points = []
         for count in counts:
             calls = [
-                asyncio.create_task(bench.call("p1", stream=False))
+                asyncio.create_task(environment.call("p1", stream=False))
                 for _ in range(count)
             ]
             await asyncio.sleep(slow_ms / 2000)
-            memory = ProcessMeter(bench.daemon.process.pid).read_mb()
+            memory = ProcessMeter(environment.daemon.process.pid).read_mb()
             await asyncio.gather(*calls)
             figures = {"memory_mb": memory}
             points.append(Point(drivers={"in_flight": count}, figures=figures))
     return Series(
         role="serving, requests in flight",
         points=points,
-        lines={"memory_mb": ("in_flight",)},
+        fit_drivers={"memory_mb": ("in_flight",)},
     )
 
 
@@ -242,49 +256,49 @@
     group: ProcessGroup,
     rates: Sequence[float] = POLL_RATES,
     targets: int = POLL_TARGETS,
-    seconds: float = SECONDS,
+    seconds: float = MEASUREMENT_SECONDS,
 ) -> Series:
     """Poll the load of many targets, all served by one process."""
     echo = await group.run_module("polled", ECHO, ANY_PORT)
     rows = [
-        _describe(echo, number, f"service-{number % POLL_SERVICES}")
+        _create_list_entry(echo, number, f"service-{number % POLL_SERVICES}")
         for number in range(targets)
     ]
-    rows.append(_describe(echo))
+    rows.append(_create_list_entry(echo))
     points = []
     async with _open_session() as session:
         for rate in rates:
-            bench = await _Bench.start(
+            environment = await _TestEnvironment.start(
                 group,
                 session,
                 f"polls-{rate:g}",
                 rows,
                 {"targets.load_rate": str(rate), "targets.load_interval": "0.1"},
-                _describe_objects("plain", {"p1": 1}),
+                _format_objects("plain", {"p1": 1}),
             )
-            await asyncio.sleep(SETTLE)
-            before = await bench.read_counters()
-            meter = ProcessMeter(bench.daemon.process.pid)
+            await asyncio.sleep(SETTLE_SECONDS)
+            before = await environment.read_counters()
+            meter = ProcessMeter(environment.daemon.process.pid)
             await asyncio.sleep(seconds)
-            percent = meter.read_cpu_percent()
-            after = await bench.read_counters()
-            made = after["targets.polls"] - before["targets.polls"]
-            await bench.daemon.process.stop()
+            cpu_percent = meter.read_cpu_percent()
+            after = await environment.read_counters()
+            polls = after["targets.polls"] - before["targets.polls"]
+            await environment.daemon.process.stop()
             point = Point(
-                drivers={"polls_per_s": made / seconds},
-                figures={"cpu_percent": percent},
+                drivers={"polls_per_s": polls / seconds},
+                figures={"cpu_percent": cpu_percent},
             )
             points.append(point)
     return Series(
         role="load reports asked for by one daemon",
         points=points,
-        lines={"cpu_percent": ("polls_per_s",)},
+        fit_drivers={"cpu_percent": ("polls_per_s",)},
     )
 
 
-async def _measure_idle(bench: _Bench, seconds: float) -> float:
+async def _measure_idle(environment: _TestEnvironment, seconds: float) -> float:
     """Return the idle processor time in milliseconds per second."""
-    meter = ProcessMeter(bench.daemon.process.pid)
+    meter = ProcessMeter(environment.daemon.process.pid)
     await asyncio.sleep(seconds)
     return meter.read_cpu_ms() / seconds
 
@@ -296,7 +310,7 @@
     )
 
 
-def _describe(
+def _create_list_entry(
     process: Process, number: int = 0, service: str = "service"
 ) -> dict[str, str]:
     return describe_instance(
@@ -304,11 +318,11 @@
     )
 
 
-def _describe_aliases(process: Process) -> list[dict[str, str]]:
-    return [_describe(process, number) for number in range(ALIASES)]
+def _create_alias_entries(process: Process) -> list[dict[str, str]]:
+    return [_create_list_entry(process, number) for number in range(ALIAS_COUNT)]
 
 
-def _describe_objects(
+def _format_objects(
     kind: str,
     pipelines: Mapping[str, int],
     ready: str = "service",
@@ -317,13 +331,13 @@
     rows = [f"[service:service]\nkind = {kind}\n", f"[workspace:{WORKSPACE}]\n"]
     if ready != "service":
         rows.append(f"[service:{ready}]\nkind = plain\n")
-    rows.append(_describe_pipeline("ready", 1, kind, ready, "yes"))
+    rows.append(_format_pipeline("ready", 1, kind, ready, "yes"))
     for name, stages in pipelines.items():
-        rows.append(_describe_pipeline(name, stages, kind, "service", repeatable))
+        rows.append(_format_pipeline(name, stages, kind, "service", repeatable))
     return "\n".join(rows)
 
 
-def _describe_pipeline(
+def _format_pipeline(
     name: str, stages: int, kind: str, service: str, repeatable: str
 ) -> str:
     names = [f"s{number}" for number in range(stages)]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -25,7 +25,7 @@
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
 
-__all__ = ("measure_choice", "measure_directory", "measure_listing")
+__all__ = ("measure_instance_list", "measure_scheduling", "measure_target_registry")
 
 PLATFORM = "greengagelatch_lab.standins.platform"
 #: no server listens on this port; datagrams to it are lost
@@ -35,14 +35,14 @@
 SERVICES = 11
 DATA_CENTRES = 11
 #: instances registered with the platform in one call
-BATCH = 2000
+ENTRIES_PER_CALL = 2000
 LISTING_ROUNDS = 3
-CHOICES = 2000
+SCHEDULED_CALLS = 2000
 #: timeout of HTTP calls in seconds
 TIMEOUT = 30.0
 
 
-async def measure_listing(
+async def measure_instance_list(
     group: ProcessGroup, replicas: Sequence[int] = REPLICAS
 ) -> Series:
     """Fetch the instance list over HTTP, when changed and when unchanged."""
@@ -50,15 +50,15 @@
     for count in replicas:
         platform = await group.run_module(f"platform-{count}", PLATFORM)
         async with Registry(platform.ready) as registry:
-            rows = [_describe(number) for number in range(count)]
-            for start in range(0, count, BATCH):
-                await registry.put(rows[start : start + BATCH])
-            points.append(await _read_listing(registry, count))
+            rows = [_create_list_entry(number) for number in range(count)]
+            for start in range(0, count, ENTRIES_PER_CALL):
+                await registry.put(rows[start : start + ENTRIES_PER_CALL])
+            points.append(await _measure_fetches(registry, count))
         await platform.stop()
     return Series(
         role="list of instances, one reading",
         points=points,
-        lines={
+        fit_drivers={
             "bytes": ("replicas",),
             "changed_cpu_ms": ("replicas",),
             "same_cpu_ms": ("replicas",),
@@ -66,63 +66,65 @@
     )
 
 
-async def measure_directory(replicas: Sequence[int] = REPLICAS) -> Series:
+async def measure_target_registry(replicas: Sequence[int] = REPLICAS) -> Series:
     """Hold all targets in a registry and apply listings with one change each."""
     points = []
     for count in replicas:
-        with measure_memory() as held:
+        with measure_memory() as memory_usage:
             listing = _create_listing(count, as_of=1)
-            ledger = TargetRegistry(instance_id="entry-1", rules=TargetRegistryRules())
-            ledger.apply_listing(listing)
+            target_registry = TargetRegistry(
+                instance_id="entry-1", rules=TargetRegistryRules()
+            )
+            target_registry.apply_listing(listing)
         listings = [_create_listing(count, as_of=n) for n in range(2, 5)]
-        with measure_cpu() as spent:
+        with measure_cpu() as cpu_usage:
             for one in listings:
-                ledger.apply_listing(one)
-                _ask_all(ledger)
+                target_registry.apply_listing(one)
+                _list_all_candidates(target_registry)
         point = Point(
             drivers={"replicas": count},
             figures={
-                "memory_kb": held.bytes / 1000,
-                "apply_cpu_ms": spent.cpu_ms / len(listings),
+                "memory_kb": memory_usage.retained_bytes / 1000,
+                "apply_cpu_ms": cpu_usage.cpu_ms / len(listings),
             },
         )
         points.append(point)
     return Series(
         role="directory of targets",
         points=points,
-        lines={"memory_kb": ("replicas",), "apply_cpu_ms": ("replicas",)},
+        fit_drivers={"memory_kb": ("replicas",), "apply_cpu_ms": ("replicas",)},
     )
 
 
-def measure_choice(
-    candidates: Sequence[int] = CANDIDATES, choices: int = CHOICES
+def measure_scheduling(
+    candidates: Sequence[int] = CANDIDATES, calls: int = SCHEDULED_CALLS
 ) -> Series:
     """Schedule sequential calls among a growing number of candidates."""
     points = []
     for count in candidates:
         scheduler = _create_scheduler(count)
-        _schedule(scheduler, choices // 10 + 1)
-        with measure_cpu() as spent:
-            _schedule(scheduler, choices)
-        figures = {"choice_cpu_us": spent.cpu_ms * 1000 / choices}
+        _schedule(scheduler, calls // 10 + 1)
+        with measure_cpu() as cpu_usage:
+            _schedule(scheduler, calls)
+        figures = {"choice_cpu_us": cpu_usage.cpu_ms * 1000 / calls}
         points.append(Point(drivers={"candidates": count}, figures=figures))
     return Series(
         role="scheduler, one call",
         points=points,
-        lines={"choice_cpu_us": ("candidates",)},
+        fit_drivers={"choice_cpu_us": ("candidates",)},
     )
 
 
-async def _read_listing(registry: Registry, count: int) -> Point:
+async def _measure_fetches(registry: Registry, count: int) -> Point:
     reader = HttpInstanceList(
         address=registry.address, timeout=TIMEOUT, metrics=Metrics(STATSD)
     )
-    changed = same = 0.0
+    changed = unchanged = 0.0
     try:
         for number in range(LISTING_ROUNDS):
-            await registry.put([_describe(0, port=2000 + number)])
+            await registry.put([_create_list_entry(0, port=2000 + number)])
             changed += await _fetch(reader)
-            same += await _fetch(reader)
+            unchanged += await _fetch(reader)
     finally:
         await reader.close()
     url = f"http://{registry.address}/instances"
@@ -133,20 +135,20 @@
         figures={
             "bytes": size,
             "changed_cpu_ms": changed / LISTING_ROUNDS,
-            "same_cpu_ms": same / LISTING_ROUNDS,
+            "same_cpu_ms": unchanged / LISTING_ROUNDS,
         },
     )
 
 
 async def _fetch(reader: HttpInstanceList) -> float:
-    with measure_cpu() as spent:
+    with measure_cpu() as cpu_usage:
         answer = await reader.fetch()
     if answer.is_err():
         raise RuntimeError(f"instance list not fetched: {answer.err_value}")
-    return spent.cpu_ms
+    return cpu_usage.cpu_ms
 
 
-def _describe(number: int, port: int = 8080) -> dict[str, str]:
+def _create_list_entry(number: int, port: int = 8080) -> dict[str, str]:
     return describe_instance(
         f"target-{number:05d}",
         "target",
@@ -161,7 +163,9 @@
     for number in range(count):
         # decoded from JSON for each instance, as in a daemon, so that equal strings
         # are not shared in memory
-        row = json.loads(json.dumps(_describe(number, 8080 if number else as_of)))
+        row = json.loads(
+            json.dumps(_create_list_entry(number, 8080 if number else as_of))
+        )
         instance = Instance(
             instance_id=row["id"],
             kind=InstanceKind.TARGET,
@@ -174,12 +178,12 @@
     return Listing(as_of, tuple(rows))
 
 
-def _ask_all(ledger: TargetRegistry) -> None:
+def _list_all_candidates(target_registry: TargetRegistry) -> None:
     for number in range(SERVICES):
-        ledger.list_candidates(0.0, f"service-{number:02d}")
+        target_registry.list_candidates(0.0, f"service-{number:02d}")
 
 
-class _ReportingDirectory(TargetDirectory):
+class _StaticTargetDirectory(TargetDirectory):
     """Targets of one service, each with a load report."""
 
     def __init__(self, count: int) -> None:
@@ -206,7 +210,7 @@
 
 def _create_scheduler(count: int) -> Scheduler:
     return Scheduler(
-        directory=_ReportingDirectory(count),
+        directory=_StaticTargetDirectory(count),
         rule=SchedulerRule(),
         data_centre="centre-00",
         random_source=random.Random(1),
@@ -218,8 +222,8 @@
     )
 
 
-def _schedule(scheduler: Scheduler, choices: int) -> None:
-    for number in range(choices):
+def _schedule(scheduler: Scheduler, calls: int) -> None:
+    for number in range(calls):
         now = time.monotonic()
         ticket = Ticket(
             request_id=f"request-{number}",
--- a/tests/test_lab/test_capacity/test_roles.py
+++ b/tests/test_lab/test_capacity/test_roles.py
@@ -7,7 +7,7 @@
 from greengagelatch_lab.capacity import (
     claims,
     configuration,
-    fleet_check,
+    control_plane,
     leases,
     serving,
     targets,
@@ -25,27 +25,27 @@
     return [point.figures[figure] for point in series.points]
 
 
-async def test_directory_grows_with_replicas():
-    series = await targets.measure_directory((50, 400))
+async def test_registry_memory_grows_with_replicas():
+    series = await targets.measure_target_registry((50, 400))
     small, large = get_figures(series, "memory_kb")
     assert large > 4 * small
     assert series.fit("memory_kb").slopes["replicas"] > 0
 
 
-def test_choice_is_measured_for_each_number_of_candidates():
-    series = targets.measure_choice((3, 40), choices=50)
+def test_scheduling_is_measured_for_each_number_of_candidates():
+    series = targets.measure_scheduling((3, 40), calls=50)
     assert [point.drivers["candidates"] for point in series.points] == [3, 40]
     assert all(cost > 0 for cost in get_figures(series, "choice_cpu_us"))
 
 
 @pytest.mark.processes
 async def test_listing_is_read_in_full(group):
-    series = await targets.measure_listing(group, (10, 200))
+    series = await targets.measure_instance_list(group, (10, 200))
     assert series.fit("bytes").slopes["replicas"] > 100
 
 
-async def test_claims_that_arrive_together_share_a_write():
-    series = await claims.measure_writer((5, 200), held=(0, 20), seconds=0.5)
+async def test_concurrent_claims_are_batched_in_one_write():
+    series = await claims.measure_writer((5, 200), initial_claims=(0, 20), seconds=0.5)
     rows = series.points
     assert rows[1].drivers["batch"] > 2 * rows[0].drivers["batch"]
     # a head with more claims is larger
@@ -53,7 +53,7 @@
 
 
 def test_retained_claims_take_memory():
-    small, large = claims.measure_memory_of_claims((10, 1000)).points
+    small, large = claims.measure_segment_memory((10, 1000)).points
     assert large.figures["memory_kb"] > 10 * small.figures["memory_kb"]
 
 
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.processes
-async def test_whole_and_streamed_answers_are_all_served(group):
+async def test_unary_and_streamed_requests_are_all_served(group):
     # a refused or incomplete response raises an error in the benchmark
     series = await serving.measure_requests(group, (1, 3), (10, 20), seconds=1.0)
     assert [point.drivers["stages"] for point in series.points] == [1, 1, 3, 3]
@@ -82,13 +82,13 @@
 
 
 @pytest.mark.processes
-async def test_memory_is_read_while_requests_are_in_flight(group):
+async def test_memory_is_measured_while_requests_are_in_flight(group):
     series = await serving.measure_in_flight(group, (0, 5), slow_ms=800)
     assert all(memory > 20 for memory in get_figures(series, "memory_mb"))
 
 
 @pytest.mark.processes
-async def test_polls_keep_to_their_rate(group):
+async def test_polls_are_limited_to_their_rate(group):
     series = await serving.measure_polls(group, (5, 20), targets=60, seconds=2.0)
     rates = [point.drivers["polls_per_s"] for point in series.points]
     assert rates[0] <= 8
@@ -96,8 +96,8 @@
 
 
 @pytest.mark.processes
-async def test_fleet_is_read_idle_and_under_changes(tmp_path):
-    idle, changing, delays = await fleet_check.measure_fleet(
+async def test_fleet_is_measured_idle_and_under_changes(tmp_path):
+    idle, changing, delays = await control_plane.measure_fleet(
         tmp_path, (2, 3), seconds=2.0, settle=1.0, interval=0.2
     )
     assert get_figures(idle, "bytes_per_s")[1] > 0
@@ -107,8 +107,8 @@
 
 
 @pytest.mark.processes
-async def test_company_is_part_of_the_fleet(tmp_path):
-    idle, _, delays = await fleet_check.measure_crowd(
+async def test_lightweight_members_are_part_of_the_fleet(tmp_path):
+    idle, _, delays = await control_plane.measure_mixed_fleet(
         tmp_path, (4, 6), seconds=1.0, settle=1.0, interval=0.2
     )
     assert min(get_figures(idle, "bytes_per_s")) > 0
