--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/__main__.py
@@ -20,11 +20,16 @@
 from ..fleets.registry import Registry, describe_instance
 from ..processes import Process, ProcessGroup
 from .echo import TOKENS
-from .ways import Rate, Way, measure_latencies, measure_rate
+from .request_paths import (
+    RequestPath,
+    Throughput,
+    measure_latencies,
+    measure_throughput,
+)
 
 PLATFORM = "greengagelatch_lab.standins.platform"
 ECHO = "greengagelatch_lab.overhead.echo"
-PASSING = "greengagelatch_lab.overhead.passing"
+PASS_THROUGH = "greengagelatch_lab.overhead.pass_through"
 CLIENT = "greengagelatch_cli"
 ANY_PORT = "127.0.0.1:0"
 DATA_CENTRE = "tutuban-hall"
@@ -85,12 +90,12 @@
 
 MICROSECONDS = 1_000_000
 #: rounds of requests before and during the latency measurement
-WARM_UP = 200
+WARM_UP_ROUNDS = 200
 LATENCY_ROUNDS = 600
-RATE_ROUNDS = 3
-RATE_SECONDS = 3.0
+THROUGHPUT_ROUNDS = 3
+THROUGHPUT_SECONDS = 3.0
 #: request paths whose throughput is measured
-RATED = ("passing", "one", "keyed", "stream")
+THROUGHPUT_PATHS = ("passing", "one", "keyed", "stream")
 #: seconds until the daemon must answer a first request
 READY_TIMEOUT = 20.0
 
@@ -114,16 +119,16 @@
     """Start all processes, run the benchmark and print its figures as JSON."""
     with tempfile.TemporaryDirectory() as name:
         async with ProcessGroup(Path(name)) as group:
-            ways = await _start(group)
+            paths = await _start(group)
             connector = aiohttp.TCPConnector(limit=0)
             async with aiohttp.ClientSession(connector=connector) as session:
-                print(json.dumps(await _measure(session, ways)), flush=True)
+                print(json.dumps(await _measure(session, paths)), flush=True)
 
 
-async def _start(group: ProcessGroup) -> dict[str, Way]:
+async def _start(group: ProcessGroup) -> dict[str, RequestPath]:
     platform = await group.run_module("platform", PLATFORM)
     echo = await group.run_module("echo", ECHO, ANY_PORT)
-    passing = await group.run_module("passing", PASSING, ANY_PORT, echo.ready)
+    pass_through = await group.run_module("passing", PASS_THROUGH, ANY_PORT, echo.ready)
     daemon = Daemon(
         "entry-1",
         DATA_CENTRE,
@@ -140,17 +145,17 @@
         ]
         await registry.put([*targets, daemon.describe()])
     await _apply(group, daemon)
-    ways = {
-        "direct": _create_call("direct", echo),
-        "passing": _create_call("passing", passing),
+    paths = {
+        "direct": _create_target_path("direct", echo),
+        "passing": _create_target_path("passing", pass_through),
     }
     for pipeline in ("one", "three", "once"):
-        ways[pipeline] = _create_request(pipeline, daemon)
-    ways["keyed"] = replace(ways["one"], name="keyed", keyed=True)
-    ways["stream"] = _create_request("stream", daemon, stream=True)
-    await _wait_ready(ways["one"])
-    await _wait_ready(ways["stream"])
-    return ways
+        paths[pipeline] = _create_daemon_path(pipeline, daemon)
+    paths["keyed"] = replace(paths["one"], name="keyed", has_idempotency_key=True)
+    paths["stream"] = _create_daemon_path("stream", daemon, stream=True)
+    await _wait_ready(paths["one"])
+    await _wait_ready(paths["stream"])
+    return paths
 
 
 async def _apply(group: ProcessGroup, daemon: Daemon) -> None:
@@ -173,8 +178,8 @@
         )
 
 
-def _create_call(name: str, process: Process) -> Way:
-    return Way(
+def _create_target_path(name: str, process: Process) -> RequestPath:
+    return RequestPath(
         name=name,
         url=f"http://{process.ready}/call",
         headers={"Content-Type": "application/json"},
@@ -183,8 +188,10 @@
     )
 
 
-def _create_request(pipeline: str, daemon: Daemon, *, stream: bool = False) -> Way:
-    return Way(
+def _create_daemon_path(
+    pipeline: str, daemon: Daemon, *, stream: bool = False
+) -> RequestPath:
+    return RequestPath(
         name=pipeline,
         url=f"http://{daemon.entry.callers}/v1/pipelines/{pipeline}",
         headers={"X-Workspace": WORKSPACE, "X-Deadline-Ms": "5000"},
@@ -194,12 +201,12 @@
     )
 
 
-async def _wait_ready(way: Way) -> None:
+async def _wait_ready(path: RequestPath) -> None:
     """Wait until a request succeeds: the daemon knows its target and objects."""
     async with asyncio.timeout(READY_TIMEOUT), aiohttp.ClientSession() as session:
         while True:
             async with session.post(
-                way.url, data=way.body, headers=way.headers
+                path.url, data=path.body, headers=path.headers
             ) as response:
                 if response.status == 200:
                     return
@@ -207,16 +214,18 @@
 
 
 async def _measure(
-    session: aiohttp.ClientSession, ways: dict[str, Way]
+    session: aiohttp.ClientSession, paths: dict[str, RequestPath]
 ) -> dict[str, float]:
     # the latency of a stream is dominated by its token interval
-    compared = [way for way in ways.values() if not way.stream]
-    await measure_latencies(session, compared, WARM_UP)
+    compared = [path for path in paths.values() if not path.stream]
+    await measure_latencies(session, compared, WARM_UP_ROUNDS)
     medians = await measure_latencies(session, compared, LATENCY_ROUNDS)
-    rates: dict[str, list[Rate]] = {name: [] for name in RATED}
-    for _ in range(RATE_ROUNDS):
-        for name, found in rates.items():
-            found.append(await measure_rate(session, ways[name], RATE_SECONDS))
+    throughputs: dict[str, list[Throughput]] = {name: [] for name in THROUGHPUT_PATHS}
+    for _ in range(THROUGHPUT_ROUNDS):
+        for name, samples in throughputs.items():
+            samples.append(
+                await measure_throughput(session, paths[name], THROUGHPUT_SECONDS)
+            )
     figures = {f"{name}_ms": value for name, value in medians.items()}
     direct = medians["direct"]
     figures["passing_added_ms"] = medians["passing"] - direct
@@ -224,11 +233,11 @@
     figures["added_per_stage_of_three_ms"] = medians["three"] / STAGES - direct
     figures["added_once_ms"] = medians["once"] - direct
     figures["added_keyed_ms"] = medians["keyed"] - direct
-    for name, found in rates.items():
-        seconds = [rate.per_second for rate in found]
-        cores = [rate.per_core_second for rate in found]
-        figures[f"{name}_per_second"] = statistics.median(seconds)
-        figures[f"{name}_per_core_second"] = statistics.median(cores)
+    for name, samples in throughputs.items():
+        per_second = [throughput.per_second for throughput in samples]
+        per_core_second = [throughput.per_core_second for throughput in samples]
+        figures[f"{name}_per_second"] = statistics.median(per_second)
+        figures[f"{name}_per_core_second"] = statistics.median(per_core_second)
     for unit in ("per_second", "per_core_second"):
         ratio = figures[f"one_{unit}"] / figures[f"passing_{unit}"]
         figures[f"{unit}_ratio"] = ratio
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/passing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/pass_through.py
@@ -15,7 +15,7 @@
 SESSION = web.AppKey("session", aiohttp.ClientSession)
 
 
-async def _keep_session(app: web.Application) -> AsyncIterator[None]:
+async def _manage_session(app: web.Application) -> AsyncIterator[None]:
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         app[SESSION] = session
@@ -37,7 +37,7 @@
             )
 
     app = web.Application()
-    app.cleanup_ctx.append(_keep_session)
+    app.cleanup_ctx.append(_manage_session)
     app.router.add_post("/call", forward)
     run(app, listen)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/ways.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/request_paths.py
@@ -12,14 +12,14 @@
 import aiohttp
 import psutil
 
-__all__ = ("Rate", "Way", "measure_latencies", "measure_rate")
+__all__ = ("RequestPath", "Throughput", "measure_latencies", "measure_throughput")
 
 #: concurrent requests when throughput is measured
 CONCURRENCY = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Way:
+class RequestPath:
     """One request path to the target: direct, through a proxy or through a daemon."""
 
     name: str
@@ -29,13 +29,13 @@
     #: process whose processor time is measured
     pid: int
     #: whether each request carries a unique idempotency key
-    keyed: bool = False
+    has_idempotency_key: bool = False
     #: whether the response is a stream of tokens
     stream: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Rate:
+class Throughput:
     """Throughput of one path, per second and per second of processor time."""
 
     per_second: float
@@ -43,56 +43,58 @@
 
 
 async def measure_latencies(
-    session: aiohttp.ClientSession, ways: list[Way], rounds: int
+    session: aiohttp.ClientSession, paths: list[RequestPath], rounds: int
 ) -> dict[str, float]:
     """Return the median latency of each path in milliseconds, one call at a time.
 
     Calls alternate between the paths, so that other load on the machine affects all
     of them equally.
     """
-    times: dict[str, list[float]] = {way.name: [] for way in ways}
+    latencies: dict[str, list[float]] = {path.name: [] for path in paths}
     for _ in range(rounds):
-        for way in ways:
+        for path in paths:
             started = time.perf_counter()
-            await _take(session, way)
-            times[way.name].append((time.perf_counter() - started) * 1000)
-    return {name: statistics.median(values) for name, values in times.items()}
+            await _send_request(session, path)
+            latencies[path.name].append((time.perf_counter() - started) * 1000)
+    return {name: statistics.median(values) for name, values in latencies.items()}
 
 
-async def measure_rate(
-    session: aiohttp.ClientSession, way: Way, seconds: float
-) -> Rate:
+async def measure_throughput(
+    session: aiohttp.ClientSession, path: RequestPath, seconds: float
+) -> Throughput:
     """Return requests per second and per second of the process's processor time."""
-    process = psutil.Process(way.pid)
+    process = psutil.Process(path.pid)
     before = process.cpu_times()
     started = time.perf_counter()
     end = started + seconds
     counts = await asyncio.gather(
-        *(_repeat(session, way, end) for _ in range(CONCURRENCY))
+        *(_send_until(session, path, end) for _ in range(CONCURRENCY))
     )
     elapsed = time.perf_counter() - started
     after = process.cpu_times()
-    spent = after.user + after.system - before.user - before.system
-    return Rate(sum(counts) / elapsed, sum(counts) / spent)
+    cpu_seconds = after.user + after.system - before.user - before.system
+    return Throughput(sum(counts) / elapsed, sum(counts) / cpu_seconds)
 
 
-async def _repeat(session: aiohttp.ClientSession, way: Way, end: float) -> int:
+async def _send_until(
+    session: aiohttp.ClientSession, path: RequestPath, end: float
+) -> int:
     count = 0
     while time.perf_counter() < end:
-        await _take(session, way)
+        await _send_request(session, path)
         count += 1
     return count
 
 
-async def _take(session: aiohttp.ClientSession, way: Way) -> None:
-    headers = way.headers
-    if way.keyed:
+async def _send_request(session: aiohttp.ClientSession, path: RequestPath) -> None:
+    headers = path.headers
+    if path.has_idempotency_key:
         headers = {**headers, "Idempotency-Key": uuid4().hex}
-    async with session.post(way.url, data=way.body, headers=headers) as response:
+    async with session.post(path.url, data=path.body, headers=headers) as response:
         body = await response.read()
         if response.status != 200:
-            raise RuntimeError(f"{way.name}: status {response.status}: {body[:200]!r}")
-        if not way.stream:
+            raise RuntimeError(f"{path.name}: status {response.status}: {body[:200]!r}")
+        if not path.stream:
             json.loads(body)
         elif b"event: end" not in body:
-            raise RuntimeError(f"{way.name}: no end event: {body[-200:]!r}")
+            raise RuntimeError(f"{path.name}: no end event: {body[-200:]!r}")
