--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -33,61 +33,61 @@
 
 def measure_phases(size: int) -> None:
     """Print use in each phase; demand is always at least twice the quota."""
-    model = create_model(size)
+    simulation = create_simulation(size)
     even = [2 * RATE / size] * size
     single = [0.1 * RATE / size] * size
     single[0] = 2 * RATE
     outside = [
         rate * (1 if centre == "dc0" else 3)
-        for rate, centre in zip(even, model.centres, strict=True)
+        for rate, centre in zip(even, simulation.centres, strict=True)
     ]
-    model.demand = even
-    print_phase(model, "start (with burst)")
-    print_phase(model, "steady")
-    model.demand = single
-    print_phase(model, "all moves to one")
-    model.demand = even
-    print_phase(model, "and back")
-    model.partitioned = {"dc0"}
-    print_phase(model, "cut")
-    model.demand = outside
-    print_phase(model, "cut, thrice outside")
-    model.partitioned = set()
-    print_phase(model, "healed")
-    model.crashed = {1}
-    print_phase(model, "one crashed")
-
-
-def print_phase(model: QuotaSimulation, name: str) -> None:
+    simulation.demand = even
+    print_phase(simulation, "start (with burst)")
+    print_phase(simulation, "steady")
+    simulation.demand = single
+    print_phase(simulation, "all moves to one")
+    simulation.demand = even
+    print_phase(simulation, "and back")
+    simulation.partitioned = {"dc0"}
+    print_phase(simulation, "cut")
+    simulation.demand = outside
+    print_phase(simulation, "cut, thrice outside")
+    simulation.partitioned = set()
+    print_phase(simulation, "healed")
+    simulation.crashed = {1}
+    print_phase(simulation, "one crashed")
+
+
+def print_phase(simulation: QuotaSimulation, name: str) -> None:
     """Run a phase and print the highest, lowest and last use as shares of the quota."""
-    counts = model.run(ROUNDS)
+    counts = simulation.run(ROUNDS)
     windows = [
         sum(counts[start : start + WINDOW]) / WINDOW / RATE
         for start in range(0, ROUNDS, WINDOW)
     ]
     last = sum(counts[-20:]) / 20 / RATE
-    size = len(model.centres)
+    size = len(simulation.centres)
     print(f"{size:9d} {name:19s} {max(windows):5.2f}  {min(windows):5.2f}  {last:6.2f}")
 
 
 def measure_cost(size: int, keys: int) -> None:
     """Print the cost of gossip with all keys in use at all instances."""
-    model = create_model(size, keys=keys)
-    model.demand = [0.5] * size
+    simulation = create_simulation(size, keys=keys)
+    simulation.demand = [0.5] * size
     rounds = 20
     started = time.process_time()
-    model.run(rounds)
+    simulation.run(rounds)
     seconds = (time.process_time() - started) / rounds / size
-    ledger = model.ledgers[0]
-    sent = max(model.sent) / model.now
+    ledger = simulation.ledgers[0]
+    sent = max(simulation.sent) / simulation.now
     print(
         f"{size:9d} {keys:4d}  {sent:8.0f}  {ledger.rows:5d}"
         f"  {ledger.propagation_time:9.0f}  {seconds * 1000:8.2f}"
     )
 
 
-def create_model(size: int, keys: int = 1) -> QuotaSimulation:
-    """Return a model with the instances spread over its data centres."""
+def create_simulation(size: int, keys: int = 1) -> QuotaSimulation:
+    """Return a simulation with the instances spread over its data centres."""
     centres = [f"dc{index % CENTRES[size]}" for index in range(size)]
     quota = Quota(policy="measured", requests_per_second=RATE)
     return QuotaSimulation(centres, quota, loss=LOSS, keys=keys)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/simulation.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/simulation.py
@@ -14,7 +14,7 @@
 __all__ = ("QuotaSimulation",)
 
 #: gossip fan-out: peers to which an instance reports in each round
-LISTENERS = 2
+GOSSIP_FANOUT = 2
 
 
 class QuotaSimulation:
@@ -78,7 +78,7 @@
             for index in range(len(self.centres))
             if index not in self.crashed
             for workspace in self.workspaces
-            for _ in range(self._draw(self.demand[index]))
+            for _ in range(self._draw_poisson(self.demand[index]))
         ]
         for at, index, workspace in sorted(arrivals):
             admission = self.ledgers[index].admit(self.quota, workspace, at)
@@ -99,9 +99,9 @@
         others = [
             other
             for other in range(len(self.centres))
-            if other != index and self._reaches(index, other)
+            if other != index and self._can_reach(index, other)
         ]
-        for other in self.random.sample(others, min(LISTENERS, len(others))):
+        for other in self.random.sample(others, min(GOSSIP_FANOUT, len(others))):
             frame = encode(Envelope(ledger.create_report(self.now)))
             self.sent[index] += len(frame)
             if self.random.random() >= self.loss:
@@ -116,26 +116,26 @@
                 address="",
                 state=(
                     MemberState.ALIVE
-                    if self._reaches(index, other)
+                    if self._can_reach(index, other)
                     else MemberState.DEAD
                 ),
             )
             for other in range(len(self.centres))
         ]
 
-    def _reaches(self, index: int, other: int) -> bool:
+    def _can_reach(self, index: int, other: int) -> bool:
         if other in self.crashed:
             return False
         ends = {self.centres[index], self.centres[other]}
         return len(ends) == 1 or not ends & self.partitioned
 
-    def _draw(self, rate: float) -> int:
+    def _draw_poisson(self, rate: float) -> int:
         """Return a Poisson-distributed random number with mean ``rate``."""
         count = 0
-        passed = self.random.expovariate(rate) if rate > 0 else 2.0
-        while passed < 1.0:
+        elapsed = self.random.expovariate(rate) if rate > 0 else 2.0
+        while elapsed < 1.0:
             count += 1
-            passed += self.random.expovariate(rate)
+            elapsed += self.random.expovariate(rate)
         return count
 
     @staticmethod
