--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/claims.py
@@ -39,10 +39,10 @@
 #: simulated latency of each store call in seconds
 STORE_DELAY = 0.002
 #: seconds until a claim must have been committed
-TIMEOUT = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
-class _CountingStore(MemoryStore):
+class _MeteredStore(MemoryStore):
     """A store with latency that counts the bytes of values read and written."""
 
     def __init__(self) -> None:
@@ -52,10 +52,10 @@
         self.faults.before_call = self._delay
 
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
-        answer = await super().get(key)
-        if answer.is_ok() and answer.ok_value is not None:
-            self.bytes_read += len(answer.ok_value.value)
-        return answer
+        result = await super().get(key)
+        if result.is_ok() and result.ok_value is not None:
+            self.bytes_read += len(result.ok_value.value)
+        return result
 
     async def swap(
         self, key: str, value: bytes, expected: int, *, lease_id: str = ""
@@ -108,19 +108,19 @@
 
 
 async def _measure_rate(rate: float, initial: int, seconds: float) -> Point:
-    store = _CountingStore()
+    store = _MeteredStore()
     writer = _create_writer(store)
     await asyncio.gather(*(_acquire(writer, -number - 1) for number in range(initial)))
     await asyncio.sleep(WRITE_SECONDS)
     calls_before, bytes_before = store.calls.copy(), store.bytes_written
-    waits = []
+    latencies = []
     begun = time.monotonic()
     with measure_cpu() as usage:
         tasks = []
         for number in range(max(1, int(rate * seconds))):
             await asyncio.sleep(max(0.0, begun + number / rate - time.monotonic()))
             tasks.append(asyncio.create_task(_acquire(writer, number)))
-        waits = sorted(await asyncio.gather(*tasks))
+        latencies = sorted(await asyncio.gather(*tasks))
     elapsed = time.monotonic() - begun
     await writer.close(1.0)
     swaps = store.calls["swap"] - calls_before["swap"]
@@ -136,7 +136,7 @@
             "reads_per_s": reads / elapsed,
             "cpu_ms_per_swap": usage.cpu_ms / swaps,
             "cpu_ms_per_claim": usage.cpu_ms / len(tasks),
-            "wait_ms_p95": waits[int(len(waits) * 0.95)] * 1000,
+            "wait_ms_p95": latencies[int(len(latencies) * 0.95)] * 1000,
         },
     )
 
@@ -164,7 +164,7 @@
     begun = time.monotonic()
     claim = _create_claim(number)
     operation = Acquire(claim.key, claim.digest, claim.token)
-    result = await writer.submit(operation, begun + TIMEOUT)
+    result = await writer.submit(operation, begun + TIMEOUT_SECONDS)
     if result.kind is not ResultKind.GRANTED:
         raise RuntimeError(f"claim {number} was not granted: {result.kind}")
     return time.monotonic() - begun
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -36,7 +36,7 @@
 #: number of workspaces per policy
 WORKSPACES_PER_POLICY = 4
 #: timeout of fetches and changes in seconds
-TIMEOUT = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
             reader=reader,
             peers=self.peers,
             metrics=metrics,
-            fetch_timeout=TIMEOUT,
+            fetch_timeout=TIMEOUT_SECONDS,
             on_adopted=lambda: None,
         )
         self.driver = ChangeDriver(
@@ -67,7 +67,7 @@
             clock=SystemClock(),
             random_source=random.Random(1),
             metrics=metrics,
-            timeout=TIMEOUT,
+            timeout=TIMEOUT_SECONDS,
             on_settled=self.learner.adopt,
             get_generation=lambda: self.replica.generation,
         )
@@ -83,7 +83,7 @@
         self.watcher = self._create_instance("watcher")
         self.fetcher = self._create_instance("listener")
         self._workspaces = workspaces
-        self._number = 0
+        self._change_number = 0
         self._random = random.Random(workspaces)
 
     async def apply_initial_objects(self) -> None:
@@ -99,7 +99,7 @@
     async def change_workspace(self) -> None:
         """Change one random workspace."""
         number = self._random.randrange(self._workspaces)
-        await self._apply(_format_workspace(number, self._number))
+        await self._apply(_format_workspace(number, self._change_number))
 
     async def read_head(self) -> Entry:
         """Return the stored head, as a watch would deliver it."""
@@ -114,7 +114,7 @@
         return _ConfigurationInstance(store=self.store, peers=self.network.join(name))
 
     async def _apply(self, text: str) -> None:
-        self._number += 1
+        self._change_number += 1
         request = ChangeRequest(
             change_id=f"change-{self._random.getrandbits(96):024x}",
             mode=ChangeMode.APPLY,
@@ -122,7 +122,9 @@
         )
         outcome = await self.writer.driver.change(request)
         if not isinstance(outcome, Settled):
-            raise RuntimeError(f"change {self._number} did not settle: {outcome}")
+            raise RuntimeError(
+                f"change {self._change_number} did not settle: {outcome}"
+            )
 
 
 async def measure_changes(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/detector_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/detector_fleet.py
@@ -21,11 +21,11 @@
 DATA_CENTRES = ("fukuoka-a", "fukuoka-b", "kumamoto")
 
 #: step of virtual time in seconds
-TICK = 0.1
+TICK_SECONDS = 0.1
 #: one-way message latency in seconds
-LATENCY = 0.002
+LATENCY_SECONDS = 0.002
 #: virtual time at the start, in seconds
-START = 1000.0
+START_TIME = 1000.0
 FIRST_INCARNATION = 1_780_000_000
 
 
@@ -68,7 +68,7 @@
         count_false_positives: bool = True,
         is_lost: Callable[[str, str], bool] | None = None,
     ) -> None:
-        self.now = START
+        self.now = START_TIME
         self.is_lost = is_lost or (lambda sender, receiver: False)
         self.random = random.Random(seed)
         self.instances: dict[str, SimulatedInstance] = {}
@@ -157,7 +157,7 @@
         """Advance virtual time by ``seconds``."""
         end = self.now + seconds
         while self.now < end:
-            self.now += TICK
+            self.now += TICK_SECONDS
             self._deliver()
             for instance_id, instance in list(self.instances.items()):
                 if instance.paused or instance.stopped:
@@ -182,7 +182,11 @@
                 continue
             self._number += 1
             delivery = _Delivery(
-                self.now + LATENCY, self._number, sender, send.instance_id, send.message
+                self.now + LATENCY_SECONDS,
+                self._number,
+                sender,
+                send.instance_id,
+                send.message,
             )
             heapq.heappush(self._queue, delivery)
 
@@ -201,14 +205,14 @@
 
     def _deliver(self) -> None:
         # replies to messages of this tick are due within the same tick
-        while self._queue and self._queue[0].due <= self.now + TICK:
+        while self._queue and self._queue[0].due <= self.now + TICK_SECONDS:
             delivery = heapq.heappop(self._queue)
             instance = self.instances[delivery.receiver]
             if instance.stopped:
                 continue
             if instance.paused:
                 self._number += 1
-                delivery.due = self.now + 2 * TICK
+                delivery.due = self.now + 2 * TICK_SECONDS
                 heapq.heappush(self._queue, delivery)
                 continue
             output = instance.detector.receive(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/lightweight_members.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/lightweight_members.py
@@ -53,7 +53,7 @@
 #: smallest event-loop lag in seconds that is reported
 MIN_REPORTED_LAG = 0.2
 #: timeout of platform calls in seconds
-TIMEOUT = 10.0
+TIMEOUT_SECONDS = 10.0
 SETTINGS = """
 [instance]
 id = {name}
@@ -78,11 +78,13 @@
         self.events = EventBus()
         clock = SystemClock()
         metrics = Metrics(STATSD)
-        source = random.Random(number)
-        self.store = HttpStore(address=platform, timeout=TIMEOUT, metrics=metrics)
+        random_source = random.Random(number)
+        self.store = HttpStore(
+            address=platform, timeout=TIMEOUT_SECONDS, metrics=metrics
+        )
         self._hub = PeerHub(
             clock=clock,
-            random_source=source,
+            random_source=random_source,
             events=self.events,
             settings=settings,
             metrics=metrics,
@@ -95,14 +97,14 @@
             peers=self._hub,
             data_centre=self.data_centre,
             clock=clock,
-            random_source=source,
+            random_source=random_source,
             events=self.events,
             settings=settings,
             metrics=metrics,
         )
         self.controllers: tuple[Controller, ...] = (self._hub, configuration)
 
-    def describe(self) -> dict[str, str]:
+    def create_list_entry(self) -> dict[str, str]:
         """Return the member's entry in the platform's instance list."""
         address = f"127.0.0.1:{self._hub.port}"
         return describe_instance(self.name, "entry", self.data_centre, address)
@@ -150,20 +152,20 @@
         for controller in member.controllers:
             await controller.start()
     async with Registry(platform) as registry:
-        await registry.put([member.describe() for member in members])
+        await registry.put([member.create_list_entry() for member in members])
     print("ready", count, flush=True)
     stopped = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopped.set)
-    reader = HttpInstanceList(
-        address=platform, timeout=TIMEOUT, metrics=Metrics(STATSD)
+    instance_list = HttpInstanceList(
+        address=platform, timeout=TIMEOUT_SECONDS, metrics=Metrics(STATSD)
     )
     lag_task = asyncio.create_task(_report_loop_lag())
     try:
         while not stopped.is_set():
-            answer = await reader.fetch()
+            result = await instance_list.fetch()
             for member in members:
-                if answer.is_ok():
-                    member.events.emit(LISTING_RECEIVED, answer.ok_value)
+                if result.is_ok():
+                    member.events.emit(LISTING_RECEIVED, result.ok_value)
             try:
                 async with asyncio.timeout(LIST_SECONDS):
                     await stopped.wait()
@@ -171,7 +173,7 @@
                 continue
     finally:
         lag_task.cancel()
-        await reader.close()
+        await instance_list.close()
         for member in members:
             await member.store.close()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/running_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/running_fleet.py
@@ -48,7 +48,7 @@
 #: seconds between two queries for a generation
 POLL_SECONDS = 0.02
 #: timeout of HTTP calls in seconds
-TIMEOUT = 30.0
+TIMEOUT_SECONDS = 30.0
 SETTINGS = {"drain.balancer_lag": "0", "drain.longest": "2"}
 
 
@@ -66,7 +66,7 @@
     """Daemons and lightweight members on one simulated platform, without callers.
 
     :param size: number of daemons
-    :param company: number of lightweight members, which run no full daemon
+    :param member_count: number of lightweight members, which run no full daemon
     """
 
     def __init__(self, directory: Path, size: int, member_count: int = 0) -> None:
@@ -75,14 +75,14 @@
         self._member_count = member_count
         self.member_processes: list[Process] = []
         self._random = random.Random(size)
-        self._number = 0
+        self._change_number = 0
         self.daemons: list[Daemon] = []
 
     async def __aenter__(self) -> RunningFleet:
         await self._group.__aenter__()
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
-            timeout=aiohttp.ClientTimeout(total=TIMEOUT),
+            timeout=aiohttp.ClientTimeout(total=TIMEOUT_SECONDS),
         )
         try:
             await self._start()
@@ -97,9 +97,9 @@
 
     async def change(self, text: str) -> int:
         """Apply objects through a random daemon; return the new generation."""
-        self._number += 1
+        self._change_number += 1
         body = {
-            "change_id": f"change-{self._size}-{self._number}",
+            "change_id": f"change-{self._size}-{self._change_number}",
             "mode": "apply",
             "text": text,
             "file": "objects.ini",
@@ -108,7 +108,7 @@
         async with self._session.post(url, json=body) as response:
             answer = await response.json()
         if answer.get("state") != "settled":
-            raise RuntimeError(f"change {self._number} did not settle: {answer}")
+            raise RuntimeError(f"change {self._change_number} did not settle: {answer}")
         return answer["generation"]
 
     async def wait_in_force(self, generation: int) -> list[float]:
@@ -116,7 +116,7 @@
         waits = [
             self._wait_for_generation(daemon, generation) for daemon in self.daemons
         ]
-        async with asyncio.timeout(TIMEOUT):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return list(await asyncio.gather(*waits))
 
     def find_in_force_time(self, generation: int) -> float:
@@ -157,13 +157,13 @@
 
     async def count_calls(self) -> Counter[str]:
         """Return the number of calls by kind that the platform has received."""
-        answer = await self._get(f"http://{self._platform}/control/calls")
+        answer = await self._get(f"http://{self._platform_address}/control/calls")
         return Counter(answer["calls"])
 
     async def _start(self) -> None:
         platform = await self._group.run_module("platform", PLATFORM)
         echo = await self._group.run_module("echo", ECHO, ANY_PORT)
-        self._platform = platform.ready
+        self._platform_address = platform.ready
         slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         async with Registry(platform.ready) as registry:
             await registry.put(
@@ -179,7 +179,7 @@
             process = await self._group.run_module(
                 f"farm-{first}",
                 MEMBERS_MODULE,
-                f"--platform={self._platform}",
+                f"--platform={self._platform_address}",
                 f"--first={first}",
                 f"--count={min(MEMBERS_PER_PROCESS, self._member_count - first)}",
             )
@@ -196,7 +196,7 @@
             f"entry-{number + 1:03d}",
             DATA_CENTRES[number % len(DATA_CENTRES)],
             directory=self._group.directory,
-            platform=self._platform,
+            platform=self._platform_address,
             settings=SETTINGS,
         )
         self._group.processes.append(daemon.process)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/targets.py
@@ -39,7 +39,7 @@
 LISTING_ROUNDS = 3
 SCHEDULED_CALLS = 2000
 #: timeout of HTTP calls in seconds
-TIMEOUT = 30.0
+TIMEOUT_SECONDS = 30.0
 
 
 async def measure_instance_list(
@@ -117,7 +117,7 @@
 
 async def _measure_fetches(registry: Registry, count: int) -> Point:
     reader = HttpInstanceList(
-        address=registry.address, timeout=TIMEOUT, metrics=Metrics(STATSD)
+        address=registry.address, timeout=TIMEOUT_SECONDS, metrics=Metrics(STATSD)
     )
     changed = unchanged = 0.0
     try:
@@ -142,9 +142,9 @@
 
 async def _fetch(reader: HttpInstanceList) -> float:
     with measure_cpu() as cpu_usage:
-        answer = await reader.fetch()
-    if answer.is_err():
-        raise RuntimeError(f"instance list not fetched: {answer.err_value}")
+        result = await reader.fetch()
+    if result.is_err():
+        raise RuntimeError(f"instance list not fetched: {result.err_value}")
     return cpu_usage.cpu_ms
 
 
