--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/__main__.py
@@ -79,7 +79,7 @@
     simulation.run(rounds)
     seconds = (time.process_time() - started) / rounds / size
     ledger = simulation.ledgers[0]
-    sent = max(simulation.sent) / simulation.now
+    sent = max(simulation.sent_bytes) / simulation.now
     print(
         f"{size:9d} {keys:4d}  {sent:8.0f}  {ledger.rows:5d}"
         f"  {ledger.propagation_time:9.0f}  {seconds * 1000:8.2f}"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/simulation.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/simulation.py
@@ -47,7 +47,7 @@
         #: instances that have crashed
         self.crashed: set[int] = set()
         #: bytes of reports that each instance has sent
-        self.sent = [0] * len(self.centres)
+        self.sent_bytes = [0] * len(self.centres)
         self.ledgers = [
             QuotaLedger(
                 instance_id=self._name(index),
@@ -103,7 +103,7 @@
         ]
         for other in self.random.sample(others, min(GOSSIP_FANOUT, len(others))):
             frame = encode(Envelope(ledger.create_report(self.now)))
-            self.sent[index] += len(frame)
+            self.sent_bytes[index] += len(frame)
             if self.random.random() >= self.loss:
                 report = decode(frame).ok_value.message
                 self.ledgers[other].apply_report(report, self.now)
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -138,7 +138,7 @@
     model = create_model(keys=1200)
     model.demand = [1.0] * 9
     model.run(3)
-    assert 500 < max(model.sent) / model.now < 2000
+    assert 500 < max(model.sent_bytes) / model.now < 2000
 
 
 def test_many_keys_stay_within_their_quotas_from_the_start():
