--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/farm.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/lightweight_members.py
@@ -1,11 +1,14 @@
-"""Many members of a fleet in one process, as company for the daemons measured.
-
-Each has the links, the failure detector and the configuration of a daemon, and no
-callers, targets or operators. The list of instances is read once for all of them.
-Run with ``--platform``, ``--first`` and ``--count``; it lists its members itself and
-prints a line ``ready`` with their number, then a line ``in-force GENERATION SECONDS``
-each time that all of them have moved on, in seconds of the machine's monotonic clock,
-and a line ``late SECONDS`` whenever the loop was late by so much.
+"""Many lightweight fleet members in one process, next to the daemons measured.
+
+Each member has the links, the failure detector and the configuration of a daemon, but
+no callers, targets or operators' server. The instance list is read once for all of
+them. Run with ``--platform``, ``--first`` and ``--count``; the process registers its
+members and prints
+
+- ``ready COUNT`` once they have started,
+- ``in-force GENERATION SECONDS`` when all of them have reached a generation, with the
+  time of the machine's monotonic clock,
+- ``late SECONDS`` whenever the event loop lags by that much.
 """
 
 from __future__ import annotations
@@ -43,11 +46,14 @@
 
 STATSD = "127.0.0.1:9"
 DATA_CENTRES = tuple(f"centre-{number:02d}" for number in range(11))
-LIST_INTERVAL = 5.0
-LAG_TICK = 0.1
-#: lag in seconds that is told of
-LATE = 0.2
-TIMEOUT = 10.0
+#: seconds between two reads of the instance list
+LIST_SECONDS = 5.0
+#: seconds between two checks of the event-loop lag
+LAG_CHECK_SECONDS = 0.1
+#: smallest event-loop lag in seconds that is reported
+MIN_REPORTED_LAG = 0.2
+#: timeout of platform calls in seconds
+TIMEOUT_SECONDS = 10.0
 SETTINGS = """
 [instance]
 id = {name}
@@ -63,7 +69,7 @@
 
 
 class _Member:
-    """One member: links, failure detection and configuration."""
+    """One member with links, failure detection and configuration."""
 
     def __init__(self, number: int, platform: str) -> None:
         self.name = f"member-{number:04d}"
@@ -72,16 +78,18 @@
         self.events = EventBus()
         clock = SystemClock()
         metrics = Metrics(STATSD)
-        source = random.Random(number)
-        self.store = HttpStore(address=platform, timeout=TIMEOUT, metrics=metrics)
+        random_source = random.Random(number)
+        self.store = HttpStore(
+            address=platform, timeout=TIMEOUT_SECONDS, metrics=metrics
+        )
         self._hub = PeerHub(
             clock=clock,
-            random_source=source,
+            random_source=random_source,
             events=self.events,
             settings=settings,
             metrics=metrics,
         )
-        # daemons ask for leaving targets until somebody answers
+        # daemons repeat this query until a peer answers
         self._hub.handle(LeavingQuery, lambda sender, query: TargetsLeaving(()))
         self._hub.handle(TargetsLeaving, lambda sender, message: None)
         configuration = ConfigurationController(
@@ -89,15 +97,15 @@
             peers=self._hub,
             data_centre=self.data_centre,
             clock=clock,
-            random_source=source,
+            random_source=random_source,
             events=self.events,
             settings=settings,
             metrics=metrics,
         )
         self.controllers: tuple[Controller, ...] = (self._hub, configuration)
 
-    def describe(self) -> dict[str, str]:
-        """Return the member as an entry of the platform's list."""
+    def create_list_entry(self) -> dict[str, str]:
+        """Return the member's entry in the platform's instance list."""
         address = f"127.0.0.1:{self._hub.port}"
         return create_list_entry(self.name, "entry", self.data_centre, address)
 
@@ -108,68 +116,70 @@
         return parse(text).unwrap()
 
 
-class _Progress:
-    """Tells when all members have a generation."""
+class _GenerationReporter:
+    """Reports each configuration generation that all members have reached."""
 
     def __init__(self, members: list[_Member]) -> None:
         self._generations = {member.name: 0 for member in members}
-        self._told = 0
+        self._reported = 0
         for member in members:
-            member.events.connect(CONFIGURATION_CHANGED, partial(self._note, member))
+            member.events.connect(
+                CONFIGURATION_CHANGED, partial(self._record_generation, member)
+            )
 
-    def _note(self, member: _Member, snapshot: Snapshot) -> None:
+    def _record_generation(self, member: _Member, snapshot: Snapshot) -> None:
         self._generations[member.name] = snapshot.generation
         lowest = min(self._generations.values())
-        if lowest > self._told:
-            self._told = lowest
+        if lowest > self._reported:
+            self._reported = lowest
             print("in-force", lowest, time.monotonic(), flush=True)
 
 
-async def _tell_lag() -> None:
-    """Tell of the times at which all members stood still together."""
+async def _report_loop_lag() -> None:
+    """Report event-loop lag, during which no member of this process can act."""
     while True:
-        due = time.monotonic() + LAG_TICK
-        await asyncio.sleep(LAG_TICK)
-        late = time.monotonic() - due
-        if late >= LATE:
-            print("late", round(late, 3), flush=True)
+        due = time.monotonic() + LAG_CHECK_SECONDS
+        await asyncio.sleep(LAG_CHECK_SECONDS)
+        lag = time.monotonic() - due
+        if lag >= MIN_REPORTED_LAG:
+            print("late", round(lag, 3), flush=True)
 
 
 async def _run(platform: str, first: int, count: int) -> None:
     members = [_Member(first + n, platform) for n in range(count)]
-    _Progress(members)
+    _GenerationReporter(members)
     for member in members:
         for controller in member.controllers:
             await controller.start()
     async with InstanceListClient(platform) as registry:
-        await registry.put([member.describe() for member in members])
+        await registry.put([member.create_list_entry() for member in members])
     print("ready", count, flush=True)
     stopped = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopped.set)
-    reader = HttpInstanceList(
-        address=platform, timeout=TIMEOUT, metrics=Metrics(STATSD)
+    instance_list = HttpInstanceList(
+        address=platform, timeout=TIMEOUT_SECONDS, metrics=Metrics(STATSD)
     )
-    watch = asyncio.create_task(_tell_lag())
+    lag_task = asyncio.create_task(_report_loop_lag())
     try:
         while not stopped.is_set():
-            answer = await reader.fetch()
+            result = await instance_list.fetch()
             for member in members:
-                if answer.is_ok():
-                    member.events.emit(LISTING_RECEIVED, answer.ok_value)
+                if result.is_ok():
+                    member.events.emit(LISTING_RECEIVED, result.ok_value)
             try:
-                async with asyncio.timeout(LIST_INTERVAL):
+                async with asyncio.timeout(LIST_SECONDS):
                     await stopped.wait()
             except TimeoutError:
                 continue
     finally:
-        watch.cancel()
-        await reader.close()
+        lag_task.cancel()
+        await instance_list.close()
         for member in members:
             await member.store.close()
 
 
 def main() -> None:
-    """Run members until SIGTERM; they end with the process, as after a crash."""
+    """Run members until SIGTERM; the process then exits without stopping them."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--platform", required=True)
     parser.add_argument("--first", type=int, default=0)
@@ -177,7 +187,7 @@
     options = parser.parse_args()
     loop = asyncio.new_event_loop()
     loop.run_until_complete(_run(options.platform, options.first, options.count))
-    # services that were not stopped would be waited for
+    # closes the loop without waiting for the services, which were not stopped
     sys.stdout.flush()
     loop.close()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/meters.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/meters.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and bytes of what is measured."""
+"""Meters of processor time and memory."""
 
 from __future__ import annotations
 
@@ -14,49 +14,55 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ("Meter", "ProcessMeter", "measure_cpu", "measure_memory")
+__all__ = ("ProcessMeter", "ResourceUsage", "measure_cpu", "measure_memory")
 
 MILLISECONDS = 1000.0
 
 
 @dataclass(slots=True)
-class Meter:
-    """What a measured block took; known once it has ended."""
+class ResourceUsage:
+    """Resources used by a measured block, set when the block ends."""
 
-    #: processor time of this process in milliseconds
+    #: processor time of this process in the block, in milliseconds
     cpu_ms: float = 0.0
     #: bytes allocated in the block and still in use at its end
-    bytes: int = 0
+    retained_bytes: int = 0
 
 
 @contextmanager
-def measure_cpu() -> Iterator[Meter]:
+def measure_cpu() -> Iterator[ResourceUsage]:
     """Measure the processor time of a block."""
-    meter = Meter()
+    usage = ResourceUsage()
     gc.collect()
     begun = time.process_time()
-    yield meter
-    meter.cpu_ms = (time.process_time() - begun) * MILLISECONDS
+    yield usage
+    usage.cpu_ms = (time.process_time() - begun) * MILLISECONDS
 
 
 @contextmanager
-def measure_memory() -> Iterator[Meter]:
-    """Measure the memory that a block leaves in use; it runs far slower."""
-    meter = Meter()
+def measure_memory() -> Iterator[ResourceUsage]:
+    """Measure the memory that a block leaves in use.
+
+    Tracing allocations slows the block down considerably.
+    """
+    usage = ResourceUsage()
     gc.collect()
     tracemalloc.start()
     try:
         before, _ = tracemalloc.get_traced_memory()
-        yield meter
+        yield usage
         gc.collect()
         after, _ = tracemalloc.get_traced_memory()
-        meter.bytes = after - before
+        usage.retained_bytes = after - before
     finally:
         tracemalloc.stop()
 
 
 class ProcessMeter:
-    """Processor time and memory of another process, from one moment on."""
+    """Measures processor time and memory of another process.
+
+    Processor time counts from the creation of the meter.
+    """
 
     def __init__(self, pid: int) -> None:
         self._process = psutil.Process(pid)
@@ -64,11 +70,11 @@
         self._cpu = self._read_cpu()
 
     def read_cpu_ms(self) -> float:
-        """Return the processor time spent since the start, in milliseconds."""
+        """Return the processor time since the creation, in milliseconds."""
         return (self._read_cpu() - self._cpu) * MILLISECONDS
 
     def read_cpu_percent(self) -> float:
-        """Return the processor time since the start, in percent of a core."""
+        """Return the processor time since the creation, in percent of a core."""
         elapsed = time.monotonic() - self._begun
         return (self._read_cpu() - self._cpu) / elapsed * 100
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/daemons.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/running_fleet.py
@@ -1,4 +1,4 @@
-"""Daemons on one platform without callers, and the company they keep."""
+"""Starts a fleet of daemons and lightweight members without caller traffic."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from ..fleets.instance_list import InstanceListClient, create_list_entry
 from ..processes import Process, ProcessGroup
 from ..waiting import wait_until
-from .farm import DATA_CENTRES
+from .lightweight_members import DATA_CENTRES
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -25,62 +25,64 @@
 __all__ = (
     "START_TIMEOUT",
     "WORKSPACES",
-    "Reading",
+    "CounterSnapshot",
     "RunningFleet",
-    "describe_objects",
-    "describe_workspace",
+    "format_objects",
+    "format_workspace",
 )
 
 PLATFORM = "greengagelatch_lab.standins.platform"
 ECHO = "greengagelatch_lab.overhead.echo"
-FARM = "greengagelatch_lab.capacity.farm"
+MEMBERS_MODULE = "greengagelatch_lab.capacity.lightweight_members"
 ANY_PORT = "127.0.0.1:0"
-#: members in one process
-FARM_SIZE = 20
-#: daemons started side by side
-STARTS = 6
+#: lightweight members in one process
+MEMBERS_PER_PROCESS = 20
+#: daemons started concurrently
+MAX_CONCURRENT_STARTS = 6
 WORKSPACES = 300
-#: listed targets, all served by one process
+#: listed targets, all served by the same process
 TARGETS = 40
 SERVICES = 4
-#: seconds until all members must have the first configuration
+#: seconds until all members must have the first configuration generation
 START_TIMEOUT = 120.0
-POLL = 0.02
-TIMEOUT = 30.0
+#: seconds between two queries for a generation
+POLL_SECONDS = 0.02
+#: timeout of HTTP calls in seconds
+TIMEOUT_SECONDS = 30.0
 SETTINGS = {"drain.balancer_lag": "0", "drain.longest": "2"}
 
 
 @dataclass(slots=True)
-class Reading:
-    """Counters of all daemons at one moment."""
+class CounterSnapshot:
+    """Counters of all daemons at one point in time."""
 
-    sent: int = 0
-    received: int = 0
-    kinds: Counter[str] = field(default_factory=Counter)
-    megabytes: list[float] = field(default_factory=list)
+    sent_bytes: int = 0
+    received_bytes: int = 0
+    counters: Counter[str] = field(default_factory=Counter)
+    memory_mb: list[float] = field(default_factory=list)
 
 
 class RunningFleet:
-    """Daemons on one platform, without callers.
+    """Daemons and lightweight members on one simulated platform, without callers.
 
     :param size: number of daemons
-    :param company: members that are no daemons
+    :param member_count: number of lightweight members, which run no full daemon
     """
 
-    def __init__(self, directory: Path, size: int, company: int = 0) -> None:
+    def __init__(self, directory: Path, size: int, member_count: int = 0) -> None:
         self._group = ProcessGroup(directory)
         self._size = size
-        self._company = company
-        self.farms: list[Process] = []
+        self._member_count = member_count
+        self.member_processes: list[Process] = []
         self._random = random.Random(size)
-        self._number = 0
+        self._change_number = 0
         self.daemons: list[Daemon] = []
 
     async def __aenter__(self) -> RunningFleet:
         await self._group.__aenter__()
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
-            timeout=aiohttp.ClientTimeout(total=TIMEOUT),
+            timeout=aiohttp.ClientTimeout(total=TIMEOUT_SECONDS),
         )
         try:
             await self._start()
@@ -95,9 +97,9 @@
 
     async def change(self, text: str) -> int:
         """Apply objects through a random daemon; return the new generation."""
-        self._number += 1
+        self._change_number += 1
         body = {
-            "change_id": f"change-{self._size}-{self._number}",
+            "change_id": f"change-{self._size}-{self._change_number}",
             "mode": "apply",
             "text": text,
             "file": "objects.ini",
@@ -108,85 +110,87 @@
         async with self._session.post(url, json=body) as response:
             answer = await response.json()
         if answer.get("state") != "settled":
-            raise RuntimeError(f"a change was not settled: {answer}")
+            raise RuntimeError(f"change {self._change_number} did not settle: {answer}")
         return answer["generation"]
 
     async def wait_in_force(self, generation: int) -> list[float]:
-        """Return when each daemon has a generation in force, in monotonic seconds."""
-        waits = [self._wait_one(daemon, generation) for daemon in self.daemons]
-        async with asyncio.timeout(TIMEOUT):
+        """Return the monotonic times at which each daemon has a generation in force."""
+        waits = [
+            self._wait_for_generation(daemon, generation) for daemon in self.daemons
+        ]
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return list(await asyncio.gather(*waits))
 
-    def find_in_force(self, generation: int) -> float:
-        """Return when all company had a generation, in monotonic seconds."""
+    def find_in_force_time(self, generation: int) -> float:
+        """Return the monotonic time when all lightweight members had a generation."""
         latest = 0.0
-        for farm in self.farms:
-            text = farm.stdout.read_text(encoding="utf-8")
+        for process in self.member_processes:
+            text = process.stdout.read_text(encoding="utf-8")
             rows = [line.split() for line in text.splitlines() if "in-force" in line]
             times = [float(row[2]) for row in rows if int(row[1]) >= generation]
             latest = max(latest, min(times, default=math.inf))
         return latest
 
-    def sum_lags(self) -> float:
-        """Return the seconds that processes of company have stood still so far."""
+    def sum_loop_lag(self) -> float:
+        """Return the event-loop lag that member processes reported, in seconds."""
         total = 0.0
-        for farm in self.farms:
-            text = farm.stdout.read_text(encoding="utf-8")
+        for process in self.member_processes:
+            text = process.stdout.read_text(encoding="utf-8")
             rows = [line.split() for line in text.splitlines() if "late" in line]
             total += sum(float(row[1]) for row in rows)
         return total
 
-    def has_all(self, generation: int) -> bool:
-        """Whether all company has a generation."""
-        return math.isfinite(self.find_in_force(generation))
+    def is_in_force(self, generation: int) -> bool:
+        """Return whether all lightweight members have a generation."""
+        return math.isfinite(self.find_in_force_time(generation))
 
-    async def read(self) -> Reading:
-        """Return the counters of all daemons."""
-        reading = Reading()
+    async def read_counters(self) -> CounterSnapshot:
+        """Return the summed counters and the memory of all daemons."""
+        snapshot = CounterSnapshot()
         for daemon in self.daemons:
             dump = await self._get(f"http://{daemon.entry.operator_address}/dump")
             counters = dump["metrics"]["counters"]
-            reading.sent += counters.get("peers.wire_out", 0)
-            reading.received += counters.get("peers.wire_in", 0)
-            reading.megabytes.append(dump["memory_bytes"] / 1e6)
+            snapshot.sent_bytes += counters.get("peers.wire_out", 0)
+            snapshot.received_bytes += counters.get("peers.wire_in", 0)
+            snapshot.memory_mb.append(dump["memory_bytes"] / 1e6)
             for name, value in counters.items():
-                reading.kinds[name] += value
-        return reading
+                snapshot.counters[name] += value
+        return snapshot
 
     async def count_calls(self) -> Counter[str]:
-        """Return the calls that the platform has counted."""
-        answer = await self._get(f"http://{self._platform}/control/calls")
+        """Return the number of calls by kind that the platform has received."""
+        answer = await self._get(f"http://{self._platform_address}/control/calls")
         return Counter(answer["calls"])
 
     async def _start(self) -> None:
         platform = await self._group.run_module("platform", PLATFORM)
         echo = await self._group.run_module("echo", ECHO, ANY_PORT)
-        self._platform = platform.ready
-        slots = asyncio.Semaphore(STARTS)
+        self._platform_address = platform.ready
+        slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
         async with InstanceListClient(platform.ready) as registry:
             await registry.put(
-                [_describe_target(n, echo.ready) for n in range(TARGETS)]
+                [_create_target_entry(n, echo.ready) for n in range(TARGETS)]
             )
             starts = [self._start_daemon(n, slots) for n in range(self._size)]
             self.daemons = list(await asyncio.gather(*starts))
             await registry.put([daemon.create_list_entry() for daemon in self.daemons])
 
-    async def add_company(self, generation: int) -> None:
-        """Start the members that are no daemons, some at a time."""
-        for first in range(0, self._company, FARM_SIZE):
-            farm = await self._group.run_module(
+    async def start_members(self, generation: int) -> None:
+        """Start the lightweight members, one process at a time."""
+        for first in range(0, self._member_count, MEMBERS_PER_PROCESS):
+            process = await self._group.run_module(
                 f"farm-{first}",
-                FARM,
-                f"--platform={self._platform}",
+                MEMBERS_MODULE,
+                f"--platform={self._platform_address}",
                 f"--first={first}",
-                f"--count={min(FARM_SIZE, self._company - first)}",
+                f"--count={min(MEMBERS_PER_PROCESS, self._member_count - first)}",
             )
-            self.farms.append(farm)
-            # starting all at once is another matter than running them
+            self.member_processes.append(process)
+            # a start of all members at once is a different load from the one measured
             await wait_until(
-                partial(self.has_all, generation),
+                partial(self.is_in_force, generation),
                 timeout=START_TIMEOUT,
-                what="the first configuration at all members",
+                what="the first configuration generation at all members",
             )
 
     async def _start_daemon(self, number: int, slots: asyncio.Semaphore) -> Daemon:
@@ -194,7 +198,7 @@
             f"entry-{number + 1:03d}",
             DATA_CENTRES[number % len(DATA_CENTRES)],
             directory=self._group.directory,
-            platform=self._platform,
+            platform=self._platform_address,
             settings=SETTINGS,
         )
         self._group.processes.append(daemon.process)
@@ -202,30 +206,30 @@
             await daemon.start()
         return daemon
 
-    async def _wait_one(self, daemon: Daemon, generation: int) -> float:
+    async def _wait_for_generation(self, daemon: Daemon, generation: int) -> float:
         url = f"http://{daemon.entry.operator_address}/generation"
         while True:
             answer = await self._get(url)
             if answer["generation"] >= generation:
                 return time.monotonic()
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_SECONDS)
 
     async def _get(self, url: str) -> dict[str, Any]:
         async with self._session.get(url) as response:
             return await response.json()
 
 
-def describe_workspace(number: int, version: int) -> str:
+def format_workspace(number: int, version: int) -> str:
     return f"[workspace:workspace-{number:04d}]\nlabels = version=v{version}\n"
 
 
-def describe_objects() -> str:
+def format_objects() -> str:
     rows = [f"[service:service-{n}]\nkind = plain\n" for n in range(SERVICES)]
-    rows += [describe_workspace(number, 0) for number in range(WORKSPACES)]
+    rows += [format_workspace(number, 0) for number in range(WORKSPACES)]
     return "\n".join(rows)
 
 
-def _describe_target(number: int, address: str) -> dict[str, str]:
+def _create_target_entry(number: int, address: str) -> dict[str, str]:
     return create_list_entry(
         f"target-{number:03d}",
         "target",
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/quotas/simulation.py
@@ -1,4 +1,4 @@
-"""Many ledgers in one process, with demand, lost gossip and cuts."""
+"""Simulates quota ledgers with demand, lost gossip and network partitions."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from greengagelatch.quotas import QuotaKey
 from greengagelatch.quotas.ledger import QuotaLedger
 
-__all__ = ("QuotaModel",)
+__all__ = ("QuotaSimulation",)
 
-#: instances that are told in a round
-LISTENERS = 2
+#: gossip fan-out: peers to which an instance reports in each round
+GOSSIP_FANOUT = 2
 
 
-class QuotaModel:
-    """Runs in rounds of a second; tests change its fields between them.
+class QuotaSimulation:
+    """A simulation in rounds of one second; fields may be changed between rounds.
 
     :param centres: data centre of each instance.
-    :param loss: part of the reports that are lost.
+    :param loss: share of the reports that are lost.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
         self.workspaces = [f"workspace-{number}" for number in range(keys)]
         #: requests per second of each workspace at each instance
         self.demand = [0.0] * len(self.centres)
-        #: data centres that others can't reach
-        self.cut: set[str] = set()
+        #: data centres partitioned from all others
+        self.partitioned: set[str] = set()
         #: instances that have crashed
         self.crashed: set[int] = set()
         #: bytes of reports that each instance has sent
-        self.sent = [0] * len(self.centres)
+        self.sent_bytes = [0] * len(self.centres)
         self.ledgers = [
             QuotaLedger(
                 instance_id=self._name(index),
@@ -78,7 +78,7 @@
             for index in range(len(self.centres))
             if index not in self.crashed
             for workspace in self.workspaces
-            for _ in range(self._draw(self.demand[index]))
+            for _ in range(self._draw_poisson(self.demand[index]))
         ]
         for at, index, workspace in sorted(arrivals):
             admission = self.ledgers[index].admit(self.quota, workspace, at)
@@ -99,11 +99,11 @@
         others = [
             other
             for other in range(len(self.centres))
-            if other != index and self._reaches(index, other)
+            if other != index and self._can_reach(index, other)
         ]
-        for other in self.random.sample(others, min(LISTENERS, len(others))):
+        for other in self.random.sample(others, min(GOSSIP_FANOUT, len(others))):
             frame = encode(Envelope(ledger.create_report(self.now)))
-            self.sent[index] += len(frame)
+            self.sent_bytes[index] += len(frame)
             if self.random.random() >= self.loss:
                 report = decode(frame).ok_value.message
                 self.ledgers[other].apply_report(report, self.now)
@@ -116,26 +116,26 @@
                 address="",
                 state=(
                     MemberState.ALIVE
-                    if self._reaches(index, other)
+                    if self._can_reach(index, other)
                     else MemberState.DEAD
                 ),
             )
             for other in range(len(self.centres))
         ]
 
-    def _reaches(self, index: int, other: int) -> bool:
+    def _can_reach(self, index: int, other: int) -> bool:
         if other in self.crashed:
             return False
         ends = {self.centres[index], self.centres[other]}
-        return len(ends) == 1 or not ends & self.cut
+        return len(ends) == 1 or not ends & self.partitioned
 
-    def _draw(self, rate: float) -> int:
-        """Return a Poisson number."""
+    def _draw_poisson(self, rate: float) -> int:
+        """Return a Poisson-distributed random number with mean ``rate``."""
         count = 0
-        passed = self.random.expovariate(rate) if rate > 0 else 2.0
-        while passed < 1.0:
+        elapsed = self.random.expovariate(rate) if rate > 0 else 2.0
+        while elapsed < 1.0:
             count += 1
-            passed += self.random.expovariate(rate)
+            elapsed += self.random.expovariate(rate)
         return count
 
     @staticmethod
--- a/tests/test_core/test_membership/test_detector.py
+++ b/tests/test_core/test_membership/test_detector.py
@@ -11,32 +11,34 @@
 from greengagelatch.membership.records import MemberUpdate, encode_update
 from greengagelatch.membership.steps import DetectorRules, Identity
 from greengagelatch.peers import MemberState
-from greengagelatch_lab.capacity.fleet import DetectorFleet, Node
+from greengagelatch_lab.capacity.detector_fleet import DetectorFleet, SimulatedInstance
 
 FIRST, SECOND, THIRD = "entry-00000", "entry-00001", "entry-00002"
 
 
 def start_fleet(size: int, **options) -> DetectorFleet:
     fleet = DetectorFleet(size, seed=7, **options)
-    fleet.introduce_all()
+    fleet.converge()
     fleet.run(5)
     return fleet
 
 
-def restart_detector(fleet: DetectorFleet, instance_id: str, incarnation: int) -> Node:
+def restart_detector(
+    fleet: DetectorFleet, instance_id: str, incarnation: int
+) -> SimulatedInstance:
     index = int(instance_id.rpartition("-")[2])
     node = fleet.add(index, incarnation=incarnation)
-    fleet.introduce(instance_id)
+    fleet.register_with_all(instance_id)
     return node
 
 
 def all_views_show(fleet: DetectorFleet, observed: str, state: MemberState) -> bool:
-    return set(fleet.views(observed)) == {state}
+    return set(fleet.count_states(observed)) == {state}
 
 
 def test_stopped_instance_is_dead_everywhere():
     fleet = start_fleet(9)
-    fleet.nodes[SECOND].stopped = True
+    fleet.instances[SECOND].stopped = True
     fleet.run(20)
     assert all_views_show(fleet, SECOND, MemberState.DEAD)
     assert fleet.false_deaths == 0
@@ -48,9 +50,9 @@
     messages from the first instance to the second are lost and all other paths work,
     so only direct probes fail.
     """
-    fleet = start_fleet(9, loses=lambda sender, to: (sender, to) == (FIRST, SECOND))
+    fleet = start_fleet(9, is_lost=lambda sender, to: (sender, to) == (FIRST, SECOND))
     fleet.run(60)
-    assert fleet.view(FIRST, SECOND) is MemberState.ALIVE
+    assert fleet.find_state(FIRST, SECOND) is MemberState.ALIVE
     assert fleet.false_suspicions == 0
 
 
@@ -61,9 +63,9 @@
     continues unless the time of the pause is left out.
     """
     fleet = start_fleet(3)
-    detector = fleet.nodes[FIRST].detector
+    detector = fleet.instances[FIRST].detector
     suspect = dataclasses.replace(
-        fleet.nodes[THIRD].detector.own.update, state=MemberState.SUSPECT
+        fleet.instances[THIRD].detector.own.update, state=MemberState.SUSPECT
     )
     probe = Probe(1, (encode_update(suspect),))
     detector.receive(fleet.now, SECOND, probe)
@@ -71,8 +73,8 @@
         # no answer arrives, so probes of both stay pending
         detector.advance(fleet.now + tick / 20)
     detector.advance(fleet.now + 60)
-    assert fleet.view(FIRST, SECOND) is MemberState.ALIVE
-    assert fleet.view(FIRST, THIRD) is MemberState.SUSPECT
+    assert fleet.find_state(FIRST, SECOND) is MemberState.ALIVE
+    assert fleet.find_state(FIRST, THIRD) is MemberState.SUSPECT
 
 
 def test_continued_instance_is_alive_again_everywhere():
@@ -82,10 +84,10 @@
     does not override that.
     """
     fleet = start_fleet(9)
-    fleet.nodes[FIRST].paused = True
+    fleet.instances[FIRST].paused = True
     fleet.run(60)
     assert all_views_show(fleet, FIRST, MemberState.DEAD)
-    fleet.nodes[FIRST].paused = False
+    fleet.instances[FIRST].paused = False
     fleet.run(20)
     assert all_views_show(fleet, FIRST, MemberState.ALIVE)
     assert fleet.false_suspicions == 0
@@ -99,17 +101,17 @@
     """
     fleet = start_fleet(9)
     stale = fleet.list_instances()
-    before = fleet.nodes[FIRST].detector.own.update
-    fleet.perform(FIRST, fleet.nodes[FIRST].detector.leave(fleet.now))
+    before = fleet.instances[FIRST].detector.own.update
+    fleet.send_output(FIRST, fleet.instances[FIRST].detector.leave(fleet.now))
     fleet.run(5)
-    fleet.nodes[FIRST].stopped = True
-    fleet.show(stale)
+    fleet.instances[FIRST].stopped = True
+    fleet.apply_listing(stale)
     dead = dataclasses.replace(before, state=MemberState.DEAD)
     late = Probe(1, (encode_update(before), encode_update(dead)))
-    for instance_id, node in fleet.nodes.items():
+    for instance_id, node in fleet.instances.items():
         if not node.stopped:
             step = node.detector.receive(fleet.now, SECOND, late)
-            fleet.perform(instance_id, step)
+            fleet.send_output(instance_id, step)
     fleet.run(5)
     assert all_views_show(fleet, FIRST, MemberState.LEAVING)
     fleet.run(60)
@@ -122,10 +124,10 @@
     it as leaving, then it connects, and its hello must not override the list.
     """
     fleet = DetectorFleet(2, seed=1)
-    fleet.show(fleet.list_instances(leaving=frozenset({SECOND})))
-    fleet.introduce_all()
+    fleet.apply_listing(fleet.list_instances(leaving=frozenset({SECOND})))
+    fleet.converge()
     fleet.run(5)
-    assert fleet.view(FIRST, SECOND) is MemberState.LEAVING
+    assert fleet.find_state(FIRST, SECOND) is MemberState.LEAVING
 
 
 def test_list_may_be_out_of_date_in_both_directions():
@@ -141,10 +143,10 @@
         address="10.9.9.9:8082",
         state=InstanceState.LIVE,
     )
-    fleet.show(Listing(10, (vanished,)))
+    fleet.apply_listing(Listing(10, (vanished,)))
     fleet.run(30)
     assert all_views_show(fleet, SECOND, MemberState.ALIVE)
-    record = fleet.nodes[FIRST].detector.table.find("entry-vanished")
+    record = fleet.instances[FIRST].detector.table.find("entry-vanished")
     assert record.state is MemberState.DEAD
     assert not record.confirmed
 
@@ -158,18 +160,18 @@
     fleet = start_fleet(9)
     inside = {
         instance_id
-        for instance_id, node in fleet.nodes.items()
+        for instance_id, node in fleet.instances.items()
         if node.identity.data_centre == "kumamoto"
     }
-    fleet.loses = lambda sender, receiver: (sender in inside) != (receiver in inside)
+    fleet.is_lost = lambda sender, receiver: (sender in inside) != (receiver in inside)
     fleet.run(300)
-    assert fleet.view(FIRST, THIRD) is MemberState.DEAD
-    assert fleet.view(THIRD, FIRST) is MemberState.DEAD
-    fleet.loses = lambda sender, receiver: False
+    assert fleet.find_state(FIRST, THIRD) is MemberState.DEAD
+    assert fleet.find_state(THIRD, FIRST) is MemberState.DEAD
+    fleet.is_lost = lambda sender, receiver: False
     fleet.run(60)
     assert all(
         all_views_show(fleet, instance_id, MemberState.ALIVE)
-        for instance_id in fleet.nodes
+        for instance_id in fleet.instances
     )
 
 
@@ -214,7 +216,7 @@
     lost at random, and healthy instances must not be declared dead.
     """
     source = random.Random(3)
-    fleet = start_fleet(50, loses=lambda sender, receiver: source.random() < 0.05)
+    fleet = start_fleet(50, is_lost=lambda sender, receiver: source.random() < 0.05)
     fleet.run(120)
     assert fleet.false_deaths == 0
     # of 50 observers and 120 probes each
@@ -225,11 +227,11 @@
     fleet = start_fleet(9)
     node = fleet.add(9)
     newcomer = node.identity.instance_id
-    step = node.detector.register_peer(fleet.now, fleet.nodes[FIRST].identity)
-    fleet.perform(newcomer, step)
-    table = fleet.nodes[FIRST].detector.list_all_updates()
+    step = node.detector.register_peer(fleet.now, fleet.instances[FIRST].identity)
+    fleet.send_output(newcomer, step)
+    table = fleet.instances[FIRST].detector.list_all_updates()
     answer = MembersTable(tuple(encode_update(update) for update in table))
-    fleet.perform(newcomer, node.detector.receive(fleet.now, FIRST, answer))
+    fleet.send_output(newcomer, node.detector.receive(fleet.now, FIRST, answer))
     fleet.run(10)
     assert len(node.detector.table) == 9
     assert all_views_show(fleet, newcomer, MemberState.ALIVE)
@@ -242,7 +244,7 @@
     about the earlier process override its own until it raises its incarnation.
     """
     fleet = start_fleet(5)
-    fleet.nodes[FIRST].stopped = True
+    fleet.instances[FIRST].stopped = True
     fleet.run(20)
     assert all_views_show(fleet, FIRST, MemberState.DEAD)
     restart_detector(fleet, FIRST, incarnation=5)
@@ -252,7 +254,7 @@
 
 def test_instance_refutes_being_dead_but_not_leaving():
     fleet = DetectorFleet(1, seed=1)
-    own = fleet.nodes[FIRST].detector.own
+    own = fleet.instances[FIRST].detector.own
 
     def refute(state: MemberState) -> int:
         update = MemberUpdate(
--- a/tests/test_core/test_quotas/test_ledger.py
+++ b/tests/test_core/test_quotas/test_ledger.py
@@ -11,7 +11,7 @@
 from greengagelatch.config.effects import Quota
 from greengagelatch.quotas import QuotaKey
 from greengagelatch.quotas.membership import CRASH_GRACE
-from greengagelatch_lab.quotas.model import QuotaModel
+from greengagelatch_lab.quotas.simulation import QuotaSimulation
 
 RATE = 100.0
 #: rounds in which shares converge after a shift of demand
@@ -25,7 +25,7 @@
 
 def create_model(**options):
     quota = Quota(policy="small", requests_per_second=RATE)
-    return QuotaModel(CENTRES, quota, **options)
+    return QuotaSimulation(CENTRES, quota, **options)
 
 
 def check_rounds(model, rounds, spare):
@@ -81,7 +81,7 @@
     model = create_model(loss=0.2, seed=seed)
     model.demand = [20.0] * 9
     model.run(CONVERGED)
-    model.cut = {"north"}
+    model.partitioned = {"north"}
     check_rounds(model, CONVERGED, TOLERANCE)
     model.demand = moved
     check_rounds(model, CONVERGED, TOLERANCE_MOVING)
@@ -92,7 +92,7 @@
     model = create_model(hold=40.0)
     model.demand = [20.0] * 9
     model.run(CONVERGED)
-    model.cut = {"north"}
+    model.partitioned = {"north"}
     check_rounds(model, 39, TOLERANCE)
     model.run(10)
     assert model.sum_shares() == pytest.approx(2.0, abs=0.15)
@@ -138,7 +138,7 @@
     model = create_model(keys=1200)
     model.demand = [1.0] * 9
     model.run(3)
-    assert 500 < max(model.sent) / model.now < 2000
+    assert 500 < max(model.sent_bytes) / model.now < 2000
 
 
 def test_many_keys_stay_within_their_quotas_from_the_start():
