--- a/packages/greengagelatch-lab/src/greengagelatch_lab/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, load tool and experiments."""
+"""Simulated dependencies, load generator and experiments."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
@@ -1,9 +1,9 @@
-"""Measures the store calls and the time that claims cost at several rates.
+"""Measures the store calls and the latency of claims at several request rates.
 
 Run as ``python -m greengagelatch_lab.claims_cost``. All instances run in this
-process, over an in-process store whose calls take a few milliseconds; messages
-between instances pass through the codec but no socket. Each claim is followed by a
-give-back or a kept outcome, as in service.
+process, on an in-memory store whose calls take :data:`STORE_TIME`; messages between
+instances are encoded and decoded but use no socket. Each claim is followed by a
+give-back or a recorded outcome, as in production.
 """
 
 from __future__ import annotations
@@ -28,19 +28,20 @@
 
 __all__ = ("Cost", "measure")
 
-#: seconds that a call to the store takes
+#: simulated latency of a store call, in seconds
 STORE_TIME = 0.003
-#: share of claims that are given back
+#: fraction of claims that are given back
 GIVEN_BACK = 0.05
+#: time allowed for each request, in seconds
 DEADLINE = 6.0
-#: a metrics server that nobody runs: datagrams are dropped
+#: statsd address on which nothing listens, so that datagrams are dropped
 NOWHERE = "127.0.0.1:9"
 MICROSECONDS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """What was measured at one rate."""
+    """Measurements at one request rate."""
 
     claims: int
     seconds: float
@@ -48,15 +49,15 @@
     writes: int
     reads: int
     written_bytes: int
-    #: milliseconds from the request to its claim
+    #: latency of a claim in milliseconds
     median: float
     p99: float
-    #: seconds of processor time of all instances together
+    #: processor time of all instances together, in seconds
     processor: float
 
 
 class _CountingStore(MemoryStore):
-    """A store that counts the bytes written to it."""
+    """An in-memory store that counts the bytes written to it."""
 
     written_bytes = 0
 
@@ -68,7 +69,7 @@
 async def measure(
     rate: float, seconds: float, *, instances: int = 9, shards: int = 32, seed: int = 1
 ) -> Cost:
-    """Claim ``rate`` keys a second for ``seconds``, at instances drawn at random."""
+    """Claim ``rate`` keys a second for ``seconds``, at random instances."""
     clock = SystemClock()
     store = _CountingStore(clock=clock)
 
@@ -122,7 +123,7 @@
         answer = Answer(request_id=request.request_id, verdict=verdict, result="r")
         controller.settle(permit, answer, verdict)
 
-    # the number of shards is learnt once
+    # the shard layout is read once, with the first claim; it is not measured
     await claim(-1)
     store.calls.clear()
     store.written_bytes = 0
@@ -161,23 +162,21 @@
         "instances = 127.0.0.1:1",
         "[claims]",
         f"shards = {shards}",
-        # stopping the instances is not part of what is measured
+        # the handover at the stop of an instance is not part of the measurement
         "handover_bytes = 0",
     ]
     return parse("\n".join(lines)).unwrap()
 
 
 def main() -> None:
-    """Print a table, one row for each rate."""
+    """Print a Markdown table with one row for each request rate."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--rates", default="5,20,100,300,900")
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--shards", type=int, default=32)
     options = parser.parse_args()
-    print(
-        "| claims/s | writes a claim | reads a claim | writes/s | KB/s written", end=""
-    )
-    print(" | median ms | p99 ms | refused | processor, s a s |")
+    print("| claims/s | writes/claim | reads/claim | writes/s | KB/s written", end="")
+    print(" | median ms | p99 ms | refused | processor, s per s |")
     print("|---|---|---|---|---|---|---|---|---|")
     for rate in options.rates.split(","):
         cost = asyncio.run(measure(float(rate), options.seconds, shards=options.shards))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -1,8 +1,8 @@
-"""Model of keyed requests: every interleaving of writers, repeats and faults.
+"""State-space model of keyed requests: shard writers, retries and faults.
 
-The steps are those of the real code in :mod:`greengagelatch.claims`; the model adds
-the network, the store and what may go wrong. A process that is paused is one that
-takes no step while others do, so pauses need no step of their own.
+The decisions are those of the production code in :mod:`greengagelatch.claims`; the
+model adds the network, the store and the faults. A paused process is one that takes
+no step while others do, so pauses need no step of their own.
 """
 
 from __future__ import annotations
@@ -39,19 +39,21 @@
 
 __all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "Seeker", "World")
 
-#: wall-clock seconds; time stands still, forgetting has tests of its own
+#: wall-clock time in seconds; it does not advance, as expiry has tests of its own
 NOW = 1000
 KEY = b"k" * 16
 OTHER_KEY = b"o" * 16
+#: claim of an unrelated request that fills the head
 FILLER = Claim(b"f" * 16, b"f" * 8, Token("none", 1, 0), NOW + 600)
 OUTCOME = b"outcome"
+#: number under which the store holds the head; segments are numbered from 1
 HEAD_KEY = 0
 
 NOT_FOUND = Ok(None)
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
-#: actions that tell a caller that nothing of its request ran
+#: actions that answer the caller with "not run"
 NOT_RUN_ACTIONS = (
     Action.REFUSE_KEY_REUSED,
     Action.REFUSE_FULL,
@@ -61,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Seeker:
-    """A request with a key, and where it arrives."""
+    """A keyed request, and the instance at which it arrives."""
 
     instance: int
-    #: instances that may commit for it, in the order of trying
+    #: instances whose writer may commit its claim, in the order of trying
     ways: tuple[int, ...]
     digest: bytes = b"d" * 8
     key: bytes = KEY
@@ -72,40 +74,40 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Budget:
-    """How often each fault may happen in one run."""
+    """How often each fault may occur in one run."""
 
-    #: swaps whose answer is lost; they take effect at any later time, or never
+    #: writes whose answer is lost; they take effect at any later time, or never
     lost_swaps: int = 0
-    #: swaps that are refused before anything is done
+    #: writes that the store rejects without effect
     refused_swaps: int = 0
-    #: questions to another instance that get no answer in time
+    #: calls to another instance that time out
     timeouts: int = 0
-    #: requests that are given up while their claim is sought
+    #: requests that are abandoned while their claim is being acquired
     give_ups: int = 0
-    #: claimed requests for which nothing is sent
+    #: claimed requests that end without anything having been sent
     not_run: int = 0
-    #: give-backs that are sent twice
+    #: give-backs that are delivered twice
     resends: int = 0
     crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """State of one seeker's request at its instance."""
+    """State of one request at its instance."""
 
     #: ``None`` before it has arrived
     state: AttemptState | None = None
     attempt: Attempt | None = None
-    #: number of the try whose result is awaited; 0: none
+    #: number of the try whose result is awaited; 0 if none is
     awaited: int = 0
     tries: int = 0
-    #: final action told to the caller
+    #: final action with which the caller was answered
     told: Action | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Letter:
-    """An operation on its way to a writer, or waiting in its queue."""
+    """An operation in transit to a writer, or waiting in its queue."""
 
     operation: Operation
     seeker: int = -1
@@ -114,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Writer:
-    """The shard's writer of one instance."""
+    """The writer of the shard at one instance."""
 
     alive: bool = True
     queue: tuple[Letter, ...] = ()
@@ -127,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LateSwap:
-    """A write whose sender has given up on the answer."""
+    """A write whose sender no longer waits for the answer."""
 
     key: int
     value: bytes
@@ -137,28 +139,29 @@
 
 @dataclass(frozen=True, slots=True)
 class World:
-    """State of everything."""
+    """State of all requests, writers, messages and the store."""
 
     budget: Budget
     slots: tuple[Slot, ...]
     writers: tuple[Writer, ...]
-    #: entries by number, the head being number 0
+    #: entries of the store as number, value and revision; the head has number 0
     entries: tuple[tuple[int, bytes, int], ...] = ()
     revision: int = 1
-    #: operations on their way: receiver and letter
+    #: operations in transit, each with its receiver
     letters: frozenset[tuple[int, Letter]] = frozenset()
+    #: writes that may still take effect, or never do
     late: tuple[LateSwap, ...] = ()
-    #: seekers whose request ran
+    #: requests that ran
     runs: tuple[int, ...] = ()
-    #: batches that took effect, with how often
+    #: ids of the batches that took effect, once for each time
     applied: tuple[bytes, ...] = ()
-    #: attempts that were told that their give-back took effect
+    #: attempts whose give-back was acknowledged
     freed: frozenset[Token] = frozenset()
     fault: str = ""
     _hash: int = field(default=0, compare=False, repr=False)
 
     def __hash__(self) -> int:
-        # a state is looked up many times, and its parts are deep
+        # each state is looked up many times, and hashing its nested parts is slow
         if not self._hash:
             parts = tuple(
                 getattr(self, name) for name in World.__slots__ if name != "_hash"
@@ -171,7 +174,7 @@
         return dataclasses.replace(self, _hash=0, **changes)
 
     def find(self, key: int) -> Entry | None:
-        """Return what the store holds under ``key``."""
+        """Return the store's entry with the number ``key``, if any."""
         for number, value, revision in self.entries:
             if number == key:
                 return Entry(str(key), value, revision)
@@ -179,13 +182,14 @@
 
 
 class ClaimsModel(Model[World]):
-    """Seekers of few keys, the writers of their shard, and a budget of faults.
+    """Requests with a few keys, the writers of their shard, and a budget of faults.
 
-    :param filler: whether the head already holds another claim, so that claims are
-        sealed at once
+    :param filler: whether the head is already full with another claim, so that the
+        first claim moves it to a segment
     :param final_give_backs: whether a claim that was given back must never hold its
-        key again; not so if operations may be sent twice, as a late second one
-        claims the key anew, for an attempt that its instance knows to be over
+        key again; this does not hold if operations may be delivered twice, as a
+        duplicate that arrives late acquires the key again for an attempt that has
+        ended
     """
 
     def __init__(
@@ -234,11 +238,11 @@
         for late in state.late:
             rest = tuple(one for one in state.late if one is not late)
             arrived, result = self._swap(state.change(late=rest), late)
-            yield f"late write of {late.key}: {result.outcome.value}", arrived
+            yield f"delayed write of {late.key}: {result.outcome.value}", arrived
         if state.budget.crashes:
             for number, writer in enumerate(state.writers):
                 if writer.alive:
-                    yield f"instance {number} dies", self._crash(state, number)
+                    yield f"instance {number} crashes", self._crash(state, number)
 
     def find_fault(self, state: World) -> str:
         if state.fault:
@@ -248,7 +252,7 @@
             return "a request ran twice"
         for number, slot in enumerate(state.slots):
             if slot.told in NOT_RUN_ACTIONS and number in state.runs:
-                return f"seeker {number} was told 'not run', and ran"
+                return f"request {number} was answered 'not run' but ran"
         if len(set(state.applied)) < len(state.applied):
             return "a batch took effect twice"
         if self._final_give_backs and state.freed:
@@ -260,7 +264,7 @@
         held = {holder.token for holder in self._list_holders(state)}
         for number in state.runs:
             if self._create_token(number) not in held:
-                return f"the claim of seeker {number}, which ran, is gone"
+                return f"the claim of request {number}, which ran, is lost"
         return ""
 
     def find_final_fault(self, state: World) -> str:
@@ -269,17 +273,17 @@
                 slot.told is None
                 and state.writers[self._seekers[number].instance].alive
             ):
-                return f"seeker {number} is never answered"
+                return f"request {number} is never answered"
         if state.budget.crashes < self._budget.crashes:
             return ""
         for holder in self._list_holders(state):
             if holder.token.serial == FILLER.token.serial:
                 continue
             if state.slots[holder.token.serial - 1].state is None:
-                return "a key is held by an attempt that never was"
+                return "a key is held by an attempt that never existed"
         return ""
 
-    # seekers
+    # requests
 
     def _seek(self, state: World, number: int) -> Iterator[tuple[str, World]]:
         slot = state.slots[number]
@@ -291,43 +295,43 @@
             token = self._create_token(number)
             operation = Acquire(seeker.key, seeker.digest, token)
             slot = Slot(AttemptState.PENDING, Attempt(operation=operation))
-            yield f"seeker {number} arrives", self._advance(state, number, slot)
+            yield f"request {number} arrives", self._advance(state, number, slot)
             return
         if slot.state is AttemptState.RUNNING:
             ended = dataclasses.replace(
                 slot, state=AttemptState.FINISHED, told=Action.RUN
             )
-            yield f"seeker {number} ends", _put_slot(state, number, ended)
+            yield f"request {number} ends", _put_slot(state, number, ended)
             return
         if slot.awaited and int(slot.attempt.candidate) != seeker.instance:
             yield from self._time_out(state, number)
         if slot.awaited and budget.give_ups:
             spent = state.change(budget=_spend(budget, "give_ups"))
             given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
-            yield f"seeker {number} is given up", given_up
+            yield f"request {number} is abandoned", given_up
         if slot.attempt.action is Action.ASK_HOLDER:
             yield from self._ask_holder(state, number)
         if slot.attempt.action is Action.RUN:
-            yield f"seeker {number} runs", self._run(state, number)
+            yield f"request {number} runs", self._run(state, number)
             if budget.not_run:
                 spent = state.change(budget=_spend(budget, "not_run"))
                 refused = self._abandon(spent, number, Action.STORE_UNREACHABLE)
-                yield f"seeker {number} is refused with nothing sent", refused
+                yield f"request {number} is refused with nothing sent", refused
 
     def _time_out(self, state: World, number: int) -> Iterator[tuple[str, World]]:
         way = int(state.slots[number].attempt.candidate)
         budget = state.budget
-        # an instance that has died never answers, which costs no fault of its own
+        # a crashed instance never answers; this does not count as a further fault
         if state.writers[way].alive:
             if not budget.timeouts:
                 return
             budget = _spend(budget, "timeouts")
         spent = state.change(budget=budget)
-        text = f"seeker {number} gets no answer from {way}"
+        text = f"request {number} gets no answer from {way}"
         yield text, self._take_result(spent, number, None)
 
     def _advance(self, state: World, number: int, slot: Slot) -> World:
-        """Do what needs no other process after an attempt has changed."""
+        """Take the local steps that follow from a change of an attempt."""
         current = slot.attempt
         seeker = self._seekers[number]
         if current.action is Action.CHOOSE_CANDIDATES:
@@ -349,16 +353,18 @@
         return self._abandon(state, number, current.action).change(fault=fault)
 
     def _check_told(self, state: World, number: int, ended: Attempt) -> str:
-        """Return a fault if a caller is told something untrue."""
+        """Return a fault if the caller is answered wrongly, or an empty text."""
         digest = self._seekers[number].digest
         if ended.action is Action.REPLAY:
             holder = self._seekers[ended.holder.serial - 1]
             if holder.digest != digest:
-                return f"seeker {number} was given the result of another request"
+                return (
+                    f"request {number} was answered with the result of another request"
+                )
         if ended.action is Action.REFUSE_KEY_REUSED:
             for other in state.runs:
                 if self._seekers[other].digest == digest:
-                    return f"seeker {number} was told 'not run' after its request ran"
+                    return f"request {number} was answered 'not run' after it had run"
         return ""
 
     def _take_result(
@@ -374,7 +380,7 @@
         for label, record in self._list_answers(state, holder):
             taken = slot.attempt.handle_holder(record)
             asked = dataclasses.replace(slot, attempt=taken)
-            text = f"seeker {number} asks the holder: {label}"
+            text = f"request {number} asks the holder: {label}"
             yield text, self._advance(state, number, asked)
 
     def _list_answers(
@@ -428,7 +434,7 @@
         return self._begin(_put_writer(state, number, writer), number)
 
     def _begin(self, state: World, number: int) -> World:
-        """Begin a batch if the writer is idle and something waits."""
+        """Start a batch if the writer is idle and operations are queued."""
         writer = state.writers[number]
         if writer.commit is not None or not writer.queue:
             return state
@@ -502,7 +508,7 @@
             yield f"{label}: refused", self._go_on(refused, number, take(result))
 
     def _delete_retired(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        """Delete a segment that the writer's head no longer needs."""
+        """Delete the segments that the writer's head no longer needs, one a step."""
         view = state.writers[number].view
         if view is None:
             return
@@ -546,7 +552,7 @@
         if slot.awaited == letter.number:
             return self._take_result(state, letter.seeker, result)
         if result.kind is ResultKind.GRANTED:
-            # too late: the attempt may have been given up meanwhile
+            # the try has timed out; the attempt may have been abandoned meanwhile
             return self._start_late(state, letter.seeker)
         return state
 
@@ -586,7 +592,7 @@
         return _put_writer(state, number, Writer(alive=False))
 
     def _list_holders(self, state: World) -> list[Claim]:
-        """Return the claims that hold their keys by what is in the store."""
+        """Return the claims that hold their keys according to the store."""
         entry = state.find(HEAD_KEY)
         if entry is None:
             return []
@@ -605,7 +611,7 @@
 
 
 def is_expected(found: int, expected: int) -> bool:
-    """The store's compare: whether a write may take effect."""
+    """Whether a compare-and-swap of the store may take effect."""
     return found == expected
 
 
@@ -631,4 +637,4 @@
 def _name(letter: Letter) -> str:
     if letter.seeker < 0:
         return f"give-back of attempt {letter.operation.token.serial}"
-    return f"claim {letter.number} of seeker {letter.seeker}"
+    return f"claim {letter.number} of request {letter.seeker}"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -1,9 +1,9 @@
-"""Compares ways to treat keyed requests while the store is out of reach.
+"""Compares policies for keyed requests while the store is unreachable.
 
-Run as ``python -m greengagelatch_lab.claims_outage``. Callers ask at random
-instances and ask again elsewhere, with the same key, until they have an answer or
-run out of patience; attempts are lost, late or sent twice on their way, answers are
-lost and instances replaced. Time is simulated and every draw comes from the seed.
+Run as ``python -m greengagelatch_lab.claims_outage``. Callers send requests to random
+instances and retry at others, with the same key, until they have an answer or their
+deadline has passed; attempts are lost, delayed or duplicated in transit, answers are
+lost and instances replaced. Time is simulated, and all randomness comes from the seed.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
 
 DATA_CENTRES = 3
 INSTANCES = 9
-#: requests a second and seconds simulated
+#: requests a second, and simulated time in seconds
 RATE = 20.0
 DURATION = 1500.0
-#: seconds after which a caller's request is worthless, and it asks again
+#: deadline of a request, and time after which its caller retries, in seconds
 PATIENCE = 6.0
 CALLER_TIMEOUT = 1.5
-#: shares of attempts and answers, and seconds
+#: fractions of attempts and answers; delays and durations are in seconds
 LOST_ATTEMPTS = 0.005
 LATE_ATTEMPTS = 0.01
 LONGEST_LATE = 5.0
@@ -45,28 +45,28 @@
 TRAVEL = 0.005
 STORE_TIME = 0.01
 MEAN_RUN = 0.3
-#: seconds that an instance lives on average
+#: mean time until an instance is replaced, in seconds
 LIFE = 600.0
 
 
 @dataclass(frozen=True, slots=True)
 class Trouble:
-    """When the store is out of reach: ``length`` seconds in every ``period``."""
+    """When the store is unreachable: ``length`` seconds in every ``period``."""
 
     name: str
     length: float = 0.0
     period: float = 300.0
-    #: whether one data centre is cut off from the store and its peers, the others not
+    #: whether only one data centre is cut off from the store and its peers
     partial: bool = False
 
     def reaches(self, instance: int, now: float) -> bool:
-        """Whether an instance has the store."""
+        """Whether an instance reaches the store at the time ``now``."""
         if now % self.period >= self.length:
             return True
         return self.partial and instance % DATA_CENTRES != 0
 
     def connects(self, one: int, other: int, now: float) -> bool:
-        """Whether two instances reach each other."""
+        """Whether two instances reach each other at the time ``now``."""
         if not self.partial or now % self.period >= self.length:
             return True
         return (one % DATA_CENTRES == 0) == (other % DATA_CENTRES == 0)
@@ -74,10 +74,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """A way to treat keyed requests.
+    """A policy for keyed requests.
 
-    :param run_first: run a declared first attempt for which no claim can be had
-    :param strict: never run a repeat of which nothing is recorded, at any time
+    :param run_first: run a declared first attempt even if it cannot be claimed
+    :param strict: never run a retry without a recorded first attempt, even while the
+        store is reachable
     """
 
     name: str
@@ -109,15 +110,17 @@
 
 @dataclass(slots=True)
 class Report:
-    """What became of the requests."""
+    """Counts of requests by outcome."""
 
     requests: int = 0
+    #: requests that were answered with a result within their deadline
     attained: int = 0
+    #: requests that ran more than once
     doubled: int = 0
-    #: answers "not run", to attempts their callers still waited for, on requests
-    #: that had run
+    #: answers "not run" for requests that had run, to attempts that their callers
+    #: still awaited
     untrue: int = 0
-    #: requests whose caller was left with "may have run"
+    #: requests whose last answer was "may have run"
     unsettled: int = 0
 
 
@@ -127,20 +130,20 @@
     first_instance: int
     runs: int = 0
     attempts: int = 0
-    #: time of the answer that settles the request, if any
+    #: time of the answer with the result, if any
     attained_at: float | None = None
     last_verdict: Verdict | None = None
-    #: instance, its incarnation and end of the run on record in the store
+    #: claim in the store: instance, its incarnation and the end of the run
     claim: tuple[int, int, float] | None = None
-    #: ends of runs that only their instance knows of
+    #: ends of runs by instance and incarnation, known only to that instance
     local: dict[tuple[int, int], float] = field(default_factory=dict)
 
 
 class Experiment:
-    """One simulated stretch of time under one way and one trouble.
+    """One simulation of a policy under one outage pattern.
 
-    :param repeats: whether callers ask again by themselves; else each asks once, with
-        all its patience as the deadline
+    :param repeats: whether callers retry by themselves; otherwise each sends one
+        attempt, with the whole deadline of the request
     """
 
     def __init__(
@@ -148,7 +151,7 @@
     ) -> None:
         self._way = way
         self._repeats = repeats
-        #: seconds that a caller gives one attempt
+        #: time that a caller allows for one attempt, in seconds
         self._deadline = CALLER_TIMEOUT if repeats else PATIENCE
         self._trouble = trouble
         self._random = random.Random(seed)
@@ -161,7 +164,7 @@
         self._report = Report()
 
     def run(self) -> Report:
-        """Simulate, and count."""
+        """Run the simulation and return its counts."""
         now = 0.0
         while now < DURATION:
             now += self._random.expovariate(RATE)
@@ -218,7 +221,7 @@
         for copy in range(copies):
             receiver = instance
             if copy:
-                # a balancer that sends a request again chooses another instance
+                # a load balancer that resends a request may choose another instance
                 receiver = self._random.randrange(INSTANCES)
             self._at(
                 self._now + delay + copy * 0.05,
@@ -229,7 +232,7 @@
         self._at(self._now + self._deadline, lambda: self._repeat(request, number))
 
     def _repeat(self, request: _Request, number: int) -> None:
-        """Ask again unless that attempt was answered or another one was sent."""
+        """Retry unless the request was answered or a later attempt was sent."""
         over = not self._repeats or self._now - request.started >= PATIENCE
         if over or request.attained_at is not None or request.attempts != number + 1:
             return
@@ -251,7 +254,7 @@
             if verdict is Verdict.RAN:
                 request.attained_at = self._now
                 return
-            # refusals say when to come back
+            # a refusal tells the caller to retry after 1 s
             self._at(self._now + 1.0, lambda: self._repeat(request, number))
 
         self._at(self._now + delay + TRAVEL, take)
@@ -299,7 +302,7 @@
         number: int,
         arrived: float,
     ) -> None:
-        """Go on without the store."""
+        """Apply the policy to an attempt while the store is unreachable."""
         if self._way.run_first and first:
             self._run(request, instance, number)
             return
@@ -341,19 +344,21 @@
 
 
 def main() -> None:
-    """Print a table of all ways under all troubles."""
+    """Print a Markdown table of all policies under all outage patterns."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", type=int, default=4, help="runs of each cell")
+    parser.add_argument(
+        "--seeds", type=int, default=4, help="number of simulations for each row"
+    )
     options = parser.parse_args()
-    print("| callers | store out of reach | way | attained | may have run", end="")
-    print(" | doubled | untrue |")
+    print("| callers | store unreachable | policy | attained | may have run", end="")
+    print(" | run twice | false not-run |")
     print("|---|---|---|---|---|---|---|")
     for repeats, trouble, way in itertools.product((True, False), TROUBLES, WAYS):
         reports = [
             Experiment(way, trouble, seed, repeats=repeats).run()
             for seed in range(options.seeds)
         ]
-        callers = "ask again" if repeats else "ask once"
+        callers = "retry" if repeats else "no retry"
         print(_format_row(callers, trouble, way, reports), flush=True)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -1,10 +1,11 @@
-"""``python -m greengagelatch_lab.demo``: serves both fleets and checks all answers.
-
-Each fleet runs with nine daemons in three data centres. Its objects are applied by
-the operators' client, its traffic is played, and all daemons are stopped while
-requests are still being sent. The exit status is 0 only if every answer was whole,
-right and the caller's own, nothing ran twice, no "not run" was false, the stop cut
-nothing, and all but a few requests were answered in time.
+"""``python -m greengagelatch_lab.demo``: runs both fleets and checks all answers.
+
+Each fleet runs with nine daemons in three data centres. Its objects are applied with
+the operators' client, its traffic is generated, and all daemons are stopped while
+requests are still being sent. The exit status is 0 only if every answer was complete,
+correct and belonged to its request, nothing ran twice, no "not run" was false, the
+stop interrupted no request, and the share of requests answered in time reached
+:data:`LEAST_ATTAINMENT`.
 """
 
 from __future__ import annotations
@@ -32,32 +33,32 @@
 
 __all__ = ("main",)
 
-#: seconds of traffic before the stop, and at most during it
+#: duration of traffic before the stop, and its maximum during it, in seconds
 LOAD_SECONDS = 15.0
 STOP_SECONDS = 10.0
-#: least share of requests answered in time; the demo's load is far below capacity
+#: minimum share of requests answered in time; the load is far below capacity
 LEAST_ATTAINMENT = 0.95
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemoResult:
-    """What one fleet's demo showed."""
+    """Result of the demo for one fleet."""
 
     report: Report
-    #: requests being answered when the daemons were told to stop
+    #: requests in flight when the daemons were told to stop
     in_flight_at_stop: int
     #: exit statuses of the daemons; 0 means that every request was finished
     statuses: tuple[int, ...]
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept and every daemon stopped cleanly."""
+        """Whether all guarantees held and every daemon stopped cleanly."""
         served = self.report.total.attainment >= LEAST_ATTAINMENT
         return served and self.report.kept and not any(self.statuses)
 
 
 def main() -> int:
-    """Run the demo; return 0 only if every promise was kept."""
+    """Run the demo; return 0 only if all guarantees held."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--seconds", type=float, default=LOAD_SECONDS)
     parser.add_argument("--scale", type=float, default=1.0)
@@ -71,7 +72,7 @@
             try:
                 results[name] = run_tool(work)
             except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
-                print(f"{name}: not measured: {error!r}\ndemo FAILED")
+                print(f"{name}: run did not complete: {error!r}\ndemo FAILED")
                 return 1
     for name, result in results.items():
         _print_verdict(name, result)
@@ -123,8 +124,9 @@
     broken = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     print(
         f"{name}: {total.made + repeats.made} answers checked, attainment"
-        f" {total.attainment:.2%}, {result.in_flight_at_stop} in flight at the stop,"
-        f" exit statuses {set(result.statuses)}, violations: {broken or 'none'}"
+        f" {total.attainment:.2%}, {result.in_flight_at_stop} requests in flight"
+        f" at the stop, exit statuses {set(result.statuses)},"
+        f" violations: {broken or 'none'}"
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
@@ -1,16 +1,16 @@
-"""Exhaustive exploration of the interleavings of a small model.
+"""Explicit-state model checker for small models of concurrent code.
 
-A model wraps real decision code: it says which states a run may begin in and which
-steps are possible in each state. :func:`explore` visits every state that can be
-reached, breadth first, and returns the shortest path to a violation, if there is
-one. It draws no random numbers and reads no clock, so two runs are equal.
+A model wraps production decision code: it defines the initial states and the steps
+that are possible in each state. :func:`explore` visits every reachable state in
+breadth-first order and returns the shortest path to a violation, if there is one. It
+uses no random numbers and no clock, so it is deterministic.
 
-States must be hashable and immutable; frozen data classes and tuples are. Whatever
-does not matter for what may still happen should be left out of the state, as each
-needless detail multiplies the number of states.
+States must be hashable and immutable, such as frozen data classes and tuples. A state
+should hold nothing that does not affect later steps, as each needless detail multiplies
+the number of states.
 
-:func:`explore_mutations` shows that a model would notice a missing guard: it
-replaces one function or method of the code under test at a time and explores again.
+:func:`explore_mutations` checks that a model detects a missing guard: it replaces one
+function or method of the code under test at a time and explores again.
 """
 
 from __future__ import annotations
@@ -33,33 +33,33 @@
 
 S = TypeVar("S", bound=Hashable)
 
-#: more states than this take minutes and gigabytes; a model should be cut smaller
+#: larger state spaces take minutes and gigabytes; reduce the model instead
 DEFAULT_MAX_STATES = 200_000
 
 
 class Model(ABC, Generic[S]):
-    """What can happen, step by step, and what must never be the case."""
+    """A transition system and its invariants."""
 
     @abstractmethod
     def start(self) -> Iterable[S]:
-        """Return the states in which a run may begin."""
+        """Return the initial states."""
 
     @abstractmethod
     def steps(self, state: S) -> Iterable[tuple[str, S]]:
-        """Return each possible step: a label for the trace and the state after it."""
+        """Return each possible step as a label for the trace and the next state."""
 
     @abstractmethod
     def find_fault(self, state: S) -> str:
-        """Return what is wrong with ``state``, or an empty text."""
+        """Return a description of the violated invariant, or an empty text."""
 
     def find_final_fault(self, state: S) -> str:
-        """Return what is wrong with ending in ``state``, which has no steps."""
+        """Return what is wrong with ``state`` as a final state, or an empty text."""
         return ""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A reached state that must not be; ``trace`` holds the labels of the steps."""
+    """A reached state that violates an invariant, with the labels of its steps."""
 
     fault: str
     trace: tuple[str, ...]
@@ -76,11 +76,11 @@
 class Exploration:
     """Result of an exploration."""
 
-    #: distinct states reached
+    #: number of distinct states reached
     states: int
-    #: steps followed, those to states already reached included
+    #: number of steps followed, including those to states already reached
     transitions: int
-    #: number of steps to the farthest state
+    #: number of steps from an initial state to the last state visited
     depth: int
     #: whether every state within the bounds of the model was visited
     complete: bool
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutation:
-    """A guard that is taken out: ``owner.attribute`` becomes ``replacement``."""
+    """A disabled guard: ``owner.attribute`` is replaced by ``replacement``."""
 
     name: str
     owner: Any
@@ -103,9 +103,9 @@
     max_states: int = DEFAULT_MAX_STATES,
     max_depth: int | None = None,
 ) -> Exploration:
-    """Visit all states breadth first, up to the first violation.
+    """Visit all states in breadth-first order, up to the first violation.
 
-    The result is not ``complete`` if ``max_states`` or ``max_depth`` cut it short.
+    The result is not ``complete`` if ``max_states`` or ``max_depth`` was reached.
     """
     parents: dict[S, tuple[S, str] | None] = {}
     queue: deque[tuple[S, int]] = deque()
@@ -162,13 +162,13 @@
     *,
     max_states: int = DEFAULT_MAX_STATES,
 ) -> dict[str, Exploration]:
-    """Explore once for each mutation, and return the results by its name.
+    """Explore once for each mutation and return the results by its name.
 
-    A mutation without a violation is a guard whose loss nobody would notice.
+    A mutation without a violation means that the model does not test that guard.
     """
     results = {}
     for mutation in mutations:
-        # patching checks that the attribute exists: a renamed guard is an error here
+        # patch.object raises AttributeError if the guard has been renamed
         with mock.patch.object(
             mutation.owner, mutation.attribute, mutation.replacement
         ):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/halting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/halting.py
@@ -1,10 +1,10 @@
-"""A daemon that halts itself at the worst moment of its first order.
+"""A daemon that stops itself with SIGSTOP while it sends its first order.
 
 Run as ``python -m greengagelatch_lab.halting --halt before|after ARGUMENTS`` with the
-daemon's own arguments: it halts right before or right after the check that is made
-before the first byte of the order, and prints ``halted`` just before that. Whoever
-started it lets it go on. A process that is halted from outside is hardly ever caught
-between these two.
+daemon's own arguments. It halts immediately before or after the check that precedes
+the first byte of the order, and prints ``halted`` before it does. The process that
+started it resumes it with SIGCONT. A signal from another process would hardly ever
+arrive between the check and the first byte.
 """
 
 from __future__ import annotations
@@ -25,15 +25,16 @@
 
 __all__ = ("HALTED", "main")
 
-#: line printed before the process halts
+#: line that is printed before the process halts
 HALTED = "halted"
 
+#: when to halt, relative to the check of the order
 BEFORE = "before"
 AFTER = "after"
 
 
 class _HaltingClient(HttpOrderClient):
-    """Halts the process once, at the check of the first order."""
+    """Sends orders, and halts the process once at the check of the first one."""
 
     moment = BEFORE
     halted = False
@@ -60,12 +61,12 @@
 
 
 def main() -> int:
-    """Run the daemon with a client that halts; return its exit code."""
+    """Run the daemon with a client that halts the process; return the exit code."""
     parser = argparse.ArgumentParser(description=main.__doc__, allow_abbrev=False)
     parser.add_argument("--halt", choices=(BEFORE, AFTER), required=True)
     options, rest = parser.parse_known_args()
     _HaltingClient.moment = options.halt
-    # the composition root wires the real parts; only this one is exchanged
+    # all other components are the production ones
     composition.HttpOrderClient = _HaltingClient
     sys.argv[1:] = rest
     return run_daemon()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/log_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/log_cost.py
@@ -1,7 +1,7 @@
-"""Measures what the log of one request costs on each level.
+"""Measures the cost of logging one request at each log level.
 
-Run as ``python -m greengagelatch_lab.log_cost``. Lines go to a pipe, as the standard
-output of a daemon does; it is emptied between two batches, outside the time taken.
+Run as ``python -m greengagelatch_lab.log_cost``. Lines are written to a pipe, like the
+standard output of a daemon; it is read between batches, outside the measured time.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 
 ROUNDS = 7
 BATCHES = 400
-#: requests between two times that the pipe is emptied; their lines fit into it
+#: requests logged before the pipe is read; their lines fit into its buffer
 BATCH = 10
 STAGES = ("encode", "retrieve", "rerank", "generate")
 
+#: upper bound of one read from the pipe, in bytes
 READ_SIZE = 1 << 17
 
 
 def main() -> None:
-    """Print one line for each level."""
+    """Print one line for each log level."""
     print("level      us/request   best  bytes/request  lines/request  dropped")
     for level in LogLevel:
         print(_describe(level))
@@ -55,7 +56,7 @@
 
 
 def _run_round(log: RequestLog, reader: int) -> tuple[float, int]:
-    """Return seconds for each request, and the bytes logged."""
+    """Return the processor seconds per request and the number of bytes logged."""
     spent = 0.0
     received = 0
     for batch in range(BATCHES):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/__init__.py
@@ -1,10 +1,9 @@
-"""Model of orders to one engine: every interleaving of two contenders and faults.
+"""State-space model of orders to one engine by two lease contenders.
 
-The decisions are those of the real code in :mod:`greengagelatch.leases` and
+The decisions are those of the production code in :mod:`greengagelatch.leases` and
 :mod:`greengagelatch.orders`; the model adds clocks, the network, the store, the engine
-and what may go wrong. Time passes in whole ticks between any two steps. A process that
-is paused is one that takes no step while ticks pass, so pauses need no step of their
-own.
+and faults. Time advances in whole ticks between steps. A paused process is one that
+takes no step while time advances, so pauses need no step of their own.
 """
 
 from __future__ import annotations
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -1,4 +1,4 @@
-"""Steps of the model of orders to one engine, and what must never be the case."""
+"""Steps and invariants of the model of orders to one engine."""
 
 from __future__ import annotations
 
@@ -38,15 +38,15 @@
 
 __all__ = ("OrdersModel",)
 
-#: ticks within which the engine has carried out an order that has reached it
+#: ticks within which the engine executes an order that it has received
 DURATION = 1
-#: ticks between two readings; those of an unsettled order are five times as frequent
+#: ticks between reads of the engine; five times as frequent for an unsettled order
 READ_INTERVAL = 5.0
 
-#: enough for a clock that runs at three quarters of the right speed
+#: the margin covers a clock that runs at three quarters of the correct speed
 LEASE_RULES = LeaseRules(ttl=TTL, margin=1.0)
 
-#: calls whose number in one run is bounded, by the name of the bound
+#: lease calls whose number is bounded, with the field of the budget
 BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "keeps"}
 
 LOST = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
@@ -54,16 +54,16 @@
 
 
 class OrdersModel(Model[OrdersWorld]):
-    """Two contenders for one lease, and the engine that both want to order about.
-
-    :param speeds: speed of each contender's clock; 1 is right
-    :param fencing: what the instances take the engine to do about old numbers
-    :param checks: whether it does refuse them; by default as it is taken to do
-    :param delivery: ticks within which an order has reached the engine, or never does
-    :param holding: whether the first contender holds the lease at the beginning;
-        else both are about to ask for it
-    :param slow_calls: whether time may pass during a call to the store
-    :param orders: whether orders are given; leases alone can be explored farther
+    """Two contenders for one lease, and the engine to which its holder sends orders.
+
+    :param speeds: rate of each contender's clock; 1 is correct
+    :param fencing: whether the instances assume that the engine checks fencing tokens
+    :param checks: whether the engine does check them; by default as assumed
+    :param delivery: ticks within which an order reaches the engine, unless it is lost
+    :param holding: whether the first contender initially holds the lease; otherwise
+        both are about to acquire it
+    :param slow_calls: whether time may advance during a call to the store
+    :param orders: whether orders are sent; leases alone can be explored further
     """
 
     def __init__(
@@ -105,7 +105,7 @@
                 world = self._begin(world, 0, LeaseIntent.HOLD)
                 world = self._handle(world, 0)
                 world = self._answer(world, 0, world.contenders[0].call.answer)
-            # the former holder's time is not what this run is about
+            # held for long, so that orders of an earlier holder cannot interfere
             holder = world.contenders[0]
             tenure = dataclasses.replace(holder.tenure, acquired=-100.0)
             world = put_contender(world, 0, dataclasses.replace(holder, tenure=tenure))
@@ -123,12 +123,12 @@
             if state.budget.crashes:
                 dead = dataclasses.replace(contender, alive=False, call=None)
                 spent = spend(state, "crashes")
-                yield f"{number} dies", put_contender(spent, number, dead)
+                yield f"{number} crashes", put_contender(spent, number, dead)
         yield from self._step_engine(state)
         for call in state.late:
             rest = tuple(one for one in state.late if one is not call)
             store, _ = apply_call(state.store, call, state.time)
-            yield f"late {call.step.value}", state.change(store=store, late=rest)
+            yield f"delayed {call.step.value}", state.change(store=store, late=rest)
         if self._may_tick(state):
             yield "tick", self._tick(state)
 
@@ -150,7 +150,7 @@
         return Instant(own, own)
 
     def _may_tick(self, state: OrdersWorld) -> bool:
-        """Whether time may pass: not beyond the end of what must happen by now."""
+        """Whether time may advance: not past the end of a pending delivery."""
         if state.time >= state.budget.ticks:
             return False
         engine = state.engine
@@ -198,7 +198,7 @@
         begun = self._begin(state, number, LeaseIntent.HOLD)
         step = begun.contenders[number].tenure.step
         if step is LeaseStep.CHECK and state.store.revision != ABSENT:
-            # it would find a holder and look again later, as if it had not looked
+            # the check would find a holder and only be repeated later
             return
         name = BUDGETED.get(step)
         if name is not None:
@@ -209,7 +209,10 @@
         busy = contender.awaited or contender.planned or contender.record.unsettled
         if state.budget.let_go and contender.tenure.held and not busy:
             spent = spend(state, "let_go")
-            yield f"{number} lets go", self._begin(spent, number, LeaseIntent.RELEASE)
+            yield (
+                f"{number} releases the lease",
+                self._begin(spent, number, LeaseIntent.RELEASE),
+            )
 
     def _begin(self, state: OrdersWorld, number: int, wish: LeaseIntent) -> OrdersWorld:
         contender = state.contenders[number]
@@ -246,7 +249,7 @@
                 after = tenure.handle_revoke(now)
         if after.held and not tenure.held:
             if after.fence <= state.fence:
-                state = state.change(fault="a fencing number is not a higher one")
+                state = state.change(fault="a fencing token did not increase")
             state = state.change(fence=max(state.fence, after.fence))
         return self._change_tenure(state, number, after, None)
 
@@ -287,7 +290,7 @@
             report = EngineReport(state.engine.state, state.engine.fence)
             record = contender.record.record_report(now.monotonic, report, self._rules)
             read = dataclasses.replace(contender, record=record)
-            yield f"{number} reads", put_contender(state, number, read)
+            yield f"{number} reads the engine", put_contender(state, number, read)
         if action is EngineAction.ORDER:
             planned = dataclasses.replace(
                 contender, planned=Order(tenure.fence, wanted)
@@ -310,7 +313,7 @@
         engine = state.engine
         under_way = (*engine.on_wire, *engine.running)
         if any(delivery.order == order for delivery in under_way):
-            state = state.change(fault="an order was repeated while it was under way")
+            state = state.change(fault="an order was sent again while it was in flight")
         delivery = Delivery(order, number, state.time + self._delivery)
         engine = dataclasses.replace(engine, on_wire=(*engine.on_wire, delivery))
         sent = dataclasses.replace(
@@ -331,7 +334,7 @@
             return
         record = contender.record.record_lost_answer(now)
         given_up = dataclasses.replace(contender, awaited=None, record=record)
-        yield f"{number} stops waiting", put_contender(state, number, given_up)
+        yield f"{number} times out", put_contender(state, number, given_up)
 
     # the engine
 
@@ -350,10 +353,10 @@
             moved = dataclasses.replace(engine, running=rest)
             name = f"{delivery.sender}'s order"
             done = self._carry_out(state, moved, delivery)
-            yield f"{name} is carried out", self._tell(done, delivery, old=False)
+            yield f"{name} is executed", self._tell(done, delivery, old=False)
             if state.budget.lost_orders:
                 lost = spend(done, "lost_orders")
-                yield f"{name} is carried out, the answer is lost", lost
+                yield f"{name} is executed, the answer is lost", lost
 
     def _arrive(
         self, state: OrdersWorld, engine: Engine, delivery: Delivery
@@ -376,7 +379,9 @@
         if self._checks and order.fence < engine.highest:
             return state.change(engine=engine)
         if order.fence < engine.fence:
-            state = state.change(fault="a former holder's order was carried out last")
+            state = state.change(
+                fault="an order of a former holder was executed after a newer one"
+            )
         engine = dataclasses.replace(engine, state=order.desired, fence=order.fence)
         return state.change(engine=engine)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
@@ -1,4 +1,4 @@
-"""The store of the model of orders: one key, and leases it may be bound to."""
+"""The store of the orders model: one key, and the leases it may be bound to."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 __all__ = ("TTL", "apply_call", "drop_unbound")
 
 KEY = "leases/group"
-#: ticks for which the store keeps a lease
+#: time to live of a lease, in ticks
 TTL = 4
 
 GONE = Err(StoreError(StoreErrorKind.LEASE_GONE, ""))
@@ -31,7 +31,7 @@
 
 
 def drop_unbound(store: KeyValue) -> KeyValue:
-    """Let the key vanish with its lease; that is a write like any other."""
+    """Delete the key if its lease has ended; this counts as a write."""
     if not store.lease_id or store.lease_id in dict(store.leases):
         return store
     return dataclasses.replace(
@@ -40,7 +40,7 @@
 
 
 def apply_call(store: KeyValue, call: Call, time: int) -> tuple[KeyValue, Any]:
-    """Handle a call at the store; return the store after it and its answer."""
+    """Apply a call to the store; return the new store and the answer."""
     match call.step:
         case LeaseStep.CHECK | LeaseStep.VERIFY:
             entry = None
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -1,4 +1,4 @@
-"""State of the model of orders to one engine."""
+"""States of the model of orders to one engine."""
 
 from __future__ import annotations
 
@@ -29,26 +29,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Budget:
-    """How often each fault may happen in one run, and how long a run may be."""
+    """How often each fault may occur in one run, and how long a run may last."""
 
+    #: duration of a run
     ticks: int
-    #: leases asked of the store
+    #: leases requested from the store
     grants: int = 1
     #: renewals
     keeps: int = 0
-    #: calls to the store whose answer is lost; one that has not reached the store
-    #: may do so at any later time, or never
+    #: calls to the store whose answer is lost; a call that has not reached the
+    #: store may do so at any later time, or never
     lost_calls: int = 0
-    #: orders that are lost on their way, or whose answer is
+    #: orders that are lost in transit, or whose answer is lost
     lost_orders: int = 0
-    #: leases that are given up to another instance
+    #: leases that are released to another instance
     let_go: int = 0
     crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call to the store, and its answer once it was handled."""
+    """A call to the store, and its answer once the store has handled it."""
 
     step: LeaseStep
     lease_id: str
@@ -58,21 +59,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Contender:
-    """One entry instance."""
+    """An entry instance that contends for the lease."""
 
     tenure: LeaseState
     alive: bool = True
     call: Call | None = None
     record: EngineRecord = UNREAD
-    #: an order for which the connection is being made
+    #: order that is waiting for its connection
     planned: Order | None = None
-    #: an order whose answer is awaited
+    #: order whose answer is awaited
     awaited: Order | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """An order on its way, or being carried out, at the latest until ``until``."""
+    """An order in transit or being executed, until the tick ``until`` at the latest."""
 
     order: Order
     sender: int
@@ -81,10 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """The engine, with the orders on their way to it."""
+    """The engine, with the orders in transit to it."""
 
     state: EngineState = EMPTY
     fence: int = ABSENT
+    #: highest fencing token received; ``fence`` is that of the last order executed
     highest: int = ABSENT
     on_wire: tuple[Delivery, ...] = ()
     running: tuple[Delivery, ...] = ()
@@ -92,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """The store: one key, and leases with the tick at which each lapses."""
+    """The store: one key, and leases with the tick at which each expires."""
 
     value: bytes = b""
     revision: int = ABSENT
@@ -104,22 +106,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OrdersWorld:
-    """State of everything."""
+    """State of all contenders, the store, the engine and the time."""
 
     budget: Budget
     contenders: tuple[Contender, ...]
     store: KeyValue = KeyValue()
     engine: Engine = Engine()
     time: int = 0
-    #: calls whose sender has given up on the answer
+    #: calls whose sender no longer waits for the answer
     late: tuple[Call, ...] = ()
-    #: highest fencing number that a holder has had
+    #: highest fencing token that a holder has had
     fence: int = ABSENT
     fault: str = ""
     _hash: int = field(default=0, compare=False, repr=False)
 
     def __hash__(self) -> int:
-        # a state is looked up many times, and its parts are deep
+        # each state is looked up many times, and hashing its nested parts is slow
         if not self._hash:
             parts = tuple(
                 getattr(self, name) for name in OrdersWorld.__slots__ if name != "_hash"
@@ -133,13 +135,13 @@
 
 
 def put_contender(state: OrdersWorld, number: int, contender: Contender) -> OrdersWorld:
-    """Return the world with one contender exchanged."""
+    """Return a copy of the state with one contender replaced."""
     contenders = list(state.contenders)
     contenders[number] = contender
     return state.change(contenders=tuple(contenders))
 
 
 def spend(state: OrdersWorld, name: str) -> OrdersWorld:
-    """Return the world with one less left of a budgeted fault."""
+    """Return a copy of the state with the budget for a fault reduced by one."""
     left = getattr(state.budget, name) - 1
     return state.change(budget=dataclasses.replace(state.budget, **{name: left}))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
@@ -1,4 +1,4 @@
-"""Faults that strike a running fleet while its traffic is played."""
+"""Faults that are injected into a running fleet while it serves traffic."""
 
 from __future__ import annotations
 
@@ -16,41 +16,41 @@
 
 @dataclass(slots=True)
 class Scene:
-    """A fleet that serves, and what has struck it so far."""
+    """A running fleet, and the effects of the faults injected so far."""
 
     playing: Playing
     random_source: random.Random
-    #: entry instances whose callers may see a connection end or stay silent
+    #: entry instances whose callers may see a disconnected or silent connection
     struck: set[str] = field(default_factory=set)
-    #: promises that a fault found broken by itself
+    #: violations of guarantees that a fault detected itself
     broken: list[str] = field(default_factory=list)
 
     def pick_daemon(self) -> Daemon:
-        """Return a random entry instance, which counts as struck from now on."""
+        """Return a random entry instance and record that a fault affects it."""
         daemon = self.random_source.choice(self.playing.runner.daemons)
         self.struck.add(daemon.instance_id)
         return daemon
 
 
 class Fault(ABC):
-    """Something that goes wrong for a while."""
+    """A fault that is injected for a while."""
 
     #: name on the command line
     name: str = ""
-    #: data centre that is cut off at present; empty: none
+    #: data centre that is cut off at present; empty if none is
     cut_off: str = ""
 
     @abstractmethod
     async def begin(self, scene: Scene) -> None:
-        """Bring the fault about."""
+        """Inject the fault."""
 
     @abstractmethod
     async def end(self, scene: Scene) -> None:
-        """Mend what can be mended; a killed process stays dead."""
+        """Remove the fault; a killed process is not restarted."""
 
 
 class LastingFault(Fault):
-    """A fault that has no end of its own."""
+    """A fault whose effect is not removed."""
 
     async def end(self, scene: Scene) -> None:
         pass
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -1,10 +1,10 @@
-"""``python -m greengagelatch_lab.outages``: lets faults strike a fleet under load.
+"""``python -m greengagelatch_lab.outages``: injects faults into a fleet under load.
 
-Nine daemons serve the fleet's traffic while one fault after the other comes and goes.
-Each data centre has its own paths to the platform and to the other data centres. The
-exit status is 0 only if every promise was kept. Callers of an instance that was killed
-or stood still may see their connection end or stay silent meanwhile; nothing else is
-excused.
+Nine daemons serve the fleet's traffic while faults are injected and removed one after
+the other. Each data centre has its own network paths to the platform and to the other
+data centres. The exit status is 0 only if all guarantees held. Callers of an instance
+that was killed or paused may see their connection closed or silent meanwhile; no other
+violation is excused.
 """
 
 from __future__ import annotations
@@ -41,33 +41,34 @@
 
 __all__ = ("main",)
 
-#: seconds for which each fault lasts, and of quiet after each
+#: duration of each fault, and of the recovery time after it, in seconds
 FAULT_SECONDS = 5.0
 QUIET_SECONDS = 3.0
-#: seconds for which arrivals are drawn; they end with the last fault
+#: duration of the generated arrivals, in seconds; they end with the last fault
 LONGEST = 600.0
 
+#: violations that are allowed at an instance that a fault affected
 EXCUSED = (ViolationKind.CUT, ViolationKind.SILENT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Result:
-    """What the run showed."""
+    """Result of a run."""
 
     report: Report
     violations: Sequence[Violation]
     excused: int
     reverted: Sequence[str]
     late_work: Sequence[str]
-    #: promises that a fault found broken by itself
+    #: violations of guarantees that a fault detected itself
     broken: Sequence[str]
     sides: Sequence[Side]
-    #: times that an instance's generation was looked at
+    #: number of times that the generation of an instance was read
     looks: int
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether all guarantees held."""
         found = (*self.violations, *self.reverted, *self.late_work, *self.broken)
         return not found and self.looks > 0 and self.report.total.in_time > 0
 
@@ -87,7 +88,7 @@
 
 
 def main() -> int:
-    """Let faults strike a fleet; return 0 only if every promise was kept."""
+    """Inject faults into a fleet; return 0 only if all guarantees held."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--fleet", choices=sorted(FLEETS), default="luzon")
     parser.add_argument("--scale", type=float, default=1.0)
@@ -100,7 +101,7 @@
         try:
             result = run_tool(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
-            print(f"not measured: {error!r}\noutages FAILED")
+            print(f"run did not complete: {error!r}\noutages FAILED")
             return 1
     print(result.report.format())
     print(f"\n{'during':<20}{'callers of':<16}{'made':>6}{'in time':>9}  refusals")
@@ -165,7 +166,7 @@
 
 
 def _is_excused(violation: Violation, scene: Scene) -> bool:
-    """Whether a caller's connection ended because its instance was struck."""
+    """Whether a caller's connection failed because of a fault of its instance."""
     if violation.kind not in EXCUSED:
         return False
     for observation in scene.playing.run.observations:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/convergence.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/convergence.py
@@ -1,4 +1,4 @@
-"""Bounded waits until all instances agree."""
+"""Waits with a time-out until the instances have converged."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 
 __all__ = ("find_unjoined", "find_without", "read_generation")
 
-#: seconds allowed until a change is in force wherever word of it can get to
+#: time until a change must be in force at all reachable instances, in seconds
 IN_FORCE_TIMEOUT = 15.0
-#: the same until every instance sees every other one again
+#: time until every instance must see all others as alive again, in seconds
 JOINED_TIMEOUT = 45.0
+#: interval between polls, and time-out of each, in seconds
 POLL_INTERVAL = 0.2
 POLL_TIMEOUT = 2.0
+#: membership state of an instance that is seen as alive
 ALIVE = "alive"
 
 
 async def read_generation(daemon: Daemon) -> int:
-    """Return the generation that a daemon has in force."""
+    """Return the configuration generation that is in force at a daemon."""
     async with _open_session() as session:
         return (await _read_status(session, daemon))["generation"]
 
 
 async def find_without(daemons: Sequence[Daemon], generation: int) -> list[str]:
-    """Return the daemons that don't get ``generation`` in time."""
+    """Return the ids of daemons that do not reach ``generation`` in time."""
 
     def find_late(statuses: dict[str, dict[str, Any]]) -> list[str]:
         return [
@@ -43,7 +45,7 @@
 
 
 async def find_unjoined(daemons: Sequence[Daemon]) -> list[str]:
-    """Return ``A sees B as STATE`` of daemons that don't see each other in time."""
+    """Return ``A sees B: STATE`` for pairs that are not alive to each other in time."""
 
     def find_unseen(statuses: dict[str, dict[str, Any]]) -> list[str]:
         found = []
@@ -81,7 +83,7 @@
     statuses = {}
     for daemon, answer in zip(daemons, answers, strict=True):
         if isinstance(answer, aiohttp.ClientError | TimeoutError):
-            # it stands still or is gone: so far it agrees with nobody
+            # a daemon that is paused or gone counts as not converged
             continue
         if isinstance(answer, BaseException):
             raise answer
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
@@ -1,4 +1,4 @@
-"""The faults: of entry instances, targets, the platform and the operators."""
+"""Faults of entry instances, targets, the platform and operators."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 __all__ = ("FAULTS",)
 
-#: milliseconds by which a slow platform answers later
+#: additional latency of a slow platform, in milliseconds
 SLOW_MS = 400
-#: writes whose answers are lost
+#: number of writes whose answers are lost
 LOST_ANSWERS = 40
-#: changes that two operators make side by side
+#: number of changes that two operators make concurrently
 RACING_CHANGES = 6
-#: seconds allowed to a stand-in for taking over its faults
+#: time-out of the request that sets a simulated target's faults, in seconds
 CONTROL_TIMEOUT = 5.0
 
 
 class DaemonPaused(Fault):
-    """An entry instance stands still and then goes on as if nothing had been."""
+    """An entry instance is paused and later resumed."""
 
     name = "daemon-paused"
 
@@ -46,7 +46,7 @@
 
 
 class TargetSilent(Fault):
-    """A target's connections go silent for a while: the process stands still."""
+    """A target's connections go silent for a while, as its process is paused."""
 
     name = "target-silent"
 
@@ -63,7 +63,7 @@
 
 
 class TargetLeaving(LastingFault):
-    """A target says that it leaves; the list does not show it yet."""
+    """A target reports that it is leaving before the instance list shows it."""
 
     name = "target-leaving"
 
@@ -73,7 +73,7 @@
 
 
 class TargetsFailing(Fault):
-    """All targets refuse, fail, cross and cut a few calls."""
+    """All targets refuse, fail, mix up or disconnect a small share of calls."""
 
     name = "targets-failing"
     _RATES = ("refuse_rate", "fail_rate", "cross_rate", "cut_rate")
@@ -92,7 +92,7 @@
 
 
 class PlatformFault(Fault):
-    """The platform is out of order in one way."""
+    """A fault of the platform, set by its fault parameters."""
 
     def __init__(self, name: str, during: dict[str, Any], after: dict[str, Any]):
         self.name = name
@@ -107,7 +107,7 @@
 
 
 class OperatorsRacing(LastingFault):
-    """Two operators change labels at the same time, by different instances."""
+    """Two operators change labels concurrently through different instances."""
 
     name = "operators-racing"
 
@@ -123,7 +123,7 @@
             "label", "workspace", workspace, f"race=n{number}", "--wait"
         )
     except ProcessError as error:
-        # the loser of a race is told so; anything else is a fault of ours
+        # a change that loses the race is rejected as a conflict; other errors are real
         if "conflict" not in str(error):
             raise
 
@@ -138,7 +138,7 @@
         response.raise_for_status()
 
 
-#: by name, in the order in which they strike by default
+#: faults by name, in the default order of injection
 FAULTS: dict[str, Fault] = {
     fault.name: fault
     for fault in (
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -1,4 +1,4 @@
-"""Entry instances that die."""
+"""Faults that kill entry instances."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 __all__ = ("DaemonKilled", "HolderKilled")
 
-#: multiple of the usual time of a call, so that it lasts about 600 ms
+#: multiple of the usual duration of a call, so that it takes about 600 ms
 SIZE = 60
-#: seconds after a keyed request within which its instance is killed
+#: time after a keyed request within which its instance is killed, in seconds
 KILL_WITHIN = 0.6
-#: instances that are asked again at once
+#: number of instances at which the request is retried immediately
 REPEATS = 2
-#: index of the first arrival that a fault adds to those of the traffic
+#: index of the first arrival that is added to the generated traffic
 FIRST_INDEX = 1_000_000
 
 
 class DaemonKilled(LastingFault):
-    """An entry instance dies; another takes its place."""
+    """An entry instance is killed and replaced by another one."""
 
     name = "daemon-killed"
 
@@ -38,10 +38,10 @@
 
 
 class HolderKilled(LastingFault):
-    """An instance dies with a keyed request, which is asked for elsewhere at once.
+    """The holder of a keyed request is killed, and the request retried elsewhere.
 
-    The moment is random, so it may fall before the claim, between the claim and the
-    call, or into the call.
+    The moment is random: before the claim, between the claim and the call, or during
+    the call.
     """
 
     name = "holder-killed"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -1,4 +1,4 @@
-"""Faults of the paths between data centres, and to the platform."""
+"""Faults of the network paths between data centres and to the platform."""
 
 from __future__ import annotations
 
@@ -16,17 +16,19 @@
 
 __all__ = ("PARTITIONS",)
 
+#: paths between data centres
 CENTRES = (PathKind.PEER, PathKind.TARGET)
 
 
 class PathFault(Fault):
-    """Something is wrong with the paths of one data centre.
+    """The network paths of one data centre are cut.
 
-    While it is, a change is made elsewhere. It must be in force soon wherever word of
-    it can get to, and everywhere once the paths work again.
+    During the fault a configuration change is made in another data centre. It must be
+    in force in time wherever it can be propagated to, and everywhere once the paths
+    work again.
 
-    :param platform: whether the paths to the platform are concerned
-    :param kinds: paths between this data centre and the others that are concerned
+    :param platform: whether the paths to the platform are affected
+    :param kinds: affected kinds of paths between this data centre and the others
     """
 
     def __init__(
@@ -66,11 +68,11 @@
         self.cut_off = ""
 
     async def strike(self, path: Path) -> None:
-        """Bring the fault about on one path."""
+        """Inject the fault into one path."""
         await path.link.cut()
 
     def lets_news_pass(self) -> bool:
-        """Whether a change made elsewhere can get to the data centre meanwhile."""
+        """Whether changes still propagate to the data centre during the fault."""
         return not (self._platform and PathKind.PEER in self._kinds)
 
     def _find_paths(self, network: Network) -> list[Path]:
@@ -90,14 +92,14 @@
 
 
 class PathSilence(PathFault):
-    """The paths swallow all bytes, also those of new connections."""
+    """The paths drop all bytes, including those of new connections."""
 
     async def strike(self, path: Path) -> None:
         path.link.silence()
 
 
 class OpenSilence(PathFault):
-    """Open connections go silent for good, while new ones work."""
+    """Open connections go silent permanently, while new ones work."""
 
     async def strike(self, path: Path) -> None:
         path.link.silence(only_open=True)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -1,4 +1,4 @@
-"""Attainment during each fault, on either side of a cut."""
+"""Attainment during each fault, on each side of a partition."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 __all__ = ("Side", "Window", "measure_sides")
 
-#: names of sides other than a data centre
+#: names of sides that are not a single data centre
 ALL = "all"
 REST = "the others"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Window:
-    """When a fault was there, in seconds since the traffic began."""
+    """When a fault was active, in seconds since the traffic began."""
 
     fault: str
     begin: float
     end: float
-    #: data centre that was cut off; empty: none
+    #: data centre that was cut off; empty if none was
     data_centre: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Side:
-    """What became of the requests sent to one side during a fault."""
+    """Outcomes of the requests sent to one side during a fault."""
 
     fault: str
     name: str
     tally: Tally
 
     def format(self) -> str:
-        """Return a line of text."""
+        """Return the counts as a row of a text table."""
         refusals = ", ".join(
             f"{code} {count}" for code, count in sorted(self.tally.refusals.items())
         )
@@ -63,7 +63,7 @@
     observations: Iterable[Observation],
     places: Mapping[str, str],
 ) -> list[Side]:
-    """Count first sends by fault and by the side that they were sent to.
+    """Count first attempts by fault and by the side that they were sent to.
 
     :param places: data centre of each instance, by id
     """
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -1,4 +1,4 @@
-"""Starts of entry instances at a bad moment."""
+"""Starts of entry instances during an outage."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 __all__ = ("StartInOutage",)
 
-#: running instances whose addresses the new one is given
+#: number of running instances whose addresses the new one gets as seeds
 SEEDS = 2
 
 
 class StartInOutage(Fault):
-    """An instance starts while the platform, store and list, is down."""
+    """An instance starts while the platform's store and instance list are down."""
 
     name = "start-in-outage"
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/watch.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/watch.py
@@ -1,4 +1,4 @@
-"""Watches that run beside the traffic: generations, and work of leaving targets."""
+"""Checks of configuration generations and of calls to leaving targets."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 __all__ = ("GenerationWatch", "find_work_after_leaving")
 
+#: interval between polls, and time-out of each, in seconds
 POLL_INTERVAL = 0.2
 POLL_TIMEOUT = 1.0
-#: milliseconds after which a leaving target must get no new work
+#: time after which a leaving target must receive no new calls, in milliseconds
 LEAVING_BOUND_MS = 3000
 
 
 class GenerationWatch:
-    """Notes every instance whose configuration went back to an earlier generation."""
+    """Records instances whose configuration reverts to an earlier generation."""
 
     def __init__(self, runner: FleetRunner) -> None:
         self._runner = runner
@@ -28,7 +29,7 @@
         self.looks = 0
 
     async def run(self) -> None:
-        """Look at all instances until cancelled."""
+        """Poll all instances until cancelled."""
         timeout = aiohttp.ClientTimeout(total=POLL_TIMEOUT)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
@@ -53,7 +54,7 @@
 
 
 async def find_work_after_leaving(runner: FleetRunner) -> list[str]:
-    """Return the runs that leaving targets began too late."""
+    """Return the calls that targets started too long after they began to leave."""
     found = []
     async with aiohttp.ClientSession() as session:
         for target in runner.targets:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/pages.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/pages.py
@@ -1,7 +1,7 @@
-"""Pages made from the code: settings and metrics.
+"""Generates the reference pages of settings and metrics from the code.
 
 Run as ``python -m greengagelatch_lab.pages DIRECTORY``; the pages are committed, and
-a test compares them with what this module makes.
+a test compares them with the output of this module.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 NOTICE = "This page is made from the code by `make docs`; change the code instead."
 
-#: methods of the metrics that take a name, and what they report
+#: methods that report a metric, with the kind of metric
 METHODS = {"count": "counter", "gauge": "gauge", "timing": "timer, ms"}
 
-#: stands for the part of a name that is known only while running
+#: placeholder for a part of a metric's name that is known only at run time
 VARIABLE_PART = "*"
 
 
 def main() -> None:
-    """Write all pages to the directory given on the command line."""
+    """Write all pages to the directory named on the command line."""
     directory = Path(sys.argv[1])
     for name, render in PAGES.items():
         (directory / name).write_text(render(), encoding="utf-8")
 
 
 def render_settings() -> str:
-    """Return the page of settings."""
+    """Return the reference page of settings as Markdown."""
     lines = [
         "# Settings",
         "",
@@ -61,7 +61,7 @@
 
 
 def render_metrics() -> str:
-    """Return the page of metrics."""
+    """Return the reference page of metrics as Markdown."""
     root = Path(greengagelatch_entry.__file__).parent
     found: dict[tuple[str, str], set[str]] = defaultdict(set)
     for path in sorted(root.rglob("*.py")):
@@ -131,7 +131,7 @@
 
 
 def _find_metrics(tree: ast.Module) -> Iterator[tuple[str, str]]:
-    """Yield name and kind of every metric that a module reports."""
+    """Yield the name and the kind of each metric that a module reports."""
     constants = _collect_constants(tree)
     for node in ast.walk(tree):
         if not isinstance(node, ast.Call) or not node.args:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/processes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/processes.py
@@ -1,4 +1,4 @@
-"""Processes that tests and experiments start, and always end."""
+"""Child processes of tests and experiments, with guaranteed cleanup."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 __all__ = ("Process", "ProcessError", "ProcessGroup")
 
-#: first word of the line that a process prints once it takes connections
+#: prefix of the line that a process prints once it accepts connections
 READY = "ready "
-#: seconds allowed for a start, and for a planned stop
+#: time allowed for a start and for a graceful stop, in seconds
 START_TIMEOUT = 20.0
 STOP_TIMEOUT = 10.0
-#: seconds between two looks at the output of a starting process
+#: interval between checks of a starting process's output, in seconds
 POLL_INTERVAL = 0.02
-#: characters of output shown in errors
+#: number of characters of output that error messages contain
 TAIL = 2000
 
 
 class ProcessError(RuntimeError):
-    """A process did not start, or did not stop in time."""
+    """A process did not start, or did not exit in time."""
 
 
 class Process:
-    """One process, with its output in files.
+    """A child process whose output is written to files.
 
-    The output goes to files and not to pipes: a pipe that nobody reads while the
-    test is busy would fill up and stop the process.
+    A pipe that is not read while the test is busy would fill up and block the
+    process.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         environment: Mapping[str, str] | None = None,
     ) -> None:
         self.name = name
-        #: rest of the ``ready`` line, ``host:port`` of stand-ins
+        #: rest of the ``ready`` line, such as ``host:port``
         self.ready = ""
         self.stdout = directory / f"{name}.out"
         self.stderr = directory / f"{name}.err"
@@ -59,13 +59,13 @@
         directory: Path,
         environment: Mapping[str, str] | None = None,
     ) -> Process:
-        """Return a process, not yet started, that runs a Python module."""
+        """Create a process that runs a Python module, without starting it."""
         command = (sys.executable, "-m", module, *arguments)
         return cls(name, *command, directory=directory, environment=environment)
 
     @property
     def pid(self) -> int:
-        """Id of the running process."""
+        """Process id."""
         return self._get().pid
 
     @property
@@ -87,39 +87,39 @@
             async with asyncio.timeout(timeout):
                 await self._wait_ready()
         except TimeoutError:
-            msg = f"{self.name} not ready in {timeout} s: {self.tail()}"
+            msg = f"process {self.name} not ready within {timeout} s: {self.tail()}"
             raise ProcessError(msg) from None
 
     def terminate(self) -> None:
-        """Ask the process to stop, as before a planned replacement."""
+        """Send SIGTERM, as before a planned replacement."""
         self._send(signal.SIGTERM)
 
     def kill(self) -> None:
-        """End the process at once, as a crash does."""
+        """Send SIGKILL, to simulate a crash."""
         self._send(signal.SIGKILL)
 
     def pause(self) -> None:
-        """Halt the process; its connections stay open and go silent."""
+        """Send SIGSTOP; the connections of the process stay open but go silent."""
         self._send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a halted process go on."""
+        """Send SIGCONT to a paused process."""
         self._send(signal.SIGCONT)
 
     async def wait(self, timeout: float = STOP_TIMEOUT) -> int:
-        """Wait for the process's end and return its exit status."""
+        """Wait until the process exits and return its exit status."""
         try:
             async with asyncio.timeout(timeout):
                 return await self._get().wait()
         except TimeoutError:
-            msg = f"{self.name} did not end in {timeout} s: {self.tail()}"
+            msg = f"process {self.name} did not exit within {timeout} s: {self.tail()}"
             raise ProcessError(msg) from None
 
     async def stop(self, timeout: float = STOP_TIMEOUT) -> None:
-        """End the process, by force if need be; does nothing once it has ended."""
+        """Stop the process, with SIGKILL after ``timeout``, unless it has exited."""
         if self._process is None or self._process.returncode is not None:
             return
-        # a halted process would not see the request to stop
+        # a paused process does not handle SIGTERM until it is resumed
         self.resume()
         self.terminate()
         try:
@@ -129,7 +129,7 @@
             await self._process.wait()
 
     def tail(self) -> str:
-        """Return the end of the process's output."""
+        """Return the last part of the process's output, for error messages."""
         text = self.stdout.read_text(errors="replace")
         return (text + self.stderr.read_text(errors="replace"))[-TAIL:]
 
@@ -157,7 +157,10 @@
             if self.ready:
                 return
             if ended:
-                msg = f"{self.name} ended with {process.returncode}: {self.tail()}"
+                msg = (
+                    f"process {self.name} exited with status {process.returncode}"
+                    f" before it was ready: {self.tail()}"
+                )
                 raise ProcessError(msg)
             await asyncio.sleep(POLL_INTERVAL)
 
@@ -174,12 +177,12 @@
 
     def _get(self) -> asyncio.subprocess.Process:
         if self._process is None:
-            raise ProcessError(f"{self.name} was not started")
+            raise ProcessError(f"process {self.name} was not started")
         return self._process
 
 
 class ProcessGroup:
-    """Processes that are ended together, in reverse order of their start."""
+    """Processes that are stopped together, in reverse order of their start."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -194,7 +197,7 @@
     ) -> Process:
         """Start a Python module and wait until it is ready.
 
-        Several starts may be awaited side by side.
+        Several processes may be started concurrently.
         """
         process = Process.run_module(
             name,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -1,8 +1,9 @@
-"""``python -m greengagelatch_lab.rolling``: replaces every daemon under load.
+"""``python -m greengagelatch_lab.rolling``: rolling restart of a fleet under load.
 
-One after the other, each daemon is told to stop while a replacement with a new id
-starts; the platform's list shows both with a lag. The exit status is 0 only if every
-daemon was replaced, each stopped cleanly, and every answer kept every promise.
+The daemons are replaced one after the other: each is told to stop while a replacement
+with a new id starts, and the platform's instance list shows both changes with a delay.
+The exit status is 0 only if every daemon was replaced, each stopped cleanly, and all
+answers met the guarantees.
 """
 
 from __future__ import annotations
@@ -30,16 +31,16 @@
 
 __all__ = ("main",)
 
-#: seconds by which the platform's list lags
+#: delay of the platform's instance list, in seconds
 LIST_LAG = 2.0
-#: seconds of traffic before the first stop and after the last one
+#: duration of traffic before the first stop and after the last one, in seconds
 MARGIN = 3.0
-#: seconds for which arrivals are drawn; they end with the last replacement
+#: duration of the generated arrivals, in seconds; they end with the last replacement
 LONGEST = 300.0
 
 
 def main() -> int:
-    """Replace all daemons of a fleet; return 0 only if every promise was kept."""
+    """Replace all daemons of a fleet; return 0 only if all guarantees held."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--fleet", choices=sorted(FLEETS), default="luzon")
     parser.add_argument("--scale", type=float, default=1.0)
@@ -51,7 +52,7 @@
         try:
             report, statuses = run_tool(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
-            print(f"not measured: {error!r}\nrolling restart FAILED")
+            print(f"run did not complete: {error!r}\nrolling restart FAILED")
             return 1
     print(report.format())
     passed = report.kept and report.total.in_time > 0 and not any(statuses)
@@ -87,7 +88,7 @@
 
 
 async def _replace(playing: Playing, daemon: Daemon) -> int:
-    """Replace one daemon as the platform would; return its exit status."""
+    """Replace one daemon, as the platform does, and return its exit status."""
     runner = playing.runner
     old = daemon.entry
     await runner.registry.put([daemon.describe("leaving")])
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/scripted.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/scripted.py
@@ -1,4 +1,4 @@
-"""Targets in memory: a fixed directory, and a client whose answers are scripted."""
+"""In-memory test doubles: target directory, dispatcher and target client."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 __all__ = ("CountingDispatcher", "FixedDirectory", "ScriptedClient")
 
-#: what a scripted target does with a call
+#: produces the result of a call to a target
 Script = Callable[
     [Target, StageCall, TokenListener | None],
     Awaitable[Result[StageAnswer, CallFailure]],
@@ -29,12 +29,12 @@
 
 
 class FixedDirectory(TargetDirectory):
-    """The same targets all the time, except for those that leave."""
+    """A directory with a fixed set of targets, which may be marked as leaving."""
 
     def __init__(self, targets: Iterable[Target]) -> None:
         self._targets = tuple(targets)
         self.leaving: set[str] = set()
-        #: answers and failures to connect that were noted
+        #: number of recorded calls by target and by whether it answered
         self.calls: Counter[tuple[str, bool]] = Counter()
 
     def candidates(self, service: str) -> tuple[Candidate, ...]:
@@ -55,9 +55,9 @@
 
 
 class CountingDispatcher(Dispatcher):
-    """Passes everything on and keeps grants, so that a leak can be seen.
+    """Wraps a dispatcher and records tickets and grants, to detect leaked grants.
 
-    :param before_grant: called before each grant is handed over
+    :param before_grant: called with the ticket before the result is returned
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._inner = inner
         self._before_grant = before_grant
         self.tickets: list[Ticket] = []
-        #: how often each grant was released
+        #: number of releases by grant id
         self.releases: Counter[int] = Counter()
         self.outcomes: list[Outcome] = []
         self.granted: set[int] = set()
@@ -86,17 +86,17 @@
         self._inner.release(grant, outcome)
 
     def find_leaks(self) -> list[int]:
-        """Return the grants that were not released exactly once."""
+        """Return the ids of the grants that were not released exactly once."""
         return [number for number in self.granted if self.releases[number] != 1]
 
 
 class ScriptedClient(TargetClient):
-    """Answers calls as ``script`` says and remembers them."""
+    """Records calls and answers them by ``script``."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self.calls: list[tuple[Target, StageCall]] = []
-        #: ids of attempts whose cancellation was asked for
+        #: ids of the attempts whose cancellation was requested
         self.cancelled: list[str] = []
 
     async def call(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/waiting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/waiting.py
@@ -1,4 +1,4 @@
-"""Bounded waits on conditions, for tests and tools."""
+"""Polling with a time-out, for tests and tools."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 __all__ = ("wait_until",)
 
-#: seconds between two looks at a condition
+#: interval between two checks of a condition, in seconds
 POLL_INTERVAL = 0.01
 
 
 async def wait_until(
     condition: Callable[[], bool], *, timeout: float = 20.0, what: str = "condition"
 ) -> None:
-    """Wait until ``condition`` holds.
+    """Poll until ``condition`` holds.
 
-    :raises TimeoutError: if it does not within ``timeout`` seconds.
+    :raises TimeoutError: if it does not hold within ``timeout`` seconds.
     """
     loop = asyncio.get_running_loop()
     end = loop.time() + timeout
-    # the condition is outside state that nothing announces: polling is meant
+    # changes of the observed state are not signalled, so it has to be polled
     while not condition():
         if loop.time() > end:
             msg = f"{what} did not hold within {timeout:g} s"
