--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -1,4 +1,4 @@
-"""Tests of the experiment on outages of the store, and of the cost of claims."""
+"""Tests of the simulation of store outages, and of the cost of claims."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 @pytest.mark.parametrize("way", WAYS, ids=lambda way: way.name)
 def test_only_running_without_a_claim_doubles(way):
-    """A first attempt runs without a claim, its repeat with one elsewhere."""
+    """Guards against policies that run a request twice during a partition.
+
+    The first attempt runs without a claim, and its retry runs with one at an instance
+    that reaches the store.
+    """
     report = Experiment(way, PARTIAL, 0).run()
     assert (report.doubled > 0) is way.run_first
 
--- a/tests/test_lab/test_explore.py
+++ b/tests/test_lab/test_explore.py
@@ -1,4 +1,4 @@
-"""Tests of the exhaustive exploration."""
+"""Tests of the explicit-state model checker."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def may_enter(inside: int) -> bool:
-    """Guard under test: at most one process inside."""
+    """Allow at most one process inside; this is the guard under test."""
     return inside == 0
 
 
 class Door(Model[tuple[int, int]]):
-    """Two processes enter and leave; the state counts who is inside and done."""
+    """Two processes that enter and leave; the state counts those inside and done."""
 
     def start(self) -> Iterable[tuple[int, int]]:
         return [(0, 0)]
--- a/tests/test_lab/test_pages.py
+++ b/tests/test_lab/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages made from the code."""
+"""Tests of the reference pages that are generated from the code."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @pytest.mark.parametrize("name", sorted(PAGES))
 def test_committed_pages_are_up_to_date(name):
-    """Symptom: an operator looks up a setting or metric that no longer exists.
+    """Guards against pages that list settings or metrics that no longer exist.
 
-    A change of the code left the page as it was. Cause: `make docs` was not run.
+    The pages become stale if `make docs` is not run after a change of the code.
     """
     committed = (DIRECTORY / name).read_text(encoding="utf-8")
     assert committed == PAGES[name](), "run make docs"
--- a/tests/test_lab/test_processes.py
+++ b/tests/test_lab/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of starting and ending processes."""
+"""Tests of starting and stopping processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def test_ready_line_is_awaited(tmp_path: Path) -> None:
     script = "print('begin'); print('ready 127.0.0.1:1', flush=True); input()"
     process = build_process(tmp_path, script + " or exit(3)")
-    # standard input is empty, so the child ends by itself
+    # standard input is empty, so the child exits by itself
     async with process:
         assert process.ready == "127.0.0.1:1"
         assert await process.wait() != 0
@@ -41,9 +41,9 @@
 
 
 async def test_halted_and_deaf_process_is_ended(tmp_path: Path) -> None:
-    """A test leaves a process behind, which disturbs all later ones.
+    """Guards against processes that outlive a failed test and disturb later ones.
 
-    The process was halted, or ignores the request to stop, when the test failed.
+    The process is paused and ignores SIGTERM.
     """
     script = (
         "import signal, time; signal.signal(signal.SIGTERM, signal.SIG_IGN);"
