--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -26,7 +26,7 @@
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
 
-__all__ = ("WAYS", "Experiment", "Report", "Trouble", "Way")
+__all__ = ("WAYS", "Experiment", "Report", "OutagePattern", "Way")
 
 DATA_CENTRES = 3
 INSTANCES = 9
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class OutagePattern:
     """When the store is unreachable: ``length`` seconds in every ``period``."""
 
     name: str
@@ -100,11 +100,11 @@
 )
 
 TROUBLES = (
-    Trouble("none"),
-    Trouble("1 s in 300 s", 1.0),
-    Trouble("4 s in 300 s", 4.0),
-    Trouble("60 s in 300 s", 60.0),
-    Trouble("one data centre, 60 s in 300 s", 60.0, partial=True),
+    OutagePattern("none"),
+    OutagePattern("1 s in 300 s", 1.0),
+    OutagePattern("4 s in 300 s", 4.0),
+    OutagePattern("60 s in 300 s", 60.0),
+    OutagePattern("one data centre, 60 s in 300 s", 60.0, partial=True),
 )
 
 
@@ -147,7 +147,7 @@
     """
 
     def __init__(
-        self, way: Way, trouble: Trouble, seed: int, *, repeats: bool = True
+        self, way: Way, trouble: OutagePattern, seed: int, *, repeats: bool = True
     ) -> None:
         self._way = way
         self._repeats = repeats
@@ -362,7 +362,9 @@
         print(_format_row(callers, trouble, way, reports), flush=True)
 
 
-def _format_row(callers: str, trouble: Trouble, way: Way, reports: list[Report]) -> str:
+def _format_row(
+    callers: str, trouble: OutagePattern, way: Way, reports: list[Report]
+) -> str:
     requests = sum(report.requests for report in reports)
     attained = sum(report.attained for report in reports) / requests
     cells = (
--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -5,9 +5,9 @@
 import pytest
 
 from greengagelatch_lab.claims_cost import measure
-from greengagelatch_lab.claims_outage import WAYS, Experiment, Trouble
+from greengagelatch_lab.claims_outage import WAYS, Experiment, OutagePattern
 
-PARTIAL = Trouble("one data centre", 60.0, partial=True)
+PARTIAL = OutagePattern("one data centre", 60.0, partial=True)
 
 
 @pytest.mark.parametrize("way", WAYS, ids=lambda way: way.name)
