--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -26,7 +26,7 @@
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
 
-__all__ = ("WAYS", "Experiment", "Report", "OutagePattern", "Way")
+__all__ = ("WAYS", "Experiment", "Report", "OutagePattern", "KeyedRequestPolicy")
 
 DATA_CENTRES = 3
 INSTANCES = 9
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class KeyedRequestPolicy:
     """A policy for keyed requests.
 
     :param run_first: run a declared first attempt even if it cannot be claimed
@@ -88,10 +88,10 @@
 
 
 WAYS = (
-    Way("refuse at once", ImmediateRefusal()),
-    Way("refuse later", RetryThenRefuse()),
-    Way("run first attempts", ImmediateRefusal(), run_first=True),
-    Way(
+    KeyedRequestPolicy("refuse at once", ImmediateRefusal()),
+    KeyedRequestPolicy("refuse later", RetryThenRefuse()),
+    KeyedRequestPolicy("run first attempts", ImmediateRefusal(), run_first=True),
+    KeyedRequestPolicy(
         "run first attempts, never unrecorded repeats",
         ImmediateRefusal(),
         run_first=True,
@@ -147,7 +147,12 @@
     """
 
     def __init__(
-        self, way: Way, trouble: OutagePattern, seed: int, *, repeats: bool = True
+        self,
+        way: KeyedRequestPolicy,
+        trouble: OutagePattern,
+        seed: int,
+        *,
+        repeats: bool = True,
     ) -> None:
         self._way = way
         self._repeats = repeats
@@ -363,7 +368,7 @@
 
 
 def _format_row(
-    callers: str, trouble: OutagePattern, way: Way, reports: list[Report]
+    callers: str, trouble: OutagePattern, way: KeyedRequestPolicy, reports: list[Report]
 ) -> str:
     requests = sum(report.requests for report in reports)
     attained = sum(report.attained for report in reports) / requests
