--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -26,7 +26,7 @@
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
 
-__all__ = ("WAYS", "Experiment", "Report", "OutagePattern", "KeyedRequestPolicy")
+__all__ = ("POLICIES", "Experiment", "Report", "OutagePattern", "KeyedRequestPolicy")
 
 DATA_CENTRES = 3
 INSTANCES = 9
@@ -87,7 +87,7 @@
     strict: bool = False
 
 
-WAYS = (
+POLICIES = (
     KeyedRequestPolicy("refuse at once", ImmediateRefusal()),
     KeyedRequestPolicy("refuse later", RetryThenRefuse()),
     KeyedRequestPolicy("run first attempts", ImmediateRefusal(), run_first=True),
@@ -358,7 +358,7 @@
     print("| callers | store unreachable | policy | attained | may have run", end="")
     print(" | run twice | false not-run |")
     print("|---|---|---|---|---|---|---|")
-    for repeats, trouble, way in itertools.product((True, False), TROUBLES, WAYS):
+    for repeats, trouble, way in itertools.product((True, False), TROUBLES, POLICIES):
         reports = [
             Experiment(way, trouble, seed, repeats=repeats).run()
             for seed in range(options.seeds)
--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -5,12 +5,12 @@
 import pytest
 
 from greengagelatch_lab.claims_cost import measure
-from greengagelatch_lab.claims_outage import WAYS, Experiment, OutagePattern
+from greengagelatch_lab.claims_outage import POLICIES, Experiment, OutagePattern
 
 PARTIAL = OutagePattern("one data centre", 60.0, partial=True)
 
 
-@pytest.mark.parametrize("way", WAYS, ids=lambda way: way.name)
+@pytest.mark.parametrize("way", POLICIES, ids=lambda way: way.name)
 def test_only_running_without_a_claim_doubles(way):
     """Guards against policies that run a request twice during a partition.
 
