--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -99,7 +99,7 @@
     ),
 )
 
-TROUBLES = (
+OUTAGE_PATTERNS = (
     OutagePattern("none"),
     OutagePattern("1 s in 300 s", 1.0),
     OutagePattern("4 s in 300 s", 4.0),
@@ -358,7 +358,9 @@
     print("| callers | store unreachable | policy | attained | may have run", end="")
     print(" | run twice | false not-run |")
     print("|---|---|---|---|---|---|---|")
-    for repeats, trouble, way in itertools.product((True, False), TROUBLES, POLICIES):
+    for repeats, trouble, way in itertools.product(
+        (True, False), OUTAGE_PATTERNS, POLICIES
+    ):
         reports = [
             Experiment(way, trouble, seed, repeats=repeats).run()
             for seed in range(options.seeds)
