--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -26,7 +26,13 @@
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
 
-__all__ = ("POLICIES", "Experiment", "Report", "OutagePattern", "KeyedRequestPolicy")
+__all__ = (
+    "POLICIES",
+    "OutageSimulation",
+    "Report",
+    "OutagePattern",
+    "KeyedRequestPolicy",
+)
 
 DATA_CENTRES = 3
 INSTANCES = 9
@@ -139,7 +145,7 @@
     local: dict[tuple[int, int], float] = field(default_factory=dict)
 
 
-class Experiment:
+class OutageSimulation:
     """One simulation of a policy under one outage pattern.
 
     :param repeats: whether callers retry by themselves; otherwise each sends one
@@ -362,7 +368,7 @@
         (True, False), OUTAGE_PATTERNS, POLICIES
     ):
         reports = [
-            Experiment(way, trouble, seed, repeats=repeats).run()
+            OutageSimulation(way, trouble, seed, repeats=repeats).run()
             for seed in range(options.seeds)
         ]
         callers = "retry" if repeats else "no retry"
--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -5,7 +5,7 @@
 import pytest
 
 from greengagelatch_lab.claims_cost import measure
-from greengagelatch_lab.claims_outage import POLICIES, Experiment, OutagePattern
+from greengagelatch_lab.claims_outage import POLICIES, OutagePattern, OutageSimulation
 
 PARTIAL = OutagePattern("one data centre", 60.0, partial=True)
 
@@ -17,7 +17,7 @@
     The first attempt runs without a claim, and its retry runs with one at an instance
     that reaches the store.
     """
-    report = Experiment(way, PARTIAL, 0).run()
+    report = OutageSimulation(way, PARTIAL, 0).run()
     assert (report.doubled > 0) is way.run_first
 
 
