--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -29,7 +29,7 @@
 __all__ = (
     "POLICIES",
     "OutageSimulation",
-    "Report",
+    "OutageReport",
     "OutagePattern",
     "KeyedRequestPolicy",
 )
@@ -115,7 +115,7 @@
 
 
 @dataclass(slots=True)
-class Report:
+class OutageReport:
     """Counts of requests by outcome."""
 
     requests: int = 0
@@ -172,9 +172,9 @@
         self._incarnations = Counter(range(INSTANCES))
         self._reached = [0.0] * INSTANCES
         self._requests: list[_Request] = []
-        self._report = Report()
+        self._report = OutageReport()
 
-    def run(self) -> Report:
+    def run(self) -> OutageReport:
         """Run the simulation and return its counts."""
         now = 0.0
         while now < DURATION:
@@ -376,7 +376,10 @@
 
 
 def _format_row(
-    callers: str, trouble: OutagePattern, way: KeyedRequestPolicy, reports: list[Report]
+    callers: str,
+    trouble: OutagePattern,
+    way: KeyedRequestPolicy,
+    reports: list[OutageReport],
 ) -> str:
     requests = sum(report.requests for report in reports)
     attained = sum(report.attained for report in reports) / requests
