--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -122,7 +122,7 @@
     #: requests that were answered with a result within their deadline
     attained: int = 0
     #: requests that ran more than once
-    doubled: int = 0
+    run_twice: int = 0
     #: answers "not run" for requests that had run, to attempts that their callers
     #: still awaited
     untrue: int = 0
@@ -194,7 +194,7 @@
             elif request.last_verdict is Verdict.MAY_HAVE_RUN:
                 report.unsettled += 1
             if request.runs > 1:
-                report.doubled += 1
+                report.run_twice += 1
         return report
 
     def _at(self, when: float, action: Callable[[], None]) -> None:
@@ -389,7 +389,7 @@
         way.name,
         f"{attained:.2%}",
         sum(report.unsettled for report in reports),
-        sum(report.doubled for report in reports),
+        sum(report.run_twice for report in reports),
         sum(report.untrue for report in reports),
     )
     return "| " + " | ".join(str(cell) for cell in cells) + " |"
--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -18,7 +18,7 @@
     that reaches the store.
     """
     report = OutageSimulation(way, PARTIAL, 0).run()
-    assert (report.doubled > 0) is way.run_first
+    assert (report.run_twice > 0) is way.run_first
 
 
 async def test_claims_of_one_shard_share_writes():
