--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -37,7 +37,7 @@
 
 from .explore import Model
 
-__all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "Seeker", "World")
+__all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "KeyedRequest", "World")
 
 #: wall-clock time in seconds; it does not advance, as expiry has tests of its own
 NOW = 1000
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seeker:
+class KeyedRequest:
     """A keyed request, and the instance at which it arrives."""
 
     instance: int
@@ -194,7 +194,7 @@
 
     def __init__(
         self,
-        seekers: tuple[Seeker, ...],
+        seekers: tuple[KeyedRequest, ...],
         *,
         writers: int,
         budget: Budget,
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -11,7 +11,7 @@
 from greengagelatch.claims.operations import Acquire, GiveBack
 from greengagelatch.claims.registry import AttemptState
 from greengagelatch_lab import claims_model
-from greengagelatch_lab.claims_model import OTHER_KEY, Budget, ClaimsModel, Seeker
+from greengagelatch_lab.claims_model import OTHER_KEY, Budget, ClaimsModel, KeyedRequest
 from greengagelatch_lab.explore import Mutation, explore, explore_mutations
 
 #: set to explore with larger fault budgets, which takes minutes
@@ -25,7 +25,7 @@
     """Two instances forward to a third one; answers are lost on both hops."""
     lost = 2 if LARGE else 1
     return ClaimsModel(
-        (Seeker(0, (2, 0)), Seeker(1, (2, 1))),
+        (KeyedRequest(0, (2, 0)), KeyedRequest(1, (2, 1))),
         writers=3,
         budget=Budget(lost_swaps=lost, timeouts=2),
     )
@@ -34,7 +34,7 @@
 def create_given_up() -> ClaimsModel:
     """Requests are abandoned while their claims are being acquired."""
     return ClaimsModel(
-        (Seeker(0, (1, 0)), Seeker(1, (1,))),
+        (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
         budget=Budget(give_ups=2, lost_swaps=1, timeouts=1 if LARGE else 0),
     )
@@ -43,7 +43,7 @@
 def create_given_back() -> ClaimsModel:
     """A claim is given back while other attempts acquire the key."""
     return ClaimsModel(
-        (Seeker(0, (1, 0)), Seeker(1, (1,))),
+        (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
         budget=Budget(not_run=1, lost_swaps=1, timeouts=1, resends=1),
     )
@@ -52,7 +52,7 @@
 def create_twice_given_back() -> ClaimsModel:
     """Three attempts; a give-back arrives late and is duplicated."""
     return ClaimsModel(
-        (Seeker(0, (0,)), Seeker(1, (1,)), Seeker(1, (0, 1))),
+        (KeyedRequest(0, (0,)), KeyedRequest(1, (1,)), KeyedRequest(1, (0, 1))),
         writers=2,
         budget=Budget(
             not_run=2 if LARGE else 1, resends=1, lost_swaps=1 if LARGE else 0
@@ -63,7 +63,7 @@
 def create_crashing() -> ClaimsModel:
     """An instance crashes at any moment."""
     return ClaimsModel(
-        (Seeker(0, (1, 0)), Seeker(1, (1,))),
+        (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
         budget=Budget(not_run=1, lost_swaps=1, timeouts=1, crashes=1),
     )
@@ -72,7 +72,7 @@
 def create_sealing() -> ClaimsModel:
     """Two writers seal every claim immediately, while answers are lost."""
     return ClaimsModel(
-        (Seeker(0, (0,)), Seeker(1, (1,))),
+        (KeyedRequest(0, (0,)), KeyedRequest(1, (1,))),
         writers=2,
         budget=Budget(not_run=1, lost_swaps=2 if LARGE else 1, refused_swaps=1),
         filler=True,
@@ -83,7 +83,11 @@
 def create_joining() -> ClaimsModel:
     """Segments are merged and the older ones deleted; two keys are used."""
     return ClaimsModel(
-        (Seeker(0, (0,)), Seeker(1, (1,)), Seeker(1, (1,), key=OTHER_KEY)),
+        (
+            KeyedRequest(0, (0,)),
+            KeyedRequest(1, (1,)),
+            KeyedRequest(1, (1,), key=OTHER_KEY),
+        ),
         writers=2,
         budget=Budget(not_run=1, lost_swaps=1 if LARGE else 0),
         filler=True,
@@ -94,7 +98,11 @@
 def create_reused() -> ClaimsModel:
     """The same key is used for two different requests."""
     return ClaimsModel(
-        (Seeker(0, (1, 0)), Seeker(0, (0,), OTHER), Seeker(1, (1,), OTHER)),
+        (
+            KeyedRequest(0, (1, 0)),
+            KeyedRequest(0, (0,), OTHER),
+            KeyedRequest(1, (1,), OTHER),
+        ),
         writers=2,
         budget=Budget(not_run=1, timeouts=1),
     )
@@ -189,7 +197,7 @@
 
     def create_model() -> ClaimsModel:
         return ClaimsModel(
-            (Seeker(0, (1, 0)), Seeker(1, (1,))),
+            (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
             writers=2,
             budget=Budget(give_ups=1, lost_swaps=1, resends=1),
         )
