--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Letter:
+class QueuedOperation:
     """An operation in transit to a writer, or waiting in its queue."""
 
     operation: Operation
@@ -119,8 +119,8 @@
     """The writer of the shard at one instance."""
 
     alive: bool = True
-    queue: tuple[Letter, ...] = ()
-    batch: tuple[Letter, ...] = ()
+    queue: tuple[QueuedOperation, ...] = ()
+    batch: tuple[QueuedOperation, ...] = ()
     commit: Commit | None = None
     view: ShardView | None = None
     segments: tuple[Any, ...] = ()
@@ -148,7 +148,7 @@
     entries: tuple[tuple[int, bytes, int], ...] = ()
     revision: int = 1
     #: operations in transit, each with its receiver
-    letters: frozenset[tuple[int, Letter]] = frozenset()
+    letters: frozenset[tuple[int, QueuedOperation]] = frozenset()
     #: writes that may still take effect, or never do
     late: tuple[LateSwap, ...] = ()
     #: requests that ran
@@ -344,7 +344,7 @@
                 tries = slot.tries + 1
                 slot = dataclasses.replace(slot, tries=tries, awaited=tries)
                 state = _put_slot(state, number, slot)
-                letter = Letter(current.operation, number, tries)
+                letter = QueuedOperation(current.operation, number, tries)
                 return self._post(
                     state, seeker.instance, int(current.candidate), letter
                 )
@@ -412,7 +412,7 @@
         if not doubtful:
             return state
         seeker = self._seekers[number]
-        letter = Letter(GiveBack(seeker.key, self._create_token(number)))
+        letter = QueuedOperation(GiveBack(seeker.key, self._create_token(number)))
         if state.budget.resends:
             state = state.change(budget=_spend(state.budget, "resends"))
             state = self._post(state, seeker.instance, seeker.writers[-1], letter)
@@ -423,12 +423,14 @@
 
     # writers
 
-    def _post(self, state: World, sender: int, receiver: int, letter: Letter) -> World:
+    def _post(
+        self, state: World, sender: int, receiver: int, letter: QueuedOperation
+    ) -> World:
         if sender == receiver:
             return self._enqueue(state, receiver, letter)
         return state.change(letters=state.letters | {(receiver, letter)})
 
-    def _enqueue(self, state: World, number: int, letter: Letter) -> World:
+    def _enqueue(self, state: World, number: int, letter: QueuedOperation) -> World:
         writer = state.writers[number]
         if not writer.alive:
             return state
@@ -541,7 +543,9 @@
             state = self._deliver(state, letter, result)
         return self._begin(state, number)
 
-    def _deliver(self, state: World, letter: Letter, result: OperationResult) -> World:
+    def _deliver(
+        self, state: World, letter: QueuedOperation, result: OperationResult
+    ) -> World:
         if letter.seeker < 0:
             if result.kind is ResultKind.GIVEN_BACK:
                 freed = state.freed | {letter.operation.token}
@@ -631,12 +635,12 @@
     return state.change(writers=writers)
 
 
-def _get_order(item: tuple[int, Letter]) -> tuple[int, ...]:
+def _get_order(item: tuple[int, QueuedOperation]) -> tuple[int, ...]:
     receiver, letter = item
     return receiver, letter.seeker, letter.number, letter.operation.token.serial
 
 
-def _name(letter: Letter) -> str:
+def _name(letter: QueuedOperation) -> str:
     if letter.seeker < 0:
         return f"give-back of attempt {letter.operation.token.serial}"
     return f"claim {letter.number} of request {letter.seeker}"
