--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Slot:
+class RequestState:
     """State of one request at its instance."""
 
     #: ``None`` before it has arrived
@@ -142,7 +142,7 @@
     """State of all requests, writers, messages and the store."""
 
     budget: Budget
-    slots: tuple[Slot, ...]
+    slots: tuple[RequestState, ...]
     writers: tuple[Writer, ...]
     #: entries of the store as number, value and revision; the head has number 0
     entries: tuple[tuple[int, bytes, int], ...] = ()
@@ -221,7 +221,7 @@
             entries = ((HEAD_KEY, encode_head(head), 1),)
         yield World(
             budget=self._budget,
-            slots=tuple(Slot() for _ in self._seekers),
+            slots=tuple(RequestState() for _ in self._seekers),
             writers=tuple(Writer() for _ in range(self._writers)),
             entries=entries,
         )
@@ -294,7 +294,7 @@
         if slot.state is None:
             token = self._create_token(number)
             operation = Acquire(seeker.key, seeker.digest, token)
-            slot = Slot(AttemptState.PENDING, Attempt(operation=operation))
+            slot = RequestState(AttemptState.PENDING, Attempt(operation=operation))
             yield f"request {number} arrives", self._advance(state, number, slot)
             return
         if slot.state is AttemptState.RUNNING:
@@ -330,7 +330,7 @@
         text = f"request {number} gets no answer from {way}"
         yield text, self._take_result(spent, number, None)
 
-    def _advance(self, state: World, number: int, slot: Slot) -> World:
+    def _advance(self, state: World, number: int, slot: RequestState) -> World:
         """Take the local steps that follow from a change of an attempt."""
         current = slot.attempt
         seeker = self._seekers[number]
@@ -625,7 +625,7 @@
     return dataclasses.replace(budget, **{name: getattr(budget, name) - 1})
 
 
-def _put_slot(state: World, number: int, slot: Slot) -> World:
+def _put_slot(state: World, number: int, slot: RequestState) -> World:
     slots = (*state.slots[:number], slot, *state.slots[number + 1 :])
     return state.change(slots=slots)
 
