--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -37,7 +37,7 @@
 
 from .explore import Model
 
-__all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "KeyedRequest", "World")
+__all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "KeyedRequest", "ClaimsState")
 
 #: wall-clock time in seconds; it does not advance, as expiry has tests of its own
 NOW = 1000
@@ -138,7 +138,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class World:
+class ClaimsState:
     """State of all requests, writers, messages and the store."""
 
     budget: Budget
@@ -164,12 +164,12 @@
         # each state is looked up many times, and hashing its nested parts is slow
         if not self._hash:
             parts = tuple(
-                getattr(self, name) for name in World.__slots__ if name != "_hash"
+                getattr(self, name) for name in ClaimsState.__slots__ if name != "_hash"
             )
             object.__setattr__(self, "_hash", hash(parts) or 1)
         return self._hash
 
-    def change(self, **changes: Any) -> World:
+    def change(self, **changes: Any) -> ClaimsState:
         """Return a copy with changes."""
         return dataclasses.replace(self, _hash=0, **changes)
 
@@ -181,7 +181,7 @@
         return None
 
 
-class ClaimsModel(Model[World]):
+class ClaimsModel(Model[ClaimsState]):
     """Requests with a few keys, the writers of their shard, and a budget of faults.
 
     :param filler: whether the head is already full with another claim, so that the
@@ -214,19 +214,19 @@
             segments=4,
         )
 
-    def start(self) -> Iterable[World]:
+    def start(self) -> Iterable[ClaimsState]:
         entries = ()
         if self._filler:
             head = Head(sequence=1, written_at=NOW, claims=(FILLER,))
             entries = ((HEAD_KEY, encode_head(head), 1),)
-        yield World(
+        yield ClaimsState(
             budget=self._budget,
             slots=tuple(RequestState() for _ in self._seekers),
             writers=tuple(Writer() for _ in range(self._writers)),
             entries=entries,
         )
 
-    def steps(self, state: World) -> Iterator[tuple[str, World]]:
+    def steps(self, state: ClaimsState) -> Iterator[tuple[str, ClaimsState]]:
         for number in range(len(self._seekers)):
             yield from self._seek(state, number)
         for number in range(self._writers):
@@ -244,7 +244,7 @@
                 if writer.alive:
                     yield f"instance {number} crashes", self._crash(state, number)
 
-    def find_fault(self, state: World) -> str:
+    def find_fault(self, state: ClaimsState) -> str:
         if state.fault:
             return state.fault
         keys = {self._seekers[number].key for number in state.runs}
@@ -267,7 +267,7 @@
                 return f"the claim of request {number}, which ran, is lost"
         return ""
 
-    def find_final_fault(self, state: World) -> str:
+    def find_final_fault(self, state: ClaimsState) -> str:
         for number, slot in enumerate(state.slots):
             if (
                 slot.told is None
@@ -285,7 +285,9 @@
 
     # requests
 
-    def _seek(self, state: World, number: int) -> Iterator[tuple[str, World]]:
+    def _seek(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
         slot = state.slots[number]
         seeker = self._seekers[number]
         if not state.writers[seeker.instance].alive or slot.told is not None:
@@ -318,7 +320,9 @@
                 refused = self._abandon(spent, number, Action.STORE_UNREACHABLE)
                 yield f"request {number} is refused with nothing sent", refused
 
-    def _time_out(self, state: World, number: int) -> Iterator[tuple[str, World]]:
+    def _time_out(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
         way = int(state.slots[number].attempt.candidate)
         budget = state.budget
         # a crashed instance never answers; this does not count as a further fault
@@ -330,7 +334,9 @@
         text = f"request {number} gets no answer from {way}"
         yield text, self._take_result(spent, number, None)
 
-    def _advance(self, state: World, number: int, slot: RequestState) -> World:
+    def _advance(
+        self, state: ClaimsState, number: int, slot: RequestState
+    ) -> ClaimsState:
         """Take the local steps that follow from a change of an attempt."""
         current = slot.attempt
         seeker = self._seekers[number]
@@ -354,7 +360,7 @@
         fault = state.fault or self._check_told(state, number, current)
         return self._abandon(state, number, current.action).change(fault=fault)
 
-    def _check_told(self, state: World, number: int, ended: Attempt) -> str:
+    def _check_told(self, state: ClaimsState, number: int, ended: Attempt) -> str:
         """Return a fault if the caller is answered wrongly, or an empty text."""
         digest = self._seekers[number].digest
         if ended.action is Action.REPLAY:
@@ -370,13 +376,15 @@
         return ""
 
     def _take_result(
-        self, state: World, number: int, result: OperationResult | None
-    ) -> World:
+        self, state: ClaimsState, number: int, result: OperationResult | None
+    ) -> ClaimsState:
         slot = state.slots[number]
         taken = slot.attempt.handle_result(result)
         return self._advance(state, number, dataclasses.replace(slot, attempt=taken))
 
-    def _ask_holder(self, state: World, number: int) -> Iterator[tuple[str, World]]:
+    def _ask_holder(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
         slot = state.slots[number]
         holder = slot.attempt.holder
         for label, record in self._list_answers(state, holder):
@@ -386,7 +394,7 @@
             yield text, self._advance(state, number, asked)
 
     def _list_answers(
-        self, state: World, holder: Token
+        self, state: ClaimsState, holder: Token
     ) -> Iterator[tuple[str, AttemptRecord | None]]:
         yield "no answer", None
         if not state.writers[int(holder.instance)].alive:
@@ -395,14 +403,14 @@
         record = AttemptRecord(slot.state, OUTCOME)
         yield slot.state.value, attempt.mask_pending(record)
 
-    def _run(self, state: World, number: int) -> World:
+    def _run(self, state: ClaimsState, number: int) -> ClaimsState:
         slot = state.slots[number]
         if not registry.may_run(slot.state):
             return state
         slot = dataclasses.replace(slot, state=AttemptState.RUNNING)
         return _put_slot(state, number, slot).change(runs=(*state.runs, number))
 
-    def _abandon(self, state: World, number: int, action: Action) -> World:
+    def _abandon(self, state: ClaimsState, number: int, action: Action) -> ClaimsState:
         slot = state.slots[number]
         doubtful = slot.awaited or slot.attempt.maybe_committed
         slot = dataclasses.replace(
@@ -424,20 +432,22 @@
     # writers
 
     def _post(
-        self, state: World, sender: int, receiver: int, letter: QueuedOperation
-    ) -> World:
+        self, state: ClaimsState, sender: int, receiver: int, letter: QueuedOperation
+    ) -> ClaimsState:
         if sender == receiver:
             return self._enqueue(state, receiver, letter)
         return state.change(letters=state.letters | {(receiver, letter)})
 
-    def _enqueue(self, state: World, number: int, letter: QueuedOperation) -> World:
+    def _enqueue(
+        self, state: ClaimsState, number: int, letter: QueuedOperation
+    ) -> ClaimsState:
         writer = state.writers[number]
         if not writer.alive:
             return state
         writer = dataclasses.replace(writer, queue=(*writer.queue, letter))
         return self._begin(_put_writer(state, number, writer), number)
 
-    def _begin(self, state: World, number: int) -> World:
+    def _begin(self, state: ClaimsState, number: int) -> ClaimsState:
         """Start a batch if the writer is idle and operations are queued."""
         writer = state.writers[number]
         if writer.commit is not None or not writer.queue:
@@ -460,7 +470,9 @@
         )
         return self._go_on(_put_writer(state, number, writer), number, commit)
 
-    def _write(self, state: World, number: int) -> Iterator[tuple[str, World]]:
+    def _write(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
         writer = state.writers[number]
         commit = writer.commit
         if not writer.alive:
@@ -511,7 +523,9 @@
             result = WriteResult(WriteOutcome.NOT_APPLIED)
             yield f"{label}: refused", self._go_on(refused, number, take(result))
 
-    def _delete_retired(self, state: World, number: int) -> Iterator[tuple[str, World]]:
+    def _delete_retired(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
         """Delete the segments that the writer's head no longer needs, one a step."""
         view = state.writers[number].view
         if view is None:
@@ -524,7 +538,7 @@
             text = f"writer {number} deletes segment {ref.number}"
             yield text, state.change(entries=entries, revision=state.revision + 1)
 
-    def _go_on(self, state: World, number: int, commit: Commit) -> World:
+    def _go_on(self, state: ClaimsState, number: int, commit: Commit) -> ClaimsState:
         writer = state.writers[number]
         if commit.step is not Step.DONE:
             return _put_writer(
@@ -544,8 +558,8 @@
         return self._begin(state, number)
 
     def _deliver(
-        self, state: World, letter: QueuedOperation, result: OperationResult
-    ) -> World:
+        self, state: ClaimsState, letter: QueuedOperation, result: OperationResult
+    ) -> ClaimsState:
         if letter.seeker < 0:
             if result.kind is ResultKind.GIVEN_BACK:
                 freed = state.freed | {letter.operation.token}
@@ -562,13 +576,15 @@
             return self._start_late(state, letter.seeker)
         return state
 
-    def _start_late(self, state: World, number: int) -> World:
+    def _start_late(self, state: ClaimsState, number: int) -> ClaimsState:
         slot = state.slots[number]
         if slot.state is AttemptState.PENDING or not registry.may_run(slot.state):
             return state
         return self._run(state, number)
 
-    def _swap(self, state: World, write: LateSwap) -> tuple[World, WriteResult]:
+    def _swap(
+        self, state: ClaimsState, write: LateSwap
+    ) -> tuple[ClaimsState, WriteResult]:
         entry = state.find(write.key)
         found = entry.revision if entry else ABSENT
         if not is_expected(found, write.expected):
@@ -586,7 +602,7 @@
         )
         return changed, WriteResult(WriteOutcome.APPLIED, revision)
 
-    def _crash(self, state: World, number: int) -> World:
+    def _crash(self, state: ClaimsState, number: int) -> ClaimsState:
         state = state.change(
             budget=_spend(state.budget, "crashes"),
             letters=frozenset(
@@ -597,7 +613,7 @@
         )
         return _put_writer(state, number, Writer(alive=False))
 
-    def _list_holders(self, state: World) -> list[Claim]:
+    def _list_holders(self, state: ClaimsState) -> list[Claim]:
         """Return the claims that hold their keys according to the store."""
         entry = state.find(HEAD_KEY)
         if entry is None:
@@ -625,12 +641,12 @@
     return dataclasses.replace(budget, **{name: getattr(budget, name) - 1})
 
 
-def _put_slot(state: World, number: int, slot: RequestState) -> World:
+def _put_slot(state: ClaimsState, number: int, slot: RequestState) -> ClaimsState:
     slots = (*state.slots[:number], slot, *state.slots[number + 1 :])
     return state.change(slots=slots)
 
 
-def _put_writer(state: World, number: int, writer: Writer) -> World:
+def _put_writer(state: ClaimsState, number: int, writer: Writer) -> ClaimsState:
     writers = (*state.writers[:number], writer, *state.writers[number + 1 :])
     return state.change(writers=writers)
 
