--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -83,7 +83,7 @@
     #: calls to another instance that time out
     timeouts: int = 0
     #: requests that are abandoned while their claim is being acquired
-    give_ups: int = 0
+    abandoned: int = 0
     #: claimed requests that end without anything having been sent
     not_run: int = 0
     #: give-backs that are delivered twice
@@ -307,8 +307,8 @@
             return
         if slot.awaited and int(slot.attempt.candidate) != seeker.instance:
             yield from self._time_out(state, number)
-        if slot.awaited and budget.give_ups:
-            spent = state.change(budget=_spend(budget, "give_ups"))
+        if slot.awaited and budget.abandoned:
+            spent = state.change(budget=_spend(budget, "abandoned"))
             given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
             yield f"request {number} is abandoned", given_up
         if slot.attempt.action is Action.ASK_HOLDER:
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -36,7 +36,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
-        budget=Budget(give_ups=2, lost_swaps=1, timeouts=1 if LARGE else 0),
+        budget=Budget(abandoned=2, lost_swaps=1, timeouts=1 if LARGE else 0),
     )
 
 
@@ -199,7 +199,7 @@
         return ClaimsModel(
             (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
             writers=2,
-            budget=Budget(give_ups=1, lost_swaps=1, resends=1),
+            budget=Budget(abandoned=1, lost_swaps=1, resends=1),
         )
 
     with mock.patch.object(operations, "MAX_BATCH_IDS", 1):
