--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -37,7 +37,7 @@
 
 from .explore import Model
 
-__all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "KeyedRequest", "ClaimsState")
+__all__ = ("OTHER_KEY", "FaultBudget", "ClaimsModel", "KeyedRequest", "ClaimsState")
 
 #: wall-clock time in seconds; it does not advance, as expiry has tests of its own
 NOW = 1000
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Budget:
+class FaultBudget:
     """How often each fault may occur in one run."""
 
     #: writes whose answer is lost; they take effect at any later time, or never
@@ -141,7 +141,7 @@
 class ClaimsState:
     """State of all requests, writers, messages and the store."""
 
-    budget: Budget
+    budget: FaultBudget
     slots: tuple[RequestState, ...]
     writers: tuple[Writer, ...]
     #: entries of the store as number, value and revision; the head has number 0
@@ -197,7 +197,7 @@
         seekers: tuple[KeyedRequest, ...],
         *,
         writers: int,
-        budget: Budget,
+        budget: FaultBudget,
         filler: bool = False,
         final_give_backs: bool = False,
     ) -> None:
@@ -637,7 +637,7 @@
     return found == expected
 
 
-def _spend(budget: Budget, name: str) -> Budget:
+def _spend(budget: FaultBudget, name: str) -> FaultBudget:
     return dataclasses.replace(budget, **{name: getattr(budget, name) - 1})
 
 
--- a/tests/test_core/test_claims/test_interleavings.py
+++ b/tests/test_core/test_claims/test_interleavings.py
@@ -11,7 +11,12 @@
 from greengagelatch.claims.operations import Acquire, GiveBack
 from greengagelatch.claims.registry import AttemptState
 from greengagelatch_lab import claims_model
-from greengagelatch_lab.claims_model import OTHER_KEY, Budget, ClaimsModel, KeyedRequest
+from greengagelatch_lab.claims_model import (
+    OTHER_KEY,
+    ClaimsModel,
+    FaultBudget,
+    KeyedRequest,
+)
 from greengagelatch_lab.explore import Mutation, explore, explore_mutations
 
 #: set to explore with larger fault budgets, which takes minutes
@@ -27,7 +32,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (2, 0)), KeyedRequest(1, (2, 1))),
         writers=3,
-        budget=Budget(lost_swaps=lost, timeouts=2),
+        budget=FaultBudget(lost_swaps=lost, timeouts=2),
     )
 
 
@@ -36,7 +41,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
-        budget=Budget(abandoned=2, lost_swaps=1, timeouts=1 if LARGE else 0),
+        budget=FaultBudget(abandoned=2, lost_swaps=1, timeouts=1 if LARGE else 0),
     )
 
 
@@ -45,7 +50,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
-        budget=Budget(not_run=1, lost_swaps=1, timeouts=1, resends=1),
+        budget=FaultBudget(not_run=1, lost_swaps=1, timeouts=1, resends=1),
     )
 
 
@@ -54,7 +59,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (0,)), KeyedRequest(1, (1,)), KeyedRequest(1, (0, 1))),
         writers=2,
-        budget=Budget(
+        budget=FaultBudget(
             not_run=2 if LARGE else 1, resends=1, lost_swaps=1 if LARGE else 0
         ),
     )
@@ -65,7 +70,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
         writers=2,
-        budget=Budget(not_run=1, lost_swaps=1, timeouts=1, crashes=1),
+        budget=FaultBudget(not_run=1, lost_swaps=1, timeouts=1, crashes=1),
     )
 
 
@@ -74,7 +79,7 @@
     return ClaimsModel(
         (KeyedRequest(0, (0,)), KeyedRequest(1, (1,))),
         writers=2,
-        budget=Budget(not_run=1, lost_swaps=2 if LARGE else 1, refused_swaps=1),
+        budget=FaultBudget(not_run=1, lost_swaps=2 if LARGE else 1, refused_swaps=1),
         filler=True,
         final_give_backs=True,
     )
@@ -89,7 +94,7 @@
             KeyedRequest(1, (1,), key=OTHER_KEY),
         ),
         writers=2,
-        budget=Budget(not_run=1, lost_swaps=1 if LARGE else 0),
+        budget=FaultBudget(not_run=1, lost_swaps=1 if LARGE else 0),
         filler=True,
         final_give_backs=True,
     )
@@ -104,7 +109,7 @@
             KeyedRequest(1, (1,), OTHER),
         ),
         writers=2,
-        budget=Budget(not_run=1, timeouts=1),
+        budget=FaultBudget(not_run=1, timeouts=1),
     )
 
 
@@ -199,7 +204,7 @@
         return ClaimsModel(
             (KeyedRequest(0, (1, 0)), KeyedRequest(1, (1,))),
             writers=2,
-            budget=Budget(abandoned=1, lost_swaps=1, resends=1),
+            budget=FaultBudget(abandoned=1, lost_swaps=1, resends=1),
         )
 
     with mock.patch.object(operations, "MAX_BATCH_IDS", 1):
