--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -226,7 +226,7 @@
             entries=entries,
         )
 
-    def steps(self, state: ClaimsState) -> Iterator[tuple[str, ClaimsState]]:
+    def list_steps(self, state: ClaimsState) -> Iterator[tuple[str, ClaimsState]]:
         for number in range(len(self._seekers)):
             yield from self._seek(state, number)
         for number in range(self._writers):
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
@@ -45,7 +45,7 @@
         """Return the initial states."""
 
     @abstractmethod
-    def steps(self, state: S) -> Iterable[tuple[str, S]]:
+    def list_steps(self, state: S) -> Iterable[tuple[str, S]]:
         """Return each possible step as a label for the trace and the next state."""
 
     @abstractmethod
@@ -130,7 +130,7 @@
             complete = False
             continue
         steps = 0
-        for label, successor in model.steps(state):
+        for label, successor in model.list_steps(state):
             steps += 1
             if successor in parents:
                 continue
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -111,7 +111,7 @@
             world = put_contender(world, 0, dataclasses.replace(holder, tenure=tenure))
         yield world
 
-    def steps(self, state: OrdersWorld) -> Iterator[tuple[str, OrdersWorld]]:
+    def list_steps(self, state: OrdersWorld) -> Iterator[tuple[str, OrdersWorld]]:
         if state.fault:
             return
         for number, contender in enumerate(state.contenders):
--- a/tests/test_lab/test_explore.py
+++ b/tests/test_lab/test_explore.py
@@ -21,7 +21,9 @@
     def start(self) -> Iterable[tuple[int, int]]:
         return [(0, 0)]
 
-    def steps(self, state: tuple[int, int]) -> Iterable[tuple[str, tuple[int, int]]]:
+    def list_steps(
+        self, state: tuple[int, int]
+    ) -> Iterable[tuple[str, tuple[int, int]]]:
         inside, done = state
         if inside + done < 2 and may_enter(inside):
             yield "enter", (inside + 1, done)
