--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -207,8 +207,8 @@
         elif step is not LeaseStep.IDLE:
             yield f"{number} begins {step.value}", begun
         busy = contender.awaited or contender.planned or contender.record.unsettled
-        if state.budget.let_go and contender.tenure.held and not busy:
-            spent = spend(state, "let_go")
+        if state.budget.releases and contender.tenure.held and not busy:
+            spent = spend(state, "releases")
             yield (
                 f"{number} releases the lease",
                 self._begin(spent, number, LeaseIntent.RELEASE),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -43,7 +43,7 @@
     #: orders that are lost in transit, or whose answer is lost
     lost_orders: int = 0
     #: leases that are released to another instance
-    let_go: int = 0
+    releases: int = 0
     crashes: int = 0
 
 
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -49,7 +49,7 @@
     return OrdersModel(
         speeds=RIGHT,
         fencing=IGNORED,
-        budget=Budget(ticks=1, lost_calls=1, grants=2, let_go=1),
+        budget=Budget(ticks=1, lost_calls=1, grants=2, releases=1),
         holding=False,
         orders=False,
     )
