--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -47,7 +47,7 @@
 LEASE_RULES = LeaseRules(ttl=TTL, margin=1.0)
 
 #: lease calls whose number is bounded, with the field of the budget
-BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "keeps"}
+BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "renewals"}
 
 LOST = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -36,7 +36,7 @@
     #: leases requested from the store
     grants: int = 1
     #: renewals
-    keeps: int = 0
+    renewals: int = 0
     #: calls to the store whose answer is lost; a call that has not reached the
     #: store may do so at any later time, or never
     lost_calls: int = 0
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -28,7 +28,7 @@
     return OrdersModel(
         speeds=speeds,
         fencing=fencing,
-        budget=Budget(ticks=ticks, keeps=keeps, lost_orders=lost),
+        budget=Budget(ticks=ticks, renewals=keeps, lost_orders=lost),
         slow_calls=False,
         **options,
     )
@@ -39,7 +39,7 @@
     return OrdersModel(
         speeds=BOTH_WRONG,
         fencing=IGNORED,
-        budget=Budget(ticks=7, lost_calls=1, keeps=1),
+        budget=Budget(ticks=7, lost_calls=1, renewals=1),
         orders=False,
     )
 
@@ -114,7 +114,7 @@
     model = SuccessorsOrder(
         speeds=options["speeds"],
         fencing=fencing,
-        budget=Budget(ticks=7, keeps=options["keeps"]),
+        budget=Budget(ticks=7, renewals=options["keeps"]),
         slow_calls=False,
     )
     assert explore(model).violation is not None
