--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -26,11 +26,11 @@
 from ..explore import Model
 from .store import TTL, apply_call, drop_unbound
 from .world import (
-    Budget,
     Call,
     Contender,
     Delivery,
     Engine,
+    FaultBudget,
     OrdersWorld,
     put_contender,
     spend,
@@ -71,7 +71,7 @@
         *,
         speeds: tuple[float, float],
         fencing: Fencing,
-        budget: Budget,
+        budget: FaultBudget,
         checks: bool | None = None,
         delivery: int = 1,
         holding: bool = True,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -12,7 +12,7 @@
 from greengagelatch.store import ABSENT
 
 __all__ = (
-    "Budget",
+    "FaultBudget",
     "Call",
     "Contender",
     "Delivery",
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Budget:
+class FaultBudget:
     """How often each fault may occur in one run, and how long a run may last."""
 
     #: duration of a run
@@ -108,7 +108,7 @@
 class OrdersWorld:
     """State of all contenders, the store, the engine and the time."""
 
-    budget: Budget
+    budget: FaultBudget
     contenders: tuple[Contender, ...]
     store: KeyValue = KeyValue()
     engine: Engine = Engine()
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -12,7 +12,7 @@
 from greengagelatch.orders.rules import Fencing
 from greengagelatch.store import ABSENT, WriteOutcome
 from greengagelatch_lab.explore import Mutation, explore, explore_mutations
-from greengagelatch_lab.orders_model import Budget, OrdersModel
+from greengagelatch_lab.orders_model import FaultBudget, OrdersModel
 
 #: relative clock speeds of the holder and its successor
 RIGHT = (1.0, 1.0)
@@ -28,7 +28,7 @@
     return OrdersModel(
         speeds=speeds,
         fencing=fencing,
-        budget=Budget(ticks=ticks, renewals=keeps, lost_orders=lost),
+        budget=FaultBudget(ticks=ticks, renewals=keeps, lost_orders=lost),
         slow_calls=False,
         **options,
     )
@@ -39,7 +39,7 @@
     return OrdersModel(
         speeds=BOTH_WRONG,
         fencing=IGNORED,
-        budget=Budget(ticks=7, lost_calls=1, renewals=1),
+        budget=FaultBudget(ticks=7, lost_calls=1, renewals=1),
         orders=False,
     )
 
@@ -49,7 +49,7 @@
     return OrdersModel(
         speeds=RIGHT,
         fencing=IGNORED,
-        budget=Budget(ticks=1, lost_calls=1, grants=2, releases=1),
+        budget=FaultBudget(ticks=1, lost_calls=1, grants=2, releases=1),
         holding=False,
         orders=False,
     )
@@ -60,7 +60,7 @@
     return OrdersModel(
         speeds=SLOW_HOLDER,
         fencing=IGNORED,
-        budget=Budget(ticks=7, crashes=1),
+        budget=FaultBudget(ticks=7, crashes=1),
         slow_calls=False,
     )
 
@@ -114,7 +114,7 @@
     model = SuccessorsOrder(
         speeds=options["speeds"],
         fencing=fencing,
-        budget=Budget(ticks=7, renewals=options["keeps"]),
+        budget=FaultBudget(ticks=7, renewals=options["keeps"]),
         slow_calls=False,
     )
     assert explore(model).violation is not None
