--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -29,7 +29,7 @@
 from ..processes import ProcessError
 from . import Scene
 from .faults import FAULTS
-from .sides import Side, Window, measure_sides
+from .sides import FaultWindow, Side, measure_sides
 from .watch import GenerationWatch, find_work_after_leaving
 
 if TYPE_CHECKING:
@@ -147,13 +147,13 @@
     )
 
 
-async def _strike(scene: Scene, name: str, seconds: float) -> Window:
+async def _strike(scene: Scene, name: str, seconds: float) -> FaultWindow:
     fault = FAULTS[name]
     begin = scene.playing.run.elapsed
     _show(f"{name} begins")
     await fault.begin(scene)
     await asyncio.sleep(seconds)
-    window = Window(
+    window = FaultWindow(
         fault=name,
         begin=begin,
         end=scene.playing.run.elapsed,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -12,7 +12,7 @@
 
     from ..load.observations import Observation
 
-__all__ = ("Side", "Window", "measure_sides")
+__all__ = ("Side", "FaultWindow", "measure_sides")
 
 #: names of sides that are not a single data centre
 ALL = "all"
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Window:
+class FaultWindow:
     """When a fault was active, in seconds since the traffic began."""
 
     fault: str
@@ -59,7 +59,7 @@
 
 
 def measure_sides(
-    windows: Sequence[Window],
+    windows: Sequence[FaultWindow],
     observations: Iterable[Observation],
     places: Mapping[str, str],
 ) -> list[Side]:
@@ -86,7 +86,7 @@
     ]
 
 
-def _find_side(window: Window, data_centre: str) -> str:
+def _find_side(window: FaultWindow, data_centre: str) -> str:
     if not window.data_centre:
         return ALL
     return window.data_centre if data_centre == window.data_centre else REST
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -4,7 +4,7 @@
 
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.observations import Ending, Observation
-from greengagelatch_lab.outages.sides import Window, measure_sides
+from greengagelatch_lab.outages.sides import FaultWindow, measure_sides
 
 PLACES = {"n-1": "north", "s-1": "south"}
 
@@ -25,8 +25,8 @@
 
 def test_requests_count_by_when_and_where_they_were_sent():
     windows = [
-        Window(fault="cut", begin=1.0, end=2.0, data_centre="north"),
-        Window(fault="slow", begin=3.0, end=4.0),
+        FaultWindow(fault="cut", begin=1.0, end=2.0, data_centre="north"),
+        FaultWindow(fault="slow", begin=3.0, end=4.0),
     ]
     observations = [
         observe(0.9, "n-1"),
