--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -31,7 +31,7 @@
     Delivery,
     Engine,
     FaultBudget,
-    OrdersWorld,
+    OrdersState,
     put_contender,
     spend,
 )
@@ -53,7 +53,7 @@
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
 
 
-class OrdersModel(Model[OrdersWorld]):
+class OrdersModel(Model[OrdersState]):
     """Two contenders for one lease, and the engine to which its holder sends orders.
 
     :param speeds: rate of each contender's clock; 1 is correct
@@ -93,13 +93,13 @@
         self._slow_calls = slow_calls
         self._orders = orders
 
-    def start(self) -> Iterable[OrdersWorld]:
+    def start(self) -> Iterable[OrdersState]:
         contenders = []
         for number in range(len(self._speeds)):
             contenders.append(
                 Contender(LeaseState(instance_id=str(number), rules=LEASE_RULES))
             )
-        world = OrdersWorld(self._budget, tuple(contenders))
+        world = OrdersState(self._budget, tuple(contenders))
         if self._holding:
             for _ in range(3):
                 world = self._begin(world, 0, LeaseIntent.HOLD)
@@ -111,7 +111,7 @@
             world = put_contender(world, 0, dataclasses.replace(holder, tenure=tenure))
         yield world
 
-    def list_steps(self, state: OrdersWorld) -> Iterator[tuple[str, OrdersWorld]]:
+    def list_steps(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
         if state.fault:
             return
         for number, contender in enumerate(state.contenders):
@@ -132,7 +132,7 @@
         if self._may_tick(state):
             yield "tick", self._tick(state)
 
-    def find_fault(self, state: OrdersWorld) -> str:
+    def find_fault(self, state: OrdersState) -> str:
         if state.fault:
             return state.fault
         believers = 0
@@ -145,11 +145,11 @@
 
     # time
 
-    def _read_clock(self, state: OrdersWorld, number: int) -> Instant:
+    def _read_clock(self, state: OrdersState, number: int) -> Instant:
         own = state.time * self._speeds[number]
         return Instant(own, own)
 
-    def _may_tick(self, state: OrdersWorld) -> bool:
+    def _may_tick(self, state: OrdersState) -> bool:
         """Whether time may advance: not past the end of a pending delivery."""
         if state.time >= state.budget.ticks:
             return False
@@ -157,7 +157,7 @@
         under_way = (*engine.on_wire, *engine.running)
         return all(state.time < delivery.until for delivery in under_way)
 
-    def _tick(self, state: OrdersWorld) -> OrdersWorld:
+    def _tick(self, state: OrdersState) -> OrdersState:
         time = state.time + 1
         store = state.store
         leases = tuple(item for item in store.leases if item[1] > time)
@@ -167,8 +167,8 @@
     # the lease
 
     def _step_lease(
-        self, state: OrdersWorld, number: int
-    ) -> Iterator[tuple[str, OrdersWorld]]:
+        self, state: OrdersState, number: int
+    ) -> Iterator[tuple[str, OrdersState]]:
         contender = state.contenders[number]
         call = contender.call
         if call is None:
@@ -192,8 +192,8 @@
             yield f"{name} gets no answer", self._answer(lost, number, answer)
 
     def _begin_call(
-        self, state: OrdersWorld, number: int
-    ) -> Iterator[tuple[str, OrdersWorld]]:
+        self, state: OrdersState, number: int
+    ) -> Iterator[tuple[str, OrdersState]]:
         contender = state.contenders[number]
         begun = self._begin(state, number, LeaseIntent.HOLD)
         step = begun.contenders[number].tenure.step
@@ -214,7 +214,7 @@
                 self._begin(spent, number, LeaseIntent.RELEASE),
             )
 
-    def _begin(self, state: OrdersWorld, number: int, wish: LeaseIntent) -> OrdersWorld:
+    def _begin(self, state: OrdersState, number: int, wish: LeaseIntent) -> OrdersState:
         contender = state.contenders[number]
         now = self._read_clock(state, number)
         tenure = contender.tenure.plan(now, wish)
@@ -224,14 +224,14 @@
             call = Call(tenure.step, tenure.lease_id, tenure.value)
         return self._change_tenure(state, number, tenure, call)
 
-    def _handle(self, state: OrdersWorld, number: int) -> OrdersWorld:
+    def _handle(self, state: OrdersState, number: int) -> OrdersState:
         contender = state.contenders[number]
         store, answer = apply_call(state.store, contender.call, state.time)
         call = dataclasses.replace(contender.call, answer=answer)
         contender = dataclasses.replace(contender, call=call)
         return put_contender(state.change(store=store), number, contender)
 
-    def _answer(self, state: OrdersWorld, number: int, answer: Any) -> OrdersWorld:
+    def _answer(self, state: OrdersState, number: int, answer: Any) -> OrdersState:
         tenure = state.contenders[number].tenure
         now = self._read_clock(state, number)
         match tenure.step:
@@ -254,8 +254,8 @@
         return self._change_tenure(state, number, after, None)
 
     def _change_tenure(
-        self, state: OrdersWorld, number: int, tenure: LeaseState, call: Call | None
-    ) -> OrdersWorld:
+        self, state: OrdersState, number: int, tenure: LeaseState, call: Call | None
+    ) -> OrdersState:
         contender = state.contenders[number]
         record = contender.record
         if not tenure.held:
@@ -268,8 +268,8 @@
     # orders
 
     def _step_orders(
-        self, state: OrdersWorld, number: int
-    ) -> Iterator[tuple[str, OrdersWorld]]:
+        self, state: OrdersState, number: int
+    ) -> Iterator[tuple[str, OrdersState]]:
         contender = state.contenders[number]
         if contender.awaited is not None:
             yield from self._stop_waiting(state, number)
@@ -298,8 +298,8 @@
             yield f"{number} plans an order", put_contender(state, number, planned)
 
     def _send(
-        self, state: OrdersWorld, number: int
-    ) -> Iterator[tuple[str, OrdersWorld]]:
+        self, state: OrdersState, number: int
+    ) -> Iterator[tuple[str, OrdersState]]:
         contender = state.contenders[number]
         order = contender.planned
         now = self._read_clock(state, number)
@@ -326,8 +326,8 @@
         yield f"{number} sends its order", state
 
     def _stop_waiting(
-        self, state: OrdersWorld, number: int
-    ) -> Iterator[tuple[str, OrdersWorld]]:
+        self, state: OrdersState, number: int
+    ) -> Iterator[tuple[str, OrdersState]]:
         contender = state.contenders[number]
         now = self._read_clock(state, number).monotonic
         if now - contender.record.sent < self._rules.timeout:
@@ -338,7 +338,7 @@
 
     # the engine
 
-    def _step_engine(self, state: OrdersWorld) -> Iterator[tuple[str, OrdersWorld]]:
+    def _step_engine(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
         engine = state.engine
         for delivery in engine.on_wire:
             rest = tuple(one for one in engine.on_wire if one is not delivery)
@@ -359,8 +359,8 @@
                 yield f"{name} is executed, the answer is lost", lost
 
     def _arrive(
-        self, state: OrdersWorld, engine: Engine, delivery: Delivery
-    ) -> OrdersWorld:
+        self, state: OrdersState, engine: Engine, delivery: Delivery
+    ) -> OrdersState:
         order = delivery.order
         if self._checks and order.fence < engine.highest:
             return self._tell(state.change(engine=engine), delivery, old=True)
@@ -373,8 +373,8 @@
         return state.change(engine=engine)
 
     def _carry_out(
-        self, state: OrdersWorld, engine: Engine, delivery: Delivery
-    ) -> OrdersWorld:
+        self, state: OrdersState, engine: Engine, delivery: Delivery
+    ) -> OrdersState:
         order = delivery.order
         if self._checks and order.fence < engine.highest:
             return state.change(engine=engine)
@@ -386,8 +386,8 @@
         return state.change(engine=engine)
 
     def _tell(
-        self, state: OrdersWorld, delivery: Delivery, *, old: bool
-    ) -> OrdersWorld:
+        self, state: OrdersState, delivery: Delivery, *, old: bool
+    ) -> OrdersState:
         number = delivery.sender
         contender = state.contenders[number]
         if not contender.alive or contender.awaited != delivery.order:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
@@ -18,7 +18,7 @@
     "Delivery",
     "Engine",
     "KeyValue",
-    "OrdersWorld",
+    "OrdersState",
     "put_contender",
     "spend",
 )
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrdersWorld:
+class OrdersState:
     """State of all contenders, the store, the engine and the time."""
 
     budget: FaultBudget
@@ -124,24 +124,24 @@
         # each state is looked up many times, and hashing its nested parts is slow
         if not self._hash:
             parts = tuple(
-                getattr(self, name) for name in OrdersWorld.__slots__ if name != "_hash"
+                getattr(self, name) for name in OrdersState.__slots__ if name != "_hash"
             )
             object.__setattr__(self, "_hash", hash(parts) or 1)
         return self._hash
 
-    def change(self, **changes: Any) -> OrdersWorld:
+    def change(self, **changes: Any) -> OrdersState:
         """Return a copy with changes."""
         return dataclasses.replace(self, _hash=0, **changes)
 
 
-def put_contender(state: OrdersWorld, number: int, contender: Contender) -> OrdersWorld:
+def put_contender(state: OrdersState, number: int, contender: Contender) -> OrdersState:
     """Return a copy of the state with one contender replaced."""
     contenders = list(state.contenders)
     contenders[number] = contender
     return state.change(contenders=tuple(contenders))
 
 
-def spend(state: OrdersWorld, name: str) -> OrdersWorld:
+def spend(state: OrdersState, name: str) -> OrdersState:
     """Return a copy of the state with the budget for a fault reduced by one."""
     left = getattr(state.budget, name) - 1
     return state.change(budget=dataclasses.replace(state.budget, **{name: left}))
