--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/__init__.py
@@ -11,4 +11,4 @@
 from .model import OrdersModel
 from .world import FaultBudget, OrdersState
 
-__all__ = ("Budget", "OrdersModel", "OrdersWorld")
+__all__ = ("FaultBudget", "OrdersModel", "OrdersState")
