--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -244,7 +244,7 @@
                 if writer.alive:
                     yield f"instance {number} crashes", self._crash(state, number)
 
-    def find_fault(self, state: ClaimsState) -> str:
+    def find_violation(self, state: ClaimsState) -> str:
         if state.fault:
             return state.fault
         keys = {self._seekers[number].key for number in state.runs}
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
@@ -49,7 +49,7 @@
         """Return each possible step as a label for the trace and the next state."""
 
     @abstractmethod
-    def find_fault(self, state: S) -> str:
+    def find_violation(self, state: S) -> str:
         """Return a description of the violated invariant, or an empty text."""
 
     def find_final_fault(self, state: S) -> str:
@@ -122,7 +122,7 @@
 
     while queue:
         state, depth = queue.popleft()
-        fault = model.find_fault(state)
+        fault = model.find_violation(state)
         if fault:
             violation = Violation(fault, _trace(parents, state), state)
             break
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -132,7 +132,7 @@
         if self._may_tick(state):
             yield "tick", self._tick(state)
 
-    def find_fault(self, state: OrdersState) -> str:
+    def find_violation(self, state: OrdersState) -> str:
         if state.fault:
             return state.fault
         believers = 0
--- a/tests/test_core/test_orders/test_orders_model.py
+++ b/tests/test_core/test_orders/test_orders_model.py
@@ -97,7 +97,7 @@
 class SuccessorsOrder(OrdersModel):
     """Reports a fault once an order of the second contender is carried out."""
 
-    def find_fault(self, state):
+    def find_violation(self, state):
         return "carried out" if state.engine.state.models == ("1",) else ""
 
 
--- a/tests/test_lab/test_explore.py
+++ b/tests/test_lab/test_explore.py
@@ -30,7 +30,7 @@
         if inside:
             yield "leave", (inside - 1, done + 1)
 
-    def find_fault(self, state: tuple[int, int]) -> str:
+    def find_violation(self, state: tuple[int, int]) -> str:
         return "two inside" if state[0] > 1 else ""
 
     def find_final_fault(self, state: tuple[int, int]) -> str:
