--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
@@ -11,24 +11,24 @@
     from ..fleets.daemon import Daemon
     from ..fleets.playing import Playing
 
-__all__ = ("Fault", "LastingFault", "Scene")
+__all__ = ("Fault", "FaultContext", "PermanentFault")
 
 
 @dataclass(slots=True)
-class Scene:
+class FaultContext:
     """A running fleet, and the effects of the faults injected so far."""
 
     playing: Playing
     random_source: random.Random
     #: entry instances whose callers may see a disconnected or silent connection
-    struck: set[str] = field(default_factory=set)
+    affected_instances: set[str] = field(default_factory=set)
     #: violations of guarantees that a fault detected itself
-    broken: list[str] = field(default_factory=list)
+    guarantee_violations: list[str] = field(default_factory=list)
 
-    def pick_daemon(self) -> Daemon:
+    def pick_affected_daemon(self) -> Daemon:
         """Return a random entry instance and record that a fault affects it."""
         daemon = self.random_source.choice(self.playing.runner.daemons)
-        self.struck.add(daemon.instance_id)
+        self.affected_instances.add(daemon.instance_id)
         return daemon
 
 
@@ -41,16 +41,16 @@
     cut_off: str = ""
 
     @abstractmethod
-    async def begin(self, scene: Scene) -> None:
+    async def inject(self, context: FaultContext) -> None:
         """Inject the fault."""
 
     @abstractmethod
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         """Remove the fault; a killed process is not restarted."""
 
 
-class LastingFault(Fault):
+class PermanentFault(Fault):
     """A fault whose effect is not removed."""
 
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         pass
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -27,10 +27,10 @@
 from ..fleets.tool import run_tool
 from ..load.violations import ViolationKind
 from ..processes import ProcessError
-from . import Scene
+from . import FaultContext
+from .checks import GenerationMonitor, find_calls_after_leaving
 from .faults import FAULTS
 from .sides import FaultWindow, Side, measure_sides
-from .watch import GenerationWatch, find_work_after_leaving
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -43,12 +43,12 @@
 
 #: duration of each fault, and of the recovery time after it, in seconds
 FAULT_SECONDS = 5.0
-QUIET_SECONDS = 3.0
+RECOVERY_SECONDS = 3.0
 #: duration of the generated arrivals, in seconds; they end with the last fault
-LONGEST = 600.0
+MAX_TRAFFIC_SECONDS = 600.0
 
 #: violations that are allowed at an instance that a fault affected
-EXCUSED = (ViolationKind.CUT, ViolationKind.SILENT)
+EXCUSABLE_KINDS = (ViolationKind.CUT, ViolationKind.SILENT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -59,18 +59,23 @@
     violations: Sequence[Violation]
     excused: int
     reverted: Sequence[str]
-    late_work: Sequence[str]
+    late_calls: Sequence[str]
     #: violations of guarantees that a fault detected itself
-    broken: Sequence[str]
+    guarantee_violations: Sequence[str]
     sides: Sequence[Side]
     #: number of times that the generation of an instance was read
-    looks: int
+    sample_count: int
 
     @property
     def passed(self) -> bool:
         """Whether all guarantees held."""
-        found = (*self.violations, *self.reverted, *self.late_work, *self.broken)
-        return not found and self.looks > 0 and self.report.total.in_time > 0
+        found = (
+            *self.violations,
+            *self.reverted,
+            *self.late_calls,
+            *self.guarantee_violations,
+        )
+        return not found and self.sample_count > 0 and self.report.total.in_time > 0
 
     def encode(self) -> dict[str, Any]:
         """Return the result as JSON-compatible values."""
@@ -81,8 +86,8 @@
             "violations": [str(item) for item in self.violations],
             "excused": self.excused,
             "reverted": list(self.reverted),
-            "late_work": list(self.late_work),
-            "broken": list(self.broken),
+            "late_work": list(self.late_calls),
+            "broken": list(self.guarantee_violations),
             "sides": [side.encode() for side in self.sides],
         }
 
@@ -116,66 +121,68 @@
     async with FleetRunner(fleet, directory, routed=True) as runner:
         await runner.apply_objects()
         await runner.wait_ready()
-        watch = GenerationWatch(runner)
-        watching = asyncio.create_task(watch.run())
+        monitor = GenerationMonitor(runner)
+        monitor_task = asyncio.create_task(monitor.run())
         async with play(
             runner,
-            seconds=LONGEST,
+            seconds=MAX_TRAFFIC_SECONDS,
             scale=options.scale,
             seed=options.seed,
-            show=_show,
+            show=_print,
         ) as playing:
-            scene = Scene(playing=playing, random_source=random.Random(options.seed))
+            context = FaultContext(
+                playing=playing, random_source=random.Random(options.seed)
+            )
             windows = []
             for name in options.fault or FAULTS:
-                windows.append(await _strike(scene, name, options.seconds))
+                windows.append(await _inject(context, name, options.seconds))
             playing.run.end()
             report = await playing.check()
-        watching.cancel()
-        await asyncio.gather(watching, return_exceptions=True)
-        late_work = await find_work_after_leaving(runner)
-    broken = [item for item in report.violations if not _is_excused(item, scene)]
+        monitor_task.cancel()
+        await asyncio.gather(monitor_task, return_exceptions=True)
+        late_calls = await find_calls_after_leaving(runner)
+    unexcused = [item for item in report.violations if not _is_excused(item, context)]
     return Result(
         report=report,
-        violations=broken,
-        excused=len(report.violations) - len(broken),
-        reverted=watch.reverted,
-        late_work=late_work,
-        broken=scene.broken,
+        violations=unexcused,
+        excused=len(report.violations) - len(unexcused),
+        reverted=monitor.reverted,
+        late_calls=late_calls,
+        guarantee_violations=context.guarantee_violations,
         sides=measure_sides(windows, playing.run.observations, runner.places),
-        looks=watch.looks,
+        sample_count=monitor.sample_count,
     )
 
 
-async def _strike(scene: Scene, name: str, seconds: float) -> FaultWindow:
+async def _inject(context: FaultContext, name: str, seconds: float) -> FaultWindow:
     fault = FAULTS[name]
-    begin = scene.playing.run.elapsed
-    _show(f"{name} begins")
-    await fault.begin(scene)
+    begin = context.playing.run.elapsed
+    _print(f"{name} begins")
+    await fault.inject(context)
     await asyncio.sleep(seconds)
     window = FaultWindow(
         fault=name,
         begin=begin,
-        end=scene.playing.run.elapsed,
+        end=context.playing.run.elapsed,
         data_centre=fault.cut_off,
     )
-    await fault.end(scene)
-    _show(f"{name} ends")
-    await asyncio.sleep(QUIET_SECONDS)
+    await fault.remove(context)
+    _print(f"{name} ends")
+    await asyncio.sleep(RECOVERY_SECONDS)
     return window
 
 
-def _is_excused(violation: Violation, scene: Scene) -> bool:
+def _is_excused(violation: Violation, context: FaultContext) -> bool:
     """Whether a caller's connection failed because of a fault of its instance."""
-    if violation.kind not in EXCUSED:
+    if violation.kind not in EXCUSABLE_KINDS:
         return False
-    for observation in scene.playing.run.observations:
+    for observation in context.playing.run.observations:
         if observation.arrival.index == violation.index:
-            return observation.instance in scene.struck
+            return observation.instance in context.affected_instances
     return False
 
 
-def _show(line: str) -> None:
+def _print(line: str) -> None:
     print(line, flush=True)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/watch.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/checks.py
@@ -10,23 +10,23 @@
 if TYPE_CHECKING:
     from ..fleets.runner import FleetRunner
 
-__all__ = ("GenerationWatch", "find_work_after_leaving")
+__all__ = ("GenerationMonitor", "find_calls_after_leaving")
 
 #: interval between polls, and time-out of each, in seconds
 POLL_INTERVAL = 0.2
 POLL_TIMEOUT = 1.0
 #: time after which a leaving target must receive no new calls, in milliseconds
-LEAVING_BOUND_MS = 3000
+LEAVING_GRACE_MS = 3000
 
 
-class GenerationWatch:
+class GenerationMonitor:
     """Records instances whose configuration reverts to an earlier generation."""
 
     def __init__(self, runner: FleetRunner) -> None:
         self._runner = runner
         self._highest: dict[str, int] = {}
         self.reverted: list[str] = []
-        self.looks = 0
+        self.sample_count = 0
 
     async def run(self) -> None:
         """Poll all instances until cancelled."""
@@ -35,10 +35,10 @@
             while True:
                 for daemon in list(self._runner.daemons):
                     url = f"http://{daemon.entry.operators}/status"
-                    await self._look(session, daemon.instance_id, url)
+                    await self._sample(session, daemon.instance_id, url)
                 await asyncio.sleep(POLL_INTERVAL)
 
-    async def _look(
+    async def _sample(
         self, session: aiohttp.ClientSession, instance_id: str, url: str
     ) -> None:
         try:
@@ -46,14 +46,14 @@
                 generation = (await response.json())["generation"]
         except (aiohttp.ClientError, TimeoutError):
             return
-        self.looks += 1
+        self.sample_count += 1
         highest = self._highest.get(instance_id, 0)
         if generation < highest:
             self.reverted.append(f"{instance_id}: {highest} to {generation}")
         self._highest[instance_id] = max(highest, generation)
 
 
-async def find_work_after_leaving(runner: FleetRunner) -> list[str]:
+async def find_calls_after_leaving(runner: FleetRunner) -> list[str]:
     """Return the calls that targets started too long after they began to leave."""
     found = []
     async with aiohttp.ClientSession() as session:
@@ -67,6 +67,6 @@
                 runs = (await response.json())["runs"]
             for run in runs:
                 late = run["started_ms"] - since
-                if late > LEAVING_BOUND_MS:
+                if late > LEAVING_GRACE_MS:
                     found.append(f"{target['id']}: {run['attempt']} after {late} ms")
     return found
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/convergence.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/convergence.py
@@ -12,12 +12,12 @@
 
     from ..fleets.daemon import Daemon
 
-__all__ = ("find_unjoined", "find_without", "read_generation")
+__all__ = ("find_not_alive", "find_not_in_force", "read_generation")
 
 #: time until a change must be in force at all reachable instances, in seconds
-IN_FORCE_TIMEOUT = 15.0
+PROPAGATION_TIMEOUT = 15.0
 #: time until every instance must see all others as alive again, in seconds
-JOINED_TIMEOUT = 45.0
+MEMBERSHIP_TIMEOUT = 45.0
 #: interval between polls, and time-out of each, in seconds
 POLL_INTERVAL = 0.2
 POLL_TIMEOUT = 2.0
@@ -31,36 +31,38 @@
         return (await _read_status(session, daemon))["generation"]
 
 
-async def find_without(daemons: Sequence[Daemon], generation: int) -> list[str]:
+async def find_not_in_force(daemons: Sequence[Daemon], generation: int) -> list[str]:
     """Return the ids of daemons that do not reach ``generation`` in time."""
 
-    def find_late(statuses: dict[str, dict[str, Any]]) -> list[str]:
+    def find_lagging(statuses: dict[str, dict[str, Any]]) -> list[str]:
         return [
             daemon.instance_id
             for daemon in daemons
             if statuses.get(daemon.instance_id, {}).get("generation", 0) < generation
         ]
 
-    return await _wait_none(daemons, find_late, IN_FORCE_TIMEOUT)
+    return await _poll_until_empty(daemons, find_lagging, PROPAGATION_TIMEOUT)
 
 
-async def find_unjoined(daemons: Sequence[Daemon]) -> list[str]:
+async def find_not_alive(daemons: Sequence[Daemon]) -> list[str]:
     """Return ``A sees B: STATE`` for pairs that are not alive to each other in time."""
 
-    def find_unseen(statuses: dict[str, dict[str, Any]]) -> list[str]:
+    def find_unseen_pairs(statuses: dict[str, dict[str, Any]]) -> list[str]:
         found = []
-        for seer in daemons:
-            members = statuses.get(seer.instance_id, {}).get("members", {})
-            for seen in daemons:
-                state = members.get(seen.instance_id, {}).get("state")
+        for observer in daemons:
+            members = statuses.get(observer.instance_id, {}).get("members", {})
+            for peer in daemons:
+                state = members.get(peer.instance_id, {}).get("state")
                 if state != ALIVE:
-                    found.append(f"{seer.instance_id} sees {seen.instance_id}: {state}")
+                    found.append(
+                        f"{observer.instance_id} sees {peer.instance_id}: {state}"
+                    )
         return found
 
-    return await _wait_none(daemons, find_unseen, JOINED_TIMEOUT)
+    return await _poll_until_empty(daemons, find_unseen_pairs, MEMBERSHIP_TIMEOUT)
 
 
-async def _wait_none(
+async def _poll_until_empty(
     daemons: Sequence[Daemon],
     find: Callable[[dict[str, dict[str, Any]]], list[str]],
     timeout: float,
@@ -69,13 +71,13 @@
     end = loop.time() + timeout
     async with _open_session() as session:
         while True:
-            found = find(await _read_all(session, daemons))
+            found = find(await _read_statuses(session, daemons))
             if not found or loop.time() > end:
                 return found
             await asyncio.sleep(POLL_INTERVAL)
 
 
-async def _read_all(
+async def _read_statuses(
     session: aiohttp.ClientSession, daemons: Sequence[Daemon]
 ) -> dict[str, dict[str, Any]]:
     reads = [_read_status(session, daemon) for daemon in daemons]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from ..processes import ProcessError
-from . import Fault, LastingFault, Scene
+from . import Fault, FaultContext, PermanentFault
 from .kills import DaemonKilled, HolderKilled
 from .partitions import PARTITIONS
 from .starts import StartInOutage
@@ -20,13 +20,13 @@
 __all__ = ("FAULTS",)
 
 #: additional latency of a slow platform, in milliseconds
-SLOW_MS = 400
+STORE_DELAY_MS = 400
 #: number of writes whose answers are lost
-LOST_ANSWERS = 40
+LOST_ANSWER_COUNT = 40
 #: number of changes that two operators make concurrently
-RACING_CHANGES = 6
+CONCURRENT_CHANGES = 6
 #: time-out of the request that sets a simulated target's faults, in seconds
-CONTROL_TIMEOUT = 5.0
+FAULT_REQUEST_TIMEOUT = 5.0
 
 
 class DaemonPaused(Fault):
@@ -37,11 +37,11 @@
     def __init__(self) -> None:
         self._paused: Daemon | None = None
 
-    async def begin(self, scene: Scene) -> None:
-        self._paused = scene.pick_daemon()
+    async def inject(self, context: FaultContext) -> None:
+        self._paused = context.pick_affected_daemon()
         self._paused.process.pause()
 
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         self._paused.process.resume()
 
 
@@ -53,22 +53,22 @@
     def __init__(self) -> None:
         self._paused: Process | None = None
 
-    async def begin(self, scene: Scene) -> None:
-        target = scene.random_source.choice(scene.playing.runner.targets)
-        self._paused = scene.playing.runner.find_process(target["id"])
+    async def inject(self, context: FaultContext) -> None:
+        target = context.random_source.choice(context.playing.runner.targets)
+        self._paused = context.playing.runner.find_process(target["id"])
         self._paused.pause()
 
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         self._paused.resume()
 
 
-class TargetLeaving(LastingFault):
+class TargetLeaving(PermanentFault):
     """A target reports that it is leaving before the instance list shows it."""
 
     name = "target-leaving"
 
-    async def begin(self, scene: Scene) -> None:
-        target = scene.random_source.choice(scene.playing.runner.targets)
+    async def inject(self, context: FaultContext) -> None:
+        target = context.random_source.choice(context.playing.runner.targets)
         await _set_target_faults(target, {"state": "leaving"})
 
 
@@ -79,15 +79,15 @@
     _RATES = ("refuse_rate", "fail_rate", "cross_rate", "cut_rate")
     _RATE = 0.02
 
-    async def begin(self, scene: Scene) -> None:
-        await self._set_all(scene, self._RATE)
+    async def inject(self, context: FaultContext) -> None:
+        await self._set_all(context, self._RATE)
 
-    async def end(self, scene: Scene) -> None:
-        await self._set_all(scene, 0.0)
+    async def remove(self, context: FaultContext) -> None:
+        await self._set_all(context, 0.0)
 
-    async def _set_all(self, scene: Scene, rate: float) -> None:
+    async def _set_all(self, context: FaultContext, rate: float) -> None:
         faults = dict.fromkeys(self._RATES, rate)
-        for target in scene.playing.runner.targets:
+        for target in context.playing.runner.targets:
             await _set_target_faults(target, faults)
 
 
@@ -99,27 +99,27 @@
         self._during = during
         self._after = after
 
-    async def begin(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(**self._during)
+    async def inject(self, context: FaultContext) -> None:
+        await context.playing.runner.registry.set_faults(**self._during)
 
-    async def end(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(**self._after)
+    async def remove(self, context: FaultContext) -> None:
+        await context.playing.runner.registry.set_faults(**self._after)
 
 
-class OperatorsRacing(LastingFault):
+class OperatorsRacing(PermanentFault):
     """Two operators change labels concurrently through different instances."""
 
     name = "operators-racing"
 
-    async def begin(self, scene: Scene) -> None:
-        work = [_label(scene, number) for number in range(RACING_CHANGES)]
+    async def inject(self, context: FaultContext) -> None:
+        work = [_set_label(context, number) for number in range(CONCURRENT_CHANGES)]
         await asyncio.gather(*work)
 
 
-async def _label(scene: Scene, number: int) -> None:
-    workspace = scene.playing.runner.fleet.workspaces[number % 2].name
+async def _set_label(context: FaultContext, number: int) -> None:
+    workspace = context.playing.runner.fleet.workspaces[number % 2].name
     try:
-        await scene.playing.runner.run_client(
+        await context.playing.runner.run_client(
             "label", "workspace", workspace, f"race=n{number}", "--wait"
         )
     except ProcessError as error:
@@ -129,7 +129,7 @@
 
 
 async def _set_target_faults(target: dict[str, str], faults: dict[str, Any]) -> None:
-    timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT)
+    timeout = aiohttp.ClientTimeout(total=FAULT_REQUEST_TIMEOUT)
     url = f"http://{target['address']}/control/faults"
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
@@ -147,8 +147,8 @@
         DaemonPaused(),
         TargetSilent(),
         PlatformFault("store-down", {"outage": True}, {"outage": False}),
-        PlatformFault("store-slow", {"slow_ms": SLOW_MS}, {"slow_ms": 0}),
-        PlatformFault("answers-lost", {"lose_answers": LOST_ANSWERS}, {}),
+        PlatformFault("store-slow", {"slow_ms": STORE_DELAY_MS}, {"slow_ms": 0}),
+        PlatformFault("answers-lost", {"lose_answers": LOST_ANSWER_COUNT}, {}),
         PlatformFault("list-lagging", {"list_lag_s": 10.0}, {"list_lag_s": 0.0}),
         PlatformFault("list-down", {"list_outage": True}, {"list_outage": False}),
         TargetsFailing(),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -8,7 +8,7 @@
 
 from ..load.arrivals import Arrival
 from ..load.client import CallerClient
-from . import LastingFault, Scene
+from . import FaultContext, PermanentFault
 
 if TYPE_CHECKING:
     from ..fleets.daemon import Daemon
@@ -17,27 +17,27 @@
 __all__ = ("DaemonKilled", "HolderKilled")
 
 #: multiple of the usual duration of a call, so that it takes about 600 ms
-SIZE = 60
+SLOW_CALL_SIZE = 60
 #: time after a keyed request within which its instance is killed, in seconds
-KILL_WITHIN = 0.6
+MAX_KILL_DELAY = 0.6
 #: number of instances at which the request is retried immediately
-REPEATS = 2
+RETRY_COUNT = 2
 #: index of the first arrival that is added to the generated traffic
 FIRST_INDEX = 1_000_000
 
 
-class DaemonKilled(LastingFault):
+class DaemonKilled(PermanentFault):
     """An entry instance is killed and replaced by another one."""
 
     name = "daemon-killed"
 
-    async def begin(self, scene: Scene) -> None:
-        daemon = scene.pick_daemon()
+    async def inject(self, context: FaultContext) -> None:
+        daemon = context.pick_affected_daemon()
         await _kill(daemon)
-        await _replace(scene, daemon)
+        await _replace(context, daemon)
 
 
-class HolderKilled(LastingFault):
+class HolderKilled(PermanentFault):
     """The holder of a keyed request is killed, and the request retried elsewhere.
 
     The moment is random: before the claim, between the claim and the call, or during
@@ -46,28 +46,28 @@
 
     name = "holder-killed"
 
-    async def begin(self, scene: Scene) -> None:
-        daemon = scene.pick_daemon()
-        others = [item for item in scene.playing.runner.daemons if item is not daemon]
-        asked = scene.random_source.sample(others, REPEATS)
-        arrival = _create_arrival(scene)
+    async def inject(self, context: FaultContext) -> None:
+        daemon = context.pick_affected_daemon()
+        others = [item for item in context.playing.runner.daemons if item is not daemon]
+        retry_daemons = context.random_source.sample(others, RETRY_COUNT)
+        arrival = _create_arrival(context)
         async with CallerClient() as client:
             first = asyncio.create_task(_send(client, arrival, daemon))
-            await asyncio.sleep(scene.random_source.uniform(0.0, KILL_WITHIN))
+            await asyncio.sleep(context.random_source.uniform(0.0, MAX_KILL_DELAY))
             await _kill(daemon)
             repeats = [
-                _send(client, _repeat(arrival, number), other)
-                for number, other in enumerate(asked, 1)
+                _send(client, _create_retry(arrival, number), other)
+                for number, other in enumerate(retry_daemons, 1)
             ]
-            seen = await asyncio.gather(first, *repeats)
-        scene.playing.run.observations.extend(seen)
-        await _replace(scene, daemon)
+            observations = await asyncio.gather(first, *repeats)
+        context.playing.run.observations.extend(observations)
+        await _replace(context, daemon)
 
 
-def _create_arrival(scene: Scene) -> Arrival:
-    fleet = scene.playing.runner.fleet
+def _create_arrival(context: FaultContext) -> Arrival:
+    fleet = context.playing.runner.fleet
     traffic = next(item for item in fleet.traffic if not item.repeatable)
-    run = scene.playing.run
+    run = context.playing.run
     added = sum(item.arrival.index >= FIRST_INDEX for item in run.observations)
     marker = f"held-{added}"
     return Arrival(
@@ -75,7 +75,7 @@
         offset=run.elapsed,
         workspace=fleet.workspaces[0].name,
         pipeline=traffic.pipeline,
-        input={"prompt": marker, "effect": marker, "size": SIZE},
+        input={"prompt": marker, "effect": marker, "size": SLOW_CALL_SIZE},
         marker=marker,
         deadline_ms=traffic.deadline_ms,
         repeatable=False,
@@ -83,7 +83,7 @@
     )
 
 
-def _repeat(first: Arrival, number: int) -> Arrival:
+def _create_retry(first: Arrival, number: int) -> Arrival:
     return dataclasses.replace(first, index=first.index + number, repeat_of=first.index)
 
 
@@ -97,8 +97,8 @@
     await daemon.process.wait()
 
 
-async def _replace(scene: Scene, daemon: Daemon) -> None:
-    runner, balancer = scene.playing.runner, scene.playing.balancer
+async def _replace(context: FaultContext, daemon: Daemon) -> None:
+    runner, balancer = context.playing.runner, context.playing.balancer
     runner.daemons.remove(daemon)
     replacement = await runner.start_daemon(
         f"{daemon.instance_id}-next", daemon.data_centre
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from ..fleets.network import PathKind
-from . import Fault, Scene
-from .convergence import find_unjoined, find_without, read_generation
+from . import Fault, FaultContext
+from .convergence import find_not_alive, find_not_in_force, read_generation
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -17,7 +17,7 @@
 __all__ = ("PARTITIONS",)
 
 #: paths between data centres
-CENTRES = (PathKind.PEER, PathKind.TARGET)
+INTER_CENTRE_PATHS = (PathKind.PEER, PathKind.TARGET)
 
 
 class PathFault(Fault):
@@ -40,38 +40,44 @@
         self._paths: list[Path] = []
         self._generation = 0
 
-    async def begin(self, scene: Scene) -> None:
-        runner = scene.playing.runner
-        self.cut_off = scene.random_source.choice(runner.fleet.data_centres)
+    async def inject(self, context: FaultContext) -> None:
+        runner = context.playing.runner
+        self.cut_off = context.random_source.choice(runner.fleet.data_centres)
         self._paths = self._find_paths(runner.network)
         for path in self._paths:
-            await self.strike(path)
-        elsewhere = [
+            await self.inject_on_path(path)
+        unaffected = [
             daemon for daemon in runner.daemons if daemon.data_centre != self.cut_off
         ]
-        changer = scene.random_source.choice(elsewhere)
+        daemon_with_change = context.random_source.choice(unaffected)
         workspace = runner.fleet.workspaces[0].name
         await runner.run_client(
-            "label", "workspace", workspace, f"during={self.name}", at=changer
+            "label",
+            "workspace",
+            workspace,
+            f"during={self.name}",
+            at=daemon_with_change,
         )
-        self._generation = await read_generation(changer)
-        told = runner.daemons if self.lets_news_pass() else elsewhere
-        await self._check_in_force(scene, told, "during the fault")
+        self._generation = await read_generation(daemon_with_change)
+        reachable = runner.daemons if self.can_propagate_changes() else unaffected
+        await self._check_in_force(context, reachable, "during the fault")
 
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         for path in self._paths:
             await path.link.heal()
-        daemons = scene.playing.runner.daemons
-        await self._check_in_force(scene, daemons, "after the fault")
-        for pair in await find_unjoined(daemons):
-            scene.broken.append(f"{self.name}: not a member afterwards: {pair}")
+        daemons = context.playing.runner.daemons
+        await self._check_in_force(context, daemons, "after the fault")
+        for pair in await find_not_alive(daemons):
+            context.guarantee_violations.append(
+                f"{self.name}: not a member afterwards: {pair}"
+            )
         self.cut_off = ""
 
-    async def strike(self, path: Path) -> None:
+    async def inject_on_path(self, path: Path) -> None:
         """Inject the fault into one path."""
         await path.link.cut()
 
-    def lets_news_pass(self) -> bool:
+    def can_propagate_changes(self) -> bool:
         """Whether changes still propagate to the data centre during the fault."""
         return not (self._platform and PathKind.PEER in self._kinds)
 
@@ -82,10 +88,10 @@
         return paths
 
     async def _check_in_force(
-        self, scene: Scene, daemons: Sequence[Daemon], when: str
+        self, context: FaultContext, daemons: Sequence[Daemon], when: str
     ) -> None:
-        for instance_id in await find_without(daemons, self._generation):
-            scene.broken.append(
+        for instance_id in await find_not_in_force(daemons, self._generation):
+            context.guarantee_violations.append(
                 f"{self.name}: generation {self._generation} not in force {when}"
                 f" at {instance_id}"
             )
@@ -94,27 +100,27 @@
 class PathSilence(PathFault):
     """The paths drop all bytes, including those of new connections."""
 
-    async def strike(self, path: Path) -> None:
+    async def inject_on_path(self, path: Path) -> None:
         path.link.silence()
 
 
 class OpenSilence(PathFault):
     """Open connections go silent permanently, while new ones work."""
 
-    async def strike(self, path: Path) -> None:
+    async def inject_on_path(self, path: Path) -> None:
         path.link.silence(only_open=True)
 
-    def lets_news_pass(self) -> bool:
+    def can_propagate_changes(self) -> bool:
         return True
 
 
 PARTITIONS: tuple[Fault, ...] = (
     PathFault("platform-cut", platform=True),
     PathSilence("platform-silent", platform=True),
-    PathFault("centres-cut", kinds=CENTRES),
-    PathSilence("centres-silent", kinds=CENTRES),
-    PathFault("both-cut", platform=True, kinds=CENTRES),
-    PathSilence("both-silent", platform=True, kinds=CENTRES),
+    PathFault("centres-cut", kinds=INTER_CENTRE_PATHS),
+    PathSilence("centres-silent", kinds=INTER_CENTRE_PATHS),
+    PathFault("both-cut", platform=True, kinds=INTER_CENTRE_PATHS),
+    PathSilence("both-silent", platform=True, kinds=INTER_CENTRE_PATHS),
     OpenSilence("peers-silent", kinds=(PathKind.PEER,)),
-    OpenSilence("connections-silent", platform=True, kinds=CENTRES),
+    OpenSilence("connections-silent", platform=True, kinds=INTER_CENTRE_PATHS),
 )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -12,11 +12,11 @@
 
     from ..load.observations import Observation
 
-__all__ = ("Side", "FaultWindow", "measure_sides")
+__all__ = ("FaultWindow", "Side", "measure_sides")
 
 #: names of sides that are not a single data centre
-ALL = "all"
-REST = "the others"
+ALL_INSTANCES = "all"
+OTHER_CENTRES = "the others"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -69,7 +69,11 @@
     """
     tallies: dict[tuple[str, str], Tally] = {}
     for window in windows:
-        names = (window.data_centre, REST) if window.data_centre else (ALL,)
+        names = (
+            (window.data_centre, OTHER_CENTRES)
+            if window.data_centre
+            else (ALL_INSTANCES,)
+        )
         for name in names:
             tallies[(window.fault, name)] = Tally()
     for observation in observations:
@@ -78,7 +82,7 @@
         for window in windows:
             if not window.begin <= observation.arrival.offset < window.end:
                 continue
-            name = _find_side(window, places.get(observation.instance, ""))
+            name = _find_side_name(window, places.get(observation.instance, ""))
             tallies[(window.fault, name)].add(observation)
     return [
         Side(fault=fault, name=name, tally=tally)
@@ -86,7 +90,7 @@
     ]
 
 
-def _find_side(window: FaultWindow, data_centre: str) -> str:
+def _find_side_name(window: FaultWindow, data_centre: str) -> str:
     if not window.data_centre:
-        return ALL
-    return window.data_centre if data_centre == window.data_centre else REST
+        return ALL_INSTANCES
+    return window.data_centre if data_centre == window.data_centre else OTHER_CENTRES
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from ..processes import ProcessError
-from . import Fault, Scene
+from . import Fault, FaultContext
 
 __all__ = ("StartInOutage",)
 
 #: number of running instances whose addresses the new one gets as seeds
-SEEDS = 2
+SEED_COUNT = 2
 
 
 class StartInOutage(Fault):
@@ -16,11 +16,11 @@
 
     name = "start-in-outage"
 
-    async def begin(self, scene: Scene) -> None:
-        runner = scene.playing.runner
+    async def inject(self, context: FaultContext) -> None:
+        runner = context.playing.runner
         await runner.registry.set_faults(outage=True)
-        data_centre = scene.random_source.choice(runner.fleet.data_centres)
-        known = scene.random_source.sample(runner.daemons, SEEDS)
+        data_centre = context.random_source.choice(runner.fleet.data_centres)
+        known = context.random_source.sample(runner.daemons, SEED_COUNT)
         daemon = await runner.start_daemon(
             f"{data_centre}-late-{len(runner.places)}",
             data_centre,
@@ -29,8 +29,8 @@
         try:
             await runner.wait_ready(daemon)
         except ProcessError as error:
-            scene.broken.append(f"{self.name}: {error}")
-        scene.playing.balancer.add(daemon.entry)
+            context.guarantee_violations.append(f"{self.name}: {error}")
+        context.playing.balancer.add(daemon.entry)
 
-    async def end(self, scene: Scene) -> None:
-        await scene.playing.runner.registry.set_faults(outage=False)
+    async def remove(self, context: FaultContext) -> None:
+        await context.playing.runner.registry.set_faults(outage=False)
