--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -67,7 +67,7 @@
 
     instance: int
     #: instances whose writer may commit its claim, in the order of trying
-    writers: tuple[int, ...]
+    candidates: tuple[int, ...]
     digest: bytes = b"d" * 8
     key: bytes = KEY
 
@@ -342,7 +342,7 @@
         seeker = self._seekers[number]
         if current.action is Action.CHOOSE_CANDIDATES:
             current = current.handle_candidates(
-                tuple(str(way) for way in seeker.writers)
+                tuple(str(way) for way in seeker.candidates)
             )
         slot = dataclasses.replace(slot, attempt=current, awaited=0)
         match current.action:
@@ -423,8 +423,8 @@
         letter = QueuedOperation(GiveBack(seeker.key, self._create_token(number)))
         if state.budget.resends:
             state = state.change(budget=_spend(state.budget, "resends"))
-            state = self._post(state, seeker.instance, seeker.writers[-1], letter)
-        return self._post(state, seeker.instance, seeker.writers[0], letter)
+            state = self._post(state, seeker.instance, seeker.candidates[-1], letter)
+        return self._post(state, seeker.instance, seeker.candidates[0], letter)
 
     def _create_token(self, number: int) -> Token:
         return Token(str(self._seekers[number].instance), 1, number + 1)
