--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -44,7 +44,7 @@
 KEY = b"k" * 16
 OTHER_KEY = b"o" * 16
 #: claim of an unrelated request that fills the head
-FILLER = Claim(b"f" * 16, b"f" * 8, Token("none", 1, 0), NOW + 600)
+FILLER_CLAIM = Claim(b"f" * 16, b"f" * 8, Token("none", 1, 0), NOW + 600)
 OUTCOME = b"outcome"
 #: number under which the store holds the head; segments are numbered from 1
 HEAD_KEY = 0
@@ -99,10 +99,10 @@
     state: AttemptState | None = None
     attempt: Attempt | None = None
     #: number of the try whose result is awaited; 0 if none is
-    awaited: int = 0
+    awaited_try: int = 0
     tries: int = 0
     #: final action with which the caller was answered
-    told: Action | None = None
+    answered_with: Action | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +110,8 @@
     """An operation in transit to a writer, or waiting in its queue."""
 
     operation: Operation
-    seeker: int = -1
+    #: number of the request that awaits the result; -1 if none does
+    request: int = -1
     number: int = 0
 
 
@@ -128,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LateSwap:
+class DelayedWrite:
     """A write whose sender no longer waits for the answer."""
 
     key: int
@@ -142,21 +143,21 @@
     """State of all requests, writers, messages and the store."""
 
     budget: FaultBudget
-    slots: tuple[RequestState, ...]
+    request_states: tuple[RequestState, ...]
     writers: tuple[Writer, ...]
     #: entries of the store as number, value and revision; the head has number 0
     entries: tuple[tuple[int, bytes, int], ...] = ()
     revision: int = 1
     #: operations in transit, each with its receiver
-    letters: frozenset[tuple[int, QueuedOperation]] = frozenset()
+    in_transit: frozenset[tuple[int, QueuedOperation]] = frozenset()
     #: writes that may still take effect, or never do
-    late: tuple[LateSwap, ...] = ()
+    delayed_writes: tuple[DelayedWrite, ...] = ()
     #: requests that ran
     runs: tuple[int, ...] = ()
     #: ids of the batches that took effect, once for each time
     applied: tuple[bytes, ...] = ()
     #: attempts whose give-back was acknowledged
-    freed: frozenset[Token] = frozenset()
+    acknowledged_give_backs: frozenset[Token] = frozenset()
     fault: str = ""
     _hash: int = field(default=0, compare=False, repr=False)
 
@@ -194,14 +195,14 @@
 
     def __init__(
         self,
-        seekers: tuple[KeyedRequest, ...],
+        requests: tuple[KeyedRequest, ...],
         *,
         writers: int,
         budget: FaultBudget,
         filler: bool = False,
         final_give_backs: bool = False,
     ) -> None:
-        self._seekers = seekers
+        self._requests = requests
         self._writers = writers
         self._budget = budget
         self._filler = filler
@@ -217,27 +218,27 @@
     def start(self) -> Iterable[ClaimsState]:
         entries = ()
         if self._filler:
-            head = Head(sequence=1, written_at=NOW, claims=(FILLER,))
+            head = Head(sequence=1, written_at=NOW, claims=(FILLER_CLAIM,))
             entries = ((HEAD_KEY, encode_head(head), 1),)
         yield ClaimsState(
             budget=self._budget,
-            slots=tuple(RequestState() for _ in self._seekers),
+            request_states=tuple(RequestState() for _ in self._requests),
             writers=tuple(Writer() for _ in range(self._writers)),
             entries=entries,
         )
 
     def list_steps(self, state: ClaimsState) -> Iterator[tuple[str, ClaimsState]]:
-        for number in range(len(self._seekers)):
-            yield from self._seek(state, number)
+        for number in range(len(self._requests)):
+            yield from self._list_request_steps(state, number)
         for number in range(self._writers):
-            yield from self._write(state, number)
-        for receiver, letter in sorted(state.letters, key=_get_order):
-            moved = state.change(letters=state.letters - {(receiver, letter)})
-            text = f"{_name(letter)} reaches writer {receiver}"
-            yield text, self._enqueue(moved, receiver, letter)
-        for late in state.late:
-            rest = tuple(one for one in state.late if one is not late)
-            arrived, result = self._swap(state.change(late=rest), late)
+            yield from self._list_writer_steps(state, number)
+        for receiver, queued in sorted(state.in_transit, key=_get_sort_key):
+            moved = state.change(in_transit=state.in_transit - {(receiver, queued)})
+            text = f"{_describe(queued)} reaches writer {receiver}"
+            yield text, self._enqueue(moved, receiver, queued)
+        for late in state.delayed_writes:
+            rest = tuple(one for one in state.delayed_writes if one is not late)
+            arrived, result = self._swap(state.change(delayed_writes=rest), late)
             yield f"delayed write of {late.key}: {result.outcome.value}", arrived
         if state.budget.crashes:
             for number, writer in enumerate(state.writers):
@@ -247,17 +248,17 @@
     def find_violation(self, state: ClaimsState) -> str:
         if state.fault:
             return state.fault
-        keys = {self._seekers[number].key for number in state.runs}
+        keys = {self._requests[number].key for number in state.runs}
         if len(state.runs) > len(keys):
             return "a request ran twice"
-        for number, slot in enumerate(state.slots):
-            if slot.told in NOT_RUN_ACTIONS and number in state.runs:
+        for number, request_state in enumerate(state.request_states):
+            if request_state.answered_with in NOT_RUN_ACTIONS and number in state.runs:
                 return f"request {number} was answered 'not run' but ran"
         if len(set(state.applied)) < len(state.applied):
             return "a batch took effect twice"
-        if self._final_give_backs and state.freed:
+        if self._final_give_backs and state.acknowledged_give_backs:
             for holder in self._list_holders(state):
-                if holder.token in state.freed:
+                if holder.token in state.acknowledged_give_backs:
                     return "a claim that was given back holds its key again"
         if not state.runs:
             return ""
@@ -268,52 +269,63 @@
         return ""
 
     def find_final_fault(self, state: ClaimsState) -> str:
-        for number, slot in enumerate(state.slots):
+        for number, request_state in enumerate(state.request_states):
             if (
-                slot.told is None
-                and state.writers[self._seekers[number].instance].alive
+                request_state.answered_with is None
+                and state.writers[self._requests[number].instance].alive
             ):
                 return f"request {number} is never answered"
         if state.budget.crashes < self._budget.crashes:
             return ""
         for holder in self._list_holders(state):
-            if holder.token.serial == FILLER.token.serial:
+            if holder.token.serial == FILLER_CLAIM.token.serial:
                 continue
-            if state.slots[holder.token.serial - 1].state is None:
+            if state.request_states[holder.token.serial - 1].state is None:
                 return "a key is held by an attempt that never existed"
         return ""
 
     # requests
 
-    def _seek(
+    def _list_request_steps(
         self, state: ClaimsState, number: int
     ) -> Iterator[tuple[str, ClaimsState]]:
-        slot = state.slots[number]
-        seeker = self._seekers[number]
-        if not state.writers[seeker.instance].alive or slot.told is not None:
+        request_state = state.request_states[number]
+        request = self._requests[number]
+        if (
+            not state.writers[request.instance].alive
+            or request_state.answered_with is not None
+        ):
             return
         budget = state.budget
-        if slot.state is None:
+        if request_state.state is None:
             token = self._create_token(number)
-            operation = Acquire(seeker.key, seeker.digest, token)
-            slot = RequestState(AttemptState.PENDING, Attempt(operation=operation))
-            yield f"request {number} arrives", self._advance(state, number, slot)
+            operation = Acquire(request.key, request.digest, token)
+            request_state = RequestState(
+                AttemptState.PENDING, Attempt(operation=operation)
+            )
+            yield (
+                f"request {number} arrives",
+                self._advance(state, number, request_state),
+            )
             return
-        if slot.state is AttemptState.RUNNING:
+        if request_state.state is AttemptState.RUNNING:
             ended = dataclasses.replace(
-                slot, state=AttemptState.FINISHED, told=Action.RUN
+                request_state, state=AttemptState.FINISHED, answered_with=Action.RUN
             )
-            yield f"request {number} ends", _put_slot(state, number, ended)
+            yield f"request {number} ends", _replace_request_state(state, number, ended)
             return
-        if slot.awaited and int(slot.attempt.candidate) != seeker.instance:
+        if (
+            request_state.awaited_try
+            and int(request_state.attempt.candidate) != request.instance
+        ):
             yield from self._time_out(state, number)
-        if slot.awaited and budget.abandoned:
+        if request_state.awaited_try and budget.abandoned:
             spent = state.change(budget=_spend(budget, "abandoned"))
             given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
             yield f"request {number} is abandoned", given_up
-        if slot.attempt.action is Action.ASK_HOLDER:
+        if request_state.attempt.action is Action.ASK_HOLDER:
             yield from self._ask_holder(state, number)
-        if slot.attempt.action is Action.RUN:
+        if request_state.attempt.action is Action.RUN:
             yield f"request {number} runs", self._run(state, number)
             if budget.not_run:
                 spent = state.change(budget=_spend(budget, "not_run"))
@@ -323,75 +335,81 @@
     def _time_out(
         self, state: ClaimsState, number: int
     ) -> Iterator[tuple[str, ClaimsState]]:
-        way = int(state.slots[number].attempt.candidate)
+        candidate = int(state.request_states[number].attempt.candidate)
         budget = state.budget
         # a crashed instance never answers; this does not count as a further fault
-        if state.writers[way].alive:
+        if state.writers[candidate].alive:
             if not budget.timeouts:
                 return
             budget = _spend(budget, "timeouts")
         spent = state.change(budget=budget)
-        text = f"request {number} gets no answer from {way}"
-        yield text, self._take_result(spent, number, None)
+        text = f"request {number} gets no answer from {candidate}"
+        yield text, self._handle_result(spent, number, None)
 
     def _advance(
-        self, state: ClaimsState, number: int, slot: RequestState
+        self, state: ClaimsState, number: int, request_state: RequestState
     ) -> ClaimsState:
         """Take the local steps that follow from a change of an attempt."""
-        current = slot.attempt
-        seeker = self._seekers[number]
+        current = request_state.attempt
+        request = self._requests[number]
         if current.action is Action.CHOOSE_CANDIDATES:
             current = current.handle_candidates(
-                tuple(str(way) for way in seeker.candidates)
+                tuple(str(candidate) for candidate in request.candidates)
             )
-        slot = dataclasses.replace(slot, attempt=current, awaited=0)
+        request_state = dataclasses.replace(
+            request_state, attempt=current, awaited_try=0
+        )
         match current.action:
             case Action.ACQUIRE:
-                tries = slot.tries + 1
-                slot = dataclasses.replace(slot, tries=tries, awaited=tries)
-                state = _put_slot(state, number, slot)
-                letter = QueuedOperation(current.operation, number, tries)
-                return self._post(
-                    state, seeker.instance, int(current.candidate), letter
+                tries = request_state.tries + 1
+                request_state = dataclasses.replace(
+                    request_state, tries=tries, awaited_try=tries
+                )
+                state = _replace_request_state(state, number, request_state)
+                queued = QueuedOperation(current.operation, number, tries)
+                return self._send(
+                    state, request.instance, int(current.candidate), queued
                 )
             case Action.RUN | Action.ASK_HOLDER:
-                return _put_slot(state, number, slot)
-        state = _put_slot(state, number, slot)
-        fault = state.fault or self._check_told(state, number, current)
+                return _replace_request_state(state, number, request_state)
+        state = _replace_request_state(state, number, request_state)
+        fault = state.fault or self._check_answer(state, number, current)
         return self._abandon(state, number, current.action).change(fault=fault)
 
-    def _check_told(self, state: ClaimsState, number: int, ended: Attempt) -> str:
+    def _check_answer(self, state: ClaimsState, number: int, ended: Attempt) -> str:
         """Return a fault if the caller is answered wrongly, or an empty text."""
-        digest = self._seekers[number].digest
+        digest = self._requests[number].digest
         if ended.action is Action.REPLAY:
-            holder = self._seekers[ended.holder.serial - 1]
+            holder = self._requests[ended.holder.serial - 1]
             if holder.digest != digest:
                 return (
                     f"request {number} was answered with the result of another request"
                 )
         if ended.action is Action.REFUSE_KEY_REUSED:
             for other in state.runs:
-                if self._seekers[other].digest == digest:
+                if self._requests[other].digest == digest:
                     return f"request {number} was answered 'not run' after it had run"
         return ""
 
-    def _take_result(
+    def _handle_result(
         self, state: ClaimsState, number: int, result: OperationResult | None
     ) -> ClaimsState:
-        slot = state.slots[number]
-        taken = slot.attempt.handle_result(result)
-        return self._advance(state, number, dataclasses.replace(slot, attempt=taken))
+        request_state = state.request_states[number]
+        updated = request_state.attempt.handle_result(result)
+        return self._advance(
+            state, number, dataclasses.replace(request_state, attempt=updated)
+        )
 
     def _ask_holder(
         self, state: ClaimsState, number: int
     ) -> Iterator[tuple[str, ClaimsState]]:
-        slot = state.slots[number]
-        holder = slot.attempt.holder
+        request_state = state.request_states[number]
+        holder = request_state.attempt.holder
         for label, record in self._list_answers(state, holder):
-            taken = slot.attempt.handle_holder(record)
-            asked = dataclasses.replace(slot, attempt=taken)
+            updated = request_state.attempt.handle_holder(record)
+            updated_state = dataclasses.replace(request_state, attempt=updated)
             text = f"request {number} asks the holder: {label}"
-            yield text, self._advance(state, number, asked)
+            yield text, self._advance(state, number, updated_state)
 
     def _list_answers(
         self, state: ClaimsState, holder: Token
@@ -399,61 +417,68 @@
         yield "no answer", None
         if not state.writers[int(holder.instance)].alive:
             return
-        slot = state.slots[holder.serial - 1]
-        record = AttemptRecord(slot.state, OUTCOME)
-        yield slot.state.value, attempt.mask_pending(record)
+        request_state = state.request_states[holder.serial - 1]
+        record = AttemptRecord(request_state.state, OUTCOME)
+        yield request_state.state.value, attempt.mask_pending(record)
 
     def _run(self, state: ClaimsState, number: int) -> ClaimsState:
-        slot = state.slots[number]
-        if not registry.may_run(slot.state):
+        request_state = state.request_states[number]
+        if not registry.may_run(request_state.state):
             return state
-        slot = dataclasses.replace(slot, state=AttemptState.RUNNING)
-        return _put_slot(state, number, slot).change(runs=(*state.runs, number))
+        request_state = dataclasses.replace(request_state, state=AttemptState.RUNNING)
+        return _replace_request_state(state, number, request_state).change(
+            runs=(*state.runs, number)
+        )
 
     def _abandon(self, state: ClaimsState, number: int, action: Action) -> ClaimsState:
-        slot = state.slots[number]
-        doubtful = slot.awaited or slot.attempt.maybe_committed
-        slot = dataclasses.replace(
-            slot, state=AttemptState.GIVEN_BACK, told=action, awaited=0
+        request_state = state.request_states[number]
+        maybe_committed = (
+            request_state.awaited_try or request_state.attempt.maybe_committed
+        )
+        request_state = dataclasses.replace(
+            request_state,
+            state=AttemptState.GIVEN_BACK,
+            answered_with=action,
+            awaited_try=0,
         )
-        state = _put_slot(state, number, slot)
-        if not doubtful:
+        state = _replace_request_state(state, number, request_state)
+        if not maybe_committed:
             return state
-        seeker = self._seekers[number]
-        letter = QueuedOperation(GiveBack(seeker.key, self._create_token(number)))
+        request = self._requests[number]
+        queued = QueuedOperation(GiveBack(request.key, self._create_token(number)))
         if state.budget.resends:
             state = state.change(budget=_spend(state.budget, "resends"))
-            state = self._post(state, seeker.instance, seeker.candidates[-1], letter)
-        return self._post(state, seeker.instance, seeker.candidates[0], letter)
+            state = self._send(state, request.instance, request.candidates[-1], queued)
+        return self._send(state, request.instance, request.candidates[0], queued)
 
     def _create_token(self, number: int) -> Token:
-        return Token(str(self._seekers[number].instance), 1, number + 1)
+        return Token(str(self._requests[number].instance), 1, number + 1)
 
     # writers
 
-    def _post(
-        self, state: ClaimsState, sender: int, receiver: int, letter: QueuedOperation
+    def _send(
+        self, state: ClaimsState, sender: int, receiver: int, queued: QueuedOperation
     ) -> ClaimsState:
         if sender == receiver:
-            return self._enqueue(state, receiver, letter)
-        return state.change(letters=state.letters | {(receiver, letter)})
+            return self._enqueue(state, receiver, queued)
+        return state.change(in_transit=state.in_transit | {(receiver, queued)})
 
     def _enqueue(
-        self, state: ClaimsState, number: int, letter: QueuedOperation
+        self, state: ClaimsState, number: int, queued: QueuedOperation
     ) -> ClaimsState:
         writer = state.writers[number]
         if not writer.alive:
             return state
-        writer = dataclasses.replace(writer, queue=(*writer.queue, letter))
-        return self._begin(_put_writer(state, number, writer), number)
+        writer = dataclasses.replace(writer, queue=(*writer.queue, queued))
+        return self._start_batch(_replace_writer(state, number, writer), number)
 
-    def _begin(self, state: ClaimsState, number: int) -> ClaimsState:
+    def _start_batch(self, state: ClaimsState, number: int) -> ClaimsState:
         """Start a batch if the writer is idle and operations are queued."""
         writer = state.writers[number]
         if writer.commit is not None or not writer.queue:
             return state
         commit = create_commit(
-            tuple(letter.operation for letter in writer.queue),
+            tuple(queued.operation for queued in writer.queue),
             batch_id=bytes([number, writer.batches]),
             now=NOW,
             limits=self._limits,
@@ -468,9 +493,11 @@
             view=None,
             batches=writer.batches + 1,
         )
-        return self._go_on(_put_writer(state, number, writer), number, commit)
+        return self._update_commit(
+            _replace_writer(state, number, writer), number, commit
+        )
 
-    def _write(
+    def _list_writer_steps(
         self, state: ClaimsState, number: int
     ) -> Iterator[tuple[str, ClaimsState]]:
         writer = state.writers[number]
@@ -484,17 +511,23 @@
         match commit.step:
             case Step.READ_HEAD:
                 answer = Ok(state.find(HEAD_KEY))
-                yield label, self._go_on(state, number, commit.handle_head(answer))
+                yield (
+                    label,
+                    self._update_commit(state, number, commit.handle_head(answer)),
+                )
                 return
             case Step.READ_SEGMENT:
                 answer = Ok(state.find(commit.missing_segment.number))
-                yield label, self._go_on(state, number, commit.handle_segment(answer))
+                yield (
+                    label,
+                    self._update_commit(state, number, commit.handle_segment(answer)),
+                )
                 return
             case Step.READ_CONFLICTING_SEGMENT:
                 answer = Ok(state.find(commit.plan.head.next_segment - 1))
                 yield (
                     label,
-                    self._go_on(
+                    self._update_commit(
                         state, number, commit.handle_conflicting_segment(answer)
                     ),
                 )
@@ -502,26 +535,33 @@
             case Step.WRITE_SEGMENT:
                 key = commit.plan.head.next_segment - 1
                 value = encode_segment(commit.plan.segment)
-                write = LateSwap(key, value, commit.segment_expected, b"")
-                take = commit.handle_segment_write
+                write = DelayedWrite(key, value, commit.segment_expected, b"")
+                handle_result = commit.handle_segment_write
             case Step.SWAP_HEAD:
                 value = encode_head(commit.plan.head)
                 expected = commit.view.revision
-                write = LateSwap(HEAD_KEY, value, expected, commit.batch_id)
-                take = commit.handle_head_swap
+                write = DelayedWrite(HEAD_KEY, value, expected, commit.batch_id)
+                handle_result = commit.handle_head_swap
         done, result = self._swap(state, write)
         text = f"{label}: {result.outcome.value}"
-        yield text, self._go_on(done, number, take(result))
+        yield text, self._update_commit(done, number, handle_result(result))
         budget = state.budget
         if budget.lost_swaps:
             lost = state.change(
-                budget=_spend(budget, "lost_swaps"), late=(*state.late, write)
+                budget=_spend(budget, "lost_swaps"),
+                delayed_writes=(*state.delayed_writes, write),
+            )
+            yield (
+                f"{label}: no answer",
+                self._update_commit(lost, number, handle_result(UNKNOWN)),
             )
-            yield f"{label}: no answer", self._go_on(lost, number, take(UNKNOWN))
         if budget.refused_swaps:
             refused = state.change(budget=_spend(budget, "refused_swaps"))
             result = WriteResult(WriteOutcome.NOT_APPLIED)
-            yield f"{label}: refused", self._go_on(refused, number, take(result))
+            yield (
+                f"{label}: refused",
+                self._update_commit(refused, number, handle_result(result)),
+            )
 
     def _delete_retired(
         self, state: ClaimsState, number: int
@@ -538,10 +578,12 @@
             text = f"writer {number} deletes segment {ref.number}"
             yield text, state.change(entries=entries, revision=state.revision + 1)
 
-    def _go_on(self, state: ClaimsState, number: int, commit: Commit) -> ClaimsState:
+    def _update_commit(
+        self, state: ClaimsState, number: int, commit: Commit
+    ) -> ClaimsState:
         writer = state.writers[number]
         if commit.step is not Step.DONE:
-            return _put_writer(
+            return _replace_writer(
                 state, number, dataclasses.replace(writer, commit=commit)
             )
         batch = writer.batch
@@ -552,38 +594,42 @@
             view=commit.view,
             segments=commit.segments,
         )
-        state = _put_writer(state, number, writer)
-        for letter, result in zip(batch, commit.results, strict=True):
-            state = self._deliver(state, letter, result)
-        return self._begin(state, number)
+        state = _replace_writer(state, number, writer)
+        for queued, result in zip(batch, commit.results, strict=True):
+            state = self._deliver(state, queued, result)
+        return self._start_batch(state, number)
 
     def _deliver(
-        self, state: ClaimsState, letter: QueuedOperation, result: OperationResult
+        self, state: ClaimsState, queued: QueuedOperation, result: OperationResult
     ) -> ClaimsState:
-        if letter.seeker < 0:
+        if queued.request < 0:
             if result.kind is ResultKind.GIVEN_BACK:
-                freed = state.freed | {letter.operation.token}
-                return state.change(freed=freed)
+                acknowledged_give_backs = state.acknowledged_give_backs | {
+                    queued.operation.token
+                }
+                return state.change(acknowledged_give_backs=acknowledged_give_backs)
             return state
-        slot = state.slots[letter.seeker]
-        seeker = self._seekers[letter.seeker]
-        if not state.writers[seeker.instance].alive:
+        request_state = state.request_states[queued.request]
+        request = self._requests[queued.request]
+        if not state.writers[request.instance].alive:
             return state
-        if slot.awaited == letter.number:
-            return self._take_result(state, letter.seeker, result)
+        if request_state.awaited_try == queued.number:
+            return self._handle_result(state, queued.request, result)
         if result.kind is ResultKind.GRANTED:
             # the try has timed out; the attempt may have been abandoned meanwhile
-            return self._start_late(state, letter.seeker)
+            return self._run_late_grant(state, queued.request)
         return state
 
-    def _start_late(self, state: ClaimsState, number: int) -> ClaimsState:
-        slot = state.slots[number]
-        if slot.state is AttemptState.PENDING or not registry.may_run(slot.state):
+    def _run_late_grant(self, state: ClaimsState, number: int) -> ClaimsState:
+        request_state = state.request_states[number]
+        if request_state.state is AttemptState.PENDING or not registry.may_run(
+            request_state.state
+        ):
             return state
         return self._run(state, number)
 
     def _swap(
-        self, state: ClaimsState, write: LateSwap
+        self, state: ClaimsState, write: DelayedWrite
     ) -> tuple[ClaimsState, WriteResult]:
         entry = state.find(write.key)
         found = entry.revision if entry else ABSENT
@@ -605,13 +651,13 @@
     def _crash(self, state: ClaimsState, number: int) -> ClaimsState:
         state = state.change(
             budget=_spend(state.budget, "crashes"),
-            letters=frozenset(
-                (receiver, letter)
-                for receiver, letter in state.letters
+            in_transit=frozenset(
+                (receiver, queued)
+                for receiver, queued in state.in_transit
                 if receiver != number
             ),
         )
-        return _put_writer(state, number, Writer(alive=False))
+        return _replace_writer(state, number, Writer(alive=False))
 
     def _list_holders(self, state: ClaimsState) -> list[Claim]:
         """Return the claims that hold their keys according to the store."""
@@ -627,7 +673,7 @@
             segments.append(decode_segment(found.value).unwrap())
         view = ShardView(head, entry.revision, tuple(segments))
         claims = {claim.key: claim for claim in head.claims}
-        keys = {seeker.key for seeker in self._seekers} | {FILLER.key}
+        keys = {request.key for request in self._requests} | {FILLER_CLAIM.key}
         found = (find_claim(claims, view, key) for key in sorted(keys))
         return [claim for claim in found if claim is not None and not claim.state]
 
@@ -641,22 +687,28 @@
     return dataclasses.replace(budget, **{name: getattr(budget, name) - 1})
 
 
-def _put_slot(state: ClaimsState, number: int, slot: RequestState) -> ClaimsState:
-    slots = (*state.slots[:number], slot, *state.slots[number + 1 :])
-    return state.change(slots=slots)
+def _replace_request_state(
+    state: ClaimsState, number: int, request_state: RequestState
+) -> ClaimsState:
+    request_states = (
+        *state.request_states[:number],
+        request_state,
+        *state.request_states[number + 1 :],
+    )
+    return state.change(request_states=request_states)
 
 
-def _put_writer(state: ClaimsState, number: int, writer: Writer) -> ClaimsState:
+def _replace_writer(state: ClaimsState, number: int, writer: Writer) -> ClaimsState:
     writers = (*state.writers[:number], writer, *state.writers[number + 1 :])
     return state.change(writers=writers)
 
 
-def _get_order(item: tuple[int, QueuedOperation]) -> tuple[int, ...]:
-    receiver, letter = item
-    return receiver, letter.seeker, letter.number, letter.operation.token.serial
+def _get_sort_key(item: tuple[int, QueuedOperation]) -> tuple[int, ...]:
+    receiver, queued = item
+    return receiver, queued.request, queued.number, queued.operation.token.serial
 
 
-def _name(letter: QueuedOperation) -> str:
-    if letter.seeker < 0:
-        return f"give-back of attempt {letter.operation.token.serial}"
-    return f"claim {letter.number} of request {letter.seeker}"
+def _describe(queued: QueuedOperation) -> str:
+    if queued.request < 0:
+        return f"give-back of attempt {queued.operation.token.serial}"
+    return f"claim {queued.number} of request {queued.request}"
