--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -37,7 +37,7 @@
 
 from .explore import Model
 
-__all__ = ("OTHER_KEY", "FaultBudget", "ClaimsModel", "KeyedRequest", "ClaimsState")
+__all__ = ("OTHER_KEY", "ClaimsModel", "ClaimsState", "FaultBudget", "KeyedRequest")
 
 #: wall-clock time in seconds; it does not advance, as expiry has tests of its own
 NOW = 1000
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -28,10 +28,10 @@
 
 __all__ = (
     "POLICIES",
-    "OutageSimulation",
-    "OutageReport",
-    "OutagePattern",
     "KeyedRequestPolicy",
+    "OutagePattern",
+    "OutageReport",
+    "OutageSimulation",
 )
 
 DATA_CENTRES = 3
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/__init__.py
@@ -9,6 +9,6 @@
 from __future__ import annotations
 
 from .model import OrdersModel
-from .world import FaultBudget, OrdersState
+from .states import FaultBudget, OrdersState
 
 __all__ = ("FaultBudget", "OrdersModel", "OrdersState")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -24,22 +24,22 @@
 )
 
 from ..explore import Model
-from .store import TTL, apply_call, drop_unbound
-from .world import (
+from .states import (
     Call,
     Contender,
     Delivery,
     Engine,
     FaultBudget,
     OrdersState,
-    put_contender,
-    spend,
+    replace_contender,
+    spend_budget,
 )
+from .store import TTL, apply_call, delete_unbound
 
 __all__ = ("OrdersModel",)
 
 #: ticks within which the engine executes an order that it has received
-DURATION = 1
+EXECUTION_TICKS = 1
 #: ticks between reads of the engine; five times as frequent for an unsettled order
 READ_INTERVAL = 5.0
 
@@ -47,9 +47,9 @@
 LEASE_RULES = LeaseRules(ttl=TTL, margin=1.0)
 
 #: lease calls whose number is bounded, with the field of the budget
-BUDGETED = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "renewals"}
+BUDGETED_STEPS = {LeaseStep.GRANT: "grants", LeaseStep.RENEW: "renewals"}
 
-LOST = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
+TIMED_OUT = Err(StoreError(StoreErrorKind.TIMEOUT, ""))
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
 
 
@@ -85,7 +85,7 @@
         self._delivery = delivery
         self._rules = OrderRules(
             timeout=delivery,
-            max_execution=DURATION,
+            max_execution=EXECUTION_TICKS,
             interval=READ_INTERVAL,
             margin=LEASE_RULES.margin,
         )
@@ -103,12 +103,14 @@
         if self._holding:
             for _ in range(3):
                 world = self._begin(world, 0, LeaseIntent.HOLD)
-                world = self._handle(world, 0)
-                world = self._answer(world, 0, world.contenders[0].call.answer)
+                world = self._apply_call(world, 0)
+                world = self._handle_answer(world, 0, world.contenders[0].call.answer)
             # held for long, so that orders of an earlier holder cannot interfere
             holder = world.contenders[0]
-            tenure = dataclasses.replace(holder.tenure, acquired=-100.0)
-            world = put_contender(world, 0, dataclasses.replace(holder, tenure=tenure))
+            lease_state = dataclasses.replace(holder.lease_state, acquired=-100.0)
+            world = replace_contender(
+                world, 0, dataclasses.replace(holder, lease_state=lease_state)
+            )
         yield world
 
     def list_steps(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
@@ -122,47 +124,52 @@
                 yield from self._step_orders(state, number)
             if state.budget.crashes:
                 dead = dataclasses.replace(contender, alive=False, call=None)
-                spent = spend(state, "crashes")
-                yield f"{number} crashes", put_contender(spent, number, dead)
+                spent = spend_budget(state, "crashes")
+                yield f"{number} crashes", replace_contender(spent, number, dead)
         yield from self._step_engine(state)
-        for call in state.late:
-            rest = tuple(one for one in state.late if one is not call)
+        for call in state.delayed_calls:
+            rest = tuple(one for one in state.delayed_calls if one is not call)
             store, _ = apply_call(state.store, call, state.time)
-            yield f"delayed {call.step.value}", state.change(store=store, late=rest)
+            yield (
+                f"delayed {call.step.value}",
+                state.change(store=store, delayed_calls=rest),
+            )
         if self._may_tick(state):
             yield "tick", self._tick(state)
 
     def find_violation(self, state: OrdersState) -> str:
         if state.fault:
             return state.fault
-        believers = 0
+        holders = 0
         for number, contender in enumerate(state.contenders):
             now = self._read_clock(state, number)
-            believers += contender.alive and contender.tenure.compute_remaining(now) > 0
-        if believers > 1:
+            holders += (
+                contender.alive and contender.lease_state.compute_remaining(now) > 0
+            )
+        if holders > 1:
             return "two contenders believe that they hold the lease"
         return ""
 
     # time
 
     def _read_clock(self, state: OrdersState, number: int) -> Instant:
-        own = state.time * self._speeds[number]
-        return Instant(own, own)
+        local_time = state.time * self._speeds[number]
+        return Instant(local_time, local_time)
 
     def _may_tick(self, state: OrdersState) -> bool:
         """Whether time may advance: not past the end of a pending delivery."""
         if state.time >= state.budget.ticks:
             return False
         engine = state.engine
-        under_way = (*engine.on_wire, *engine.running)
-        return all(state.time < delivery.until for delivery in under_way)
+        in_flight = (*engine.in_transit, *engine.running)
+        return all(state.time < delivery.until for delivery in in_flight)
 
     def _tick(self, state: OrdersState) -> OrdersState:
         time = state.time + 1
         store = state.store
         leases = tuple(item for item in store.leases if item[1] > time)
         store = dataclasses.replace(store, leases=leases)
-        return state.change(time=time, store=drop_unbound(store))
+        return state.change(time=time, store=delete_unbound(store))
 
     # the lease
 
@@ -176,94 +183,102 @@
             return
         name = f"{number}'s {call.step.value}"
         if not self._slow_calls:
-            handled = self._handle(state, number)
+            handled = self._apply_call(state, number)
             answer = handled.contenders[number].call.answer
-            yield f"{name} is answered", self._answer(handled, number, answer)
+            yield f"{name} is answered", self._handle_answer(handled, number, answer)
             return
         if call.answer is None:
-            yield f"{name} is handled", self._handle(state, number)
+            yield f"{name} is handled", self._apply_call(state, number)
         else:
-            yield f"{name} is answered", self._answer(state, number, call.answer)
+            yield f"{name} is answered", self._handle_answer(state, number, call.answer)
         if state.budget.lost_calls:
-            lost = spend(state, "lost_calls")
+            lost = spend_budget(state, "lost_calls")
             if call.answer is None:
-                lost = lost.change(late=(*lost.late, call))
-            answer = UNKNOWN if call.step is LeaseStep.ACQUIRE else LOST
-            yield f"{name} gets no answer", self._answer(lost, number, answer)
+                lost = lost.change(delayed_calls=(*lost.delayed_calls, call))
+            answer = UNKNOWN if call.step is LeaseStep.ACQUIRE else TIMED_OUT
+            yield f"{name} gets no answer", self._handle_answer(lost, number, answer)
 
     def _begin_call(
         self, state: OrdersState, number: int
     ) -> Iterator[tuple[str, OrdersState]]:
         contender = state.contenders[number]
         begun = self._begin(state, number, LeaseIntent.HOLD)
-        step = begun.contenders[number].tenure.step
+        step = begun.contenders[number].lease_state.step
         if step is LeaseStep.CHECK and state.store.revision != ABSENT:
             # the check would find a holder and only be repeated later
             return
-        name = BUDGETED.get(step)
+        name = BUDGETED_STEPS.get(step)
         if name is not None:
             if getattr(state.budget, name):
-                yield f"{number} begins {step.value}", spend(begun, name)
+                yield f"{number} begins {step.value}", spend_budget(begun, name)
         elif step is not LeaseStep.IDLE:
             yield f"{number} begins {step.value}", begun
         busy = contender.awaited or contender.planned or contender.record.unsettled
-        if state.budget.releases and contender.tenure.held and not busy:
-            spent = spend(state, "releases")
+        if state.budget.releases and contender.lease_state.held and not busy:
+            spent = spend_budget(state, "releases")
             yield (
                 f"{number} releases the lease",
                 self._begin(spent, number, LeaseIntent.RELEASE),
             )
 
-    def _begin(self, state: OrdersState, number: int, wish: LeaseIntent) -> OrdersState:
+    def _begin(
+        self, state: OrdersState, number: int, intent: LeaseIntent
+    ) -> OrdersState:
         contender = state.contenders[number]
         now = self._read_clock(state, number)
-        tenure = contender.tenure.plan(now, wish)
+        lease_state = contender.lease_state.plan(now, intent)
         call = None
-        if tenure.step is not LeaseStep.IDLE:
-            tenure = tenure.begin(now)
-            call = Call(tenure.step, tenure.lease_id, tenure.value)
-        return self._change_tenure(state, number, tenure, call)
+        if lease_state.step is not LeaseStep.IDLE:
+            lease_state = lease_state.begin(now)
+            call = Call(lease_state.step, lease_state.lease_id, lease_state.value)
+        return self._replace_lease_state(state, number, lease_state, call)
 
-    def _handle(self, state: OrdersState, number: int) -> OrdersState:
+    def _apply_call(self, state: OrdersState, number: int) -> OrdersState:
         contender = state.contenders[number]
         store, answer = apply_call(state.store, contender.call, state.time)
         call = dataclasses.replace(contender.call, answer=answer)
         contender = dataclasses.replace(contender, call=call)
-        return put_contender(state.change(store=store), number, contender)
+        return replace_contender(state.change(store=store), number, contender)
 
-    def _answer(self, state: OrdersState, number: int, answer: Any) -> OrdersState:
-        tenure = state.contenders[number].tenure
+    def _handle_answer(
+        self, state: OrdersState, number: int, answer: Any
+    ) -> OrdersState:
+        lease_state = state.contenders[number].lease_state
         now = self._read_clock(state, number)
-        match tenure.step:
+        match lease_state.step:
             case LeaseStep.CHECK:
-                after = tenure.handle_check(answer, now, LeaseIntent.HOLD)
+                after = lease_state.handle_check(answer, now, LeaseIntent.HOLD)
             case LeaseStep.GRANT:
-                after = tenure.handle_grant(answer, now)
+                after = lease_state.handle_grant(answer, now)
             case LeaseStep.ACQUIRE:
-                after = tenure.handle_acquire(answer, now)
+                after = lease_state.handle_acquire(answer, now)
             case LeaseStep.VERIFY:
-                after = tenure.handle_verify(answer, now)
+                after = lease_state.handle_verify(answer, now)
             case LeaseStep.RENEW:
-                after = tenure.handle_renew(answer, now)
+                after = lease_state.handle_renew(answer, now)
             case _:
-                after = tenure.handle_revoke(now)
-        if after.held and not tenure.held:
+                after = lease_state.handle_revoke(now)
+        if after.held and not lease_state.held:
             if after.fence <= state.fence:
                 state = state.change(fault="a fencing token did not increase")
             state = state.change(fence=max(state.fence, after.fence))
-        return self._change_tenure(state, number, after, None)
+        return self._replace_lease_state(state, number, after, None)
 
-    def _change_tenure(
-        self, state: OrdersState, number: int, tenure: LeaseState, call: Call | None
+    def _replace_lease_state(
+        self,
+        state: OrdersState,
+        number: int,
+        lease_state: LeaseState,
+        call: Call | None,
     ) -> OrdersState:
         contender = state.contenders[number]
         record = contender.record
-        if not tenure.held:
+        if not lease_state.held:
             record = EngineRecord()
         contender = dataclasses.replace(
-            contender, tenure=tenure, call=call, record=record
+            contender, lease_state=lease_state, call=call, record=record
         )
-        return put_contender(state, number, contender)
+        return replace_contender(state, number, contender)
 
     # orders
 
@@ -277,25 +292,25 @@
         if contender.planned is not None:
             yield from self._send(state, number)
             return
-        tenure = contender.tenure
-        if not tenure.held:
+        lease_state = contender.lease_state
+        if not lease_state.held:
             return
         now = self._read_clock(state, number)
-        wanted = EngineState(models=(str(number),))
+        desired = EngineState(models=(str(number),))
         may_order = permission.may_order(
-            tenure, now, rules=self._rules, fencing=self._fencing
+            lease_state, now, rules=self._rules, fencing=self._fencing
         )
-        action = contender.record.plan(now.monotonic, wanted, may_order=may_order)
+        action = contender.record.plan(now.monotonic, desired, may_order=may_order)
         if action is EngineAction.READ:
             report = EngineReport(state.engine.state, state.engine.fence)
             record = contender.record.record_report(now.monotonic, report, self._rules)
             read = dataclasses.replace(contender, record=record)
-            yield f"{number} reads the engine", put_contender(state, number, read)
+            yield f"{number} reads the engine", replace_contender(state, number, read)
         if action is EngineAction.ORDER:
             planned = dataclasses.replace(
-                contender, planned=Order(tenure.fence, wanted)
+                contender, planned=Order(lease_state.fence, desired)
             )
-            yield f"{number} plans an order", put_contender(state, number, planned)
+            yield f"{number} plans an order", replace_contender(state, number, planned)
 
     def _send(
         self, state: OrdersState, number: int
@@ -304,25 +319,28 @@
         order = contender.planned
         now = self._read_clock(state, number)
         allowed = permission.may_send(
-            contender.tenure, order, now, rules=self._rules, fencing=self._fencing
+            contender.lease_state, order, now, rules=self._rules, fencing=self._fencing
         )
         if not allowed:
             idle = dataclasses.replace(contender, planned=None)
-            yield f"{number} withholds its order", put_contender(state, number, idle)
+            yield (
+                f"{number} withholds its order",
+                replace_contender(state, number, idle),
+            )
             return
         engine = state.engine
-        under_way = (*engine.on_wire, *engine.running)
-        if any(delivery.order == order for delivery in under_way):
+        in_flight = (*engine.in_transit, *engine.running)
+        if any(delivery.order == order for delivery in in_flight):
             state = state.change(fault="an order was sent again while it was in flight")
         delivery = Delivery(order, number, state.time + self._delivery)
-        engine = dataclasses.replace(engine, on_wire=(*engine.on_wire, delivery))
+        engine = dataclasses.replace(engine, in_transit=(*engine.in_transit, delivery))
         sent = dataclasses.replace(
             contender,
             planned=None,
             awaited=order,
             record=contender.record.record_sending(now.monotonic, order),
         )
-        state = put_contender(state.change(engine=engine), number, sent)
+        state = replace_contender(state.change(engine=engine), number, sent)
         yield f"{number} sends its order", state
 
     def _stop_waiting(
@@ -333,50 +351,55 @@
         if now - contender.record.sent < self._rules.timeout:
             return
         record = contender.record.record_lost_answer(now)
-        given_up = dataclasses.replace(contender, awaited=None, record=record)
-        yield f"{number} times out", put_contender(state, number, given_up)
+        timed_out = dataclasses.replace(contender, awaited=None, record=record)
+        yield f"{number} times out", replace_contender(state, number, timed_out)
 
     # the engine
 
     def _step_engine(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
         engine = state.engine
-        for delivery in engine.on_wire:
-            rest = tuple(one for one in engine.on_wire if one is not delivery)
-            moved = dataclasses.replace(engine, on_wire=rest)
+        for delivery in engine.in_transit:
+            rest = tuple(one for one in engine.in_transit if one is not delivery)
+            moved = dataclasses.replace(engine, in_transit=rest)
             name = f"{delivery.sender}'s order"
-            yield f"{name} arrives", self._arrive(state, moved, delivery)
+            yield f"{name} arrives", self._receive(state, moved, delivery)
             if state.budget.lost_orders:
-                lost = spend(state, "lost_orders")
+                lost = spend_budget(state, "lost_orders")
                 yield f"{name} is lost", lost.change(engine=moved)
         for delivery in engine.running:
             rest = tuple(one for one in engine.running if one is not delivery)
             moved = dataclasses.replace(engine, running=rest)
             name = f"{delivery.sender}'s order"
-            done = self._carry_out(state, moved, delivery)
-            yield f"{name} is executed", self._tell(done, delivery, old=False)
+            done = self._execute(state, moved, delivery)
+            yield (
+                f"{name} is executed",
+                self._answer_sender(done, delivery, is_stale=False),
+            )
             if state.budget.lost_orders:
-                lost = spend(done, "lost_orders")
+                lost = spend_budget(done, "lost_orders")
                 yield f"{name} is executed, the answer is lost", lost
 
-    def _arrive(
+    def _receive(
         self, state: OrdersState, engine: Engine, delivery: Delivery
     ) -> OrdersState:
         order = delivery.order
-        if self._checks and order.fence < engine.highest:
-            return self._tell(state.change(engine=engine), delivery, old=True)
-        running = dataclasses.replace(delivery, until=state.time + DURATION)
+        if self._checks and order.fence < engine.highest_fence:
+            return self._answer_sender(
+                state.change(engine=engine), delivery, is_stale=True
+            )
+        running = dataclasses.replace(delivery, until=state.time + EXECUTION_TICKS)
         engine = dataclasses.replace(
             engine,
-            highest=max(engine.highest, order.fence),
+            highest_fence=max(engine.highest_fence, order.fence),
             running=(*engine.running, running),
         )
         return state.change(engine=engine)
 
-    def _carry_out(
+    def _execute(
         self, state: OrdersState, engine: Engine, delivery: Delivery
     ) -> OrdersState:
         order = delivery.order
-        if self._checks and order.fence < engine.highest:
+        if self._checks and order.fence < engine.highest_fence:
             return state.change(engine=engine)
         if order.fence < engine.fence:
             state = state.change(
@@ -385,8 +408,8 @@
         engine = dataclasses.replace(engine, state=order.desired, fence=order.fence)
         return state.change(engine=engine)
 
-    def _tell(
-        self, state: OrdersState, delivery: Delivery, *, old: bool
+    def _answer_sender(
+        self, state: OrdersState, delivery: Delivery, *, is_stale: bool
     ) -> OrdersState:
         number = delivery.sender
         contender = state.contenders[number]
@@ -395,7 +418,9 @@
         now = self._read_clock(state, number).monotonic
         record = contender.record.record_answer(now)
         contender = dataclasses.replace(contender, awaited=None, record=record)
-        if old:
-            tenure = contender.tenure.leave()
-            contender = dataclasses.replace(contender, tenure=tenure, call=None)
-        return put_contender(state, number, contender)
+        if is_stale:
+            lease_state = contender.lease_state.leave()
+            contender = dataclasses.replace(
+                contender, lease_state=lease_state, call=None
+            )
+        return replace_contender(state, number, contender)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/world.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/states.py
@@ -12,19 +12,19 @@
 from greengagelatch.store import ABSENT
 
 __all__ = (
-    "FaultBudget",
     "Call",
     "Contender",
     "Delivery",
     "Engine",
-    "KeyValue",
+    "FaultBudget",
     "OrdersState",
-    "put_contender",
-    "spend",
+    "StoreState",
+    "replace_contender",
+    "spend_budget",
 )
 
-UNREAD = EngineRecord()
-EMPTY = EngineState()
+UNREAD_RECORD = EngineRecord()
+EMPTY_ENGINE_STATE = EngineState()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -61,10 +61,10 @@
 class Contender:
     """An entry instance that contends for the lease."""
 
-    tenure: LeaseState
+    lease_state: LeaseState
     alive: bool = True
     call: Call | None = None
-    record: EngineRecord = UNREAD
+    record: EngineRecord = UNREAD_RECORD
     #: order that is waiting for its connection
     planned: Order | None = None
     #: order whose answer is awaited
@@ -84,16 +84,16 @@
 class Engine:
     """The engine, with the orders in transit to it."""
 
-    state: EngineState = EMPTY
+    state: EngineState = EMPTY_ENGINE_STATE
     fence: int = ABSENT
     #: highest fencing token received; ``fence`` is that of the last order executed
-    highest: int = ABSENT
-    on_wire: tuple[Delivery, ...] = ()
+    highest_fence: int = ABSENT
+    in_transit: tuple[Delivery, ...] = ()
     running: tuple[Delivery, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class KeyValue:
+class StoreState:
     """The store: one key, and leases with the tick at which each expires."""
 
     value: bytes = b""
@@ -110,11 +110,11 @@
 
     budget: FaultBudget
     contenders: tuple[Contender, ...]
-    store: KeyValue = KeyValue()
+    store: StoreState = StoreState()
     engine: Engine = Engine()
     time: int = 0
     #: calls whose sender no longer waits for the answer
-    late: tuple[Call, ...] = ()
+    delayed_calls: tuple[Call, ...] = ()
     #: highest fencing token that a holder has had
     fence: int = ABSENT
     fault: str = ""
@@ -134,14 +134,16 @@
         return dataclasses.replace(self, _hash=0, **changes)
 
 
-def put_contender(state: OrdersState, number: int, contender: Contender) -> OrdersState:
+def replace_contender(
+    state: OrdersState, number: int, contender: Contender
+) -> OrdersState:
     """Return a copy of the state with one contender replaced."""
     contenders = list(state.contenders)
     contenders[number] = contender
     return state.change(contenders=tuple(contenders))
 
 
-def spend(state: OrdersState, name: str) -> OrdersState:
+def spend_budget(state: OrdersState, name: str) -> OrdersState:
     """Return a copy of the state with the budget for a fault reduced by one."""
     left = getattr(state.budget, name) - 1
     return state.change(budget=dataclasses.replace(state.budget, **{name: left}))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/store.py
@@ -18,9 +18,9 @@
     WriteResult,
 )
 
-from .world import Call, KeyValue
+from .states import Call, StoreState
 
-__all__ = ("TTL", "apply_call", "drop_unbound")
+__all__ = ("TTL", "apply_call", "delete_unbound")
 
 KEY = "leases/group"
 #: time to live of a lease, in ticks
@@ -30,7 +30,7 @@
 NOT_APPLIED = WriteResult(WriteOutcome.NOT_APPLIED)
 
 
-def drop_unbound(store: KeyValue) -> KeyValue:
+def delete_unbound(store: StoreState) -> StoreState:
     """Delete the key if its lease has ended; this counts as a write."""
     if not store.lease_id or store.lease_id in dict(store.leases):
         return store
@@ -39,7 +39,7 @@
     )
 
 
-def apply_call(store: KeyValue, call: Call, time: int) -> tuple[KeyValue, Any]:
+def apply_call(store: StoreState, call: Call, time: int) -> tuple[StoreState, Any]:
     """Apply a call to the store; return the new store and the answer."""
     match call.step:
         case LeaseStep.CHECK | LeaseStep.VERIFY:
@@ -55,12 +55,12 @@
         case LeaseStep.ACQUIRE:
             return _apply_write(store, call)
         case LeaseStep.RENEW:
-            return _apply_keep(store, call, time)
+            return _apply_renewal(store, call, time)
     leases = tuple(item for item in store.leases if item[0] != call.lease_id)
-    return drop_unbound(dataclasses.replace(store, leases=leases)), Ok(None)
+    return delete_unbound(dataclasses.replace(store, leases=leases)), Ok(None)
 
 
-def _apply_write(store: KeyValue, call: Call) -> tuple[KeyValue, WriteResult]:
+def _apply_write(store: StoreState, call: Call) -> tuple[StoreState, WriteResult]:
     if call.lease_id not in dict(store.leases):
         return store, NOT_APPLIED
     if store.revision != ABSENT:
@@ -76,7 +76,7 @@
     return store, WriteResult(WriteOutcome.APPLIED, revision)
 
 
-def _apply_keep(store: KeyValue, call: Call, time: int) -> tuple[KeyValue, Any]:
+def _apply_renewal(store: StoreState, call: Call, time: int) -> tuple[StoreState, Any]:
     if call.lease_id not in dict(store.leases):
         return store, GONE
     leases = dict(store.leases) | {call.lease_id: time + TTL}
