--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -37,22 +37,22 @@
 DATA_CENTRES = 3
 INSTANCES = 9
 #: requests a second, and simulated time in seconds
-RATE = 20.0
-DURATION = 1500.0
+REQUESTS_PER_SECOND = 20.0
+SIMULATED_SECONDS = 1500.0
 #: deadline of a request, and time after which its caller retries, in seconds
-PATIENCE = 6.0
+REQUEST_DEADLINE = 6.0
 CALLER_TIMEOUT = 1.5
 #: fractions of attempts and answers; delays and durations are in seconds
 LOST_ATTEMPTS = 0.005
-LATE_ATTEMPTS = 0.01
-LONGEST_LATE = 5.0
-SENT_TWICE = 0.001
+DELAYED_ATTEMPTS = 0.01
+MAX_DELAY = 5.0
+DUPLICATED_ATTEMPTS = 0.001
 LOST_ANSWERS = 0.01
-TRAVEL = 0.005
-STORE_TIME = 0.01
-MEAN_RUN = 0.3
+NETWORK_LATENCY = 0.005
+STORE_LATENCY = 0.01
+MEAN_RUN_TIME = 0.3
 #: mean time until an instance is replaced, in seconds
-LIFE = 600.0
+MEAN_LIFETIME = 600.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,13 +65,13 @@
     #: whether only one data centre is cut off from the store and its peers
     partial: bool = False
 
-    def reaches(self, instance: int, now: float) -> bool:
+    def reaches_store(self, instance: int, now: float) -> bool:
         """Whether an instance reaches the store at the time ``now``."""
         if now % self.period >= self.length:
             return True
         return self.partial and instance % DATA_CENTRES != 0
 
-    def connects(self, one: int, other: int, now: float) -> bool:
+    def are_connected(self, one: int, other: int, now: float) -> bool:
         """Whether two instances reach each other at the time ``now``."""
         if not self.partial or now % self.period >= self.length:
             return True
@@ -88,7 +88,7 @@
     """
 
     name: str
-    policy: OutagePolicy
+    outage_policy: OutagePolicy
     run_first: bool = False
     strict: bool = False
 
@@ -125,9 +125,9 @@
     run_twice: int = 0
     #: answers "not run" for requests that had run, to attempts that their callers
     #: still awaited
-    untrue: int = 0
+    false_not_run: int = 0
     #: requests whose last answer was "may have run"
-    unsettled: int = 0
+    unresolved: int = 0
 
 
 @dataclass(slots=True)
@@ -142,46 +142,46 @@
     #: claim in the store: instance, its incarnation and the end of the run
     claim: tuple[int, int, float] | None = None
     #: ends of runs by instance and incarnation, known only to that instance
-    local: dict[tuple[int, int], float] = field(default_factory=dict)
+    local_runs: dict[tuple[int, int], float] = field(default_factory=dict)
 
 
 class OutageSimulation:
     """One simulation of a policy under one outage pattern.
 
-    :param repeats: whether callers retry by themselves; otherwise each sends one
+    :param retries: whether callers retry by themselves; otherwise each sends one
         attempt, with the whole deadline of the request
     """
 
     def __init__(
         self,
-        way: KeyedRequestPolicy,
-        trouble: OutagePattern,
+        policy: KeyedRequestPolicy,
+        outage_pattern: OutagePattern,
         seed: int,
         *,
-        repeats: bool = True,
+        retries: bool = True,
     ) -> None:
-        self._way = way
-        self._repeats = repeats
+        self._policy = policy
+        self._retries = retries
         #: time that a caller allows for one attempt, in seconds
-        self._deadline = CALLER_TIMEOUT if repeats else PATIENCE
-        self._trouble = trouble
+        self._deadline = CALLER_TIMEOUT if retries else REQUEST_DEADLINE
+        self._outage_pattern = outage_pattern
         self._random = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._now = 0.0
         self._incarnations = Counter(range(INSTANCES))
-        self._reached = [0.0] * INSTANCES
+        self._last_reached = [0.0] * INSTANCES
         self._requests: list[_Request] = []
         self._report = OutageReport()
 
     def run(self) -> OutageReport:
         """Run the simulation and return its counts."""
         now = 0.0
-        while now < DURATION:
-            now += self._random.expovariate(RATE)
-            self._at(now, self._begin)
+        while now < SIMULATED_SECONDS:
+            now += self._random.expovariate(REQUESTS_PER_SECOND)
+            self._schedule(now, self._start_request)
         for instance in range(INSTANCES):
-            self._plan_replacement(instance)
+            self._schedule_replacement(instance)
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
             action()
@@ -189,31 +189,34 @@
         report.requests = len(self._requests)
         for request in self._requests:
             attained_at = request.attained_at
-            if attained_at is not None and attained_at - request.started <= PATIENCE:
+            if (
+                attained_at is not None
+                and attained_at - request.started <= REQUEST_DEADLINE
+            ):
                 report.attained += 1
             elif request.last_verdict is Verdict.MAY_HAVE_RUN:
-                report.unsettled += 1
+                report.unresolved += 1
             if request.runs > 1:
                 report.run_twice += 1
         return report
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._order), action))
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._sequence), action))
 
-    def _plan_replacement(self, instance: int) -> None:
-        when = self._now + self._random.expovariate(1 / LIFE)
-        if when > DURATION:
+    def _schedule_replacement(self, instance: int) -> None:
+        when = self._now + self._random.expovariate(1 / MEAN_LIFETIME)
+        if when > SIMULATED_SECONDS:
             return
 
         def replace() -> None:
             self._incarnations[instance] += 1
-            self._plan_replacement(instance)
+            self._schedule_replacement(instance)
 
-        self._at(when, replace)
+        self._schedule(when, replace)
 
     # callers
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         request = _Request(self._now, self._random.randrange(INSTANCES))
         self._requests.append(request)
         self._send(request, request.first_instance)
@@ -222,11 +225,11 @@
         number = request.attempts
         request.attempts += 1
         first = number == 0
-        delay = TRAVEL
+        delay = NETWORK_LATENCY
         draw = self._random.random()
-        if draw < LATE_ATTEMPTS:
-            delay += self._random.uniform(0, LONGEST_LATE)
-        copies = 2 if self._random.random() < SENT_TWICE else 1
+        if draw < DELAYED_ATTEMPTS:
+            delay += self._random.uniform(0, MAX_DELAY)
+        copies = 2 if self._random.random() < DUPLICATED_ATTEMPTS else 1
         if draw >= 1 - LOST_ATTEMPTS:
             copies = 0
         for copy in range(copies):
@@ -234,17 +237,17 @@
             if copy:
                 # a load balancer that resends a request may choose another instance
                 receiver = self._random.randrange(INSTANCES)
-            self._at(
+            self._schedule(
                 self._now + delay + copy * 0.05,
                 lambda receiver=receiver: self._arrive(
                     request, receiver, first, number
                 ),
             )
-        self._at(self._now + self._deadline, lambda: self._repeat(request, number))
+        self._schedule(self._now + self._deadline, lambda: self._retry(request, number))
 
-    def _repeat(self, request: _Request, number: int) -> None:
+    def _retry(self, request: _Request, number: int) -> None:
         """Retry unless the request was answered or a later attempt was sent."""
-        over = not self._repeats or self._now - request.started >= PATIENCE
+        over = not self._retries or self._now - request.started >= REQUEST_DEADLINE
         if over or request.attained_at is not None or request.attempts != number + 1:
             return
         self._send(request, self._random.randrange(INSTANCES))
@@ -254,11 +257,11 @@
     ) -> None:
         awaited = number == request.attempts - 1
         if verdict is Verdict.NOT_RUN and request.runs and awaited:
-            self._report.untrue += 1
+            self._report.false_not_run += 1
         if self._random.random() < LOST_ANSWERS:
             return
 
-        def take() -> None:
+        def deliver() -> None:
             if request.attained_at is not None:
                 return
             request.last_verdict = verdict
@@ -266,9 +269,9 @@
                 request.attained_at = self._now
                 return
             # a refusal tells the caller to retry after 1 s
-            self._at(self._now + 1.0, lambda: self._repeat(request, number))
+            self._schedule(self._now + 1.0, lambda: self._retry(request, number))
 
-        self._at(self._now + delay + TRAVEL, take)
+        self._schedule(self._now + delay + NETWORK_LATENCY, deliver)
 
     # instances
 
@@ -276,16 +279,16 @@
         self, request: _Request, instance: int, first: bool, number: int
     ) -> None:
         incarnation = self._incarnations[instance]
-        end = request.local.get((instance, incarnation))
+        end = request.local_runs.get((instance, incarnation))
         if end is not None:
             wait = max(0.0, end - self._now)
             self._answer(request, number, Verdict.RAN, wait)
             return
-        if self._trouble.reaches(instance, self._now):
-            self._reached[instance] = self._now
+        if self._outage_pattern.reaches_store(instance, self._now):
+            self._last_reached[instance] = self._now
             self._claim(request, instance, first, number)
             return
-        self._lack(request, instance, first, number, self._now)
+        self._handle_unreachable_store(request, instance, first, number, self._now)
 
     def _claim(
         self, request: _Request, instance: int, first: bool, number: int
@@ -293,19 +296,21 @@
         if request.claim is not None:
             holder, incarnation, end = request.claim
             alive = self._incarnations[holder] == incarnation
-            if alive and self._trouble.connects(instance, holder, self._now):
+            if alive and self._outage_pattern.are_connected(
+                instance, holder, self._now
+            ):
                 wait = max(0.0, end - self._now)
                 self._answer(request, number, Verdict.RAN, wait)
             else:
-                self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_TIME)
+                self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_LATENCY)
             return
-        if self._way.strict and not first:
-            self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_TIME)
+        if self._policy.strict and not first:
+            self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_LATENCY)
             return
         end = self._run(request, instance, number)
         request.claim = (instance, self._incarnations[instance], end)
 
-    def _lack(
+    def _handle_unreachable_store(
         self,
         request: _Request,
         instance: int,
@@ -314,16 +319,16 @@
         arrived: float,
     ) -> None:
         """Apply the policy to an attempt while the store is unreachable."""
-        if self._way.run_first and first:
+        if self._policy.run_first and first:
             self._run(request, instance, number)
             return
         elapsed = self._now - arrived
-        decision = self._way.policy.decide(
+        decision = self._policy.outage_policy.decide(
             Outage(
                 first_attempt=first,
                 elapsed=elapsed,
                 remaining=self._deadline - elapsed,
-                store_silent_for=self._now - self._reached[instance],
+                store_silent_for=self._now - self._last_reached[instance],
             )
         )
         match decision:
@@ -331,26 +336,28 @@
                 self._answer(request, number, verdict, 0.0)
             case RetryAfter(delay=delay):
 
-                def again() -> None:
-                    if self._trouble.reaches(instance, self._now):
+                def retry() -> None:
+                    if self._outage_pattern.reaches_store(instance, self._now):
                         self._arrive(request, instance, first, number)
                         return
-                    self._lack(request, instance, first, number, arrived)
+                    self._handle_unreachable_store(
+                        request, instance, first, number, arrived
+                    )
 
-                self._at(self._now + delay, again)
+                self._schedule(self._now + delay, retry)
 
     def _run(self, request: _Request, instance: int, number: int) -> float:
         request.runs += 1
-        duration = self._random.expovariate(1 / MEAN_RUN)
-        end = self._now + STORE_TIME + duration
+        duration = self._random.expovariate(1 / MEAN_RUN_TIME)
+        end = self._now + STORE_LATENCY + duration
         incarnation = self._incarnations[instance]
-        request.local[(instance, incarnation)] = end
+        request.local_runs[(instance, incarnation)] = end
 
         def finish() -> None:
             if self._incarnations[instance] == incarnation:
                 self._answer(request, number, Verdict.RAN, 0.0)
 
-        self._at(end, finish)
+        self._schedule(end, finish)
         return end
 
 
@@ -364,33 +371,33 @@
     print("| callers | store unreachable | policy | attained | may have run", end="")
     print(" | run twice | false not-run |")
     print("|---|---|---|---|---|---|---|")
-    for repeats, trouble, way in itertools.product(
+    for retries, outage_pattern, policy in itertools.product(
         (True, False), OUTAGE_PATTERNS, POLICIES
     ):
         reports = [
-            OutageSimulation(way, trouble, seed, repeats=repeats).run()
+            OutageSimulation(policy, outage_pattern, seed, retries=retries).run()
             for seed in range(options.seeds)
         ]
-        callers = "retry" if repeats else "no retry"
-        print(_format_row(callers, trouble, way, reports), flush=True)
+        callers = "retry" if retries else "no retry"
+        print(_format_row(callers, outage_pattern, policy, reports), flush=True)
 
 
 def _format_row(
     callers: str,
-    trouble: OutagePattern,
-    way: KeyedRequestPolicy,
+    outage_pattern: OutagePattern,
+    policy: KeyedRequestPolicy,
     reports: list[OutageReport],
 ) -> str:
     requests = sum(report.requests for report in reports)
     attained = sum(report.attained for report in reports) / requests
     cells = (
         callers,
-        trouble.name,
-        way.name,
+        outage_pattern.name,
+        policy.name,
         f"{attained:.2%}",
-        sum(report.unsettled for report in reports),
+        sum(report.unresolved for report in reports),
         sum(report.run_twice for report in reports),
-        sum(report.untrue for report in reports),
+        sum(report.false_not_run for report in reports),
     )
     return "| " + " | ".join(str(cell) for cell in cells) + " |"
 
--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -10,15 +10,15 @@
 PARTIAL = OutagePattern("one data centre", 60.0, partial=True)
 
 
-@pytest.mark.parametrize("way", POLICIES, ids=lambda way: way.name)
-def test_only_running_without_a_claim_doubles(way):
+@pytest.mark.parametrize("policy", POLICIES, ids=lambda policy: policy.name)
+def test_only_running_without_a_claim_runs_requests_twice(policy):
     """Guards against policies that run a request twice during a partition.
 
     The first attempt runs without a claim, and its retry runs with one at an instance
     that reaches the store.
     """
-    report = OutageSimulation(way, PARTIAL, 0).run()
-    assert (report.run_twice > 0) is way.run_first
+    report = OutageSimulation(policy, PARTIAL, 0).run()
+    assert (report.run_twice > 0) is policy.run_first
 
 
 async def test_claims_of_one_shard_share_writes():
