--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -158,7 +158,7 @@
     applied: tuple[bytes, ...] = ()
     #: attempts whose give-back was acknowledged
     acknowledged_give_backs: frozenset[Token] = frozenset()
-    fault: str = ""
+    violation: str = ""
     _hash: int = field(default=0, compare=False, repr=False)
 
     def __hash__(self) -> int:
@@ -246,8 +246,8 @@
                     yield f"instance {number} crashes", self._crash(state, number)
 
     def find_violation(self, state: ClaimsState) -> str:
-        if state.fault:
-            return state.fault
+        if state.violation:
+            return state.violation
         keys = {self._requests[number].key for number in state.runs}
         if len(state.runs) > len(keys):
             return "a request ran twice"
@@ -268,7 +268,7 @@
                 return f"the claim of request {number}, which ran, is lost"
         return ""
 
-    def find_final_fault(self, state: ClaimsState) -> str:
+    def find_final_violation(self, state: ClaimsState) -> str:
         for number, request_state in enumerate(state.request_states):
             if (
                 request_state.answered_with is None
@@ -373,8 +373,8 @@
             case Action.RUN | Action.ASK_HOLDER:
                 return _replace_request_state(state, number, request_state)
         state = _replace_request_state(state, number, request_state)
-        fault = state.fault or self._check_answer(state, number, current)
-        return self._abandon(state, number, current.action).change(fault=fault)
+        violation = state.violation or self._check_answer(state, number, current)
+        return self._abandon(state, number, current.action).change(violation=violation)
 
     def _check_answer(self, state: ClaimsState, number: int, ended: Attempt) -> str:
         """Return a fault if the caller is answered wrongly, or an empty text."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/explore.py
@@ -52,7 +52,7 @@
     def find_violation(self, state: S) -> str:
         """Return a description of the violated invariant, or an empty text."""
 
-    def find_final_fault(self, state: S) -> str:
+    def find_final_violation(self, state: S) -> str:
         """Return what is wrong with ``state`` as a final state, or an empty text."""
         return ""
 
@@ -61,12 +61,12 @@
 class Violation:
     """A reached state that violates an invariant, with the labels of its steps."""
 
-    fault: str
+    description: str
     trace: tuple[str, ...]
     state: Any
 
     def __str__(self) -> str:
-        lines = [self.fault]
+        lines = [self.description]
         for number, label in enumerate(self.trace, start=1):
             lines.append(f"  {number}. {label}")
         return "\n".join(lines)
@@ -122,9 +122,9 @@
 
     while queue:
         state, depth = queue.popleft()
-        fault = model.find_violation(state)
-        if fault:
-            violation = Violation(fault, _trace(parents, state), state)
+        description = model.find_violation(state)
+        if description:
+            violation = Violation(description, _trace(parents, state), state)
             break
         if max_depth is not None and depth >= max_depth:
             complete = False
@@ -142,9 +142,9 @@
         transitions += steps
         if steps:
             continue
-        fault = model.find_final_fault(state)
-        if fault:
-            violation = Violation(fault, _trace(parents, state), state)
+        description = model.find_final_violation(state)
+        if description:
+            violation = Violation(description, _trace(parents, state), state)
             break
 
     return Exploration(
@@ -178,9 +178,9 @@
 
 def _trace(parents: dict[S, tuple[S, str] | None], state: S) -> tuple[str, ...]:
     labels = []
-    link = parents[state]
-    while link is not None:
-        state, label = link
+    parent = parents[state]
+    while parent is not None:
+        state, label = parent
         labels.append(label)
-        link = parents[state]
+        parent = parents[state]
     return tuple(reversed(labels))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -114,7 +114,7 @@
         yield world
 
     def list_steps(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
-        if state.fault:
+        if state.violation:
             return
         for number, contender in enumerate(state.contenders):
             if not contender.alive:
@@ -138,8 +138,8 @@
             yield "tick", self._tick(state)
 
     def find_violation(self, state: OrdersState) -> str:
-        if state.fault:
-            return state.fault
+        if state.violation:
+            return state.violation
         holders = 0
         for number, contender in enumerate(state.contenders):
             now = self._read_clock(state, number)
@@ -260,7 +260,7 @@
                 after = lease_state.handle_revoke(now)
         if after.held and not lease_state.held:
             if after.fence <= state.fence:
-                state = state.change(fault="a fencing token did not increase")
+                state = state.change(violation="a fencing token did not increase")
             state = state.change(fence=max(state.fence, after.fence))
         return self._replace_lease_state(state, number, after, None)
 
@@ -331,7 +331,9 @@
         engine = state.engine
         in_flight = (*engine.in_transit, *engine.running)
         if any(delivery.order == order for delivery in in_flight):
-            state = state.change(fault="an order was sent again while it was in flight")
+            state = state.change(
+                violation="an order was sent again while it was in flight"
+            )
         delivery = Delivery(order, number, state.time + self._delivery)
         engine = dataclasses.replace(engine, in_transit=(*engine.in_transit, delivery))
         sent = dataclasses.replace(
@@ -403,7 +405,7 @@
             return state.change(engine=engine)
         if order.fence < engine.fence:
             state = state.change(
-                fault="an order of a former holder was executed after a newer one"
+                violation="an order of a former holder was executed after a newer one"
             )
         engine = dataclasses.replace(engine, state=order.desired, fence=order.fence)
         return state.change(engine=engine)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/states.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/states.py
@@ -117,7 +117,7 @@
     delayed_calls: tuple[Call, ...] = ()
     #: highest fencing token that a holder has had
     fence: int = ABSENT
-    fault: str = ""
+    violation: str = ""
     _hash: int = field(default=0, compare=False, repr=False)
 
     def __hash__(self) -> int:
--- a/tests/test_lab/test_explore.py
+++ b/tests/test_lab/test_explore.py
@@ -33,7 +33,7 @@
     def find_violation(self, state: tuple[int, int]) -> str:
         return "two inside" if state[0] > 1 else ""
 
-    def find_final_fault(self, state: tuple[int, int]) -> str:
+    def find_final_violation(self, state: tuple[int, int]) -> str:
         return "" if state[1] == 2 else "stuck"
 
 
@@ -55,7 +55,7 @@
 def test_state_without_steps_is_checked():
     mutation = Mutation("closed", sys.modules[__name__], "may_enter", lambda _: False)
     result = explore_mutations(Door, [mutation])["closed"]
-    assert result.violation.fault == "stuck"
+    assert result.violation.description == "stuck"
 
 
 @pytest.mark.parametrize("bounds", [{"max_states": 2}, {"max_depth": 1}])
