--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
@@ -1,7 +1,7 @@
 """Measures the store calls and the latency of claims at several request rates.
 
 Run as ``python -m greengagelatch_lab.claims_cost``. All instances run in this
-process, on an in-memory store whose calls take :data:`STORE_TIME`; messages between
+process, on an in-memory store whose calls take :data:`STORE_LATENCY`; messages between
 instances are encoded and decoded but use no socket. Each claim is followed by a
 give-back or a recorded outcome, as in production.
 """
@@ -29,14 +29,14 @@
 __all__ = ("Cost", "measure")
 
 #: simulated latency of a store call, in seconds
-STORE_TIME = 0.003
+STORE_LATENCY = 0.003
 #: fraction of claims that are given back
-GIVEN_BACK = 0.05
+GIVE_BACK_RATIO = 0.05
 #: time allowed for each request, in seconds
-DEADLINE = 6.0
+DEADLINE_SECONDS = 6.0
 #: statsd address on which nothing listens, so that datagrams are dropped
-NOWHERE = "127.0.0.1:9"
-MICROSECONDS = 1_000_000
+UNUSED_ADDRESS = "127.0.0.1:9"
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -74,34 +74,34 @@
     store = _CountingStore(clock=clock)
 
     async def delay(kind: str, key: str) -> None:
-        await asyncio.sleep(STORE_TIME)
+        await asyncio.sleep(STORE_LATENCY)
 
     store.faults.before_call = delay
-    switchboard = Switchboard()
+    network = Switchboard()
     settings = _create_settings(shards)
-    chooser = random.Random(seed)
+    random_source = random.Random(seed)
     controllers = []
     for number in range(instances):
         name = f"instance-{number}"
         controllers.append(
             ClaimsController(
                 store=store,
-                peers=switchboard.join(name),
+                peers=network.join(name),
                 clock=clock,
                 random_source=random.Random(number),
                 settings=settings,
-                metrics=Metrics(NOWHERE),
+                metrics=Metrics(UNUSED_ADDRESS),
                 instance_id=name,
             )
         )
     for controller in controllers:
         await controller.start()
-    histogram = HdrHistogram(1, 60 * MICROSECONDS, 3)
+    histogram = HdrHistogram(1, 60 * MICROSECONDS_PER_SECOND, 3)
     refused = 0
 
     async def claim(number: int) -> None:
         nonlocal refused
-        controller = chooser.choice(controllers)
+        controller = random_source.choice(controllers)
         now = clock.now()
         request = Request(
             request_id=f"request-{number}",
@@ -109,16 +109,16 @@
             pipeline="book",
             input=None,
             received=now,
-            deadline=now + DEADLINE,
+            deadline=now + DEADLINE_SECONDS,
             key=f"key-{number}",
             digest="digest",
         )
         permit = await controller.claim(request)
-        histogram.record_value(int((clock.now() - now) * MICROSECONDS))
+        histogram.record_value(int((clock.now() - now) * MICROSECONDS_PER_SECOND))
         if not isinstance(permit, Permit):
             refused += 1
             return
-        ran = chooser.random() >= GIVEN_BACK
+        ran = random_source.random() >= GIVE_BACK_RATIO
         verdict = Verdict.RAN if ran else Verdict.NOT_RUN
         answer = Answer(request_id=request.request_id, verdict=verdict, result="r")
         controller.settle(permit, answer, verdict)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -5,7 +5,7 @@
 requests are still being sent. The exit status is 0 only if every answer was complete,
 correct and belonged to its request, nothing ran twice, no "not run" was false, the
 stop interrupted no request, and the share of requests answered in time reached
-:data:`LEAST_ATTAINMENT`.
+:data:`MIN_ATTAINMENT`.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 LOAD_SECONDS = 15.0
 STOP_SECONDS = 10.0
 #: minimum share of requests answered in time; the load is far below capacity
-LEAST_ATTAINMENT = 0.95
+MIN_ATTAINMENT = 0.95
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -53,7 +53,7 @@
     @property
     def passed(self) -> bool:
         """Whether all guarantees held and every daemon stopped cleanly."""
-        served = self.report.total.attainment >= LEAST_ATTAINMENT
+        served = self.report.total.attainment >= MIN_ATTAINMENT
         return served and self.report.kept and not any(self.statuses)
 
 
@@ -68,9 +68,9 @@
     results: dict[str, DemoResult] = {}
     for name in options.fleet or FLEETS:
         with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
-            work = _run_fleet(FLEETS[name], Path(directory), options)
+            run = _run_fleet(FLEETS[name], Path(directory), options)
             try:
-                results[name] = run_tool(work)
+                results[name] = run_tool(run)
             except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
                 print(f"{name}: run did not complete: {error!r}\ndemo FAILED")
                 return 1
@@ -86,13 +86,13 @@
 ) -> DemoResult:
     started = time.monotonic()
     async with FleetRunner(fleet, directory) as runner:
-        _show(
+        _print(
             f"{fleet.name}: {len(runner.daemons)} daemons,"
             f" {len(runner.targets)} targets started"
         )
-        _show(await runner.apply_objects())
+        _print(await runner.apply_objects())
         await runner.wait_ready()
-        _show(f"{fleet.name}: ready after {time.monotonic() - started:.1f} s")
+        _print(f"{fleet.name}: ready after {time.monotonic() - started:.1f} s")
         result = await _serve(runner, options)
     print(result.report.format(), flush=True)
     return result
@@ -105,11 +105,11 @@
         scale=options.scale,
         seed=options.seed,
         end_when_unserved=True,
-        show=_show,
+        show=_print,
     ) as playing:
         await asyncio.sleep(options.seconds)
         in_flight = playing.run.in_flight
-        _show(f"stopping all daemons with {in_flight} requests in flight")
+        _print(f"stopping all daemons with {in_flight} requests in flight")
         stops = [runner.stop_daemon(daemon) for daemon in list(runner.daemons)]
         statuses = await asyncio.gather(*stops)
         report = await playing.check()
@@ -130,7 +130,7 @@
     )
 
 
-def _show(line: str) -> None:
+def _print(line: str) -> None:
     print(line, flush=True)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/log_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/log_cost.py
@@ -19,21 +19,21 @@
 ROUNDS = 7
 BATCHES = 400
 #: requests logged before the pipe is read; their lines fit into its buffer
-BATCH = 10
+REQUESTS_PER_BATCH = 10
 STAGES = ("encode", "retrieve", "rerank", "generate")
 
 #: upper bound of one read from the pipe, in bytes
-READ_SIZE = 1 << 17
+MAX_READ_BYTES = 1 << 17
 
 
 def main() -> None:
     """Print one line for each log level."""
     print("level      us/request   best  bytes/request  lines/request  dropped")
     for level in LogLevel:
-        print(_describe(level))
+        print(_measure_level(level))
 
 
-def _describe(level: LogLevel) -> str:
+def _measure_level(level: LogLevel) -> str:
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     output = LogOutput(writer, owned=True)
@@ -47,7 +47,7 @@
         size += received
     output.close()
     os.close(reader)
-    requests = ROUNDS * BATCHES * BATCH
+    requests = ROUNDS * BATCHES * REQUESTS_PER_BATCH
     return (
         f"{level.name.lower():<10} {statistics.median(costs) * 1e6:>10.1f}"
         f"  {min(costs) * 1e6:>5.1f}  {size / requests:>13.0f}"
@@ -61,16 +61,16 @@
     received = 0
     for batch in range(BATCHES):
         start = time.thread_time()
-        for number in range(BATCH):
-            _log_request(log, batch * BATCH + number)
+        for number in range(REQUESTS_PER_BATCH):
+            _log_request(log, batch * REQUESTS_PER_BATCH + number)
         spent += time.thread_time() - start
         received += _drain(reader)
-    return spent / (BATCHES * BATCH), received
+    return spent / (BATCHES * REQUESTS_PER_BATCH), received
 
 
 def _drain(reader: int) -> int:
     try:
-        return len(os.read(reader, READ_SIZE))
+        return len(os.read(reader, MAX_READ_BYTES))
     except BlockingIOError:
         return 0
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/pages.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/pages.py
@@ -23,7 +23,7 @@
 NOTICE = "This page is made from the code by `make docs`; change the code instead."
 
 #: methods that report a metric, with the kind of metric
-METHODS = {"count": "counter", "gauge": "gauge", "timing": "timer, ms"}
+METRIC_METHODS = {"count": "counter", "gauge": "gauge", "timing": "timer, ms"}
 
 #: placeholder for a part of a metric's name that is known only at run time
 VARIABLE_PART = "*"
@@ -56,7 +56,7 @@
         lines += ["", f"## {section}", ""]
         lines += ["| setting | default | allowed | meaning |", "|---|---|---|---|"]
         for setting in settings:
-            lines.append(_describe_setting(setting))
+            lines.append(_format_setting(setting))
     return "\n".join(lines) + "\n"
 
 
@@ -90,21 +90,21 @@
 PAGES = {"settings.md": render_settings, "metrics.md": render_metrics}
 
 
-def _describe_setting(setting: Setting) -> str:
-    default = _describe_default(setting)
+def _format_setting(setting: Setting) -> str:
+    default = _format_default(setting)
     meaning = setting.description.replace("|", "\\|")
-    return f"| `{setting.name}` | {default} | {_describe_range(setting)} | {meaning} |"
+    return f"| `{setting.name}` | {default} | {_format_range(setting)} | {meaning} |"
 
 
-def _describe_default(setting: Setting) -> str:
+def _format_default(setting: Setting) -> str:
     if setting.required:
         return "required"
     if setting.default == "":
         return "empty"
-    return f"`{_show(setting.default)}` {setting.unit}".rstrip()
+    return f"`{_format_value(setting.default)}` {setting.unit}".rstrip()
 
 
-def _describe_range(setting: Setting) -> str:
+def _format_range(setting: Setting) -> str:
     if setting.choices:
         return ", ".join(f"`{choice}`" for choice in setting.choices)
     if setting.endpoint:
@@ -115,14 +115,14 @@
         return "text"
     bounds = []
     if setting.minimum is not None:
-        bounds.append(f"from {_show(setting.minimum)}")
+        bounds.append(f"from {_format_value(setting.minimum)}")
     if setting.maximum is not None:
-        bounds.append(f"to {_show(setting.maximum)}")
+        bounds.append(f"to {_format_value(setting.maximum)}")
     number = "whole number" if setting.type is int else "number"
     return " ".join([number, *bounds])
 
 
-def _show(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, float) and value.is_integer():
@@ -137,12 +137,15 @@
         if not isinstance(node, ast.Call) or not node.args:
             continue
         function = node.func
-        if not isinstance(function, ast.Attribute) or function.attr not in METHODS:
+        if (
+            not isinstance(function, ast.Attribute)
+            or function.attr not in METRIC_METHODS
+        ):
             continue
         if "metrics" not in ast.unparse(function.value):
             continue
-        for name in _read_names(node.args[0], constants):
-            yield name, METHODS[function.attr]
+        for name in _resolve_names(node.args[0], constants):
+            yield name, METRIC_METHODS[function.attr]
 
 
 def _collect_constants(tree: ast.Module) -> dict[str, str]:
@@ -156,22 +159,22 @@
     return constants
 
 
-def _read_names(node: ast.expr, constants: dict[str, str]) -> Iterator[str]:
+def _resolve_names(node: ast.expr, constants: dict[str, str]) -> Iterator[str]:
     match node:
         case ast.Constant(value=str(name)):
             yield name
         case ast.IfExp(body=first, orelse=second):
-            yield from _read_names(first, constants)
-            yield from _read_names(second, constants)
+            yield from _resolve_names(first, constants)
+            yield from _resolve_names(second, constants)
         case ast.Name(id=name):
             yield constants.get(name, VARIABLE_PART)
         case ast.JoinedStr(values=parts):
-            yield "".join(_read_part(part) for part in parts)
+            yield "".join(_resolve_part(part) for part in parts)
         case _:
             yield VARIABLE_PART
 
 
-def _read_part(part: ast.expr) -> str:
+def _resolve_part(part: ast.expr) -> str:
     return str(part.value) if isinstance(part, ast.Constant) else VARIABLE_PART
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/processes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/processes.py
@@ -13,14 +13,14 @@
 __all__ = ("Process", "ProcessError", "ProcessGroup")
 
 #: prefix of the line that a process prints once it accepts connections
-READY = "ready "
+READY_PREFIX = "ready "
 #: time allowed for a start and for a graceful stop, in seconds
 START_TIMEOUT = 20.0
 STOP_TIMEOUT = 10.0
 #: interval between checks of a starting process's output, in seconds
 POLL_INTERVAL = 0.02
 #: number of characters of output that error messages contain
-TAIL = 2000
+MAX_TAIL_CHARACTERS = 2000
 
 
 class ProcessError(RuntimeError):
@@ -66,12 +66,12 @@
     @property
     def pid(self) -> int:
         """Process id."""
-        return self._get().pid
+        return self._get_process().pid
 
     @property
     def returncode(self) -> int | None:
         """Exit status; ``None`` while the process runs."""
-        return self._get().returncode
+        return self._get_process().returncode
 
     async def start(self, timeout: float = START_TIMEOUT) -> None:
         """Start the process and wait for its ``ready`` line."""
@@ -92,25 +92,25 @@
 
     def terminate(self) -> None:
         """Send SIGTERM, as before a planned replacement."""
-        self._send(signal.SIGTERM)
+        self._send_signal(signal.SIGTERM)
 
     def kill(self) -> None:
         """Send SIGKILL, to simulate a crash."""
-        self._send(signal.SIGKILL)
+        self._send_signal(signal.SIGKILL)
 
     def pause(self) -> None:
         """Send SIGSTOP; the connections of the process stay open but go silent."""
-        self._send(signal.SIGSTOP)
+        self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         """Send SIGCONT to a paused process."""
-        self._send(signal.SIGCONT)
+        self._send_signal(signal.SIGCONT)
 
     async def wait(self, timeout: float = STOP_TIMEOUT) -> int:
         """Wait until the process exits and return its exit status."""
         try:
             async with asyncio.timeout(timeout):
-                return await self._get().wait()
+                return await self._get_process().wait()
         except TimeoutError:
             msg = f"process {self.name} did not exit within {timeout} s: {self.tail()}"
             raise ProcessError(msg) from None
@@ -131,7 +131,7 @@
     def tail(self) -> str:
         """Return the last part of the process's output, for error messages."""
         text = self.stdout.read_text(errors="replace")
-        return (text + self.stderr.read_text(errors="replace"))[-TAIL:]
+        return (text + self.stderr.read_text(errors="replace"))[-MAX_TAIL_CHARACTERS:]
 
     async def __aenter__(self) -> Process:
         try:
@@ -150,13 +150,13 @@
         await self.stop()
 
     async def _wait_ready(self) -> None:
-        process = self._get()
+        process = self._get_process()
         while True:
-            ended = process.returncode is not None
+            has_exited = process.returncode is not None
             self.ready = self._find_ready()
             if self.ready:
                 return
-            if ended:
+            if has_exited:
                 msg = (
                     f"process {self.name} exited with status {process.returncode}"
                     f" before it was ready: {self.tail()}"
@@ -167,15 +167,15 @@
     def _find_ready(self) -> str:
         text = self.stdout.read_text(errors="replace")
         for line in text.splitlines(keepends=True):
-            if line.startswith(READY) and line.endswith("\n"):
-                return line[len(READY) :].strip()
+            if line.startswith(READY_PREFIX) and line.endswith("\n"):
+                return line[len(READY_PREFIX) :].strip()
         return ""
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         with contextlib.suppress(ProcessLookupError):
-            self._get().send_signal(number)
+            self._get_process().send_signal(number)
 
-    def _get(self) -> asyncio.subprocess.Process:
+    def _get_process(self) -> asyncio.subprocess.Process:
         if self._process is None:
             raise ProcessError(f"process {self.name} was not started")
         return self._process
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -34,9 +34,9 @@
 #: delay of the platform's instance list, in seconds
 LIST_LAG = 2.0
 #: duration of traffic before the first stop and after the last one, in seconds
-MARGIN = 3.0
+MARGIN_SECONDS = 3.0
 #: duration of the generated arrivals, in seconds; they end with the last replacement
-LONGEST = 300.0
+MAX_TRAFFIC_SECONDS = 300.0
 
 
 def main() -> int:
@@ -48,9 +48,9 @@
     parser.add_argument("--list-lag", type=float, default=LIST_LAG)
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
-        work = _roll_fleet(FLEETS[options.fleet], Path(directory), options)
+        run = _restart_fleet(FLEETS[options.fleet], Path(directory), options)
         try:
-            report, statuses = run_tool(work)
+            report, statuses = run_tool(run)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
             print(f"run did not complete: {error!r}\nrolling restart FAILED")
             return 1
@@ -64,25 +64,25 @@
     return 0 if passed else 1
 
 
-async def _roll_fleet(
+async def _restart_fleet(
     fleet: Fleet, directory: Path, options: argparse.Namespace
 ) -> tuple[Report, list[int]]:
     async with FleetRunner(fleet, directory) as runner:
-        _show(await runner.apply_objects())
+        _print(await runner.apply_objects())
         await runner.wait_ready()
         await runner.registry.set_faults(list_lag_s=options.list_lag)
         async with play(
             runner,
-            seconds=LONGEST,
+            seconds=MAX_TRAFFIC_SECONDS,
             scale=options.scale,
             seed=options.seed,
-            show=_show,
+            show=_print,
         ) as playing:
-            await asyncio.sleep(MARGIN)
+            await asyncio.sleep(MARGIN_SECONDS)
             statuses = []
             for daemon in list(runner.daemons):
                 statuses.append(await _replace(playing, daemon))
-            await asyncio.sleep(MARGIN)
+            await asyncio.sleep(MARGIN_SECONDS)
             playing.run.end()
             return await playing.check(), statuses
 
@@ -101,11 +101,11 @@
     status = await stop
     playing.balancer.remove(old)
     await runner.registry.remove([daemon.instance_id])
-    _show(f"{daemon.instance_id} replaced, exit status {status}")
+    _print(f"{daemon.instance_id} replaced, exit status {status}")
     return status
 
 
-def _show(line: str) -> None:
+def _print(line: str) -> None:
     print(line, flush=True)
 
 
