--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -36,16 +36,17 @@
 
     fault: str
     name: str
-    tally: Tally
+    statistics: Tally
 
     def format(self) -> str:
         """Return the counts as a row of a text table."""
         refusals = ", ".join(
-            f"{code} {count}" for code, count in sorted(self.tally.refusals.items())
+            f"{code} {count}"
+            for code, count in sorted(self.statistics.refusals.items())
         )
         return (
-            f"{self.fault:<20}{self.name:<16}{self.tally.made:>6}"
-            f"{self.tally.attainment:>9.1%}  {refusals}"
+            f"{self.fault:<20}{self.name:<16}{self.statistics.made:>6}"
+            f"{self.statistics.attainment:>9.1%}  {refusals}"
         )
 
     def encode(self) -> dict[str, Any]:
@@ -53,8 +54,8 @@
         return {
             "fault": self.fault,
             "side": self.name,
-            "made": self.tally.made,
-            "attainment": round(self.tally.attainment, 4),
+            "made": self.statistics.made,
+            "attainment": round(self.statistics.attainment, 4),
         }
 
 
@@ -85,7 +86,7 @@
             name = _find_side_name(window, places.get(observation.instance, ""))
             tallies[(window.fault, name)].add(observation)
     return [
-        Side(fault=fault, name=name, tally=tally)
+        Side(fault=fault, name=name, statistics=tally)
         for (fault, name), tally in tallies.items()
     ]
 
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -38,7 +38,9 @@
         observe(3.5, ""),
     ]
     sides = measure_sides(windows, observations, PLACES)
-    found = [(s.fault, s.name, s.tally.made, s.tally.attainment) for s in sides]
+    found = [
+        (s.fault, s.name, s.statistics.made, s.statistics.attainment) for s in sides
+    ]
     assert found == [
         ("cut", "north", 2, 0.5),
         ("cut", "the others", 1, 1.0),
