--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -106,24 +106,24 @@
         seed=options.seed,
         end_when_unserved=True,
         show=_print,
-    ) as playing:
+    ) as traffic:
         await asyncio.sleep(options.seconds)
-        in_flight = playing.run.in_flight
+        in_flight = traffic.run.in_flight
         _print(f"stopping all daemons with {in_flight} requests in flight")
         stops = [runner.stop_daemon(daemon) for daemon in list(runner.daemons)]
         statuses = await asyncio.gather(*stops)
-        report = await playing.check()
+        report = await traffic.check()
     return DemoResult(
         report=report, in_flight_at_stop=in_flight, statuses=tuple(statuses)
     )
 
 
 def _print_verdict(name: str, result: DemoResult) -> None:
-    total, repeats = result.report.total, result.report.repeats
+    total, retries = result.report.total, result.report.repeats
     kinds = result.report.encode()["violations"]
     broken = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     print(
-        f"{name}: {total.made + repeats.made} answers checked, attainment"
+        f"{name}: {total.made + retries.made} answers checked, attainment"
         f" {total.attainment:.2%}, {result.in_flight_at_stop} requests in flight"
         f" at the stop, exit statuses {set(result.statuses)},"
         f" violations: {broken or 'none'}"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__init__.py
@@ -18,7 +18,7 @@
 class FaultContext:
     """A running fleet, and the effects of the faults injected so far."""
 
-    playing: Playing
+    traffic: Playing
     random_source: random.Random
     #: entry instances whose callers may see a disconnected or silent connection
     affected_instances: set[str] = field(default_factory=set)
@@ -27,7 +27,7 @@
 
     def pick_affected_daemon(self) -> Daemon:
         """Return a random entry instance and record that a fault affects it."""
-        daemon = self.random_source.choice(self.playing.runner.daemons)
+        daemon = self.random_source.choice(self.traffic.runner.daemons)
         self.affected_instances.add(daemon.instance_id)
         return daemon
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -129,15 +129,15 @@
             scale=options.scale,
             seed=options.seed,
             show=_print,
-        ) as playing:
+        ) as traffic:
             context = FaultContext(
-                playing=playing, random_source=random.Random(options.seed)
+                traffic=traffic, random_source=random.Random(options.seed)
             )
             windows = []
             for name in options.fault or FAULTS:
                 windows.append(await _inject(context, name, options.seconds))
-            playing.run.end()
-            report = await playing.check()
+            traffic.run.end()
+            report = await traffic.check()
         monitor_task.cancel()
         await asyncio.gather(monitor_task, return_exceptions=True)
         late_calls = await find_calls_after_leaving(runner)
@@ -149,21 +149,21 @@
         reverted=monitor.reverted,
         late_calls=late_calls,
         guarantee_violations=context.guarantee_violations,
-        sides=measure_sides(windows, playing.run.observations, runner.places),
+        sides=measure_sides(windows, traffic.run.observations, runner.places),
         sample_count=monitor.sample_count,
     )
 
 
 async def _inject(context: FaultContext, name: str, seconds: float) -> FaultWindow:
     fault = FAULTS[name]
-    begin = context.playing.run.elapsed
+    begin = context.traffic.run.elapsed
     _print(f"{name} begins")
     await fault.inject(context)
     await asyncio.sleep(seconds)
     window = FaultWindow(
         fault=name,
         begin=begin,
-        end=context.playing.run.elapsed,
+        end=context.traffic.run.elapsed,
         data_centre=fault.cut_off,
     )
     await fault.remove(context)
@@ -176,7 +176,7 @@
     """Whether a caller's connection failed because of a fault of its instance."""
     if violation.kind not in EXCUSABLE_KINDS:
         return False
-    for observation in context.playing.run.observations:
+    for observation in context.traffic.run.observations:
         if observation.arrival.index == violation.index:
             return observation.instance in context.affected_instances
     return False
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
@@ -54,8 +54,8 @@
         self._paused: Process | None = None
 
     async def inject(self, context: FaultContext) -> None:
-        target = context.random_source.choice(context.playing.runner.targets)
-        self._paused = context.playing.runner.find_process(target["id"])
+        target = context.random_source.choice(context.traffic.runner.targets)
+        self._paused = context.traffic.runner.find_process(target["id"])
         self._paused.pause()
 
     async def remove(self, context: FaultContext) -> None:
@@ -68,7 +68,7 @@
     name = "target-leaving"
 
     async def inject(self, context: FaultContext) -> None:
-        target = context.random_source.choice(context.playing.runner.targets)
+        target = context.random_source.choice(context.traffic.runner.targets)
         await _set_target_faults(target, {"state": "leaving"})
 
 
@@ -87,7 +87,7 @@
 
     async def _set_all(self, context: FaultContext, rate: float) -> None:
         faults = dict.fromkeys(self._RATES, rate)
-        for target in context.playing.runner.targets:
+        for target in context.traffic.runner.targets:
             await _set_target_faults(target, faults)
 
 
@@ -100,10 +100,10 @@
         self._after = after
 
     async def inject(self, context: FaultContext) -> None:
-        await context.playing.runner.registry.set_faults(**self._during)
+        await context.traffic.runner.registry.set_faults(**self._during)
 
     async def remove(self, context: FaultContext) -> None:
-        await context.playing.runner.registry.set_faults(**self._after)
+        await context.traffic.runner.registry.set_faults(**self._after)
 
 
 class OperatorsRacing(PermanentFault):
@@ -117,9 +117,9 @@
 
 
 async def _set_label(context: FaultContext, number: int) -> None:
-    workspace = context.playing.runner.fleet.workspaces[number % 2].name
+    workspace = context.traffic.runner.fleet.workspaces[number % 2].name
     try:
-        await context.playing.runner.run_client(
+        await context.traffic.runner.run_client(
             "label", "workspace", workspace, f"race=n{number}", "--wait"
         )
     except ProcessError as error:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/kills.py
@@ -48,26 +48,26 @@
 
     async def inject(self, context: FaultContext) -> None:
         daemon = context.pick_affected_daemon()
-        others = [item for item in context.playing.runner.daemons if item is not daemon]
+        others = [item for item in context.traffic.runner.daemons if item is not daemon]
         retry_daemons = context.random_source.sample(others, RETRY_COUNT)
         arrival = _create_arrival(context)
         async with CallerClient() as client:
             first = asyncio.create_task(_send(client, arrival, daemon))
             await asyncio.sleep(context.random_source.uniform(0.0, MAX_KILL_DELAY))
             await _kill(daemon)
-            repeats = [
+            retries = [
                 _send(client, _create_retry(arrival, number), other)
                 for number, other in enumerate(retry_daemons, 1)
             ]
-            observations = await asyncio.gather(first, *repeats)
-        context.playing.run.observations.extend(observations)
+            observations = await asyncio.gather(first, *retries)
+        context.traffic.run.observations.extend(observations)
         await _replace(context, daemon)
 
 
 def _create_arrival(context: FaultContext) -> Arrival:
-    fleet = context.playing.runner.fleet
+    fleet = context.traffic.runner.fleet
     traffic = next(item for item in fleet.traffic if not item.repeatable)
-    run = context.playing.run
+    run = context.traffic.run
     added = sum(item.arrival.index >= FIRST_INDEX for item in run.observations)
     marker = f"held-{added}"
     return Arrival(
@@ -98,7 +98,7 @@
 
 
 async def _replace(context: FaultContext, daemon: Daemon) -> None:
-    runner, balancer = context.playing.runner, context.playing.balancer
+    runner, balancer = context.traffic.runner, context.traffic.balancer
     runner.daemons.remove(daemon)
     replacement = await runner.start_daemon(
         f"{daemon.instance_id}-next", daemon.data_centre
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -41,7 +41,7 @@
         self._generation = 0
 
     async def inject(self, context: FaultContext) -> None:
-        runner = context.playing.runner
+        runner = context.traffic.runner
         self.cut_off = context.random_source.choice(runner.fleet.data_centres)
         self._paths = self._find_paths(runner.network)
         for path in self._paths:
@@ -65,7 +65,7 @@
     async def remove(self, context: FaultContext) -> None:
         for path in self._paths:
             await path.link.heal()
-        daemons = context.playing.runner.daemons
+        daemons = context.traffic.runner.daemons
         await self._check_in_force(context, daemons, "after the fault")
         for pair in await find_not_alive(daemons):
             context.guarantee_violations.append(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -68,7 +68,7 @@
 
     :param places: data centre of each instance, by id
     """
-    tallies: dict[tuple[str, str], Tally] = {}
+    statistics_by_side: dict[tuple[str, str], Tally] = {}
     for window in windows:
         names = (
             (window.data_centre, OTHER_CENTRES)
@@ -76,7 +76,7 @@
             else (ALL_INSTANCES,)
         )
         for name in names:
-            tallies[(window.fault, name)] = Tally()
+            statistics_by_side[(window.fault, name)] = Tally()
     for observation in observations:
         if observation.arrival.repeat_of is not None:
             continue
@@ -84,10 +84,10 @@
             if not window.begin <= observation.arrival.offset < window.end:
                 continue
             name = _find_side_name(window, places.get(observation.instance, ""))
-            tallies[(window.fault, name)].add(observation)
+            statistics_by_side[(window.fault, name)].add(observation)
     return [
-        Side(fault=fault, name=name, statistics=tally)
-        for (fault, name), tally in tallies.items()
+        Side(fault=fault, name=name, statistics=statistics)
+        for (fault, name), statistics in statistics_by_side.items()
     ]
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/starts.py
@@ -17,7 +17,7 @@
     name = "start-in-outage"
 
     async def inject(self, context: FaultContext) -> None:
-        runner = context.playing.runner
+        runner = context.traffic.runner
         await runner.registry.set_faults(outage=True)
         data_centre = context.random_source.choice(runner.fleet.data_centres)
         known = context.random_source.sample(runner.daemons, SEED_COUNT)
@@ -30,7 +30,7 @@
             await runner.wait_ready(daemon)
         except ProcessError as error:
             context.guarantee_violations.append(f"{self.name}: {error}")
-        context.playing.balancer.add(daemon.entry)
+        context.traffic.balancer.add(daemon.entry)
 
     async def remove(self, context: FaultContext) -> None:
-        await context.playing.runner.registry.set_faults(outage=False)
+        await context.traffic.runner.registry.set_faults(outage=False)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/rolling.py
@@ -77,29 +77,29 @@
             scale=options.scale,
             seed=options.seed,
             show=_print,
-        ) as playing:
+        ) as traffic:
             await asyncio.sleep(MARGIN_SECONDS)
             statuses = []
             for daemon in list(runner.daemons):
-                statuses.append(await _replace(playing, daemon))
+                statuses.append(await _replace(traffic, daemon))
             await asyncio.sleep(MARGIN_SECONDS)
-            playing.run.end()
-            return await playing.check(), statuses
+            traffic.run.end()
+            return await traffic.check(), statuses
 
 
-async def _replace(playing: Playing, daemon: Daemon) -> int:
+async def _replace(traffic: Playing, daemon: Daemon) -> int:
     """Replace one daemon, as the platform does, and return its exit status."""
-    runner = playing.runner
+    runner = traffic.runner
     old = daemon.entry
     await runner.registry.put([daemon.describe("leaving")])
     stop = asyncio.create_task(runner.stop_daemon(daemon))
     replacement = await runner.start_daemon(
         f"{daemon.instance_id}-next", daemon.data_centre
     )
-    playing.balancer.add(replacement.entry)
+    traffic.balancer.add(replacement.entry)
     await runner.wait_ready(replacement)
     status = await stop
-    playing.balancer.remove(old)
+    traffic.balancer.remove(old)
     await runner.registry.remove([daemon.instance_id])
     _print(f"{daemon.instance_id} replaced, exit status {status}")
     return status
