--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -237,8 +237,8 @@
             text = f"{_describe(queued)} reaches writer {receiver}"
             yield text, self._enqueue(moved, receiver, queued)
         for late in state.delayed_writes:
-            rest = tuple(one for one in state.delayed_writes if one is not late)
-            arrived, result = self._swap(state.change(delayed_writes=rest), late)
+            remaining = tuple(one for one in state.delayed_writes if one is not late)
+            arrived, result = self._swap(state.change(delayed_writes=remaining), late)
             yield f"delayed write of {late.key}: {result.outcome.value}", arrived
         if state.budget.crashes:
             for number, writer in enumerate(state.writers):
@@ -321,8 +321,8 @@
             yield from self._time_out(state, number)
         if request_state.awaited_try and budget.abandoned:
             spent = state.change(budget=_spend(budget, "abandoned"))
-            given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
-            yield f"request {number} is abandoned", given_up
+            abandoned = self._abandon(spent, number, Action.STORE_UNREACHABLE)
+            yield f"request {number} is abandoned", abandoned
         if request_state.attempt.action is Action.ASK_HOLDER:
             yield from self._ask_holder(state, number)
         if request_state.attempt.action is Action.RUN:
@@ -377,7 +377,7 @@
         return self._abandon(state, number, current.action).change(violation=violation)
 
     def _check_answer(self, state: ClaimsState, number: int, ended: Attempt) -> str:
-        """Return a fault if the caller is answered wrongly, or an empty text."""
+        """Return a violation if the caller is answered wrongly, or an empty text."""
         digest = self._requests[number].digest
         if ended.action is Action.REPLAY:
             holder = self._requests[ended.holder.serial - 1]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/orders_model/model.py
@@ -99,19 +99,19 @@
             contenders.append(
                 Contender(LeaseState(instance_id=str(number), rules=LEASE_RULES))
             )
-        world = OrdersState(self._budget, tuple(contenders))
+        state = OrdersState(self._budget, tuple(contenders))
         if self._holding:
             for _ in range(3):
-                world = self._begin(world, 0, LeaseIntent.HOLD)
-                world = self._apply_call(world, 0)
-                world = self._handle_answer(world, 0, world.contenders[0].call.answer)
+                state = self._begin(state, 0, LeaseIntent.HOLD)
+                state = self._apply_call(state, 0)
+                state = self._handle_answer(state, 0, state.contenders[0].call.answer)
             # held for long, so that orders of an earlier holder cannot interfere
-            holder = world.contenders[0]
+            holder = state.contenders[0]
             lease_state = dataclasses.replace(holder.lease_state, acquired=-100.0)
-            world = replace_contender(
-                world, 0, dataclasses.replace(holder, lease_state=lease_state)
+            state = replace_contender(
+                state, 0, dataclasses.replace(holder, lease_state=lease_state)
             )
-        yield world
+        yield state
 
     def list_steps(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
         if state.violation:
@@ -128,11 +128,11 @@
                 yield f"{number} crashes", replace_contender(spent, number, dead)
         yield from self._step_engine(state)
         for call in state.delayed_calls:
-            rest = tuple(one for one in state.delayed_calls if one is not call)
+            remaining = tuple(one for one in state.delayed_calls if one is not call)
             store, _ = apply_call(state.store, call, state.time)
             yield (
                 f"delayed {call.step.value}",
-                state.change(store=store, delayed_calls=rest),
+                state.change(store=store, delayed_calls=remaining),
             )
         if self._may_tick(state):
             yield "tick", self._tick(state)
@@ -361,16 +361,16 @@
     def _step_engine(self, state: OrdersState) -> Iterator[tuple[str, OrdersState]]:
         engine = state.engine
         for delivery in engine.in_transit:
-            rest = tuple(one for one in engine.in_transit if one is not delivery)
-            moved = dataclasses.replace(engine, in_transit=rest)
+            remaining = tuple(one for one in engine.in_transit if one is not delivery)
+            moved = dataclasses.replace(engine, in_transit=remaining)
             name = f"{delivery.sender}'s order"
             yield f"{name} arrives", self._receive(state, moved, delivery)
             if state.budget.lost_orders:
                 lost = spend_budget(state, "lost_orders")
                 yield f"{name} is lost", lost.change(engine=moved)
         for delivery in engine.running:
-            rest = tuple(one for one in engine.running if one is not delivery)
-            moved = dataclasses.replace(engine, running=rest)
+            remaining = tuple(one for one in engine.running if one is not delivery)
+            moved = dataclasses.replace(engine, running=remaining)
             name = f"{delivery.sender}'s order"
             done = self._execute(state, moved, delivery)
             yield (
