--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_model.py
@@ -1,8 +1,8 @@
-"""Model of keyed requests: every interleaving of writers, repeats and faults.
+"""State-space model of keyed requests: shard writers, retries and faults.
 
-The steps are those of the real code in :mod:`greengagelatch.claims`; the model adds
-the network, the store and what may go wrong. A process that is paused is one that
-takes no step while others do, so pauses need no step of their own.
+The decisions are those of the production code in :mod:`greengagelatch.claims`; the
+model adds the network, the store and the faults. A paused process is one that takes
+no step while others do, so pauses need no step of their own.
 """
 
 from __future__ import annotations
@@ -37,21 +37,23 @@
 
 from .explore import Model
 
-__all__ = ("OTHER_KEY", "Budget", "ClaimsModel", "Seeker", "World")
+__all__ = ("OTHER_KEY", "ClaimsModel", "ClaimsState", "FaultBudget", "KeyedRequest")
 
-#: wall-clock seconds; time stands still, forgetting has tests of its own
+#: wall-clock time in seconds; it does not advance, as expiry has tests of its own
 NOW = 1000
 KEY = b"k" * 16
 OTHER_KEY = b"o" * 16
-FILLER = Claim(b"f" * 16, b"f" * 8, Token("none", 1, 0), NOW + 600)
+#: claim of an unrelated request that fills the head
+FILLER_CLAIM = Claim(b"f" * 16, b"f" * 8, Token("none", 1, 0), NOW + 600)
 OUTCOME = b"outcome"
+#: number under which the store holds the head; segments are numbered from 1
 HEAD_KEY = 0
 
 NOT_FOUND = Ok(None)
 UNKNOWN = WriteResult(WriteOutcome.UNKNOWN)
 UNREACHABLE = OperationResult(ResultKind.UNREACHABLE)
 
-#: actions that tell a caller that nothing of its request ran
+#: actions that answer the caller with "not run"
 NOT_RUN_ACTIONS = (
     Action.REFUSE_KEY_REUSED,
     Action.REFUSE_FULL,
@@ -60,65 +62,66 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seeker:
-    """A request with a key, and where it arrives."""
+class KeyedRequest:
+    """A keyed request, and the instance at which it arrives."""
 
     instance: int
-    #: instances that may commit for it, in the order of trying
-    ways: tuple[int, ...]
+    #: instances whose writer may commit its claim, in the order of trying
+    candidates: tuple[int, ...]
     digest: bytes = b"d" * 8
     key: bytes = KEY
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Budget:
-    """How often each fault may happen in one run."""
+class FaultBudget:
+    """How often each fault may occur in one run."""
 
-    #: swaps whose answer is lost; they take effect at any later time, or never
+    #: writes whose answer is lost; they take effect at any later time, or never
     lost_swaps: int = 0
-    #: swaps that are refused before anything is done
+    #: writes that the store rejects without effect
     refused_swaps: int = 0
-    #: questions to another instance that get no answer in time
+    #: calls to another instance that time out
     timeouts: int = 0
-    #: requests that are given up while their claim is sought
-    give_ups: int = 0
-    #: claimed requests for which nothing is sent
+    #: requests that are abandoned while their claim is being acquired
+    abandoned: int = 0
+    #: claimed requests that end without anything having been sent
     not_run: int = 0
-    #: give-backs that are sent twice
+    #: give-backs that are delivered twice
     resends: int = 0
     crashes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Slot:
-    """State of one seeker's request at its instance."""
+class RequestState:
+    """State of one request at its instance."""
 
     #: ``None`` before it has arrived
     state: AttemptState | None = None
     attempt: Attempt | None = None
-    #: number of the try whose result is awaited; 0: none
-    awaited: int = 0
+    #: number of the try whose result is awaited; 0 if none is
+    awaited_try: int = 0
     tries: int = 0
-    #: final action told to the caller
-    told: Action | None = None
+    #: final action with which the caller was answered
+    answered_with: Action | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Letter:
-    """An operation on its way to a writer, or waiting in its queue."""
+class QueuedOperation:
+    """An operation in transit to a writer, or waiting in its queue."""
 
     operation: Operation
-    seeker: int = -1
+    #: number of the request that awaits the result; -1 if none does
+    request: int = -1
     number: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Writer:
-    """The shard's writer of one instance."""
+    """The writer of the shard at one instance."""
 
     alive: bool = True
-    queue: tuple[Letter, ...] = ()
-    batch: tuple[Letter, ...] = ()
+    queue: tuple[QueuedOperation, ...] = ()
+    batch: tuple[QueuedOperation, ...] = ()
     commit: Commit | None = None
     view: ShardView | None = None
     segments: tuple[Any, ...] = ()
@@ -126,8 +129,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LateSwap:
-    """A write whose sender has given up on the answer."""
+class DelayedWrite:
+    """A write whose sender no longer waits for the answer."""
 
     key: int
     value: bytes
@@ -136,68 +139,70 @@
 
 
 @dataclass(frozen=True, slots=True)
-class World:
-    """State of everything."""
+class ClaimsState:
+    """State of all requests, writers, messages and the store."""
 
-    budget: Budget
-    slots: tuple[Slot, ...]
+    budget: FaultBudget
+    request_states: tuple[RequestState, ...]
     writers: tuple[Writer, ...]
-    #: entries by number, the head being number 0
+    #: entries of the store as number, value and revision; the head has number 0
     entries: tuple[tuple[int, bytes, int], ...] = ()
     revision: int = 1
-    #: operations on their way: receiver and letter
-    letters: frozenset[tuple[int, Letter]] = frozenset()
-    late: tuple[LateSwap, ...] = ()
-    #: seekers whose request ran
+    #: operations in transit, each with its receiver
+    in_transit: frozenset[tuple[int, QueuedOperation]] = frozenset()
+    #: writes that may still take effect, or never do
+    delayed_writes: tuple[DelayedWrite, ...] = ()
+    #: requests that ran
     runs: tuple[int, ...] = ()
-    #: batches that took effect, with how often
+    #: ids of the batches that took effect, once for each time
     applied: tuple[bytes, ...] = ()
-    #: attempts that were told that their give-back took effect
-    freed: frozenset[Token] = frozenset()
-    fault: str = ""
+    #: attempts whose give-back was acknowledged
+    acknowledged_give_backs: frozenset[Token] = frozenset()
+    violation: str = ""
     _hash: int = field(default=0, compare=False, repr=False)
 
     def __hash__(self) -> int:
-        # a state is looked up many times, and its parts are deep
+        # each state is looked up many times, and hashing its nested parts is slow
         if not self._hash:
             parts = tuple(
-                getattr(self, name) for name in World.__slots__ if name != "_hash"
+                getattr(self, name) for name in ClaimsState.__slots__ if name != "_hash"
             )
             object.__setattr__(self, "_hash", hash(parts) or 1)
         return self._hash
 
-    def change(self, **changes: Any) -> World:
+    def change(self, **changes: Any) -> ClaimsState:
         """Return a copy with changes."""
         return dataclasses.replace(self, _hash=0, **changes)
 
     def find(self, key: int) -> Entry | None:
-        """Return what the store holds under ``key``."""
+        """Return the store's entry with the number ``key``, if any."""
         for number, value, revision in self.entries:
             if number == key:
                 return Entry(str(key), value, revision)
         return None
 
 
-class ClaimsModel(Model[World]):
-    """Seekers of few keys, the writers of their shard, and a budget of faults.
+class ClaimsModel(Model[ClaimsState]):
+    """Requests with a few keys, the writers of their shard, and a budget of faults.
 
-    :param filler: whether the head already holds another claim, so that claims are
-        sealed at once
+    :param filler: whether the head is already full with another claim, so that the
+        first claim moves it to a segment
     :param final_give_backs: whether a claim that was given back must never hold its
-        key again; not so if operations may be sent twice, as a late second one
-        claims the key anew, for an attempt that its instance knows to be over
+        key again; this does not hold if operations may be delivered twice, as a
+        duplicate that arrives late acquires the key again for an attempt that has
+        ended
     """
 
     def __init__(
         self,
-        seekers: tuple[Seeker, ...],
+        requests: tuple[KeyedRequest, ...],
         *,
         writers: int,
-        budget: Budget,
+        budget: FaultBudget,
         filler: bool = False,
         final_give_backs: bool = False,
     ) -> None:
-        self._seekers = seekers
+        self._requests = requests
         self._writers = writers
         self._budget = budget
         self._filler = filler
@@ -210,230 +215,270 @@
             segments=4,
         )
 
-    def start(self) -> Iterable[World]:
+    def start(self) -> Iterable[ClaimsState]:
         entries = ()
         if self._filler:
-            head = Head(sequence=1, written_at=NOW, claims=(FILLER,))
+            head = Head(sequence=1, written_at=NOW, claims=(FILLER_CLAIM,))
             entries = ((HEAD_KEY, encode_head(head), 1),)
-        yield World(
+        yield ClaimsState(
             budget=self._budget,
-            slots=tuple(Slot() for _ in self._seekers),
+            request_states=tuple(RequestState() for _ in self._requests),
             writers=tuple(Writer() for _ in range(self._writers)),
             entries=entries,
         )
 
-    def steps(self, state: World) -> Iterator[tuple[str, World]]:
-        for number in range(len(self._seekers)):
-            yield from self._seek(state, number)
+    def list_steps(self, state: ClaimsState) -> Iterator[tuple[str, ClaimsState]]:
+        for number in range(len(self._requests)):
+            yield from self._list_request_steps(state, number)
         for number in range(self._writers):
-            yield from self._write(state, number)
-        for receiver, letter in sorted(state.letters, key=_get_order):
-            moved = state.change(letters=state.letters - {(receiver, letter)})
-            text = f"{_name(letter)} reaches writer {receiver}"
-            yield text, self._enqueue(moved, receiver, letter)
-        for late in state.late:
-            rest = tuple(one for one in state.late if one is not late)
-            arrived, result = self._swap(state.change(late=rest), late)
-            yield f"late write of {late.key}: {result.outcome.value}", arrived
+            yield from self._list_writer_steps(state, number)
+        for receiver, queued in sorted(state.in_transit, key=_get_sort_key):
+            moved = state.change(in_transit=state.in_transit - {(receiver, queued)})
+            text = f"{_describe(queued)} reaches writer {receiver}"
+            yield text, self._enqueue(moved, receiver, queued)
+        for late in state.delayed_writes:
+            remaining = tuple(one for one in state.delayed_writes if one is not late)
+            arrived, result = self._swap(state.change(delayed_writes=remaining), late)
+            yield f"delayed write of {late.key}: {result.outcome.value}", arrived
         if state.budget.crashes:
             for number, writer in enumerate(state.writers):
                 if writer.alive:
-                    yield f"instance {number} dies", self._crash(state, number)
+                    yield f"instance {number} crashes", self._crash(state, number)
 
-    def find_fault(self, state: World) -> str:
-        if state.fault:
-            return state.fault
-        keys = {self._seekers[number].key for number in state.runs}
+    def find_violation(self, state: ClaimsState) -> str:
+        if state.violation:
+            return state.violation
+        keys = {self._requests[number].key for number in state.runs}
         if len(state.runs) > len(keys):
             return "a request ran twice"
-        for number, slot in enumerate(state.slots):
-            if slot.told in NOT_RUN_ACTIONS and number in state.runs:
-                return f"seeker {number} was told 'not run', and ran"
+        for number, request_state in enumerate(state.request_states):
+            if request_state.answered_with in NOT_RUN_ACTIONS and number in state.runs:
+                return f"request {number} was answered 'not run' but ran"
         if len(set(state.applied)) < len(state.applied):
             return "a batch took effect twice"
-        if self._final_give_backs and state.freed:
+        if self._final_give_backs and state.acknowledged_give_backs:
             for holder in self._list_holders(state):
-                if holder.token in state.freed:
+                if holder.token in state.acknowledged_give_backs:
                     return "a claim that was given back holds its key again"
         if not state.runs:
             return ""
         held = {holder.token for holder in self._list_holders(state)}
         for number in state.runs:
             if self._create_token(number) not in held:
-                return f"the claim of seeker {number}, which ran, is gone"
+                return f"the claim of request {number}, which ran, is lost"
         return ""
 
-    def find_final_fault(self, state: World) -> str:
-        for number, slot in enumerate(state.slots):
+    def find_final_violation(self, state: ClaimsState) -> str:
+        for number, request_state in enumerate(state.request_states):
             if (
-                slot.told is None
-                and state.writers[self._seekers[number].instance].alive
+                request_state.answered_with is None
+                and state.writers[self._requests[number].instance].alive
             ):
-                return f"seeker {number} is never answered"
+                return f"request {number} is never answered"
         if state.budget.crashes < self._budget.crashes:
             return ""
         for holder in self._list_holders(state):
-            if holder.token.serial == FILLER.token.serial:
+            if holder.token.serial == FILLER_CLAIM.token.serial:
                 continue
-            if state.slots[holder.token.serial - 1].state is None:
-                return "a key is held by an attempt that never was"
+            if state.request_states[holder.token.serial - 1].state is None:
+                return "a key is held by an attempt that never existed"
         return ""
 
-    # seekers
-
-    def _seek(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        slot = state.slots[number]
-        seeker = self._seekers[number]
-        if not state.writers[seeker.instance].alive or slot.told is not None:
+    # requests
+
+    def _list_request_steps(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
+        request_state = state.request_states[number]
+        request = self._requests[number]
+        if (
+            not state.writers[request.instance].alive
+            or request_state.answered_with is not None
+        ):
             return
         budget = state.budget
-        if slot.state is None:
+        if request_state.state is None:
             token = self._create_token(number)
-            operation = Acquire(seeker.key, seeker.digest, token)
-            slot = Slot(AttemptState.PENDING, Attempt(operation=operation))
-            yield f"seeker {number} arrives", self._advance(state, number, slot)
+            operation = Acquire(request.key, request.digest, token)
+            request_state = RequestState(
+                AttemptState.PENDING, Attempt(operation=operation)
+            )
+            yield (
+                f"request {number} arrives",
+                self._advance(state, number, request_state),
+            )
             return
-        if slot.state is AttemptState.RUNNING:
+        if request_state.state is AttemptState.RUNNING:
             ended = dataclasses.replace(
-                slot, state=AttemptState.FINISHED, told=Action.RUN
+                request_state, state=AttemptState.FINISHED, answered_with=Action.RUN
             )
-            yield f"seeker {number} ends", _put_slot(state, number, ended)
+            yield f"request {number} ends", _replace_request_state(state, number, ended)
             return
-        if slot.awaited and int(slot.attempt.candidate) != seeker.instance:
+        if (
+            request_state.awaited_try
+            and int(request_state.attempt.candidate) != request.instance
+        ):
             yield from self._time_out(state, number)
-        if slot.awaited and budget.give_ups:
-            spent = state.change(budget=_spend(budget, "give_ups"))
-            given_up = self._abandon(spent, number, Action.STORE_UNREACHABLE)
-            yield f"seeker {number} is given up", given_up
-        if slot.attempt.action is Action.ASK_HOLDER:
+        if request_state.awaited_try and budget.abandoned:
+            spent = state.change(budget=_spend(budget, "abandoned"))
+            abandoned = self._abandon(spent, number, Action.STORE_UNREACHABLE)
+            yield f"request {number} is abandoned", abandoned
+        if request_state.attempt.action is Action.ASK_HOLDER:
             yield from self._ask_holder(state, number)
-        if slot.attempt.action is Action.RUN:
-            yield f"seeker {number} runs", self._run(state, number)
+        if request_state.attempt.action is Action.RUN:
+            yield f"request {number} runs", self._run(state, number)
             if budget.not_run:
                 spent = state.change(budget=_spend(budget, "not_run"))
                 refused = self._abandon(spent, number, Action.STORE_UNREACHABLE)
-                yield f"seeker {number} is refused with nothing sent", refused
+                yield f"request {number} is refused with nothing sent", refused
 
-    def _time_out(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        way = int(state.slots[number].attempt.candidate)
+    def _time_out(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
+        candidate = int(state.request_states[number].attempt.candidate)
         budget = state.budget
-        # an instance that has died never answers, which costs no fault of its own
-        if state.writers[way].alive:
+        # a crashed instance never answers; this does not count as a further fault
+        if state.writers[candidate].alive:
             if not budget.timeouts:
                 return
             budget = _spend(budget, "timeouts")
         spent = state.change(budget=budget)
-        text = f"seeker {number} gets no answer from {way}"
-        yield text, self._take_result(spent, number, None)
-
-    def _advance(self, state: World, number: int, slot: Slot) -> World:
-        """Do what needs no other process after an attempt has changed."""
-        current = slot.attempt
-        seeker = self._seekers[number]
+        text = f"request {number} gets no answer from {candidate}"
+        yield text, self._handle_result(spent, number, None)
+
+    def _advance(
+        self, state: ClaimsState, number: int, request_state: RequestState
+    ) -> ClaimsState:
+        """Take the local steps that follow from a change of an attempt."""
+        current = request_state.attempt
+        request = self._requests[number]
         if current.action is Action.CHOOSE_CANDIDATES:
-            current = current.handle_candidates(tuple(str(way) for way in seeker.ways))
-        slot = dataclasses.replace(slot, attempt=current, awaited=0)
+            current = current.handle_candidates(
+                tuple(str(candidate) for candidate in request.candidates)
+            )
+        request_state = dataclasses.replace(
+            request_state, attempt=current, awaited_try=0
+        )
         match current.action:
             case Action.ACQUIRE:
-                tries = slot.tries + 1
-                slot = dataclasses.replace(slot, tries=tries, awaited=tries)
-                state = _put_slot(state, number, slot)
-                letter = Letter(current.operation, number, tries)
-                return self._post(
-                    state, seeker.instance, int(current.candidate), letter
+                tries = request_state.tries + 1
+                request_state = dataclasses.replace(
+                    request_state, tries=tries, awaited_try=tries
+                )
+                state = _replace_request_state(state, number, request_state)
+                queued = QueuedOperation(current.operation, number, tries)
+                return self._send(
+                    state, request.instance, int(current.candidate), queued
                 )
             case Action.RUN | Action.ASK_HOLDER:
-                return _put_slot(state, number, slot)
-        state = _put_slot(state, number, slot)
-        fault = state.fault or self._check_told(state, number, current)
-        return self._abandon(state, number, current.action).change(fault=fault)
-
-    def _check_told(self, state: World, number: int, ended: Attempt) -> str:
-        """Return a fault if a caller is told something untrue."""
-        digest = self._seekers[number].digest
+                return _replace_request_state(state, number, request_state)
+        state = _replace_request_state(state, number, request_state)
+        violation = state.violation or self._check_answer(state, number, current)
+        return self._abandon(state, number, current.action).change(violation=violation)
+
+    def _check_answer(self, state: ClaimsState, number: int, ended: Attempt) -> str:
+        """Return a violation if the caller is answered wrongly, or an empty text."""
+        digest = self._requests[number].digest
         if ended.action is Action.REPLAY:
-            holder = self._seekers[ended.holder.serial - 1]
+            holder = self._requests[ended.holder.serial - 1]
             if holder.digest != digest:
-                return f"seeker {number} was given the result of another request"
+                return (
+                    f"request {number} was answered with the result of another request"
+                )
         if ended.action is Action.REFUSE_KEY_REUSED:
             for other in state.runs:
-                if self._seekers[other].digest == digest:
-                    return f"seeker {number} was told 'not run' after its request ran"
+                if self._requests[other].digest == digest:
+                    return f"request {number} was answered 'not run' after it had run"
         return ""
 
-    def _take_result(
-        self, state: World, number: int, result: OperationResult | None
-    ) -> World:
-        slot = state.slots[number]
-        taken = slot.attempt.handle_result(result)
-        return self._advance(state, number, dataclasses.replace(slot, attempt=taken))
+    def _handle_result(
+        self, state: ClaimsState, number: int, result: OperationResult | None
+    ) -> ClaimsState:
+        request_state = state.request_states[number]
+        updated = request_state.attempt.handle_result(result)
+        return self._advance(
+            state, number, dataclasses.replace(request_state, attempt=updated)
+        )
 
-    def _ask_holder(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        slot = state.slots[number]
-        holder = slot.attempt.holder
+    def _ask_holder(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
+        request_state = state.request_states[number]
+        holder = request_state.attempt.holder
         for label, record in self._list_answers(state, holder):
-            taken = slot.attempt.handle_holder(record)
-            asked = dataclasses.replace(slot, attempt=taken)
-            text = f"seeker {number} asks the holder: {label}"
-            yield text, self._advance(state, number, asked)
+            updated = request_state.attempt.handle_holder(record)
+            updated_state = dataclasses.replace(request_state, attempt=updated)
+            text = f"request {number} asks the holder: {label}"
+            yield text, self._advance(state, number, updated_state)
 
     def _list_answers(
-        self, state: World, holder: Token
+        self, state: ClaimsState, holder: Token
     ) -> Iterator[tuple[str, AttemptRecord | None]]:
         yield "no answer", None
         if not state.writers[int(holder.instance)].alive:
             return
-        slot = state.slots[holder.serial - 1]
-        record = AttemptRecord(slot.state, OUTCOME)
-        yield slot.state.value, attempt.mask_pending(record)
+        request_state = state.request_states[holder.serial - 1]
+        record = AttemptRecord(request_state.state, OUTCOME)
+        yield request_state.state.value, attempt.mask_pending(record)
 
-    def _run(self, state: World, number: int) -> World:
-        slot = state.slots[number]
-        if not registry.may_run(slot.state):
+    def _run(self, state: ClaimsState, number: int) -> ClaimsState:
+        request_state = state.request_states[number]
+        if not registry.may_run(request_state.state):
             return state
-        slot = dataclasses.replace(slot, state=AttemptState.RUNNING)
-        return _put_slot(state, number, slot).change(runs=(*state.runs, number))
-
-    def _abandon(self, state: World, number: int, action: Action) -> World:
-        slot = state.slots[number]
-        doubtful = slot.awaited or slot.attempt.maybe_committed
-        slot = dataclasses.replace(
-            slot, state=AttemptState.GIVEN_BACK, told=action, awaited=0
+        request_state = dataclasses.replace(request_state, state=AttemptState.RUNNING)
+        return _replace_request_state(state, number, request_state).change(
+            runs=(*state.runs, number)
+        )
+
+    def _abandon(self, state: ClaimsState, number: int, action: Action) -> ClaimsState:
+        request_state = state.request_states[number]
+        maybe_committed = (
+            request_state.awaited_try or request_state.attempt.maybe_committed
         )
-        state = _put_slot(state, number, slot)
-        if not doubtful:
+        request_state = dataclasses.replace(
+            request_state,
+            state=AttemptState.GIVEN_BACK,
+            answered_with=action,
+            awaited_try=0,
+        )
+        state = _replace_request_state(state, number, request_state)
+        if not maybe_committed:
             return state
-        seeker = self._seekers[number]
-        letter = Letter(GiveBack(seeker.key, self._create_token(number)))
+        request = self._requests[number]
+        queued = QueuedOperation(GiveBack(request.key, self._create_token(number)))
         if state.budget.resends:
             state = state.change(budget=_spend(state.budget, "resends"))
-            state = self._post(state, seeker.instance, seeker.ways[-1], letter)
-        return self._post(state, seeker.instance, seeker.ways[0], letter)
+            state = self._send(state, request.instance, request.candidates[-1], queued)
+        return self._send(state, request.instance, request.candidates[0], queued)
 
     def _create_token(self, number: int) -> Token:
-        return Token(str(self._seekers[number].instance), 1, number + 1)
+        return Token(str(self._requests[number].instance), 1, number + 1)
 
     # writers
 
-    def _post(self, state: World, sender: int, receiver: int, letter: Letter) -> World:
+    def _send(
+        self, state: ClaimsState, sender: int, receiver: int, queued: QueuedOperation
+    ) -> ClaimsState:
         if sender == receiver:
-            return self._enqueue(state, receiver, letter)
-        return state.change(letters=state.letters | {(receiver, letter)})
+            return self._enqueue(state, receiver, queued)
+        return state.change(in_transit=state.in_transit | {(receiver, queued)})
 
-    def _enqueue(self, state: World, number: int, letter: Letter) -> World:
+    def _enqueue(
+        self, state: ClaimsState, number: int, queued: QueuedOperation
+    ) -> ClaimsState:
         writer = state.writers[number]
         if not writer.alive:
             return state
-        writer = dataclasses.replace(writer, queue=(*writer.queue, letter))
-        return self._begin(_put_writer(state, number, writer), number)
+        writer = dataclasses.replace(writer, queue=(*writer.queue, queued))
+        return self._start_batch(_replace_writer(state, number, writer), number)
 
-    def _begin(self, state: World, number: int) -> World:
-        """Begin a batch if the writer is idle and something waits."""
+    def _start_batch(self, state: ClaimsState, number: int) -> ClaimsState:
+        """Start a batch if the writer is idle and operations are queued."""
         writer = state.writers[number]
         if writer.commit is not None or not writer.queue:
             return state
         commit = create_commit(
-            tuple(letter.operation for letter in writer.queue),
+            tuple(queued.operation for queued in writer.queue),
             batch_id=bytes([number, writer.batches]),
             now=NOW,
             limits=self._limits,
@@ -448,9 +493,13 @@
             view=None,
             batches=writer.batches + 1,
         )
-        return self._go_on(_put_writer(state, number, writer), number, commit)
+        return self._update_commit(
+            _replace_writer(state, number, writer), number, commit
+        )
 
-    def _write(self, state: World, number: int) -> Iterator[tuple[str, World]]:
+    def _list_writer_steps(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
         writer = state.writers[number]
         commit = writer.commit
         if not writer.alive:
@@ -462,17 +511,23 @@
         match commit.step:
             case Step.READ_HEAD:
                 answer = Ok(state.find(HEAD_KEY))
-                yield label, self._go_on(state, number, commit.handle_head(answer))
+                yield (
+                    label,
+                    self._update_commit(state, number, commit.handle_head(answer)),
+                )
                 return
             case Step.READ_SEGMENT:
                 answer = Ok(state.find(commit.missing_segment.number))
-                yield label, self._go_on(state, number, commit.handle_segment(answer))
+                yield (
+                    label,
+                    self._update_commit(state, number, commit.handle_segment(answer)),
+                )
                 return
             case Step.READ_CONFLICTING_SEGMENT:
                 answer = Ok(state.find(commit.plan.head.next_segment - 1))
                 yield (
                     label,
-                    self._go_on(
+                    self._update_commit(
                         state, number, commit.handle_conflicting_segment(answer)
                     ),
                 )
@@ -480,29 +535,38 @@
             case Step.WRITE_SEGMENT:
                 key = commit.plan.head.next_segment - 1
                 value = encode_segment(commit.plan.segment)
-                write = LateSwap(key, value, commit.segment_expected, b"")
-                take = commit.handle_segment_write
+                write = DelayedWrite(key, value, commit.segment_expected, b"")
+                handle_result = commit.handle_segment_write
             case Step.SWAP_HEAD:
                 value = encode_head(commit.plan.head)
                 expected = commit.view.revision
-                write = LateSwap(HEAD_KEY, value, expected, commit.batch_id)
-                take = commit.handle_head_swap
+                write = DelayedWrite(HEAD_KEY, value, expected, commit.batch_id)
+                handle_result = commit.handle_head_swap
         done, result = self._swap(state, write)
         text = f"{label}: {result.outcome.value}"
-        yield text, self._go_on(done, number, take(result))
+        yield text, self._update_commit(done, number, handle_result(result))
         budget = state.budget
         if budget.lost_swaps:
             lost = state.change(
-                budget=_spend(budget, "lost_swaps"), late=(*state.late, write)
+                budget=_spend(budget, "lost_swaps"),
+                delayed_writes=(*state.delayed_writes, write),
+            )
+            yield (
+                f"{label}: no answer",
+                self._update_commit(lost, number, handle_result(UNKNOWN)),
             )
-            yield f"{label}: no answer", self._go_on(lost, number, take(UNKNOWN))
         if budget.refused_swaps:
             refused = state.change(budget=_spend(budget, "refused_swaps"))
             result = WriteResult(WriteOutcome.NOT_APPLIED)
-            yield f"{label}: refused", self._go_on(refused, number, take(result))
+            yield (
+                f"{label}: refused",
+                self._update_commit(refused, number, handle_result(result)),
+            )
 
-    def _delete_retired(self, state: World, number: int) -> Iterator[tuple[str, World]]:
-        """Delete a segment that the writer's head no longer needs."""
+    def _delete_retired(
+        self, state: ClaimsState, number: int
+    ) -> Iterator[tuple[str, ClaimsState]]:
+        """Delete the segments that the writer's head no longer needs, one a step."""
         view = state.writers[number].view
         if view is None:
             return
@@ -514,10 +578,12 @@
             text = f"writer {number} deletes segment {ref.number}"
             yield text, state.change(entries=entries, revision=state.revision + 1)
 
-    def _go_on(self, state: World, number: int, commit: Commit) -> World:
+    def _update_commit(
+        self, state: ClaimsState, number: int, commit: Commit
+    ) -> ClaimsState:
         writer = state.writers[number]
         if commit.step is not Step.DONE:
-            return _put_writer(
+            return _replace_writer(
                 state, number, dataclasses.replace(writer, commit=commit)
             )
         batch = writer.batch
@@ -528,35 +594,43 @@
             view=commit.view,
             segments=commit.segments,
         )
-        state = _put_writer(state, number, writer)
-        for letter, result in zip(batch, commit.results, strict=True):
-            state = self._deliver(state, letter, result)
-        return self._begin(state, number)
-
-    def _deliver(self, state: World, letter: Letter, result: OperationResult) -> World:
-        if letter.seeker < 0:
+        state = _replace_writer(state, number, writer)
+        for queued, result in zip(batch, commit.results, strict=True):
+            state = self._deliver(state, queued, result)
+        return self._start_batch(state, number)
+
+    def _deliver(
+        self, state: ClaimsState, queued: QueuedOperation, result: OperationResult
+    ) -> ClaimsState:
+        if queued.request < 0:
             if result.kind is ResultKind.GIVEN_BACK:
-                freed = state.freed | {letter.operation.token}
-                return state.change(freed=freed)
+                acknowledged_give_backs = state.acknowledged_give_backs | {
+                    queued.operation.token
+                }
+                return state.change(acknowledged_give_backs=acknowledged_give_backs)
             return state
-        slot = state.slots[letter.seeker]
-        seeker = self._seekers[letter.seeker]
-        if not state.writers[seeker.instance].alive:
+        request_state = state.request_states[queued.request]
+        request = self._requests[queued.request]
+        if not state.writers[request.instance].alive:
             return state
-        if slot.awaited == letter.number:
-            return self._take_result(state, letter.seeker, result)
+        if request_state.awaited_try == queued.number:
+            return self._handle_result(state, queued.request, result)
         if result.kind is ResultKind.GRANTED:
-            # too late: the attempt may have been given up meanwhile
-            return self._start_late(state, letter.seeker)
+            # the try has timed out; the attempt may have been abandoned meanwhile
+            return self._run_late_grant(state, queued.request)
         return state
 
-    def _start_late(self, state: World, number: int) -> World:
-        slot = state.slots[number]
-        if slot.state is AttemptState.PENDING or not registry.may_run(slot.state):
+    def _run_late_grant(self, state: ClaimsState, number: int) -> ClaimsState:
+        request_state = state.request_states[number]
+        if request_state.state is AttemptState.PENDING or not registry.may_run(
+            request_state.state
+        ):
             return state
         return self._run(state, number)
 
-    def _swap(self, state: World, write: LateSwap) -> tuple[World, WriteResult]:
+    def _swap(
+        self, state: ClaimsState, write: DelayedWrite
+    ) -> tuple[ClaimsState, WriteResult]:
         entry = state.find(write.key)
         found = entry.revision if entry else ABSENT
         if not is_expected(found, write.expected):
@@ -574,19 +648,19 @@
         )
         return changed, WriteResult(WriteOutcome.APPLIED, revision)
 
-    def _crash(self, state: World, number: int) -> World:
+    def _crash(self, state: ClaimsState, number: int) -> ClaimsState:
         state = state.change(
             budget=_spend(state.budget, "crashes"),
-            letters=frozenset(
-                (receiver, letter)
-                for receiver, letter in state.letters
+            in_transit=frozenset(
+                (receiver, queued)
+                for receiver, queued in state.in_transit
                 if receiver != number
             ),
         )
-        return _put_writer(state, number, Writer(alive=False))
+        return _replace_writer(state, number, Writer(alive=False))
 
-    def _list_holders(self, state: World) -> list[Claim]:
-        """Return the claims that hold their keys by what is in the store."""
+    def _list_holders(self, state: ClaimsState) -> list[Claim]:
+        """Return the claims that hold their keys according to the store."""
         entry = state.find(HEAD_KEY)
         if entry is None:
             return []
@@ -599,36 +673,42 @@
             segments.append(decode_segment(found.value).unwrap())
         view = ShardView(head, entry.revision, tuple(segments))
         claims = {claim.key: claim for claim in head.claims}
-        keys = {seeker.key for seeker in self._seekers} | {FILLER.key}
+        keys = {request.key for request in self._requests} | {FILLER_CLAIM.key}
         found = (find_claim(claims, view, key) for key in sorted(keys))
         return [claim for claim in found if claim is not None and not claim.state]
 
 
 def is_expected(found: int, expected: int) -> bool:
-    """The store's compare: whether a write may take effect."""
+    """Whether a compare-and-swap of the store may take effect."""
     return found == expected
 
 
-def _spend(budget: Budget, name: str) -> Budget:
+def _spend(budget: FaultBudget, name: str) -> FaultBudget:
     return dataclasses.replace(budget, **{name: getattr(budget, name) - 1})
 
 
-def _put_slot(state: World, number: int, slot: Slot) -> World:
-    slots = (*state.slots[:number], slot, *state.slots[number + 1 :])
-    return state.change(slots=slots)
+def _replace_request_state(
+    state: ClaimsState, number: int, request_state: RequestState
+) -> ClaimsState:
+    request_states = (
+        *state.request_states[:number],
+        request_state,
+        *state.request_states[number + 1 :],
+    )
+    return state.change(request_states=request_states)
 
 
-def _put_writer(state: World, number: int, writer: Writer) -> World:
+def _replace_writer(state: ClaimsState, number: int, writer: Writer) -> ClaimsState:
     writers = (*state.writers[:number], writer, *state.writers[number + 1 :])
     return state.change(writers=writers)
 
 
-def _get_order(item: tuple[int, Letter]) -> tuple[int, ...]:
-    receiver, letter = item
-    return receiver, letter.seeker, letter.number, letter.operation.token.serial
+def _get_sort_key(item: tuple[int, QueuedOperation]) -> tuple[int, ...]:
+    receiver, queued = item
+    return receiver, queued.request, queued.number, queued.operation.token.serial
 
 
-def _name(letter: Letter) -> str:
-    if letter.seeker < 0:
-        return f"give-back of attempt {letter.operation.token.serial}"
-    return f"claim {letter.number} of seeker {letter.seeker}"
+def _describe(queued: QueuedOperation) -> str:
+    if queued.request < 0:
+        return f"give-back of attempt {queued.operation.token.serial}"
+    return f"claim {queued.number} of request {queued.request}"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_outage.py
@@ -1,9 +1,9 @@
-"""Compares ways to treat keyed requests while the store is out of reach.
+"""Compares policies for keyed requests while the store is unreachable.
 
-Run as ``python -m greengagelatch_lab.claims_outage``. Callers ask at random
-instances and ask again elsewhere, with the same key, until they have an answer or
-run out of patience; attempts are lost, late or sent twice on their way, answers are
-lost and instances replaced. Time is simulated and every draw comes from the seed.
+Run as ``python -m greengagelatch_lab.claims_outage``. Callers send requests to random
+instances and retry at others, with the same key, until they have an answer or their
+deadline has passed; attempts are lost, delayed or duplicated in transit, answers are
+lost and instances replaced. Time is simulated, and all randomness comes from the seed.
 """
 
 from __future__ import annotations
@@ -26,71 +26,78 @@
 from greengagelatch.errors import Refusal
 from greengagelatch.verdict import Verdict
 
-__all__ = ("WAYS", "Experiment", "Report", "Trouble", "Way")
+__all__ = (
+    "POLICIES",
+    "KeyedRequestPolicy",
+    "OutagePattern",
+    "OutageReport",
+    "OutageSimulation",
+)
 
 DATA_CENTRES = 3
 INSTANCES = 9
-#: requests a second and seconds simulated
-RATE = 20.0
-DURATION = 1500.0
-#: seconds after which a caller's request is worthless, and it asks again
-PATIENCE = 6.0
+#: requests a second, and simulated time in seconds
+REQUESTS_PER_SECOND = 20.0
+SIMULATED_SECONDS = 1500.0
+#: deadline of a request, and time after which its caller retries, in seconds
+REQUEST_DEADLINE = 6.0
 CALLER_TIMEOUT = 1.5
-#: shares of attempts and answers, and seconds
+#: fractions of attempts and answers; delays and durations are in seconds
 LOST_ATTEMPTS = 0.005
-LATE_ATTEMPTS = 0.01
-LONGEST_LATE = 5.0
-SENT_TWICE = 0.001
+DELAYED_ATTEMPTS = 0.01
+MAX_DELAY = 5.0
+DUPLICATED_ATTEMPTS = 0.001
 LOST_ANSWERS = 0.01
-TRAVEL = 0.005
-STORE_TIME = 0.01
-MEAN_RUN = 0.3
-#: seconds that an instance lives on average
-LIFE = 600.0
+NETWORK_LATENCY = 0.005
+STORE_LATENCY = 0.01
+MEAN_RUN_TIME = 0.3
+#: mean time until an instance is replaced, in seconds
+MEAN_LIFETIME = 600.0
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
-    """When the store is out of reach: ``length`` seconds in every ``period``."""
+class OutagePattern:
+    """When the store is unreachable: ``length`` seconds in every ``period``."""
 
     name: str
     length: float = 0.0
     period: float = 300.0
-    #: whether one data centre is cut off from the store and its peers, the others not
+    #: whether only one data centre is cut off from the store and its peers
     partial: bool = False
 
-    def reaches(self, instance: int, now: float) -> bool:
-        """Whether an instance has the store."""
+    def reaches_store(self, instance: int, now: float) -> bool:
+        """Whether an instance reaches the store at the time ``now``."""
         if now % self.period >= self.length:
             return True
         return self.partial and instance % DATA_CENTRES != 0
 
-    def connects(self, one: int, other: int, now: float) -> bool:
-        """Whether two instances reach each other."""
+    def are_connected(self, one: int, other: int, now: float) -> bool:
+        """Whether two instances reach each other at the time ``now``."""
         if not self.partial or now % self.period >= self.length:
             return True
         return (one % DATA_CENTRES == 0) == (other % DATA_CENTRES == 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """A way to treat keyed requests.
+class KeyedRequestPolicy:
+    """A policy for keyed requests.
 
-    :param run_first: run a declared first attempt for which no claim can be had
-    :param strict: never run a repeat of which nothing is recorded, at any time
+    :param run_first: run a declared first attempt even if it cannot be claimed
+    :param strict: never run a retry without a recorded first attempt, even while the
+        store is reachable
     """
 
     name: str
-    policy: OutagePolicy
+    outage_policy: OutagePolicy
     run_first: bool = False
     strict: bool = False
 
 
-WAYS = (
-    Way("refuse at once", ImmediateRefusal()),
-    Way("refuse later", RetryThenRefuse()),
-    Way("run first attempts", ImmediateRefusal(), run_first=True),
-    Way(
+POLICIES = (
+    KeyedRequestPolicy("refuse at once", ImmediateRefusal()),
+    KeyedRequestPolicy("refuse later", RetryThenRefuse()),
+    KeyedRequestPolicy("run first attempts", ImmediateRefusal(), run_first=True),
+    KeyedRequestPolicy(
         "run first attempts, never unrecorded repeats",
         ImmediateRefusal(),
         run_first=True,
@@ -98,27 +105,29 @@
     ),
 )
 
-TROUBLES = (
-    Trouble("none"),
-    Trouble("1 s in 300 s", 1.0),
-    Trouble("4 s in 300 s", 4.0),
-    Trouble("60 s in 300 s", 60.0),
-    Trouble("one data centre, 60 s in 300 s", 60.0, partial=True),
+OUTAGE_PATTERNS = (
+    OutagePattern("none"),
+    OutagePattern("1 s in 300 s", 1.0),
+    OutagePattern("4 s in 300 s", 4.0),
+    OutagePattern("60 s in 300 s", 60.0),
+    OutagePattern("one data centre, 60 s in 300 s", 60.0, partial=True),
 )
 
 
 @dataclass(slots=True)
-class Report:
-    """What became of the requests."""
+class OutageReport:
+    """Counts of requests by outcome."""
 
     requests: int = 0
+    #: requests that were answered with a result within their deadline
     attained: int = 0
-    doubled: int = 0
-    #: answers "not run", to attempts their callers still waited for, on requests
-    #: that had run
-    untrue: int = 0
-    #: requests whose caller was left with "may have run"
-    unsettled: int = 0
+    #: requests that ran more than once
+    run_twice: int = 0
+    #: answers "not run" for requests that had run, to attempts that their callers
+    #: still awaited
+    false_not_run: int = 0
+    #: requests whose last answer was "may have run"
+    unresolved: int = 0
 
 
 @dataclass(slots=True)
@@ -127,47 +136,52 @@
     first_instance: int
     runs: int = 0
     attempts: int = 0
-    #: time of the answer that settles the request, if any
+    #: time of the answer with the result, if any
     attained_at: float | None = None
     last_verdict: Verdict | None = None
-    #: instance, its incarnation and end of the run on record in the store
+    #: claim in the store: instance, its incarnation and the end of the run
     claim: tuple[int, int, float] | None = None
-    #: ends of runs that only their instance knows of
-    local: dict[tuple[int, int], float] = field(default_factory=dict)
+    #: ends of runs by instance and incarnation, known only to that instance
+    local_runs: dict[tuple[int, int], float] = field(default_factory=dict)
 
 
-class Experiment:
-    """One simulated stretch of time under one way and one trouble.
+class OutageSimulation:
+    """One simulation of a policy under one outage pattern.
 
-    :param repeats: whether callers ask again by themselves; else each asks once, with
-        all its patience as the deadline
+    :param retries: whether callers retry by themselves; otherwise each sends one
+        attempt, with the whole deadline of the request
     """
 
     def __init__(
-        self, way: Way, trouble: Trouble, seed: int, *, repeats: bool = True
+        self,
+        policy: KeyedRequestPolicy,
+        outage_pattern: OutagePattern,
+        seed: int,
+        *,
+        retries: bool = True,
     ) -> None:
-        self._way = way
-        self._repeats = repeats
-        #: seconds that a caller gives one attempt
-        self._deadline = CALLER_TIMEOUT if repeats else PATIENCE
-        self._trouble = trouble
+        self._policy = policy
+        self._retries = retries
+        #: time that a caller allows for one attempt, in seconds
+        self._deadline = CALLER_TIMEOUT if retries else REQUEST_DEADLINE
+        self._outage_pattern = outage_pattern
         self._random = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._now = 0.0
         self._incarnations = Counter(range(INSTANCES))
-        self._reached = [0.0] * INSTANCES
+        self._last_reached = [0.0] * INSTANCES
         self._requests: list[_Request] = []
-        self._report = Report()
+        self._report = OutageReport()
 
-    def run(self) -> Report:
-        """Simulate, and count."""
+    def run(self) -> OutageReport:
+        """Run the simulation and return its counts."""
         now = 0.0
-        while now < DURATION:
-            now += self._random.expovariate(RATE)
-            self._at(now, self._begin)
+        while now < SIMULATED_SECONDS:
+            now += self._random.expovariate(REQUESTS_PER_SECOND)
+            self._schedule(now, self._start_request)
         for instance in range(INSTANCES):
-            self._plan_replacement(instance)
+            self._schedule_replacement(instance)
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
             action()
@@ -175,31 +189,34 @@
         report.requests = len(self._requests)
         for request in self._requests:
             attained_at = request.attained_at
-            if attained_at is not None and attained_at - request.started <= PATIENCE:
+            if (
+                attained_at is not None
+                and attained_at - request.started <= REQUEST_DEADLINE
+            ):
                 report.attained += 1
             elif request.last_verdict is Verdict.MAY_HAVE_RUN:
-                report.unsettled += 1
+                report.unresolved += 1
             if request.runs > 1:
-                report.doubled += 1
+                report.run_twice += 1
         return report
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._order), action))
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._sequence), action))
 
-    def _plan_replacement(self, instance: int) -> None:
-        when = self._now + self._random.expovariate(1 / LIFE)
-        if when > DURATION:
+    def _schedule_replacement(self, instance: int) -> None:
+        when = self._now + self._random.expovariate(1 / MEAN_LIFETIME)
+        if when > SIMULATED_SECONDS:
             return
 
         def replace() -> None:
             self._incarnations[instance] += 1
-            self._plan_replacement(instance)
+            self._schedule_replacement(instance)
 
-        self._at(when, replace)
+        self._schedule(when, replace)
 
     # callers
 
-    def _begin(self) -> None:
+    def _start_request(self) -> None:
         request = _Request(self._now, self._random.randrange(INSTANCES))
         self._requests.append(request)
         self._send(request, request.first_instance)
@@ -208,29 +225,29 @@
         number = request.attempts
         request.attempts += 1
         first = number == 0
-        delay = TRAVEL
+        delay = NETWORK_LATENCY
         draw = self._random.random()
-        if draw < LATE_ATTEMPTS:
-            delay += self._random.uniform(0, LONGEST_LATE)
-        copies = 2 if self._random.random() < SENT_TWICE else 1
+        if draw < DELAYED_ATTEMPTS:
+            delay += self._random.uniform(0, MAX_DELAY)
+        copies = 2 if self._random.random() < DUPLICATED_ATTEMPTS else 1
         if draw >= 1 - LOST_ATTEMPTS:
             copies = 0
         for copy in range(copies):
             receiver = instance
             if copy:
-                # a balancer that sends a request again chooses another instance
+                # a load balancer that resends a request may choose another instance
                 receiver = self._random.randrange(INSTANCES)
-            self._at(
+            self._schedule(
                 self._now + delay + copy * 0.05,
                 lambda receiver=receiver: self._arrive(
                     request, receiver, first, number
                 ),
             )
-        self._at(self._now + self._deadline, lambda: self._repeat(request, number))
+        self._schedule(self._now + self._deadline, lambda: self._retry(request, number))
 
-    def _repeat(self, request: _Request, number: int) -> None:
-        """Ask again unless that attempt was answered or another one was sent."""
-        over = not self._repeats or self._now - request.started >= PATIENCE
+    def _retry(self, request: _Request, number: int) -> None:
+        """Retry unless the request was answered or a later attempt was sent."""
+        over = not self._retries or self._now - request.started >= REQUEST_DEADLINE
         if over or request.attained_at is not None or request.attempts != number + 1:
             return
         self._send(request, self._random.randrange(INSTANCES))
@@ -240,21 +257,21 @@
     ) -> None:
         awaited = number == request.attempts - 1
         if verdict is Verdict.NOT_RUN and request.runs and awaited:
-            self._report.untrue += 1
+            self._report.false_not_run += 1
         if self._random.random() < LOST_ANSWERS:
             return
 
-        def take() -> None:
+        def deliver() -> None:
             if request.attained_at is not None:
                 return
             request.last_verdict = verdict
             if verdict is Verdict.RAN:
                 request.attained_at = self._now
                 return
-            # refusals say when to come back
-            self._at(self._now + 1.0, lambda: self._repeat(request, number))
+            # a refusal tells the caller to retry after 1 s
+            self._schedule(self._now + 1.0, lambda: self._retry(request, number))
 
-        self._at(self._now + delay + TRAVEL, take)
+        self._schedule(self._now + delay + NETWORK_LATENCY, deliver)
 
     # instances
 
@@ -262,16 +279,16 @@
         self, request: _Request, instance: int, first: bool, number: int
     ) -> None:
         incarnation = self._incarnations[instance]
-        end = request.local.get((instance, incarnation))
+        end = request.local_runs.get((instance, incarnation))
         if end is not None:
             wait = max(0.0, end - self._now)
             self._answer(request, number, Verdict.RAN, wait)
             return
-        if self._trouble.reaches(instance, self._now):
-            self._reached[instance] = self._now
+        if self._outage_pattern.reaches_store(instance, self._now):
+            self._last_reached[instance] = self._now
             self._claim(request, instance, first, number)
             return
-        self._lack(request, instance, first, number, self._now)
+        self._handle_unreachable_store(request, instance, first, number, self._now)
 
     def _claim(
         self, request: _Request, instance: int, first: bool, number: int
@@ -279,19 +296,21 @@
         if request.claim is not None:
             holder, incarnation, end = request.claim
             alive = self._incarnations[holder] == incarnation
-            if alive and self._trouble.connects(instance, holder, self._now):
+            if alive and self._outage_pattern.are_connected(
+                instance, holder, self._now
+            ):
                 wait = max(0.0, end - self._now)
                 self._answer(request, number, Verdict.RAN, wait)
             else:
-                self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_TIME)
+                self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_LATENCY)
             return
-        if self._way.strict and not first:
-            self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_TIME)
+        if self._policy.strict and not first:
+            self._answer(request, number, Verdict.MAY_HAVE_RUN, STORE_LATENCY)
             return
         end = self._run(request, instance, number)
         request.claim = (instance, self._incarnations[instance], end)
 
-    def _lack(
+    def _handle_unreachable_store(
         self,
         request: _Request,
         instance: int,
@@ -299,17 +318,17 @@
         number: int,
         arrived: float,
     ) -> None:
-        """Go on without the store."""
-        if self._way.run_first and first:
+        """Apply the policy to an attempt while the store is unreachable."""
+        if self._policy.run_first and first:
             self._run(request, instance, number)
             return
         elapsed = self._now - arrived
-        decision = self._way.policy.decide(
+        decision = self._policy.outage_policy.decide(
             Outage(
                 first_attempt=first,
                 elapsed=elapsed,
                 remaining=self._deadline - elapsed,
-                store_silent_for=self._now - self._reached[instance],
+                store_silent_for=self._now - self._last_reached[instance],
             )
         )
         match decision:
@@ -317,57 +336,68 @@
                 self._answer(request, number, verdict, 0.0)
             case RetryAfter(delay=delay):
 
-                def again() -> None:
-                    if self._trouble.reaches(instance, self._now):
+                def retry() -> None:
+                    if self._outage_pattern.reaches_store(instance, self._now):
                         self._arrive(request, instance, first, number)
                         return
-                    self._lack(request, instance, first, number, arrived)
+                    self._handle_unreachable_store(
+                        request, instance, first, number, arrived
+                    )
 
-                self._at(self._now + delay, again)
+                self._schedule(self._now + delay, retry)
 
     def _run(self, request: _Request, instance: int, number: int) -> float:
         request.runs += 1
-        duration = self._random.expovariate(1 / MEAN_RUN)
-        end = self._now + STORE_TIME + duration
+        duration = self._random.expovariate(1 / MEAN_RUN_TIME)
+        end = self._now + STORE_LATENCY + duration
         incarnation = self._incarnations[instance]
-        request.local[(instance, incarnation)] = end
+        request.local_runs[(instance, incarnation)] = end
 
         def finish() -> None:
             if self._incarnations[instance] == incarnation:
                 self._answer(request, number, Verdict.RAN, 0.0)
 
-        self._at(end, finish)
+        self._schedule(end, finish)
         return end
 
 
 def main() -> None:
-    """Print a table of all ways under all troubles."""
+    """Print a Markdown table of all policies under all outage patterns."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", type=int, default=4, help="runs of each cell")
+    parser.add_argument(
+        "--seeds", type=int, default=4, help="number of simulations for each row"
+    )
     options = parser.parse_args()
-    print("| callers | store out of reach | way | attained | may have run", end="")
-    print(" | doubled | untrue |")
+    print("| callers | store unreachable | policy | attained | may have run", end="")
+    print(" | run twice | false not-run |")
     print("|---|---|---|---|---|---|---|")
-    for repeats, trouble, way in itertools.product((True, False), TROUBLES, WAYS):
+    for retries, outage_pattern, policy in itertools.product(
+        (True, False), OUTAGE_PATTERNS, POLICIES
+    ):
         reports = [
-            Experiment(way, trouble, seed, repeats=repeats).run()
+            OutageSimulation(policy, outage_pattern, seed, retries=retries).run()
             for seed in range(options.seeds)
         ]
-        callers = "ask again" if repeats else "ask once"
-        print(_format_row(callers, trouble, way, reports), flush=True)
+        callers = "retry" if retries else "no retry"
+        print(_format_row(callers, outage_pattern, policy, reports), flush=True)
 
 
-def _format_row(callers: str, trouble: Trouble, way: Way, reports: list[Report]) -> str:
+def _format_row(
+    callers: str,
+    outage_pattern: OutagePattern,
+    policy: KeyedRequestPolicy,
+    reports: list[OutageReport],
+) -> str:
     requests = sum(report.requests for report in reports)
     attained = sum(report.attained for report in reports) / requests
     cells = (
         callers,
-        trouble.name,
-        way.name,
+        outage_pattern.name,
+        policy.name,
         f"{attained:.2%}",
-        sum(report.unsettled for report in reports),
-        sum(report.doubled for report in reports),
-        sum(report.untrue for report in reports),
+        sum(report.unresolved for report in reports),
+        sum(report.run_twice for report in reports),
+        sum(report.false_not_run for report in reports),
     )
     return "| " + " | ".join(str(cell) for cell in cells) + " |"
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/demo.py
@@ -1,10 +1,11 @@
-"""``python -m greengagelatch_lab.demo``: serves both fleets and checks all answers.
-
-Each fleet runs with nine daemons in three data centres. Its objects are applied by
-the operators' client, its traffic is played, and all daemons are stopped while
-requests are still being sent. The exit status is 0 only if every answer was whole,
-right and the caller's own, nothing ran twice, no "not run" was false, the stop cut
-nothing, and all but a few requests were answered in time.
+"""``python -m greengagelatch_lab.demo``: runs both fleets and checks all answers.
+
+Each fleet runs with nine daemons in three data centres. Its objects are applied with
+the operators' client, its traffic is generated, and all daemons are stopped while
+requests are still being sent. The exit status is 0 only if every answer was complete,
+correct and belonged to its request, nothing ran twice, no "not run" was false, the
+stop interrupted no request, and the share of requests answered in time reached
+:data:`MIN_ATTAINMENT`.
 """
 
 from __future__ import annotations
@@ -32,32 +33,32 @@
 
 __all__ = ("main",)
 
-#: seconds of traffic before the stop, and at most during it
+#: duration of traffic before the stop, and its maximum during it, in seconds
 LOAD_SECONDS = 15.0
 STOP_SECONDS = 10.0
-#: least share of requests answered in time; the demo's load is far below capacity
-LEAST_ATTAINMENT = 0.95
+#: minimum share of requests answered in time; the load is far below capacity
+MIN_ATTAINMENT = 0.95
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemoResult:
-    """What one fleet's demo showed."""
+    """Result of the demo for one fleet."""
 
     report: Report
-    #: requests being answered when the daemons were told to stop
+    #: requests in flight when the daemons were told to stop
     in_flight_at_stop: int
     #: exit statuses of the daemons; 0 means that every request was finished
     statuses: tuple[int, ...]
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept and every daemon stopped cleanly."""
-        served = self.report.total.attainment >= LEAST_ATTAINMENT
+        """Whether all guarantees held and every daemon stopped cleanly."""
+        served = self.report.total.attainment >= MIN_ATTAINMENT
         return served and self.report.passed and not any(self.statuses)
 
 
 def main() -> int:
-    """Run the demo; return 0 only if every promise was kept."""
+    """Run the demo; return 0 only if all guarantees held."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--seconds", type=float, default=LOAD_SECONDS)
     parser.add_argument("--scale", type=float, default=1.0)
@@ -67,11 +68,11 @@
     results: dict[str, DemoResult] = {}
     for name in options.fleet or FLEETS:
         with tempfile.TemporaryDirectory(prefix="greengagelatch-") as directory:
-            work = _run_fleet(FLEETS[name], Path(directory), options)
+            run = _run_fleet(FLEETS[name], Path(directory), options)
             try:
-                results[name] = run_with_cleanup(work)
+                results[name] = run_with_cleanup(run)
             except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
-                print(f"{name}: not measured: {error!r}\ndemo FAILED")
+                print(f"{name}: run did not complete: {error!r}\ndemo FAILED")
                 return 1
     for name, result in results.items():
         _print_verdict(name, result)
@@ -85,13 +86,13 @@
 ) -> DemoResult:
     started = time.monotonic()
     async with FleetRunner(fleet, directory) as runner:
-        _show(
-            f"{fleet.name}: {len(runner.daemons)} daemons,"
-            f" {len(runner.targets)} targets started"
+        _print(
+            f"{fleet.name}: {len(runner.daemons)} daemons, {len(runner.targets)}"
+            " targets started"
         )
-        _show(await runner.apply_objects())
+        _print(await runner.apply_objects())
         await runner.wait_ready()
-        _show(f"{fleet.name}: ready after {time.monotonic() - started:.1f} s")
+        _print(f"{fleet.name}: ready after {time.monotonic() - started:.1f} s")
         result = await _serve(runner, options)
     print(result.report.format(), flush=True)
     return result
@@ -104,31 +105,31 @@
         scale=options.scale,
         seed=options.seed,
         stop_when_unavailable=True,
-        on_progress=_show,
-    ) as playing:
+        on_progress=_print,
+    ) as traffic:
         await asyncio.sleep(options.seconds)
-        in_flight = playing.run.in_flight
-        _show(f"stopping all daemons with {in_flight} requests in flight")
+        in_flight = traffic.run.in_flight
+        _print(f"stopping all daemons with {in_flight} requests in flight")
         stops = [runner.stop_daemon(daemon) for daemon in list(runner.daemons)]
         statuses = await asyncio.gather(*stops)
-        report = await playing.check()
+        report = await traffic.check()
     return DemoResult(
         report=report, in_flight_at_stop=in_flight, statuses=tuple(statuses)
     )
 
 
 def _print_verdict(name: str, result: DemoResult) -> None:
-    total, repeats = result.report.total, result.report.retries
+    total, retries = result.report.total, result.report.retries
     kinds = result.report.encode()["violations"]
     broken = ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items()))
     print(
-        f"{name}: {total.requests + repeats.requests} answers checked, attainment"
-        f" {total.attainment:.2%}, {result.in_flight_at_stop} in flight at the stop,"
-        f" exit statuses {set(result.statuses)}, violations: {broken or 'none'}"
+        f"{name}: {total.requests + retries.requests} answers checked, attainment "
+        f"{total.attainment:.2%}, {result.in_flight_at_stop} requests in flight at the"
+        f" stop, exit statuses {set(result.statuses)}, violations: {broken or 'none'}"
     )
 
 
-def _show(line: str) -> None:
+def _print(line: str) -> None:
     print(line, flush=True)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/log_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/log_cost.py
@@ -1,7 +1,7 @@
-"""Measures what the log of one request costs on each level.
+"""Measures the cost of logging one request at each log level.
 
-Run as ``python -m greengagelatch_lab.log_cost``. Lines go to a pipe, as the standard
-output of a daemon does; it is emptied between two batches, outside the time taken.
+Run as ``python -m greengagelatch_lab.log_cost``. Lines are written to a pipe, like the
+standard output of a daemon; it is read between batches, outside the measured time.
 """
 
 from __future__ import annotations
@@ -18,21 +18,22 @@
 
 ROUNDS = 7
 BATCHES = 400
-#: requests between two times that the pipe is emptied; their lines fit into it
-BATCH = 10
+#: requests logged before the pipe is read; their lines fit into its buffer
+REQUESTS_PER_BATCH = 10
 STAGES = ("encode", "retrieve", "rerank", "generate")
 
-READ_SIZE = 1 << 17
+#: upper bound of one read from the pipe, in bytes
+MAX_READ_BYTES = 1 << 17
 
 
 def main() -> None:
-    """Print one line for each level."""
+    """Print one line for each log level."""
     print("level      us/request   best  bytes/request  lines/request  dropped")
     for level in LogLevel:
-        print(_describe(level))
+        print(_measure_level(level))
 
 
-def _describe(level: LogLevel) -> str:
+def _measure_level(level: LogLevel) -> str:
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     output = LogOutput(writer, owned=True)
@@ -46,7 +47,7 @@
         size += received
     output.close()
     os.close(reader)
-    requests = ROUNDS * BATCHES * BATCH
+    requests = ROUNDS * BATCHES * REQUESTS_PER_BATCH
     return (
         f"{level.name.lower():<10} {statistics.median(costs) * 1e6:>10.1f}"
         f"  {min(costs) * 1e6:>5.1f}  {size / requests:>13.0f}"
@@ -55,21 +56,21 @@
 
 
 def _run_round(log: RequestLog, reader: int) -> tuple[float, int]:
-    """Return seconds for each request, and the bytes logged."""
+    """Return the processor seconds per request and the number of bytes logged."""
     spent = 0.0
     received = 0
     for batch in range(BATCHES):
         start = time.thread_time()
-        for number in range(BATCH):
-            _log_request(log, batch * BATCH + number)
+        for number in range(REQUESTS_PER_BATCH):
+            _log_request(log, batch * REQUESTS_PER_BATCH + number)
         spent += time.thread_time() - start
         received += _drain(reader)
-    return spent / (BATCHES * BATCH), received
+    return spent / (BATCHES * REQUESTS_PER_BATCH), received
 
 
 def _drain(reader: int) -> int:
     try:
-        return len(os.read(reader, READ_SIZE))
+        return len(os.read(reader, MAX_READ_BYTES))
     except BlockingIOError:
         return 0
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/__main__.py
@@ -1,10 +1,10 @@
-"""``python -m greengagelatch_lab.outages``: lets faults strike a fleet under load.
+"""``python -m greengagelatch_lab.outages``: injects faults into a fleet under load.
 
-Nine daemons serve the fleet's traffic while one fault after the other comes and goes.
-Each data centre has its own paths to the platform and to the other data centres. The
-exit status is 0 only if every promise was kept. Callers of an instance that was killed
-or stood still may see their connection end or stay silent meanwhile; nothing else is
-excused.
+Nine daemons serve the fleet's traffic while faults are injected and removed one after
+the other. Each data centre has its own network paths to the platform and to the other
+data centres. The exit status is 0 only if all guarantees held. Callers of an instance
+that was killed or paused may see their connection closed or silent meanwhile; no other
+violation is excused.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 from ..fleets.runner import FleetRunner
 from ..load.violations import ViolationKind
 from ..processes import ProcessError
-from . import Scene
+from . import FaultContext
+from .checks import GenerationMonitor, find_calls_after_leaving
 from .faults import FAULTS
-from .sides import Side, Window, measure_sides
-from .watch import GenerationWatch, find_work_after_leaving
+from .sides import FaultWindow, Side, measure_sides
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -41,35 +41,41 @@
 
 __all__ = ("main",)
 
-#: seconds for which each fault lasts, and of quiet after each
+#: duration of each fault, and of the recovery time after it, in seconds
 FAULT_SECONDS = 5.0
-QUIET_SECONDS = 3.0
-#: seconds for which arrivals are drawn; they end with the last fault
-LONGEST = 600.0
+RECOVERY_SECONDS = 3.0
+#: duration of the generated arrivals, in seconds; they end with the last fault
+MAX_TRAFFIC_SECONDS = 600.0
 
-EXCUSED = (ViolationKind.DISCONNECTED, ViolationKind.TIMED_OUT)
+#: violations that are allowed at an instance that a fault affected
+EXCUSABLE_KINDS = (ViolationKind.DISCONNECTED, ViolationKind.TIMED_OUT)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Result:
-    """What the run showed."""
+    """Result of a run."""
 
     report: Report
     violations: Sequence[Violation]
     excused: int
     reverted: Sequence[str]
-    late_work: Sequence[str]
-    #: promises that a fault found broken by itself
-    broken: Sequence[str]
+    late_calls: Sequence[str]
+    #: violations of guarantees that a fault detected itself
+    guarantee_violations: Sequence[str]
     sides: Sequence[Side]
-    #: times that an instance's generation was looked at
-    looks: int
+    #: number of times that the generation of an instance was read
+    sample_count: int
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept."""
-        found = (*self.violations, *self.reverted, *self.late_work, *self.broken)
-        return not found and self.looks > 0 and self.report.total.in_time > 0
+        """Whether all guarantees held."""
+        found = (
+            *self.violations,
+            *self.reverted,
+            *self.late_calls,
+            *self.guarantee_violations,
+        )
+        return not found and self.sample_count > 0 and self.report.total.in_time > 0
 
     def encode(self) -> dict[str, Any]:
         """Return the result as JSON-compatible values."""
@@ -80,14 +86,14 @@
             "violations": [str(item) for item in self.violations],
             "excused": self.excused,
             "reverted": list(self.reverted),
-            "late_work": list(self.late_work),
-            "broken": list(self.broken),
+            "late_work": list(self.late_calls),
+            "broken": list(self.guarantee_violations),
             "sides": [side.encode() for side in self.sides],
         }
 
 
 def main() -> int:
-    """Let faults strike a fleet; return 0 only if every promise was kept."""
+    """Inject faults into a fleet; return 0 only if all guarantees held."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--fleet", choices=sorted(FLEETS), default="luzon")
     parser.add_argument("--scale", type=float, default=1.0)
@@ -100,7 +106,7 @@
         try:
             result = run_with_cleanup(work)
         except (ProcessError, TimeoutError, aiohttp.ClientError) as error:
-            print(f"not measured: {error!r}\noutages FAILED")
+            print(f"run did not complete: {error!r}\noutages FAILED")
             return 1
     print(result.report.format())
     print(f"\n{'during':<20}{'callers of':<16}{'made':>6}{'in time':>9}  refusals")
@@ -115,68 +121,70 @@
     async with FleetRunner(fleet, directory, emulate_network=True) as runner:
         await runner.apply_objects()
         await runner.wait_ready()
-        watch = GenerationWatch(runner)
-        watching = asyncio.create_task(watch.run())
+        monitor = GenerationMonitor(runner)
+        monitor_task = asyncio.create_task(monitor.run())
         async with generate_traffic(
             runner,
-            seconds=LONGEST,
+            seconds=MAX_TRAFFIC_SECONDS,
             scale=options.scale,
             seed=options.seed,
-            on_progress=_show,
-        ) as playing:
-            scene = Scene(playing=playing, random_source=random.Random(options.seed))
+            on_progress=_print,
+        ) as traffic:
+            context = FaultContext(
+                traffic=traffic, random_source=random.Random(options.seed)
+            )
             windows = []
             for name in options.fault or FAULTS:
-                windows.append(await _strike(scene, name, options.seconds))
-            playing.run.stop()
-            report = await playing.check()
-        watching.cancel()
-        await asyncio.gather(watching, return_exceptions=True)
-        late_work = await find_work_after_leaving(runner)
-    broken = [item for item in report.violations if not _is_excused(item, scene)]
+                windows.append(await _inject(context, name, options.seconds))
+            traffic.run.stop()
+            report = await traffic.check()
+        monitor_task.cancel()
+        await asyncio.gather(monitor_task, return_exceptions=True)
+        late_calls = await find_calls_after_leaving(runner)
+    unexcused = [item for item in report.violations if not _is_excused(item, context)]
     return Result(
         report=report,
-        violations=broken,
-        excused=len(report.violations) - len(broken),
-        reverted=watch.reverted,
-        late_work=late_work,
-        broken=scene.broken,
+        violations=unexcused,
+        excused=len(report.violations) - len(unexcused),
+        reverted=monitor.reverted,
+        late_calls=late_calls,
+        guarantee_violations=context.guarantee_violations,
         sides=measure_sides(
-            windows, playing.run.observations, runner.daemon_data_centres
+            windows, traffic.run.observations, runner.daemon_data_centres
         ),
-        looks=watch.looks,
+        sample_count=monitor.sample_count,
     )
 
 
-async def _strike(scene: Scene, name: str, seconds: float) -> Window:
+async def _inject(context: FaultContext, name: str, seconds: float) -> FaultWindow:
     fault = FAULTS[name]
-    begin = scene.playing.run.elapsed
-    _show(f"{name} begins")
-    await fault.begin(scene)
+    begin = context.traffic.run.elapsed
+    _print(f"{name} begins")
+    await fault.inject(context)
     await asyncio.sleep(seconds)
-    window = Window(
+    window = FaultWindow(
         fault=name,
         begin=begin,
-        end=scene.playing.run.elapsed,
+        end=context.traffic.run.elapsed,
         data_centre=fault.cut_off,
     )
-    await fault.end(scene)
-    _show(f"{name} ends")
-    await asyncio.sleep(QUIET_SECONDS)
+    await fault.remove(context)
+    _print(f"{name} ends")
+    await asyncio.sleep(RECOVERY_SECONDS)
     return window
 
 
-def _is_excused(violation: Violation, scene: Scene) -> bool:
-    """Whether a caller's connection ended because its instance was struck."""
-    if violation.kind not in EXCUSED:
+def _is_excused(violation: Violation, context: FaultContext) -> bool:
+    """Whether a caller's connection failed because of a fault of its instance."""
+    if violation.kind not in EXCUSABLE_KINDS:
         return False
-    for observation in scene.playing.run.observations:
+    for observation in context.traffic.run.observations:
         if observation.arrival.index == violation.index:
-            return observation.instance in scene.struck
+            return observation.instance in context.affected_instances
     return False
 
 
-def _show(line: str) -> None:
+def _print(line: str) -> None:
     print(line, flush=True)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/faults.py
@@ -1,4 +1,4 @@
-"""The faults: of entry instances, targets, the platform and the operators."""
+"""Faults of entry instances, targets, the platform and operators."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import aiohttp
 
 from ..processes import ProcessError
-from . import Fault, LastingFault, Scene
+from . import Fault, FaultContext, PermanentFault
 from .kills import DaemonKilled, HolderKilled
 from .partitions import PARTITIONS
 from .starts import StartInOutage
@@ -19,117 +19,117 @@
 
 __all__ = ("FAULTS",)
 
-#: milliseconds by which a slow platform answers later
-SLOW_MS = 400
-#: writes whose answers are lost
-LOST_ANSWERS = 40
-#: changes that two operators make side by side
-RACING_CHANGES = 6
-#: seconds allowed to a stand-in for taking over its faults
-CONTROL_TIMEOUT = 5.0
+#: additional latency of a slow platform, in milliseconds
+STORE_DELAY_MS = 400
+#: number of writes whose answers are lost
+LOST_ANSWER_COUNT = 40
+#: number of changes that two operators make concurrently
+CONCURRENT_CHANGES = 6
+#: time-out of the request that sets a simulated target's faults, in seconds
+FAULT_REQUEST_TIMEOUT = 5.0
 
 
 class DaemonPaused(Fault):
-    """An entry instance stands still and then goes on as if nothing had been."""
+    """An entry instance is paused and later resumed."""
 
     name = "daemon-paused"
 
     def __init__(self) -> None:
         self._paused: Daemon | None = None
 
-    async def begin(self, scene: Scene) -> None:
-        self._paused = scene.pick_daemon()
+    async def inject(self, context: FaultContext) -> None:
+        self._paused = context.pick_affected_daemon()
         self._paused.process.pause()
 
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         self._paused.process.resume()
 
 
 class TargetSilent(Fault):
-    """A target's connections go silent for a while: the process stands still."""
+    """A target's connections go silent for a while, as its process is paused."""
 
     name = "target-silent"
 
     def __init__(self) -> None:
         self._paused: Process | None = None
 
-    async def begin(self, scene: Scene) -> None:
-        target = scene.random_source.choice(scene.playing.runner.targets)
-        self._paused = scene.playing.runner.find_process(target["id"])
+    async def inject(self, context: FaultContext) -> None:
+        target = context.random_source.choice(context.traffic.runner.targets)
+        self._paused = context.traffic.runner.find_process(target["id"])
         self._paused.pause()
 
-    async def end(self, scene: Scene) -> None:
+    async def remove(self, context: FaultContext) -> None:
         self._paused.resume()
 
 
-class TargetLeaving(LastingFault):
-    """A target says that it leaves; the list does not show it yet."""
+class TargetLeaving(PermanentFault):
+    """A target reports that it is leaving before the instance list shows it."""
 
     name = "target-leaving"
 
-    async def begin(self, scene: Scene) -> None:
-        target = scene.random_source.choice(scene.playing.runner.targets)
+    async def inject(self, context: FaultContext) -> None:
+        target = context.random_source.choice(context.traffic.runner.targets)
         await _set_target_faults(target, {"state": "leaving"})
 
 
 class TargetsFailing(Fault):
-    """All targets refuse, fail, cross and cut a few calls."""
+    """All targets refuse, fail, mix up or disconnect a small share of calls."""
 
     name = "targets-failing"
     _RATES = ("refuse_rate", "fail_rate", "cross_rate", "cut_rate")
     _RATE = 0.02
 
-    async def begin(self, scene: Scene) -> None:
-        await self._set_all(scene, self._RATE)
+    async def inject(self, context: FaultContext) -> None:
+        await self._set_all(context, self._RATE)
 
-    async def end(self, scene: Scene) -> None:
-        await self._set_all(scene, 0.0)
+    async def remove(self, context: FaultContext) -> None:
+        await self._set_all(context, 0.0)
 
-    async def _set_all(self, scene: Scene, rate: float) -> None:
+    async def _set_all(self, context: FaultContext, rate: float) -> None:
         faults = dict.fromkeys(self._RATES, rate)
-        for target in scene.playing.runner.targets:
+        for target in context.traffic.runner.targets:
             await _set_target_faults(target, faults)
 
 
 class PlatformFault(Fault):
-    """The platform is out of order in one way."""
+    """A fault of the platform, set by its fault parameters."""
 
     def __init__(self, name: str, during: dict[str, Any], after: dict[str, Any]):
         self.name = name
         self._during = during
         self._after = after
 
-    async def begin(self, scene: Scene) -> None:
-        await scene.playing.runner.instance_list.set_faults(**self._during)
+    async def inject(self, context: FaultContext) -> None:
+        await context.traffic.runner.instance_list.set_faults(**self._during)
 
-    async def end(self, scene: Scene) -> None:
-        await scene.playing.runner.instance_list.set_faults(**self._after)
+    async def remove(self, context: FaultContext) -> None:
+        await context.traffic.runner.instance_list.set_faults(**self._after)
 
 
-class OperatorsRacing(LastingFault):
-    """Two operators change labels at the same time, by different instances."""
+class OperatorsRacing(PermanentFault):
+    """Two operators change labels concurrently through different instances."""
 
     name = "operators-racing"
 
-    async def begin(self, scene: Scene) -> None:
-        work = [_label(scene, number) for number in range(RACING_CHANGES)]
+    async def inject(self, context: FaultContext) -> None:
+        work = [_set_label(context, number) for number in range(CONCURRENT_CHANGES)]
         await asyncio.gather(*work)
 
 
-async def _label(scene: Scene, number: int) -> None:
-    workspace = scene.playing.runner.fleet.workspaces[number % 2].name
+async def _set_label(context: FaultContext, number: int) -> None:
+    workspace = context.traffic.runner.fleet.workspaces[number % 2].name
     try:
-        await scene.playing.runner.run_client(
+        await context.traffic.runner.run_client(
             "label", "workspace", workspace, f"race=n{number}", "--wait"
         )
     except ProcessError as error:
-        # the loser of a race is told so; anything else is a fault of ours
+        # a change that loses the race is rejected as a conflict; other errors are real
         if "conflict" not in str(error):
             raise
 
 
 async def _set_target_faults(target: dict[str, str], faults: dict[str, Any]) -> None:
-    timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT)
+    timeout = aiohttp.ClientTimeout(total=FAULT_REQUEST_TIMEOUT)
     url = f"http://{target['address']}/control/faults"
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
@@ -138,7 +138,7 @@
         response.raise_for_status()
 
 
-#: by name, in the order in which they strike by default
+#: faults by name, in the default order of injection
 FAULTS: dict[str, Fault] = {
     fault.name: fault
     for fault in (
@@ -147,8 +147,8 @@
         DaemonPaused(),
         TargetSilent(),
         PlatformFault("store-down", {"outage": True}, {"outage": False}),
-        PlatformFault("store-slow", {"slow_ms": SLOW_MS}, {"slow_ms": 0}),
-        PlatformFault("answers-lost", {"lose_answers": LOST_ANSWERS}, {}),
+        PlatformFault("store-slow", {"slow_ms": STORE_DELAY_MS}, {"slow_ms": 0}),
+        PlatformFault("answers-lost", {"lose_answers": LOST_ANSWER_COUNT}, {}),
         PlatformFault("list-lagging", {"list_lag_s": 10.0}, {"list_lag_s": 0.0}),
         PlatformFault("list-down", {"list_outage": True}, {"list_outage": False}),
         TargetsFailing(),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/sides.py
@@ -1,4 +1,4 @@
-"""Attainment during each fault, on either side of a cut."""
+"""Attainment during each fault, on each side of a partition."""
 
 from __future__ import annotations
 
@@ -12,40 +12,41 @@
 
     from ..load.observations import Observation
 
-__all__ = ("Side", "Window", "measure_sides")
+__all__ = ("FaultWindow", "Side", "measure_sides")
 
-#: names of sides other than a data centre
-ALL = "all"
-REST = "the others"
+#: names of sides that are not a single data centre
+ALL_INSTANCES = "all"
+OTHER_CENTRES = "the others"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Window:
-    """When a fault was there, in seconds since the traffic began."""
+class FaultWindow:
+    """When a fault was active, in seconds since the traffic began."""
 
     fault: str
     begin: float
     end: float
-    #: data centre that was cut off; empty: none
+    #: data centre that was cut off; empty if none was
     data_centre: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Side:
-    """What became of the requests sent to one side during a fault."""
+    """Outcomes of the requests sent to one side during a fault."""
 
     fault: str
     name: str
-    tally: RequestStatistics
+    statistics: RequestStatistics
 
     def format(self) -> str:
-        """Return a line of text."""
+        """Return the counts as a row of a text table."""
         refusals = ", ".join(
-            f"{code} {count}" for code, count in sorted(self.tally.refusals.items())
+            f"{code} {count}"
+            for code, count in sorted(self.statistics.refusals.items())
         )
         return (
-            f"{self.fault:<20}{self.name:<16}{self.tally.requests:>6}"
-            f"{self.tally.attainment:>9.1%}  {refusals}"
+            f"{self.fault:<20}{self.name:<16}{self.statistics.requests:>6}"
+            f"{self.statistics.attainment:>9.1%}  {refusals}"
         )
 
     def encode(self) -> dict[str, Any]:
@@ -53,40 +54,44 @@
         return {
             "fault": self.fault,
             "side": self.name,
-            "made": self.tally.requests,
-            "attainment": round(self.tally.attainment, 4),
+            "made": self.statistics.requests,
+            "attainment": round(self.statistics.attainment, 4),
         }
 
 
 def measure_sides(
-    windows: Sequence[Window],
+    windows: Sequence[FaultWindow],
     observations: Iterable[Observation],
     places: Mapping[str, str],
 ) -> list[Side]:
-    """Count first sends by fault and by the side that they were sent to.
+    """Count first attempts by fault and by the side that they were sent to.
 
     :param places: data centre of each instance, by id
     """
-    tallies: dict[tuple[str, str], RequestStatistics] = {}
+    statistics_by_side: dict[tuple[str, str], RequestStatistics] = {}
     for window in windows:
-        names = (window.data_centre, REST) if window.data_centre else (ALL,)
+        names = (
+            (window.data_centre, OTHER_CENTRES)
+            if window.data_centre
+            else (ALL_INSTANCES,)
+        )
         for name in names:
-            tallies[(window.fault, name)] = RequestStatistics()
+            statistics_by_side[(window.fault, name)] = RequestStatistics()
     for observation in observations:
         if observation.arrival.retry_of is not None:
             continue
         for window in windows:
             if not window.begin <= observation.arrival.offset < window.end:
                 continue
-            name = _find_side(window, places.get(observation.instance, ""))
-            tallies[(window.fault, name)].add(observation)
+            name = _find_side_name(window, places.get(observation.instance, ""))
+            statistics_by_side[(window.fault, name)].add(observation)
     return [
-        Side(fault=fault, name=name, tally=tally)
-        for (fault, name), tally in tallies.items()
+        Side(fault=fault, name=name, statistics=statistics)
+        for (fault, name), statistics in statistics_by_side.items()
     ]
 
 
-def _find_side(window: Window, data_centre: str) -> str:
+def _find_side_name(window: FaultWindow, data_centre: str) -> str:
     if not window.data_centre:
-        return ALL
-    return window.data_centre if data_centre == window.data_centre else REST
+        return ALL_INSTANCES
+    return window.data_centre if data_centre == window.data_centre else OTHER_CENTRES
--- a/tests/test_lab/test_claims_outage.py
+++ b/tests/test_lab/test_claims_outage.py
@@ -1,20 +1,24 @@
-"""Tests of the experiment on outages of the store, and of the cost of claims."""
+"""Tests of the simulation of store outages, and of the cost of claims."""
 
 from __future__ import annotations
 
 import pytest
 
 from greengagelatch_lab.claims_cost import measure
-from greengagelatch_lab.claims_outage import WAYS, Experiment, Trouble
+from greengagelatch_lab.claims_outage import POLICIES, OutagePattern, OutageSimulation
 
-PARTIAL = Trouble("one data centre", 60.0, partial=True)
+PARTIAL = OutagePattern("one data centre", 60.0, partial=True)
 
 
-@pytest.mark.parametrize("way", WAYS, ids=lambda way: way.name)
-def test_only_running_without_a_claim_doubles(way):
-    """A first attempt runs without a claim, its repeat with one elsewhere."""
-    report = Experiment(way, PARTIAL, 0).run()
-    assert (report.doubled > 0) is way.run_first
+@pytest.mark.parametrize("policy", POLICIES, ids=lambda policy: policy.name)
+def test_only_running_without_a_claim_runs_requests_twice(policy):
+    """Guards against policies that run a request twice during a partition.
+
+    The first attempt runs without a claim, and its retry runs with one at an instance
+    that reaches the store.
+    """
+    report = OutageSimulation(policy, PARTIAL, 0).run()
+    assert (report.run_twice > 0) is policy.run_first
 
 
 async def test_claims_of_one_shard_share_writes():
--- a/tests/test_lab/test_explore.py
+++ b/tests/test_lab/test_explore.py
@@ -1,4 +1,4 @@
-"""Tests of the exhaustive exploration."""
+"""Tests of the explicit-state model checker."""
 
 from __future__ import annotations
 
@@ -11,27 +11,29 @@
 
 
 def may_enter(inside: int) -> bool:
-    """Guard under test: at most one process inside."""
+    """Allow at most one process inside; this is the guard under test."""
     return inside == 0
 
 
 class Door(Model[tuple[int, int]]):
-    """Two processes enter and leave; the state counts who is inside and done."""
+    """Two processes that enter and leave; the state counts those inside and done."""
 
     def start(self) -> Iterable[tuple[int, int]]:
         return [(0, 0)]
 
-    def steps(self, state: tuple[int, int]) -> Iterable[tuple[str, tuple[int, int]]]:
+    def list_steps(
+        self, state: tuple[int, int]
+    ) -> Iterable[tuple[str, tuple[int, int]]]:
         inside, done = state
         if inside + done < 2 and may_enter(inside):
             yield "enter", (inside + 1, done)
         if inside:
             yield "leave", (inside - 1, done + 1)
 
-    def find_fault(self, state: tuple[int, int]) -> str:
+    def find_violation(self, state: tuple[int, int]) -> str:
         return "two inside" if state[0] > 1 else ""
 
-    def find_final_fault(self, state: tuple[int, int]) -> str:
+    def find_final_violation(self, state: tuple[int, int]) -> str:
         return "" if state[1] == 2 else "stuck"
 
 
@@ -53,7 +55,7 @@
 def test_state_without_steps_is_checked():
     mutation = Mutation("closed", sys.modules[__name__], "may_enter", lambda _: False)
     result = explore_mutations(Door, [mutation])["closed"]
-    assert result.violation.fault == "stuck"
+    assert result.violation.description == "stuck"
 
 
 @pytest.mark.parametrize("bounds", [{"max_states": 2}, {"max_depth": 1}])
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -4,7 +4,7 @@
 
 from greengagelatch_lab.load.arrivals import Arrival
 from greengagelatch_lab.load.observations import Observation, RequestOutcome
-from greengagelatch_lab.outages.sides import Window, measure_sides
+from greengagelatch_lab.outages.sides import FaultWindow, measure_sides
 
 PLACES = {"n-1": "north", "s-1": "south"}
 
@@ -30,8 +30,8 @@
 
 def test_requests_count_by_when_and_where_they_were_sent():
     windows = [
-        Window(fault="cut", begin=1.0, end=2.0, data_centre="north"),
-        Window(fault="slow", begin=3.0, end=4.0),
+        FaultWindow(fault="cut", begin=1.0, end=2.0, data_centre="north"),
+        FaultWindow(fault="slow", begin=3.0, end=4.0),
     ]
     observations = [
         observe(0.9, "n-1"),
@@ -43,7 +43,9 @@
         observe(3.5, ""),
     ]
     sides = measure_sides(windows, observations, PLACES)
-    found = [(s.fault, s.name, s.tally.requests, s.tally.attainment) for s in sides]
+    found = [
+        (s.fault, s.name, s.statistics.requests, s.statistics.attainment) for s in sides
+    ]
     assert found == [
         ("cut", "north", 2, 0.5),
         ("cut", "the others", 1, 1.0),
