--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform, written from its pages: store and targets."""
+"""Simulated store and targets that speak the users' platform's protocols."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the platform program on the stand-ins until it is interrupted."""
+"""Runs the platform program with simulated store and targets until interrupted."""
 
 from __future__ import annotations
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/deployment.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A small configuration as the platform's operator writes it."""
+"""Sample configuration in the platform's format."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     timeout_ms: int = 3000,
     **changes: Any,
 ) -> dict[str, Any]:
-    """Return a configuration with a route of each kind; ``changes`` replace fields."""
+    """Create a configuration with routes of each kind; ``changes`` replace fields."""
     routes = _create_routes()
     for route in routes:
         route["timeout-ms"] = timeout_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Instances of the platform program as processes, on the stand-ins."""
+"""Processes of the platform program, with simulated store and targets."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 __all__ = ("Instance", "PlatformFleet", "PortTakenError", "find_free_ports")
 
-#: seconds allowed for an instance to be ready; a busy machine takes its time
+#: seconds allowed for an instance to become ready, also on a heavily loaded host
 READY_LIMIT = 30.0
-#: times that an instance gets other ports
+#: maximum number of attempts to start an instance, each on new ports
 PORT_TRIES = 5
-#: what a process says that could not have an address
+#: text in a process's log if it could not bind an address
 TAKEN = "address already in use"
-#: targets of each service
+#: number of targets per service
 TARGETS = 2
 
 
 class PortTakenError(Exception):
-    """An instance could not have one of its addresses."""
+    """An instance could not bind one of its addresses."""
 
 
 @dataclass(slots=True)
 class Instance:
-    """One process of the program."""
+    """One process of the platform program."""
 
     name: str
     front: str
@@ -51,11 +51,11 @@
 
     @property
     def log(self) -> Path:
-        """What the process writes to standard output."""
+        """Path of the file that receives the process's standard output."""
         return self.settings.with_suffix(".log")
 
     async def is_ready(self, session: aiohttp.ClientSession) -> bool:
-        """Whether it says so."""
+        """Return whether the readiness endpoint returns 200."""
         try:
             async with session.get(f"http://{self.readiness}/v1/readyz") as response:
                 return response.status == 200
@@ -65,18 +65,18 @@
 
 @dataclass(slots=True)
 class PlatformFleet:
-    """Store, targets and instances; all on loopback."""
+    """Store, targets and instances, all on the loopback interface."""
 
     directory: Path
     count: int = 2
     store: StoreStandIn = field(default_factory=StoreStandIn)
     targets: list[TargetStandIn] = field(default_factory=list)
     instances: list[Instance] = field(default_factory=list)
-    #: returns so many free ports
+    #: returns the given number of free ports
     find_ports: Callable[[int], list[int]] = field(default=lambda n: find_free_ports(n))
 
     async def start(self) -> None:
-        """Start all parts and wait until every instance is ready."""
+        """Start store, targets and instances; wait until all instances are ready."""
         await self.store.start()
         self.store.put("op/config", create_configuration())
         for service in ("desk", "llm", "portal", "ledger"):
@@ -91,8 +91,10 @@
     async def start_instance(self, name: str, seeds: list[str]) -> Instance:
         """Start an instance and wait until it is ready.
 
-        Its ports were free a moment before; the system may have given one of them to
-        somebody else since. The process then says so and ends, and gets others.
+        Another process may bind one of the selected ports before the instance does.
+        The instance then logs that and exits, and is started again on new ports.
+
+        :raises PortTakenError: if that happens ``PORT_TRIES`` times
         """
         for _ in range(PORT_TRIES):
             instance = self.create_instance(name, seeds)
@@ -105,7 +107,7 @@
         raise PortTakenError(name)
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Kill the instances and stop targets and store."""
         for instance in self.instances:
             await self.kill(instance)
         for target in self.targets:
@@ -115,7 +117,7 @@
     async def add_target(
         self, target_id: str, service: str, **fields: Any
     ) -> TargetStandIn:
-        """Start and list a target."""
+        """Start a target and register it in the store."""
         target = TargetStandIn(target_id, service, **fields)
         await target.start()
         target.register(self.store)
@@ -145,10 +147,10 @@
             os.close(log)
 
     async def wait_ready(self, instance: Instance) -> None:
-        """Wait until an instance says that it is ready.
+        """Wait until an instance is ready.
 
-        :raises PortTakenError: if it ended because an address was taken
-        :raises RuntimeError: if it ended for another reason
+        :raises PortTakenError: if it exited because an address was in use
+        :raises RuntimeError: if it exited for another reason
         """
         async with (
             asyncio.timeout(READY_LIMIT),
@@ -164,17 +166,17 @@
         text = instance.log.read_text(encoding="utf-8")
         if TAKEN in text:
             raise PortTakenError(instance.name)
-        raise RuntimeError(f"{instance.name} ended: {text[-500:]}")
+        raise RuntimeError(f"{instance.name} exited: {text[-500:]}")
 
     async def kill(self, instance: Instance) -> None:
-        """Kill the process of an instance, if it still runs."""
+        """Kill the process of an instance, if it is still running."""
         process = instance.process
         if process is not None and process.returncode is None:
             process.send_signal(signal.SIGKILL)
             await process.wait()
 
     def create_instance(self, name: str, seeds: list[str]) -> Instance:
-        """Return an instance on free ports, with its settings written."""
+        """Create an instance on free ports and write its settings file."""
         ports = self.find_ports(4)
         instance = Instance(
             name=name,
@@ -202,7 +204,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports that were free a moment ago, each another one."""
+    """Return distinct ports that are free at the time of the call."""
     sockets = [socket.socket() for _ in range(count)]
     try:
         for one in sockets:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's metadata store."""
+"""Simulated metadata store of the platform."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 __all__ = ("StoreFault", "StoreStandIn")
 
-#: items on one page; the platform's holds about ten times as many
+#: items per page; the platform's own limit is about ten times as high
 PAGE = 50
 STATUS_CONFLICT = 412
 STATUS_GONE = 410
 
 
 class StoreFault(Enum):
-    """How the store treats calls."""
+    """Fault that the store injects into calls."""
 
     NONE = "none"
-    #: every call is answered 503, nothing is done
+    #: every call is rejected with 503 and has no effect
     BUSY = "busy"
-    #: no call is answered, nothing is done
+    #: no call is answered or has an effect
     SILENT = "silent"
-    #: writes are done and not answered
+    #: writes take effect but are not answered
     LOST = "lost"
 
 
@@ -43,7 +43,7 @@
 
 
 class StoreStandIn:
-    """Keeps items, history and leases in memory and serves them over HTTP."""
+    """Serves items, change history and leases from memory over HTTP."""
 
     def __init__(self) -> None:
         self.fault = StoreFault.NONE
@@ -59,7 +59,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Serve on a free port of loopback."""
+        """Start serving on a free loopback port."""
         app = web.Application(middlewares=[self._apply_fault])
         app.add_routes(
             [
@@ -80,24 +80,24 @@
         self.address = f"127.0.0.1:{port}"
 
     async def stop(self) -> None:
-        """Close every connection."""
+        """Cancel the leases' timers and close every connection."""
         for _, timer in self._leases.values():
             timer.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
-    # what the operator and the targets do
+    # writes by the operator and the targets
 
     def put(self, key: str, fields: dict[str, Any], lease: int = 0) -> int:
         """Write an item and return its revision."""
         return self.put_bytes(key, json.dumps(fields).encode(), lease)
 
     def put_bytes(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write an item of any bytes and return its revision."""
+        """Write an item with an arbitrary byte value and return its revision."""
         return self._put(key, value, lease)
 
     def remove(self, key: str) -> None:
-        """Remove an item."""
+        """Remove an item, if present."""
         if self._items.pop(key, None) is not None:
             self._note(key)
 
@@ -107,19 +107,19 @@
         return self._revision
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the change history, so that watches from older revisions fail."""
         self._compacted = self._revision
         self._history.clear()
 
     def find(self, prefix: str) -> dict[str, bytes]:
-        """Return the values below a prefix."""
+        """Return the values of the keys that start with ``prefix``."""
         return {
             key: item.value
             for key, item in self._items.items()
             if key.startswith(prefix)
         }
 
-    # calls
+    # HTTP handlers
 
     @web.middleware
     async def _apply_fault(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform's targets: plain services, engines and stage makers."""
+"""Simulated targets of the platform: plain services, engines, stage makers."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 __all__ = ("TargetFault", "TargetStandIn")
 
 SIGNATURE = "signed-by-"
-#: events of one stream
+#: number of events in a stream
 EVENTS = 5
 EVENT_SECONDS = 0.01
 CALL_SECONDS = 0.03
 MAX_BODY = 8 * 1024 * 1024
-#: Unix milliseconds of the first start of a target, and between two starts
+#: start time of a target in Unix milliseconds, and its increment per restart
 FIRST_START = 1_700_000_000_000
 BETWEEN_STARTS = 1000
 
 
 class TargetFault(Enum):
-    """How a target treats requests."""
+    """Fault that a target injects into requests."""
 
     NONE = "none"
-    #: it answers 503 and says that it did not run the request
+    #: it responds 503 with ``X-Not-Executed`` and does not run the request
     FULL = "full"
-    #: it runs the request and closes the connection without an answer
+    #: it runs the request and aborts the connection without a response
     LOSE_ANSWER = "lose-answer"
-    #: it runs the request and says nothing
+    #: it runs the request and never responds
     MUTE = "mute"
-    #: it runs the request and fails
+    #: it runs the request and responds 500
     FAIL = "fail"
-    #: it sends a second answer after a complete one
+    #: it sends a second, unsolicited response after a complete one
     EXTRA = "extra"
-    #: it breaks off in the middle of its answer
+    #: it aborts the connection before the body is complete
     TRUNCATE = "truncate"
-    #: it answers without a length and resets the connection
+    #: it responds without ``Content-Length`` and resets the connection
     UNFRAMED_RESET = "unframed-reset"
-    #: it answers with the id of another request
+    #: it responds with the id of a different request
     FOREIGN = "foreign"
 
 
@@ -59,69 +59,69 @@
 
 @dataclass(slots=True)
 class TargetStandIn:
-    """One target, written on bare streams so that it can misbehave."""
+    """One target; it uses raw streams, so that it can violate HTTP."""
 
     target_id: str
     service: str
     data_centre: str = "north"
-    #: Unix milliseconds of its start; ``None``: it does not tell
+    #: its start time in Unix milliseconds; ``None``: not in its store entry
     born: int | None = FIRST_START
     fault: TargetFault = TargetFault.NONE
-    #: requests that ran, by their id
+    #: number of runs by request id
     runs: Counter[str] = field(default_factory=Counter)
-    #: requests as they arrived
+    #: received requests, in order of arrival
     seen: list[_Request] = field(default_factory=list)
-    #: pieces made, by request id, stage and segment
+    #: number of times each piece was made, by request id, stage and segment
     pieces: Counter[tuple[str, int, int]] = field(default_factory=Counter)
-    #: sizes of the calls for pieces
+    #: number of pieces in each stage call
     batches: list[int] = field(default_factory=list)
     freed: set[str] = field(default_factory=set)
-    #: handles that pieces were to be made from, in order
+    #: handles of the inputs of stage calls, in order
     read: list[str] = field(default_factory=list)
-    #: handles of the results that it holds
+    #: handles of the results that it retains
     made: set[str] = field(default_factory=set)
     connections: int = 0
-    #: requests and calls that were meant for another target
+    #: requests and stage calls that were addressed to a different target
     misdirected: int = 0
-    #: what it waits for before it answers, also calls for pieces
+    #: awaited before any response, including those to stage calls
     gate: asyncio.Event | None = None
-    #: running, waiting and slots as it tells them, with commas; empty: it does not
+    #: reported load as ``running,queued,slots``; empty: no load header
     load: str = ""
-    #: what a stream waits for after its first event
+    #: awaited by a stream after its first event
     pause: asyncio.Event | None = None
     address: str = ""
-    #: after how many events a stream breaks off; ``None``: it does not
+    #: number of events after which a stream is closed; ``None``: it completes
     break_after: int | None = None
-    #: the same for the next streams only; may be shared by targets
+    #: the same for one stream each, last first; targets may share the list
     breaks: list[int] = field(default_factory=list)
-    #: paths of the requests that crash it as they begin to run, and keys of the inputs
-    #: of pieces that do
+    #: paths of requests, and input keys of stage calls, that crash it when they start
+    #: to run
     crashed_by: frozenset[str] = frozenset()
     _server: asyncio.Server | None = None
     _port: int = 0
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self) -> None:
-        """Serve on a free port of loopback."""
+        """Start serving on a free loopback port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self._port = self._server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{self._port}"
 
     async def stop(self) -> None:
-        """Close every connection, as a crash does."""
+        """Stop listening and abort every connection, as in a crash."""
         self._server.close()
         self.abort_connections()
 
     def abort_connections(self) -> None:
-        """Break off whatever is in work."""
+        """Abort every connection with whatever is in flight on it."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
     async def restart(self, store: StoreStandIn, *, cut: bool = True) -> None:
-        """Start again under the same id and address, knowing nothing of before.
+        """Restart under the same id and address, without the results held before.
 
-        :param cut: whether open connections are closed; else what is in work on them
-            goes on and is answered, as by a process that is slow to end
+        :param cut: whether open connections are aborted; otherwise requests in flight
+            complete, as in a process that is slow to exit
         """
         if cut:
             await self.stop()
@@ -134,11 +134,11 @@
         self.register(store)
 
     def register(self, store: StoreStandIn, state: str = "ready") -> None:
-        """Write this target's entry."""
+        """Write this target's entry to the store."""
         store.put(f"servers/{self.target_id}", self.describe(state))
 
     def describe(self, state: str = "ready") -> dict[str, Any]:
-        """Return this target's entry."""
+        """Create this target's store entry."""
         fields = {
             "service": self.service,
             "address": self.address,
@@ -170,7 +170,7 @@
             writer.close()
 
     async def _answer(self, request: _Request, writer: asyncio.StreamWriter) -> bool:
-        """Answer one request; whether the connection stays."""
+        """Respond to one request; return whether the connection stays open."""
         expected = request.headers.get("x-expected-replica")
         if expected not in (None, self.target_id):
             self.misdirected += 1
@@ -247,7 +247,7 @@
                 half = f"id: {number}\ndata: ha".encode()
                 writer.write(f"{len(half):x}\r\n".encode() + half + b"\r\n")
                 await writer.drain()
-                # an orderly close: a reset would take what is not yet read with it
+                # an orderly close: a reset would discard data the client has not read
                 return False
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             writer.write(f"{len(event):x}\r\n".encode() + event + b"\r\n")
@@ -324,7 +324,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Reset the connection: closing with a linger of zero does."""
+    """Send a TCP reset, which closing with a zero linger time does."""
     connection = writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, for targets and for links between processes."""
+"""Simulated platform services, targets and network links for tests."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/answers.py
@@ -1,4 +1,4 @@
-"""What a stage answers: a pure function, so that a checker can compute it again."""
+"""Outputs of simulated stages: pure functions, so checkers can recompute them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     "find_hint",
 )
 
-#: fields of an input that steer a stand-in; answers hand them on to later stages:
-#: ``prefix`` (text): prompt prefix for the cache of engines;
-#: ``tokens`` (number): length of a generated answer;
-#: ``size`` (number): multiple of the usual service time;
-#: ``effect`` (text): name of the side effect, counted by plain services
+#: input fields that control a simulated target; outputs pass them to later stages:
+#: ``prefix`` (string): prompt prefix, the key of the engines' prefix cache;
+#: ``tokens`` (number): length of the generated output in tokens;
+#: ``size`` (number): factor on the mean service time;
+#: ``effect`` (string): name of the side effect, counted by plain services
 HINTS = ("prefix", "tokens", "size", "effect")
 
-#: bounds on the length of generated answers, in tokens
+#: bounds of the generated output's length, in tokens
 MIN_TOKENS = 8
 TOKEN_SPREAD = 25
 MAX_TOKENS = 4096
@@ -36,7 +36,7 @@
 def expected_output(
     pipeline: str, stage: str, kind: StageKind | str, input: Any
 ) -> Any:
-    """Return the output of ``stage`` for ``input``."""
+    """Compute the output of ``stage`` for ``input``."""
     kind = StageKind(kind)
     if kind is StageKind.GENERATE:
         return "".join(expected_tokens(pipeline, stage, kind, input))
@@ -62,7 +62,7 @@
 def expected_tokens(
     pipeline: str, stage: str, kind: StageKind | str, input: Any
 ) -> tuple[str, ...]:
-    """Return the texts of all tokens that an engine gives for ``input``."""
+    """Compute the texts of all tokens that an engine generates for ``input``."""
     digest = _digest(pipeline, stage, StageKind(kind), input)
     wanted = find_hint(input, "tokens")
     count = MIN_TOKENS + xxhash.xxh32_intdigest(digest.encode()) % TOKEN_SPREAD
@@ -75,12 +75,12 @@
 
 
 def digest_tokens(tokens: tuple[str, ...]) -> str:
-    """Return the digest that ends a stream of ``tokens``."""
+    """Compute the digest in the final event of a stream of ``tokens``."""
     return xxhash.xxh64_hexdigest("".join(tokens).encode())
 
 
 def find_hint(input: Any, name: str) -> Any:
-    """Return the hint ``name`` of ``input``, or of an earlier result in it."""
+    """Return hint ``name`` from ``input`` or from a previous stage's output in it."""
     if not isinstance(input, Mapping):
         return None
     if name in input:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/batch.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: calls join and leave a running batch at each step."""
+"""Continuous batching: calls join and leave the running batch at each step."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 __all__ = ("Batch",)
 
-#: share of the usual prefill that a cached prefix still needs
+#: fraction of the full prefill time that remains on a prefix cache hit
 HIT_SHARE = 0.1
 
 
@@ -30,7 +30,10 @@
 
 
 class Batch:
-    """The calls that an engine decodes together, and those that wait to join."""
+    """The calls that an engine decodes together, and the queue of waiting calls.
+
+    Waiting calls are admitted by descending priority, then in order of arrival.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self._arrived = asyncio.Event()
 
     async def join(self, attempt: Attempt) -> None:
-        """Wait until ``attempt`` has been given all its tokens."""
+        """Queue ``attempt`` and wait until all its tokens are generated."""
         call = attempt.call
         texts = expected_tokens(call.pipeline, call.stage, call.kind, call.input)
         done = asyncio.get_running_loop().create_future()
@@ -59,7 +62,7 @@
         await done
 
     async def run_steps(self) -> None:
-        """Decode step by step, for ever."""
+        """Run decode steps until cancelled."""
         while True:
             self._active = [item for item in self._active if not item.done.done()]
             prefill_ms = self._admit()
@@ -71,18 +74,18 @@
             growth = 1 + self._options.batch_growth * (size - 1)
             step_ms = prefill_ms + self._options.tokens_ms * growth
             step_ms *= self._read_slow()
-            # the engine's time is shared by all calls of the step
+            # the step's time is attributed to its calls in equal shares
             for sequence in self._active:
                 sequence.attempt.run.cost_ms += step_ms / size
             await asyncio.sleep(step_ms / 1000)
             self._decode()
 
     def _admit(self) -> float:
-        """Let waiting calls join; return the milliseconds their prompts take."""
+        """Admit waiting calls and return their prefill time in milliseconds."""
         prefill_ms = 0.0
         while self._waiting and len(self._active) < self._options.capacity:
             sequence = heapq.heappop(self._waiting)[2]
-            # a call cancelled while it waited must not run
+            # a call cancelled while queued must not run
             if sequence.done.done():
                 continue
             sequence.attempt.start()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -1,7 +1,7 @@
-"""A model engine: batches, streams, prefix cache, orders.
+"""Simulated model engine with batching, token streams, a prefix cache and orders.
 
-Beside what all targets serve: ``GET /record/orders`` answers
-``{"orders": [OrderRecord]}``, and ``GET /orders`` also the last ``fence``.
+In addition to the endpoints of every target, ``GET /record/orders`` returns
+``{"orders": [OrderRecord]}``, and ``GET /orders`` includes the last order's ``fence``.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Engine(Target):
-    """A model engine."""
+    """A simulated model engine."""
 
     def __init__(self, options: EngineOptions) -> None:
         super().__init__(options)
@@ -85,14 +85,14 @@
         attempt.task.add_done_callback(lambda _: attempt.changed.set())
         await attempt.changed.wait()
         if attempt.run is None:
-            # cancelled while it waited; the status is not sent yet, so it can say so
+            # cancelled while queued; no status is sent yet, so the refusal can be
             return refuse(call)
         response = web.StreamResponse(headers=STREAM_HEADERS)
         await response.prepare(request)
         try:
             whole = await self._send_tokens(response, attempt, fault)
         except ConnectionError:
-            # the caller is gone; the run is ended as cancelled
+            # the caller disconnected; the run is recorded as cancelled
             return response
         if not whole and fault is Fault.MUTE:
             attempt.task.cancel()
@@ -120,7 +120,7 @@
     async def _send_tokens(
         self, response: web.StreamResponse, attempt: Attempt, fault: Fault
     ) -> bool:
-        """Send tokens as they come; whether all of them were sent."""
+        """Send tokens as they are generated; return whether all of them were sent."""
         shown = self.choose_ids(attempt.call, fault)
         limited = fault in (Fault.CUT, Fault.MUTE)
         sent = 0
@@ -166,7 +166,7 @@
             wanted = _decode_state(body["wanted"])
         except (KeyError, TypeError, ValueError) as error:
             raise web.HTTPBadRequest(text=repr(error)) from error
-        # the order is carried out even if whoever gave it hangs up
+        # an order is applied even if its sender disconnects
         if await asyncio.shield(self._book.carry_out(fence, wanted)):
             return web.json_response(self._book.encode())
         return web.json_response({"fence": self._book.highest}, status=409)
@@ -206,7 +206,7 @@
 
 
 def main() -> None:
-    """Run the stand-in of a model engine."""
+    """Run a simulated model engine."""
     options = parse_options(EngineOptions, main.__doc__)
     run(Engine(options).build_app(), options.listen)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -1,4 +1,4 @@
-"""In-process engines that take orders, with faults to inject."""
+"""In-process order client and engines with fault injection."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
 
 
 class MemoryEngines(OrderClient):
-    """The engines of a test, reached without a socket.
+    """Sends orders to simulated engines in the same process.
 
-    :param checks: whether the engines refuse orders with old numbers
-    :param duration: seconds that an order takes
+    :param checks: whether the engines reject orders with stale fencing tokens
+    :param duration: seconds that an engine takes to apply an order
     """
 
     def __init__(self, *, checks: bool = False, duration: float = 1.0) -> None:
         self.checks = checks
         self.duration = duration
-        #: number of coming orders that are carried out and not answered
+        #: number of upcoming orders that are applied and whose answers are lost
         self.lose_answers = 0
-        #: targets that can't be connected to
+        #: ids of targets that refuse connections
         self.unreachable: set[str] = set()
-        #: awaited with the order when connected, right before the guard is asked
+        #: awaited with the order once connected, immediately before the guard is called
         self.before_send: Callable[[Order], Awaitable[None]] | None = None
         self.reads = 0
         self._books: dict[str, OrderBook] = {}
         self._running: set[asyncio.Task[bool]] = set()
 
     def find(self, target_id: str) -> OrderBook:
-        """Return the orders of one engine."""
+        """Return the order log and state of one engine."""
         if target_id not in self._books:
             self._books[target_id] = OrderBook(
                 checks=self.checks, duration=self.duration
@@ -84,7 +84,7 @@
     async def read(self, target: Target) -> Result[EngineReport, str]:
         self.reads += 1
         if target.target_id in self.unreachable:
-            return Err("out of reach")
+            return Err("target unreachable")
         book = self.find(target.target_id)
         state = EngineState(
             models=book.state.models,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a target, and which of them strikes a call."""
+"""Faults that a simulated target injects into calls."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 class Fault(Enum):
-    """What goes wrong with one call."""
+    """Fault injected into one call."""
 
     NONE = "none"
-    #: answered as not run, which is true
+    #: rejected as not run, and indeed not run
     REFUSE = "refuse"
-    #: runs, then answers with an error
+    #: runs, then returns an error
     FAIL = "fail"
-    #: accepted; never runs and is never answered
+    #: accepted, but never runs and is never answered
     STALL = "stall"
-    #: runs and is never answered; a stream goes silent after ``cut_after`` tokens
+    #: runs, but is never answered; a stream stalls after ``cut_after`` tokens
     MUTE = "mute"
-    #: answered with the ids and the output of another attempt
+    #: answered with the ids and the output of a different attempt
     CROSS = "cross"
-    #: the connection closes: after ``cut_after`` tokens of a stream, or in place
-    #: of a whole answer
+    #: the connection is aborted: after ``cut_after`` tokens of a stream, or instead
+    #: of a unary response
     CUT = "cut"
 
 
 @dataclass(slots=True, kw_only=True)
 class TargetFaults:
-    """Faults as ``POST /control/faults`` names them; rates lie between 0 and 1."""
+    """Fault settings of ``POST /control/faults``; rates are between 0 and 1."""
 
     #: ``live`` or ``leaving``
     state: str = "live"
-    #: multiple of every service time
+    #: factor on every service time
     slow: float = 1.0
     refuse_rate: float = 0.0
     fail_rate: float = 0.0
@@ -43,11 +43,11 @@
     cross_rate: float = 0.0
     cut_rate: float = 0.0
     cut_after: int = 0
-    #: calls still to be struck by the rates; negative: no limit
+    #: remaining calls that the rates may hit; negative: no limit
     calls: int = -1
-    #: an engine can't begin a stream at an offset
+    #: the engine rejects streams that resume at an offset
     no_resume: bool = False
-    #: load reports are not answered
+    #: requests for load reports are never answered
     load_outage: bool = False
 
 
@@ -55,7 +55,7 @@
 
 
 def draw_fault(faults: TargetFaults, random_source: random.Random) -> Fault:
-    """Return the fault of the next call; at most one strikes it."""
+    """Draw the fault of the next call; a call has at most one."""
     draw = random_source.random()
     if faults.calls == 0:
         return Fault.NONE
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
@@ -1,4 +1,4 @@
-"""A TCP link between two processes that can be cut, silenced and slowed."""
+"""TCP proxy between processes that injects disconnects, blackholing and delay."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Direction(Flag):
-    """Which way bytes go; ``FORWARD`` is from who connected to the target."""
+    """Direction of traffic; ``FORWARD`` is from the client to the target."""
 
     FORWARD = auto()
     BACKWARD = auto()
@@ -29,18 +29,18 @@
     task: asyncio.Task[None]
     near: asyncio.StreamWriter
     far: asyncio.StreamWriter | None = None
-    #: directions in which this connection is silent for good
+    #: directions in which this connection permanently discards its data
     silent: Direction = NEITHER
 
 
 class Link:
-    """Forwards TCP connections from a port of its own to ``target``.
+    """Forwards TCP connections from a local port to ``target``.
 
-    A connection that has swallowed a byte stays silent that way for good, also
-    after :meth:`heal`: to pass later bytes on would put a hole into the stream,
-    which TCP never does.
+    A connection that has discarded a byte in one direction discards everything
+    that follows in it, also after :meth:`heal`: forwarding later bytes would leave
+    a gap in the stream, which TCP rules out.
 
-    :param listen: ``host:port`` to take connections on; port 0 lets the system pick
+    :param listen: ``host:port`` to listen on; port 0 selects a free port
     """
 
     def __init__(self, target: str, *, listen: str = f"{HOST}:0") -> None:
@@ -51,32 +51,32 @@
         self._connections: set[_Connection] = set()
         self._silent = NEITHER
         self._delays = {Direction.FORWARD: 0.0, Direction.BACKWARD: 0.0}
-        #: connections taken so far
+        #: number of connections accepted so far
         self.accepted = 0
 
     @property
     def address(self) -> str:
-        """``host:port`` to connect to; it stays the same over a cut."""
+        """``host:port`` to connect to; unchanged by :meth:`cut` and :meth:`heal`."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
-        """Begin to take connections."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, self._host, self._port)
         self._port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listening socket and all connections."""
         await self.cut()
 
     async def cut(self) -> None:
-        """Close all connections and refuse new ones."""
+        """Close all connections and refuse new ones until :meth:`heal`."""
         if self._server is not None:
             self._server.close()
             self._server = None
         await self.close_open()
 
     async def close_open(self) -> None:
-        """Close all connections; new ones work."""
+        """Close all connections; new ones are still accepted."""
         tasks = [connection.task for connection in self._connections]
         for task in tasks:
             task.cancel()
@@ -85,9 +85,9 @@
     def silence(
         self, direction: Direction = Direction.BOTH, *, only_open: bool = False
     ) -> None:
-        """Swallow bytes and ends, while connections stay open.
+        """Discard data and end-of-stream, while connections stay open.
 
-        :param only_open: silence the open connections for good; new ones work
+        :param only_open: affect the connections open now, permanently, and no others
         """
         if not only_open:
             self._silent |= direction
@@ -96,13 +96,13 @@
             connection.silent |= direction
 
     def slow(self, seconds: float, direction: Direction = Direction.BOTH) -> None:
-        """Hold back each piece of data by ``seconds``."""
+        """Delay each chunk of data by ``seconds``."""
         for way in self._delays:
             if way in direction:
                 self._delays[way] = seconds
 
     async def heal(self) -> None:
-        """End a cut, a silence and a delay."""
+        """Clear all faults; connections that have lost data keep discarding it."""
         self._silent = NEITHER
         self.slow(0.0)
         if self._server is None:
@@ -129,10 +129,10 @@
         try:
             await self._forward(connection, reader)
         except* OSError:
-            # the target is out of reach, or one side is gone: so is the other
+            # the target is unreachable or one side closed: the other side is closed too
             pass
         except* asyncio.CancelledError:
-            # closed; it would be logged as an error if it went further
+            # closed by ``close_open``; propagated, asyncio would log it as an error
             pass
         finally:
             writer.transport.abort()
@@ -180,11 +180,11 @@
     async def _read(
         self, connection: _Connection, reader: asyncio.StreamReader, way: Direction
     ) -> bytes:
-        """Return the next piece; nothing where that side ended the connection."""
+        """Read the next chunk; empty if that side closed the connection."""
         try:
             return await reader.read(CHUNK)
         except OSError:
-            # a silent link hides a reset as well
+            # a link that discards data hides a reset as well
             if way in self._silent | connection.silent:
                 return b""
             raise
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
@@ -1,4 +1,4 @@
-"""In-process forms of the platform's services, with faults to inject."""
+"""In-process key-value store and instance list with fault injection."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     "StoreFaults",
 )
 
-#: largest value in bytes
+#: maximum size of a value in bytes
 MAX_VALUE = 1024 * 1024
 
-LAPSED = StoreError(StoreErrorKind.LEASE_GONE, "lease has lapsed")
+LAPSED = StoreError(StoreErrorKind.LEASE_GONE, "lease has expired")
 
 T = TypeVar("T")
 
@@ -45,27 +45,27 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoreFaults:
-    """Faults of a store; tests change the fields while the store is in use."""
+    """Faults of a store; tests may change the fields while the store is in use."""
 
-    #: every call fails; a write that is under way then loses its answer
+    #: every call fails; a write in progress at that time loses its answer
     outage: bool = False
-    #: number of coming swaps and deletes that take effect but get no answer
+    #: number of upcoming swaps and deletes that take effect but get no answer
     lose_answers: int = 0
-    #: number of coming swaps and deletes that get no answer and have no effect
+    #: number of upcoming swaps and deletes that get no answer and have no effect
     drop_writes: int = 0
-    #: number of coming lease calls that take effect but get no answer
+    #: number of upcoming lease calls that take effect but get no answer
     lose_lease_answers: int = 0
-    #: number of coming calls that are refused before anything is done
+    #: number of upcoming calls that are rejected without any effect
     refuse_calls: int = 0
-    #: calls allowed in each second of the clock; 0: no limit
+    #: calls allowed per second of the clock; 0: no limit
     rate_limit: int = 0
-    #: awaited before a call has its effect
+    #: awaited before a call takes effect
     before_call: CallHook | None = None
-    #: awaited once a call has had its effect and before it is answered
+    #: awaited after a call has taken effect and before it is answered
     after_call: CallHook | None = None
 
     def take(self, name: str) -> bool:
-        """Use up one of the counted faults ``name``; whether one was left."""
+        """Consume one of the counted faults ``name``; return whether any was left."""
         left = getattr(self, name)
         if left <= 0:
             return False
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedWrite(WriteResult):
-    """A write that was refused before anything was done; ``kind`` says why."""
+    """A write that was rejected without any effect; ``kind`` gives the reason."""
 
     kind: StoreErrorKind = StoreErrorKind.UNREACHABLE
 
@@ -88,10 +88,10 @@
 
 
 class MemoryStore(Store):
-    """The platform's key-value service inside the process.
+    """In-process implementation of the platform's key-value service.
 
-    Leases lapse by ``clock``, whenever the store is next used. A watch waits in
-    time of the event loop, so tests with a manual clock pass it a short wait.
+    Leases expire by ``clock``, checked on each call. A watch waits in event loop
+    time, so tests with a manual clock pass a short wait.
     """
 
     def __init__(self, *, clock: Clock, faults: StoreFaults | None = None) -> None:
@@ -102,8 +102,8 @@
         self._entries: dict[str, Entry] = {}
         self._bindings: dict[str, str] = {}
         self._leases: dict[str, _HeldLease] = {}
-        #: waiting watches by key, in the order of their calls; a set would wake
-        #: them in an order that differs from run to run
+        #: pending watches by key, in call order; a set would wake them in an order
+        #: that differs between runs
         self._watchers: dict[str, dict[asyncio.Event, None]] = defaultdict(dict)
         self._revision = ABSENT
         self._lease_number = 0
@@ -190,7 +190,7 @@
         return result
 
     def interrupt_watches(self) -> None:
-        """End every waiting watch, as the begin of an outage does."""
+        """Wake every pending watch, as at the start of an outage."""
         for events in list(self._watchers.values()):
             for event in events:
                 event.set()
@@ -300,20 +300,20 @@
 
 
 class MemoryInstanceList(InstanceList):
-    """The platform's list of instances inside the process.
+    """In-process implementation of the platform's list of instances.
 
-    The listing shown is the one that was true ``lag`` seconds ago.
+    It returns the listing as it was ``lag`` seconds ago.
     """
 
     def __init__(self, *, clock: Clock, lag: float = 0.0) -> None:
-        #: seconds by which the listing lags
+        #: seconds by which the returned listing is stale
         self.lag = lag
         self.outage = False
         #: number of calls by kind
         self.calls: Counter[str] = Counter()
         self._clock = clock
         self._instances: dict[str, Instance] = {}
-        #: listings with the time at which each became true, oldest first
+        #: listings with the time from which each is valid, oldest first
         self._history = [(clock.now(), Listing(1, ()))]
 
     def put(self, instance: Instance) -> None:
@@ -322,7 +322,7 @@
         self._record()
 
     def remove(self, instance_id: str) -> None:
-        """Remove an instance, if it is there."""
+        """Remove an instance, if present."""
         self._instances.pop(instance_id, None)
         self._record()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/options.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/options.py
@@ -1,4 +1,4 @@
-"""Command-line options of the targets' stand-ins."""
+"""Command-line options of simulated targets."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetOptions:
-    """Options of every target; ``--service-ms`` sets ``service_ms``, and so on."""
+    """Options of every target, named after the fields: ``--service-ms`` and so on."""
 
     listen: str = "127.0.0.1:0"
     service: str = "service"
     target_id: str = "target"
     data_centre: str = "centre"
-    #: usual time of one call, or of a batch of one
+    #: mean service time of one call, or of a batch of one, in milliseconds
     service_ms: float = 10.0
-    #: calls run side by side, or the largest batch
+    #: maximum number of concurrent calls, or maximum batch size
     capacity: int = 8
-    #: calls that may wait; more are refused as not run
+    #: maximum queue length; calls beyond it are rejected as not run
     queue: int = 64
     seed: int = 1
-    #: age that load reports reach
+    #: maximum age of load reports in milliseconds
     load_lag_ms: float = 500.0
 
 
@@ -33,17 +33,17 @@
 class EngineOptions(TargetOptions):
     """Options of a model engine."""
 
-    #: time of one token for a batch of one
+    #: decode time per token for a batch of one, in milliseconds
     tokens_ms: float = 10.0
-    #: share by which each further call of a batch lengthens a step
+    #: fraction of the step time that each further call of a batch adds
     batch_growth: float = 0.1
-    #: time to read a prompt whose prefix is not cached
+    #: prefill time of a prompt whose prefix is not cached, in milliseconds
     prefill_ms: float = 60.0
     cache_entries: int = 8
     cache_event_lag_ms: float = 500.0
-    #: share of cache events that are never shown
+    #: fraction of cache events that are lost
     cache_gap_rate: float = 0.05
-    #: time that an order takes to be carried out
+    #: time to apply an order, in milliseconds
     order_ms: float = 50.0
     fencing: str = field(
         default="checked", metadata={"choices": ("checked", "ignored")}
@@ -56,7 +56,7 @@
 def parse_options(
     kind: type[Options], description: str, arguments: Sequence[str] | None = None
 ) -> Options:
-    """Parse ``arguments`` (by default the process's own) into a ``kind``."""
+    """Parse ``arguments`` (by default ``sys.argv[1:]``) into a ``kind``."""
     parser = argparse.ArgumentParser(description=description)
     for item in fields(kind):
         parser.add_argument(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine, and what it does about old fencing numbers."""
+"""Orders applied by a simulated engine, with or without fencing checks."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 __all__ = ("EngineState", "OrderBook", "OrderRecord")
 
-#: orders kept for checkers
+#: maximum number of orders recorded for checkers
 MAX_ORDERS = 10_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineState:
-    """What an engine has loaded, and its role."""
+    """Loaded models and adapters of an engine, and its role."""
 
     models: tuple[str, ...] = ()
     adapters: tuple[str, ...] = ()
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OrderRecord:
-    """One order that reached the engine; the time is in wall-clock milliseconds."""
+    """One order received by the engine; ``at_ms`` is the wall clock in milliseconds."""
 
     fence: int
     wanted: EngineState
@@ -35,29 +35,29 @@
 
 @dataclass(slots=True, kw_only=True)
 class OrderBook:
-    """Carries out orders.
+    """Applies orders to the state of one engine and records them.
 
-    An engine that checks refuses any number below the highest it has seen; one
-    that doesn't carries out whatever comes last.
+    An engine that checks fencing tokens rejects those below the highest it has
+    received; one that doesn't applies every order, in order of completion.
     """
 
     checks: bool
-    #: seconds that an order takes
+    #: seconds that applying an order takes
     duration: float
     state: EngineState = EngineState()
-    #: fencing number of the order that led to ``state``
+    #: fencing token of the order that led to ``state``
     fence: int = 0
     orders: list[OrderRecord] = field(default_factory=list)
     _highest: int = 0
 
     async def carry_out(self, fence: int, wanted: EngineState) -> bool:
-        """Bring about ``wanted``; whether the order was accepted."""
+        """Apply ``wanted``; return whether the order was accepted."""
         if self._is_old(fence):
             self._note(fence, wanted, False)
             return False
         self._highest = max(self._highest, fence)
         await asyncio.sleep(self.duration)
-        # a newer order may have come meanwhile
+        # a newer order may have arrived in the meantime
         accepted = not self._is_old(fence)
         self._note(fence, wanted, accepted)
         if accepted:
@@ -67,11 +67,11 @@
 
     @property
     def highest(self) -> int:
-        """Highest fencing number seen."""
+        """Highest fencing token received."""
         return self._highest
 
     def encode(self) -> dict[str, Any]:
-        """Return the present state as answers carry it."""
+        """Return the current state as sent in answers."""
         return {"state": asdict(self.state), "fence": self.fence}
 
     def _is_old(self, fence: int) -> bool:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
@@ -1,4 +1,4 @@
-"""Leases and orders of one data centre in one process, in the loop's time."""
+"""Leases and orders controllers of one data centre in one process, on loop time."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 __all__ = ("GROUP", "LoopClock", "OrdersFleet", "OrdersInstance")
 
-#: the group of the engines
+#: placement group of the engines: data centre and service
 GROUP = "north/writer"
 SETTINGS = """
 [instance]
@@ -51,7 +51,7 @@
 
 
 class LoopClock(Clock):
-    """The loop's time; ``lead`` is added to the wall clock only."""
+    """Clock on event loop time; ``lead`` seconds are added to the wall clock only."""
 
     def __init__(self) -> None:
         self.lead = 0.0
@@ -64,16 +64,16 @@
 
 
 class Directory:
-    """The targets of a test."""
+    """Target directory with the targets of a test."""
 
     def __init__(self) -> None:
         self.targets: list[Target] = []
-        #: calls at each target, by id; others have no load report
+        #: calls in flight by target id; targets not listed have no load report
         self.loads: dict[str, int] = {}
         self.leaving: set[str] = set()
 
     def list_targets(self) -> tuple[tuple[Target, bool], ...]:
-        """Return the targets that are not leaving; none is set aside."""
+        """Return the targets that are not leaving; none is quarantined."""
         return tuple(
             (target, False)
             for target in self.targets
@@ -81,11 +81,11 @@
         )
 
     def accepts(self, target_id: str) -> bool:
-        """Whether a target may be given work."""
+        """Return whether a target may receive calls."""
         return target_id not in self.leaving
 
     def candidates(self, service: str) -> tuple[Candidate, ...]:
-        """Return the targets that may be given work."""
+        """Return the targets that may receive calls."""
         found = []
         for target, _ in self.list_targets():
             load = self.loads.get(target.target_id)
@@ -97,7 +97,7 @@
 
 
 class _Peers:
-    """What one instance knows of the members."""
+    """Membership view of one instance."""
 
     def __init__(self, fleet: OrdersFleet, name: str) -> None:
         self.instance_id = name
@@ -112,7 +112,7 @@
 
 
 class _Recorder(OrderClient):
-    """Notes when orders are sent."""
+    """Order client that records when orders are sent."""
 
     def __init__(self, engines: OrderClient, sent_at: list[float]) -> None:
         self._engines = engines
@@ -134,14 +134,14 @@
 
 
 class OrdersInstance:
-    """Leases and orders of one entry instance."""
+    """Leases and orders controllers of one entry instance."""
 
     def __init__(self, fleet: OrdersFleet, name: str) -> None:
         self.clock = LoopClock()
         self.metrics = Metrics("127.0.0.1:9")
         self.events = EventBus()
         self.snapshot = fleet.snapshot
-        #: seconds since the configuration was surely the newest
+        #: seconds since the configuration was last confirmed as newest; ``None``: never
         self.store_age: float | None = 0.0
         #: loop times at which orders were sent
         self.sent_at: list[float] = []
@@ -169,7 +169,7 @@
 
     @property
     def fence(self) -> int:
-        """Fencing number of the lease; 0 without one."""
+        """Fencing token of the held lease; 0 if none is held."""
         tenure = self.leases.find(GROUP)
         return 0 if tenure is None or not tenure.held else tenure.fence
 
@@ -179,20 +179,21 @@
         await self.orders.start()
 
     async def crash(self) -> None:
-        """End without giving anything up."""
+        """Stop without releasing the leases."""
         with mock.patch.object(self.leases, "on_stop", mock.AsyncMock()):
             await self.stop()
 
     async def stop(self) -> None:
-        """Stop both controllers, as planned."""
+        """Stop both controllers, releasing the leases."""
         await self.orders.stop()
         await self.leases.stop()
 
 
 class OrdersFleet:
-    """Instances of one data centre, its engines and the store.
+    """Entry instances of one data centre, its engines and the store.
 
-    :param checks: whether the engines refuse old numbers, and are labelled so
+    :param checks: whether the engines reject stale fencing tokens, with the service
+        labelled accordingly
     :param engines: number of engines in the data centre
     :param placement: parameters of the placement policy
     """
@@ -203,7 +204,7 @@
         self.store = MemoryStore(clock=LoopClock())
         self.engines = MemoryEngines(checks=checks)
         self.directory = Directory()
-        #: what each instance believes of each member
+        #: state of each member, as seen by every instance
         self.states: dict[str, MemberState] = {}
         self.instances: list[OrdersInstance] = []
         fencing = {"fencing": "checked"} if checks else {}
@@ -213,7 +214,7 @@
             self.add_target(f"engine-{number}", "north")
 
     def place(self, **values: str) -> Snapshot:
-        """Return a configuration with that placement; without values with none."""
+        """Create a configuration with that placement policy, or none if no values."""
         policy = Policy(name="place", effect=PolicyEffect.PLACEMENT, values=values)
         policies = {"place": policy} if values else {}
         return Snapshot(
@@ -234,13 +235,13 @@
         return instance
 
     def find_models(self, target_id: str = "engine-0") -> tuple[str, ...]:
-        """Return the models that an engine holds."""
+        """Return the models that an engine has loaded."""
         return self.engines.find(target_id).state.models
 
     def list_orders(
         self, target_id: str = "engine-0"
     ) -> list[tuple[int, tuple[str, ...]]]:
-        """Return number and models of the orders that an engine has ended."""
+        """Return fencing token and models of the orders that an engine has finished."""
         return [
             (order.fence, order.wanted.models)
             for order in self.engines.find(target_id).orders
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -1,4 +1,4 @@
-"""In-process network of entry instances, with faults to inject."""
+"""In-process network of entry instances with fault injection."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class Switchboard:
-    """Connects in-process instances; tests change its fields while it is in use."""
+    """Connects in-process instances; tests may change its fields while it is in use."""
 
     def __init__(self) -> None:
-        #: pairs of sender and receiver between which nothing is handed over
+        #: pairs of sender and receiver between which no message is delivered
         self.cut: set[tuple[str, str]] = set()
-        #: pairs of asker and asked between which only the answers are lost
+        #: pairs of caller and callee between which only the answers are lost
         self.mute: set[tuple[str, str]] = set()
-        #: what every instance believes of each other one
+        #: state of each member, as seen by every instance
         self.states: dict[str, MemberState] = {}
-        #: data centres by instance
+        #: data centres by instance id
         self.data_centres: dict[str, str] = {}
-        #: views that differ, by the instance that has them
+        #: member states that override ``states``, by the instance that sees them
         self.views: dict[str, dict[str, MemberState]] = {}
-        #: number of questions by wire name
+        #: number of calls by the message's wire name
         self.asked: Counter[str] = Counter()
         self._peers: dict[str, MemoryPeers] = {}
 
     def join(self, instance_id: str, data_centre: str = "") -> MemoryPeers:
-        """Add an instance that is alive."""
+        """Add an instance in state ``ALIVE``."""
         peers = MemoryPeers(self, instance_id)
         self.data_centres[instance_id] = data_centre
         self._peers[instance_id] = peers
@@ -51,21 +51,21 @@
         return peers
 
     def leave(self, instance_id: str) -> None:
-        """Remove an instance at once; the others learn that it is dead."""
+        """Remove an instance and mark it as dead."""
         self._peers.pop(instance_id, None)
         self.states[instance_id] = MemberState.DEAD
 
     def find(self, sender: str, receiver: str) -> MemoryPeers | None:
-        """Return the receiver if a message from the sender would reach it."""
+        """Return the receiver if it is reachable from the sender."""
         if (sender, receiver) in self.cut:
             return None
         return self._peers.get(receiver)
 
 
 class MemoryPeers(PeerNetwork):
-    """One instance's end of a :class:`Switchboard`.
+    """One instance's connection to a :class:`Switchboard`.
 
-    Messages pass through the codec, as they do between processes.
+    Messages pass through the codec, as between processes.
     """
 
     def __init__(self, switchboard: Switchboard, instance_id: str) -> None:
@@ -123,7 +123,7 @@
         self._handlers[message_type] = handler
 
     async def receive(self, sender: str, message: Message) -> Message | None:
-        """Have a message handled, in a task of its own as between processes."""
+        """Handle a message; a caller's cancellation does not cancel its handler."""
         copy = decode(encode(Envelope(message))).unwrap().message
         handler = self._handlers[type(copy)]
         answer = handler(sender, copy)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/plain.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/plain.py
@@ -1,8 +1,8 @@
-"""A plain service: each call has a side effect, which is counted.
+"""Simulated plain service whose calls have a counted side effect.
 
-Beside what all targets serve: ``GET /effects`` answers
+In addition to the endpoints of every target, ``GET /effects`` returns
 ``{"requests": {"REQUEST/STAGE": n}, "effects": {"NAME/STAGE": n}}``, where a name is
-the input's ``effect``. Totals over all replicas of a service show a double.
+the input's ``effect``. Totals over all replicas of a service reveal duplicates.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class PlainService(Target):
-    """Runs up to its capacity of calls side by side, in order of arrival."""
+    """Runs calls concurrently up to its capacity, in order of arrival."""
 
     def __init__(self, options: TargetOptions) -> None:
         super().__init__(options)
@@ -55,7 +55,7 @@
 
 
 def main() -> None:
-    """Run the stand-in of a plain service."""
+    """Run a simulated plain service."""
     options = parse_options(TargetOptions, main.__doc__)
     run(PlainService(options).build_app(), options.listen)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/platform.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/platform.py
@@ -1,8 +1,8 @@
-"""The platform's key-value service and list of instances, as a process.
+"""Simulated key-value service and instance list of the platform, as a process.
 
-Beside the calls of ``docs/protocols.md`` it serves, for tests and experiments::
+In addition to the calls of ``docs/protocols.md`` it serves, for tests and experiments::
 
-    POST /control/faults     any fields of PlatformFaults, and of StoreFaults but hooks
+    POST /control/faults     fields of PlatformFaults, and of StoreFaults except hooks
     POST /control/instances  {"put": [instance], "remove": [id]}
     GET  /control/calls      {"calls": {kind: number}}
 """
@@ -35,21 +35,21 @@
 
 __all__ = ("Platform", "PlatformFaults", "main")
 
-#: seconds that a caller is asked to wait after ``429`` and ``503``
+#: ``Retry-After`` header of ``429`` and ``503`` responses, in seconds
 RETRY_AFTER = "1"
-#: bounds how long one watch may wait, in seconds
+#: maximum wait of one watch, in seconds
 MAX_WAIT = 120.0
 
 
 @dataclass(slots=True, kw_only=True)
 class PlatformFaults:
-    """Faults of the process beside those of its store."""
+    """Faults of the process, in addition to those of its store."""
 
-    #: delay of each call before it has its effect, in milliseconds
+    #: delay of each call before it takes effect, in milliseconds
     slow_ms: float = 0.0
-    #: seconds by which the list of instances lags
+    #: seconds by which the list of instances is stale
     list_lag_s: float = 0.0
-    #: only the list of instances fails
+    #: the list of instances is unavailable, the store is not
     list_outage: bool = False
 
 
@@ -67,7 +67,7 @@
 
 
 class Platform:
-    """HTTP form of the in-process store and list of instances."""
+    """HTTP front end of the in-process store and list of instances."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.store = MemoryStore(clock=clock)
@@ -76,7 +76,7 @@
         self.store.faults.before_call = self._delay
 
     def build_app(self) -> web.Application:
-        """Return the application that serves this platform."""
+        """Create the application that serves this platform."""
         app = web.Application(client_max_size=MAX_BODY)
         app.add_routes(
             [
@@ -234,7 +234,7 @@
 
 
 def _drop(request: web.Request) -> web.Response:
-    """Close the connection without an answer."""
+    """Abort the connection without an answer."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
@@ -272,7 +272,7 @@
 
 
 def main() -> None:
-    """Run the platform's stand-in."""
+    """Run the simulated platform services."""
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--listen", default="127.0.0.1:0")
     options = parser.parse_args()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
@@ -1,4 +1,4 @@
-"""A pool of encoders, retrievers or rerankers, which runs calls in batches."""
+"""Simulated pool of encoders, retrievers or rerankers that batches its calls."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 __all__ = ("Pool", "main")
 
-#: share by which each further call lengthens a batch
+#: fraction of the batch time that each further call adds
 BATCH_GROWTH = 0.1
 
 
 class Pool(Target):
-    """Runs one batch at a time; what arrives meanwhile makes up the next one."""
+    """Runs one batch at a time; calls that arrive meanwhile wait for the next one."""
 
     def __init__(self, options: TargetOptions) -> None:
         super().__init__(options)
@@ -63,7 +63,7 @@
         batch = []
         while self._queue and len(batch) < self.options.capacity:
             attempt, done = self._queue.popleft()
-            # a call cancelled while it waited must not run
+            # a call cancelled while queued must not run
             if done.cancelled():
                 continue
             batch.append((attempt, done))
@@ -71,7 +71,7 @@
 
 
 def main() -> None:
-    """Run the stand-in of a pool of encoders, retrievers or rerankers."""
+    """Run a simulated pool of encoders, retrievers or rerankers."""
     options = parse_options(TargetOptions, main.__doc__)
     run(Pool(options).build_app(), options.listen)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/prefixes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/prefixes.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine, and the events that tell of it."""
+"""Prefix cache of a simulated engine, and its insertion and eviction events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ("PrefixCache",)
 
-#: events kept for those who ask
+#: maximum number of retained events
 MAX_EVENTS = 2000
 
 
@@ -21,15 +21,15 @@
     sequence: int
     prefix: str
     cached: bool
-    #: milliseconds at which the event is shown
+    #: wall-clock milliseconds from which the event is visible
     shown_ms: float
 
 
 class PrefixCache:
-    """A few prefixes, of which the least recently used one gives way.
+    """LRU cache of prompt prefixes with an event log.
 
-    Events come ``lag_ms`` late, and a share ``gap_rate`` of them never: their
-    sequence numbers are missing.
+    Events become visible after ``lag_ms``; a fraction ``gap_rate`` of them is lost,
+    which leaves gaps in the sequence numbers.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._sequence = 0
 
     def use(self, prefix: str, now_ms: float) -> bool:
-        """Use ``prefix``, which is cached from then on; whether it was before."""
+        """Look up ``prefix`` and cache it; return whether it was a hit."""
         if not prefix:
             return False
         hit = prefix in self._prefixes
@@ -57,7 +57,7 @@
         return hit
 
     def insert(self, prefix: str, now_ms: float) -> None:
-        """Cache ``prefix`` as the most recently used one."""
+        """Insert ``prefix`` as the most recently used entry."""
         if prefix not in self._prefixes:
             self._announce(prefix, True, now_ms)
         self._prefixes[prefix] = None
@@ -67,24 +67,24 @@
             self._announce(oldest, False, now_ms)
 
     def list_prefixes(self) -> list[str]:
-        """Return the cached prefixes, the least recently used one first."""
+        """Return the cached prefixes, least recently used first."""
         return list(self._prefixes)
 
     def export(self, prefix: str) -> str | None:
-        """Return the cache of ``prefix`` as text; ``None`` if it is not there."""
+        """Return the cache entry of ``prefix`` as base64; ``None`` if not cached."""
         if prefix not in self._prefixes:
             return None
         return _encode(prefix)
 
     def accept(self, prefix: str, data: str, now_ms: float) -> bool:
-        """Take over an exported cache; whether ``data`` belongs to ``prefix``."""
+        """Insert an exported entry; return whether ``data`` belongs to ``prefix``."""
         if data != _encode(prefix):
             return False
         self.insert(prefix, now_ms)
         return True
 
     def read_events(self, after: int, now_ms: float) -> dict[str, Any]:
-        """Return the events above ``after`` that are shown by now."""
+        """Return the visible events with sequence numbers above ``after``."""
         shown = [
             event
             for event in self._events
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/raw.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/raw.py
@@ -1,4 +1,4 @@
-"""A TCP server that does to each connection what a test scripts."""
+"""TCP server that runs a test's script on each connection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 HOST = "127.0.0.1"
-#: head of a streamed answer, whose body ends with the connection
+#: head of a streamed response whose body ends when the connection closes
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
 
@@ -29,7 +29,7 @@
     def __init__(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        #: position among the accepted connections, from zero
+        #: index among the accepted connections, from zero
         self.number = number
         self.reader = reader
         self.writer = writer
@@ -37,7 +37,7 @@
     async def read_request(self) -> dict[str, Any]:
         """Read one HTTP request and return its JSON body.
 
-        :raises asyncio.IncompleteReadError: if the connection ends before
+        :raises asyncio.IncompleteReadError: if the connection closes too early
         """
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = 0
@@ -49,17 +49,17 @@
         return json.loads(body) if body else {}
 
     async def send(self, data: bytes) -> None:
-        """Send ``data`` as it is."""
+        """Send ``data`` unmodified."""
         self.writer.write(data)
         await self.writer.drain()
 
     async def hold(self) -> None:
-        """Stay silent until the other side closes."""
+        """Discard received data until the client closes the connection."""
         while await self.reader.read(65_536):
             pass
 
     def reset(self) -> None:
-        """Drop the connection at once."""
+        """Abort the connection."""
         self.writer.transport.abort()
 
 
@@ -67,14 +67,14 @@
 
 
 class RawServer:
-    """Runs ``script`` for each connection and closes it afterwards."""
+    """Runs ``script`` on each connection and closes the connection afterwards."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._errors: list[Exception] = []
-        #: connections accepted so far
+        #: number of connections accepted so far
         self.accepted = 0
         self.port = 0
 
@@ -95,7 +95,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._errors:
-            # a broken script would let a test pass for the wrong reason
+            # a failing script would let a test pass for the wrong reason
             raise self._errors[0]
 
     async def _accept(
@@ -109,7 +109,7 @@
         try:
             await self._script(connection)
         except (asyncio.IncompleteReadError, ConnectionError):
-            # the other side left, which scripts need not foresee
+            # the client disconnected, which scripts need not handle
             pass
         except Exception as error:
             self._errors.append(error)
@@ -121,7 +121,7 @@
 def encode_answer(
     fields: dict[str, Any], *, status: str = "200 OK", headers: str = ""
 ) -> bytes:
-    """Return an HTTP answer with a JSON body, after which the connection stays."""
+    """Encode an HTTP response with a JSON body that keeps the connection open."""
     body = json.dumps(fields).encode()
     head = (
         f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n"
@@ -131,13 +131,13 @@
 
 
 def encode_token(call: dict[str, Any], offset: int, text: str) -> bytes:
-    """Return the event of one token of ``call``."""
+    """Encode the event of one token of ``call``."""
     fields = {"attempt": call["attempt"], "offset": offset, "text": text}
     return f"event: token\ndata: {json.dumps(fields)}\n\n".encode()
 
 
 def encode_end(call: dict[str, Any], tokens: tuple[str, ...]) -> bytes:
-    """Return the event that ends a stream of ``tokens``."""
+    """Encode the final event of a stream of ``tokens``."""
     fields = {
         "attempt": call["attempt"],
         "request": call["request"],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/record.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/record.py
@@ -1,4 +1,4 @@
-"""What a target ran, kept so that a checker can compare it with what callers saw."""
+"""Log of the runs of a target, for checkers to compare with callers' results."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 __all__ = ("Call", "Record", "RunOutcome", "RunRecord", "decode_call", "read_ms")
 
-#: ended runs kept; older ones are dropped, which the summary says
+#: maximum number of retained finished runs; the summary counts those dropped
 MAX_RUNS = 200_000
 
 
 class RunOutcome(Enum):
-    """How a run ended, whether or not its answer reached the caller."""
+    """Outcome of a run, whether or not its answer reached the caller."""
 
     RUNNING = "running"
     DONE = "done"
@@ -56,19 +56,19 @@
     started_ms: float
     ended_ms: float | None = None
     outcome: RunOutcome = RunOutcome.RUNNING
-    #: time of the target that the run used up
+    #: target time consumed by the run, in milliseconds
     cost_ms: float = 0.0
 
 
 class Record:
-    """The runs of one target.
+    """Log of the runs of one target.
 
-    Only what began to run is here: calls that were refused, or cancelled while
-    they waited, are counted as ``not_run``.
+    It contains only calls that started to run: calls that were rejected, or
+    cancelled while queued, are counted in ``not_run``.
     """
 
     def __init__(self) -> None:
-        #: wall-clock milliseconds since which the target leaves
+        #: wall-clock milliseconds at which the target started to leave
         self.leaving_since_ms: float | None = None
         self.not_run = 0
         self._dropped = 0
@@ -79,12 +79,12 @@
         self._costs: dict[str, Counter[str]] = defaultdict(Counter)
 
     def note_arrival(self) -> None:
-        """Count a call that arrives although the target leaves."""
+        """Count a call that arrives while the target is leaving."""
         if self.leaving_since_ms is not None:
             self._arrived_leaving += 1
 
     def begin(self, call: Call) -> RunRecord:
-        """Enter a run that begins now."""
+        """Record the start of a run."""
         run = RunRecord(
             attempt=call.attempt,
             request=call.request,
@@ -96,7 +96,7 @@
         return run
 
     def end(self, run: RunRecord, outcome: RunOutcome) -> None:
-        """Enter the end of a run; a second time changes nothing."""
+        """Record the end of a run; further calls have no effect."""
         if self._running.pop(id(run), None) is None:
             return
         run.ended_ms = read_ms()
@@ -107,7 +107,7 @@
         self._costs[run.stage][outcome.value] += run.cost_ms
 
     def encode(self) -> list[dict[str, Any]]:
-        """Return all runs, those still running last."""
+        """Return all runs, unfinished ones last."""
         runs = [*self._ended, *self._running.values()]
         return [asdict(run) | {"outcome": run.outcome.value} for run in runs]
 
@@ -125,10 +125,10 @@
 
 
 def decode_call(body: Mapping[str, Any]) -> Call:
-    """Return the call in ``body``; unknown fields are those of a later release."""
+    """Decode the call in ``body``, ignoring fields that a later release may add."""
     return Call(**{name: body[name] for name in CALL_FIELDS & body.keys()})
 
 
 def read_ms() -> float:
-    """Return wall-clock milliseconds, comparable between processes."""
+    """Return the wall clock in milliseconds, comparable between processes."""
     return time.time() * 1000
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving an application from a process until it is told to stop."""
+"""HTTP server process of the simulators, and helpers for their handlers."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 __all__ = ("ControlError", "read_json", "run", "update_fields")
 
-#: seconds that open calls are given at a planned stop
+#: seconds that open calls get to finish at shutdown
 SHUTDOWN_TIMEOUT = 1.0
-#: larger than any value of the store in base64
+#: maximum request body in bytes; larger than any base64-encoded store value
 MAX_BODY = 4 * 1024 * 1024
 
 
 class ControlError(ValueError):
-    """A control call that makes no sense; a test would otherwise prove nothing."""
+    """Invalid control call: an unknown field or a value of the wrong type."""
 
 
 def run(app: web.Application, listen: str) -> None:
     """Serve ``app`` on ``listen`` (``host:port``) until SIGTERM or SIGINT.
 
-    One line ``ready host:port`` is printed once connections are taken.
+    Prints the line ``ready host:port`` once the server accepts connections.
     """
     asyncio.run(_serve(app, listen))
 
 
 async def read_json(request: web.Request) -> dict[str, Any]:
-    """Return the request's JSON object; answer ``400`` if it is none."""
+    """Parse the request's JSON object; respond ``400`` if it is not one."""
     try:
         body = json.loads(await request.read())
     except ValueError as error:
@@ -41,10 +41,10 @@
 
 
 def update_fields(record: Any, names: frozenset[str], values: dict[str, Any]) -> None:
-    """Set the fields ``names`` of ``record`` that ``values`` holds.
+    """Set fields of ``record`` from ``values``; only ``names`` are allowed.
 
     A misspelt fault would let a test pass without its fault, so unknown names and
-    values of another type are errors.
+    values of a different type raise :class:`ControlError`.
     """
     for name, value in values.items():
         if name not in names:
@@ -53,7 +53,9 @@
         if type(known) is float and type(value) is int:
             value = float(value)
         if type(known) is not type(value):
-            raise ControlError(f"{name} must be a {type(known).__name__}")
+            raise ControlError(
+                f"{name} must be a {type(known).__name__}, got {value!r}"
+            )
         setattr(record, name, value)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
@@ -1,4 +1,4 @@
-"""One instance's way to a store that others use as well, with faults of its own."""
+"""Per-instance client of a shared store, with its own fault injection."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 __all__ = ("StoreView",)
 
-OUTAGE = StoreError(StoreErrorKind.UNREACHABLE, "cut off")
+OUTAGE = StoreError(StoreErrorKind.UNREACHABLE, "store unreachable")
 LOST = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
 REFUSED = WriteResult(WriteOutcome.NOT_APPLIED, message="refused")
 
 
 class StoreView(Store):
-    """Passes calls on to ``store``, unless a fault of this view stops them."""
+    """Forwards calls to ``store`` unless a fault of this view prevents it."""
 
     def __init__(self, store: Store) -> None:
         self.faults = StoreFaults()
@@ -82,7 +82,7 @@
         )
 
     async def _enter(self, kind: str, key: str) -> bool:
-        """Count a call; whether it gets through."""
+        """Count a call; return whether it reaches the store."""
         self.calls[kind] += 1
         if self.faults.before_call:
             await self.faults.before_call(kind, key)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
@@ -1,8 +1,9 @@
-"""What all targets' stand-ins share: calls, cancels, load reports, faults, records.
+"""Base of simulated targets: calls, cancellation, load reports, faults, run log.
 
-Beside the calls of ``docs/protocols.md`` each serves, for tests and experiments::
+In addition to the calls of ``docs/protocols.md``, each target serves, for tests and
+experiments::
 
-    POST /control/faults   any fields of TargetFaults
+    POST /control/faults   fields of TargetFaults
     GET  /record           {"runs": [RunRecord]}
     GET  /record/summary   counts, and costs by stage and outcome
 """
@@ -27,39 +28,39 @@
 __all__ = ("Attempt", "Target", "refuse")
 
 STATES = ("live", "leaving")
-#: what a refused caller is told
+#: retry delay in milliseconds that a rejected caller is given
 RETRY_AFTER_MS = 50
-#: seconds between two looks at whether a caller that gets no answer has gone
+#: seconds between checks whether a caller that gets no answer has disconnected
 HOLD_INTERVAL = 0.25
-#: service times spread by this share to either side
+#: relative spread of service times around the mean, to either side
 SPREAD = 0.2
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A call while it is at the target."""
+    """A call that is queued or running at the target."""
 
     call: Call
     record: Record
     run: RunRecord | None = None
     task: asyncio.Task[None] | None = None
-    #: texts given so far, from ``call.resume_at`` on
+    #: texts of the tokens generated so far, from offset ``call.resume_at`` on
     tokens: list[str] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     ended: bool = False
 
     def start(self) -> RunRecord:
-        """Mark the beginning of the run."""
+        """Record the start of the run."""
         self.run = self.record.begin(self.call)
         return self.run
 
     def emit(self, text: str) -> None:
-        """Give one more token."""
+        """Append a generated token and wake its stream."""
         self.tokens.append(text)
         self.changed.set()
 
     def end(self, outcome: RunOutcome) -> None:
-        """Record how the run ended; a second time changes nothing."""
+        """Record the outcome of the run; further calls have no effect."""
         if self.ended:
             return
         self.ended = True
@@ -70,7 +71,7 @@
 
 
 class Target(ABC):
-    """A target; subclasses say how calls are run."""
+    """A simulated target; subclasses define how calls are run."""
 
     def __init__(self, options: TargetOptions) -> None:
         self.options = options
@@ -83,13 +84,13 @@
 
     @abstractmethod
     async def run(self, attempt: Attempt) -> None:
-        """Run ``attempt``, which waits for its turn and is then started.
+        """Queue ``attempt``, then start and run it.
 
-        It is cancelled when the call is.
+        The task that runs this is cancelled together with the call.
         """
 
     def build_app(self) -> web.Application:
-        """Return the application that serves this target."""
+        """Create the application that serves this target."""
         app = web.Application(client_max_size=MAX_BODY)
         app.add_routes(
             [
@@ -106,14 +107,14 @@
         return app
 
     def draw_service_ms(self, call: Call) -> float:
-        """Return the service time of ``call`` in milliseconds."""
+        """Draw the service time of ``call`` in milliseconds."""
         size = find_hint(call.input, "size")
         factor = size if isinstance(size, int | float) else 1.0
         spread = self.random.uniform(1 - SPREAD, 1 + SPREAD)
         return self.options.service_ms * factor * spread * self.faults.slow
 
     def report_load(self) -> dict[str, Any]:
-        """Return the load at this moment."""
+        """Return the current load."""
         running = sum(attempt.run is not None for attempt in self._attempts.values())
         return {
             "in_flight": running,
@@ -128,11 +129,11 @@
     async def stream(
         self, request: web.Request, attempt: Attempt, fault: Fault
     ) -> web.StreamResponse:
-        """Answer ``attempt`` as a stream; targets other than engines can't."""
+        """Answer ``attempt`` as a stream; only engines support it."""
         raise web.HTTPBadRequest(text="this target does not stream")
 
     def choose_ids(self, call: Call, fault: Fault) -> Call:
-        """Return the call whose ids and output the answer to ``call`` carries."""
+        """Return the call whose ids and output are sent in the answer to ``call``."""
         if fault is not Fault.CROSS:
             return call
         if self._last is not None and self._last.attempt != call.attempt:
@@ -148,7 +149,7 @@
         )
 
     async def hold(self, request: web.Request) -> web.Response:
-        """Answer nothing until the caller has closed the connection."""
+        """Send no answer and wait until the caller closes the connection."""
         while True:
             if request.transport is None or request.transport.is_closing():
                 return web.Response()
@@ -177,7 +178,7 @@
             return await self._answer(request, attempt, fault)
         finally:
             attempt.task.cancel()
-            # an end that was recorded above stays as it is
+            # no effect if an outcome has been recorded above
             attempt.end(RunOutcome.CANCELLED)
             self._last = call
             if self._attempts.get(call.attempt) is attempt:
@@ -225,7 +226,7 @@
         if self.faults.load_outage:
             return await self.hold(request)
         taken, report = self._reports[0]
-        # the state alone is never late: a target knows its own
+        # the state is never stale: a target knows its own
         fresh = {"state": self.faults.state, "age_ms": read_ms() - taken}
         return web.json_response(report | fresh)
 
@@ -255,7 +256,7 @@
         response.headers["X-Target-State"] = self.faults.state
 
     async def _keep_reports(self, app: web.Application) -> AsyncIterator[None]:
-        """Take two reports in each lag; the older one is shown."""
+        """Sample the load twice per ``load_lag_ms``; the older sample is reported."""
         task = asyncio.create_task(self._take_reports())
         yield
         task.cancel()
@@ -268,7 +269,7 @@
 
 
 def refuse(call: Call) -> web.Response:
-    """Return the answer which says that nothing of ``call`` ran."""
+    """Create the response stating that ``call`` has not run."""
     body = {
         "attempt": call.attempt,
         "not_run": True,
