--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
@@ -15,7 +15,7 @@
 
 from .deployment import create_configuration
 from .store import StoreStandIn
-from .targets import TargetStandIn
+from .targets import SimulatedTarget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -70,7 +70,7 @@
     directory: Path
     count: int = 2
     store: StoreStandIn = field(default_factory=StoreStandIn)
-    targets: list[TargetStandIn] = field(default_factory=list)
+    targets: list[SimulatedTarget] = field(default_factory=list)
     instances: list[Instance] = field(default_factory=list)
     #: returns the given number of free ports
     find_ports: Callable[[int], list[int]] = field(default=lambda n: find_free_ports(n))
@@ -116,15 +116,15 @@
 
     async def add_target(
         self, target_id: str, service: str, **fields: Any
-    ) -> TargetStandIn:
+    ) -> SimulatedTarget:
         """Start a target and register it in the store."""
-        target = TargetStandIn(target_id, service, **fields)
+        target = SimulatedTarget(target_id, service, **fields)
         await target.start()
         target.register(self.store)
         self.targets.append(target)
         return target
 
-    def find_targets(self, service: str) -> list[TargetStandIn]:
+    def find_targets(self, service: str) -> list[SimulatedTarget]:
         """Return the targets of a service."""
         return [target for target in self.targets if target.service == service]
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from .store import StoreStandIn
 
-__all__ = ("TargetFault", "TargetStandIn")
+__all__ = ("TargetFault", "SimulatedTarget")
 
 SIGNATURE = "signed-by-"
 #: number of events in a stream
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class TargetStandIn:
+class SimulatedTarget:
     """One target; it uses raw streams, so that it can violate HTTP."""
 
     target_id: str
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -19,7 +19,7 @@
     create_configuration,
 )
 from greengagelatch_lab.platform_standins.store import StoreStandIn
-from greengagelatch_lab.platform_standins.targets import TargetStandIn
+from greengagelatch_lab.platform_standins.targets import SimulatedTarget
 from greengagelatch_platform.callers import PlatformCallerCodec
 from greengagelatch_platform.configuration import PlatformDeploymentCodec
 from greengagelatch_platform.listing import PlatformListingCodec
@@ -45,7 +45,7 @@
 
     def __init__(self) -> None:
         self.store = StoreStandIn()
-        self.targets: dict[str, TargetStandIn] = {}
+        self.targets: dict[str, SimulatedTarget] = {}
         self.parts: RelayParts | None = None
         self.session: aiohttp.ClientSession | None = None
         self._numbers = iter(range(1, 1_000_000))
@@ -68,8 +68,8 @@
             await target.stop()
         await self.store.stop()
 
-    async def add(self, target_id: str, service: str, **fields) -> TargetStandIn:
-        target = TargetStandIn(target_id, service, **fields)
+    async def add(self, target_id: str, service: str, **fields) -> SimulatedTarget:
+        target = SimulatedTarget(target_id, service, **fields)
         await target.start()
         target.register(self.store)
         self.targets[target_id] = target
