--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
@@ -14,7 +14,7 @@
 import aiohttp
 
 from .deployment import create_configuration
-from .store import StoreStandIn
+from .store import SimulatedStore
 from .targets import SimulatedTarget
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
 
     directory: Path
     count: int = 2
-    store: StoreStandIn = field(default_factory=StoreStandIn)
+    store: SimulatedStore = field(default_factory=SimulatedStore)
     targets: list[SimulatedTarget] = field(default_factory=list)
     instances: list[Instance] = field(default_factory=list)
     #: returns the given number of free ports
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("StoreFault", "StoreStandIn")
+__all__ = ("StoreFault", "SimulatedStore")
 
 #: items per page; the platform's own limit is about ten times as high
 PAGE = 50
@@ -42,7 +42,7 @@
     lease: int
 
 
-class StoreStandIn:
+class SimulatedStore:
     """Serves items, change history and leases from memory over HTTP."""
 
     def __init__(self) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from .store import StoreStandIn
+    from .store import SimulatedStore
 
 __all__ = ("TargetFault", "SimulatedTarget")
 
@@ -117,7 +117,7 @@
         for writer in tuple(self._writers):
             writer.transport.abort()
 
-    async def restart(self, store: StoreStandIn, *, cut: bool = True) -> None:
+    async def restart(self, store: SimulatedStore, *, cut: bool = True) -> None:
         """Restart under the same id and address, without the results held before.
 
         :param cut: whether open connections are aborted; otherwise requests in flight
@@ -133,7 +133,7 @@
         self.made.clear()
         self.register(store)
 
-    def register(self, store: StoreStandIn, state: str = "ready") -> None:
+    def register(self, store: SimulatedStore, state: str = "ready") -> None:
         """Write this target's entry to the store."""
         store.put(f"servers/{self.target_id}", self.describe(state))
 
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -18,7 +18,7 @@
     KEY,
     create_configuration,
 )
-from greengagelatch_lab.platform_standins.store import StoreStandIn
+from greengagelatch_lab.platform_standins.store import SimulatedStore
 from greengagelatch_lab.platform_standins.targets import SimulatedTarget
 from greengagelatch_platform.callers import PlatformCallerCodec
 from greengagelatch_platform.configuration import PlatformDeploymentCodec
@@ -44,7 +44,7 @@
     """Store, targets and one instance on the loopback interface."""
 
     def __init__(self) -> None:
-        self.store = StoreStandIn()
+        self.store = SimulatedStore()
         self.targets: dict[str, SimulatedTarget] = {}
         self.parts: RelayParts | None = None
         self.session: aiohttp.ClientSession | None = None
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -6,14 +6,14 @@
 
 from greengagelatch.store import ABSENT, StoreErrorKind, WriteOutcome
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_lab.platform_standins.store import StoreFault, StoreStandIn
+from greengagelatch_lab.platform_standins.store import SimulatedStore, StoreFault
 from greengagelatch_platform import store as store_module
 from greengagelatch_platform.store import PlatformStore
 
 
 @pytest.fixture
 async def standin():
-    created = StoreStandIn()
+    created = SimulatedStore()
     await created.start()
     yield created
     await created.stop()
@@ -52,13 +52,13 @@
     Sequence: the text that stands for an item's bytes is not what it should be.
     Cause: the whole answer was refused.
     """
-    describe = StoreStandIn._describe
+    describe = SimulatedStore._describe
 
     def describe_badly(self, key):
         item = describe(self, key)
         return {**item, "value": "!"} if key == "servers/bad" else item
 
-    monkeypatch.setattr(StoreStandIn, "_describe", describe_badly)
+    monkeypatch.setattr(SimulatedStore, "_describe", describe_badly)
     revision = standin.put("servers/a", {"n": 1})
     standin.put("servers/bad", {"n": 1})
     entries = (await store.scan("servers/")).unwrap().entries
