--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.metrics import Metrics
 
 from ..standins.memory import MemoryStore
-from ..standins.peers import MemoryPeers, Switchboard
+from ..standins.peers import MemoryNetwork, MemoryPeers
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
 
@@ -77,7 +77,7 @@
 
     def __init__(self, workspaces: int) -> None:
         self.store = MemoryStore(clock=SystemClock())
-        self.switchboard = Switchboard()
+        self.switchboard = MemoryNetwork()
         self.maker = self._join("maker")
         self.watcher = self._join("watcher")
         self.listener = self._join("listener")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/leases.py
@@ -14,7 +14,7 @@
 from greengagelatch_entry.metrics import Metrics
 
 from ..standins.memory import MemoryStore
-from ..standins.peers import MemoryPeers, Switchboard
+from ..standins.peers import MemoryNetwork, MemoryPeers
 from .fits import Point, Series
 from .meters import measure_cpu
 
@@ -90,7 +90,7 @@
 
 async def _measure_point(instances: int, groups: int, seconds: float) -> Point:
     store = MemoryStore(clock=SystemClock())
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     settings = parse(SETTINGS).unwrap()
     names = {f"group-{number}" for number in range(groups)}
     controllers = []
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/claims_cost.py
@@ -24,7 +24,7 @@
 from greengagelatch_entry.metrics import Metrics
 
 from .standins.memory import MemoryStore
-from .standins.peers import Switchboard
+from .standins.peers import MemoryNetwork
 
 __all__ = ("Cost", "measure")
 
@@ -76,7 +76,7 @@
         await asyncio.sleep(STORE_TIME)
 
     store.faults.before_call = delay
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     settings = _create_settings(shards)
     chooser = random.Random(seed)
     controllers = []
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -19,12 +19,12 @@
 )
 from greengagelatch.peers.codec import Envelope, Message, decode, encode
 
-__all__ = ("MemoryPeers", "Switchboard")
+__all__ = ("MemoryPeers", "MemoryNetwork")
 
 M = TypeVar("M", bound=Message)
 
 
-class Switchboard:
+class MemoryNetwork:
     """Connects in-process instances; tests may change its fields while it is in use."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
     Messages pass through the codec, as between processes.
     """
 
-    def __init__(self, switchboard: Switchboard, instance_id: str) -> None:
+    def __init__(self, switchboard: MemoryNetwork, instance_id: str) -> None:
         self._switchboard = switchboard
         self._instance_id = instance_id
         self._handlers: dict[type[Message], MessageHandler] = {}
--- a/tests/test_cli/test_end_to_end.py
+++ b/tests/test_cli/test_end_to_end.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.controllers.configuration import ConfigurationController
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore, StoreFaults
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 
 SETTINGS = """
 [instance]
@@ -45,7 +45,7 @@
         self.faults = StoreFaults()
         self.parts = []
         store = MemoryStore(clock=SystemClock(), faults=self.faults)
-        switchboard = Switchboard()
+        switchboard = MemoryNetwork()
         self.servers = [
             self._build(name, store, switchboard) for name in ("entry-1", "entry-2")
         ]
--- a/tests/test_entry/test_adapters/test_operators_configuration.py
+++ b/tests/test_entry/test_adapters/test_operators_configuration.py
@@ -18,7 +18,7 @@
 from greengagelatch_entry.controllers.configuration import ConfigurationController
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 from greengagelatch_lab.standins.store_view import StoreView
 
 SETTINGS = """
@@ -45,7 +45,7 @@
         self.view = StoreView(self.store)
         self.controller = ConfigurationController(
             store=self.view,
-            peers=Switchboard().join("a", "north"),
+            peers=MemoryNetwork().join("a", "north"),
             clock=clock,
             random_source=random.Random(1),
             events=EventBus(),
--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 from greengagelatch_lab.standins.store_view import StoreView
 from greengagelatch_lab.waiting import wait_until
 
@@ -94,7 +94,7 @@
         self._store = MemoryStore(clock=CLOCK)
         #: view of the shared store by instance, each with its own faults
         self.stores: dict[str, StoreView] = {}
-        self.switchboard = Switchboard()
+        self.switchboard = MemoryNetwork()
         self.runs: list[tuple[str, str]] = []
         #: answers with the verdict "not run" for a key that had run
         self.wrong_verdicts: list[tuple[str, Answer]] = []
--- a/tests/test_entry/test_controllers/test_configuration.py
+++ b/tests/test_entry/test_controllers/test_configuration.py
@@ -20,7 +20,7 @@
 )
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 from greengagelatch_lab.standins.store_view import StoreView
 from greengagelatch_lab.waiting import wait_until
 
@@ -59,7 +59,7 @@
 
     def __init__(self):
         self.store = MemoryStore(clock=CLOCK)
-        self.switchboard = Switchboard()
+        self.switchboard = MemoryNetwork()
         self.views = {}
         self.instances = {}
         self.generations = {}
@@ -191,7 +191,7 @@
     async with run_fleet() as fleet:
         first = await fleet.start("a")
         await apply_labels(first, "c1", 1, count=60)
-        await fleet.start("apart", switchboard=Switchboard())
+        await fleet.start("apart", switchboard=MemoryNetwork())
         await fleet.wait_for(1)
 
 
@@ -219,7 +219,7 @@
     async with run_fleet() as fleet:
         for number in range(5):
             await fleet.start(f"n-{number}")
-        isolated = await fleet.start("apart", "east", Switchboard())
+        isolated = await fleet.start("apart", "east", MemoryNetwork())
         members = fleet.switchboard.join("x").members()
         fleet.switchboard.leave("x")
         watchers = choose_watchers(members, "north")
@@ -249,7 +249,7 @@
         await wait_until(lambda: calls["watch"] >= before + 3, what="stale watches")
         assert fleet.generations["a"] == [1, 2]
         fleet.views["a"].stale = None
-        isolated = await fleet.start("apart", "east", Switchboard())
+        isolated = await fleet.start("apart", "east", MemoryNetwork())
         await apply_labels(isolated, "c3", 3)
         await fleet.wait_for(3)
         assert fleet.generations["a"] == [1, 2, 3]
--- a/tests/test_entry/test_controllers/test_listing.py
+++ b/tests/test_entry/test_controllers/test_listing.py
@@ -20,7 +20,7 @@
     ListingController,
 )
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 
 SETTINGS = """
 [instance]
@@ -78,10 +78,10 @@
 
 @pytest.fixture
 def switchboard():
-    return Switchboard()
+    return MemoryNetwork()
 
 
-def join(switchboard: Switchboard, name: str, listing: Listing | None) -> Reader:
+def join(switchboard: MemoryNetwork, name: str, listing: Listing | None) -> Reader:
     events, metrics, source = EventBus(), Metrics("127.0.0.1:9"), FakeList(listing)
     clock = OffsetClock()
     controller = ListingController(
--- a/tests/test_entry/test_controllers/test_targets.py
+++ b/tests/test_entry/test_controllers/test_targets.py
@@ -23,7 +23,7 @@
 )
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryInstanceList
-from greengagelatch_lab.standins.peers import MemoryPeers, Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork, MemoryPeers
 from greengagelatch_lab.waiting import wait_until
 
 SETTINGS = """
@@ -133,7 +133,7 @@
 async def test_polled_load_report_shows_leaving(serve, create_directory):
     endpoint = LoadEndpoint()
     await serve(endpoint)
-    instance = await create_directory(Switchboard().join("e-1"))
+    instance = await create_directory(MemoryNetwork().join("e-1"))
     instance.events.emit(LISTING_RECEIVED, make_listing(1, endpoint))
     await wait_until(lambda: instance.directory.candidates("stockdesk")[0].report)
     assert instance.directory.candidates("stockdesk")[0].report.in_flight == 3
@@ -152,7 +152,7 @@
     await serve(unused)
     rows = make_listing(1, used, unused).instances
     rows = (rows[0], dataclasses.replace(rows[1], service="notify"))
-    instance = await create_directory(Switchboard().join("e-1"))
+    instance = await create_directory(MemoryNetwork().join("e-1"))
     instance.events.emit(LISTING_RECEIVED, Listing(1, rows))
     await wait_until(lambda: instance.list_ids() and used.polls >= 20)
     assert 1 <= unused.polls < used.polls / 2
@@ -164,7 +164,7 @@
 async def test_header_of_a_failed_poll_shows_leaving(serve, create_directory):
     endpoint = LoadEndpoint(status=503, headers={"X-Target-State": "leaving"})
     await serve(endpoint)
-    instance = await create_directory(Switchboard().join("e-1"))
+    instance = await create_directory(MemoryNetwork().join("e-1"))
     instance.events.emit(LISTING_RECEIVED, make_listing(1, endpoint))
     await wait_until(lambda: instance.left_ids == ["t-1"])
 
@@ -175,7 +175,7 @@
     One of twelve instances learns it from a response, while the listings of all of
     them still show the target as live.
     """
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     fleet = [
         await create_directory(switchboard.join(f"e-{n}"), seed=n) for n in range(12)
     ]
@@ -200,7 +200,7 @@
     It is unreachable while the others exchange the message, and reconnects a moment
     later.
     """
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     fleet = [
         await create_directory(switchboard.join(f"e-{n}"), seed=n) for n in range(3)
     ]
@@ -218,7 +218,7 @@
 
     It starts from an outdated listing, after the leaving target was gossiped.
     """
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     old = await create_directory(switchboard.join("e-1"))
     old.directory.mark_leaving("t-1")
     await wait_until(lambda: not any(old.directory._pending_gossip.values()))
@@ -240,7 +240,7 @@
     unreachable, reachable = LoadEndpoint(), LoadEndpoint()
     runner = await serve(unreachable)
     await serve(reachable)
-    instance = await create_directory(Switchboard().join("e-1"))
+    instance = await create_directory(MemoryNetwork().join("e-1"))
     instance.events.emit(LISTING_RECEIVED, make_listing(1, unreachable, reachable))
     await runner.cleanup()
     await wait_until(lambda: instance.list_ids() == ["t-2"])
@@ -254,7 +254,7 @@
 
 
 async def test_list_is_read_less_often_in_a_large_fleet():
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     peers = switchboard.join("e-1")
     instances = MemoryInstanceList(clock=SystemClock())
     listing = ListingController(
--- a/tests/test_entry/test_filters/test_admission.py
+++ b/tests/test_entry/test_filters/test_admission.py
@@ -30,7 +30,7 @@
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 
 SETTINGS = """
 [instance]
@@ -69,7 +69,7 @@
             workspaces={"depot": Workspace(name="depot")},
             policies={"small": policy},
         )
-        peers = Switchboard().join("entry", "north")
+        peers = MemoryNetwork().join("entry", "north")
         common = {
             "peers": peers,
             "clock": self.clock,
@@ -173,7 +173,7 @@
 
 
 async def test_instances_learn_of_each_others_demand():
-    switchboard = Switchboard()
+    switchboard = MemoryNetwork()
     clock = ManualClock(100.0)
     entries = [
         QuotasController(
--- a/tests/test_entry/test_status.py
+++ b/tests/test_entry/test_status.py
@@ -12,7 +12,7 @@
 from greengagelatch_entry.controllers.targets import TargetsController
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_entry.status import StatusView
-from greengagelatch_lab.standins.peers import Switchboard
+from greengagelatch_lab.standins.peers import MemoryNetwork
 
 SETTINGS = """
 [instance]
@@ -31,7 +31,7 @@
     whose answer was lost. Cause: a leaving target vanished from what is shown.
     """
     settings = parse(SETTINGS).unwrap()
-    peers = Switchboard().join("e-1")
+    peers = MemoryNetwork().join("e-1")
     targets = TargetsController(
         peers=peers,
         clock=SystemClock(),
