--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
@@ -19,14 +19,14 @@
 
 from .memory import StoreFaults
 
-__all__ = ("StoreView",)
+__all__ = ("FaultInjectingStore",)
 
 OUTAGE = StoreError(StoreErrorKind.UNREACHABLE, "store unreachable")
 LOST = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
 REFUSED = WriteResult(WriteOutcome.NOT_APPLIED, message="refused")
 
 
-class StoreView(Store):
+class FaultInjectingStore(Store):
     """Forwards calls to ``store`` unless a fault of this view prevents it."""
 
     def __init__(self, store: Store) -> None:
--- a/tests/test_entry/test_adapters/test_operators_configuration.py
+++ b/tests/test_entry/test_adapters/test_operators_configuration.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
 from greengagelatch_lab.standins.peers import MemoryNetwork
-from greengagelatch_lab.standins.store_view import StoreView
+from greengagelatch_lab.standins.store_view import FaultInjectingStore
 
 SETTINGS = """
 [instance]
@@ -42,7 +42,7 @@
     def __init__(self):
         clock = SystemClock()
         self.store = MemoryStore(clock=clock)
-        self.view = StoreView(self.store)
+        self.view = FaultInjectingStore(self.store)
         self.controller = ConfigurationController(
             store=self.view,
             peers=MemoryNetwork().join("a", "north"),
--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -20,7 +20,7 @@
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
 from greengagelatch_lab.standins.peers import MemoryNetwork
-from greengagelatch_lab.standins.store_view import StoreView
+from greengagelatch_lab.standins.store_view import FaultInjectingStore
 from greengagelatch_lab.waiting import wait_until
 
 CLOCK = SystemClock()
@@ -93,7 +93,7 @@
         self.settings = {"shards": 1, "interval": 0, **settings}
         self._store = MemoryStore(clock=CLOCK)
         #: view of the shared store by instance, each with its own faults
-        self.stores: dict[str, StoreView] = {}
+        self.stores: dict[str, FaultInjectingStore] = {}
         self.switchboard = MemoryNetwork()
         self.runs: list[tuple[str, str]] = []
         #: answers with the verdict "not run" for a key that had run
@@ -107,7 +107,7 @@
     async def start(self, name: str, *, alone: bool = False) -> Instance:
         """Start an instance."""
         peers = None if alone else self.switchboard.join(name)
-        self.stores[name] = StoreView(self._store)
+        self.stores[name] = FaultInjectingStore(self._store)
         instance = Instance(self, name, peers)
         await instance.claims.start()
         self.instances[name] = instance
--- a/tests/test_entry/test_controllers/test_configuration.py
+++ b/tests/test_entry/test_controllers/test_configuration.py
@@ -21,7 +21,7 @@
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.memory import MemoryStore
 from greengagelatch_lab.standins.peers import MemoryNetwork
-from greengagelatch_lab.standins.store_view import StoreView
+from greengagelatch_lab.standins.store_view import FaultInjectingStore
 from greengagelatch_lab.waiting import wait_until
 
 CLOCK = SystemClock()
@@ -42,7 +42,7 @@
 """
 
 
-class FaultyStoreView(StoreView):
+class FaultyStoreView(FaultInjectingStore):
     """A view of the store whose watch can return a stale entry."""
 
     def __init__(self, store):
