--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -18,7 +18,7 @@
 from .batch import Batch
 from .faults import Fault
 from .options import EngineOptions, parse_options
-from .orders import EngineState, OrderBook
+from .orders import EngineState, OrderExecutor
 from .prefixes import PrefixCache
 from .record import RunOutcome, read_ms
 from .serving import read_json, run
@@ -40,7 +40,7 @@
             gap_rate=options.cache_gap_rate,
             random_source=self.random,
         )
-        self._book = OrderBook(
+        self._book = OrderExecutor(
             checks=options.fencing == "checked", duration=options.order_ms / 1000
         )
         self._batch = Batch(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -18,7 +18,7 @@
 )
 
 from .orders import EngineState as HeldState
-from .orders import OrderBook
+from .orders import OrderExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -45,13 +45,13 @@
         #: awaited with the order once connected, immediately before the guard is called
         self.before_send: Callable[[Order], Awaitable[None]] | None = None
         self.reads = 0
-        self._books: dict[str, OrderBook] = {}
+        self._books: dict[str, OrderExecutor] = {}
         self._running: set[asyncio.Task[bool]] = set()
 
-    def find(self, target_id: str) -> OrderBook:
+    def find(self, target_id: str) -> OrderExecutor:
         """Return the order log and state of one engine."""
         if target_id not in self._books:
-            self._books[target_id] = OrderBook(
+            self._books[target_id] = OrderExecutor(
                 checks=self.checks, duration=self.duration
             )
         return self._books[target_id]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders.py
@@ -8,7 +8,7 @@
 
 from .record import read_ms
 
-__all__ = ("EngineState", "OrderBook", "OrderRecord")
+__all__ = ("EngineState", "OrderExecutor", "OrderRecord")
 
 #: maximum number of orders recorded for checkers
 MAX_ORDERS = 10_000
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class OrderBook:
+class OrderExecutor:
     """Applies orders to the state of one engine and records them.
 
     An engine that checks fencing tokens rejects those below the highest it has
