--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/record.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/record.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any
 
-__all__ = ("Call", "Record", "RunOutcome", "RunRecord", "decode_call", "read_ms")
+__all__ = ("Call", "RunLog", "RunOutcome", "RunRecord", "decode_call", "read_ms")
 
 #: maximum number of retained finished runs; the summary counts those dropped
 MAX_RUNS = 200_000
@@ -60,7 +60,7 @@
     cost_ms: float = 0.0
 
 
-class Record:
+class RunLog:
     """Log of the runs of one target.
 
     It contains only calls that started to run: calls that were rejected, or
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
@@ -22,7 +22,7 @@
 from .answers import expected_output, find_hint
 from .faults import FAULT_NAMES, Fault, TargetFaults, draw_fault
 from .options import TargetOptions
-from .record import Call, Record, RunOutcome, RunRecord, decode_call, read_ms
+from .record import Call, RunLog, RunOutcome, RunRecord, decode_call, read_ms
 from .serving import MAX_BODY, ControlError, read_json, update_fields
 
 __all__ = ("Attempt", "Target", "refuse")
@@ -41,7 +41,7 @@
     """A call that is queued or running at the target."""
 
     call: Call
-    record: Record
+    record: RunLog
     run: RunRecord | None = None
     task: asyncio.Task[None] | None = None
     #: texts of the tokens generated so far, from offset ``call.resume_at`` on
@@ -76,7 +76,7 @@
     def __init__(self, options: TargetOptions) -> None:
         self.options = options
         self.faults = TargetFaults()
-        self.record = Record()
+        self.record = RunLog()
         self.random = random.Random(options.seed)
         self._attempts: dict[str, Attempt] = {}
         self._last: Call | None = None
