--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from ..standins.link import Link
+from ..standins.link import TcpProxy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -49,7 +49,7 @@
     #: data centre that it leads to; empty for the platform
     destination: str
     kind: PathKind
-    link: Link
+    link: TcpProxy
 
     def joins(self, data_centre: str) -> bool:
         """Whether it leads from or to ``data_centre``, and not to the platform."""
@@ -84,7 +84,7 @@
     async def open_platform(self, address: str) -> None:
         """Open a path to the platform from every data centre."""
         for name in self._numbers:
-            link = Link(address)
+            link = TcpProxy(address)
             await self._open(name, "", PathKind.PLATFORM, link)
             self._platforms[name] = link.address
 
@@ -94,7 +94,7 @@
             if name == data_centre:
                 continue
             host, _, port = address.rpartition(":")
-            link = Link(address, listen=f"{find_way(number, host)}:{port}")
+            link = TcpProxy(address, listen=f"{find_way(number, host)}:{port}")
             await self._open(name, data_centre, kind, link)
 
     def find_platform_paths(self, data_centre: str) -> list[Path]:
@@ -125,7 +125,7 @@
         await _stop(path.link for path in self.paths)
 
     async def _open(
-        self, source: str, destination: str, kind: PathKind, link: Link
+        self, source: str, destination: str, kind: PathKind, link: TcpProxy
     ) -> None:
         await link.start()
         path = Path(source=source, destination=destination, kind=kind, link=link)
@@ -149,5 +149,5 @@
     return ".".join(str(octet) for octet in octets)
 
 
-async def _stop(links: Iterable[Link]) -> None:
+async def _stop(links: Iterable[TcpProxy]) -> None:
     await asyncio.gather(*(link.stop() for link in links))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
@@ -7,7 +7,7 @@
 from enum import Flag, auto
 from types import TracebackType
 
-__all__ = ("Direction", "Link")
+__all__ = ("Direction", "TcpProxy")
 
 CHUNK = 64 * 1024
 HOST = "127.0.0.1"
@@ -33,7 +33,7 @@
     silent: Direction = NEITHER
 
 
-class Link:
+class TcpProxy:
     """Forwards TCP connections from a local port to ``target``.
 
     A connection that has discarded a byte in one direction discards everything
@@ -108,7 +108,7 @@
         if self._server is None:
             await self.start()
 
-    async def __aenter__(self) -> Link:
+    async def __aenter__(self) -> TcpProxy:
         await self.start()
         return self
 
--- a/tests/test_lab/test_link.py
+++ b/tests/test_lab/test_link.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from greengagelatch_lab.standins.link import Direction, Link
+from greengagelatch_lab.standins.link import Direction, TcpProxy
 
 #: seconds after which an answer counts as missing
 SHORT = 0.1
@@ -26,10 +26,10 @@
 
 
 @pytest.fixture
-async def link() -> AsyncIterator[Link]:
+async def link() -> AsyncIterator[TcpProxy]:
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    async with server, Link(f"127.0.0.1:{port}") as link:
+    async with server, TcpProxy(f"127.0.0.1:{port}") as link:
         yield link
 
 
@@ -54,12 +54,12 @@
             return b""
 
 
-async def connect(link: Link) -> Client:
+async def connect(link: TcpProxy) -> Client:
     host, _, port = link.address.rpartition(":")
     return Client(*await asyncio.open_connection(host, int(port)))
 
 
-async def test_cut_refuses_and_heals(link: Link) -> None:
+async def test_cut_refuses_and_heals(link: TcpProxy) -> None:
     client = await connect(link)
     assert await client.ask(b"a") == b"a"
     await link.cut()
@@ -70,7 +70,7 @@
     assert await (await connect(link)).ask(b"d") == b"d"
 
 
-async def test_open_connections_go_silent_for_good(link: Link) -> None:
+async def test_open_connections_go_silent_for_good(link: TcpProxy) -> None:
     """A pooled connection swallows its request and raises nothing.
 
     The link loses track of the connections open at that moment; new ones work.
@@ -88,7 +88,7 @@
         await old.ask(b"d", SHORT)
 
 
-async def test_silence_in_one_direction(link: Link) -> None:
+async def test_silence_in_one_direction(link: TcpProxy) -> None:
     client = await connect(link)
     idle = await connect(link)
     assert await idle.ask(b"a") == b"a"
@@ -100,7 +100,7 @@
     assert await idle.ask(b"c") == b"c"
 
 
-async def test_slow_link_delivers_late(link: Link) -> None:
+async def test_slow_link_delivers_late(link: TcpProxy) -> None:
     client = await connect(link)
     link.slow(1.0, Direction.FORWARD)
     with pytest.raises(TimeoutError):
