--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -63,7 +63,7 @@
 
 
 class MemoryPeers(PeerNetwork):
-    """One instance's connection to a :class:`Switchboard`.
+    """One instance's connection to a :class:`MemoryNetwork`.
 
     Messages pass through the codec, as between processes.
     """
