--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
@@ -82,7 +82,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def silence(
+    def blackhole(
         self, direction: Direction = Direction.BOTH, *, only_open: bool = False
     ) -> None:
         """Discard data and end-of-stream, while connections stay open.
