--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/link.py
@@ -95,7 +95,7 @@
         for connection in self._connections:
             connection.silent |= direction
 
-    def slow(self, seconds: float, direction: Direction = Direction.BOTH) -> None:
+    def delay(self, seconds: float, direction: Direction = Direction.BOTH) -> None:
         """Delay each chunk of data by ``seconds``."""
         for way in self._delays:
             if way in direction:
@@ -104,7 +104,7 @@
     async def heal(self) -> None:
         """Clear all faults; connections that have lost data keep discarding it."""
         self._silent = NEITHER
-        self.slow(0.0)
+        self.delay(0.0)
         if self._server is None:
             await self.start()
 
