--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from ..standins.link import TcpProxy
+from ..standins.tcp_proxy import TcpProxy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -30,7 +30,7 @@
 from greengagelatch_entry.controllers.drain import DRAIN_STARTED
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_lab.standins.link import TcpProxy as FaultyLink
+from greengagelatch_lab.standins.tcp_proxy import TcpProxy as FaultyLink
 from greengagelatch_lab.waiting import wait_until
 
 TIMEOUT = 10.0
--- a/tests/test_lab/test_link.py
+++ b/tests/test_lab/test_link.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from greengagelatch_lab.standins.link import Direction, TcpProxy
+from greengagelatch_lab.standins.tcp_proxy import Direction, TcpProxy
 
 #: seconds after which an answer counts as missing
 SHORT = 0.1
