--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -18,9 +18,9 @@
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.metrics import Metrics
+from greengagelatch_lab.standins.fault_injecting_store import FaultInjectingStore
 from greengagelatch_lab.standins.memory import MemoryStore
 from greengagelatch_lab.standins.peers import MemoryNetwork
-from greengagelatch_lab.standins.store_view import FaultInjectingStore
 from greengagelatch_lab.waiting import wait_until
 
 CLOCK = SystemClock()
