--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -18,7 +18,7 @@
 from .batch import Batch
 from .faults import Fault
 from .options import EngineOptions, parse_options
-from .orders import EngineState, OrderExecutor
+from .order_executor import EngineState, OrderExecutor
 from .prefixes import PrefixCache
 from .record import RunOutcome, read_ms
 from .serving import read_json, run
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -17,8 +17,8 @@
     OrderOutcome,
 )
 
-from .orders import EngineState as HeldState
-from .orders import OrderExecutor
+from .order_executor import EngineState as HeldState
+from .order_executor import OrderExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
