--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/batch.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/batch.py
@@ -11,7 +11,7 @@
 from .answers import expected_tokens, find_hint
 from .options import EngineOptions
 from .prefixes import PrefixCache
-from .record import read_ms
+from .run_log import read_ms
 from .target import Attempt
 
 __all__ = ("Batch",)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -20,7 +20,7 @@
 from .options import EngineOptions, parse_options
 from .order_executor import EngineState, OrderExecutor
 from .prefixes import PrefixCache
-from .record import RunOutcome, read_ms
+from .run_log import RunOutcome, read_ms
 from .serving import read_json, run
 from .target import Attempt, Target, refuse
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/order_executor.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/order_executor.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from .record import read_ms
+from .run_log import read_ms
 
 __all__ = ("EngineState", "OrderExecutor", "OrderRecord")
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/plain.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/plain.py
@@ -14,7 +14,7 @@
 
 from .answers import find_hint
 from .options import TargetOptions, parse_options
-from .record import Call, read_ms
+from .run_log import Call, read_ms
 from .serving import run
 from .target import Attempt, Target
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
@@ -22,7 +22,7 @@
 from .answers import expected_output, find_hint
 from .faults import FAULT_NAMES, Fault, TargetFaults, draw_fault
 from .options import TargetOptions
-from .record import Call, RunLog, RunOutcome, RunRecord, decode_call, read_ms
+from .run_log import Call, RunLog, RunOutcome, RunRecord, decode_call, read_ms
 from .serving import MAX_BODY, ControlError, read_json, update_fields
 
 __all__ = ("Attempt", "Target", "refuse")
