--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -93,14 +93,14 @@
     """The paths swallow all bytes, also those of new connections."""
 
     async def strike(self, path: Path) -> None:
-        path.link.silence()
+        path.link.blackhole()
 
 
 class OpenSilence(PathFault):
     """Open connections go silent for good, while new ones work."""
 
     async def strike(self, path: Path) -> None:
-        path.link.silence(only_open=True)
+        path.link.blackhole(only_open=True)
 
     def lets_news_pass(self) -> bool:
         return True
--- a/tests/test_entry/test_adapters/test_crossed_links.py
+++ b/tests/test_entry/test_adapters/test_crossed_links.py
@@ -266,7 +266,7 @@
         await wait_until(lambda: first.count_links() == second.count_links() == 1)
         waiting = asyncio.create_task(second.hub.ask("e-1", Hold(), TIMEOUT))
         await wait_until(lambda: first.holds == 1)
-        faulty_link.silence(only_open=True)
+        faulty_link.blackhole(only_open=True)
         await wait_until(lambda: second.metrics.value("peers.silent_links") == 1)
         # the host may be down, so the error does not claim a mere disconnect
         error = (await waiting).err_value
@@ -297,7 +297,7 @@
         first = await start("e-1")
         first.emit_listing(("e-2", faulty_link.address))
         await wait_until(lambda: first.count_links() == second.count_links() == 1)
-        faulty_link.silence(only_open=True)
+        faulty_link.blackhole(only_open=True)
         port = second.hub.port
         await second.hub.stop()
         again = await start("e-2", port=port, clock=FixedWallClock(1_000_000.4))
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -278,7 +278,7 @@
         second = await start("e-2", silence=0.6)
         second.emit_listing(("e-1", link.address))
         await wait_until(lambda: second.find_state("e-1") is MemberState.ALIVE)
-        link.silence(only_open=True)
+        link.blackhole(only_open=True)
         for _ in range(40):
             second.hub.send("e-1", Echo("x" * 100_000))
         silent = second.metrics
--- a/tests/test_lab/test_tcp_proxy.py
+++ b/tests/test_lab/test_tcp_proxy.py
@@ -78,7 +78,7 @@
     """
     old = await connect(link)
     assert await old.ask(b"a") == b"a"
-    link.silence(only_open=True)
+    link.blackhole(only_open=True)
     with pytest.raises(TimeoutError):
         await old.ask(b"b", SHORT)
     new = await connect(link)
@@ -92,7 +92,7 @@
     client = await connect(link)
     idle = await connect(link)
     assert await idle.ask(b"a") == b"a"
-    link.silence(Direction.BACKWARD)
+    link.blackhole(Direction.BACKWARD)
     with pytest.raises(TimeoutError):
         await client.ask(b"b", SHORT)
     await link.heal()
--- a/tests/test_processes/test_start_in_outage.py
+++ b/tests/test_processes/test_start_in_outage.py
@@ -54,7 +54,7 @@
         await runner.wait_ready()
         await runner.registry.set_faults(outage=True)
         for path in runner.network.find_platform_paths("south"):
-            path.link.silence()
+            path.link.blackhole()
         old = runner.daemons[0]
         seeds = f"127.0.0.1:1, {old.peers}"
         new = await runner.start_daemon("south-next", "south", {"peers.seeds": seeds})
