--- a/tests/test_lab/test_tcp_proxy.py
+++ b/tests/test_lab/test_tcp_proxy.py
@@ -102,8 +102,8 @@
 
 async def test_slow_link_delivers_late(link: TcpProxy) -> None:
     client = await connect(link)
-    link.slow(1.0, Direction.FORWARD)
+    link.delay(1.0, Direction.FORWARD)
     with pytest.raises(TimeoutError):
         await client.ask(b"a", SHORT)
-    link.slow(0.0)
+    link.delay(0.0)
     assert await client.ask(b"b") in (b"a", b"ab")
