--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -67,7 +67,7 @@
 
     async def strike(self, path: Path) -> None:
         """Bring the fault about on one path."""
-        await path.link.cut()
+        await path.link.disconnect()
 
     def lets_news_pass(self) -> bool:
         """Whether a change made elsewhere can get to the data centre meanwhile."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
@@ -56,7 +56,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port`` to connect to; unchanged by :meth:`cut` and :meth:`heal`."""
+        """``host:port`` to connect to; unchanged by :meth:`disconnect` and :meth:`heal`."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
@@ -66,9 +66,9 @@
 
     async def stop(self) -> None:
         """Close the listening socket and all connections."""
-        await self.cut()
+        await self.disconnect()
 
-    async def cut(self) -> None:
+    async def disconnect(self) -> None:
         """Close all connections and refuse new ones until :meth:`heal`."""
         if self._server is not None:
             self._server.close()
--- a/tests/test_lab/test_network.py
+++ b/tests/test_lab/test_network.py
@@ -69,7 +69,7 @@
             (path,) = network.find_paths(NORTH, PathKind.PEER)
             assert await asyncio.to_thread(ask, north, address) == b"x"
             assert path.link.accepted == 1
-            await path.link.cut()
+            await path.link.disconnect()
             assert await asyncio.to_thread(ask, north, address) == b""
             assert await asyncio.to_thread(ask, south, address) == b"x"
             await path.link.heal()
--- a/tests/test_lab/test_tcp_proxy.py
+++ b/tests/test_lab/test_tcp_proxy.py
@@ -62,7 +62,7 @@
 async def test_cut_refuses_and_heals(link: TcpProxy) -> None:
     client = await connect(link)
     assert await client.ask(b"a") == b"a"
-    await link.cut()
+    await link.disconnect()
     assert await client.ask_closed() == b""
     with pytest.raises(ConnectionRefusedError):
         await connect(link)
