--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
@@ -73,9 +73,9 @@
         if self._server is not None:
             self._server.close()
             self._server = None
-        await self.close_open()
+        await self.close_connections()
 
-    async def close_open(self) -> None:
+    async def close_connections(self) -> None:
         """Close all connections; new ones are still accepted."""
         tasks = [connection.task for connection in self._connections]
         for task in tasks:
@@ -132,7 +132,7 @@
             # the target is unreachable or one side closed: the other side is closed too
             pass
         except* asyncio.CancelledError:
-            # closed by ``close_open``; propagated, asyncio would log it as an error
+            # closed by ``close_connections``; propagated, asyncio would log it as an error
             pass
         finally:
             writer.transport.abort()
