--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -70,7 +70,7 @@
     #: number of runs by request id
     runs: Counter[str] = field(default_factory=Counter)
     #: received requests, in order of arrival
-    seen: list[_Request] = field(default_factory=list)
+    received: list[_Request] = field(default_factory=list)
     #: number of times each piece was made, by request id, stage and segment
     pieces: Counter[tuple[str, int, int]] = field(default_factory=Counter)
     #: number of pieces in each stage call
@@ -184,7 +184,7 @@
             self.made.difference_update(handles)
             _write(writer, 200, {}, b"{}")
             return True
-        self.seen.append(request)
+        self.received.append(request)
         request_id = request.headers.get("x-attempt-id", "")
         headers = {"X-Attempt-Id": request_id}
         if self.load:
