--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -77,7 +77,7 @@
     batches: list[int] = field(default_factory=list)
     freed: set[str] = field(default_factory=set)
     #: handles of the inputs of stage calls, in order
-    read: list[str] = field(default_factory=list)
+    input_handles: list[str] = field(default_factory=list)
     #: handles of the results that it retains
     made: set[str] = field(default_factory=set)
     connections: int = 0
@@ -283,7 +283,7 @@
     def _make_piece(self, item: dict[str, Any]) -> dict[str, str]:
         place = (item["id"], item["stage"], item["segment"])
         self.pieces[place] += 1
-        self.read.extend(item.get("inputs", ()))
+        self.input_handles.extend(item.get("inputs", ()))
         name = "-".join(map(str, place))
         handle = f"{self.address}/{name}-{self.pieces[place]}"
         self.made.add(handle)
