--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -79,7 +79,7 @@
     #: handles of the inputs of stage calls, in order
     input_handles: list[str] = field(default_factory=list)
     #: handles of the results that it retains
-    made: set[str] = field(default_factory=set)
+    held_handles: set[str] = field(default_factory=set)
     connections: int = 0
     #: requests and stage calls that were addressed to a different target
     misdirected: int = 0
@@ -130,7 +130,7 @@
             )
         if self.born is not None:
             self.born += BETWEEN_STARTS
-        self.made.clear()
+        self.held_handles.clear()
         self.register(store)
 
     def register(self, store: SimulatedStore, state: str = "ready") -> None:
@@ -181,7 +181,7 @@
         if request.target == "/v1/stage-free":
             handles = json.loads(request.body)["handles"]
             self.freed.update(handles)
-            self.made.difference_update(handles)
+            self.held_handles.difference_update(handles)
             _write(writer, 200, {}, b"{}")
             return True
         self.received.append(request)
@@ -286,7 +286,7 @@
         self.input_handles.extend(item.get("inputs", ()))
         name = "-".join(map(str, place))
         handle = f"{self.address}/{name}-{self.pieces[place]}"
-        self.made.add(handle)
+        self.held_handles.add(handle)
         return {"handle": handle}
 
 
