--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -75,7 +75,7 @@
     pieces: Counter[tuple[str, int, int]] = field(default_factory=Counter)
     #: number of pieces in each stage call
     batches: list[int] = field(default_factory=list)
-    freed: set[str] = field(default_factory=set)
+    freed_handles: set[str] = field(default_factory=set)
     #: handles of the inputs of stage calls, in order
     input_handles: list[str] = field(default_factory=list)
     #: handles of the results that it retains
@@ -180,7 +180,7 @@
             return await self._make(request, writer)
         if request.target == "/v1/stage-free":
             handles = json.loads(request.body)["handles"]
-            self.freed.update(handles)
+            self.freed_handles.update(handles)
             self.held_handles.difference_update(handles)
             _write(writer, 200, {}, b"{}")
             return True
