--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -65,7 +65,7 @@
     service: str
     data_centre: str = "north"
     #: its start time in Unix milliseconds; ``None``: not in its store entry
-    born: int | None = FIRST_START
+    started_ms: int | None = FIRST_START
     fault: TargetFault = TargetFault.NONE
     #: number of runs by request id
     runs: Counter[str] = field(default_factory=Counter)
@@ -128,8 +128,8 @@
             self._server = await asyncio.start_server(
                 self._serve, "127.0.0.1", self._port
             )
-        if self.born is not None:
-            self.born += BETWEEN_STARTS
+        if self.started_ms is not None:
+            self.started_ms += BETWEEN_STARTS
         self.held_handles.clear()
         self.register(store)
 
@@ -149,8 +149,8 @@
             "cold-left-ms": 0,
             "seq-no": 1,
         }
-        if self.born is not None:
-            fields["born"] = self.born
+        if self.started_ms is not None:
+            fields["born"] = self.started_ms
         return fields
 
     async def _serve(
