--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/targets.py
@@ -88,7 +88,7 @@
     #: reported load as ``running,queued,slots``; empty: no load header
     load: str = ""
     #: awaited by a stream after its first event
-    pause: asyncio.Event | None = None
+    stream_gate: asyncio.Event | None = None
     address: str = ""
     #: number of events after which a stream is closed; ``None``: it completes
     break_after: int | None = None
@@ -252,8 +252,8 @@
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             writer.write(f"{len(event):x}\r\n".encode() + event + b"\r\n")
             await writer.drain()
-            if number == first and self.pause is not None:
-                await self.pause.wait()
+            if number == first and self.stream_gate is not None:
+                await self.stream_gate.wait()
             await asyncio.sleep(EVENT_SECONDS)
         writer.write(b"0\r\n\r\n")
         return True
