--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -31,7 +31,7 @@
         #: pairs of sender and receiver between which no message is delivered
         self.cut: set[tuple[str, str]] = set()
         #: pairs of caller and callee between which only the answers are lost
-        self.mute: set[tuple[str, str]] = set()
+        self.lost_answers: set[tuple[str, str]] = set()
         #: state of each member, as seen by every instance
         self.states: dict[str, MemberState] = {}
         #: data centres by instance id
