--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         #: pairs of sender and receiver between which no message is delivered
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked: set[tuple[str, str]] = set()
         #: pairs of caller and callee between which only the answers are lost
         self.lost_answers: set[tuple[str, str]] = set()
         #: state of each member, as seen by every instance
@@ -57,7 +57,7 @@
 
     def find(self, sender: str, receiver: str) -> MemoryPeers | None:
         """Return the receiver if it is reachable from the sender."""
-        if (sender, receiver) in self.cut:
+        if (sender, receiver) in self.blocked:
             return None
         return self._peers.get(receiver)
 
--- a/tests/test_entry/test_controllers/test_targets.py
+++ b/tests/test_entry/test_controllers/test_targets.py
@@ -205,11 +205,11 @@
         await create_directory(switchboard.join(f"e-{n}"), seed=n) for n in range(3)
     ]
     await wait_until(lambda: switchboard.asked["leaving-query"] == 3)
-    switchboard.cut = {("e-0", "e-2"), ("e-1", "e-2")}
+    switchboard.blocked = {("e-0", "e-2"), ("e-1", "e-2")}
     fleet[0].directory.mark_leaving("t-1")
     await wait_until(lambda: fleet[1].left_ids == ["t-1"])
     await wait_until(lambda: not any(fleet[1].directory._pending_gossip.values()))
-    switchboard.cut = set()
+    switchboard.blocked = set()
     await wait_until(lambda: fleet[2].left_ids == ["t-1"])
 
 
