--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -37,7 +37,7 @@
         #: data centres by instance id
         self.data_centres: dict[str, str] = {}
         #: member states that override ``states``, by the instance that sees them
-        self.views: dict[str, dict[str, MemberState]] = {}
+        self.state_overrides: dict[str, dict[str, MemberState]] = {}
         #: number of calls by the message's wire name
         self.asked: Counter[str] = Counter()
         self._peers: dict[str, MemoryPeers] = {}
