--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -39,7 +39,7 @@
         #: member states that override ``states``, by the instance that sees them
         self.state_overrides: dict[str, dict[str, MemberState]] = {}
         #: number of calls by the message's wire name
-        self.asked: Counter[str] = Counter()
+        self.call_counts: Counter[str] = Counter()
         self._peers: dict[str, MemoryPeers] = {}
 
     def join(self, instance_id: str, data_centre: str = "") -> MemoryPeers:
--- a/tests/test_entry/test_controllers/test_targets.py
+++ b/tests/test_entry/test_controllers/test_targets.py
@@ -204,7 +204,7 @@
     fleet = [
         await create_directory(switchboard.join(f"e-{n}"), seed=n) for n in range(3)
     ]
-    await wait_until(lambda: switchboard.asked["leaving-query"] == 3)
+    await wait_until(lambda: switchboard.call_counts["leaving-query"] == 3)
     switchboard.blocked = {("e-0", "e-2"), ("e-1", "e-2")}
     fleet[0].directory.mark_leaving("t-1")
     await wait_until(lambda: fleet[1].left_ids == ["t-1"])
