--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/fault_injecting_store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/fault_injecting_store.py
@@ -86,16 +86,16 @@
         self.calls[kind] += 1
         if self.faults.before_call:
             await self.faults.before_call(kind, key)
-        return not (self.faults.outage or self.faults.take("refuse_calls"))
+        return not (self.faults.outage or self.faults.consume("refuse_calls"))
 
     async def _write(
         self, kind: str, key: str, write: Callable[[], Awaitable[WriteResult]]
     ) -> WriteResult:
         if not await self._enter(kind, key):
             return REFUSED
-        if self.faults.take("drop_writes"):
+        if self.faults.consume("drop_writes"):
             return LOST
         result = await write()
-        if self.faults.take("lose_answers") or self.faults.outage:
+        if self.faults.consume("lose_answers") or self.faults.outage:
             return LOST
         return result
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
@@ -64,7 +64,7 @@
     #: awaited after a call has taken effect and before it is answered
     after_call: CallHook | None = None
 
-    def take(self, name: str) -> bool:
+    def consume(self, name: str) -> bool:
         """Consume one of the counted faults ``name``; return whether any was left."""
         left = getattr(self, name)
         if left <= 0:
@@ -131,7 +131,7 @@
         error = await self._enter("swap", key)
         if error:
             return _refuse(error)
-        if self.faults.take("drop_writes"):
+        if self.faults.consume("drop_writes"):
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         result = self._swap(key, value, expected, lease_id)
         return await self._answer_write("swap", key, result)
@@ -140,7 +140,7 @@
         error = await self._enter("delete", key)
         if error:
             return _refuse(error)
-        if self.faults.take("drop_writes"):
+        if self.faults.consume("drop_writes"):
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         found = self._get_revision(key)
         result = WriteResult(WriteOutcome.CONFLICT, found)
@@ -185,7 +185,7 @@
             return _refuse(error)
         self._end_lease(lease_id)
         result = WriteResult(WriteOutcome.APPLIED, self._revision)
-        if self.faults.take("lose_lease_answers"):
+        if self.faults.consume("lose_lease_answers"):
             result = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         return result
 
@@ -201,7 +201,7 @@
             await self.faults.before_call(kind, key)
         if self.faults.outage:
             return StoreError(StoreErrorKind.UNREACHABLE, "outage")
-        if self.faults.take("refuse_calls") or self._is_over_limit():
+        if self.faults.consume("refuse_calls") or self._is_over_limit():
             return StoreError(StoreErrorKind.RATE_LIMITED, "too many calls")
         self._lapse_leases()
         return None
@@ -224,7 +224,7 @@
         return Ok(value)
 
     async def _answer_lease(self, kind: str, lease: Lease) -> Result[Lease, StoreError]:
-        if self.faults.take("lose_lease_answers"):
+        if self.faults.consume("lose_lease_answers"):
             return Err(StoreError(StoreErrorKind.TIMEOUT, "no answer"))
         return await self._answer(kind, lease.lease_id, lease)
 
@@ -233,7 +233,7 @@
     ) -> WriteResult:
         if self.faults.after_call:
             await self.faults.after_call(kind, key)
-        if self.faults.take("lose_answers") or self.faults.outage:
+        if self.faults.consume("lose_answers") or self.faults.outage:
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         return result
 
