--- a/tests/test_entry/test_relay/test_crash_report_replicator.py
+++ b/tests/test_entry/test_relay/test_crash_report_replicator.py
@@ -23,7 +23,7 @@
     await world.wait_until_synced(4)
     for target in world.targets.values():
         target.fault = TargetFault.LOSE_ANSWER
-    while any(not target.seen for target in world.targets.values()):
+    while any(not target.received for target in world.targets.values()):
         await world.ask(LOST)
     for target in world.targets.values():
         target.fault = TargetFault.NONE
--- a/tests/test_entry/test_relay/test_guards.py
+++ b/tests/test_entry/test_relay/test_guards.py
@@ -132,7 +132,7 @@
     left = headers.SYSTEM_HEADERS - {name.encode()}
     monkeypatch.setattr(headers, "SYSTEM_HEADERS", left)
     await world.ask("/look/1", X_Tenant="south", X_Hold="h-1")
-    seen = next(one for target in world.targets.values() for one in target.seen)
+    seen = next(one for target in world.targets.values() for one in target.received)
     assert name in seen.headers
 
 
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -191,7 +191,7 @@
 
 def read_inputs(engine, request_id: str) -> list[str]:
     """Return the handles sent to an engine with the last attempt at a request."""
-    seen = [one for one in engine.seen if one.headers["x-attempt-id"] == request_id]
+    seen = [one for one in engine.received if one.headers["x-attempt-id"] == request_id]
     return seen[-1].headers["x-inputs"].split(",")
 
 
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -176,7 +176,7 @@
     reply = await world.ask("/look/1", X_Deadline_Ms="60000")
     assert reply.status == 200
     assert reply.headers["Connection"] == "close"
-    (seen,) = [one for target in world.targets.values() for one in target.seen]
+    (seen,) = [one for target in world.targets.values() for one in target.received]
     assert int(seen.headers["x-deadline-ms"]) <= 2000
 
 
--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -35,7 +35,7 @@
 
 async def test_stages_run_once_and_their_results_are_read(pipeline):
     await pipeline.stream(X_Attempt_Id="r-1")
-    seen = [one for engine in engines(pipeline) for one in engine.seen]
+    seen = [one for engine in engines(pipeline) for one in engine.received]
     inputs = seen[0].headers["x-inputs"].split(",")
     assert len(inputs) == 3
     made = {place: n for maker in makers(pipeline) for place, n in maker.pieces.items()}
@@ -122,15 +122,15 @@
         await pipeline.stream()
     silent, other = engines(pipeline)
     silent.fault = TargetFault.MUTE
-    count = len(silent.seen)
+    count = len(silent.received)
     number = 0
     # each request may go to either engine
-    while len(silent.seen) == count:
+    while len(silent.received) == count:
         reply = await pipeline.stream(X_Attempt_Id=f"left-{number}")
         assert (reply.status, reply.body) == (200, WHOLE)
         number += 1
-    left = {one.headers["x-attempt-id"]: one for one in silent.seen}
-    moved = [one for one in other.seen if one.headers["x-attempt-id"] in left]
+    left = {one.headers["x-attempt-id"]: one for one in silent.received}
+    moved = [one for one in other.received if one.headers["x-attempt-id"] in left]
     assert moved
     for one in moved:
         before = left[one.headers["x-attempt-id"]].headers["x-inputs"].split(",")
--- a/tests/test_entry/test_relay/test_unary.py
+++ b/tests/test_entry/test_relay/test_unary.py
@@ -24,7 +24,7 @@
     assert reply.status == 200
     assert reply.body == b"answer to r-1 "
     assert reply.headers["X-Replica-Signature"].startswith("signed-by-desk-")
-    seen = [one for target in world.targets.values() for one in target.seen]
+    seen = [one for target in world.targets.values() for one in target.received]
     assert seen[0].target == "/look/1?a=%2F&&b"
 
 
@@ -45,7 +45,7 @@
         X_Private="1",
         X_Other="kept",
     )
-    headers = next(one for t in world.targets.values() for one in t.seen).headers
+    headers = next(one for t in world.targets.values() for one in t.received).headers
     assert headers["x-tenant"] == "north"
     assert headers["x-expected-replica"] in world.targets
     assert headers["x-other"] == "kept"
--- a/tests/test_processes/test_crashing_requests.py
+++ b/tests/test_processes/test_crashing_requests.py
@@ -67,7 +67,7 @@
 
     def count_arrivals(self, path: str) -> int:
         targets = self._fleet.find_targets(self._service)
-        return sum(one.target == path for target in targets for one in target.seen)
+        return sum(one.target == path for target in targets for one in target.received)
 
     async def replace_crashed(self, sound: str) -> None:
         """List a new target for each that has crashed, and wait until it serves."""
@@ -154,12 +154,12 @@
             targets = fleet.find_targets("desk")
             for target in targets:
                 target.gate = gate
-            seen = sum(len(target.seen) for target in targets)
+            seen = sum(len(target.received) for target in targets)
             asking = [
                 asyncio.create_task(callers.ask(path))
                 for path in (*concurrent, crashing)
             ]
-            while sum(len(target.seen) for target in targets) < seen + len(asking):  # noqa: ASYNC110
+            while sum(len(target.received) for target in targets) < seen + len(asking):  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             gate.set()
             await asyncio.gather(*asking)
