--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -217,7 +217,9 @@
     for maker in list_targets(pipeline, "ledger"):
         maker.fault = TargetFault.NONE
     assert (await pending).status == 200
-    read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
+    read = [
+        one for maker in list_targets(pipeline, "ledger") for one in maker.input_handles
+    ]
     assert read
     assert not former & set(read)
     assert not former & set().union(*(one.freed for one in portals))
@@ -324,7 +326,9 @@
     await restart_known(pipeline, portals, cut=False)
     gate.set()
     assert (await pending).status == 200
-    read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
+    read = [
+        one for maker in list_targets(pipeline, "ledger") for one in maker.input_handles
+    ]
     assert read
     # the second computation of each piece
     assert {one.rpartition("-")[2] for one in read} == {"2"}
