--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -212,7 +212,7 @@
     )
     portals = list_targets(pipeline, "portal")
     await pipeline.wait_for(lambda: sum(one.pieces.total() for one in portals) == 2)
-    former = set().union(*(one.made for one in portals))
+    former = set().union(*(one.held_handles for one in portals))
     await restart_known(pipeline, portals)
     for maker in list_targets(pipeline, "ledger"):
         maker.fault = TargetFault.NONE
