--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -222,7 +222,7 @@
     ]
     assert read
     assert not former & set(read)
-    assert not former & set().union(*(one.freed for one in portals))
+    assert not former & set().union(*(one.freed_handles for one in portals))
 
 
 async def test_results_lost_before_failover_to_another_engine_are_recomputed(pipeline):
@@ -252,9 +252,9 @@
     assert not former & again
     # no release is sent for results that are already lost
     await pipeline.wait_for(
-        lambda: again <= set().union(*(one.freed for one in makers))
+        lambda: again <= set().union(*(one.freed_handles for one in makers))
     )
-    assert not former & set().union(*(one.freed for one in makers))
+    assert not former & set().union(*(one.freed_handles for one in makers))
     assert pipeline.count("stages.lost_by_restart") >= len(former)
 
 
--- a/tests/test_entry/test_relay/test_streams.py
+++ b/tests/test_entry/test_relay/test_streams.py
@@ -55,12 +55,12 @@
     """
     await pipeline.stream()
     await pipeline.wait_for(
-        lambda: sum(len(maker.freed) for maker in makers(pipeline)) == 5
+        lambda: sum(len(maker.freed_handles) for maker in makers(pipeline)) == 5
     )
 
 
 def count_freed(world) -> int:
-    return sum(len(maker.freed) for maker in makers(world))
+    return sum(len(maker.freed_handles) for maker in makers(world))
 
 
 async def start_held_stream(pipeline, load: str) -> asyncio.Task:
@@ -252,6 +252,6 @@
     )
     made = sum(maker.pieces.total() for maker in makers(pipeline))
     await pipeline.wait_for(
-        lambda: sum(len(maker.freed) for maker in makers(pipeline)) >= made
+        lambda: sum(len(maker.freed_handles) for maker in makers(pipeline)) >= made
     )
     assert sum(engine.runs["gone"] for engine in engines(pipeline)) <= 1
