--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -22,7 +22,9 @@
 
 def is_known(world, target) -> bool:
     """Return whether the instance knows the current incarnation of a target."""
-    return find_listed(world, target.target_id).incarnation.started_ms == target.born
+    return (
+        find_listed(world, target.target_id).incarnation.started_ms == target.started_ms
+    )
 
 
 async def restart(world, target_id: str, *, cut: bool = True) -> None:
