--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -177,7 +177,7 @@
     pipeline.store.remove("servers/llm-2")
     await pipeline.wait_for(lambda: not pipeline.accepts("llm-2"))
     engine = pipeline.targets["llm-1"]
-    engine.pause = asyncio.Event()
+    engine.stream_gate = asyncio.Event()
     pending = asyncio.create_task(
         pipeline.stream(X_Attempt_Id="r-1", X_Deadline_Ms="6000")
     )
@@ -185,7 +185,7 @@
     await restart(pipeline, "llm-1", cut=False)
     if cut:
         engine.abort_connections()
-    engine.pause.set()
+    engine.stream_gate.set()
     reply = await pending
     assert (reply.status, reply.error) == (200, "")
     assert reply.body.count(b"id: ") == 5
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -89,7 +89,7 @@
     makes the caller send its next request elsewhere.
     """
     engine = await world.add("llm-1", "llm")
-    engine.pause = asyncio.Event()
+    engine.stream_gate = asyncio.Event()
     await world.wait_until_synced(3)
     reader, writer = await connect(world)
     writer.write(encode_request("streamed", "/scan/1", "X-Prefix-Hash: aa:100"))
@@ -98,7 +98,7 @@
     assert b"connection: close" not in head.lower()
     world.parts.drain.request_stop()
     await world.parts.front.close_listener()
-    engine.pause.set()
+    engine.stream_gate.set()
     async with asyncio.timeout(WAIT_SECONDS):
         rest = await reader.read()
     assert rest.endswith(b"\r\n0\r\n\r\n")
@@ -300,7 +300,7 @@
     been read.
     """
     engine = await world.add("llm-1", "llm")
-    engine.pause = asyncio.Event()
+    engine.stream_gate = asyncio.Event()
     await world.wait_until_synced(3)
     reader, writer = await connect(world)
     writer.write(encode_request("streamed", "/scan/1", "X-Prefix-Hash: aa:100"))
@@ -310,7 +310,7 @@
     connection.data_received(encode_request("next"))
     world.parts.drain.request_stop()
     await world.parts.front.close_listener()
-    engine.pause.set()
+    engine.stream_gate.set()
     async with asyncio.timeout(WAIT_SECONDS):
         await reader.readuntil(b"\r\n0\r\n\r\n")
     status, head = await read_answer(reader)
