--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -111,7 +111,7 @@
         try:
             async with asyncio.timeout(timeout):
                 answer = await receiver.receive(self._instance_id, message)
-                if (self._instance_id, instance_id) in switchboard.mute:
+                if (self._instance_id, instance_id) in switchboard.lost_answers:
                     await asyncio.Event().wait()
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "timeout"))
--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -238,13 +238,13 @@
         await fleet.instances["a"].ask("warm-up")
         writer = get_preferred_writer(fleet)
         others = [name for name in fleet.instances if name != writer]
-        fleet.switchboard.mute |= {(name, writer) for name in others}
+        fleet.switchboard.lost_answers |= {(name, writer) for name in others}
         asking = fleet.instances[others[0]]
         first = await asking.ask("k")
         await asking.ask("other")
         # the second request does not wait for the unresponsive writer again
         assert asking.metrics.value("claims.forward_silent") == 1
-        fleet.switchboard.mute.clear()
+        fleet.switchboard.lost_answers.clear()
         second = await fleet.instances[others[1]].ask("k")
     assert first.verdict is Verdict.RAN
     assert second.replayed
@@ -417,7 +417,7 @@
     async with run_fleet("a", "b", "c") as fleet:
         for key in keys:
             await fleet.instances["a"].ask(key)
-        fleet.switchboard.mute.add(("a", "b"))
+        fleet.switchboard.lost_answers.add(("a", "b"))
         await fleet.stop("a")
         fleet.kill("b")
         await fleet.instances.pop("b").claims.stop()
@@ -621,12 +621,14 @@
         store.faults.lose_answers = chooser.randrange(3)
         store.faults.drop_writes = chooser.randrange(2)
         pair = (chooser.choice(names), chooser.choice(names))
-        chooser.choice((fleet.switchboard.mute, fleet.switchboard.cut)).add(pair)
+        chooser.choice((fleet.switchboard.lost_answers, fleet.switchboard.cut)).add(
+            pair
+        )
         if chooser.random() < 0.5:
-            fleet.switchboard.mute.clear()
+            fleet.switchboard.lost_answers.clear()
             fleet.switchboard.cut.clear()
         await asyncio.sleep(chooser.random() * 0.03)
-    fleet.switchboard.mute.clear()
+    fleet.switchboard.lost_answers.clear()
     fleet.switchboard.cut.clear()
     for store in fleet.stores.values():
         store.faults.outage = False
--- a/tests/test_entry/test_controllers/test_configuration.py
+++ b/tests/test_entry/test_controllers/test_configuration.py
@@ -266,7 +266,7 @@
         await apply_labels(fleet.instances["a"], "c1", 1)
         await fleet.wait_for(1)
         fleet.partition(["a", "b", "c"])
-        fleet.switchboard.mute.add(("c", "a"))
+        fleet.switchboard.lost_answers.add(("c", "a"))
         await fleet.start("c")
         await fleet.wait_for(1)
 
