--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -264,7 +264,7 @@
         writer = get_preferred_writer(fleet)
         others = [name for name in fleet.instances if name != writer]
         for name in others:
-            fleet.switchboard.cut |= {(name, writer), (writer, name)}
+            fleet.switchboard.blocked |= {(name, writer), (writer, name)}
         first = await fleet.instances[others[0]].ask("k")
         second = await fleet.instances[others[1]].ask("k")
         third = await fleet.instances[writer].ask("k")
@@ -621,15 +621,15 @@
         store.faults.lose_answers = chooser.randrange(3)
         store.faults.drop_writes = chooser.randrange(2)
         pair = (chooser.choice(names), chooser.choice(names))
-        chooser.choice((fleet.switchboard.lost_answers, fleet.switchboard.cut)).add(
+        chooser.choice((fleet.switchboard.lost_answers, fleet.switchboard.blocked)).add(
             pair
         )
         if chooser.random() < 0.5:
             fleet.switchboard.lost_answers.clear()
-            fleet.switchboard.cut.clear()
+            fleet.switchboard.blocked.clear()
         await asyncio.sleep(chooser.random() * 0.03)
     fleet.switchboard.lost_answers.clear()
-    fleet.switchboard.cut.clear()
+    fleet.switchboard.blocked.clear()
     for store in fleet.stores.values():
         store.faults.outage = False
 
