--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -107,7 +107,7 @@
         receiver = switchboard.find(self._instance_id, instance_id)
         if receiver is None:
             return Err(PeerError(PeerErrorKind.NOT_SENT, "no link"))
-        switchboard.asked[message.wire_name] += 1
+        switchboard.call_counts[message.wire_name] += 1
         try:
             async with asyncio.timeout(timeout):
                 answer = await receiver.receive(self._instance_id, message)
--- a/tests/test_entry/test_controllers/test_listing.py
+++ b/tests/test_entry/test_controllers/test_listing.py
@@ -112,18 +112,18 @@
     assert new.received == [newest]
     assert new.controller.listing == newest
     # no peer has a newer listing
-    queries = switchboard.asked["listing-query"]
+    queries = switchboard.call_counts["listing-query"]
     await new.controller.refresh()
     assert new.received == [newest]
     old.source.listing = make_listing(6)
     await old.controller.refresh()
     # the transfer budget has to recover before the next query
     await new.controller.refresh()
-    assert switchboard.asked["listing-query"] == queries
+    assert switchboard.call_counts["listing-query"] == queries
     new.clock.offset = 1000.0
     await new.controller.refresh()
     assert new.received[-1] == make_listing(6)
-    assert switchboard.asked["listing-query"] == queries + 1
+    assert switchboard.call_counts["listing-query"] == queries + 1
 
 
 async def test_older_listing_of_a_peer_is_ignored(switchboard):
@@ -145,7 +145,7 @@
     join(switchboard, "e-1", make_listing(9))
     reader = join(switchboard, "e-2", make_listing(1))
     await reader.controller.refresh()
-    assert switchboard.asked["listing-query"] == 0
+    assert switchboard.call_counts["listing-query"] == 0
 
 
 @pytest.mark.parametrize(
