--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -167,7 +167,7 @@
         except (KeyError, TypeError, ValueError) as error:
             raise web.HTTPBadRequest(text=repr(error)) from error
         # an order is applied even if its sender disconnects
-        if await asyncio.shield(self._book.carry_out(fence, wanted)):
+        if await asyncio.shield(self._book.apply(fence, wanted)):
             return web.json_response(self._book.encode())
         return web.json_response({"fence": self._book.highest}, status=409)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -71,7 +71,7 @@
             role=order.desired.role,
         )
         book = self.find(target.target_id)
-        run = asyncio.create_task(book.carry_out(order.fence, wanted))
+        run = asyncio.create_task(book.apply(order.fence, wanted))
         self._running.add(run)
         run.add_done_callback(self._running.discard)
         if self.lose_answers > 0:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/order_executor.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/order_executor.py
@@ -50,7 +50,7 @@
     orders: list[OrderRecord] = field(default_factory=list)
     _highest: int = 0
 
-    async def carry_out(self, fence: int, wanted: EngineState) -> bool:
+    async def apply(self, fence: int, wanted: EngineState) -> bool:
         """Apply ``wanted``; return whether the order was accepted."""
         if self._is_old(fence):
             self._note(fence, wanted, False)
--- a/tests/test_entry/test_controllers/test_orders.py
+++ b/tests/test_entry/test_controllers/test_orders.py
@@ -156,7 +156,7 @@
         engine = fleet.engines.find("engine-0")
         engine.duration = 0.0
         newer_token = 1000
-        await engine.carry_out(newer_token, engine.state)
+        await engine.apply(newer_token, engine.state)
         holder = await fleet.add("a")
         await wait_for(lambda: holder.metrics.value("leases.given_up") == 1)
         refused_token = fleet.list_orders()[-1][0]
