--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -79,7 +79,7 @@
 
     def members(self) -> tuple[Member, ...]:
         states = self._switchboard.states
-        states = states | self._switchboard.views.get(self._instance_id, {})
+        states = states | self._switchboard.state_overrides.get(self._instance_id, {})
         places = self._switchboard.data_centres
         return tuple(
             Member(
