--- a/tests/test_lab/test_memory.py
+++ b/tests/test_lab/test_memory.py
@@ -1,4 +1,4 @@
-"""Tests of the in-process platform services."""
+"""Tests of the in-process key-value store and instance list."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return MemoryStore(clock=clock), clock
 
 
-async def test_swap_needs_the_present_revision() -> None:
+async def test_swap_requires_the_current_revision() -> None:
     store, _ = create_store()
     first = await store.swap("a", b"1", 0)
     assert first.outcome is WriteOutcome.APPLIED
@@ -35,7 +35,7 @@
     assert huge.outcome is WriteOutcome.NOT_APPLIED
 
 
-async def test_lost_answer_and_dropped_write_look_alike() -> None:
+async def test_lost_answer_and_dropped_write_are_indistinguishable() -> None:
     store, _ = create_store()
     store.faults.lose_answers = 1
     lost = await store.swap("a", b"1", 0)
@@ -47,7 +47,7 @@
     assert (await store.get("b")).ok_value is None
 
 
-async def test_refuse_calls_have_no_effect() -> None:
+async def test_rejected_calls_have_no_effect() -> None:
     store, clock = create_store()
     store.faults.rate_limit = 1
     assert (await store.swap("a", b"1", 0)).outcome is WriteOutcome.APPLIED
@@ -60,7 +60,7 @@
     assert store.calls == {"swap": 2, "get": 3}
 
 
-async def test_hook_lets_another_writer_in_between() -> None:
+async def test_hook_allows_a_concurrent_write() -> None:
     store, _ = create_store()
 
     async def write_first(kind: str, key: str) -> None:
@@ -73,7 +73,7 @@
     assert (await store.get("a")).ok_value.value == b"other"
 
 
-async def test_lease_lapses_with_its_entries() -> None:
+async def test_lease_expires_with_its_entries() -> None:
     store, clock = create_store()
     lease = (await store.grant_lease(5)).ok_value
     await store.swap("a", b"1", 0, lease_id=lease.lease_id)
@@ -100,7 +100,7 @@
     assert (await store.watch("a", written.revision, 0.01)).ok_value is None
 
 
-async def test_outage_ends_a_waiting_watch() -> None:
+async def test_outage_ends_a_pending_watch() -> None:
     store, _ = create_store()
     waiting = asyncio.create_task(store.watch("a", 0, 30))
     await asyncio.sleep(0)
--- a/tests/test_lab/test_network.py
+++ b/tests/test_lab/test_network.py
@@ -1,4 +1,4 @@
-"""Tests of the paths between data centres."""
+"""Tests of the network paths between data centres."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from greengagelatch_lab.fleets.routed import RoutedLoop
 
 NORTH, SOUTH = "north", "south"
-#: seconds within which what is expected must happen
-LONG = 5.0
+#: maximum seconds to wait for an expected answer
+TIMEOUT = 5.0
 
 
 @pytest.mark.parametrize(
-    ("host", "led_to"),
+    ("host", "expected"),
     [
         ("127.1.0.7", "127.1.2.7"),
         ("127.2.0.7", "127.2.0.7"),
@@ -25,16 +25,16 @@
         ("localhost", "localhost"),
     ],
 )
-def test_only_other_data_centres_are_led_elsewhere(host, led_to):
-    assert find_way(2, host) == led_to
+def test_only_other_data_centres_are_redirected(host, expected):
+    assert find_way(2, host) == expected
 
 
 def ask(number: int, address: str) -> bytes:
-    """Ask a server from a data centre; empty if there is no answer."""
+    """Query a server from a data centre; return nothing if it is unreachable."""
 
     async def ask() -> bytes:
         host, _, port = address.rpartition(":")
-        async with asyncio.timeout(LONG):
+        async with asyncio.timeout(TIMEOUT):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"x")
             answer = await reader.read(1)
@@ -53,11 +53,11 @@
     writer.close()
 
 
-async def test_a_cut_path_concerns_its_two_data_centres_only():
-    """
-    Symptom: a trial of a partition shows more, or less, than a partition. Sequence:
-    two data centres are cut off from each other. Cause: a process is out of reach
-    for its own data centre as well, or another way to it is left open.
+async def test_partition_affects_only_its_two_data_centres():
+    """A partition must block exactly the traffic between its two data centres.
+
+    Otherwise the server is unreachable from its own data centre as well, or still
+    reachable from the other one on another path.
     """
     async with Network((NORTH, SOUTH)) as network:
         host = network.assign_host(SOUTH)
--- a/tests/test_lab/test_platform.py
+++ b/tests/test_lab/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's stand-in as a process."""
+"""Tests of the simulated platform services as a process."""
 
 from __future__ import annotations
 
@@ -70,20 +70,19 @@
 
 
 async def test_answer_is_lost_after_the_write(platform: aiohttp.ClientSession) -> None:
-    """A write fails at its writer and is in the store all the same.
+    """``lose_answers`` loses the answer, not the write.
 
-    The write is applied, then the connection closes without an answer.
-    The fault must be the lost answer and not a lost write.
+    The write is applied, then the connection is aborted without an answer.
     """
     await platform.post("/control/faults", json={"lose_answers": 1})
     with pytest.raises(aiohttp.ClientError):
         await write(platform, "a", "1", 0)
-    # other faults are set without arming the used-up one again
+    # setting another fault must not rearm the consumed one
     await platform.post("/control/faults", json={"slow_ms": 1})
     assert await write(platform, "a", "1", 0) == (412, 1)
 
 
-async def test_refusals_come_before_any_effect(platform: aiohttp.ClientSession) -> None:
+async def test_rejected_calls_have_no_effect(platform: aiohttp.ClientSession) -> None:
     await platform.post("/control/faults", json={"outage": True})
     async with platform.get("/kv/a") as response:
         assert response.status == 503
--- a/tests/test_lab/test_sides.py
+++ b/tests/test_lab/test_sides.py
@@ -1,4 +1,4 @@
-"""Tests of attainment on either side of a cut."""
+"""Tests of deadline attainment on either side of a partition."""
 
 from __future__ import annotations
 
--- a/tests/test_lab/test_targets.py
+++ b/tests/test_lab/test_targets.py
@@ -1,4 +1,4 @@
-"""Tests of the targets' stand-ins as processes."""
+"""Tests of the simulated targets as processes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Starter:
-    """Starts targets and opens sessions to them."""
+    """Starts simulated targets and opens HTTP sessions to them."""
 
     def __init__(self, group: ProcessGroup) -> None:
         self.group = group
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize(
     ("module", "kind"), [("plain", "plain"), ("pool", "encode"), ("engine", "generate")]
 )
-async def test_answer_can_be_computed_again(
+async def test_answer_can_be_recomputed(
     starter: Starter, module: str, kind: str
 ) -> None:
     session = await starter.start(module, "--service-ms", "5")
@@ -120,11 +120,11 @@
     assert runs[0]["cost_ms"] == answer["cost_ms"]
 
 
-async def test_double_side_effect_is_visible(starter: Starter) -> None:
-    """A booking is made twice; both answers look right.
+async def test_duplicate_side_effect_is_counted(starter: Starter) -> None:
+    """A retry after a lost answer runs the side effect twice.
 
-    The service runs the call, its answer is lost, and the caller sends it again.
-    Only a count of side effects at the service itself shows the double.
+    Both answers are correct, so only the service's own count of side effects
+    reveals the duplicate.
     """
     session = await starter.start("plain", "--service-ms", "5")
     call = build_call(1, "plain", input={"effect": "lathe 4"})
@@ -136,7 +136,7 @@
     assert effects == {"requests": {"r-1/draft": 2}, "effects": {"lathe 4/draft": 2}}
 
 
-async def test_faults_say_truly_whether_the_call_ran(starter: Starter) -> None:
+async def test_fault_answers_match_whether_the_call_ran(starter: Starter) -> None:
     session = await starter.start("plain", "--service-ms", "5")
     call = build_call(1, "plain")
     await post(session, "/control/faults", {"refuse_rate": 1.0, "calls": 1})
@@ -173,7 +173,7 @@
     assert (summary["runs"], summary["not_run"]) == ({"cancelled": 1}, 1)
 
 
-async def test_leaving_is_told_on_every_answer(starter: Starter) -> None:
+async def test_leaving_state_is_sent_with_every_answer(starter: Starter) -> None:
     session = await starter.start("pool", "--service-ms", "5")
     await post(session, "/control/faults", {"state": "leaving"})
     async with session.post("/call", json=build_call(1, "encode")) as response:
@@ -201,7 +201,7 @@
     assert (await post(session, "/call", call | {"resume_at": 3}))[0] == 409
 
 
-async def test_stream_ends_when_its_caller_leaves(starter: Starter) -> None:
+async def test_stream_ends_when_its_caller_disconnects(starter: Starter) -> None:
     session = await starter.start("engine", "--tokens-ms", "10")
     call = build_call(1, "generate", stream=True, input={"tokens": 4000})
     async with session.post("/call", json=call) as response:
@@ -211,7 +211,7 @@
     assert (await get(session, "/record/summary"))["runs"] == {"cancelled": 1}
 
 
-async def test_prefix_cache_is_limited_and_told_late(starter: Starter) -> None:
+async def test_prefix_cache_evicts_and_delays_events(starter: Starter) -> None:
     session = await starter.start(
         "engine",
         *("--cache-entries", "1", "--cache-gap-rate", "0", "--load-lag-ms", "20"),
@@ -221,9 +221,9 @@
         input = {"prefix": prefix, "tokens": 1}
         await post(session, "/call", build_call(number, "generate", input=input))
     await wait_for(session, "/load", "cached_prefixes", ["q"])
-    told = await get(session, "/cache-events?after=1")
-    assert told["next"] == 3
-    assert [(event["prefix"], event["cached"]) for event in told["events"]] == [
+    page = await get(session, "/cache-events?after=1")
+    assert page["next"] == 3
+    assert [(event["prefix"], event["cached"]) for event in page["events"]] == [
         ("q", True),
         ("p", False),
     ]
@@ -236,11 +236,12 @@
 
 
 @pytest.mark.parametrize("fencing", ["checked", "ignored"])
-async def test_old_order_after_a_newer_one(starter: Starter, fencing: str) -> None:
-    """An engine goes back to the models of an owner that was replaced.
+async def test_stale_order_after_a_newer_one(starter: Starter, fencing: str) -> None:
+    """An order with a stale fencing token arrives after a newer one.
 
-    The old owner is paused, its lease lapses, the new one gives its order, then
-    the old one wakes up and gives its own. Only some engines refuse that.
+    The former lease holder is paused, its lease expires, the new holder sends its
+    order, then the former one resumes and sends its own. An engine that checks
+    fencing tokens rejects it; others return to the former holder's models.
     """
     session = await starter.start("engine", "--fencing", fencing, "--order-ms", "1")
     new = {"fence": 2, "wanted": {"models": ["b"], "adapters": [], "role": "mixed"}}
--- a/tests/test_lab/test_tcp_proxy.py
+++ b/tests/test_lab/test_tcp_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the link between two processes."""
+"""Tests of the fault-injecting TCP proxy."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from greengagelatch_lab.standins.tcp_proxy import Direction, TcpProxy
 
-#: seconds after which an answer counts as missing
-SHORT = 0.1
-#: seconds within which what is expected must happen
-LONG = 5.0
+#: seconds without an answer after which the data counts as lost
+LOSS_TIMEOUT = 0.1
+#: maximum seconds to wait for an expected answer
+TIMEOUT = 5.0
 
 
 async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -26,15 +26,15 @@
 
 
 @pytest.fixture
-async def link() -> AsyncIterator[TcpProxy]:
+async def proxy() -> AsyncIterator[TcpProxy]:
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    async with server, TcpProxy(f"127.0.0.1:{port}") as link:
-        yield link
+    async with server, TcpProxy(f"127.0.0.1:{port}") as proxy:
+        yield proxy
 
 
 class Client:
-    """One connection over the link."""
+    """One connection through the proxy."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -42,7 +42,7 @@
         self.reader = reader
         self.writer = writer
 
-    async def ask(self, text: bytes, timeout: float = LONG) -> bytes:
+    async def ask(self, text: bytes, timeout: float = TIMEOUT) -> bytes:
         self.writer.write(text)
         async with asyncio.timeout(timeout):
             return await self.reader.read(100)
@@ -54,56 +54,56 @@
             return b""
 
 
-async def connect(link: TcpProxy) -> Client:
-    host, _, port = link.address.rpartition(":")
+async def connect(proxy: TcpProxy) -> Client:
+    host, _, port = proxy.address.rpartition(":")
     return Client(*await asyncio.open_connection(host, int(port)))
 
 
-async def test_cut_refuses_and_heals(link: TcpProxy) -> None:
-    client = await connect(link)
+async def test_disconnect_refuses_until_healed(proxy: TcpProxy) -> None:
+    client = await connect(proxy)
     assert await client.ask(b"a") == b"a"
-    await link.disconnect()
+    await proxy.disconnect()
     assert await client.ask_closed() == b""
     with pytest.raises(ConnectionRefusedError):
-        await connect(link)
-    await link.heal()
-    assert await (await connect(link)).ask(b"d") == b"d"
+        await connect(proxy)
+    await proxy.heal()
+    assert await (await connect(proxy)).ask(b"d") == b"d"
 
 
-async def test_open_connections_go_silent_for_good(link: TcpProxy) -> None:
-    """A pooled connection swallows its request and raises nothing.
+async def test_open_connections_are_blackholed_permanently(proxy: TcpProxy) -> None:
+    """Open connections discard their data without an error; new ones work.
 
-    The link loses track of the connections open at that moment; new ones work.
-    A stand-in that let the old ones speak again would hide the fault.
+    This reproduces a pooled connection whose state was lost on the path. A proxy
+    that resumed forwarding on it after ``heal`` would hide the fault.
     """
-    old = await connect(link)
+    old = await connect(proxy)
     assert await old.ask(b"a") == b"a"
-    link.blackhole(only_open=True)
+    proxy.blackhole(only_open=True)
     with pytest.raises(TimeoutError):
-        await old.ask(b"b", SHORT)
-    new = await connect(link)
+        await old.ask(b"b", LOSS_TIMEOUT)
+    new = await connect(proxy)
     assert await new.ask(b"c") == b"c"
-    await link.heal()
+    await proxy.heal()
     with pytest.raises(TimeoutError):
-        await old.ask(b"d", SHORT)
+        await old.ask(b"d", LOSS_TIMEOUT)
 
 
-async def test_silence_in_one_direction(link: TcpProxy) -> None:
-    client = await connect(link)
-    idle = await connect(link)
+async def test_blackhole_in_one_direction(proxy: TcpProxy) -> None:
+    client = await connect(proxy)
+    idle = await connect(proxy)
     assert await idle.ask(b"a") == b"a"
-    link.blackhole(Direction.BACKWARD)
+    proxy.blackhole(Direction.BACKWARD)
     with pytest.raises(TimeoutError):
-        await client.ask(b"b", SHORT)
-    await link.heal()
-    # nothing of the idle connection was swallowed, so it goes on
+        await client.ask(b"b", LOSS_TIMEOUT)
+    await proxy.heal()
+    # the idle connection has lost no data, so it continues to work
     assert await idle.ask(b"c") == b"c"
 
 
-async def test_slow_link_delivers_late(link: TcpProxy) -> None:
-    client = await connect(link)
-    link.delay(1.0, Direction.FORWARD)
+async def test_delay_delivers_late(proxy: TcpProxy) -> None:
+    client = await connect(proxy)
+    proxy.delay(1.0, Direction.FORWARD)
     with pytest.raises(TimeoutError):
-        await client.ask(b"a", SHORT)
-    link.delay(0.0)
+        await client.ask(b"a", LOSS_TIMEOUT)
+    proxy.delay(0.0)
     assert await client.ask(b"b") in (b"a", b"ab")
--- a/tests/test_lab/test_unawaited.py
+++ b/tests/test_lab/test_unawaited.py
@@ -1,4 +1,4 @@
-"""A coroutine that nobody awaits fails the tests."""
+"""Tests that a coroutine that is never awaited fails the test run."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parent.parent.parent
 
-#: seconds for a run of pytest with a single test, also on a busy machine
+#: timeout of a pytest run with one test in seconds, also on a heavily loaded host
 TIMEOUT = 100.0
 
 DROPPED = """
@@ -42,10 +42,10 @@
 
 @pytest.mark.parametrize(("text", "code"), [(DROPPED, 1), (IN_CYCLE, 1), (AWAITED, 0)])
 def test_coroutine_that_is_never_awaited_fails_the_run(tmp_path, text, code):
-    """
-    Symptom: work is left out, and a warning among others is all that tells. Sequence:
-    a coroutine is made and dropped, at once or in a cycle that is collected later.
-    Cause: its finaliser can only warn.
+    """A coroutine that is never awaited must not pass as a mere warning.
+
+    Its work is skipped, and its finaliser can only warn: at once, or, in a reference
+    cycle, when the garbage collector runs later.
     """
     (tmp_path / "test_work.py").write_text(text, encoding="utf-8")
     shutil.copy(ROOT / "tests" / "conftest.py", tmp_path)
