--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -48,7 +48,7 @@
         self._books: dict[str, OrderExecutor] = {}
         self._running: set[asyncio.Task[bool]] = set()
 
-    def find(self, target_id: str) -> OrderExecutor:
+    def find_executor(self, target_id: str) -> OrderExecutor:
         """Return the order log and state of one engine."""
         if target_id not in self._books:
             self._books[target_id] = OrderExecutor(
@@ -70,7 +70,7 @@
             adapters=order.desired.adapters,
             role=order.desired.role,
         )
-        book = self.find(target.target_id)
+        book = self.find_executor(target.target_id)
         run = asyncio.create_task(book.apply(order.fence, wanted))
         self._running.add(run)
         run.add_done_callback(self._running.discard)
@@ -85,7 +85,7 @@
         self.reads += 1
         if target.target_id in self.unreachable:
             return Err("target unreachable")
-        book = self.find(target.target_id)
+        book = self.find_executor(target.target_id)
         state = EngineState(
             models=book.state.models,
             adapters=book.state.adapters,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
@@ -236,7 +236,7 @@
 
     def find_models(self, target_id: str = "engine-0") -> tuple[str, ...]:
         """Return the models that an engine has loaded."""
-        return self.engines.find(target_id).state.models
+        return self.engines.find_executor(target_id).state.models
 
     def list_orders(
         self, target_id: str = "engine-0"
@@ -244,7 +244,7 @@
         """Return fencing token and models of the orders that an engine has finished."""
         return [
             (order.fence, order.wanted.models)
-            for order in self.engines.find(target_id).orders
+            for order in self.engines.find_executor(target_id).orders
         ]
 
     async def __aenter__(self) -> OrdersFleet:
