--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
@@ -209,11 +209,11 @@
         self.instances: list[OrdersInstance] = []
         fencing = {"fencing": "checked"} if checks else {}
         self.service = Service(name="writer", kind=StageKind.GENERATE, labels=fencing)
-        self.snapshot = self.place(**(placement or {"models": "draft-1"}))
+        self.snapshot = self.create_snapshot(**(placement or {"models": "draft-1"}))
         for number in range(engines):
             self.add_target(f"engine-{number}", "north")
 
-    def place(self, **values: str) -> Snapshot:
+    def create_snapshot(self, **values: str) -> Snapshot:
         """Create a configuration with that placement policy, or none if no values."""
         policy = Policy(name="place", effect=PolicyEffect.PLACEMENT, values=values)
         policies = {"place": policy} if values else {}
