--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
@@ -54,13 +54,13 @@
     """Clock on event loop time; ``lead`` seconds are added to the wall clock only."""
 
     def __init__(self) -> None:
-        self.lead = 0.0
+        self.wall_offset = 0.0
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        return self.now() + self.lead
+        return self.now() + self.wall_offset
 
 
 class Directory:
