--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -27,7 +27,7 @@
 
     NONE = "none"
     #: every call is rejected with 503 and has no effect
-    BUSY = "busy"
+    UNAVAILABLE = "busy"
     #: no call is answered or has an effect
     SILENT = "silent"
     #: writes take effect but are not answered
@@ -126,7 +126,7 @@
         self, request: web.Request, handler: Callable[..., Any]
     ) -> web.StreamResponse:
         self.calls[request.path] = self.calls.get(request.path, 0) + 1
-        if self.fault is StoreFault.BUSY:
+        if self.fault is StoreFault.UNAVAILABLE:
             return web.Response(status=503)
         if self.fault is StoreFault.SILENT:
             await asyncio.sleep(3600)
--- a/tests/test_entry/test_relay/test_crash_report_replicator.py
+++ b/tests/test_entry/test_relay/test_crash_report_replicator.py
@@ -125,7 +125,7 @@
     """Guard against peers that get only the first report, or one repeatedly."""
     crashes = world.find("crashes")
     peers = crashes._peers = RecordingPeers()
-    world.store.fault = StoreFault.BUSY
+    world.store.fault = StoreFault.UNAVAILABLE
     for number in (1, 2, 3):
         crashes.publish(CrashReport(Incarnation(f"t{number}"), "desk", ("aa",)))
         await world.wait_for(lambda count=number: len(peers.list_keys()) == count)
--- a/tests/test_entry/test_relay/test_store_outages.py
+++ b/tests/test_entry/test_relay/test_store_outages.py
@@ -26,7 +26,7 @@
 
 async def test_instance_serves_during_a_store_outage(world):
     follower = world.find("store")
-    world.store.fault = StoreFault.BUSY
+    world.store.fault = StoreFault.UNAVAILABLE
     await world.wait_for(lambda: not follower.reachable)
     assert (await world.ask("/look/1")).status == 200
     world.store.fault = StoreFault.NONE
@@ -40,7 +40,7 @@
     never returns the changes made meanwhile, so that a new scan is needed.
     """
     configuration = world.find("news")._configuration
-    world.store.fault = StoreFault.BUSY
+    world.store.fault = StoreFault.UNAVAILABLE
     follower = world.find("store")
     await world.wait_for(lambda: not follower.reachable)
     world.store.put("op/config", create_configuration(12))
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -107,7 +107,7 @@
 
 
 async def test_refusal_says_that_nothing_was_written(store, standin):
-    standin.fault = StoreFault.BUSY
+    standin.fault = StoreFault.UNAVAILABLE
     result = await store.swap("a", b"1", ABSENT)
     assert result.outcome is WriteOutcome.NOT_APPLIED
     assert (await store.get("a")).unwrap_err().kind is StoreErrorKind.RATE_LIMITED
--- a/tests/test_processes/test_crashing_requests.py
+++ b/tests/test_processes/test_crashing_requests.py
@@ -204,7 +204,7 @@
         async with asyncio.timeout(WAIT_TIMEOUT):
             while await callers.ask(sound, instance) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
-    fleet.store.fault = StoreFault.BUSY
+    fleet.store.fault = StoreFault.UNAVAILABLE
     async with asyncio.timeout(WAIT_TIMEOUT):
         while len(callers.list_crashed()) < MAX_CRASHES:
             await callers.ask(crashing, fleet.instances[0])
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -247,7 +247,7 @@
     fleet.store.put("op/config", create_configuration(8, keys=("new",)))
     for instance in fleet.instances[:2]:
         await wait_for_status(session, instance, 200, key="new")
-    fleet.store.fault = StoreFault.BUSY
+    fleet.store.fault = StoreFault.UNAVAILABLE
     await fleet.launch(late)
     await fleet.wait_ready(late)
     assert await ask(session, late, key="new") == 200
