--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -29,7 +29,7 @@
     #: every call is rejected with 503 and has no effect
     UNAVAILABLE = "busy"
     #: no call is answered or has an effect
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     #: writes take effect but are not answered
     LOST = "lost"
 
@@ -128,7 +128,7 @@
         self.calls[request.path] = self.calls.get(request.path, 0) + 1
         if self.fault is StoreFault.UNAVAILABLE:
             return web.Response(status=503)
-        if self.fault is StoreFault.SILENT:
+        if self.fault is StoreFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         response = await handler(request)
         if self.fault is StoreFault.LOST and request.method == "POST":
