--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -31,7 +31,7 @@
     #: no call is answered or has an effect
     UNRESPONSIVE = "silent"
     #: writes take effect but are not answered
-    LOST = "lost"
+    LOST_RESPONSE = "lost"
 
 
 @dataclass(slots=True)
@@ -131,7 +131,7 @@
         if self.fault is StoreFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         response = await handler(request)
-        if self.fault is StoreFault.LOST and request.method == "POST":
+        if self.fault is StoreFault.LOST_RESPONSE and request.method == "POST":
             await asyncio.sleep(3600)
         return response
 
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -113,7 +113,7 @@
     assert (await store.get("a")).unwrap_err().kind is StoreErrorKind.RATE_LIMITED
 
 
-@pytest.mark.parametrize("fault", [StoreFault.LOST, StoreFault.UNRESPONSIVE])
+@pytest.mark.parametrize("fault", [StoreFault.LOST_RESPONSE, StoreFault.UNRESPONSIVE])
 async def test_write_without_an_answer_is_unknown(store, standin, monkeypatch, fault):
     """Symptom: two instances hold the same entry, each sure that it is alone.
 
