--- a/tests/test_entry/test_controllers/test_orders.py
+++ b/tests/test_entry/test_controllers/test_orders.py
@@ -82,7 +82,7 @@
         holder = await fleet.add("a")
 
         async def suspend(order):
-            holder.clock.lead += 60
+            holder.clock.wall_offset += 60
 
         fleet.engines.before_send = suspend
         await wait_for(lambda: holder.metrics.value("orders.withheld") > 0)
