--- a/tests/test_entry/test_controllers/test_orders.py
+++ b/tests/test_entry/test_controllers/test_orders.py
@@ -35,7 +35,7 @@
 
 async def test_without_placement_the_store_is_not_called():
     async with OrdersFleet() as fleet:
-        fleet.snapshot = fleet.place()
+        fleet.snapshot = fleet.create_snapshot()
         await fleet.add("a")
         await asyncio.sleep(100)
         assert fleet.store.calls == Counter()
@@ -54,7 +54,7 @@
         await wait_for(lambda: first.metrics.value("orders.sent") == 1)
         await first.crash()
         second = await fleet.add("b")
-        second.snapshot = fleet.place(models="draft-2")
+        second.snapshot = fleet.create_snapshot(models="draft-2")
         await wait_for(lambda: fleet.find_models() == ("draft-2",))
         acquired = second.leases.find(GROUP).acquired
         assert second.sent_at[0] >= acquired + 20
@@ -102,7 +102,7 @@
         await wait_for(lambda: fleet.find_models() == ("draft-1",))
         fleet.store.faults.outage = True
         await asyncio.sleep(30)
-        holder.snapshot = fleet.place(models="draft-2")
+        holder.snapshot = fleet.create_snapshot(models="draft-2")
         await asyncio.sleep(600)
         assert fleet.find_models() == ("draft-1",)
         group = holder.leases.dump()["groups"][GROUP]
@@ -138,7 +138,7 @@
         fleet.engines.lose_answers = 1
         holder = await fleet.add("a")
         await wait_for(lambda: holder.metrics.value("orders.outcome.unknown") == 1)
-        holder.snapshot = fleet.place(models="draft-2")
+        holder.snapshot = fleet.create_snapshot(models="draft-2")
         await wait_for(lambda: fleet.find_models() == ("draft-2",))
         assert [models for _, models in fleet.list_orders()] == [
             ("draft-1",),
@@ -211,7 +211,7 @@
         fleet.engines.duration = 4.0
         holder = await fleet.add("a")
         await wait_for(lambda: holder.metrics.value("orders.sent") == 1)
-        holder.snapshot = fleet.place()
+        holder.snapshot = fleet.create_snapshot()
         await asyncio.sleep(3.0)
         assert holder.fence
         assert fleet.find_models() == ()
