--- a/tests/test_entry/test_controllers/test_orders.py
+++ b/tests/test_entry/test_controllers/test_orders.py
@@ -153,7 +153,7 @@
     not be treated as a failure of that engine alone.
     """
     async with OrdersFleet(checks=True) as fleet:
-        engine = fleet.engines.find("engine-0")
+        engine = fleet.engines.find_executor("engine-0")
         engine.duration = 0.0
         newer_token = 1000
         await engine.apply(newer_token, engine.state)
