--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/fleet.py
@@ -24,13 +24,13 @@
 __all__ = ("Instance", "PlatformFleet", "PortTakenError", "find_free_ports")
 
 #: seconds allowed for an instance to become ready, also on a heavily loaded host
-READY_LIMIT = 30.0
+READY_TIMEOUT = 30.0
 #: maximum number of attempts to start an instance, each on new ports
-PORT_TRIES = 5
+MAX_PORT_ATTEMPTS = 5
 #: text in a process's log if it could not bind an address
-TAKEN = "address already in use"
+ADDRESS_IN_USE = "address already in use"
 #: number of targets per service
-TARGETS = 2
+TARGETS_PER_SERVICE = 2
 
 
 class PortTakenError(Exception):
@@ -80,7 +80,7 @@
         await self.store.start()
         self.store.put("op/config", create_configuration())
         for service in ("desk", "llm", "portal", "ledger"):
-            for number in range(TARGETS):
+            for number in range(TARGETS_PER_SERVICE):
                 await self.add_target(f"{service}-{number}", service)
         seeds: list[str] = []
         for number in range(self.count):
@@ -94,9 +94,9 @@
         Another process may bind one of the selected ports before the instance does.
         The instance then logs that and exits, and is started again on new ports.
 
-        :raises PortTakenError: if that happens ``PORT_TRIES`` times
+        :raises PortTakenError: if that happens ``MAX_PORT_ATTEMPTS`` times
         """
-        for _ in range(PORT_TRIES):
+        for _ in range(MAX_PORT_ATTEMPTS):
             instance = self.create_instance(name, seeds)
             await self.launch(instance)
             try:
@@ -153,7 +153,7 @@
         :raises RuntimeError: if it exited for another reason
         """
         async with (
-            asyncio.timeout(READY_LIMIT),
+            asyncio.timeout(READY_TIMEOUT),
             aiohttp.ClientSession() as session,
         ):
             while not await instance.is_ready(session):
@@ -164,7 +164,7 @@
         if instance.process is None or instance.process.returncode is None:
             return
         text = instance.log.read_text(encoding="utf-8")
-        if TAKEN in text:
+        if ADDRESS_IN_USE in text:
             raise PortTakenError(instance.name)
         raise RuntimeError(f"{instance.name} exited: {text[-500:]}")
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -17,7 +17,7 @@
 __all__ = ("StoreFault", "SimulatedStore")
 
 #: items per page; the platform's own limit is about ten times as high
-PAGE = 50
+PAGE_SIZE = 50
 STATUS_CONFLICT = 412
 STATUS_GONE = 410
 
@@ -68,8 +68,8 @@
                 web.get("/v1/kv-watch", self._watch),
                 web.post("/v1/kv-txn", self._write),
                 web.post("/v1/kv-lease", self._grant),
-                web.post("/v1/kv-keep/{lease}", self._keep),
-                web.delete("/v1/kv-lease-end/{lease}", self._end),
+                web.post("/v1/kv-keep/{lease}", self._renew),
+                web.delete("/v1/kv-lease-end/{lease}", self._revoke),
             ]
         )
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -99,7 +99,7 @@
     def remove(self, key: str) -> None:
         """Remove an item, if present."""
         if self._items.pop(key, None) is not None:
-            self._note(key)
+            self._record_change(key)
 
     @property
     def revision(self) -> int:
@@ -149,8 +149,8 @@
         )
         return web.json_response(
             {
-                "items": [self._describe(key) for key in keys[:PAGE]],
-                "has-more": len(keys) > PAGE,
+                "items": [self._describe(key) for key in keys[:PAGE_SIZE]],
+                "has-more": len(keys) > PAGE_SIZE,
                 "store-revision": self._revision,
             }
         )
@@ -164,12 +164,12 @@
             if after < self._compacted:
                 return web.json_response({}, status=STATUS_GONE)
             events = self._list_events(prefix, after)
-            left = end - loop.time()
-            if events or left <= 0:
+            remaining = end - loop.time()
+            if events or remaining <= 0:
                 return web.json_response(
                     {"events": events, "store-revision": self._revision}
                 )
-            await self._wait_change(left)
+            await self._wait_change(remaining)
 
     async def _write(self, request: web.Request) -> web.Response:
         body = await request.json()
@@ -191,32 +191,32 @@
     async def _grant(self, request: web.Request) -> web.Response:
         body = await request.json()
         lease = self._revision * 1000 + len(self._leases)
-        self._hold(lease, body["ttl-ms"] / 1000)
+        self._schedule_expiry(lease, body["ttl-ms"] / 1000)
         return web.json_response({"lease": lease, "ttl-ms": body["ttl-ms"]})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _renew(self, request: web.Request) -> web.Response:
         lease = int(request.match_info["lease"])
         if lease not in self._leases:
             return web.json_response({}, status=404)
         ttl, timer = self._leases[lease]
         timer.cancel()
-        self._hold(lease, ttl)
+        self._schedule_expiry(lease, ttl)
         return web.json_response({"ttl-ms": round(ttl * 1000)})
 
-    async def _end(self, request: web.Request) -> web.Response:
-        self._lapse(int(request.match_info["lease"]))
+    async def _revoke(self, request: web.Request) -> web.Response:
+        self._expire(int(request.match_info["lease"]))
         return web.json_response({})
 
     # state
 
     def _put(self, key: str, value: bytes, lease: int) -> int:
-        revision = self._note(key)
+        revision = self._record_change(key)
         known = self._items.get(key)
         created = known.created if known else revision
         self._items[key] = _Item(value, revision, created, lease)
         return revision
 
-    def _note(self, key: str) -> int:
+    def _record_change(self, key: str) -> int:
         self._revision += 1
         self._history.append((key, self._revision))
         changed, self._changed = self._changed, asyncio.Event()
@@ -253,11 +253,11 @@
             "store-revision": self._revision,
         }
 
-    def _hold(self, lease: int, ttl: float) -> None:
+    def _schedule_expiry(self, lease: int, ttl: float) -> None:
         loop = asyncio.get_running_loop()
-        self._leases[lease] = (ttl, loop.call_later(ttl, self._lapse, lease))
+        self._leases[lease] = (ttl, loop.call_later(ttl, self._expire, lease))
 
-    def _lapse(self, lease: int) -> None:
+    def _expire(self, lease: int) -> None:
         held = self._leases.pop(lease, None)
         if held is None:
             return
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/batch.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/batch.py
@@ -17,7 +17,7 @@
 __all__ = ("Batch",)
 
 #: fraction of the full prefill time that remains on a prefix cache hit
-HIT_SHARE = 0.1
+HIT_PREFILL_RATIO = 0.1
 
 
 @dataclass(slots=True, eq=False)
@@ -40,17 +40,17 @@
         *,
         options: EngineOptions,
         cache: PrefixCache,
-        read_slow: Callable[[], float],
+        get_slowdown: Callable[[], float],
     ) -> None:
         self._options = options
         self._cache = cache
-        self._read_slow = read_slow
+        self._get_slowdown = get_slowdown
         self._order = itertools.count()
         self._waiting: list[tuple[int, int, _Sequence]] = []
         self._active: list[_Sequence] = []
         self._arrived = asyncio.Event()
 
-    async def join(self, attempt: Attempt) -> None:
+    async def run(self, attempt: Attempt) -> None:
         """Queue ``attempt`` and wait until all its tokens are generated."""
         call = attempt.call
         texts = expected_tokens(call.pipeline, call.stage, call.kind, call.input)
@@ -73,7 +73,7 @@
             size = len(self._active)
             growth = 1 + self._options.batch_growth * (size - 1)
             step_ms = prefill_ms + self._options.tokens_ms * growth
-            step_ms *= self._read_slow()
+            step_ms *= self._get_slowdown()
             # the step's time is attributed to its calls in equal shares
             for sequence in self._active:
                 sequence.attempt.run.cost_ms += step_ms / size
@@ -91,8 +91,8 @@
             sequence.attempt.start()
             self._active.append(sequence)
             prefix = find_hint(sequence.attempt.call.input, "prefix")
-            hit = self._cache.use(prefix or "", read_ms())
-            share = HIT_SHARE if hit else 1.0
+            hit = self._cache.lookup(prefix or "", read_ms())
+            share = HIT_PREFILL_RATIO if hit else 1.0
             prefill_ms += self._options.prefill_ms * share
         return prefill_ms
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -40,11 +40,11 @@
             gap_rate=options.cache_gap_rate,
             random_source=self.random,
         )
-        self._book = OrderExecutor(
+        self._executor = OrderExecutor(
             checks=options.fencing == "checked", duration=options.order_ms / 1000
         )
         self._batch = Batch(
-            options=options, cache=self._cache, read_slow=lambda: self.faults.slow
+            options=options, cache=self._cache, get_slowdown=lambda: self.faults.slow
         )
 
     def build_app(self) -> web.Application:
@@ -59,14 +59,14 @@
                 web.post("/kv-cache/import", self._import),
             ]
         )
-        app.cleanup_ctx.append(self._keep_batch)
+        app.cleanup_ctx.append(self._run_batch)
         return app
 
     async def run(self, attempt: Attempt) -> None:
-        await self._batch.join(attempt)
+        await self._batch.run(attempt)
 
     def report_load(self) -> dict[str, Any]:
-        state = self._book.state
+        state = self._executor.state
         own = {
             "cached_prefixes": self._cache.list_prefixes(),
             "models": list(state.models),
@@ -97,7 +97,7 @@
         if not whole and fault is Fault.MUTE:
             attempt.task.cancel()
             attempt.end(RunOutcome.FAILED)
-            await self.hold(request)
+            await self.wait_for_disconnect(request)
             return response
         if not whole or fault is Fault.FAIL:
             cancelled = attempt.task.cancelled()
@@ -105,11 +105,11 @@
             request.transport.abort()
             return response
         attempt.end(RunOutcome.DONE)
-        shown = self.choose_ids(call, fault)
+        answered_call = self.choose_answered_call(call, fault)
         end = {
-            "attempt": shown.attempt,
-            "request": shown.request,
-            "stage": shown.stage,
+            "attempt": answered_call.attempt,
+            "request": answered_call.request,
+            "stage": answered_call.stage,
             "count": len(texts),
             "digest": digest_tokens(texts),
             "cost_ms": attempt.run.cost_ms,
@@ -121,7 +121,7 @@
         self, response: web.StreamResponse, attempt: Attempt, fault: Fault
     ) -> bool:
         """Send tokens as they are generated; return whether all of them were sent."""
-        shown = self.choose_ids(attempt.call, fault)
+        answered_call = self.choose_answered_call(attempt.call, fault)
         limited = fault in (Fault.CUT, Fault.MUTE)
         sent = 0
         while True:
@@ -133,7 +133,7 @@
             frames = []
             for text in texts:
                 token = {
-                    "attempt": shown.attempt,
+                    "attempt": answered_call.attempt,
                     "offset": attempt.call.resume_at + sent,
                     "text": text,
                 }
@@ -147,7 +147,7 @@
                 return not attempt.task.cancelled() and not limited
             await attempt.changed.wait()
 
-    async def _keep_batch(self, app: web.Application) -> AsyncIterator[None]:
+    async def _run_batch(self, app: web.Application) -> AsyncIterator[None]:
         task = asyncio.create_task(self._batch.run_steps())
         yield
         task.cancel()
@@ -167,15 +167,15 @@
         except (KeyError, TypeError, ValueError) as error:
             raise web.HTTPBadRequest(text=repr(error)) from error
         # an order is applied even if its sender disconnects
-        if await asyncio.shield(self._book.apply(fence, wanted)):
-            return web.json_response(self._book.encode())
-        return web.json_response({"fence": self._book.highest}, status=409)
+        if await asyncio.shield(self._executor.apply(fence, wanted)):
+            return web.json_response(self._executor.encode())
+        return web.json_response({"fence": self._executor.highest_fence}, status=409)
 
     async def _get_orders(self, request: web.Request) -> web.Response:
-        return web.json_response(self._book.encode())
+        return web.json_response(self._executor.encode())
 
     async def _get_order_record(self, request: web.Request) -> web.Response:
-        orders = [asdict(order) for order in self._book.orders]
+        orders = [asdict(order) for order in self._executor.orders]
         return web.json_response({"orders": orders})
 
     async def _export(self, request: web.Request) -> web.Response:
@@ -188,7 +188,7 @@
     async def _import(self, request: web.Request) -> web.Response:
         body = await read_json(request)
         prefix = body.get("prefix", "")
-        if not self._cache.accept(prefix, body.get("data", ""), read_ms()):
+        if not self._cache.import_entry(prefix, body.get("data", ""), read_ms()):
             return web.json_response({}, status=400)
         return web.json_response({"prefix": prefix})
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -45,16 +45,16 @@
         #: awaited with the order once connected, immediately before the guard is called
         self.before_send: Callable[[Order], Awaitable[None]] | None = None
         self.reads = 0
-        self._books: dict[str, OrderExecutor] = {}
+        self._executors: dict[str, OrderExecutor] = {}
         self._running: set[asyncio.Task[bool]] = set()
 
     def find_executor(self, target_id: str) -> OrderExecutor:
         """Return the order log and state of one engine."""
-        if target_id not in self._books:
-            self._books[target_id] = OrderExecutor(
+        if target_id not in self._executors:
+            self._executors[target_id] = OrderExecutor(
                 checks=self.checks, duration=self.duration
             )
-        return self._books[target_id]
+        return self._executors[target_id]
 
     async def send(
         self, target: Target, order: Order, guard: OrderGuard
@@ -70,8 +70,8 @@
             adapters=order.desired.adapters,
             role=order.desired.role,
         )
-        book = self.find_executor(target.target_id)
-        run = asyncio.create_task(book.apply(order.fence, wanted))
+        executor = self.find_executor(target.target_id)
+        run = asyncio.create_task(executor.apply(order.fence, wanted))
         self._running.add(run)
         run.add_done_callback(self._running.discard)
         if self.lose_answers > 0:
@@ -85,10 +85,10 @@
         self.reads += 1
         if target.target_id in self.unreachable:
             return Err("target unreachable")
-        book = self.find_executor(target.target_id)
+        executor = self.find_executor(target.target_id)
         state = EngineState(
-            models=book.state.models,
-            adapters=book.state.adapters,
-            role=book.state.role,
+            models=executor.state.models,
+            adapters=executor.state.adapters,
+            role=executor.state.role,
         )
-        return Ok(EngineReport(state, book.fence))
+        return Ok(EngineReport(state, executor.fence))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/fault_injecting_store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/fault_injecting_store.py
@@ -36,12 +36,12 @@
         self._store = store
 
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
-        if not await self._enter("get", key):
+        if not await self._reaches_store("get", key):
             return Err(OUTAGE)
         return await self._store.get(key)
 
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
-        if not await self._enter("list", prefix):
+        if not await self._reaches_store("list", prefix):
             return Err(OUTAGE)
         return await self._store.list(prefix)
 
@@ -62,17 +62,17 @@
     async def watch(
         self, key: str, after: int, wait: float
     ) -> Result[Entry | None, StoreError]:
-        if not await self._enter("watch", key):
+        if not await self._reaches_store("watch", key):
             return Err(OUTAGE)
         return await self._store.watch(key, after, wait)
 
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
-        if not await self._enter("grant", ""):
+        if not await self._reaches_store("grant", ""):
             return Err(OUTAGE)
         return await self._store.grant_lease(ttl)
 
     async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
-        if not await self._enter("keep", lease_id):
+        if not await self._reaches_store("keep", lease_id):
             return Err(OUTAGE)
         return await self._store.renew_lease(lease_id)
 
@@ -81,7 +81,7 @@
             "revoke", lease_id, lambda: self._store.revoke_lease(lease_id)
         )
 
-    async def _enter(self, kind: str, key: str) -> bool:
+    async def _reaches_store(self, kind: str, key: str) -> bool:
         """Count a call; return whether it reaches the store."""
         self.calls[kind] += 1
         if self.faults.before_call:
@@ -91,7 +91,7 @@
     async def _write(
         self, kind: str, key: str, write: Callable[[], Awaitable[WriteResult]]
     ) -> WriteResult:
-        if not await self._enter(kind, key):
+        if not await self._reaches_store(kind, key):
             return REFUSED
         if self.faults.consume("drop_writes"):
             return LOST
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
@@ -35,7 +35,7 @@
 #: maximum size of a value in bytes
 MAX_VALUE = 1024 * 1024
 
-LAPSED = StoreError(StoreErrorKind.LEASE_GONE, "lease has expired")
+EXPIRED = StoreError(StoreErrorKind.LEASE_GONE, "lease has expired")
 
 T = TypeVar("T")
 
@@ -111,14 +111,14 @@
         self._window_calls = 0
 
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
-        error = await self._enter("get", key)
+        error = await self._begin_call("get", key)
         if error:
             return Err(error)
         entry = self._entries.get(key)
         return await self._answer("get", key, entry)
 
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
-        error = await self._enter("list", prefix)
+        error = await self._begin_call("list", prefix)
         if error:
             return Err(error)
         keys = sorted(key for key in self._entries if key.startswith(prefix))
@@ -128,7 +128,7 @@
     async def swap(
         self, key: str, value: bytes, expected: int, *, lease_id: str = ""
     ) -> WriteResult:
-        error = await self._enter("swap", key)
+        error = await self._begin_call("swap", key)
         if error:
             return _refuse(error)
         if self.faults.consume("drop_writes"):
@@ -137,7 +137,7 @@
         return await self._answer_write("swap", key, result)
 
     async def delete(self, key: str, expected: int) -> WriteResult:
-        error = await self._enter("delete", key)
+        error = await self._begin_call("delete", key)
         if error:
             return _refuse(error)
         if self.faults.consume("drop_writes"):
@@ -151,16 +151,16 @@
     async def watch(
         self, key: str, after: int, wait: float
     ) -> Result[Entry | None, StoreError]:
-        error = await self._enter("watch", key)
+        error = await self._begin_call("watch", key)
         if error:
             return Err(error)
-        entry = self._get_above(key, after)
+        entry = self._get_newer(key, after)
         if entry is None and wait > 0:
-            entry = await self._wait_above(key, after, wait)
+            entry = await self._wait_newer(key, after, wait)
         return await self._answer("watch", key, entry)
 
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
-        error = await self._enter("grant", "")
+        error = await self._begin_call("grant", "")
         if error:
             return Err(error)
         self._lease_number += 1
@@ -170,17 +170,17 @@
         return await self._answer_lease("grant", lease)
 
     async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
-        error = await self._enter("keep", lease_id)
+        error = await self._begin_call("keep", lease_id)
         if error:
             return Err(error)
         held = self._leases.get(lease_id)
         if held is None:
-            return Err(LAPSED)
+            return Err(EXPIRED)
         held.expires = self._clock.now() + held.ttl
         return await self._answer_lease("keep", Lease(lease_id, held.ttl, held.number))
 
     async def revoke_lease(self, lease_id: str) -> WriteResult:
-        error = await self._enter("revoke", lease_id)
+        error = await self._begin_call("revoke", lease_id)
         if error:
             return _refuse(error)
         self._end_lease(lease_id)
@@ -195,7 +195,7 @@
             for event in events:
                 event.set()
 
-    async def _enter(self, kind: str, key: str) -> StoreError | None:
+    async def _begin_call(self, kind: str, key: str) -> StoreError | None:
         self.calls[kind] += 1
         if self.faults.before_call:
             await self.faults.before_call(kind, key)
@@ -203,7 +203,7 @@
             return StoreError(StoreErrorKind.UNREACHABLE, "outage")
         if self.faults.consume("refuse_calls") or self._is_over_limit():
             return StoreError(StoreErrorKind.RATE_LIMITED, "too many calls")
-        self._lapse_leases()
+        self._expire_leases()
         return None
 
     def _is_over_limit(self) -> bool:
@@ -243,7 +243,7 @@
         if len(value) > MAX_VALUE:
             return _refuse(StoreError(StoreErrorKind.BAD_ANSWER, "value too large"))
         if lease_id and lease_id not in self._leases:
-            return _refuse(LAPSED)
+            return _refuse(EXPIRED)
         found = self._get_revision(key)
         if found != expected:
             return WriteResult(WriteOutcome.CONFLICT, found)
@@ -266,13 +266,13 @@
         entry = self._entries.get(key)
         return entry.revision if entry else ABSENT
 
-    def _get_above(self, key: str, after: int) -> Entry | None:
+    def _get_newer(self, key: str, after: int) -> Entry | None:
         entry = self._entries.get(key)
         if entry is None or entry.revision <= after:
             return None
         return entry
 
-    async def _wait_above(self, key: str, after: int, wait: float) -> Entry | None:
+    async def _wait_newer(self, key: str, after: int, wait: float) -> Entry | None:
         event = asyncio.Event()
         self._watchers[key][event] = None
         try:
@@ -284,12 +284,12 @@
             del self._watchers[key][event]
             if not self._watchers[key]:
                 del self._watchers[key]
-        return self._get_above(key, after)
+        return self._get_newer(key, after)
 
-    def _lapse_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now = self._clock.now()
-        lapsed = [name for name, held in self._leases.items() if held.expires <= now]
-        for lease_id in lapsed:
+        expired = [name for name, held in self._leases.items() if held.expires <= now]
+        for lease_id in expired:
             self._end_lease(lease_id)
 
     def _end_lease(self, lease_id: str) -> None:
@@ -330,8 +330,8 @@
         self.calls["fetch"] += 1
         if self.outage:
             return Err(StoreError(StoreErrorKind.UNREACHABLE, "outage"))
-        true_at = self._clock.now() - self.lag
-        while len(self._history) > 1 and self._history[1][0] <= true_at:
+        shown_at = self._clock.now() - self.lag
+        while len(self._history) > 1 and self._history[1][0] <= shown_at:
             self._history.pop(0)
         return Ok(self._history[0][1])
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/order_executor.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/order_executor.py
@@ -48,36 +48,36 @@
     #: fencing token of the order that led to ``state``
     fence: int = 0
     orders: list[OrderRecord] = field(default_factory=list)
-    _highest: int = 0
+    _highest_fence: int = 0
 
     async def apply(self, fence: int, wanted: EngineState) -> bool:
         """Apply ``wanted``; return whether the order was accepted."""
-        if self._is_old(fence):
-            self._note(fence, wanted, False)
+        if self._is_stale(fence):
+            self._record(fence, wanted, False)
             return False
-        self._highest = max(self._highest, fence)
+        self._highest_fence = max(self._highest_fence, fence)
         await asyncio.sleep(self.duration)
         # a newer order may have arrived in the meantime
-        accepted = not self._is_old(fence)
-        self._note(fence, wanted, accepted)
+        accepted = not self._is_stale(fence)
+        self._record(fence, wanted, accepted)
         if accepted:
             self.state = wanted
             self.fence = fence
         return accepted
 
     @property
-    def highest(self) -> int:
+    def highest_fence(self) -> int:
         """Highest fencing token received."""
-        return self._highest
+        return self._highest_fence
 
     def encode(self) -> dict[str, Any]:
         """Return the current state as sent in answers."""
         return {"state": asdict(self.state), "fence": self.fence}
 
-    def _is_old(self, fence: int) -> bool:
-        return self.checks and fence < self._highest
+    def _is_stale(self, fence: int) -> bool:
+        return self.checks and fence < self._highest_fence
 
-    def _note(self, fence: int, wanted: EngineState, accepted: bool) -> None:
+    def _record(self, fence: int, wanted: EngineState, accepted: bool) -> None:
         if len(self.orders) >= MAX_ORDERS:
             return
         order = OrderRecord(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -68,8 +68,8 @@
     Messages pass through the codec, as between processes.
     """
 
-    def __init__(self, switchboard: MemoryNetwork, instance_id: str) -> None:
-        self._switchboard = switchboard
+    def __init__(self, network: MemoryNetwork, instance_id: str) -> None:
+        self._network = network
         self._instance_id = instance_id
         self._handlers: dict[type[Message], MessageHandler] = {}
 
@@ -78,13 +78,13 @@
         return self._instance_id
 
     def members(self) -> tuple[Member, ...]:
-        states = self._switchboard.states
-        states = states | self._switchboard.state_overrides.get(self._instance_id, {})
-        places = self._switchboard.data_centres
+        states = self._network.states
+        states = states | self._network.state_overrides.get(self._instance_id, {})
+        data_centres = self._network.data_centres
         return tuple(
             Member(
                 instance_id=one,
-                data_centre=places.get(one, ""),
+                data_centre=data_centres.get(one, ""),
                 address="",
                 state=state,
             )
@@ -92,7 +92,7 @@
         )
 
     def send(self, instance_id: str, message: Message) -> bool:
-        receiver = self._switchboard.find(self._instance_id, instance_id)
+        receiver = self._network.find(self._instance_id, instance_id)
         if receiver is None:
             return False
         asyncio.get_running_loop().create_task(
@@ -103,15 +103,15 @@
     async def ask(
         self, instance_id: str, message: Message, timeout: float
     ) -> Result[Message, PeerError]:
-        switchboard = self._switchboard
-        receiver = switchboard.find(self._instance_id, instance_id)
+        network = self._network
+        receiver = network.find(self._instance_id, instance_id)
         if receiver is None:
             return Err(PeerError(PeerErrorKind.NOT_SENT, "no link"))
-        switchboard.call_counts[message.wire_name] += 1
+        network.call_counts[message.wire_name] += 1
         try:
             async with asyncio.timeout(timeout):
                 answer = await receiver.receive(self._instance_id, message)
-                if (self._instance_id, instance_id) in switchboard.lost_answers:
+                if (self._instance_id, instance_id) in network.lost_answers:
                     await asyncio.Event().wait()
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "timeout"))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
@@ -28,7 +28,7 @@
 
     def build_app(self) -> web.Application:
         app = super().build_app()
-        app.cleanup_ctx.append(self._keep_worker)
+        app.cleanup_ctx.append(self._run_worker)
         return app
 
     async def run(self, attempt: Attempt) -> None:
@@ -37,14 +37,14 @@
         self._arrived.set()
         await done
 
-    async def _keep_worker(self, app: web.Application) -> AsyncIterator[None]:
+    async def _run_worker(self, app: web.Application) -> AsyncIterator[None]:
         task = asyncio.create_task(self._run_batches())
         yield
         task.cancel()
 
     async def _run_batches(self) -> None:
         while True:
-            batch = self._take_batch()
+            batch = self._pop_batch()
             if not batch:
                 self._arrived.clear()
                 await self._arrived.wait()
@@ -59,7 +59,7 @@
                 if not done.done():
                     done.set_result(None)
 
-    def _take_batch(self) -> list[tuple[Attempt, asyncio.Future[None]]]:
+    def _pop_batch(self) -> list[tuple[Attempt, asyncio.Future[None]]]:
         batch = []
         while self._queue and len(batch) < self.options.capacity:
             attempt, done = self._queue.popleft()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/prefixes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/prefixes.py
@@ -22,7 +22,7 @@
     prefix: str
     cached: bool
     #: wall-clock milliseconds from which the event is visible
-    shown_ms: float
+    visible_ms: float
 
 
 class PrefixCache:
@@ -48,7 +48,7 @@
         self._events: deque[_Event] = deque(maxlen=MAX_EVENTS)
         self._sequence = 0
 
-    def use(self, prefix: str, now_ms: float) -> bool:
+    def lookup(self, prefix: str, now_ms: float) -> bool:
         """Look up ``prefix`` and cache it; return whether it was a hit."""
         if not prefix:
             return False
@@ -59,12 +59,12 @@
     def insert(self, prefix: str, now_ms: float) -> None:
         """Insert ``prefix`` as the most recently used entry."""
         if prefix not in self._prefixes:
-            self._announce(prefix, True, now_ms)
+            self._add_event(prefix, True, now_ms)
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         while len(self._prefixes) > self._limit:
             oldest, _ = self._prefixes.popitem(last=False)
-            self._announce(oldest, False, now_ms)
+            self._add_event(oldest, False, now_ms)
 
     def list_prefixes(self) -> list[str]:
         """Return the cached prefixes, least recently used first."""
@@ -76,7 +76,7 @@
             return None
         return _encode(prefix)
 
-    def accept(self, prefix: str, data: str, now_ms: float) -> bool:
+    def import_entry(self, prefix: str, data: str, now_ms: float) -> bool:
         """Insert an exported entry; return whether ``data`` belongs to ``prefix``."""
         if data != _encode(prefix):
             return False
@@ -85,24 +85,24 @@
 
     def read_events(self, after: int, now_ms: float) -> dict[str, Any]:
         """Return the visible events with sequence numbers above ``after``."""
-        shown = [
+        visible = [
             event
             for event in self._events
-            if event.sequence > after and event.shown_ms <= now_ms
+            if event.sequence > after and event.visible_ms <= now_ms
         ]
         events = [
             {"sequence": event.sequence, "prefix": event.prefix, "cached": event.cached}
-            for event in shown
+            for event in visible
         ]
-        last = shown[-1].sequence if shown else after
+        last = visible[-1].sequence if visible else after
         return {"next": last, "events": events}
 
-    def _announce(self, prefix: str, cached: bool, now_ms: float) -> None:
+    def _add_event(self, prefix: str, cached: bool, now_ms: float) -> None:
         self._sequence += 1
         if self._random.random() < self._gap_rate:
             return
-        shown_ms = now_ms + self._lag_ms
-        self._events.append(_Event(self._sequence, prefix, cached, shown_ms))
+        visible_ms = now_ms + self._lag_ms
+        self._events.append(_Event(self._sequence, prefix, cached, visible_ms))
 
 
 def _encode(prefix: str) -> str:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/run_log.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/run_log.py
@@ -78,12 +78,12 @@
         self._outcomes: Counter[str] = Counter()
         self._costs: dict[str, Counter[str]] = defaultdict(Counter)
 
-    def note_arrival(self) -> None:
+    def record_arrival(self) -> None:
         """Count a call that arrives while the target is leaving."""
         if self.leaving_since_ms is not None:
             self._arrived_leaving += 1
 
-    def begin(self, call: Call) -> RunRecord:
+    def record_start(self, call: Call) -> RunRecord:
         """Record the start of a run."""
         run = RunRecord(
             attempt=call.attempt,
@@ -95,7 +95,7 @@
         self._running[id(run)] = run
         return run
 
-    def end(self, run: RunRecord, outcome: RunOutcome) -> None:
+    def record_end(self, run: RunRecord, outcome: RunOutcome) -> None:
         """Record the end of a run; further calls have no effect."""
         if self._running.pop(id(run), None) is None:
             return
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
@@ -31,7 +31,7 @@
 #: retry delay in milliseconds that a rejected caller is given
 RETRY_AFTER_MS = 50
 #: seconds between checks whether a caller that gets no answer has disconnected
-HOLD_INTERVAL = 0.25
+DISCONNECT_POLL_SECONDS = 0.25
 #: relative spread of service times around the mean, to either side
 SPREAD = 0.2
 
@@ -41,7 +41,7 @@
     """A call that is queued or running at the target."""
 
     call: Call
-    record: RunLog
+    run_log: RunLog
     run: RunRecord | None = None
     task: asyncio.Task[None] | None = None
     #: texts of the tokens generated so far, from offset ``call.resume_at`` on
@@ -51,7 +51,7 @@
 
     def start(self) -> RunRecord:
         """Record the start of the run."""
-        self.run = self.record.begin(self.call)
+        self.run = self.run_log.record_start(self.call)
         return self.run
 
     def emit(self, text: str) -> None:
@@ -65,9 +65,9 @@
             return
         self.ended = True
         if self.run is None:
-            self.record.not_run += 1
+            self.run_log.not_run += 1
             return
-        self.record.end(self.run, outcome)
+        self.run_log.record_end(self.run, outcome)
 
 
 class Target(ABC):
@@ -76,10 +76,10 @@
     def __init__(self, options: TargetOptions) -> None:
         self.options = options
         self.faults = TargetFaults()
-        self.record = RunLog()
+        self.run_log = RunLog()
         self.random = random.Random(options.seed)
         self._attempts: dict[str, Attempt] = {}
-        self._last: Call | None = None
+        self._last_call: Call | None = None
         self._reports: list[tuple[float, dict[str, Any]]] = []
 
     @abstractmethod
@@ -103,7 +103,7 @@
             ]
         )
         app.on_response_prepare.append(self._add_state)
-        app.cleanup_ctx.append(self._keep_reports)
+        app.cleanup_ctx.append(self._run_sampling)
         return app
 
     def draw_service_ms(self, call: Call) -> float:
@@ -132,12 +132,12 @@
         """Answer ``attempt`` as a stream; only engines support it."""
         raise web.HTTPBadRequest(text="this target does not stream")
 
-    def choose_ids(self, call: Call, fault: Fault) -> Call:
+    def choose_answered_call(self, call: Call, fault: Fault) -> Call:
         """Return the call whose ids and output are sent in the answer to ``call``."""
         if fault is not Fault.CROSS:
             return call
-        if self._last is not None and self._last.attempt != call.attempt:
-            return self._last
+        if self._last_call is not None and self._last_call.attempt != call.attempt:
+            return self._last_call
         return Call(
             attempt=f"other-{call.attempt}",
             request=f"other-{call.request}",
@@ -148,28 +148,28 @@
             input="other",
         )
 
-    async def hold(self, request: web.Request) -> web.Response:
+    async def wait_for_disconnect(self, request: web.Request) -> web.Response:
         """Send no answer and wait until the caller closes the connection."""
         while True:
             if request.transport is None or request.transport.is_closing():
                 return web.Response()
-            await asyncio.sleep(HOLD_INTERVAL)
+            await asyncio.sleep(DISCONNECT_POLL_SECONDS)
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
         try:
             call = decode_call(await read_json(request))
         except TypeError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
-        self.record.note_arrival()
+        self.run_log.record_arrival()
         fault = draw_fault(self.faults, self.random)
         waiting = sum(attempt.run is None for attempt in self._attempts.values())
         if fault is Fault.REFUSE or waiting >= self.options.queue:
-            self.record.not_run += 1
+            self.run_log.not_run += 1
             return refuse(call)
         if fault is Fault.STALL:
-            self.record.not_run += 1
-            return await self.hold(request)
-        attempt = Attempt(call, self.record)
+            self.run_log.not_run += 1
+            return await self.wait_for_disconnect(request)
+        attempt = Attempt(call, self.run_log)
         attempt.task = asyncio.create_task(self.run(attempt))
         self._attempts[call.attempt] = attempt
         try:
@@ -180,7 +180,7 @@
             attempt.task.cancel()
             # no effect if an outcome has been recorded above
             attempt.end(RunOutcome.CANCELLED)
-            self._last = call
+            self._last_call = call
             if self._attempts.get(call.attempt) is attempt:
                 del self._attempts[call.attempt]
 
@@ -199,18 +199,21 @@
             return _fail(call, "failed after the run")
         attempt.end(RunOutcome.DONE)
         if fault is Fault.MUTE:
-            return await self.hold(request)
+            return await self.wait_for_disconnect(request)
         if fault is Fault.CUT:
             request.transport.abort()
             return web.Response()
-        shown = self.choose_ids(call, fault)
+        answered_call = self.choose_answered_call(call, fault)
         return web.json_response(
             {
-                "attempt": shown.attempt,
-                "request": shown.request,
-                "stage": shown.stage,
+                "attempt": answered_call.attempt,
+                "request": answered_call.request,
+                "stage": answered_call.stage,
                 "output": expected_output(
-                    shown.pipeline, shown.stage, shown.kind, shown.input
+                    answered_call.pipeline,
+                    answered_call.stage,
+                    answered_call.kind,
+                    answered_call.input,
                 ),
                 "cost_ms": attempt.run.cost_ms,
             }
@@ -224,7 +227,7 @@
 
     async def _get_load(self, request: web.Request) -> web.Response:
         if self.faults.load_outage:
-            return await self.hold(request)
+            return await self.wait_for_disconnect(request)
         taken, report = self._reports[0]
         # the state is never stale: a target knows its own
         fresh = {"state": self.faults.state, "age_ms": read_ms() - taken}
@@ -239,29 +242,29 @@
         except ControlError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
         if self.faults.state == "live":
-            self.record.leaving_since_ms = None
-        elif self.record.leaving_since_ms is None:
-            self.record.leaving_since_ms = read_ms()
+            self.run_log.leaving_since_ms = None
+        elif self.run_log.leaving_since_ms is None:
+            self.run_log.leaving_since_ms = read_ms()
         return web.json_response({})
 
     async def _get_record(self, request: web.Request) -> web.Response:
-        return web.json_response({"runs": self.record.encode()})
+        return web.json_response({"runs": self.run_log.encode()})
 
     async def _get_summary(self, request: web.Request) -> web.Response:
-        return web.json_response(self.record.summarize())
+        return web.json_response(self.run_log.summarize())
 
     async def _add_state(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
         response.headers["X-Target-State"] = self.faults.state
 
-    async def _keep_reports(self, app: web.Application) -> AsyncIterator[None]:
+    async def _run_sampling(self, app: web.Application) -> AsyncIterator[None]:
         """Sample the load twice per ``load_lag_ms``; the older sample is reported."""
-        task = asyncio.create_task(self._take_reports())
+        task = asyncio.create_task(self._sample_load())
         yield
         task.cancel()
 
-    async def _take_reports(self) -> None:
+    async def _sample_load(self) -> None:
         while True:
             self._reports.append((read_ms(), self.report_load()))
             del self._reports[:-2]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
@@ -9,7 +9,7 @@
 
 __all__ = ("Direction", "TcpProxy")
 
-CHUNK = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 HOST = "127.0.0.1"
 
 
@@ -21,16 +21,16 @@
     BOTH = FORWARD | BACKWARD
 
 
-NEITHER = Direction(0)
+NO_DIRECTION = Direction(0)
 
 
 @dataclass(slots=True, eq=False)
 class _Connection:
     task: asyncio.Task[None]
-    near: asyncio.StreamWriter
-    far: asyncio.StreamWriter | None = None
+    client_writer: asyncio.StreamWriter
+    target_writer: asyncio.StreamWriter | None = None
     #: directions in which this connection permanently discards its data
-    silent: Direction = NEITHER
+    blackholed: Direction = NO_DIRECTION
 
 
 class TcpProxy:
@@ -49,14 +49,14 @@
         self._port = int(port)
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
-        self._silent = NEITHER
+        self._blackholed = NO_DIRECTION
         self._delays = {Direction.FORWARD: 0.0, Direction.BACKWARD: 0.0}
         #: number of connections accepted so far
         self.accepted = 0
 
     @property
     def address(self) -> str:
-        """``host:port`` to connect to; unchanged by :meth:`disconnect` and :meth:`heal`."""
+        """``host:port`` to connect to; the same after a disconnect."""
         return f"{self._host}:{self._port}"
 
     async def start(self) -> None:
@@ -90,10 +90,10 @@
         :param only_open: affect the connections open now, permanently, and no others
         """
         if not only_open:
-            self._silent |= direction
+            self._blackholed |= direction
             return
         for connection in self._connections:
-            connection.silent |= direction
+            connection.blackholed |= direction
 
     def delay(self, seconds: float, direction: Direction = Direction.BOTH) -> None:
         """Delay each chunk of data by ``seconds``."""
@@ -103,7 +103,7 @@
 
     async def heal(self) -> None:
         """Clear all faults; connections that have lost data keep discarding it."""
-        self._silent = NEITHER
+        self._blackholed = NO_DIRECTION
         self.delay(0.0)
         if self._server is None:
             await self.start()
@@ -132,23 +132,23 @@
             # the target is unreachable or one side closed: the other side is closed too
             pass
         except* asyncio.CancelledError:
-            # closed by ``close_connections``; propagated, asyncio would log it as an error
+            # closed by ``close_connections``; asyncio would log it as an error
             pass
         finally:
             writer.transport.abort()
-            if connection.far is not None:
-                connection.far.transport.abort()
+            if connection.target_writer is not None:
+                connection.target_writer.transport.abort()
             self._connections.discard(connection)
 
     async def _forward(
         self, connection: _Connection, reader: asyncio.StreamReader
     ) -> None:
         host, _, port = self._target.rpartition(":")
-        far_reader, far = await asyncio.open_connection(host, int(port))
-        connection.far = far
-        forward = self._pump(connection, reader, far, Direction.FORWARD)
+        target_reader, target_writer = await asyncio.open_connection(host, int(port))
+        connection.target_writer = target_writer
+        forward = self._pump(connection, reader, target_writer, Direction.FORWARD)
         backward = self._pump(
-            connection, far_reader, connection.near, Direction.BACKWARD
+            connection, target_reader, connection.client_writer, Direction.BACKWARD
         )
         async with asyncio.TaskGroup() as group:
             group.create_task(forward)
@@ -165,11 +165,11 @@
             data = await self._read(connection, reader, way)
             if self._delays[way]:
                 await asyncio.sleep(self._delays[way])
-            if way in self._silent:
-                connection.silent |= way
-            if way in connection.silent and data:
+            if way in self._blackholed:
+                connection.blackholed |= way
+            if way in connection.blackholed and data:
                 continue
-            if way in connection.silent:
+            if way in connection.blackholed:
                 await asyncio.Event().wait()
             if not data:
                 break
@@ -182,9 +182,9 @@
     ) -> bytes:
         """Read the next chunk; empty if that side closed the connection."""
         try:
-            return await reader.read(CHUNK)
+            return await reader.read(CHUNK_BYTES)
         except OSError:
             # a link that discards data hides a reset as well
-            if way in self._silent | connection.silent:
+            if way in self._blackholed | connection.blackholed:
                 return b""
             raise
