--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -139,7 +139,7 @@
         key = request.query["key"]
         if key not in self._items:
             return web.json_response({}, status=404)
-        return web.json_response(self._describe(key))
+        return web.json_response(self._encode_item(key))
 
     async def _list(self, request: web.Request) -> web.Response:
         prefix = request.query["prefix"]
@@ -149,7 +149,7 @@
         )
         return web.json_response(
             {
-                "items": [self._describe(key) for key in keys[:PAGE_SIZE]],
+                "items": [self._encode_item(key) for key in keys[:PAGE_SIZE]],
                 "has-more": len(keys) > PAGE_SIZE,
                 "store-revision": self._revision,
             }
@@ -239,10 +239,10 @@
             if item is None:
                 events.append({"key": key, "revision": revision, "tombstone": True})
             elif item.revision == revision:
-                events.append(self._describe(key))
+                events.append(self._encode_item(key))
         return events
 
-    def _describe(self, key: str) -> dict[str, Any]:
+    def _encode_item(self, key: str) -> dict[str, Any]:
         item = self._items[key]
         return {
             "key": key,
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -52,13 +52,13 @@
     Sequence: the text that stands for an item's bytes is not what it should be.
     Cause: the whole answer was refused.
     """
-    describe = SimulatedStore._describe
+    describe = SimulatedStore._encode_item
 
     def describe_badly(self, key):
         item = describe(self, key)
         return {**item, "value": "!"} if key == "servers/bad" else item
 
-    monkeypatch.setattr(SimulatedStore, "_describe", describe_badly)
+    monkeypatch.setattr(SimulatedStore, "_encode_item", describe_badly)
     revision = standin.put("servers/a", {"n": 1})
     standin.put("servers/bad", {"n": 1})
     entries = (await store.scan("servers/")).unwrap().entries
