--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/raw.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/raw.py
@@ -12,7 +12,7 @@
 __all__ = (
     "STREAM_HEAD",
     "RawConnection",
-    "RawServer",
+    "ScriptedServer",
     "encode_answer",
     "encode_end",
     "encode_token",
@@ -66,7 +66,7 @@
 Script = Callable[[RawConnection], Awaitable[None]]
 
 
-class RawServer:
+class ScriptedServer:
     """Runs ``script`` on each connection and closes the connection afterwards."""
 
     def __init__(self, script: Script) -> None:
@@ -83,7 +83,7 @@
         """``host:port`` to connect to."""
         return f"{HOST}:{self.port}"
 
-    async def __aenter__(self) -> RawServer:
+    async def __aenter__(self) -> ScriptedServer:
         self._server = await asyncio.start_server(self._accept, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return self
--- a/tests/test_entry/test_adapters/test_engine_orders.py
+++ b/tests/test_entry/test_adapters/test_engine_orders.py
@@ -12,7 +12,7 @@
 from greengagelatch.targets import Target
 from greengagelatch_entry.adapters.orders import HttpOrderClient
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_lab.standins.raw import RawServer, encode_answer
+from greengagelatch_lab.standins.raw import ScriptedServer, encode_answer
 
 ORDER = Order(7, EngineState(models=("draft-1",), role="mixed"))
 STATE = {"models": ["draft-1"], "adapters": [], "role": "mixed"}
@@ -36,7 +36,7 @@
         received.append(await connection.read_request())
         await script(connection)
 
-    async with RawServer(record) as server, open_client(timeout) as client:
+    async with ScriptedServer(record) as server, open_client(timeout) as client:
         target = Target("engine", "writer", "north", server.address)
         answer = await client.send(target, ORDER, guard)
         # a further call ensures that everything sent before has arrived
@@ -53,7 +53,7 @@
     assert answer.outcome is OrderOutcome.DONE
     wanted = {"models": ["draft-1"], "adapters": [], "role": "mixed"}
     assert received == [{"fence": 7, "wanted": wanted}]
-    async with RawServer(answer_after_request) as server, open_client() as client:
+    async with ScriptedServer(answer_after_request) as server, open_client() as client:
         target = Target("engine", "writer", "north", server.address)
         assert await client.read(target) == Ok(EngineReport(ORDER.desired, 7))
 
@@ -78,7 +78,7 @@
         finally:
             ended.set()
 
-    async with RawServer(accept) as server, open_client() as client:
+    async with ScriptedServer(accept) as server, open_client() as client:
         target = Target("engine", "writer", "north", server.address)
         answer = await client.send(target, ORDER, lambda: False)
         async with asyncio.timeout(5):
@@ -137,7 +137,7 @@
 
 
 async def test_an_order_to_an_unreachable_engine_is_not_sent():
-    async with RawServer(answer_state) as server:
+    async with ScriptedServer(answer_state) as server:
         address = server.address
     async with open_client() as client:
         target = Target("engine", "writer", "north", address)
@@ -160,6 +160,6 @@
         await connection.read_request()
         await connection.send(encode_answer(report))
 
-    async with RawServer(script) as server, open_client() as client:
+    async with ScriptedServer(script) as server, open_client() as client:
         target = Target("engine", "writer", "north", server.address)
         assert isinstance(await client.read(target), Err)
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -18,7 +18,7 @@
 from greengagelatch_entry.metrics import Metrics
 from greengagelatch_lab.standins.raw import (
     STREAM_HEAD,
-    RawServer,
+    ScriptedServer,
     encode_answer,
     encode_end,
     encode_token,
@@ -76,7 +76,7 @@
 
 async def call_once(script, call=None, limits=LIMITS):
     """Return the result of one call to a server with ``script``, and the server."""
-    async with RawServer(script) as server, open_client(limits) as client:
+    async with ScriptedServer(script) as server, open_client(limits) as client:
         result = await client.call(create_target(server), call or create_call())
         return result, server
 
@@ -97,7 +97,7 @@
         received.append(call["attempt"])
         connection.reset()
 
-    async with RawServer(script) as server, open_client() as client:
+    async with ScriptedServer(script) as server, open_client() as client:
         target = create_target(server)
         first = await client.call(target, create_call(1))
         assert first.ok_value.output == "attempt-1"
@@ -126,7 +126,7 @@
 
 
 async def test_refused_connection_proves_that_nothing_ran():
-    async with RawServer(serve) as server:
+    async with ScriptedServer(serve) as server:
         target = create_target(server)
     async with open_client() as client:
         result = await client.call(target, create_call(repeatable=False))
@@ -154,7 +154,7 @@
     monkeypatch.setattr(
         "greengagelatch_entry.adapters.targets._Attempt.record_sending", refuse
     )
-    async with RawServer(script) as server, open_client() as client:
+    async with ScriptedServer(script) as server, open_client() as client:
         result = await client.call(create_target(server), create_call())
         await ended.wait()
     assert result.err_value.verdict is Verdict.NOT_RUN
@@ -197,7 +197,7 @@
         await connection.hold()
 
     late = asyncio.Event()
-    async with RawServer(script) as server, open_client() as client:
+    async with ScriptedServer(script) as server, open_client() as client:
         target = create_target(server)
         await client.call(target, create_call(1))
         await late.wait()
@@ -251,7 +251,7 @@
 
     gate = asyncio.Event()
     limits = replace(LIMITS, stall_timeout=0.6)
-    async with RawServer(script) as server, open_client(limits) as client:
+    async with ScriptedServer(script) as server, open_client(limits) as client:
         target = create_target(server)
         warm = [
             asyncio.create_task(client.call(target, create_call(n, input="warm")))
@@ -272,7 +272,7 @@
 async def test_pooled_connections_are_replaced_by_age():
     clock = ManualClock()
     limits = replace(LIMITS, max_age=60.0)
-    async with RawServer(serve) as server, open_client(limits, clock) as client:
+    async with ScriptedServer(serve) as server, open_client(limits, clock) as client:
         target = create_target(server)
         for _ in range(3):
             call = create_call(deadline=clock.now() + 10)
@@ -343,7 +343,7 @@
                 await connection.hold()
             await connection.send(event)
 
-    async with RawServer(script) as server, open_client() as client:
+    async with ScriptedServer(script) as server, open_client() as client:
         result = await client.call(
             create_target(server),
             call or create_stream_call(),
@@ -462,7 +462,7 @@
         received.append(await connection.read_request())
         await connection.send(encode_answer({"cancelled": True}))
 
-    async with RawServer(script) as server, open_client() as client:
+    async with ScriptedServer(script) as server, open_client() as client:
         assert await client.cancel(create_target(server), "attempt-1")
         assert received == [{"attempt": "attempt-1"}]
     async with open_client() as client:
