--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/raw.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/raw.py
@@ -11,7 +11,7 @@
 
 __all__ = (
     "STREAM_HEAD",
-    "RawConnection",
+    "ScriptedConnection",
     "ScriptedServer",
     "encode_answer",
     "encode_end",
@@ -23,7 +23,7 @@
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
 
-class RawConnection:
+class ScriptedConnection:
     """One accepted connection."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self.writer.transport.abort()
 
 
-Script = Callable[[RawConnection], Awaitable[None]]
+Script = Callable[[ScriptedConnection], Awaitable[None]]
 
 
 class ScriptedServer:
@@ -104,7 +104,7 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        connection = RawConnection(self.accepted, reader, writer)
+        connection = ScriptedConnection(self.accepted, reader, writer)
         self.accepted += 1
         try:
             await self._script(connection)
