--- a/tests/test_entry/test_adapters/test_engine_orders.py
+++ b/tests/test_entry/test_adapters/test_engine_orders.py
@@ -12,7 +12,7 @@
 from greengagelatch.targets import Target
 from greengagelatch_entry.adapters.orders import HttpOrderClient
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_lab.standins.raw import ScriptedServer, encode_answer
+from greengagelatch_lab.standins.scripted_server import ScriptedServer, encode_answer
 
 ORDER = Order(7, EngineState(models=("draft-1",), role="mixed"))
 STATE = {"models": ["draft-1"], "adapters": [], "role": "mixed"}
--- a/tests/test_entry/test_adapters/test_target_calls.py
+++ b/tests/test_entry/test_adapters/test_target_calls.py
@@ -16,7 +16,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.adapters.targets import HttpTargetClient, TargetLimits
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_lab.standins.raw import (
+from greengagelatch_lab.standins.scripted_server import (
     STREAM_HEAD,
     ScriptedServer,
     encode_answer,
