--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/echo.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/echo.py
@@ -10,7 +10,7 @@
 import xxhash
 from aiohttp import web
 
-from ..standins.serving import run
+from ..standins.serving import serve
 
 __all__ = ("TOKENS", "main")
 
@@ -60,7 +60,7 @@
     app = web.Application()
     app.router.add_post("/call", _call)
     app.router.add_get("/load", _get_load)
-    run(app, sys.argv[1])
+    serve(app, sys.argv[1])
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/passing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/overhead/passing.py
@@ -8,7 +8,7 @@
 import aiohttp
 from aiohttp import web
 
-from ..standins.serving import run
+from ..standins.serving import serve
 
 __all__ = ("main",)
 
@@ -39,7 +39,7 @@
     app = web.Application()
     app.cleanup_ctx.append(_keep_session)
     app.router.add_post("/call", forward)
-    run(app, listen)
+    serve(app, listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -21,7 +21,7 @@
 from .order_executor import EngineState, OrderExecutor
 from .prefixes import PrefixCache
 from .run_log import RunOutcome, read_ms
-from .serving import read_json, run
+from .serving import read_json, serve
 from .target import Attempt, Target, refuse
 
 __all__ = ("Engine", "main")
@@ -62,7 +62,7 @@
         app.cleanup_ctx.append(self._run_batch)
         return app
 
-    async def run(self, attempt: Attempt) -> None:
+    async def serve(self, attempt: Attempt) -> None:
         await self._batch.run(attempt)
 
     def report_load(self) -> dict[str, Any]:
@@ -208,7 +208,7 @@
 def main() -> None:
     """Run a simulated model engine."""
     options = parse_options(EngineOptions, main.__doc__)
-    run(Engine(options).build_app(), options.listen)
+    serve(Engine(options).build_app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/plain.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/plain.py
@@ -15,7 +15,7 @@
 from .answers import find_hint
 from .options import TargetOptions, parse_options
 from .run_log import Call, read_ms
-from .serving import run
+from .serving import serve
 from .target import Attempt, Target
 
 __all__ = ("PlainService", "main")
@@ -57,7 +57,7 @@
 def main() -> None:
     """Run a simulated plain service."""
     options = parse_options(TargetOptions, main.__doc__)
-    run(PlainService(options).build_app(), options.listen)
+    serve(PlainService(options).build_app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/platform.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/platform.py
@@ -31,7 +31,7 @@
 )
 
 from .memory import MAX_VALUE, MemoryInstanceList, MemoryStore, RefusedWrite
-from .serving import MAX_BODY, ControlError, read_json, run, update_fields
+from .serving import MAX_BODY, ControlError, read_json, serve, update_fields
 
 __all__ = ("Platform", "PlatformFaults", "main")
 
@@ -276,7 +276,7 @@
     parser = argparse.ArgumentParser(description=main.__doc__)
     parser.add_argument("--listen", default="127.0.0.1:0")
     options = parser.parse_args()
-    run(Platform(clock=SystemClock()).build_app(), options.listen)
+    serve(Platform(clock=SystemClock()).build_app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from .options import TargetOptions, parse_options
-from .serving import run
+from .serving import serve
 from .target import Attempt, Target
 
 __all__ = ("Pool", "main")
@@ -31,7 +31,7 @@
         app.cleanup_ctx.append(self._run_worker)
         return app
 
-    async def run(self, attempt: Attempt) -> None:
+    async def serve(self, attempt: Attempt) -> None:
         done = asyncio.get_running_loop().create_future()
         self._queue.append((attempt, done))
         self._arrived.set()
@@ -73,7 +73,7 @@
 def main() -> None:
     """Run a simulated pool of encoders, retrievers or rerankers."""
     options = parse_options(TargetOptions, main.__doc__)
-    run(Pool(options).build_app(), options.listen)
+    serve(Pool(options).build_app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/serving.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-__all__ = ("ControlError", "read_json", "run", "update_fields")
+__all__ = ("ControlError", "read_json", "serve", "update_fields")
 
 #: seconds that open calls get to finish at shutdown
 SHUTDOWN_TIMEOUT = 1.0
@@ -21,7 +21,7 @@
     """Invalid control call: an unknown field or a value of the wrong type."""
 
 
-def run(app: web.Application, listen: str) -> None:
+def serve(app: web.Application, listen: str) -> None:
     """Serve ``app`` on ``listen`` (``host:port``) until SIGTERM or SIGINT.
 
     Prints the line ``ready host:port`` once the server accepts connections.
