--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/answers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/answers.py
@@ -12,7 +12,7 @@
 
 __all__ = (
     "HINTS",
-    "digest_tokens",
+    "compute_digest",
     "expected_output",
     "expected_tokens",
     "find_hint",
@@ -74,7 +74,7 @@
     )
 
 
-def digest_tokens(tokens: tuple[str, ...]) -> str:
+def compute_digest(tokens: tuple[str, ...]) -> str:
     """Compute the digest in the final event of a stream of ``tokens``."""
     return xxhash.xxh64_hexdigest("".join(tokens).encode())
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -14,7 +14,7 @@
 
 from aiohttp import web
 
-from .answers import digest_tokens, expected_tokens
+from .answers import compute_digest, expected_tokens
 from .batch import Batch
 from .faults import Fault
 from .options import EngineOptions, parse_options
@@ -111,7 +111,7 @@
             "request": answered_call.request,
             "stage": answered_call.stage,
             "count": len(texts),
-            "digest": digest_tokens(texts),
+            "digest": compute_digest(texts),
             "cost_ms": attempt.run.cost_ms,
         }
         await response.write(_encode_event("end", end))
--- a/tests/test_lab/test_load.py
+++ b/tests/test_lab/test_load.py
@@ -15,7 +15,7 @@
 from greengagelatch_lab.load.records import StageRecord, TargetRecord
 from greengagelatch_lab.load.report import build_report
 from greengagelatch_lab.load.violations import ViolationKind
-from greengagelatch_lab.standins.answers import digest_tokens
+from greengagelatch_lab.standins.answers import compute_digest
 
 EXPECTATION = Expectation(LUZON.read_pipelines())
 ARRIVALS = plan_run(LUZON, seconds=30, scale=1, seed=7)
@@ -58,7 +58,7 @@
         values["tokens"] = tuple(enumerate(texts))
         values["token_seconds"] = tuple(0.01 * n for n in range(1, len(texts) + 1))
         values["count"] = len(texts)
-        values["digest"] = digest_tokens(texts)
+        values["digest"] = compute_digest(texts)
     return Observation(**(values | changes))
 
 
--- a/tests/test_lab/test_targets.py
+++ b/tests/test_lab/test_targets.py
@@ -13,7 +13,7 @@
 
 from greengagelatch_lab.processes import ProcessGroup
 from greengagelatch_lab.standins.answers import (
-    digest_tokens,
+    compute_digest,
     expected_output,
     expected_tokens,
 )
@@ -196,7 +196,7 @@
     assert events[0][1] == {"attempt": "a-2", "offset": 3, "text": tokens[3]}
     name, end = events[-1]
     assert name == "end"
-    assert (end["count"], end["digest"]) == (len(tokens), digest_tokens(tokens))
+    assert (end["count"], end["digest"]) == (len(tokens), compute_digest(tokens))
     await post(session, "/control/faults", {"no_resume": True})
     assert (await post(session, "/call", call | {"resume_at": 3}))[0] == 409
 
