--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/__main__.py
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from .deployment import HOST, KEY
+from .deployment import API_KEY, HOST
 from .fleet import PlatformFleet
 
 __all__ = ("main",)
@@ -21,7 +21,7 @@
             for instance in fleet.instances:
                 print(
                     f"{instance.name}: http://{instance.front}/look/1"
-                    f" (Host: {HOST}, Authorization: Bearer {KEY}),"
+                    f" (Host: {HOST}, Authorization: Bearer {API_KEY}),"
                     f" metrics http://127.0.0.1:{instance.metrics_port}/metrics"
                 )
             await asyncio.Event().wait()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/deployment.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/deployment.py
@@ -4,10 +4,10 @@
 
 from typing import Any
 
-__all__ = ("HOST", "KEY", "create_configuration")
+__all__ = ("HOST", "API_KEY", "create_configuration")
 
 HOST = "fleet.example"
-KEY = "key-of-north"
+API_KEY = "key-of-north"
 
 _MAKER = {
     "slots": 1,
@@ -25,7 +25,7 @@
 def create_configuration(
     version: int = 3,
     *,
-    keys: tuple[str, ...] = (KEY,),
+    keys: tuple[str, ...] = (API_KEY,),
     timeout_ms: int = 3000,
     **changes: Any,
 ) -> dict[str, Any]:
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -14,8 +14,8 @@
 from greengagelatch_entry.relay.composition import compose_relay
 from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelaySettings
 from greengagelatch_lab.platform_standins.deployment import (
+    API_KEY,
     HOST,
-    KEY,
     create_configuration,
 )
 from greengagelatch_lab.platform_standins.store import SimulatedStore
@@ -127,7 +127,7 @@
         *,
         method: str = "GET",
         body: bytes = b"",
-        key: str | None = KEY,
+        key: str | None = API_KEY,
         request_id: str = "",
         **headers: str,
     ) -> Reply:
--- a/tests/test_entry/test_relay/test_stop.py
+++ b/tests/test_entry/test_relay/test_stop.py
@@ -8,8 +8,8 @@
 from greengagelatch.relay.groups import MakerGroup
 from greengagelatch_entry.controllers.drain import DrainState
 from greengagelatch_lab.platform_standins.deployment import (
+    API_KEY,
     HOST,
-    KEY,
     create_configuration,
 )
 
@@ -23,7 +23,7 @@
         f"Host: {HOST}",
         f"X-Attempt-Id: {request_id}",
         "X-Deadline-Ms: 15000",
-        f"Authorization: Bearer {KEY}",
+        f"Authorization: Bearer {API_KEY}",
         *more,
     ]
     return "\r\n".join(lines).encode() + b"\r\n\r\n"
--- a/tests/test_processes/test_crashing_requests.py
+++ b/tests/test_processes/test_crashing_requests.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 
-from greengagelatch_lab.platform_standins.deployment import HOST, KEY
+from greengagelatch_lab.platform_standins.deployment import API_KEY, HOST
 from greengagelatch_lab.platform_standins.fleet import PlatformFleet
 from greengagelatch_lab.platform_standins.store import StoreFault
 
@@ -46,7 +46,7 @@
             "Host": HOST,
             "X-Attempt-Id": f"r-{next(self._numbers)}",
             "X-Deadline-Ms": "2500",
-            "Authorization": f"Bearer {KEY}",
+            "Authorization": f"Bearer {API_KEY}",
         }
         method = "GET" if path.startswith("/look") else "POST"
         if path.startswith(("/scan", "/draft")):
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -12,8 +12,8 @@
 import pytest
 
 from greengagelatch_lab.platform_standins.deployment import (
+    API_KEY,
     HOST,
-    KEY,
     create_configuration,
 )
 from greengagelatch_lab.platform_standins.fleet import (
@@ -45,7 +45,7 @@
         yield created
 
 
-async def ask(session, instance, path="/look/1", *, key=KEY, **headers) -> int:
+async def ask(session, instance, path="/look/1", *, key=API_KEY, **headers) -> int:
     """Return the status of one request, or 0 if it was interrupted."""
     lines = {
         "Host": HOST,
@@ -118,7 +118,7 @@
         lines = [
             "POST /scan/1 HTTP/1.1",
             f"Host: {HOST}",
-            f"Authorization: Bearer {KEY}",
+            f"Authorization: Bearer {API_KEY}",
             f"X-Attempt-Id: kept-{self._number}-{sent}",
             "X-Deadline-Ms: 60000",
             "X-Model: m",
