--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -79,8 +79,8 @@
     ) -> web.StreamResponse:
         call = attempt.call
         texts = expected_tokens(call.pipeline, call.stage, call.kind, call.input)
-        cannot = self.faults.no_resume and call.resume_at > 0
-        if cannot or call.resume_at > len(texts):
+        resume_unsupported = self.faults.no_resume and call.resume_at > 0
+        if resume_unsupported or call.resume_at > len(texts):
             return web.json_response({"attempt": call.attempt}, status=409)
         attempt.task.add_done_callback(lambda _: attempt.changed.set())
         await attempt.changed.wait()
@@ -90,16 +90,16 @@
         response = web.StreamResponse(headers=STREAM_HEADERS)
         await response.prepare(request)
         try:
-            whole = await self._send_tokens(response, attempt, fault)
+            complete = await self._send_tokens(response, attempt, fault)
         except ConnectionError:
             # the caller disconnected; the run is recorded as cancelled
             return response
-        if not whole and fault is Fault.MUTE:
+        if not complete and fault is Fault.MUTE:
             attempt.task.cancel()
             attempt.end(RunOutcome.FAILED)
             await self.wait_for_disconnect(request)
             return response
-        if not whole or fault is Fault.FAIL:
+        if not complete or fault is Fault.FAIL:
             cancelled = attempt.task.cancelled()
             attempt.end(RunOutcome.CANCELLED if cancelled else RunOutcome.FAILED)
             request.transport.abort()
@@ -126,7 +126,7 @@
         sent = 0
         while True:
             attempt.changed.clear()
-            over = attempt.task.done()
+            finished = attempt.task.done()
             texts = attempt.tokens[sent:]
             if limited:
                 texts = texts[: self.faults.cut_after - sent]
@@ -143,7 +143,7 @@
                 await response.write(b"".join(frames))
             if limited and sent >= self.faults.cut_after:
                 return False
-            if over:
+            if finished:
                 return not attempt.task.cancelled() and not limited
             await attempt.changed.wait()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -17,7 +17,7 @@
     OrderOutcome,
 )
 
-from .order_executor import EngineState as HeldState
+from .order_executor import EngineState as AppliedState
 from .order_executor import OrderExecutor
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
             await self.before_send(order)
         if not guard():
             return OrderAnswer(outcome=OrderOutcome.NOT_SENT)
-        wanted = HeldState(
+        wanted = AppliedState(
             models=order.desired.models,
             adapters=order.desired.adapters,
             role=order.desired.role,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/orders_fleet.py
@@ -121,13 +121,13 @@
     async def send(
         self, target: Target, order: Order, guard: OrderGuard
     ) -> OrderAnswer:
-        def note() -> bool:
+        def record_if_allowed() -> bool:
             allowed = guard()
             if allowed:
                 self._sent_at.append(asyncio.get_running_loop().time())
             return allowed
 
-        return await self._engines.send(target, order, note)
+        return await self._engines.send(target, order, record_if_allowed)
 
     async def read(self, target: Target) -> Result[EngineReport, str]:
         return await self._engines.read(target)
@@ -170,8 +170,8 @@
     @property
     def fence(self) -> int:
         """Fencing token of the held lease; 0 if none is held."""
-        tenure = self.leases.find(GROUP)
-        return 0 if tenure is None or not tenure.held else tenure.fence
+        lease_state = self.leases.find(GROUP)
+        return 0 if lease_state is None or not lease_state.held else lease_state.fence
 
     async def start(self) -> None:
         """Start both controllers."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
@@ -222,16 +222,16 @@
     async def _cancel(self, request: web.Request) -> web.Response:
         body = await read_json(request)
         attempt = self._attempts.get(body.get("attempt", ""))
-        stopped = attempt is not None and attempt.task.cancel()
-        return web.json_response({"cancelled": stopped})
+        cancelled = attempt is not None and attempt.task.cancel()
+        return web.json_response({"cancelled": cancelled})
 
     async def _get_load(self, request: web.Request) -> web.Response:
         if self.faults.load_outage:
             return await self.wait_for_disconnect(request)
-        taken, report = self._reports[0]
+        sampled_ms, report = self._reports[0]
         # the state is never stale: a target knows its own
-        fresh = {"state": self.faults.state, "age_ms": read_ms() - taken}
-        return web.json_response(report | fresh)
+        current = {"state": self.faults.state, "age_ms": read_ms() - sampled_ms}
+        return web.json_response(report | current)
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         body = await read_json(request)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/tcp_proxy.py
@@ -97,9 +97,9 @@
 
     def delay(self, seconds: float, direction: Direction = Direction.BOTH) -> None:
         """Delay each chunk of data by ``seconds``."""
-        for way in self._delays:
-            if way in direction:
-                self._delays[way] = seconds
+        for single in self._delays:
+            if single in direction:
+                self._delays[single] = seconds
 
     async def heal(self) -> None:
         """Clear all faults; connections that have lost data keep discarding it."""
@@ -159,17 +159,17 @@
         connection: _Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: Direction,
+        direction: Direction,
     ) -> None:
         while True:
-            data = await self._read(connection, reader, way)
-            if self._delays[way]:
-                await asyncio.sleep(self._delays[way])
-            if way in self._blackholed:
-                connection.blackholed |= way
-            if way in connection.blackholed and data:
+            data = await self._read(connection, reader, direction)
+            if self._delays[direction]:
+                await asyncio.sleep(self._delays[direction])
+            if direction in self._blackholed:
+                connection.blackholed |= direction
+            if direction in connection.blackholed and data:
                 continue
-            if way in connection.blackholed:
+            if direction in connection.blackholed:
                 await asyncio.Event().wait()
             if not data:
                 break
@@ -178,13 +178,16 @@
         writer.write_eof()
 
     async def _read(
-        self, connection: _Connection, reader: asyncio.StreamReader, way: Direction
+        self,
+        connection: _Connection,
+        reader: asyncio.StreamReader,
+        direction: Direction,
     ) -> bytes:
         """Read the next chunk; empty if that side closed the connection."""
         try:
             return await reader.read(CHUNK_BYTES)
         except OSError:
             # a link that discards data hides a reset as well
-            if way in self._blackholed | connection.blackholed:
+            if direction in self._blackholed | connection.blackholed:
                 return b""
             raise
