--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -62,7 +62,7 @@
         app.cleanup_ctx.append(self._run_batch)
         return app
 
-    async def serve(self, attempt: Attempt) -> None:
+    async def run(self, attempt: Attempt) -> None:
         await self._batch.run(attempt)
 
     def report_load(self) -> dict[str, Any]:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
@@ -31,7 +31,7 @@
         app.cleanup_ctx.append(self._run_worker)
         return app
 
-    async def serve(self, attempt: Attempt) -> None:
+    async def run(self, attempt: Attempt) -> None:
         done = asyncio.get_running_loop().create_future()
         self._queue.append((attempt, done))
         self._arrived.set()
