--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -3,8 +3,8 @@
 Every process has an IP number of its own, ``127.D.0.N``, with the number of its data
 centre as ``D``. Whoever connects to it from another data centre ``S`` is led to
 ``127.D.S.N``, where a :class:`~greengagelatch_lab.standins.tcp_proxy.TcpProxy` passes
-the bytes on. So an address means the same to all instances, wherever they learnt it, and still
-each data centre has its own way to it. The daemons' own end of this is
+the bytes on. So an address means the same to all instances, wherever they learnt it,
+and still each data centre has its own way to it. The daemons' own end of this is
 :mod:`.routed`.
 """
 
