--- a/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/capacity/configuration.py
@@ -19,7 +19,7 @@
 from greengagelatch_entry.metrics import Metrics
 
 from ..standins.memory import MemoryStore
-from ..standins.peers import MemoryPeers, Switchboard
+from ..standins.peers import MemoryNetwork, MemoryPeers
 from .fits import Point, Series
 from .meters import measure_cpu, measure_memory
 
@@ -78,7 +78,7 @@
 
     def __init__(self, workspaces: int) -> None:
         self.store = MemoryStore(clock=SystemClock())
-        self.network = Switchboard()
+        self.network = MemoryNetwork()
         self.writer = self._create_instance("maker")
         self.watcher = self._create_instance("watcher")
         self.fetcher = self._create_instance("listener")
@@ -206,16 +206,15 @@
 
 def _format_workspace(number: int, version: int) -> str:
     return (
-        f"[workspace:workspace-{number:04d}]\n"
-        f"labels = id=n{number:04d}, version=v{version}\n"
+        f"[workspace:workspace-{number:04d}]\nlabels = id=n{number:04d}, version=v"
+        f"{version}\n"
     )
 
 
 def _format_policy(number: int) -> str:
     return (
-        f"[policy:policy-{number:04d}]\neffect = priority\n"
-        f"workspaces = id=n{number:04d}\nrank = {number}\n"
-        "priority = 5\n"
+        f"[policy:policy-{number:04d}]\neffect = priority\nworkspaces = id=n"
+        f"{number:04d}\nrank = {number}\npriority = 5\n"
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/fleets/network.py
@@ -3,9 +3,10 @@
 Each path can be disconnected or blackholed separately. Every process has its own IP
 address ``127.D.0.N``, where ``D`` is the number of its data centre. Connections to it
 from another data centre ``S`` are redirected to ``127.D.S.N``, where a
-:class:`~greengagelatch_lab.standins.link.Link` forwards the bytes. An address is thus
-the same for all instances, whichever source they have it from, while each data centre
-has its own path to it. The daemons redirect their connections in :mod:`.routed`.
+:class:`~greengagelatch_lab.standins.tcp_proxy.TcpProxy` forwards the bytes. An
+address is thus the same for all instances, whichever source they have it from, while
+each data centre has its own path to it. The daemons redirect their connections in
+:mod:`.routed`.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from ..standins.link import Link
+from ..standins.tcp_proxy import TcpProxy
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -25,7 +26,7 @@
 
 __all__ = ("Network", "NetworkPath", "PathKind", "redirect_host")
 
-#: first octet of all addresses, and third octet of those not reached through a link
+#: first octet of all addresses, and third octet of those not reached through a proxy
 LOOPBACK_OCTET = 127
 DIRECT_OCTET = 0
 #: range of the last octet, the number of a process in its data centre
@@ -49,7 +50,7 @@
     #: data centre of the process; empty for the platform
     destination: str
     kind: PathKind
-    link: Link
+    link: TcpProxy
 
     def connects(self, data_centre: str) -> bool:
         """Whether the path connects ``data_centre`` to another data centre."""
@@ -87,7 +88,7 @@
     async def open_platform_paths(self, address: str) -> None:
         """Open a path to the platform from every data centre."""
         for name in self._numbers:
-            link = Link(address)
+            link = TcpProxy(address)
             await self._open_path(name, "", PathKind.PLATFORM, link)
             self._platform_addresses[name] = link.address
 
@@ -97,7 +98,7 @@
             if name == data_centre:
                 continue
             host, _, port = address.rpartition(":")
-            link = Link(address, listen=f"{redirect_host(number, host)}:{port}")
+            link = TcpProxy(address, listen=f"{redirect_host(number, host)}:{port}")
             await self._open_path(name, data_centre, kind, link)
 
     def find_platform_paths(self, data_centre: str) -> list[NetworkPath]:
@@ -128,7 +129,7 @@
         await _stop_links(path.link for path in self.paths)
 
     async def _open_path(
-        self, source: str, destination: str, kind: PathKind, link: Link
+        self, source: str, destination: str, kind: PathKind, link: TcpProxy
     ) -> None:
         await link.start()
         path = NetworkPath(source=source, destination=destination, kind=kind, link=link)
@@ -155,5 +156,5 @@
     return ".".join(str(octet) for octet in octets)
 
 
-async def _stop_links(links: Iterable[Link]) -> None:
+async def _stop_links(links: Iterable[TcpProxy]) -> None:
     await asyncio.gather(*(link.stop() for link in links))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/outages/partitions.py
@@ -75,7 +75,7 @@
 
     async def inject_on_path(self, path: NetworkPath) -> None:
         """Inject the fault into one path."""
-        await path.link.cut()
+        await path.link.disconnect()
 
     def can_propagate_changes(self) -> bool:
         """Whether changes still propagate to the data centre during the fault."""
@@ -101,14 +101,14 @@
     """The paths drop all bytes, including those of new connections."""
 
     async def inject_on_path(self, path: NetworkPath) -> None:
-        path.link.silence()
+        path.link.blackhole()
 
 
 class OpenSilence(PathFault):
     """Open connections go silent permanently, while new ones work."""
 
     async def inject_on_path(self, path: NetworkPath) -> None:
-        path.link.silence(only_open=True)
+        path.link.blackhole(only_open=True)
 
     def can_propagate_changes(self) -> bool:
         return True
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/deployment.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/deployment.py
@@ -1,13 +1,13 @@
-"""A small configuration as the platform's operator writes it."""
+"""Sample configuration in the platform's format."""
 
 from __future__ import annotations
 
 from typing import Any
 
-__all__ = ("HOST", "KEY", "create_configuration")
+__all__ = ("HOST", "API_KEY", "create_configuration")
 
 HOST = "fleet.example"
-KEY = "key-of-north"
+API_KEY = "key-of-north"
 
 _MAKER = {
     "slots": 1,
@@ -25,11 +25,11 @@
 def create_configuration(
     version: int = 3,
     *,
-    keys: tuple[str, ...] = (KEY,),
+    keys: tuple[str, ...] = (API_KEY,),
     timeout_ms: int = 3000,
     **changes: Any,
 ) -> dict[str, Any]:
-    """Return a configuration with a route of each kind; ``changes`` replace fields."""
+    """Create a configuration with routes of each kind; ``changes`` replace fields."""
     routes = _create_routes()
     for route in routes:
         route["timeout-ms"] = timeout_ms
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/platform_standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's metadata store."""
+"""Simulated metadata store of the platform."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("StoreFault", "StoreStandIn")
+__all__ = ("StoreFault", "SimulatedStore")
 
-#: items on one page; the platform's holds about ten times as many
-PAGE = 50
+#: items per page; the platform's own limit is about ten times as high
+PAGE_SIZE = 50
 STATUS_CONFLICT = 412
 STATUS_GONE = 410
 
 
 class StoreFault(Enum):
-    """How the store treats calls."""
+    """Fault that the store injects into calls."""
 
     NONE = "none"
-    #: every call is answered 503, nothing is done
-    BUSY = "busy"
-    #: no call is answered, nothing is done
-    SILENT = "silent"
-    #: writes are done and not answered
-    LOST = "lost"
+    #: every call is rejected with 503 and has no effect
+    UNAVAILABLE = "busy"
+    #: no call is answered or has an effect
+    UNRESPONSIVE = "silent"
+    #: writes take effect but are not answered
+    LOST_RESPONSE = "lost"
 
 
 @dataclass(slots=True)
@@ -42,8 +42,8 @@
     lease: int
 
 
-class StoreStandIn:
-    """Keeps items, history and leases in memory and serves them over HTTP."""
+class SimulatedStore:
+    """Serves items, change history and leases from memory over HTTP."""
 
     def __init__(self) -> None:
         self.fault = StoreFault.NONE
@@ -59,7 +59,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Serve on a free port of loopback."""
+        """Start serving on a free loopback port."""
         app = web.Application(middlewares=[self._apply_fault])
         app.add_routes(
             [
@@ -68,8 +68,8 @@
                 web.get("/v1/kv-watch", self._watch),
                 web.post("/v1/kv-txn", self._write),
                 web.post("/v1/kv-lease", self._grant),
-                web.post("/v1/kv-keep/{lease}", self._keep),
-                web.delete("/v1/kv-lease-end/{lease}", self._end),
+                web.post("/v1/kv-keep/{lease}", self._renew),
+                web.delete("/v1/kv-lease-end/{lease}", self._revoke),
             ]
         )
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
@@ -80,26 +80,26 @@
         self.address = f"127.0.0.1:{port}"
 
     async def stop(self) -> None:
-        """Close every connection."""
+        """Cancel the leases' timers and close every connection."""
         for _, timer in self._leases.values():
             timer.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
-    # what the operator and the targets do
+    # writes by the operator and the targets
 
     def put(self, key: str, fields: dict[str, Any], lease: int = 0) -> int:
         """Write an item and return its revision."""
         return self.put_bytes(key, json.dumps(fields).encode(), lease)
 
     def put_bytes(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write an item of any bytes and return its revision."""
+        """Write an item with an arbitrary byte value and return its revision."""
         return self._put(key, value, lease)
 
     def remove(self, key: str) -> None:
-        """Remove an item."""
+        """Remove an item, if present."""
         if self._items.pop(key, None) is not None:
-            self._note(key)
+            self._record_change(key)
 
     @property
     def revision(self) -> int:
@@ -107,31 +107,31 @@
         return self._revision
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the change history, so that watches from older revisions fail."""
         self._compacted = self._revision
         self._history.clear()
 
     def find(self, prefix: str) -> dict[str, bytes]:
-        """Return the values below a prefix."""
+        """Return the values of the keys that start with ``prefix``."""
         return {
             key: item.value
             for key, item in self._items.items()
             if key.startswith(prefix)
         }
 
-    # calls
+    # HTTP handlers
 
     @web.middleware
     async def _apply_fault(
         self, request: web.Request, handler: Callable[..., Any]
     ) -> web.StreamResponse:
         self.calls[request.path] = self.calls.get(request.path, 0) + 1
-        if self.fault is StoreFault.BUSY:
+        if self.fault is StoreFault.UNAVAILABLE:
             return web.Response(status=503)
-        if self.fault is StoreFault.SILENT:
+        if self.fault is StoreFault.UNRESPONSIVE:
             await asyncio.sleep(3600)
         response = await handler(request)
-        if self.fault is StoreFault.LOST and request.method == "POST":
+        if self.fault is StoreFault.LOST_RESPONSE and request.method == "POST":
             await asyncio.sleep(3600)
         return response
 
@@ -139,7 +139,7 @@
         key = request.query["key"]
         if key not in self._items:
             return web.json_response({}, status=404)
-        return web.json_response(self._describe(key))
+        return web.json_response(self._encode_item(key))
 
     async def _list(self, request: web.Request) -> web.Response:
         prefix = request.query["prefix"]
@@ -149,8 +149,8 @@
         )
         return web.json_response(
             {
-                "items": [self._describe(key) for key in keys[:PAGE]],
-                "has-more": len(keys) > PAGE,
+                "items": [self._encode_item(key) for key in keys[:PAGE_SIZE]],
+                "has-more": len(keys) > PAGE_SIZE,
                 "store-revision": self._revision,
             }
         )
@@ -164,12 +164,12 @@
             if after < self._compacted:
                 return web.json_response({}, status=STATUS_GONE)
             events = self._list_events(prefix, after)
-            left = end - loop.time()
-            if events or left <= 0:
+            remaining = end - loop.time()
+            if events or remaining <= 0:
                 return web.json_response(
                     {"events": events, "store-revision": self._revision}
                 )
-            await self._wait_change(left)
+            await self._wait_change(remaining)
 
     async def _write(self, request: web.Request) -> web.Response:
         body = await request.json()
@@ -191,32 +191,32 @@
     async def _grant(self, request: web.Request) -> web.Response:
         body = await request.json()
         lease = self._revision * 1000 + len(self._leases)
-        self._hold(lease, body["ttl-ms"] / 1000)
+        self._schedule_expiry(lease, body["ttl-ms"] / 1000)
         return web.json_response({"lease": lease, "ttl-ms": body["ttl-ms"]})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _renew(self, request: web.Request) -> web.Response:
         lease = int(request.match_info["lease"])
         if lease not in self._leases:
             return web.json_response({}, status=404)
         ttl, timer = self._leases[lease]
         timer.cancel()
-        self._hold(lease, ttl)
+        self._schedule_expiry(lease, ttl)
         return web.json_response({"ttl-ms": round(ttl * 1000)})
 
-    async def _end(self, request: web.Request) -> web.Response:
-        self._lapse(int(request.match_info["lease"]))
+    async def _revoke(self, request: web.Request) -> web.Response:
+        self._expire(int(request.match_info["lease"]))
         return web.json_response({})
 
     # state
 
     def _put(self, key: str, value: bytes, lease: int) -> int:
-        revision = self._note(key)
+        revision = self._record_change(key)
         known = self._items.get(key)
         created = known.created if known else revision
         self._items[key] = _Item(value, revision, created, lease)
         return revision
 
-    def _note(self, key: str) -> int:
+    def _record_change(self, key: str) -> int:
         self._revision += 1
         self._history.append((key, self._revision))
         changed, self._changed = self._changed, asyncio.Event()
@@ -239,10 +239,10 @@
             if item is None:
                 events.append({"key": key, "revision": revision, "tombstone": True})
             elif item.revision == revision:
-                events.append(self._describe(key))
+                events.append(self._encode_item(key))
         return events
 
-    def _describe(self, key: str) -> dict[str, Any]:
+    def _encode_item(self, key: str) -> dict[str, Any]:
         item = self._items[key]
         return {
             "key": key,
@@ -253,11 +253,11 @@
             "store-revision": self._revision,
         }
 
-    def _hold(self, lease: int, ttl: float) -> None:
+    def _schedule_expiry(self, lease: int, ttl: float) -> None:
         loop = asyncio.get_running_loop()
-        self._leases[lease] = (ttl, loop.call_later(ttl, self._lapse, lease))
+        self._leases[lease] = (ttl, loop.call_later(ttl, self._expire, lease))
 
-    def _lapse(self, lease: int) -> None:
+    def _expire(self, lease: int) -> None:
         held = self._leases.pop(lease, None)
         if held is None:
             return
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engine.py
@@ -1,7 +1,7 @@
-"""A model engine: batches, streams, prefix cache, orders.
+"""Simulated model engine with batching, token streams, a prefix cache and orders.
 
-Beside what all targets serve: ``GET /record/orders`` answers
-``{"orders": [OrderRecord]}``, and ``GET /orders`` also the last ``fence``.
+In addition to the endpoints of every target, ``GET /record/orders`` returns
+``{"orders": [OrderRecord]}``, and ``GET /orders`` includes the last order's ``fence``.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 from aiohttp import web
 
-from .answers import digest_tokens, expected_tokens
+from .answers import compute_digest, expected_tokens
 from .batch import Batch
 from .faults import Fault
 from .options import EngineOptions, parse_options
-from .orders import EngineState, OrderBook
+from .order_executor import EngineState, OrderExecutor
 from .prefixes import PrefixCache
-from .record import RunOutcome, read_ms
-from .serving import read_json, run
+from .run_log import RunOutcome, read_ms
+from .serving import read_json, serve
 from .target import Attempt, Target, refuse
 
 __all__ = ("Engine", "main")
@@ -30,7 +30,7 @@
 
 
 class Engine(Target):
-    """A model engine."""
+    """A simulated model engine."""
 
     def __init__(self, options: EngineOptions) -> None:
         super().__init__(options)
@@ -40,11 +40,11 @@
             gap_rate=options.cache_gap_rate,
             random_source=self.random,
         )
-        self._book = OrderBook(
+        self._executor = OrderExecutor(
             checks=options.fencing == "checked", duration=options.order_ms / 1000
         )
         self._batch = Batch(
-            options=options, cache=self._cache, read_slow=lambda: self.faults.slow
+            options=options, cache=self._cache, get_slowdown=lambda: self.faults.slow
         )
 
     def build_app(self) -> web.Application:
@@ -59,14 +59,14 @@
                 web.post("/kv-cache/import", self._import),
             ]
         )
-        app.cleanup_ctx.append(self._keep_batch)
+        app.cleanup_ctx.append(self._run_batch)
         return app
 
     async def run(self, attempt: Attempt) -> None:
-        await self._batch.join(attempt)
+        await self._batch.run(attempt)
 
     def report_load(self) -> dict[str, Any]:
-        state = self._book.state
+        state = self._executor.state
         own = {
             "cached_prefixes": self._cache.list_prefixes(),
             "models": list(state.models),
@@ -79,39 +79,39 @@
     ) -> web.StreamResponse:
         call = attempt.call
         texts = expected_tokens(call.pipeline, call.stage, call.kind, call.input)
-        cannot = self.faults.no_resume and call.resume_at > 0
-        if cannot or call.resume_at > len(texts):
+        resume_unsupported = self.faults.no_resume and call.resume_at > 0
+        if resume_unsupported or call.resume_at > len(texts):
             return web.json_response({"attempt": call.attempt}, status=409)
         attempt.task.add_done_callback(lambda _: attempt.changed.set())
         await attempt.changed.wait()
         if attempt.run is None:
-            # cancelled while it waited; the status is not sent yet, so it can say so
+            # cancelled while queued; no status is sent yet, so the refusal can be
             return refuse(call)
         response = web.StreamResponse(headers=STREAM_HEADERS)
         await response.prepare(request)
         try:
-            whole = await self._send_tokens(response, attempt, fault)
+            complete = await self._send_tokens(response, attempt, fault)
         except ConnectionError:
-            # the caller is gone; the run is ended as cancelled
+            # the caller disconnected; the run is recorded as cancelled
             return response
-        if not whole and fault is Fault.MUTE:
+        if not complete and fault is Fault.MUTE:
             attempt.task.cancel()
             attempt.end(RunOutcome.FAILED)
-            await self.hold(request)
+            await self.wait_for_disconnect(request)
             return response
-        if not whole or fault is Fault.FAIL:
+        if not complete or fault is Fault.FAIL:
             cancelled = attempt.task.cancelled()
             attempt.end(RunOutcome.CANCELLED if cancelled else RunOutcome.FAILED)
             request.transport.abort()
             return response
         attempt.end(RunOutcome.DONE)
-        shown = self.choose_ids(call, fault)
+        answered_call = self.choose_answered_call(call, fault)
         end = {
-            "attempt": shown.attempt,
-            "request": shown.request,
-            "stage": shown.stage,
+            "attempt": answered_call.attempt,
+            "request": answered_call.request,
+            "stage": answered_call.stage,
             "count": len(texts),
-            "digest": digest_tokens(texts),
+            "digest": compute_digest(texts),
             "cost_ms": attempt.run.cost_ms,
         }
         await response.write(_encode_event("end", end))
@@ -120,20 +120,20 @@
     async def _send_tokens(
         self, response: web.StreamResponse, attempt: Attempt, fault: Fault
     ) -> bool:
-        """Send tokens as they come; whether all of them were sent."""
-        shown = self.choose_ids(attempt.call, fault)
+        """Send tokens as they are generated; return whether all of them were sent."""
+        answered_call = self.choose_answered_call(attempt.call, fault)
         limited = fault in (Fault.CUT, Fault.MUTE)
         sent = 0
         while True:
             attempt.changed.clear()
-            over = attempt.task.done()
+            finished = attempt.task.done()
             texts = attempt.tokens[sent:]
             if limited:
                 texts = texts[: self.faults.cut_after - sent]
             frames = []
             for text in texts:
                 token = {
-                    "attempt": shown.attempt,
+                    "attempt": answered_call.attempt,
                     "offset": attempt.call.resume_at + sent,
                     "text": text,
                 }
@@ -143,11 +143,11 @@
                 await response.write(b"".join(frames))
             if limited and sent >= self.faults.cut_after:
                 return False
-            if over:
+            if finished:
                 return not attempt.task.cancelled() and not limited
             await attempt.changed.wait()
 
-    async def _keep_batch(self, app: web.Application) -> AsyncIterator[None]:
+    async def _run_batch(self, app: web.Application) -> AsyncIterator[None]:
         task = asyncio.create_task(self._batch.run_steps())
         yield
         task.cancel()
@@ -166,16 +166,16 @@
             wanted = _decode_state(body["wanted"])
         except (KeyError, TypeError, ValueError) as error:
             raise web.HTTPBadRequest(text=repr(error)) from error
-        # the order is carried out even if whoever gave it hangs up
-        if await asyncio.shield(self._book.carry_out(fence, wanted)):
-            return web.json_response(self._book.encode())
-        return web.json_response({"fence": self._book.highest}, status=409)
+        # an order is applied even if its sender disconnects
+        if await asyncio.shield(self._executor.apply(fence, wanted)):
+            return web.json_response(self._executor.encode())
+        return web.json_response({"fence": self._executor.highest_fence}, status=409)
 
     async def _get_orders(self, request: web.Request) -> web.Response:
-        return web.json_response(self._book.encode())
+        return web.json_response(self._executor.encode())
 
     async def _get_order_record(self, request: web.Request) -> web.Response:
-        orders = [asdict(order) for order in self._book.orders]
+        orders = [asdict(order) for order in self._executor.orders]
         return web.json_response({"orders": orders})
 
     async def _export(self, request: web.Request) -> web.Response:
@@ -188,7 +188,7 @@
     async def _import(self, request: web.Request) -> web.Response:
         body = await read_json(request)
         prefix = body.get("prefix", "")
-        if not self._cache.accept(prefix, body.get("data", ""), read_ms()):
+        if not self._cache.import_entry(prefix, body.get("data", ""), read_ms()):
             return web.json_response({}, status=400)
         return web.json_response({"prefix": prefix})
 
@@ -206,9 +206,9 @@
 
 
 def main() -> None:
-    """Run the stand-in of a model engine."""
+    """Run a simulated model engine."""
     options = parse_options(EngineOptions, main.__doc__)
-    run(Engine(options).build_app(), options.listen)
+    serve(Engine(options).build_app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/engines.py
@@ -1,4 +1,4 @@
-"""In-process engines that take orders, with faults to inject."""
+"""In-process order client and engines with fault injection."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     OrderOutcome,
 )
 
-from .orders import EngineState as HeldState
-from .orders import OrderBook
+from .order_executor import EngineState as AppliedState
+from .order_executor import OrderExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -29,32 +29,32 @@
 
 
 class MemoryEngines(OrderClient):
-    """The engines of a test, reached without a socket.
+    """Sends orders to simulated engines in the same process.
 
-    :param checks: whether the engines refuse orders with old numbers
-    :param duration: seconds that an order takes
+    :param checks: whether the engines reject orders with stale fencing tokens
+    :param duration: seconds that an engine takes to apply an order
     """
 
     def __init__(self, *, checks: bool = False, duration: float = 1.0) -> None:
         self.checks = checks
         self.duration = duration
-        #: number of coming orders that are carried out and not answered
+        #: number of upcoming orders that are applied and whose answers are lost
         self.lose_answers = 0
-        #: targets that can't be connected to
+        #: ids of targets that refuse connections
         self.unreachable: set[str] = set()
-        #: awaited with the order when connected, right before the guard is asked
+        #: awaited with the order once connected, immediately before the guard is called
         self.before_send: Callable[[Order], Awaitable[None]] | None = None
         self.reads = 0
-        self._books: dict[str, OrderBook] = {}
+        self._executors: dict[str, OrderExecutor] = {}
         self._running: set[asyncio.Task[bool]] = set()
 
-    def find(self, target_id: str) -> OrderBook:
-        """Return the orders of one engine."""
-        if target_id not in self._books:
-            self._books[target_id] = OrderBook(
+    def find_executor(self, target_id: str) -> OrderExecutor:
+        """Return the order log and state of one engine."""
+        if target_id not in self._executors:
+            self._executors[target_id] = OrderExecutor(
                 checks=self.checks, duration=self.duration
             )
-        return self._books[target_id]
+        return self._executors[target_id]
 
     async def send(
         self, target: Target, order: Order, guard: OrderGuard
@@ -65,13 +65,13 @@
             await self.before_send(order)
         if not guard():
             return OrderAnswer(outcome=OrderOutcome.NOT_SENT)
-        wanted = HeldState(
+        wanted = AppliedState(
             models=order.desired.models,
             adapters=order.desired.adapters,
             role=order.desired.role,
         )
-        book = self.find(target.target_id)
-        run = asyncio.create_task(book.carry_out(order.fence, wanted))
+        executor = self.find_executor(target.target_id)
+        run = asyncio.create_task(executor.apply(order.fence, wanted))
         self._running.add(run)
         run.add_done_callback(self._running.discard)
         if self.lose_answers > 0:
@@ -84,11 +84,11 @@
     async def read(self, target: Target) -> Result[EngineReport, str]:
         self.reads += 1
         if target.target_id in self.unreachable:
-            return Err("out of reach")
-        book = self.find(target.target_id)
+            return Err("target unreachable")
+        executor = self.find_executor(target.target_id)
         state = EngineState(
-            models=book.state.models,
-            adapters=book.state.adapters,
-            role=book.state.role,
+            models=executor.state.models,
+            adapters=executor.state.adapters,
+            role=executor.state.role,
         )
-        return Ok(EngineReport(state, book.fence))
+        return Ok(EngineReport(state, executor.fence))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/store_view.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/fault_injecting_store.py
@@ -1,4 +1,4 @@
-"""One instance's way to a store that others use as well, with faults of its own."""
+"""Per-instance client of a shared store, with its own fault injection."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 from .memory import StoreFaults
 
-__all__ = ("StoreView",)
+__all__ = ("FaultInjectingStore",)
 
-OUTAGE = StoreError(StoreErrorKind.UNREACHABLE, "cut off")
+OUTAGE = StoreError(StoreErrorKind.UNREACHABLE, "store unreachable")
 LOST = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
 REFUSED = WriteResult(WriteOutcome.NOT_APPLIED, message="refused")
 
 
-class StoreView(Store):
-    """Passes calls on to ``store``, unless a fault of this view stops them."""
+class FaultInjectingStore(Store):
+    """Forwards calls to ``store`` unless a fault of this view prevents it."""
 
     def __init__(self, store: Store) -> None:
         self.faults = StoreFaults()
@@ -36,12 +36,12 @@
         self._store = store
 
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
-        if not await self._enter("get", key):
+        if not await self._reaches_store("get", key):
             return Err(OUTAGE)
         return await self._store.get(key)
 
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
-        if not await self._enter("list", prefix):
+        if not await self._reaches_store("list", prefix):
             return Err(OUTAGE)
         return await self._store.list(prefix)
 
@@ -62,17 +62,17 @@
     async def watch(
         self, key: str, after: int, wait: float
     ) -> Result[Entry | None, StoreError]:
-        if not await self._enter("watch", key):
+        if not await self._reaches_store("watch", key):
             return Err(OUTAGE)
         return await self._store.watch(key, after, wait)
 
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
-        if not await self._enter("grant", ""):
+        if not await self._reaches_store("grant", ""):
             return Err(OUTAGE)
         return await self._store.grant_lease(ttl)
 
     async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
-        if not await self._enter("keep", lease_id):
+        if not await self._reaches_store("keep", lease_id):
             return Err(OUTAGE)
         return await self._store.renew_lease(lease_id)
 
@@ -81,21 +81,21 @@
             "revoke", lease_id, lambda: self._store.revoke_lease(lease_id)
         )
 
-    async def _enter(self, kind: str, key: str) -> bool:
-        """Count a call; whether it gets through."""
+    async def _reaches_store(self, kind: str, key: str) -> bool:
+        """Count a call; return whether it reaches the store."""
         self.calls[kind] += 1
         if self.faults.before_call:
             await self.faults.before_call(kind, key)
-        return not (self.faults.outage or self.faults.take("refuse_calls"))
+        return not (self.faults.outage or self.faults.consume("refuse_calls"))
 
     async def _write(
         self, kind: str, key: str, write: Callable[[], Awaitable[WriteResult]]
     ) -> WriteResult:
-        if not await self._enter(kind, key):
+        if not await self._reaches_store(kind, key):
             return REFUSED
-        if self.faults.take("drop_writes"):
+        if self.faults.consume("drop_writes"):
             return LOST
         result = await write()
-        if self.faults.take("lose_answers") or self.faults.outage:
+        if self.faults.consume("lose_answers") or self.faults.outage:
             return LOST
         return result
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/memory.py
@@ -1,4 +1,4 @@
-"""In-process forms of the platform's services, with faults to inject."""
+"""In-process key-value store and instance list with fault injection."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     "StoreFaults",
 )
 
-#: largest value in bytes
+#: maximum size of a value in bytes
 MAX_VALUE = 1024 * 1024
 
-LAPSED = StoreError(StoreErrorKind.LEASE_GONE, "lease has lapsed")
+EXPIRED = StoreError(StoreErrorKind.LEASE_GONE, "lease has expired")
 
 T = TypeVar("T")
 
@@ -45,27 +45,27 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoreFaults:
-    """Faults of a store; tests change the fields while the store is in use."""
+    """Faults of a store; tests may change the fields while the store is in use."""
 
-    #: every call fails; a write that is under way then loses its answer
+    #: every call fails; a write in progress at that time loses its answer
     outage: bool = False
-    #: number of coming swaps and deletes that take effect but get no answer
+    #: number of upcoming swaps and deletes that take effect but get no answer
     lose_answers: int = 0
-    #: number of coming swaps and deletes that get no answer and have no effect
+    #: number of upcoming swaps and deletes that get no answer and have no effect
     drop_writes: int = 0
-    #: number of coming lease calls that take effect but get no answer
+    #: number of upcoming lease calls that take effect but get no answer
     lose_lease_answers: int = 0
-    #: number of coming calls that are refused before anything is done
+    #: number of upcoming calls that are rejected without any effect
     refuse_calls: int = 0
-    #: calls allowed in each second of the clock; 0: no limit
+    #: calls allowed per second of the clock; 0: no limit
     rate_limit: int = 0
-    #: awaited before a call has its effect
+    #: awaited before a call takes effect
     before_call: CallHook | None = None
-    #: awaited once a call has had its effect and before it is answered
+    #: awaited after a call has taken effect and before it is answered
     after_call: CallHook | None = None
 
-    def take(self, name: str) -> bool:
-        """Use up one of the counted faults ``name``; whether one was left."""
+    def consume(self, name: str) -> bool:
+        """Consume one of the counted faults ``name``; return whether any was left."""
         left = getattr(self, name)
         if left <= 0:
             return False
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedWrite(WriteResult):
-    """A write that was refused before anything was done; ``kind`` says why."""
+    """A write that was rejected without any effect; ``kind`` gives the reason."""
 
     kind: StoreErrorKind = StoreErrorKind.UNREACHABLE
 
@@ -88,10 +88,10 @@
 
 
 class MemoryStore(Store):
-    """The platform's key-value service inside the process.
+    """In-process implementation of the platform's key-value service.
 
-    Leases lapse by ``clock``, whenever the store is next used. A watch waits in
-    time of the event loop, so tests with a manual clock pass it a short wait.
+    Leases expire by ``clock``, checked on each call. A watch waits in event loop
+    time, so tests with a manual clock pass a short wait.
     """
 
     def __init__(self, *, clock: Clock, faults: StoreFaults | None = None) -> None:
@@ -102,8 +102,8 @@
         self._entries: dict[str, Entry] = {}
         self._bindings: dict[str, str] = {}
         self._leases: dict[str, _HeldLease] = {}
-        #: waiting watches by key, in the order of their calls; a set would wake
-        #: them in an order that differs from run to run
+        #: pending watches by key, in call order; a set would wake them in an order
+        #: that differs between runs
         self._watchers: dict[str, dict[asyncio.Event, None]] = defaultdict(dict)
         self._revision = ABSENT
         self._lease_number = 0
@@ -111,14 +111,14 @@
         self._window_calls = 0
 
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
-        error = await self._enter("get", key)
+        error = await self._begin_call("get", key)
         if error:
             return Err(error)
         entry = self._entries.get(key)
         return await self._answer("get", key, entry)
 
     async def list(self, prefix: str) -> Result[tuple[Entry, ...], StoreError]:
-        error = await self._enter("list", prefix)
+        error = await self._begin_call("list", prefix)
         if error:
             return Err(error)
         keys = sorted(key for key in self._entries if key.startswith(prefix))
@@ -128,19 +128,19 @@
     async def swap(
         self, key: str, value: bytes, expected: int, *, lease_id: str = ""
     ) -> WriteResult:
-        error = await self._enter("swap", key)
+        error = await self._begin_call("swap", key)
         if error:
             return _refuse(error)
-        if self.faults.take("drop_writes"):
+        if self.faults.consume("drop_writes"):
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         result = self._swap(key, value, expected, lease_id)
         return await self._answer_write("swap", key, result)
 
     async def delete(self, key: str, expected: int) -> WriteResult:
-        error = await self._enter("delete", key)
+        error = await self._begin_call("delete", key)
         if error:
             return _refuse(error)
-        if self.faults.take("drop_writes"):
+        if self.faults.consume("drop_writes"):
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         found = self._get_revision(key)
         result = WriteResult(WriteOutcome.CONFLICT, found)
@@ -151,16 +151,16 @@
     async def watch(
         self, key: str, after: int, wait: float
     ) -> Result[Entry | None, StoreError]:
-        error = await self._enter("watch", key)
+        error = await self._begin_call("watch", key)
         if error:
             return Err(error)
-        entry = self._get_above(key, after)
+        entry = self._get_newer(key, after)
         if entry is None and wait > 0:
-            entry = await self._wait_above(key, after, wait)
+            entry = await self._wait_newer(key, after, wait)
         return await self._answer("watch", key, entry)
 
     async def grant_lease(self, ttl: float) -> Result[Lease, StoreError]:
-        error = await self._enter("grant", "")
+        error = await self._begin_call("grant", "")
         if error:
             return Err(error)
         self._lease_number += 1
@@ -170,40 +170,40 @@
         return await self._answer_lease("grant", lease)
 
     async def renew_lease(self, lease_id: str) -> Result[Lease, StoreError]:
-        error = await self._enter("keep", lease_id)
+        error = await self._begin_call("keep", lease_id)
         if error:
             return Err(error)
         held = self._leases.get(lease_id)
         if held is None:
-            return Err(LAPSED)
+            return Err(EXPIRED)
         held.expires = self._clock.now() + held.ttl
         return await self._answer_lease("keep", Lease(lease_id, held.ttl, held.number))
 
     async def revoke_lease(self, lease_id: str) -> WriteResult:
-        error = await self._enter("revoke", lease_id)
+        error = await self._begin_call("revoke", lease_id)
         if error:
             return _refuse(error)
         self._end_lease(lease_id)
         result = WriteResult(WriteOutcome.APPLIED, self._revision)
-        if self.faults.take("lose_lease_answers"):
+        if self.faults.consume("lose_lease_answers"):
             result = WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         return result
 
     def interrupt_watches(self) -> None:
-        """End every waiting watch, as the begin of an outage does."""
+        """Wake every pending watch, as at the start of an outage."""
         for events in list(self._watchers.values()):
             for event in events:
                 event.set()
 
-    async def _enter(self, kind: str, key: str) -> StoreError | None:
+    async def _begin_call(self, kind: str, key: str) -> StoreError | None:
         self.calls[kind] += 1
         if self.faults.before_call:
             await self.faults.before_call(kind, key)
         if self.faults.outage:
             return StoreError(StoreErrorKind.UNREACHABLE, "outage")
-        if self.faults.take("refuse_calls") or self._is_over_limit():
+        if self.faults.consume("refuse_calls") or self._is_over_limit():
             return StoreError(StoreErrorKind.RATE_LIMITED, "too many calls")
-        self._lapse_leases()
+        self._expire_leases()
         return None
 
     def _is_over_limit(self) -> bool:
@@ -224,7 +224,7 @@
         return Ok(value)
 
     async def _answer_lease(self, kind: str, lease: Lease) -> Result[Lease, StoreError]:
-        if self.faults.take("lose_lease_answers"):
+        if self.faults.consume("lose_lease_answers"):
             return Err(StoreError(StoreErrorKind.TIMEOUT, "no answer"))
         return await self._answer(kind, lease.lease_id, lease)
 
@@ -233,7 +233,7 @@
     ) -> WriteResult:
         if self.faults.after_call:
             await self.faults.after_call(kind, key)
-        if self.faults.take("lose_answers") or self.faults.outage:
+        if self.faults.consume("lose_answers") or self.faults.outage:
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         return result
 
@@ -243,7 +243,7 @@
         if len(value) > MAX_VALUE:
             return _refuse(StoreError(StoreErrorKind.BAD_ANSWER, "value too large"))
         if lease_id and lease_id not in self._leases:
-            return _refuse(LAPSED)
+            return _refuse(EXPIRED)
         found = self._get_revision(key)
         if found != expected:
             return WriteResult(WriteOutcome.CONFLICT, found)
@@ -266,13 +266,13 @@
         entry = self._entries.get(key)
         return entry.revision if entry else ABSENT
 
-    def _get_above(self, key: str, after: int) -> Entry | None:
+    def _get_newer(self, key: str, after: int) -> Entry | None:
         entry = self._entries.get(key)
         if entry is None or entry.revision <= after:
             return None
         return entry
 
-    async def _wait_above(self, key: str, after: int, wait: float) -> Entry | None:
+    async def _wait_newer(self, key: str, after: int, wait: float) -> Entry | None:
         event = asyncio.Event()
         self._watchers[key][event] = None
         try:
@@ -284,12 +284,12 @@
             del self._watchers[key][event]
             if not self._watchers[key]:
                 del self._watchers[key]
-        return self._get_above(key, after)
+        return self._get_newer(key, after)
 
-    def _lapse_leases(self) -> None:
+    def _expire_leases(self) -> None:
         now = self._clock.now()
-        lapsed = [name for name, held in self._leases.items() if held.expires <= now]
-        for lease_id in lapsed:
+        expired = [name for name, held in self._leases.items() if held.expires <= now]
+        for lease_id in expired:
             self._end_lease(lease_id)
 
     def _end_lease(self, lease_id: str) -> None:
@@ -300,20 +300,20 @@
 
 
 class MemoryInstanceList(InstanceList):
-    """The platform's list of instances inside the process.
+    """In-process implementation of the platform's list of instances.
 
-    The listing shown is the one that was true ``lag`` seconds ago.
+    It returns the listing as it was ``lag`` seconds ago.
     """
 
     def __init__(self, *, clock: Clock, lag: float = 0.0) -> None:
-        #: seconds by which the listing lags
+        #: seconds by which the returned listing is stale
         self.lag = lag
         self.outage = False
         #: number of calls by kind
         self.calls: Counter[str] = Counter()
         self._clock = clock
         self._instances: dict[str, Instance] = {}
-        #: listings with the time at which each became true, oldest first
+        #: listings with the time from which each is valid, oldest first
         self._history = [(clock.now(), Listing(1, ()))]
 
     def put(self, instance: Instance) -> None:
@@ -322,7 +322,7 @@
         self._record()
 
     def remove(self, instance_id: str) -> None:
-        """Remove an instance, if it is there."""
+        """Remove an instance, if present."""
         self._instances.pop(instance_id, None)
         self._record()
 
@@ -330,8 +330,8 @@
         self.calls["fetch"] += 1
         if self.outage:
             return Err(StoreError(StoreErrorKind.UNREACHABLE, "outage"))
-        true_at = self._clock.now() - self.lag
-        while len(self._history) > 1 and self._history[1][0] <= true_at:
+        shown_at = self._clock.now() - self.lag
+        while len(self._history) > 1 and self._history[1][0] <= shown_at:
             self._history.pop(0)
         return Ok(self._history[0][1])
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/peers.py
@@ -1,4 +1,4 @@
-"""In-process network of entry instances, with faults to inject."""
+"""In-process network of entry instances with fault injection."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 )
 from greengagelatch.peers.codec import Envelope, Message, decode, encode
 
-__all__ = ("MemoryPeers", "Switchboard")
+__all__ = ("MemoryPeers", "MemoryNetwork")
 
 M = TypeVar("M", bound=Message)
 
 
-class Switchboard:
-    """Connects in-process instances; tests change its fields while it is in use."""
+class MemoryNetwork:
+    """Connects in-process instances; tests may change its fields while it is in use."""
 
     def __init__(self) -> None:
-        #: pairs of sender and receiver between which nothing is handed over
-        self.cut: set[tuple[str, str]] = set()
-        #: pairs of asker and asked between which only the answers are lost
-        self.mute: set[tuple[str, str]] = set()
-        #: what every instance believes of each other one
+        #: pairs of sender and receiver between which no message is delivered
+        self.blocked: set[tuple[str, str]] = set()
+        #: pairs of caller and callee between which only the answers are lost
+        self.lost_answers: set[tuple[str, str]] = set()
+        #: state of each member, as seen by every instance
         self.states: dict[str, MemberState] = {}
-        #: data centres by instance
+        #: data centres by instance id
         self.data_centres: dict[str, str] = {}
-        #: views that differ, by the instance that has them
-        self.views: dict[str, dict[str, MemberState]] = {}
-        #: number of questions by wire name
-        self.asked: Counter[str] = Counter()
+        #: member states that override ``states``, by the instance that sees them
+        self.state_overrides: dict[str, dict[str, MemberState]] = {}
+        #: number of calls by the message's wire name
+        self.call_counts: Counter[str] = Counter()
         self._peers: dict[str, MemoryPeers] = {}
 
     def join(self, instance_id: str, data_centre: str = "") -> MemoryPeers:
-        """Add an instance that is alive."""
+        """Add an instance in state ``ALIVE``."""
         peers = MemoryPeers(self, instance_id)
         self.data_centres[instance_id] = data_centre
         self._peers[instance_id] = peers
@@ -51,25 +51,25 @@
         return peers
 
     def leave(self, instance_id: str) -> None:
-        """Remove an instance at once; the others learn that it is dead."""
+        """Remove an instance and mark it as dead."""
         self._peers.pop(instance_id, None)
         self.states[instance_id] = MemberState.DEAD
 
     def find(self, sender: str, receiver: str) -> MemoryPeers | None:
-        """Return the receiver if a message from the sender would reach it."""
-        if (sender, receiver) in self.cut:
+        """Return the receiver if it is reachable from the sender."""
+        if (sender, receiver) in self.blocked:
             return None
         return self._peers.get(receiver)
 
 
 class MemoryPeers(PeerNetwork):
-    """One instance's end of a :class:`Switchboard`.
+    """One instance's connection to a :class:`MemoryNetwork`.
 
-    Messages pass through the codec, as they do between processes.
+    Messages pass through the codec, as between processes.
     """
 
-    def __init__(self, switchboard: Switchboard, instance_id: str) -> None:
-        self._switchboard = switchboard
+    def __init__(self, network: MemoryNetwork, instance_id: str) -> None:
+        self._network = network
         self._instance_id = instance_id
         self._handlers: dict[type[Message], MessageHandler] = {}
 
@@ -78,13 +78,13 @@
         return self._instance_id
 
     def members(self) -> tuple[Member, ...]:
-        states = self._switchboard.states
-        states = states | self._switchboard.views.get(self._instance_id, {})
-        places = self._switchboard.data_centres
+        states = self._network.states
+        states = states | self._network.state_overrides.get(self._instance_id, {})
+        data_centres = self._network.data_centres
         return tuple(
             Member(
                 instance_id=one,
-                data_centre=places.get(one, ""),
+                data_centre=data_centres.get(one, ""),
                 address="",
                 state=state,
             )
@@ -92,7 +92,7 @@
         )
 
     def send(self, instance_id: str, message: Message) -> bool:
-        receiver = self._switchboard.find(self._instance_id, instance_id)
+        receiver = self._network.find(self._instance_id, instance_id)
         if receiver is None:
             return False
         asyncio.get_running_loop().create_task(
@@ -103,15 +103,15 @@
     async def ask(
         self, instance_id: str, message: Message, timeout: float
     ) -> Result[Message, PeerError]:
-        switchboard = self._switchboard
-        receiver = switchboard.find(self._instance_id, instance_id)
+        network = self._network
+        receiver = network.find(self._instance_id, instance_id)
         if receiver is None:
             return Err(PeerError(PeerErrorKind.NOT_SENT, "no link"))
-        switchboard.asked[message.wire_name] += 1
+        network.call_counts[message.wire_name] += 1
         try:
             async with asyncio.timeout(timeout):
                 answer = await receiver.receive(self._instance_id, message)
-                if (self._instance_id, instance_id) in switchboard.mute:
+                if (self._instance_id, instance_id) in network.lost_answers:
                     await asyncio.Event().wait()
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "timeout"))
@@ -123,7 +123,7 @@
         self._handlers[message_type] = handler
 
     async def receive(self, sender: str, message: Message) -> Message | None:
-        """Have a message handled, in a task of its own as between processes."""
+        """Handle a message; a caller's cancellation does not cancel its handler."""
         copy = decode(encode(Envelope(message))).unwrap().message
         handler = self._handlers[type(copy)]
         answer = handler(sender, copy)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/pool.py
@@ -1,4 +1,4 @@
-"""A pool of encoders, retrievers or rerankers, which runs calls in batches."""
+"""Simulated pool of encoders, retrievers or rerankers that batches its calls."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from aiohttp import web
 
 from .options import TargetOptions, parse_options
-from .serving import run
+from .serving import serve
 from .target import Attempt, Target
 
 __all__ = ("Pool", "main")
 
-#: share by which each further call lengthens a batch
+#: fraction of the batch time that each further call adds
 BATCH_GROWTH = 0.1
 
 
 class Pool(Target):
-    """Runs one batch at a time; what arrives meanwhile makes up the next one."""
+    """Runs one batch at a time; calls that arrive meanwhile wait for the next one."""
 
     def __init__(self, options: TargetOptions) -> None:
         super().__init__(options)
@@ -28,7 +28,7 @@
 
     def build_app(self) -> web.Application:
         app = super().build_app()
-        app.cleanup_ctx.append(self._keep_worker)
+        app.cleanup_ctx.append(self._run_worker)
         return app
 
     async def run(self, attempt: Attempt) -> None:
@@ -37,14 +37,14 @@
         self._arrived.set()
         await done
 
-    async def _keep_worker(self, app: web.Application) -> AsyncIterator[None]:
+    async def _run_worker(self, app: web.Application) -> AsyncIterator[None]:
         task = asyncio.create_task(self._run_batches())
         yield
         task.cancel()
 
     async def _run_batches(self) -> None:
         while True:
-            batch = self._take_batch()
+            batch = self._pop_batch()
             if not batch:
                 self._arrived.clear()
                 await self._arrived.wait()
@@ -59,11 +59,11 @@
                 if not done.done():
                     done.set_result(None)
 
-    def _take_batch(self) -> list[tuple[Attempt, asyncio.Future[None]]]:
+    def _pop_batch(self) -> list[tuple[Attempt, asyncio.Future[None]]]:
         batch = []
         while self._queue and len(batch) < self.options.capacity:
             attempt, done = self._queue.popleft()
-            # a call cancelled while it waited must not run
+            # a call cancelled while queued must not run
             if done.cancelled():
                 continue
             batch.append((attempt, done))
@@ -71,9 +71,9 @@
 
 
 def main() -> None:
-    """Run the stand-in of a pool of encoders, retrievers or rerankers."""
+    """Run a simulated pool of encoders, retrievers or rerankers."""
     options = parse_options(TargetOptions, main.__doc__)
-    run(Pool(options).build_app(), options.listen)
+    serve(Pool(options).build_app(), options.listen)
 
 
 if __name__ == "__main__":
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/prefixes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/prefixes.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine, and the events that tell of it."""
+"""Prefix cache of a simulated engine, and its insertion and eviction events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ("PrefixCache",)
 
-#: events kept for those who ask
+#: maximum number of retained events
 MAX_EVENTS = 2000
 
 
@@ -21,15 +21,15 @@
     sequence: int
     prefix: str
     cached: bool
-    #: milliseconds at which the event is shown
-    shown_ms: float
+    #: wall-clock milliseconds from which the event is visible
+    visible_ms: float
 
 
 class PrefixCache:
-    """A few prefixes, of which the least recently used one gives way.
+    """LRU cache of prompt prefixes with an event log.
 
-    Events come ``lag_ms`` late, and a share ``gap_rate`` of them never: their
-    sequence numbers are missing.
+    Events become visible after ``lag_ms``; a fraction ``gap_rate`` of them is lost,
+    which leaves gaps in the sequence numbers.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         self._events: deque[_Event] = deque(maxlen=MAX_EVENTS)
         self._sequence = 0
 
-    def use(self, prefix: str, now_ms: float) -> bool:
-        """Use ``prefix``, which is cached from then on; whether it was before."""
+    def lookup(self, prefix: str, now_ms: float) -> bool:
+        """Look up ``prefix`` and cache it; return whether it was a hit."""
         if not prefix:
             return False
         hit = prefix in self._prefixes
@@ -57,52 +57,52 @@
         return hit
 
     def insert(self, prefix: str, now_ms: float) -> None:
-        """Cache ``prefix`` as the most recently used one."""
+        """Insert ``prefix`` as the most recently used entry."""
         if prefix not in self._prefixes:
-            self._announce(prefix, True, now_ms)
+            self._add_event(prefix, True, now_ms)
         self._prefixes[prefix] = None
         self._prefixes.move_to_end(prefix)
         while len(self._prefixes) > self._limit:
             oldest, _ = self._prefixes.popitem(last=False)
-            self._announce(oldest, False, now_ms)
+            self._add_event(oldest, False, now_ms)
 
     def list_prefixes(self) -> list[str]:
-        """Return the cached prefixes, the least recently used one first."""
+        """Return the cached prefixes, least recently used first."""
         return list(self._prefixes)
 
     def export(self, prefix: str) -> str | None:
-        """Return the cache of ``prefix`` as text; ``None`` if it is not there."""
+        """Return the cache entry of ``prefix`` as base64; ``None`` if not cached."""
         if prefix not in self._prefixes:
             return None
         return _encode(prefix)
 
-    def accept(self, prefix: str, data: str, now_ms: float) -> bool:
-        """Take over an exported cache; whether ``data`` belongs to ``prefix``."""
+    def import_entry(self, prefix: str, data: str, now_ms: float) -> bool:
+        """Insert an exported entry; return whether ``data`` belongs to ``prefix``."""
         if data != _encode(prefix):
             return False
         self.insert(prefix, now_ms)
         return True
 
     def read_events(self, after: int, now_ms: float) -> dict[str, Any]:
-        """Return the events above ``after`` that are shown by now."""
-        shown = [
+        """Return the visible events with sequence numbers above ``after``."""
+        visible = [
             event
             for event in self._events
-            if event.sequence > after and event.shown_ms <= now_ms
+            if event.sequence > after and event.visible_ms <= now_ms
         ]
         events = [
             {"sequence": event.sequence, "prefix": event.prefix, "cached": event.cached}
-            for event in shown
+            for event in visible
         ]
-        last = shown[-1].sequence if shown else after
+        last = visible[-1].sequence if visible else after
         return {"next": last, "events": events}
 
-    def _announce(self, prefix: str, cached: bool, now_ms: float) -> None:
+    def _add_event(self, prefix: str, cached: bool, now_ms: float) -> None:
         self._sequence += 1
         if self._random.random() < self._gap_rate:
             return
-        shown_ms = now_ms + self._lag_ms
-        self._events.append(_Event(self._sequence, prefix, cached, shown_ms))
+        visible_ms = now_ms + self._lag_ms
+        self._events.append(_Event(self._sequence, prefix, cached, visible_ms))
 
 
 def _encode(prefix: str) -> str:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/standins/target.py
@@ -1,8 +1,9 @@
-"""What all targets' stand-ins share: calls, cancels, load reports, faults, records.
+"""Base of simulated targets: calls, cancellation, load reports, faults, run log.
 
-Beside the calls of ``docs/protocols.md`` each serves, for tests and experiments::
+In addition to the calls of ``docs/protocols.md``, each target serves, for tests and
+experiments::
 
-    POST /control/faults   any fields of TargetFaults
+    POST /control/faults   fields of TargetFaults
     GET  /record           {"runs": [RunRecord]}
     GET  /record/summary   counts, and costs by stage and outcome
 """
@@ -21,75 +22,75 @@
 from .answers import expected_output, find_hint
 from .faults import FAULT_NAMES, Fault, TargetFaults, draw_fault
 from .options import TargetOptions
-from .record import Call, Record, RunOutcome, RunRecord, decode_call, read_ms
+from .run_log import Call, RunLog, RunOutcome, RunRecord, decode_call, read_ms
 from .serving import MAX_BODY, ControlError, read_json, update_fields
 
 __all__ = ("Attempt", "Target", "refuse")
 
 STATES = ("live", "leaving")
-#: what a refused caller is told
+#: retry delay in milliseconds that a rejected caller is given
 RETRY_AFTER_MS = 50
-#: seconds between two looks at whether a caller that gets no answer has gone
-HOLD_INTERVAL = 0.25
-#: service times spread by this share to either side
+#: seconds between checks whether a caller that gets no answer has disconnected
+DISCONNECT_POLL_SECONDS = 0.25
+#: relative spread of service times around the mean, to either side
 SPREAD = 0.2
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A call while it is at the target."""
+    """A call that is queued or running at the target."""
 
     call: Call
-    record: Record
+    run_log: RunLog
     run: RunRecord | None = None
     task: asyncio.Task[None] | None = None
-    #: texts given so far, from ``call.resume_at`` on
+    #: texts of the tokens generated so far, from offset ``call.resume_at`` on
     tokens: list[str] = field(default_factory=list)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
     ended: bool = False
 
     def start(self) -> RunRecord:
-        """Mark the beginning of the run."""
-        self.run = self.record.begin(self.call)
+        """Record the start of the run."""
+        self.run = self.run_log.record_start(self.call)
         return self.run
 
     def emit(self, text: str) -> None:
-        """Give one more token."""
+        """Append a generated token and wake its stream."""
         self.tokens.append(text)
         self.changed.set()
 
     def end(self, outcome: RunOutcome) -> None:
-        """Record how the run ended; a second time changes nothing."""
+        """Record the outcome of the run; further calls have no effect."""
         if self.ended:
             return
         self.ended = True
         if self.run is None:
-            self.record.not_run += 1
+            self.run_log.not_run += 1
             return
-        self.record.end(self.run, outcome)
+        self.run_log.record_end(self.run, outcome)
 
 
 class Target(ABC):
-    """A target; subclasses say how calls are run."""
+    """A simulated target; subclasses define how calls are run."""
 
     def __init__(self, options: TargetOptions) -> None:
         self.options = options
         self.faults = TargetFaults()
-        self.record = Record()
+        self.run_log = RunLog()
         self.random = random.Random(options.seed)
         self._attempts: dict[str, Attempt] = {}
-        self._last: Call | None = None
+        self._last_call: Call | None = None
         self._reports: list[tuple[float, dict[str, Any]]] = []
 
     @abstractmethod
     async def run(self, attempt: Attempt) -> None:
-        """Run ``attempt``, which waits for its turn and is then started.
+        """Queue ``attempt``, then start and run it.
 
-        It is cancelled when the call is.
+        The task that runs this is cancelled together with the call.
         """
 
     def build_app(self) -> web.Application:
-        """Return the application that serves this target."""
+        """Create the application that serves this target."""
         app = web.Application(client_max_size=MAX_BODY)
         app.add_routes(
             [
@@ -102,18 +103,18 @@
             ]
         )
         app.on_response_prepare.append(self._add_state)
-        app.cleanup_ctx.append(self._keep_reports)
+        app.cleanup_ctx.append(self._run_sampling)
         return app
 
     def draw_service_ms(self, call: Call) -> float:
-        """Return the service time of ``call`` in milliseconds."""
+        """Draw the service time of ``call`` in milliseconds."""
         size = find_hint(call.input, "size")
         factor = size if isinstance(size, int | float) else 1.0
         spread = self.random.uniform(1 - SPREAD, 1 + SPREAD)
         return self.options.service_ms * factor * spread * self.faults.slow
 
     def report_load(self) -> dict[str, Any]:
-        """Return the load at this moment."""
+        """Return the current load."""
         running = sum(attempt.run is not None for attempt in self._attempts.values())
         return {
             "in_flight": running,
@@ -128,15 +129,15 @@
     async def stream(
         self, request: web.Request, attempt: Attempt, fault: Fault
     ) -> web.StreamResponse:
-        """Answer ``attempt`` as a stream; targets other than engines can't."""
+        """Answer ``attempt`` as a stream; only engines support it."""
         raise web.HTTPBadRequest(text="this target does not stream")
 
-    def choose_ids(self, call: Call, fault: Fault) -> Call:
-        """Return the call whose ids and output the answer to ``call`` carries."""
+    def choose_answered_call(self, call: Call, fault: Fault) -> Call:
+        """Return the call whose ids and output are sent in the answer to ``call``."""
         if fault is not Fault.CROSS:
             return call
-        if self._last is not None and self._last.attempt != call.attempt:
-            return self._last
+        if self._last_call is not None and self._last_call.attempt != call.attempt:
+            return self._last_call
         return Call(
             attempt=f"other-{call.attempt}",
             request=f"other-{call.request}",
@@ -147,28 +148,28 @@
             input="other",
         )
 
-    async def hold(self, request: web.Request) -> web.Response:
-        """Answer nothing until the caller has closed the connection."""
+    async def wait_for_disconnect(self, request: web.Request) -> web.Response:
+        """Send no answer and wait until the caller closes the connection."""
         while True:
             if request.transport is None or request.transport.is_closing():
                 return web.Response()
-            await asyncio.sleep(HOLD_INTERVAL)
+            await asyncio.sleep(DISCONNECT_POLL_SECONDS)
 
     async def _call(self, request: web.Request) -> web.StreamResponse:
         try:
             call = decode_call(await read_json(request))
         except TypeError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
-        self.record.note_arrival()
+        self.run_log.record_arrival()
         fault = draw_fault(self.faults, self.random)
         waiting = sum(attempt.run is None for attempt in self._attempts.values())
         if fault is Fault.REFUSE or waiting >= self.options.queue:
-            self.record.not_run += 1
+            self.run_log.not_run += 1
             return refuse(call)
         if fault is Fault.STALL:
-            self.record.not_run += 1
-            return await self.hold(request)
-        attempt = Attempt(call, self.record)
+            self.run_log.not_run += 1
+            return await self.wait_for_disconnect(request)
+        attempt = Attempt(call, self.run_log)
         attempt.task = asyncio.create_task(self.run(attempt))
         self._attempts[call.attempt] = attempt
         try:
@@ -177,9 +178,9 @@
             return await self._answer(request, attempt, fault)
         finally:
             attempt.task.cancel()
-            # an end that was recorded above stays as it is
+            # no effect if an outcome has been recorded above
             attempt.end(RunOutcome.CANCELLED)
-            self._last = call
+            self._last_call = call
             if self._attempts.get(call.attempt) is attempt:
                 del self._attempts[call.attempt]
 
@@ -198,18 +199,21 @@
             return _fail(call, "failed after the run")
         attempt.end(RunOutcome.DONE)
         if fault is Fault.MUTE:
-            return await self.hold(request)
+            return await self.wait_for_disconnect(request)
         if fault is Fault.CUT:
             request.transport.abort()
             return web.Response()
-        shown = self.choose_ids(call, fault)
+        answered_call = self.choose_answered_call(call, fault)
         return web.json_response(
             {
-                "attempt": shown.attempt,
-                "request": shown.request,
-                "stage": shown.stage,
+                "attempt": answered_call.attempt,
+                "request": answered_call.request,
+                "stage": answered_call.stage,
                 "output": expected_output(
-                    shown.pipeline, shown.stage, shown.kind, shown.input
+                    answered_call.pipeline,
+                    answered_call.stage,
+                    answered_call.kind,
+                    answered_call.input,
                 ),
                 "cost_ms": attempt.run.cost_ms,
             }
@@ -218,16 +222,16 @@
     async def _cancel(self, request: web.Request) -> web.Response:
         body = await read_json(request)
         attempt = self._attempts.get(body.get("attempt", ""))
-        stopped = attempt is not None and attempt.task.cancel()
-        return web.json_response({"cancelled": stopped})
+        cancelled = attempt is not None and attempt.task.cancel()
+        return web.json_response({"cancelled": cancelled})
 
     async def _get_load(self, request: web.Request) -> web.Response:
         if self.faults.load_outage:
-            return await self.hold(request)
-        taken, report = self._reports[0]
-        # the state alone is never late: a target knows its own
-        fresh = {"state": self.faults.state, "age_ms": read_ms() - taken}
-        return web.json_response(report | fresh)
+            return await self.wait_for_disconnect(request)
+        sampled_ms, report = self._reports[0]
+        # the state is never stale: a target knows its own
+        current = {"state": self.faults.state, "age_ms": read_ms() - sampled_ms}
+        return web.json_response(report | current)
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         body = await read_json(request)
@@ -238,29 +242,29 @@
         except ControlError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
         if self.faults.state == "live":
-            self.record.leaving_since_ms = None
-        elif self.record.leaving_since_ms is None:
-            self.record.leaving_since_ms = read_ms()
+            self.run_log.leaving_since_ms = None
+        elif self.run_log.leaving_since_ms is None:
+            self.run_log.leaving_since_ms = read_ms()
         return web.json_response({})
 
     async def _get_record(self, request: web.Request) -> web.Response:
-        return web.json_response({"runs": self.record.encode()})
+        return web.json_response({"runs": self.run_log.encode()})
 
     async def _get_summary(self, request: web.Request) -> web.Response:
-        return web.json_response(self.record.summarize())
+        return web.json_response(self.run_log.summarize())
 
     async def _add_state(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
         response.headers["X-Target-State"] = self.faults.state
 
-    async def _keep_reports(self, app: web.Application) -> AsyncIterator[None]:
-        """Take two reports in each lag; the older one is shown."""
-        task = asyncio.create_task(self._take_reports())
+    async def _run_sampling(self, app: web.Application) -> AsyncIterator[None]:
+        """Sample the load twice per ``load_lag_ms``; the older sample is reported."""
+        task = asyncio.create_task(self._sample_load())
         yield
         task.cancel()
 
-    async def _take_reports(self) -> None:
+    async def _sample_load(self) -> None:
         while True:
             self._reports.append((read_ms(), self.report_load()))
             del self._reports[:-2]
@@ -268,7 +272,7 @@
 
 
 def refuse(call: Call) -> web.Response:
-    """Return the answer which says that nothing of ``call`` ran."""
+    """Create the response stating that ``call`` has not run."""
     body = {
         "attempt": call.attempt,
         "not_run": True,
--- a/tests/test_entry/test_adapters/test_operators_configuration.py
+++ b/tests/test_entry/test_adapters/test_operators_configuration.py
@@ -17,9 +17,9 @@
 )
 from greengagelatch_entry.controllers.configuration import ConfigurationController
 from greengagelatch_entry.metrics import Metrics
+from greengagelatch_lab.standins.fault_injecting_store import FaultInjectingStore
 from greengagelatch_lab.standins.memory import MemoryStore
-from greengagelatch_lab.standins.peers import Switchboard
-from greengagelatch_lab.standins.store_view import StoreView
+from greengagelatch_lab.standins.peers import MemoryNetwork
 
 SETTINGS = """
 [instance]
@@ -42,10 +42,10 @@
     def __init__(self):
         clock = SystemClock()
         self.store = MemoryStore(clock=clock)
-        self.view = StoreView(self.store)
+        self.view = FaultInjectingStore(self.store)
         self.controller = ConfigurationController(
             store=self.view,
-            peers=Switchboard().join("a", "north"),
+            peers=MemoryNetwork().join("a", "north"),
             clock=clock,
             random_source=random.Random(1),
             events=EventBus(),
--- a/tests/test_entry/test_adapters/test_peers.py
+++ b/tests/test_entry/test_adapters/test_peers.py
@@ -30,7 +30,7 @@
 from greengagelatch_entry.controllers.drain import DRAIN_STARTED
 from greengagelatch_entry.controllers.listing import LISTING_RECEIVED
 from greengagelatch_entry.metrics import Metrics
-from greengagelatch_lab.standins.link import Link as FaultyLink
+from greengagelatch_lab.standins.tcp_proxy import TcpProxy as FaultyLink
 from greengagelatch_lab.waiting import wait_until
 
 TIMEOUT = 10.0
@@ -278,7 +278,7 @@
         second = await start("e-2", silence=0.6)
         second.emit_listing(("e-1", link.address))
         await wait_until(lambda: second.find_state("e-1") is MemberState.ALIVE)
-        link.silence(only_open=True)
+        link.blackhole(only_open=True)
         for _ in range(40):
             second.hub.send("e-1", Echo("x" * 100_000))
         silent = second.metrics
--- a/tests/test_entry/test_controllers/test_claims.py
+++ b/tests/test_entry/test_controllers/test_claims.py
@@ -18,9 +18,9 @@
 from greengagelatch_entry.filters import Exchange
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_entry.metrics import Metrics
+from greengagelatch_lab.standins.fault_injecting_store import FaultInjectingStore
 from greengagelatch_lab.standins.memory import MemoryStore
-from greengagelatch_lab.standins.peers import Switchboard
-from greengagelatch_lab.standins.store_view import StoreView
+from greengagelatch_lab.standins.peers import MemoryNetwork
 from greengagelatch_lab.waiting import wait_until
 
 CLOCK = SystemClock()
@@ -93,8 +93,8 @@
         self.settings = {"shards": 1, "interval": 0, **settings}
         self._store = MemoryStore(clock=CLOCK)
         #: view of the shared store by instance, each with its own faults
-        self.stores: dict[str, StoreView] = {}
-        self.switchboard = Switchboard()
+        self.stores: dict[str, FaultInjectingStore] = {}
+        self.switchboard = MemoryNetwork()
         self.runs: list[tuple[str, str]] = []
         #: answers with the verdict "not run" for a key that had run
         self.wrong_verdicts: list[tuple[str, Answer]] = []
@@ -107,7 +107,7 @@
     async def start(self, name: str, *, alone: bool = False) -> Instance:
         """Start an instance."""
         peers = None if alone else self.switchboard.join(name)
-        self.stores[name] = StoreView(self._store)
+        self.stores[name] = FaultInjectingStore(self._store)
         instance = Instance(self, name, peers)
         await instance.claims.start()
         self.instances[name] = instance
@@ -238,13 +238,13 @@
         await fleet.instances["a"].ask("warm-up")
         writer = get_preferred_writer(fleet)
         others = [name for name in fleet.instances if name != writer]
-        fleet.switchboard.mute |= {(name, writer) for name in others}
+        fleet.switchboard.lost_answers |= {(name, writer) for name in others}
         asking = fleet.instances[others[0]]
         first = await asking.ask("k")
         await asking.ask("other")
         # the second request does not wait for the unresponsive writer again
         assert asking.metrics.value("claims.forward_silent") == 1
-        fleet.switchboard.mute.clear()
+        fleet.switchboard.lost_answers.clear()
         second = await fleet.instances[others[1]].ask("k")
     assert first.verdict is Verdict.RAN
     assert second.replayed
@@ -264,7 +264,7 @@
         writer = get_preferred_writer(fleet)
         others = [name for name in fleet.instances if name != writer]
         for name in others:
-            fleet.switchboard.cut |= {(name, writer), (writer, name)}
+            fleet.switchboard.blocked |= {(name, writer), (writer, name)}
         first = await fleet.instances[others[0]].ask("k")
         second = await fleet.instances[others[1]].ask("k")
         third = await fleet.instances[writer].ask("k")
@@ -417,7 +417,7 @@
     async with run_fleet("a", "b", "c") as fleet:
         for key in keys:
             await fleet.instances["a"].ask(key)
-        fleet.switchboard.mute.add(("a", "b"))
+        fleet.switchboard.lost_answers.add(("a", "b"))
         await fleet.stop("a")
         fleet.kill("b")
         await fleet.instances.pop("b").claims.stop()
@@ -621,13 +621,15 @@
         store.faults.lose_answers = chooser.randrange(3)
         store.faults.drop_writes = chooser.randrange(2)
         pair = (chooser.choice(names), chooser.choice(names))
-        chooser.choice((fleet.switchboard.mute, fleet.switchboard.cut)).add(pair)
+        chooser.choice((fleet.switchboard.lost_answers, fleet.switchboard.blocked)).add(
+            pair
+        )
         if chooser.random() < 0.5:
-            fleet.switchboard.mute.clear()
-            fleet.switchboard.cut.clear()
+            fleet.switchboard.lost_answers.clear()
+            fleet.switchboard.blocked.clear()
         await asyncio.sleep(chooser.random() * 0.03)
-    fleet.switchboard.mute.clear()
-    fleet.switchboard.cut.clear()
+    fleet.switchboard.lost_answers.clear()
+    fleet.switchboard.blocked.clear()
     for store in fleet.stores.values():
         store.faults.outage = False
 
--- a/tests/test_entry/test_relay/conftest.py
+++ b/tests/test_entry/test_relay/conftest.py
@@ -14,12 +14,12 @@
 from greengagelatch_entry.relay.composition import compose_relay
 from greengagelatch_entry.relay.parts import RelayAdapters, RelayParts, RelaySettings
 from greengagelatch_lab.platform_standins.deployment import (
+    API_KEY,
     HOST,
-    KEY,
     create_configuration,
 )
-from greengagelatch_lab.platform_standins.store import StoreStandIn
-from greengagelatch_lab.platform_standins.targets import TargetStandIn
+from greengagelatch_lab.platform_standins.store import SimulatedStore
+from greengagelatch_lab.platform_standins.targets import SimulatedTarget
 from greengagelatch_platform.callers import PlatformCallerCodec
 from greengagelatch_platform.configuration import PlatformDeploymentCodec
 from greengagelatch_platform.listing import PlatformListingCodec
@@ -44,8 +44,8 @@
     """Store, targets and one instance on the loopback interface."""
 
     def __init__(self) -> None:
-        self.store = StoreStandIn()
-        self.targets: dict[str, TargetStandIn] = {}
+        self.store = SimulatedStore()
+        self.targets: dict[str, SimulatedTarget] = {}
         self.parts: RelayParts | None = None
         self.session: aiohttp.ClientSession | None = None
         self._numbers = iter(range(1, 1_000_000))
@@ -68,8 +68,8 @@
             await target.stop()
         await self.store.stop()
 
-    async def add(self, target_id: str, service: str, **fields) -> TargetStandIn:
-        target = TargetStandIn(target_id, service, **fields)
+    async def add(self, target_id: str, service: str, **fields) -> SimulatedTarget:
+        target = SimulatedTarget(target_id, service, **fields)
         await target.start()
         target.register(self.store)
         self.targets[target_id] = target
@@ -127,7 +127,7 @@
         *,
         method: str = "GET",
         body: bytes = b"",
-        key: str | None = KEY,
+        key: str | None = API_KEY,
         request_id: str = "",
         **headers: str,
     ) -> Reply:
--- a/tests/test_entry/test_relay/test_crash_report_replicator.py
+++ b/tests/test_entry/test_relay/test_crash_report_replicator.py
@@ -23,7 +23,7 @@
     await world.wait_until_synced(4)
     for target in world.targets.values():
         target.fault = TargetFault.LOSE_ANSWER
-    while any(not target.seen for target in world.targets.values()):
+    while any(not target.received for target in world.targets.values()):
         await world.ask(LOST)
     for target in world.targets.values():
         target.fault = TargetFault.NONE
@@ -125,7 +125,7 @@
     """Guard against peers that get only the first report, or one repeatedly."""
     crashes = world.find("crashes")
     peers = crashes._peers = RecordingPeers()
-    world.store.fault = StoreFault.BUSY
+    world.store.fault = StoreFault.UNAVAILABLE
     for number in (1, 2, 3):
         crashes.publish(CrashReport(Incarnation(f"t{number}"), "desk", ("aa",)))
         await world.wait_for(lambda count=number: len(peers.list_keys()) == count)
--- a/tests/test_entry/test_relay/test_restarts.py
+++ b/tests/test_entry/test_relay/test_restarts.py
@@ -22,7 +22,9 @@
 
 def is_known(world, target) -> bool:
     """Return whether the instance knows the current incarnation of a target."""
-    return find_listed(world, target.target_id).incarnation.started_ms == target.born
+    return (
+        find_listed(world, target.target_id).incarnation.started_ms == target.started_ms
+    )
 
 
 async def restart(world, target_id: str, *, cut: bool = True) -> None:
@@ -175,7 +177,7 @@
     pipeline.store.remove("servers/llm-2")
     await pipeline.wait_for(lambda: not pipeline.accepts("llm-2"))
     engine = pipeline.targets["llm-1"]
-    engine.pause = asyncio.Event()
+    engine.stream_gate = asyncio.Event()
     pending = asyncio.create_task(
         pipeline.stream(X_Attempt_Id="r-1", X_Deadline_Ms="6000")
     )
@@ -183,7 +185,7 @@
     await restart(pipeline, "llm-1", cut=False)
     if cut:
         engine.abort_connections()
-    engine.pause.set()
+    engine.stream_gate.set()
     reply = await pending
     assert (reply.status, reply.error) == (200, "")
     assert reply.body.count(b"id: ") == 5
@@ -191,7 +193,7 @@
 
 def read_inputs(engine, request_id: str) -> list[str]:
     """Return the handles sent to an engine with the last attempt at a request."""
-    seen = [one for one in engine.seen if one.headers["x-attempt-id"] == request_id]
+    seen = [one for one in engine.received if one.headers["x-attempt-id"] == request_id]
     return seen[-1].headers["x-inputs"].split(",")
 
 
@@ -212,15 +214,17 @@
     )
     portals = list_targets(pipeline, "portal")
     await pipeline.wait_for(lambda: sum(one.pieces.total() for one in portals) == 2)
-    former = set().union(*(one.made for one in portals))
+    former = set().union(*(one.held_handles for one in portals))
     await restart_known(pipeline, portals)
     for maker in list_targets(pipeline, "ledger"):
         maker.fault = TargetFault.NONE
     assert (await pending).status == 200
-    read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
+    read = [
+        one for maker in list_targets(pipeline, "ledger") for one in maker.input_handles
+    ]
     assert read
     assert not former & set(read)
-    assert not former & set().union(*(one.freed for one in portals))
+    assert not former & set().union(*(one.freed_handles for one in portals))
 
 
 async def test_results_lost_before_failover_to_another_engine_are_recomputed(pipeline):
@@ -250,9 +254,9 @@
     assert not former & again
     # no release is sent for results that are already lost
     await pipeline.wait_for(
-        lambda: again <= set().union(*(one.freed for one in makers))
+        lambda: again <= set().union(*(one.freed_handles for one in makers))
     )
-    assert not former & set().union(*(one.freed for one in makers))
+    assert not former & set().union(*(one.freed_handles for one in makers))
     assert pipeline.count("stages.lost_by_restart") >= len(former)
 
 
@@ -324,7 +328,9 @@
     await restart_known(pipeline, portals, cut=False)
     gate.set()
     assert (await pending).status == 200
-    read = [one for maker in list_targets(pipeline, "ledger") for one in maker.read]
+    read = [
+        one for maker in list_targets(pipeline, "ledger") for one in maker.input_handles
+    ]
     assert read
     # the second computation of each piece
     assert {one.rpartition("-")[2] for one in read} == {"2"}
--- a/tests/test_platform/test_store.py
+++ b/tests/test_platform/test_store.py
@@ -6,14 +6,14 @@
 
 from greengagelatch.store import ABSENT, StoreErrorKind, WriteOutcome
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
-from greengagelatch_lab.platform_standins.store import StoreFault, StoreStandIn
+from greengagelatch_lab.platform_standins.store import SimulatedStore, StoreFault
 from greengagelatch_platform import store as store_module
 from greengagelatch_platform.store import PlatformStore
 
 
 @pytest.fixture
 async def standin():
-    created = StoreStandIn()
+    created = SimulatedStore()
     await created.start()
     yield created
     await created.stop()
@@ -54,13 +54,13 @@
     The value of an item is not valid base64; rejecting the whole response would
     hide all other items while this one exists.
     """
-    original = StoreStandIn._describe
+    original = SimulatedStore._encode_item
 
     def describe_with_invalid_value(self, key):
         item = original(self, key)
         return {**item, "value": "!"} if key == "servers/bad" else item
 
-    monkeypatch.setattr(StoreStandIn, "_describe", describe_with_invalid_value)
+    monkeypatch.setattr(SimulatedStore, "_encode_item", describe_with_invalid_value)
     revision = standin.put("servers/a", {"n": 1})
     standin.put("servers/bad", {"n": 1})
     entries = (await store.scan("servers/")).unwrap().entries
@@ -109,13 +109,13 @@
 
 
 async def test_rate_limited_write_is_not_applied(store, standin):
-    standin.fault = StoreFault.BUSY
+    standin.fault = StoreFault.UNAVAILABLE
     result = await store.swap("a", b"1", ABSENT)
     assert result.outcome is WriteOutcome.NOT_APPLIED
     assert (await store.get("a")).unwrap_err().kind is StoreErrorKind.RATE_LIMITED
 
 
-@pytest.mark.parametrize("fault", [StoreFault.LOST, StoreFault.SILENT])
+@pytest.mark.parametrize("fault", [StoreFault.LOST_RESPONSE, StoreFault.UNRESPONSIVE])
 async def test_write_without_a_response_has_an_unknown_outcome(
     store, standin, monkeypatch, fault
 ):
--- a/tests/test_processes/test_crashing_requests.py
+++ b/tests/test_processes/test_crashing_requests.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 
-from greengagelatch_lab.platform_standins.deployment import HOST, KEY
+from greengagelatch_lab.platform_standins.deployment import API_KEY, HOST
 from greengagelatch_lab.platform_standins.fleet import PlatformFleet
 from greengagelatch_lab.platform_standins.store import StoreFault
 
@@ -46,7 +46,7 @@
             "Host": HOST,
             "X-Attempt-Id": f"r-{next(self._numbers)}",
             "X-Deadline-Ms": "2500",
-            "Authorization": f"Bearer {KEY}",
+            "Authorization": f"Bearer {API_KEY}",
         }
         method = "GET" if path.startswith("/look") else "POST"
         if path.startswith(("/scan", "/draft")):
@@ -67,7 +67,7 @@
 
     def count_arrivals(self, path: str) -> int:
         targets = self._fleet.find_targets(self._service)
-        return sum(one.target == path for target in targets for one in target.seen)
+        return sum(one.target == path for target in targets for one in target.received)
 
     async def replace_crashed(self, sound: str) -> None:
         """List a new target for each that has crashed, and wait until it serves."""
@@ -154,12 +154,12 @@
             targets = fleet.find_targets("desk")
             for target in targets:
                 target.gate = gate
-            seen = sum(len(target.seen) for target in targets)
+            seen = sum(len(target.received) for target in targets)
             asking = [
                 asyncio.create_task(callers.ask(path))
                 for path in (*concurrent, crashing)
             ]
-            while sum(len(target.seen) for target in targets) < seen + len(asking):  # noqa: ASYNC110
+            while sum(len(target.received) for target in targets) < seen + len(asking):  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
             gate.set()
             await asyncio.gather(*asking)
@@ -204,7 +204,7 @@
         async with asyncio.timeout(WAIT_TIMEOUT):
             while await callers.ask(sound, instance) != 200:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
-    fleet.store.fault = StoreFault.BUSY
+    fleet.store.fault = StoreFault.UNAVAILABLE
     async with asyncio.timeout(WAIT_TIMEOUT):
         while len(callers.list_crashed()) < MAX_CRASHES:
             await callers.ask(crashing, fleet.instances[0])
--- a/tests/test_processes/test_platform_program.py
+++ b/tests/test_processes/test_platform_program.py
@@ -12,8 +12,8 @@
 import pytest
 
 from greengagelatch_lab.platform_standins.deployment import (
+    API_KEY,
     HOST,
-    KEY,
     create_configuration,
 )
 from greengagelatch_lab.platform_standins.fleet import (
@@ -45,7 +45,7 @@
         yield created
 
 
-async def ask(session, instance, path="/look/1", *, key=KEY, **headers) -> int:
+async def ask(session, instance, path="/look/1", *, key=API_KEY, **headers) -> int:
     """Return the status of one request, or 0 if it was interrupted."""
     lines = {
         "Host": HOST,
@@ -118,7 +118,7 @@
         lines = [
             "POST /scan/1 HTTP/1.1",
             f"Host: {HOST}",
-            f"Authorization: Bearer {KEY}",
+            f"Authorization: Bearer {API_KEY}",
             f"X-Attempt-Id: kept-{self._number}-{sent}",
             "X-Deadline-Ms: 60000",
             "X-Model: m",
@@ -247,7 +247,7 @@
     fleet.store.put("op/config", create_configuration(8, keys=("new",)))
     for instance in fleet.instances[:2]:
         await wait_for_status(session, instance, 200, key="new")
-    fleet.store.fault = StoreFault.BUSY
+    fleet.store.fault = StoreFault.UNAVAILABLE
     await fleet.launch(late)
     await fleet.wait_ready(late)
     assert await ask(session, late, key="new") == 200
