--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__init__.py
@@ -1,1 +1,1 @@
-"""Stage work under load: the real decisions and queues in virtual time."""
+"""Load trials of stage execution in virtual time, with the real scheduling code."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
@@ -1,4 +1,4 @@
-"""Trials of stage work: ``python -m greengagelatch_lab.stage_load``."""
+"""Run load trials of stages: ``python -m greengagelatch_lab.stage_load``."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 __all__ = ("main",)
 
-#: processes that run trials at the same time
+#: worker processes that run trials in parallel
 WORKERS = 6
-#: the decisions that are compared
+#: sets of policies under comparison, by the name given on the command line
 VARIANTS = {
     "ours": Policies(),
     "unsettled": Policies(sole=False),
@@ -33,7 +33,7 @@
 
 
 def main() -> None:
-    """Run trials and print a line for each fleet, scenario and variant."""
+    """Run the trials and print one line per fleet, scenario and variant."""
     arguments = _parse()
     keys = [
         (fleet, scenario, variant)
@@ -52,7 +52,7 @@
 
 
 def describe(outcomes: list[Outcome]) -> str:
-    """Return a line about several trials of one kind."""
+    """Format the aggregated outcomes of trials that differ only in their seed."""
     credits = [one.credit for one in outcomes]
     spread = max(credits) - min(credits)
     parts = [
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/arrivals.py
@@ -1,4 +1,4 @@
-"""Callers of one trial, drawn beforehand: the same whatever is decided on them."""
+"""Request arrivals of a trial, generated up front and independent of the policies."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 __all__ = ("Arrival", "draw_arrivals")
 
-#: requests that come at the same moment
+#: requests of one class that arrive at the same moment
 CLUMP = 3
-#: largest number of pieces, as a multiple of the mean
+#: maximum number of pieces, as a multiple of the mean
 MOST_PIECES = 4
-#: whole numbers of pieces below this one are the same for all requests
+#: an integral mean below this is the number of pieces of every request
 MOST_FIXED = 10
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """One caller's request."""
+    """One request, as its caller sends it."""
 
-    #: seconds from the beginning
+    #: seconds since the start of the trial
     at: float
     caller_class: CallerClass
     prompt: Prompt
@@ -34,7 +34,7 @@
 
 
 def draw_arrivals(shape: FleetShape, scenario: Scenario, seed: int) -> list[Arrival]:
-    """Return all arrivals of a trial, in order."""
+    """Generate all arrivals of a trial, ordered by time."""
     arrivals = []
     for caller_class in shape.classes:
         source = random.Random(f"{seed} {caller_class.name}")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -1,4 +1,4 @@
-"""Entry instances of a trial: the real decisions, on modelled targets and links."""
+"""Entry instances of a trial: real scheduling code, modelled targets and links."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 __all__ = ("ENGINES", "InstanceFactory", "ModelledInstance", "Silent")
 
-#: name of the service of engines
+#: service name of all engines
 ENGINES = "engines"
 
 
 class Silent:
-    """Takes the place of logs and metrics."""
+    """Discard decision logs and metrics."""
 
     def log_decision(self, kind: str, **fields) -> None:
         pass
@@ -58,7 +58,7 @@
 
 
 class ModelledStreams(StreamRunner):
-    """Runs requests at modelled engines instead of sending them."""
+    """Runs requests on modelled engines instead of sending them over the network."""
 
     def __init__(self, *, engines: dict[str, Engine], **parts) -> None:
         super().__init__(**parts)
@@ -90,16 +90,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelledInstance:
-    """What serves the requests of one instance."""
+    """The request path of one entry instance."""
 
     streams: ModelledStreams
-    #: ``None`` where it does all stage work by itself
+    #: ``None`` for a single instance, which executes all stages locally
     desk: ForwardingStageExecutor | None = None
     machine: Machine | None = None
 
 
 class InstanceFactory:
-    """Builds the instances of a trial, all on the same targets."""
+    """Creates the entry instances of a trial, which share all targets."""
 
     def __init__(
         self,
@@ -127,16 +127,16 @@
         self._create_division = create_division
 
     def create_single(self, *, sole: bool) -> ModelledInstance:
-        """Return an instance that does all stage work by itself.
+        """Create an instance that executes all stages locally.
 
-        :param sole: whether it knows that no other one calls the makers
+        :param sole: whether it has exclusive use of the makers and knows it
         """
         groups = self._create_groups(tuple)
         desk = self._create_local(self._links, groups, lambda group: sole)
         return ModelledInstance(self._create_streams(desk, self._centres[0], ""))
 
     def create_all(self, shape: FleetShape) -> list[ModelledInstance]:
-        """Return the instances of a fleet, linked with each other."""
+        """Create the instances of a fleet, connected to each other as peers."""
         network = ModelNetwork()
         return [
             self._create_linked(network, f"{centre}-{size}-{number}", centre, machine)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -1,4 +1,4 @@
-"""Makers and engines in virtual time."""
+"""Models of makers and engines in virtual time."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 
 __all__ = ("Engine", "Maker", "ModelCodec", "ModelLinks", "Results")
 
-#: bytes that a link carries in a second
+#: bandwidth of a link, in bytes per second
 LINK_BYTES = 10_000e6 / 8
-#: seconds of one way between two processes
+#: one-way network latency between two processes, in seconds
 ONE_WAY = 0.0006
-#: seconds until a connection to a lost maker fails
+#: seconds until a connection to an unreachable maker fails
 UNREACHABLE = 0.3
-#: bytes of a call, of each piece that it asks for, and of each handle that it names
+#: bytes of a call's frame, of each requested piece and of each result handle in it
 CALL_BYTES = 250
 PIECE_BYTES = 78
 HANDLE_BYTES = 31
-#: processor seconds of one core to make a call, and again to read its answer
+#: CPU seconds of one core to send a call, and the same again to read its response
 CALL_WORK = 0.0006
-#: share by which the time of a call varies to either side
+#: relative jitter of a call's duration, in either direction
 VARIATION = 0.08
-#: prompt tokens that an engine reads in a second
+#: prefill rate of an engine, in prompt tokens per second
 READ_TOKENS = 41_400.0
-#: seconds of one step of an engine
+#: seconds of one decode step of an engine
 STEP = 0.006
-#: seconds for which a prompt part is kept
+#: seconds for which an engine caches a prompt part
 PART_LIFE = 30.0
 
 
 @dataclass(slots=True)
 class Result:
-    """A result that lies at its maker."""
+    """A result held in the memory of the maker that produced it."""
 
     maker: Maker
     size: int
@@ -56,19 +56,19 @@
 
 @dataclass(slots=True)
 class Results:
-    """All results that exist, by handle, and what became of the work on them."""
+    """All results in makers' memory by handle, with counts of their use."""
 
     held: dict[str, Result] = field(default_factory=dict)
-    #: bytes that crossed data centres
+    #: bytes fetched from another data centre
     moved_bytes: float = 0.0
-    #: results that were never read
+    #: results dropped without having been read
     unread: int = 0
     made: int = 0
     read: set[str] = field(default_factory=set)
     numbers: count = field(default_factory=count)
 
     def drop(self, handle: str) -> None:
-        """Remove a result; its room is free."""
+        """Remove a result and free its memory at the maker."""
         result = self.held.pop(handle, None)
         if result is None:
             return
@@ -78,7 +78,7 @@
         self.read.discard(handle)
 
     def read_all(self, handles: tuple[str, ...], data_centre: str) -> float | None:
-        """Return the seconds of fetching results; ``None`` if one is gone."""
+        """Return the seconds to fetch results; ``None`` if one no longer exists."""
         size = 0
         for handle in handles:
             result = self.held.get(handle)
@@ -92,7 +92,7 @@
 
 
 class Maker:
-    """One maker: a call at a time, and room for few results."""
+    """One maker: runs one call at a time and has limited memory for results."""
 
     def __init__(
         self,
@@ -121,9 +121,9 @@
         sizes: tuple[int, ...],
         works: tuple[float, ...],
     ) -> tuple[PieceResult, ...]:
-        """Make pieces when their turn comes.
+        """Run pieces as one batch, after the calls queued before it.
 
-        :param works: time of each, as a multiple of the usual one
+        :param works: duration of each piece, as a multiple of its service's item time
         """
         loop = asyncio.get_running_loop()
         came = loop.time()
@@ -174,7 +174,7 @@
 
 
 class Engine:
-    """One engine: reads prompts one after the other, keeps their parts."""
+    """One engine: prefills one prompt at a time and caches prompt parts."""
 
     def __init__(self, target_id: str, data_centre: str, results: Results) -> None:
         self.target_id = target_id
@@ -187,7 +187,7 @@
     async def read(
         self, inputs: tuple[str, ...], part: str, shared: int, own: int
     ) -> bool:
-        """Wait until the first event is out; ``False`` if a result is gone."""
+        """Prefill a prompt up to its first event; ``False`` if an input is missing."""
         seconds = self._results.read_all(inputs, self.data_centre)
         if seconds is None:
             return False
@@ -204,7 +204,7 @@
 
 @dataclass(slots=True)
 class _Reply:
-    """What a maker answered, with nothing to decode."""
+    """A maker's response, which needs no decoding."""
 
     results: tuple[PieceResult, ...]
 
@@ -219,9 +219,9 @@
 
 
 class ModelLinks:
-    """Takes calls to their makers.
+    """Connections that deliver calls to modelled makers.
 
-    :param find_stage: returns the stage of a piece
+    :param find_stage: returns the shape of the stage that a piece belongs to
     """
 
     def __init__(
@@ -235,15 +235,15 @@
         self._find_stage = find_stage
 
     def through(self, machine: Machine) -> ModelLinks:
-        """Return the same links as one instance uses them, by its own machine."""
+        """Return these connections charged to the host of one instance."""
         return _MachineLinks(self, machine)
 
     async def send(self, *, address: str, outbound: OutboundRequest, **_) -> _Reply:
-        """Do what a call asks for."""
+        """Execute a call and return its response."""
         maker = self._makers[address]
         if maker.lost:
             await asyncio.sleep(UNREACHABLE)
-            raise NotSentError("no connection in time")
+            raise NotSentError(f"no connection to {address} within {UNREACHABLE} s")
         await asyncio.sleep(ONE_WAY)
         if outbound.target == "free":
             for handle in outbound.body:
@@ -262,7 +262,7 @@
 
 
 class _MachineLinks:
-    """Calls that cost their sender's processor and link."""
+    """Connections whose calls use the CPU and the link of the sending instance."""
 
     def __init__(self, links: ModelLinks, machine: Machine) -> None:
         self._links = links
@@ -277,7 +277,7 @@
 
 
 def _count_bytes(outbound: OutboundRequest) -> int:
-    """Return about how many bytes a call takes on its way."""
+    """Estimate the encoded size of a call, in bytes."""
     if outbound.target == "free":
         return CALL_BYTES + len(outbound.body) * HANDLE_BYTES
     pieces, _ = outbound.body
@@ -286,7 +286,7 @@
 
 
 class ModelCodec(TargetCodec):
-    """Passes objects where the real one writes and reads bytes."""
+    """Passes objects through where a real codec encodes and decodes bytes."""
 
     def encode_request(self, request, call) -> OutboundRequest:
         raise NotImplementedError
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/network.py
@@ -1,4 +1,4 @@
-"""Entry instances of a trial, and the links between them, in virtual time."""
+"""Models of entry instances' hosts and of their peer network, in virtual time."""
 
 from __future__ import annotations
 
@@ -24,31 +24,31 @@
 
 __all__ = ("Machine", "ModelNetwork", "ModelPeers")
 
-#: seconds of one way between two instances
+#: one-way network latency between two instances, in seconds
 ONE_WAY = 0.0009
-#: bytes of a message's headers on its way
+#: bytes of protocol headers per message
 HEADER_BYTES = 80
-#: processor seconds of one core to send or to take in a message
+#: CPU seconds of one core to send or to receive a message
 MESSAGE_SECONDS = 0.0002
-#: seconds over which the use of a link is measured
+#: seconds of the window over which link utilisation is measured
 SPAN = 1.0
 
 
 class _Queue:
-    """Something that serves one after the other, such as a processor or a link."""
+    """A first-come, first-served resource, such as a CPU or a link."""
 
     def __init__(self) -> None:
         self._free_at = 0.0
 
     async def use(self, seconds: float) -> None:
-        """Wait for one's turn and for so many seconds of service."""
+        """Wait in line, then occupy the resource for ``seconds``."""
         now = asyncio.get_running_loop().time()
         self._free_at = max(self._free_at, now) + seconds
         await asyncio.sleep(self._free_at - now)
 
 
 class Machine:
-    """What one instance runs on: a processor, and a link to all others."""
+    """The host of one instance: a CPU, and a link shared by all its peers."""
 
     def __init__(self, shape: InstanceShape) -> None:
         self.capacity = Capacity(cores=shape.cores, link_bytes=shape.link_bytes)
@@ -59,11 +59,11 @@
         self._sent = 0
 
     async def work(self, seconds: float) -> None:
-        """Use so much of one core."""
+        """Use the CPU for ``seconds`` of one core."""
         await self._processor.use(seconds / self.capacity.cores)
 
     async def send(self, size: int) -> None:
-        """Send so many bytes."""
+        """Occupy the link while ``size`` bytes are sent."""
         self._count(size)
         await self._link.use(size / self.capacity.link_bytes)
 
@@ -77,14 +77,14 @@
 
 
 class ModelNetwork:
-    """All instances of a trial."""
+    """The peer network of all instances of a trial."""
 
     def __init__(self) -> None:
         self.peers: dict[str, ModelPeers] = {}
         self._members: tuple[Member, ...] = ()
 
     def join(self, instance_id: str, data_centre: str, machine: Machine) -> ModelPeers:
-        """Add an instance."""
+        """Add an instance and return its connections to the others."""
         peers = ModelPeers(self, instance_id, machine)
         self.peers[instance_id] = peers
         member = Member(
@@ -98,12 +98,12 @@
         return peers
 
     def list_members(self) -> tuple[Member, ...]:
-        """Return all instances."""
+        """Return all instances as cluster members."""
         return self._members
 
 
 class ModelPeers(PeerNetwork):
-    """One instance's end of the network."""
+    """The peer network as seen by one instance."""
 
     def __init__(
         self, network: ModelNetwork, instance_id: str, machine: Machine
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/outcomes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/outcomes.py
@@ -1,4 +1,4 @@
-"""What trials of stage work come to."""
+"""Outcomes of load trials."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 
 @dataclass(slots=True)
 class ClassOutcome:
-    """What became of one class's requests."""
+    """Counts and latencies of the requests of one class."""
 
     asked: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
     refused_again: int = 0
-    #: seconds until the first event, of those answered
+    #: seconds to the first event, of each answered request
     times: list[float] = field(default_factory=list)
 
     @property
     def unserved(self) -> int:
-        """Requests that nobody answered."""
+        """Number of requests without an answer by their deadline."""
         return self.asked - self.in_time - self.late
 
     @property
     def in_time_share(self) -> float:
-        """Share of the requests that were answered within their objective."""
+        """Share of the requests that met their latency objective."""
         return self.in_time / max(1, self.asked)
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a trial came to."""
+    """Aggregated outcome of one trial."""
 
     classes: dict[str, ClassOutcome] = field(default_factory=dict)
     earned: float = 0.0
     owed: float = 0.0
-    #: seconds of makers' work, and the share of results that nobody read
+    #: busy seconds of all makers, and the share of their results that were never read
     maker_seconds: float = 0.0
     unread_share: float = 0.0
     moved_bytes: float = 0.0
     read_tokens: float = 0.0
-    #: greatest share of its link that an instance has sent in a second
+    #: highest link utilisation of any instance over one second
     busiest_link: float = 0.0
 
     @property
     def credit(self) -> float:
-        """Share of the worth owed that was earned."""
+        """Earned share of the utility that all requests offered."""
         return self.earned / self.owed if self.owed else 1.0
 
     @property
     def unserved_share(self) -> float:
-        """Share of the requests that nobody answered."""
+        """Share of the requests without an answer by their deadline."""
         asked = sum(one.asked for one in self.classes.values())
         return sum(one.unserved for one in self.classes.values()) / max(1, asked)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -1,4 +1,4 @@
-"""Fleets and loads of the experiments with stage work."""
+"""Fleets and load scenarios of the trials."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     "StageShape",
 )
 
-#: bytes in a megabyte of results
+#: bytes per megabyte
 MEGABYTE = 1_000_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MakerShape:
-    """The makers of one service; times in seconds."""
+    """The makers (targets that batch pieces) of one service; times in seconds."""
 
     name: str
     count: int
@@ -36,7 +36,7 @@
     keep_seconds: float = 4.0
 
     def create_profile(self) -> MakerProfile:
-        """Return what a configuration says of these makers."""
+        """Return the profile that a deployment declares for these makers."""
         return MakerProfile(
             slots=1,
             queue=2,
@@ -54,18 +54,18 @@
 
     service: str
     result_bytes: int
-    #: share of the requests that have it
+    #: share of the requests that run this stage
     share: float = 1.0
-    #: mean number of pieces; numbers vary around it, up to four times as many
+    #: mean number of pieces; drawn numbers go up to four times the mean
     pieces: float = 1.0
-    #: time of a piece, as a multiple of the usual one of its service
+    #: duration of a piece, as a multiple of its service's item time
     work: float = 1.0
     after: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerClass:
-    """One kind of request; times in seconds."""
+    """One class of requests; times in seconds."""
 
     name: str
     per_second: float
@@ -74,10 +74,10 @@
     worth: float
     late_worth: float
     priority: int
-    #: prompt tokens that other requests share, and those that are its own
+    #: prompt tokens shared with other requests, and those of the request alone
     shared_tokens: int
     own_tokens: int
-    #: subjects to which the shared parts belong
+    #: number of distinct shared prompt parts
     subjects: int
     #: seconds of generation after the first event
     generation: float
@@ -88,31 +88,31 @@
 class InstanceShape:
     """Entry instances of one size."""
 
-    #: in each data centre
+    #: instances in each data centre
     count: int
     cores: float
-    #: bytes a second
+    #: bandwidth of the link, in bytes per second
     link_bytes: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetShape:
-    """Makers, engines, entry instances and the usual load of one fleet."""
+    """Makers, engines, entry instances and baseline load of one fleet."""
 
     name: str
     data_centres: int
     engines: int
-    #: empty: one instance, which does all stage work by itself
+    #: if empty, a single instance executes all stages locally
     instances: tuple[InstanceShape, ...] = ()
     makers: tuple[MakerShape, ...]
     classes: tuple[CallerClass, ...]
-    #: those of the workspaces that callers belong to
+    #: priorities of the callers' workspaces
     workspace_priorities: tuple[int, ...] = (1,)
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """More traffic for a while; an empty name means that of all classes."""
+    """A temporary traffic increase of one class; an empty name stands for all."""
 
     caller_class: str
     begin: float
@@ -122,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """One maker of a service is lost for a while."""
+    """A temporary outage of one maker of a service."""
 
     service: str
     begin: float
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """What happens in one trial."""
+    """Duration, bursts and outages of one trial."""
 
     name: str
     seconds: float = 34.0
@@ -145,7 +145,7 @@
     first: int = 0,
     last_pieces: int = 10,
 ) -> tuple[StageShape, ...]:
-    """Return three stages, each reading the one before; ``first`` is its number."""
+    """Return three stages in a chain; ``first`` is the index of the first of them."""
     return (
         StageShape(service=services[0], result_bytes=8_000, work=0.3),
         StageShape(
@@ -172,8 +172,10 @@
     middle_pieces: int,
     chained_drafts: bool,
 ) -> tuple[CallerClass, ...]:
-    """Return drafts, summaries and short talks; either the first or the last ones
-    have the chain of stages besides their large results.
+    """Return the classes of drafts, summaries and short talks.
+
+    Summaries have a chain of stages. Either drafts or talks have it too, besides a
+    stage with large results; the other class has only the latter.
     """
     large = StageShape(
         service=services[0], result_bytes=1_500_000, pieces=2.5, share=0.7
@@ -235,8 +237,9 @@
     deadlines: tuple[float, float, float],
     worths: tuple[float, float, float],
 ) -> tuple[CallerClass, ...]:
-    """Return drafts of large results, summaries with a chain of stages, and checks
-    that have both.
+    """Return the classes of drafts, summaries and checks.
+
+    Drafts have a stage with large results, summaries a chain of stages, checks both.
     """
     services = ("registry", "finance", "portal")
     chain = {"middle_pieces": 4, "last_pieces": 6}
@@ -304,7 +307,7 @@
     )
 
 
-#: the users' fleets, of today and as they will have grown
+#: the users' fleets, at their present and their projected size
 SHAPES = {
     "luzon": FleetShape(
         name="luzon",
@@ -418,19 +421,19 @@
     ),
 }
 
-#: bytes a second of a link of one megabit
+#: bytes per second of a 1 Mbit/s link
 MEGABIT = 125_000
 
 
 def _list_instances(strong: int, small: int) -> tuple[InstanceShape, ...]:
-    """Return the instances of a grown fleet, by their number in each data centre."""
+    """Return the sizes of instances, from their numbers in each data centre."""
     return (
         InstanceShape(count=strong, cores=2.15, link_bytes=100 * MEGABIT),
         InstanceShape(count=small, cores=0.516, link_bytes=5 * MEGABIT),
     )
 
 
-#: the same fleets with all their instances and the links between them
+#: the grown fleets with all entry instances and the links between these
 SHAPES |= {
     f"{name}-linked": replace(
         SHAPES[name], name=f"{name}-linked", instances=_list_instances(*counts)
@@ -442,7 +445,7 @@
     }.items()
 }
 
-#: the same of small instances only
+#: the grown fleets with small entry instances only
 SHAPES |= {
     f"{name}-small": replace(
         SHAPES[name], name=f"{name}-small", instances=_list_instances(0, count)
@@ -460,7 +463,7 @@
     Burst("", 25.0, 4.0, 1.8),
 )
 
-#: loads that the decisions are for
+#: load scenarios by the name given on the command line
 SCENARIOS = {
     "calm": Scenario(name="calm"),
     "bursts": Scenario(name="bursts", bursts=_BURSTS),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -1,4 +1,4 @@
-"""One trial: a fleet under a load, decided on by the real code."""
+"""One trial: a modelled fleet under load, scheduled by the real code."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
 
 __all__ = ("Policies", "run_trial")
 
-#: share of the time left within which callers come back after a refusal
+#: maximum delay of a caller's retry, as a share of the time left to its deadline
 RETURN_SHARE = 1 / 3
-#: seconds after the last arrival for which the trial goes on
+#: seconds for which a trial continues after the last request, so that work drains
 TAIL = 8.0
 
 
 class _VirtualLoop(LoopTimeEventLoop, asyncio.SelectorEventLoop):
-    """A loop that never waits in real time."""
+    """An event loop in virtual time, which never sleeps."""
 
 
 class LoopClock(Clock):
-    """The time of the running loop, which is a virtual one."""
+    """Reads the virtual time of the running event loop."""
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
@@ -63,12 +63,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Policies:
-    """The decisions that a trial is run with."""
+    """The policies under which a trial runs."""
 
     create_batches: Callable[[], BatchPolicy] = CrossRequestBatching
     create_admission: Callable[[], RouteAdmission] = DeadlineAdmission
     create_division: Callable[[], OwnershipPolicy] = CapacityBasedOwnership
-    #: whether the instance knows that no other one calls the makers
+    #: whether a single instance knows that it has exclusive use of the makers
     sole: bool = True
 
 
@@ -92,7 +92,8 @@
         self.deployment = _create_deployment(shape, tuple(self.routes.values()))
         self._list_targets()
         self.instances = self._create_instances(policies)
-        #: by which callers come to an instance; the same whatever is decided
+        #: assigns callers to instances; a separate source, as its draws must not depend
+        #: on the policies
         self.balancer = random.Random(f"{seed} balancer")
         self.number = 0
 
@@ -167,7 +168,7 @@
         return self.classes[name].stages[piece.stage]
 
     async def _lose(self, loss) -> None:
-        """Lose a maker; ``:N`` names the service of the N-th stage of the chain."""
+        """Take a maker down for a while; ``:N`` is the N-th service, counted from 0."""
         service = self.shape.makers[int(loss.service[1:])].name
         maker = self.makers[f"{service}-1"]
         await asyncio.sleep(loss.begin)
@@ -184,7 +185,7 @@
         await asyncio.gather(*tasks)
 
     async def _ask(self, arrival: Arrival) -> None:
-        """Play one caller, who comes back once after a refusal."""
+        """Simulate one caller, which retries once after a refusal."""
         caller_class = arrival.caller_class
         outcome = self.outcome.classes.setdefault(caller_class.name, ClassOutcome())
         outcome.asked += 1
@@ -210,7 +211,10 @@
                 await asyncio.sleep(max(0.0, min(retry, left * RETURN_SHARE)))
 
     async def _try(self, arrival: Arrival, left: float) -> float | None:
-        """Send once; ``None`` if it was answered, else when to come back."""
+        """Send a request once.
+
+        :return: ``None`` if it was answered, else seconds to wait before a retry.
+        """
         now = self.clock.now()
         instance = self.balancer.choice(self.instances)
         name = arrival.caller_class.name
@@ -283,7 +287,7 @@
 def run_trial(
     shape: FleetShape, scenario: Scenario, policies: Policies, seed: int
 ) -> Outcome:
-    """Run one trial in virtual time."""
+    """Run one trial in virtual time and return its outcome."""
     loop = _VirtualLoop(start=0.0, noop_cycles=0)
     asyncio.set_event_loop(loop)
     try:
