--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/__init__.py
@@ -1,1 +1,1 @@
-"""The system and a naive version of it under the same histories of faults."""
+"""Differential test of the system and a naive version under equal fault histories."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/__main__.py
@@ -1,4 +1,4 @@
-"""Compares both systems: ``python -m greengagelatch_lab.differential``."""
+"""Compare both systems: ``python -m greengagelatch_lab.differential``."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from .comparing import CATEGORIES, Comparison, compare
 
-#: failing histories shown
+#: maximum number of failing histories to print
 MAX_SHOWN = 3
 
 
 def main() -> int:
-    """Play histories of several seeds and print what each system broke."""
+    """Replay the histories of several seeds and print each system's violations."""
     options = _read_options()
     seeds = range(options.first_seed, options.first_seed + options.seeds)
     print(f"seeds {seeds[0]} to {seeds[-1]}, {options.examples} histories each")
@@ -47,7 +47,9 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--first-seed", type=int, default=1)
-    parser.add_argument("--examples", type=int, default=150, help="for each seed")
+    parser.add_argument(
+        "--examples", type=int, default=150, help="histories for each seed"
+    )
     parser.add_argument("--workers", type=int, default=2)
     return parser.parse_args()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -1,4 +1,4 @@
-"""Counts what each system breaks under many histories."""
+"""Counts of the guarantees that each system violates under generated histories."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = ("CATEGORIES", "Comparison", "compare")
 
-#: what is counted for both, and the broken promises that belong to it
+#: the violated guarantees that each counted category comprises
 CATEGORIES = {
     "lost": (Promise.LOST,),
     "doubled": (Promise.DOUBLED,),
@@ -31,18 +31,18 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """What became of a number of histories."""
+    """Violation counts over a number of histories."""
 
     histories: int = 0
-    #: histories under which each system broke a promise, by category
+    #: number of histories under which each system violated a guarantee, by category
     ours: Counter[str] = field(default_factory=Counter)
     naive: Counter[str] = field(default_factory=Counter)
-    #: histories under which the system itself broke something
+    #: histories under which the system under test violated any guarantee
     failures: list[tuple[History, list[Breach]]] = field(default_factory=list)
 
 
 def compare(seed_number: int, examples: int) -> Comparison:
-    """Play histories drawn from a seed on both systems."""
+    """Replay the histories generated from a seed on both systems."""
     comparison = Comparison()
 
     @seed(seed_number)
@@ -63,7 +63,7 @@
             comparison.failures.append((history, breaches))
 
     level = logging.root.manager.disable
-    # what the parts complain of while faults last is meant to happen
+    # errors logged while faults are active are expected
     logging.disable(logging.CRITICAL)
     try:
         play_both()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/histories.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/histories.py
@@ -1,4 +1,4 @@
-"""Histories of requests, changes and faults, under which two systems are compared."""
+"""Histories of requests, changes and faults, on which two systems are compared."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
     "histories",
 )
 
-#: seconds from the beginning within which everything begins
+#: seconds from the start within which all events begin
 LENGTH = 8.0
-#: seconds between two moments at which something may happen
+#: resolution of event times, in seconds
 GRAIN = 0.05
-#: bounds of the seconds that a fault lasts
+#: minimum and maximum duration of a fault, in seconds
 LASTING = (0.5, 6.0)
 INSTANCES = 3
-#: what ends is not what a history may hold: nothing recovers from a burst or a kill
+#: maximum faults in a history; the end of a burst or of a kill undoes nothing, so
+#: such faults have to be survived without recovery
 MAX_FAULTS = 3
 MAX_REQUESTS = 14
 MAX_CHANGES = 4
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEvent:
-    """A caller comes; it asks again by itself if it has a key."""
+    """A caller sends a request, and retries it if it has an idempotency key."""
 
     at: float
     instance: int
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeEvent:
-    """An operator makes a change."""
+    """An operator submits a configuration change."""
 
     at: float
     instance: int
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """A fault begins, and ends some seconds later."""
+    """A fault that is injected, and removed some seconds later."""
 
     at: float
     name: str
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveEvent:
-    """A target begins to leave."""
+    """A target announces that it is leaving."""
 
     at: float
     target: int
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopEvent:
-    """An instance is stopped as planned."""
+    """An instance is shut down gracefully."""
 
     at: float
     instance: int
@@ -83,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """Events in any order; ``seed`` is that of latencies and other chance."""
+    """Events in any order; ``seed`` is for latencies and all other random draws."""
 
     seed: int
     events: tuple[Event, ...]
@@ -99,7 +100,7 @@
 
 
 def histories() -> st.SearchStrategy[History]:
-    """Return the strategy of histories."""
+    """Return the Hypothesis strategy that generates histories."""
     requests = st.builds(
         RequestEvent,
         at=_moments(),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -1,8 +1,9 @@
-"""A naive version of the system, which keeps none of its promises under faults.
+"""A naive version of the system, which gives none of its guarantees under faults.
 
-Round robin over the list, a second try on any error, answers matched by the order in
-which they arrive, deduplication in the memory of one process, the last writer wins,
-and a stop that does not wait. It is kept small and is never mended.
+It uses round robin over the listed targets, retries after any error, answers matched
+by the order of their arrival, deduplication in the memory of one process, last writer
+wins, and a shutdown that does not drain. It is a baseline: keep it small, and don't fix
+its faults.
 """
 
 from __future__ import annotations
@@ -40,9 +41,9 @@
 __all__ = ("NaiveInstance",)
 
 KEY = "naive/configuration"
-#: seconds between two readings of the list and of the configuration
+#: seconds between two refreshes of the instance list and of the configuration
 INTERVAL = 2.0
-#: seconds allowed for one call to a target
+#: timeout of one call to a target, in seconds
 CALL_TIMEOUT = 1.5
 PLATFORM_TIMEOUT = 2.0
 ATTEMPTS = 4
@@ -55,11 +56,11 @@
 
 
 class _FailedError(Exception):
-    """A call without an answer."""
+    """A call to a target failed."""
 
 
 class _Inbox:
-    """What arrives on one connection, in the order in which it does."""
+    """Queue of the answers of one connection, in the order of their arrival."""
 
     def __init__(self) -> None:
         self._arrived: asyncio.Queue[tuple[int, str, bytes, bool]] = asyncio.Queue()
@@ -72,7 +73,7 @@
 
 
 class NaiveInstance(ServingInstance):
-    """One process of the naive version."""
+    """One entry instance of the naive version."""
 
     def __init__(self, bench: Bench, **place: Any) -> None:
         super().__init__(bench, **place)
@@ -152,20 +153,20 @@
     async def change(self, request: ChangeRequest) -> ChangeOutcome:
         found = await self._store.get(KEY)
         if found.is_err():
-            return NotApplied(message="the store can't be read")
+            return NotApplied(message="reading the configuration from the store failed")
         value = {"generation": 0, "changes": []}
         if found.ok_value is not None:
             value = json.loads(found.ok_value.value)
         value["generation"] += 1
         value["changes"].append(request.change_id)
-        # whoever else writes meanwhile is overwritten
+        # last writer wins: a concurrent write is overwritten
         newest = await self._store.get(KEY)
         expected = 0
         if newest.is_ok() and newest.ok_value is not None:
             expected = newest.ok_value.revision
         written = await self._store.swap(KEY, json.dumps(value).encode(), expected)
         if written.outcome is not WriteOutcome.APPLIED:
-            return NotApplied(message="the write failed")
+            return NotApplied(message="writing the configuration to the store failed")
         self._value = value
         return Settled(generation=value["generation"], head=None)
 
@@ -200,14 +201,15 @@
                     return await self._call(exchange, stage, given)
             except (TimeoutError, OSError, _FailedError):
                 continue
-        raise _FailedError(f"stage {stage.name} failed")
+        raise _FailedError(f"stage {stage.name} failed after {ATTEMPTS} attempts")
 
     async def _call(self, exchange: Exchange, stage: Stage, given: Any) -> Any:
         addresses = self._targets.get(stage.service)
         if not addresses:
-            raise _FailedError("no target")
+            raise _FailedError(f"no target for service {stage.service}")
         address = addresses[next(self._turns) % len(addresses)]
-        # taken out while it is used, and put back even if an answer is still to come
+        # removed while in use; put back even if an answer is still outstanding, which
+        # the next call then takes for its own
         connection, inbox = self._connections.pop(address, (None, None))
         if connection is None:
             connection, inbox = await self.dialer.open(address), _Inbox()
@@ -237,10 +239,10 @@
         while True:
             status, _, data, last = await inbox.read()
             if status != 200:
-                raise _FailedError(f"status {status}")
+                raise _FailedError(f"target answered with status {status}")
             if not data.startswith(b"event:"):
                 if not data:
-                    raise _FailedError("cut")
+                    raise _FailedError("connection closed before the answer")
                 return json.loads(data)["output"]
             if last:
                 return "".join(texts)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -1,4 +1,4 @@
-"""Plays a history on a system and collects what it left behind."""
+"""Replays a history on a system and checks the record of the run."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def play(
     history: History, create: Callable[..., ServingInstance] = EntryInstance
 ) -> list[Breach]:
-    """Return the promises that a system breaks under a history."""
+    """Replay a history on a system and return the violated guarantees."""
     loop = create_loop()
     player = _Player(history, create)
     try:
@@ -56,7 +56,7 @@
         self._open: set[str] = set()
 
     async def run(self) -> RunRecord:
-        """Play all events, and see that everything works afterwards."""
+        """Replay all events, then verify that the system recovers."""
         bench = self.bench = Bench(self._history.seed, create=self._create)
         await bench.start()
         await warm_up(bench)
@@ -74,7 +74,7 @@
     async def _sleep_until(
         self, time: float, ends: list[tuple[float, FaultEvent]]
     ) -> None:
-        """Sleep, and end the faults whose time is over on the way."""
+        """Sleep until ``time``, and remove faults as their durations expire."""
         loop = asyncio.get_running_loop()
         while ends:
             due = min(ends, key=lambda end: end[0])
@@ -112,7 +112,7 @@
     def _begin_fault(
         self, event: FaultEvent, ends: list[tuple[float, FaultEvent]]
     ) -> None:
-        # the second of two equal faults would be ended by the end of the first
+        # of two overlapping faults of one kind, the end of the first would end both
         if event.name in self._open:
             return
         self._open.add(event.name)
