--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__init__.py
@@ -1,8 +1,8 @@
-"""Decision-level experiments: the real decision code against modelled targets.
+"""Simulation experiments: the real scheduling code against modelled targets.
 
-No sockets, processes or clocks take part, so a minute of a fleet takes seconds and
-one seed always gives the same result. It compares policies; it says nothing on
-what the daemon itself costs.
+The simulation uses no sockets, processes or real clock, so a minute of a fleet takes
+seconds and one seed always gives the same result. It compares policies and does not
+measure the overhead of the daemon itself.
 """
 
 from __future__ import annotations
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__main__.py
@@ -12,13 +12,13 @@
 from .plots import draw_attainment
 from .tables import build_page
 
-#: seeds of the trials, unless told otherwise
+#: default seeds of the trials
 SEEDS = (1, 2, 3)
 PAGE = "load.md"
 
 
 def main() -> None:
-    """Run the trials, write tables and plots, and print a summary as JSON."""
+    """Run the trials, write tables and plots, and print a JSON summary."""
     arguments = _parse()
     comparisons: list[Comparison] = []
     for fleet in arguments.fleet or sorted(FLEETS):
@@ -39,7 +39,9 @@
     parser.add_argument("--fleet", action="append", choices=sorted(FLEETS))
     parser.add_argument("--scenario", action="append", default=[])
     parser.add_argument("--seeds", type=int, nargs="+", default=list(SEEDS))
-    parser.add_argument("--output", type=Path, help="directory for page and plots")
+    parser.add_argument(
+        "--output", type=Path, help="output directory for the page and the plots"
+    )
     return parser.parse_args()
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/bound.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/bound.py
@@ -1,4 +1,4 @@
-"""What no policy could exceed, knowing the whole trace in advance."""
+"""Upper bound on the attainment of any policy, given the whole trace in advance."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
 
 __all__ = ("bound_attainment",)
 
-#: seconds between the ends of the intervals that are looked at
+#: step between the boundaries of the examined intervals, in seconds
 STEP = 0.5
 
 
 def bound_attainment(trial: Trial) -> float:
-    """Return the largest share of the counted requests that could be attained.
-
-    Of the requests that arrive and are due within an interval, only as many can be
-    answered as fit into what their service can do in it, the smallest first, every
-    prompt's prefix cached, every batch at its best size, all targets as one. The
-    interval and service with the greatest shortfall give the bound. It is not
-    tight: other intervals, queues and the order of the stages cost more.
+    """Return an upper bound on the share of counted requests that can be attained.
+
+    Of the requests that both arrive and are due within an interval, no more can be
+    answered than the capacity of their service in it allows. The estimate is
+    optimistic: smallest requests first, every prompt prefix cached, every batch of
+    optimal size, all targets of a service pooled into one. The interval and service
+    with the largest shortfall determine the bound. It is not tight: further intervals,
+    queueing and the order of stages lower the true optimum.
     """
     counted = [r for r in trial.requests if is_counted(r)]
     feasible = [
@@ -102,7 +103,7 @@
 def _create_supply(
     trial: Trial, service: str, kind: StageKind
 ) -> Callable[[float, float], float]:
-    """Return a function giving the target seconds available in an interval."""
+    """Return a function that computes the target seconds available in an interval."""
     fleet = trial.fleet
     replicas = next(each.replicas for each in fleet.services if each.name == service)
     after = [1.0] * replicas
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
@@ -1,4 +1,4 @@
-"""Several seeds of each scenario under each policy, side by side."""
+"""Comparison of policies over several seeds of each scenario."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 
 __all__ = ("COMPARED", "Comparison", "Spread", "Variant", "compare", "spread")
 
-#: trials that run side by side
+#: trials that run in parallel
 WORKERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A policy under a name."""
+    """A named policy."""
 
     name: str
     weights: Weights | None = None
-    #: one instance that sees the load of all targets takes all requests
+    #: a single instance with up-to-date load of all targets takes all requests
     informed: bool = False
 
 
-#: what is compared in every scenario
+#: variants compared in every scenario
 OURS = Variant("ours", Weights())
 NAIVE = Variant("naive")
 INFORMED = Variant("informed", Weights(), informed=True)
 COMPARED = (OURS, NAIVE, INFORMED)
-#: the two ends of the weighing, compared in some
+#: both extremes of the weights, compared in some scenarios only
 ENDS = (
     Variant("attainment only", Weights(1.0, 0.0)),
     Variant("cost only", Weights(0.0, 1.0)),
 )
-#: scenarios in which the ends are compared too
+#: scenarios that also compare the extremes of the weights
 WEIGHED = ("load-1.3", "slow-target")
 
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Median, least and most over the seeds."""
+    """Median, minimum and maximum over the seeds."""
 
     middle: float
     least: float
@@ -66,14 +66,14 @@
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Return the spread of one figure over the seeds."""
+    """Compute the spread of one metric over the seeds."""
     return Spread(median(values), min(values), max(values))
 
 
 def compare(
     fleet: str, names: Sequence[str], seeds: Sequence[int], tell: Callable[[str], None]
 ) -> tuple[Comparison, ...]:
-    """Run the named scenarios, by default all, of one fleet."""
+    """Run the named scenarios of one fleet, or all if none is named."""
     chosen = [each for each in SCENARIOS if not names or each.name in names]
     comparisons = []
     with ProcessPoolExecutor(max_workers=WORKERS) as pool:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -1,4 +1,4 @@
-"""An entry instance: runs requests through their stages under some policy."""
+"""Model of an entry instance that runs requests through their stages."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One call of a stage."""
+    """One attempt to run a stage on a target."""
 
     grant: Grant
     call: ModelCall
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, eq=False)
 class StageRun:
-    """One stage of one request."""
+    """The execution of one stage of a request."""
 
     run: Run
     stage: Stage
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One request and what became of it."""
+    """The execution of one request and its result."""
 
     request: Request
     begun: set[str] = field(default_factory=set)
@@ -71,12 +71,12 @@
 
     @property
     def over(self) -> bool:
-        """Whether it is answered or given up."""
+        """Whether the request has been answered, refused or abandoned."""
         return self.finished is not None
 
 
 class Entry(ABC):
-    """Runs stages as the daemon's stage runner does; subclasses decide."""
+    """Runs stages like the daemon's pipeline runner; subclasses define the policy."""
 
     def __init__(
         self,
@@ -97,43 +97,43 @@
         self.alive = True
         self._rules = RetryRules()
 
-    # what a policy decides
+    # policy hooks
 
     def admit(self, run: Run) -> Refusal | None:
-        """Return why a request is not begun at all."""
+        """Apply admission control; return the refusal of a rejected request."""
         return None
 
     def note_end(self, run: Run) -> None:  # noqa: B027
-        """Take in that a request is over."""
+        """Handle the end of a request."""
 
     @abstractmethod
     def plan(self, run: Run, stage: Stage) -> float:
-        """Return the deadline of a stage that starts now."""
+        """Return the deadline of a stage that starts at this moment."""
 
     @abstractmethod
     def acquire(
         self, ticket: Ticket, receive: Callable[[Result[Grant, Refusal]], None]
     ) -> object:
-        """Ask for a target; ``receive`` may be called at once or later."""
+        """Request a target; ``receive`` is called with it, at once or later."""
 
     def withdraw(self, waiting: object) -> None:  # noqa: B027
-        """Take back what :meth:`acquire` returned."""
+        """Cancel the pending request that :meth:`acquire` returned."""
 
     @abstractmethod
     def release(self, grant: Grant, outcome: Outcome) -> None:
-        """Give back a grant."""
+        """Release a grant and report the outcome of its call."""
 
     def note_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
-        """Take in that a stream has begun."""
+        """Record the time to first token of a stream."""
 
     def find_patience(self, grant: Grant) -> float | None:
-        """Return the seconds after which a backup call is made."""
+        """Return the seconds after which to send a hedge, or ``None`` for no hedge."""
         return None
 
-    # running
+    # execution
 
     def start(self, request: Request) -> Run:
-        """Begin a request."""
+        """Start the execution of a request."""
         run = Run(request)
         if not self.alive:
             self._end(run)
@@ -191,7 +191,7 @@
         )
 
     def find_priority(self, request: Request) -> int:
-        """Return the priority of a request's calls."""
+        """Return the scheduling priority of a request's calls."""
         return 0
 
     def _receive(
@@ -241,7 +241,7 @@
             return
         streamed = stage_run.run.request.arrival.stream
         if streamed and stage_run.attempts > 1:
-            # the calls that may be made are better spent on waiting
+            # attempts are limited: waiting is better than restarting a stream again
             return
         patience = self.find_patience(attempt.grant)
         if patience is None:
@@ -255,7 +255,7 @@
         if run.request.arrival.stream:
             if attempt.call.given:
                 return
-            # two streams at once could differ: the first one is given up
+            # two concurrent streams could differ in tokens: cancel the first
             model = self.fleet.models[attempt.grant.target.target_id]
             model.cancel(attempt.call)
             self._fail(stage_run, attempt, FailureKind.STALLED)
@@ -329,7 +329,7 @@
         return attempt.call.given if streamed else 0
 
     def _close(self, stage_run: StageRun) -> None:
-        """Cancel the calls of a stage that are still open, and its ticket."""
+        """Cancel the open attempts of a stage and its pending ticket."""
         if stage_run.waiting is not None:
             self.withdraw(stage_run.waiting)
             stage_run.waiting = None
@@ -352,9 +352,9 @@
 
 
 def drive(coroutine) -> Result[Grant, Refusal]:
-    """Return the result of a coroutine that never waits."""
+    """Run a coroutine that never suspends and return its result."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise RuntimeError("the coroutine waits")
+    raise RuntimeError(f"coroutine {coroutine} suspended instead of returning")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/events.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/events.py
@@ -1,4 +1,4 @@
-"""A clock that jumps from event to event."""
+"""Virtual clock of a discrete-event simulation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EventClock(Clock):
-    """Runs callbacks in the order of their times."""
+    """Advances virtual time from event to event and runs their callbacks."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -26,16 +26,16 @@
         return self._now
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
-        """Run ``callback`` at ``when``; equal times keep the order of the calls."""
+        """Schedule ``callback`` at ``when``; equal times run in call order."""
         entry = (max(when, self._now), next(self._order), callback)
         heapq.heappush(self._heap, entry)
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> None:
-        """Run ``callback`` after ``delay`` seconds."""
+        """Schedule ``callback`` after ``delay`` seconds."""
         self.call_at(self._now + delay, callback)
 
     def run(self, until: float) -> None:
-        """Run all events up to ``until``."""
+        """Run all events due up to ``until`` and advance the clock to it."""
         while self._heap and self._heap[0][0] <= until:
             self._now, _, callback = heapq.heappop(self._heap)
             callback()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -1,4 +1,4 @@
-"""A modelled fleet: targets, and what each entry instance knows of them."""
+"""Model of a fleet's targets and of each entry instance's view of them."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 __all__ = ("FRESH", "USUAL", "ModelDirectory", "ModelFleet", "ReportRule")
 
-#: calls that a worker pool runs side by side
+#: calls that a worker pool runs concurrently
 POOL_CAPACITY = 4
-#: seconds one way, within a data centre and between two
+#: one-way latency in seconds, within a data centre and between two
 NEAR = 0.0002
 FAR = 0.001
-#: seconds until a refused connection is noticed, and one without any answer
+#: seconds until a refused connection fails, and until an unanswered one times out
 REFUSED = 0.002
 UNANSWERED = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReportRule:
-    """Seconds between two load reports of one target, and their age on arrival."""
+    """Interval of a target's load reports and their age on arrival, in seconds."""
 
     interval: float
     lag: float
 
 
 USUAL = ReportRule(1.0, 0.25)
-#: as if every instance saw every target's load
+#: nearly continuous reports, as if every instance knew the load of all targets
 FRESH = ReportRule(0.05, 0.0)
 
 
 class ModelFleet:
-    """All targets of a fleet, spread over its data centres."""
+    """All targets of a fleet, distributed over its data centres."""
 
     def __init__(self, fleet: Fleet, clock: EventClock, engine: EngineRule) -> None:
         self.clock = clock
@@ -56,7 +56,7 @@
                 self.models[name] = self._create(service.kind, target, engine)
 
     def list_instances(self) -> Listing:
-        """Return the platform's list of the targets."""
+        """Return the targets as the platform would list them."""
         rows = [
             Instance(
                 instance_id=model.target.target_id,
@@ -76,10 +76,10 @@
         call: ModelCall,
         on_unreached: Callable[[bool], None],
     ) -> None:
-        """Hand a call to a target.
+        """Send a call to a target.
 
-        :param on_unreached: called with whether the target certainly did not run
-            it, if the call came to nothing.
+        :param on_unreached: called if the call is not accepted, with ``True`` if
+            the target certainly did not run it.
         """
         model = self.models[target_id]
         near = model.target.data_centre == data_centre
@@ -108,7 +108,7 @@
 
 
 class ModelDirectory(TargetDirectory):
-    """The real ledger, fed with late load reports."""
+    """The real target registry, fed with delayed load reports."""
 
     def __init__(
         self,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
@@ -1,4 +1,4 @@
-"""Models of targets: engines that batch continuously, and pools of workers."""
+"""Models of targets: engines with continuous batching, and worker pools."""
 
 from __future__ import annotations
 
@@ -16,50 +16,50 @@
 
 __all__ = ("EngineModel", "EngineRule", "ModelCall", "PoolModel", "TargetModel", "Work")
 
-#: calls that may wait at a target; more are refused as not run
+#: capacity of a target's queue; calls beyond it are refused as not run
 QUEUE_BOUND = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Work:
-    """What one stage of one request asks of its target."""
+    """The demand of one stage of a request on its target."""
 
-    #: seconds of a worker, for pools
+    #: service time of a worker in seconds, for pools
     seconds: float = 0.0
-    #: tokens to generate, for engines
+    #: number of tokens to generate, for engines
     tokens: int = 0
     prefix: str = ""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class ModelCall:
-    """A call at a target."""
+    """A call that a target has received."""
 
     work: Work
     priority: int
     on_done: Callable[[], None]
-    #: called if the target dies while it holds the call
+    #: called if the target fails with the call queued or running
     on_cut: Callable[[], None]
     on_first_token: Callable[[], None] = lambda: None
     over: bool = False
-    #: whether its answer was used
+    #: whether the entry instance used its answer
     answered: bool = False
     given: int = 0
-    #: seconds of the target's time used up so far
+    #: seconds of target time consumed so far
     cost: float = 0.0
 
 
 class TargetModel(ABC):
-    """A target; ``slow`` multiplies all its times."""
+    """Base of the models of targets; ``slow`` multiplies all service times."""
 
     def __init__(self, target: Target, clock: EventClock, capacity: int) -> None:
         self.target = target
         self.clock = clock
         self.capacity = capacity
         self.slow = 1.0
-        #: refuses connections, and its calls are cut
+        #: refuses connections; its calls were disconnected
         self.dead = False
-        #: answers nothing at all any more
+        #: no longer answers any call, as in a network partition
         self.silent = False
         self.active: list[ModelCall] = []
         self.waiting: list[tuple[int, int, ModelCall]] = []
@@ -67,11 +67,11 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether a call to it comes to anything."""
+        """Whether the target answers calls."""
         return not (self.dead or self.silent)
 
     def submit(self, call: ModelCall) -> bool:
-        """Take in a call; ``False`` if too many wait."""
+        """Enqueue a call; ``False`` if the queue is full."""
         if len(self.waiting) >= QUEUE_BOUND:
             self.waiting = [entry for entry in self.waiting if not entry[2].over]
             heapq.heapify(self.waiting)
@@ -83,11 +83,11 @@
         return True
 
     def cancel(self, call: ModelCall) -> None:
-        """Stop a call."""
+        """Cancel a call."""
         call.over = True
 
     def kill(self) -> None:
-        """End the target; all its calls are cut."""
+        """Fail the target and disconnect all its calls."""
         self.dead = True
         calls = [*self.active, *(call for _, _, call in self.waiting)]
         self.active, self.waiting = [], []
@@ -97,7 +97,7 @@
                 call.on_cut()
 
     def report(self) -> LoadReport:
-        """Return the load at this moment."""
+        """Return the current load."""
         return LoadReport(
             in_flight=sum(not call.over for call in self.active),
             queued=sum(not call.over for _, _, call in self.waiting),
@@ -107,20 +107,20 @@
         )
 
     def list_prefixes(self) -> frozenset[str]:
-        """Return the prefixes that are cached."""
+        """Return the cached prompt prefixes."""
         return frozenset()
 
     def rank(self, call: ModelCall) -> int:
-        """Return the order in which waiting calls are taken; lowest first."""
+        """Return the rank of a queued call; the lowest is started first."""
         return 0
 
     @abstractmethod
     def start_waiting(self) -> None:
-        """Begin waiting calls if there is room."""
+        """Start queued calls while there is free capacity."""
 
 
 class PoolModel(TargetModel):
-    """Workers that take one call each, in the order of arrival."""
+    """A pool of workers that run one call each, first come, first served."""
 
     def start_waiting(self) -> None:
         self.active = [call for call in self.active if not call.over]
@@ -133,7 +133,7 @@
             self.clock.call_later(seconds, lambda c=call, s=seconds: self._end(c, s))
 
     def cancel(self, call: ModelCall) -> None:
-        # a worker can't be interrupted: it goes on, for nothing
+        # a worker can't be interrupted: it completes the call and the result is dropped
         if call not in self.active:
             call.over = True
         call.on_done = lambda: None
@@ -149,35 +149,36 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineRule:
-    """Parameters of an engine."""
+    """Performance parameters of an engine."""
 
     capacity: int = 16
-    #: seconds of one token for a batch of one
+    #: seconds per token at a batch size of one
     token: float = 0.012
-    #: share by which each further call of a batch lengthens a step
+    #: relative increase of the step time for each further call in the batch
     growth: float = 0.1
-    #: batch beyond which memory runs short and steps lengthen by the square
+    #: batch size beyond which memory pressure adds time quadratic in the excess
     knee: int = 10
+    #: relative increase of the step time by the square of that excess
     shortage: float = 0.05
-    #: seconds to read a prompt, and the share of it if its prefix is cached
+    #: seconds to prefill a prompt, and the share of it that is left on a cache hit
     prefill: float = 0.06
     hit_share: float = 0.1
     cache_entries: int = 8
 
     def measure_step(self, size: int) -> float:
-        """Return the seconds of one step of a batch, without prompts."""
+        """Return the decode seconds of one step of a batch, without prefill."""
         excess = max(0, size - self.knee)
         growth = self.growth * (size - 1) + self.shortage * excess * excess
         return self.token * (1 + growth)
 
     def find_best_batch(self) -> int:
-        """Return the batch that gives the most tokens a second."""
+        """Return the batch size with the highest token throughput."""
         sizes = range(1, self.capacity + 1)
         return max(sizes, key=lambda size: size / self.measure_step(size))
 
 
 class EngineModel(TargetModel):
-    """An engine: calls join and leave its batch at each step."""
+    """An engine with continuous batching: calls join and leave at each step."""
 
     def __init__(self, target: Target, clock: EventClock, rule: EngineRule) -> None:
         super().__init__(target, clock, rule.capacity)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/plots.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/plots.py
@@ -1,4 +1,4 @@
-"""The figures of experiments as plots."""
+"""Plots of the results of experiments."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 __all__ = ("draw_attainment",)
 
-#: without an id made from the time, equal figures give equal files
+#: a fixed salt makes element ids, and so the files, reproducible
 matplotlib.use("svg")
 matplotlib.rcParams["svg.hashsalt"] = "greengagelatch"
 matplotlib.rcParams["svg.fonttype"] = "none"
 
 
 def draw_attainment(comparisons: Sequence[Comparison], path: Path) -> None:
-    """Draw the attainment of all scenarios of one fleet."""
+    """Plot the attainment of all scenarios of one fleet."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(8, 3.6), layout="constrained")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -1,4 +1,4 @@
-"""The policies that are compared: this project's, and the one without limits."""
+"""The compared policies: the project's scheduler, and round robin without limits."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 __all__ = ("NaiveEntry", "SchedulingEntry")
 
-#: attainment and cost count the same
+#: default weights: attainment and cost count equally
 BALANCED = Weights()
-#: percentile from which a call counts as late, as in the daemon
+#: latency percentile above which a call counts as late; equal to the daemon's
 LATE_PERCENTILE = 95
-#: medians after which a probe gets a backup
+#: delay of the hedge of a probe, in medians of the call duration
 PROBE_PATIENCE = 2.0
 
 
 class NaiveEntry(Entry):
-    """Takes targets in turn, without limits."""
+    """Uses round robin, without admission control or concurrency limits."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
 
 
 class SchedulingEntry(Entry):
-    """Uses the scheduler, and what goes with it."""
+    """Uses the scheduler with its admission control, deadline plan and hedging."""
 
     def __init__(
         self,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/scenarios.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""What happens to a fleet in each experiment."""
+"""Load and faults of each experiment, and the run of a trial."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 __all__ = ("SCENARIOS", "Fault", "FaultKind", "Scenario", "Trial", "run_trial")
 
-#: entry instances in each data centre
+#: number of entry instances in each data centre
 ENTRIES = 3
-#: seconds until the balancer sends nothing more to instances that have died
+#: seconds for which the load balancer still sends to failed instances
 BALANCER_LAG = 1.0
-#: seconds before requests are counted, and the seconds of those that are
+#: seconds of the warm-up, and of the measured period after it
 WARM_UP = 30.0
 MEASURED = 30.0
-#: seconds at which faults begin
+#: seconds from the start at which faults are injected
 FAULT_AT = 35.0
-#: longer than any deadline: time for the last requests to end
+#: seconds for the last requests to end; longer than any deadline
 TAIL = 8.0
 
 
 class FaultKind(Enum):
-    """What fails."""
+    """Kind of a fault."""
 
     SLOW = "slow"
     DEAD = "dead"
@@ -47,9 +47,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that fails for the rest of the run.
+    """A fault that lasts to the end of the trial.
 
-    ``index`` counts the engines, or for a data centre the fleet's data centres.
+    ``index`` is that of an engine, or of a data centre if a data centre fails.
     """
 
     kind: FaultKind
@@ -85,24 +85,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Trial:
-    """One run: its requests, and what became of them."""
+    """The requests of one run and their results."""
 
     fleet: Fleet
     scenario: Scenario
     engine: EngineRule
     requests: tuple[Request, ...]
     runs: Sequence[Run]
-    #: requests that arrived at an instance that had died
+    #: ids of the requests that were sent to a failed instance
     lost: frozenset[int]
 
     @property
     def counted(self) -> list[Run]:
-        """Runs of the requests that count."""
+        """Runs of the requests in the measured period."""
         return [run for run in self.runs if is_counted(run.request)]
 
 
 def is_counted(request: Request) -> bool:
-    """Whether a request came after the warm-up."""
+    """Return whether a request arrived in the measured period."""
     return WARM_UP <= request.received < WARM_UP + MEASURED
 
 
@@ -117,8 +117,8 @@
 ) -> Trial:
     """Run one scenario under one policy.
 
-    :param informed: one instance, which sees every target's load at once, takes all
-        requests: what the policy would do if nobody had to guess.
+    :param informed: send all requests to a single instance with nearly continuous
+        load reports, which shows the policy without stale or partial information
     """
     engine = EngineRule()
     snapshot = read_snapshot(fleet)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/summary.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/summary.py
@@ -1,4 +1,4 @@
-"""Figures of one trial."""
+"""Metrics of one trial."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Summary:
-    """What was attained, and at which cost."""
+    """Attainment and cost of one trial."""
 
     attainment: float
     by_pipeline: dict[str, float]
     by_workspace: dict[str, float]
-    #: seconds from arrival to answer of those attained: 50th, 95th, 99th percentile
+    #: seconds from arrival to answer of attained requests: 50th, 95th, 99th percentile
     latency: tuple[float, float, float]
     #: seconds to the first token, the same percentiles
     first_token: tuple[float, float, float]
-    #: Jain's index over the workspaces' attainment
+    #: Jain's fairness index over the attainment of the workspaces
     fairness: float
-    #: requests attained each second
+    #: attained requests per second
     goodput: float
-    #: target seconds for each stage: of requests attained, and of all others
+    #: target seconds by stage: used for attained requests, and all others
     useful: dict[str, float]
     wasted: dict[str, float]
     wasted_share: float
-    #: share of the requests refused before anything ran
+    #: share of the requests refused before any call
     refused: float
-    #: repeated and doubled calls for each request
+    #: mean number of retries and of hedges per request
     retries: float
     hedges: float
 
 
 def summarise(trial: Trial) -> Summary:
-    """Return the figures of a trial's counted requests."""
+    """Compute the metrics of the measured period of a trial."""
     runs = trial.counted
     useful: dict[str, float] = defaultdict(float)
     wasted: dict[str, float] = defaultdict(float)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/tables.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/tables.py
@@ -1,4 +1,4 @@
-"""The figures of experiments as tables of a page."""
+"""Results of experiments as a Markdown page of tables."""
 
 from __future__ import annotations
 
@@ -13,25 +13,26 @@
 HEAD = """# Load: decisions under load, measured
 
 Made by `make bench`; the decision code runs against modelled targets, see
-`greengagelatch_lab.experiment`. Figures are medians over {seeds} seeds, with the least
-and the most in brackets. Load 1.0 fills the engines while no prompt prefix is cached.
+`greengagelatch_lab.experiment`. Figures are medians over {seeds} seeds, with minimum
+and maximum in brackets. Load 1.0 fills the engines while no prompt prefix is cached.
 There are {entries} entry instances in each data centre; {warm_up:g} s of moderate load
-go before the {measured:g} s that count. Faults begin after {fault:g} s and last; the
-balancer sends to dead instances for {lag:g} s more. An engine with a batch of n takes
-12 ms * (1 + 0.1 (n - 1) + 0.05 max(0, n - 10)^2) for a token of each, tells a capacity
-of 16 and caches 8 prefixes; load reports come once a second, 0.25 s late.
-
-Attainment is the share of requests answered whole within their deadline. The bound
-knows the whole trace and takes all targets of a service as one, every prefix as cached
-and every batch as the best; no policy can reach it under overload. "Informed" is the
-same code in one instance that takes all requests and sees all loads at once: the
-difference to it is the price of many instances that have to guess. Wasted is the share
-of the targets' seconds spent on calls whose request was not attained.
+precede the measured {measured:g} s. Faults begin after {fault:g} s and persist; the
+load balancer sends to failed instances for {lag:g} s more. An engine with a batch of n
+takes 12 ms * (1 + 0.1 (n - 1) + 0.05 max(0, n - 10)^2) for a token of each, reports
+a capacity of 16 and caches 8 prefixes; load reports come once a second, 0.25 s late.
+
+Attainment is the share of requests answered in full within their deadline. The bound
+is computed from the whole trace, with all targets of a service pooled, every prefix
+cached and every batch of optimal size; no policy can reach it under overload.
+"Informed" is the same code in one instance that takes all requests and sees all loads
+at once: the difference to it is the cost of many instances with partial and stale
+information. Wasted is the share of target seconds spent on calls whose request was not
+attained.
 """
 
 
 def build_page(comparisons: Sequence[Comparison], seeds: int) -> str:
-    """Return the page."""
+    """Build the Markdown page."""
     lines = [
         HEAD.format(
             seeds=seeds,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/traces.py
@@ -1,4 +1,4 @@
-"""Seeded requests of a fleet, the same for every policy."""
+"""Request traces of a fleet, generated from a seed and equal for every policy."""
 
 from __future__ import annotations
 
@@ -17,36 +17,36 @@
 
 __all__ = ("Request", "TraceRule", "find_full_scale", "plan_requests", "read_snapshot")
 
-#: seconds of a worker for one call, the median, by kind of stage
+#: median service time of a call in seconds, by kind of stage
 POOL_SECONDS = {
     StageKind.PLAIN: 0.05,
     StageKind.ENCODE: 0.03,
     StageKind.RETRIEVE: 0.04,
     StageKind.RERANK: 0.06,
 }
-#: spread of the logarithm of these
+#: standard deviation of the logarithm of service times
 POOL_SIGMA = 0.4
-#: load of the warm-up, at most
+#: maximum load during the warm-up
 WARM_UP_LOAD = 0.6
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TraceRule:
-    """How much is asked for, and when."""
+    """Load of a trace over time."""
 
-    #: seconds of a moderate load before it, so that durations have been measured
+    #: seconds of moderate load up front, which give the scheduler duration samples
     warm_up: float
-    #: seconds of the load itself
+    #: seconds of the measured load
     seconds: float
-    #: load as a share of what the engines can do without cached prefixes
+    #: load as a share of the engines' capacity without cached prefixes
     load: float
-    #: start, end and load of additional traffic
+    #: start, end and load of an additional burst
     burst: tuple[float, float, float] | None = None
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Request:
-    """One request and what its stages ask of their targets."""
+    """One request and the work of its stages."""
 
     arrival: Arrival
     pipeline: Pipeline
@@ -56,7 +56,7 @@
 
 
 def read_snapshot(fleet: Fleet) -> Snapshot:
-    """Return the fleet's own objects as one configuration."""
+    """Return the fleet's configuration objects as a snapshot."""
     objects = parse_objects(fleet.read_objects()).unwrap()
     return Snapshot(
         generation=1,
@@ -66,7 +66,7 @@
 
 
 def find_full_scale(fleet: Fleet, snapshot: Snapshot, engine: EngineRule) -> float:
-    """Return the scale of the traffic that fills the engines, nothing cached."""
+    """Return the traffic scale that saturates the engines without cached prefixes."""
     best = engine.find_best_batch()
     token = engine.measure_step(best) / best
     busy = 0.0
@@ -86,7 +86,7 @@
 def plan_requests(
     fleet: Fleet, snapshot: Snapshot, rule: TraceRule, full_scale: float, seed: int
 ) -> tuple[Request, ...]:
-    """Draw the requests of one run, by the time of their arrival."""
+    """Generate the requests of one run, ordered by arrival time."""
     source = random.Random(seed)
     spans = [
         (0.0, rule.warm_up, min(rule.load, WARM_UP_LOAD)),
@@ -106,7 +106,7 @@
     planned.sort(key=lambda pair: pair[0])
     requests = []
     for received, arrival in planned:
-        # a repeat of a keyed request is answered by the first one's result
+        # a duplicate of a keyed request is served from the stored result
         if arrival.repeat_of is not None:
             continue
         pipeline = snapshot.pipelines[arrival.pipeline]
