--- a/tests/test_differential/test_differential.py
+++ b/tests/test_differential/test_differential.py
@@ -1,4 +1,4 @@
-"""The system and its naive version under the same histories."""
+"""Tests of greengagelatch_lab.differential."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from greengagelatch_lab.differential.naive import NaiveInstance
 from greengagelatch_lab.differential.playing import play
 
-#: seed of the histories that are drawn, and of the chance inside the shrunk ones
+#: seed of the generated histories, and seeds of the random draws in the shrunk ones
 SEED = 20
 CHANCES = (1, 2, 3, 4)
 EXAMPLES = 25
@@ -36,31 +36,31 @@
     return FaultEvent(at=at, name=name, instance=0, lasting=lasting)
 
 
-#: histories that broke a promise of the naive version, shrunk to what it takes
+#: minimal histories under which the naive version violates a guarantee
 SHRUNK = {
-    # a connection keeps on being used after it has swallowed a call
+    # a connection stays in use after a call on it got no answer
     "lost": (ask(0.35), ask(0.75), fail(0.0, "connection gone silent")),
-    # the outcome of the first run died with the process that had made it
+    # the stored result of the first run is lost with its process
     "doubled": (ask(0.0, booking=True, keyed=True), fail(0.1, "process killed")),
-    # answers that were late are taken for those of later calls
+    # late answers are matched to later calls
     "crossed": (
         *(ask(round(0.2 * number, 1)) for number in range(8)),
         fail(0.3, "data centres cut from each other", 3.0),
     ),
-    # whatever failed is said not to have run
+    # every failure is reported as not run
     "false not run": (
         *(ask(round(0.2 * number, 1), number % 3, booking=True) for number in range(4)),
         fail(0.0, "failing stage"),
     ),
     "cut": (ask(0.0), StopEvent(at=0.0, instance=0)),
-    # a write that took effect is taken for one that did not
+    # a write that was applied is treated as failed
     "reverted": (
         ChangeEvent(at=0.5, instance=0),
         fail(0.5, "write applied but answer lost"),
     ),
-    # each attempt has a time limit, and the request as a whole none
+    # each attempt has a timeout, but the request has no deadline
     "late": (ask(0.35), ask(0.75), fail(0.0, "connection gone silent")),
-    # only the list says who leaves
+    # leaving targets are known from the instance list only
     "leaving target used": (
         fail(0.0, "list lagging", 8.0),
         LeaveEvent(at=0.1, target=0),
@@ -71,7 +71,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet():
-    """Keep back what the parts complain of while faults last."""
+    """Suppress the errors that components log while faults are active."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
@@ -85,7 +85,7 @@
         assert play(history) == []
         broken = {breach.promise for breach in play(history, NaiveInstance)}
         seen.append(bool(broken.intersection(CATEGORIES[category])))
-    print(f"naive version breaks it with {seen.count(True)} of {len(seen)} seeds")
+    print(f"naive version fails with {seen.count(True)} of {len(seen)} seeds")
     assert any(seen)
 
 
--- a/tests/test_lab/test_experiment/test_scenarios.py
+++ b/tests/test_lab/test_experiment/test_scenarios.py
@@ -24,10 +24,10 @@
 
 
 def test_no_short_call_is_late_at_full_load():
-    """A booking misses its deadline behind shift-plan drafts.
+    """Guards against short calls missing their deadline behind long drafts.
 
-    The engines are filled with drafts, while bookings, status calls and profile
-    checks come between.
+    The engines are saturated with shift-plan drafts when bookings, status calls and
+    profile checks arrive.
     """
     trial = run_trial(LUZON, BY_NAME["load-1.0"], SchedulingEntry, 3)
     by_pipeline = summarise(trial).by_pipeline
@@ -36,9 +36,9 @@
 
 
 def test_overload_with_faults_costs_less_and_answers_more_than_without_limits():
-    """Under overload the engines work mostly for requests that are never answered.
+    """Guards against engines wasting most of their time on unanswered requests.
 
-    One engine has become slow and one has died, at more load than all could do.
+    One engine is slow and one has failed, at a load beyond the capacity of all engines.
     """
     scenario = BY_NAME["load-1.3-slow-failed"]
     ours = summarise(run_trial(KYUSHU, scenario, SchedulingEntry, 4))
--- a/tests/test_lab/test_stage_load/test_trial.py
+++ b/tests/test_lab/test_stage_load/test_trial.py
@@ -33,10 +33,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_shared_calls_keep_a_calm_fleet_in_time(seed):
-    """Symptom: on a calm day a third of all requests are late.
+    """Guards against a third of all requests being late without bursts.
 
-    Sequence: requests come in small clumps, at two thirds of what full calls make.
-    Cause: each request has calls of its own, which cost five times what they make.
+    Requests arrive a few at a time, at two thirds of the capacity with full batches.
+    Without batching across requests, each request has calls of its own, whose overhead
+    is five times the work in them.
     """
     ours = run(SCENARIOS["calm"], Policies(), seed)
     naive = run(SCENARIOS["calm"], NAIVE, seed)
@@ -46,10 +47,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_bursts_leave_nobody_unserved(seed):
-    """Symptom: after a burst of one kind of request a tenth of all was refused twice.
+    """Guards against a tenth of all requests being refused twice after a burst.
 
-    Sequence: one kind comes at 2.3 times its rate for six seconds, twice.
-    Cause: those that came back were treated like newcomers.
+    One class arrives at 2.3 times its rate for six seconds, twice. The cause was that
+    retried requests were admitted like new ones.
     """
     outcome = run(SCENARIOS["bursts"], Policies(), seed)
     assert outcome.credit > 0.85
@@ -58,7 +59,7 @@
 
 
 def test_owner_of_stage_work_is_not_short_of_its_link():
-    """Guards against calls that wait for the full link of the one that owns them."""
+    """Guards against calls that queue for the saturated link of their group's owner."""
     outcome = run_trial(SHAPES["luzon-grown-linked"], CALM, Policies(), 1)
     assert outcome.busiest_link < BUSY_SHARE
     for one in outcome.classes.values():
@@ -66,7 +67,7 @@
 
 
 def test_what_is_begun_in_a_burst_is_on_time():
-    """Guards against a queue in which most of what is begun is late by a little."""
+    """Guards against a queue in which most started requests end shortly too late."""
     burst = Scenario(
         name="burst", seconds=12.0, bursts=(Burst("draft", 3.0, 6.0, 3.2),)
     )
