--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/__main__.py
@@ -24,11 +24,13 @@
 #: sets of policies under comparison, by the name given on the command line
 VARIANTS = {
     "ours": Policies(),
-    "unsettled": Policies(sole=False),
-    "undivided": Policies(create_division=SingleOwnership),
-    "divided": Policies(create_division=PerDataCentreOwnership),
+    "unsettled": Policies(exclusive=False),
+    "undivided": Policies(create_ownership_policy=SingleOwnership),
+    "divided": Policies(create_ownership_policy=PerDataCentreOwnership),
     "admit-all": Policies(create_admission=AdmitAll),
-    "naive": Policies(create_batches=PerRequestBatching, create_admission=AdmitAll),
+    "naive": Policies(
+        create_batch_policy=PerRequestBatching, create_admission=AdmitAll
+    ),
 }
 
 
@@ -64,11 +66,11 @@
     ]
     for name in outcomes[0].classes:
         rows = [one.classes[name] for one in outcomes]
-        asked = sum(row.asked for row in rows)
-        in_time = sum(row.in_time for row in rows) / asked
-        served = in_time + sum(row.late for row in rows) / asked
-        times = sorted(time for row in rows for time in row.times)
-        parts.append(f"{name} {in_time:.2f}/{served:.2f} p50 {median(times):.2f}")
+        request_count = sum(row.request_count for row in rows)
+        in_time = sum(row.in_time for row in rows) / request_count
+        served = in_time + sum(row.late for row in rows) / request_count
+        latencies = sorted(time for row in rows for time in row.latencies)
+        parts.append(f"{name} {in_time:.2f}/{served:.2f} p50 {median(latencies):.2f}")
     return ", ".join(parts)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/arrivals.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/arrivals.py
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from .shapes import CallerClass, FleetShape, Scenario
 
-__all__ = ("Arrival", "draw_arrivals")
+__all__ = ("Arrival", "generate_arrivals")
 
 #: requests of one class that arrive at the same moment
-CLUMP = 3
+REQUESTS_PER_ARRIVAL = 3
 #: maximum number of pieces, as a multiple of the mean
-MOST_PIECES = 4
+MAX_PIECES_FACTOR = 4
 #: an integral mean below this is the number of pieces of every request
-MOST_FIXED = 10
+MAX_CONSTANT_PIECES = 10
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -33,24 +33,32 @@
     workspace_priority: int
 
 
-def draw_arrivals(shape: FleetShape, scenario: Scenario, seed: int) -> list[Arrival]:
+def generate_arrivals(
+    shape: FleetShape, scenario: Scenario, seed: int
+) -> list[Arrival]:
     """Generate all arrivals of a trial, ordered by time."""
     arrivals = []
     for caller_class in shape.classes:
-        source = random.Random(f"{seed} {caller_class.name}")
+        random_source = random.Random(f"{seed} {caller_class.name}")
         at = 0.0
         while True:
-            rate = caller_class.per_second * _find_factor(scenario, caller_class, at)
-            at += source.expovariate(rate / CLUMP)
+            rate = caller_class.per_second * _compute_rate_factor(
+                scenario, caller_class, at
+            )
+            at += random_source.expovariate(rate / REQUESTS_PER_ARRIVAL)
             if at >= scenario.seconds:
                 break
-            for _ in range(CLUMP):
-                workspace = source.choice(shape.workspace_priorities)
-                arrivals.append(_draw(caller_class, at, workspace, source))
+            for _ in range(REQUESTS_PER_ARRIVAL):
+                workspace = random_source.choice(shape.workspace_priorities)
+                arrivals.append(
+                    _create_arrival(caller_class, at, workspace, random_source)
+                )
     return sorted(arrivals, key=lambda one: one.at)
 
 
-def _find_factor(scenario: Scenario, caller_class: CallerClass, at: float) -> float:
+def _compute_rate_factor(
+    scenario: Scenario, caller_class: CallerClass, at: float
+) -> float:
     factor = 1.0
     for burst in scenario.bursts:
         if burst.caller_class not in ("", caller_class.name):
@@ -60,19 +68,23 @@
     return factor
 
 
-def _draw(
+def _create_arrival(
     caller_class: CallerClass,
     at: float,
     workspace_priority: int,
-    source: random.Random,
+    random_source: random.Random,
 ) -> Arrival:
     counts = tuple(
-        _draw_pieces(stage.pieces, source) if source.random() < stage.share else 0
+        _draw_pieces(stage.pieces, random_source)
+        if random_source.random() < stage.share
+        else 0
         for stage in caller_class.stages
     )
-    subject = source.randrange(caller_class.subjects)
-    shared = PromptPart(f"{caller_class.name}-{subject}", caller_class.shared_tokens)
-    own = round(caller_class.own_tokens * source.uniform(0.3, 1.7))
+    shared_part_index = random_source.randrange(caller_class.shared_part_count)
+    shared = PromptPart(
+        f"{caller_class.name}-{shared_part_index}", caller_class.shared_tokens
+    )
+    own = round(caller_class.own_tokens * random_source.uniform(0.3, 1.7))
     return Arrival(
         at=at,
         caller_class=caller_class,
@@ -84,8 +96,8 @@
     )
 
 
-def _draw_pieces(mean: float, source: random.Random) -> int:
-    if mean == int(mean) and mean < MOST_FIXED:
+def _draw_pieces(mean: float, random_source: random.Random) -> int:
+    if mean == int(mean) and mean < MAX_CONSTANT_PIECES:
         return int(mean)
-    drawn = round(source.lognormvariate(0, 0.5) * mean * 0.88)
-    return min(max(1, drawn), int(mean * MOST_PIECES))
+    drawn = round(random_source.lognormvariate(0, 0.5) * mean * 0.88)
+    return min(max(1, drawn), int(mean * MAX_PIECES_FACTOR))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -20,7 +20,7 @@
 from greengagelatch_entry.relay.streams import StreamRunner
 
 from .models import ModelCodec
-from .network import Machine, ModelNetwork
+from .network import ModelHost, ModelNetwork
 
 if TYPE_CHECKING:
     import random
@@ -38,13 +38,13 @@
     from .models import Engine, ModelLinks
     from .shapes import FleetShape
 
-__all__ = ("ENGINES", "InstanceFactory", "ModelledInstance", "Silent")
+__all__ = ("ENGINES", "InstanceFactory", "ModelledInstance", "NullTelemetry")
 
 #: service name of all engines
 ENGINES = "engines"
 
 
-class Silent:
+class NullTelemetry:
     """Discard decision logs and metrics."""
 
     def log_decision(self, kind: str, **fields) -> None:
@@ -68,19 +68,19 @@
         self, exchange: RelayExchange, run: StageRun, results: StageResults
     ) -> None:
         prompt = exchange.request.prompt
-        need = EngineDemand(prompt, results.bytes_by_data_centre)
+        demand = EngineDemand(prompt, results.bytes_by_data_centre)
         started = self.clock.now()
-        target = self.load_balancer.choose_engine(ENGINES, need, frozenset(), started)
+        target = self.load_balancer.choose_engine(ENGINES, demand, frozenset(), started)
         tokens = self.load_balancer.count_tokens(target.incarnation, prompt, started)
         self.load_balancer.start(target.incarnation, tokens)
         shared, own = prompt.parts
         engine = self._engines[target.target_id]
-        read = await engine.read(
+        prefilled = await engine.prefill(
             results.inputs or (), shared.part_id, shared.tokens, own.tokens
         )
         now = self.clock.now()
         self.load_balancer.finish_prefill(target.incarnation, tokens)
-        if read:
+        if prefilled:
             self.times.record_first_part(exchange, now - started)
             self.load_balancer.record_cached_parts(target.incarnation, prompt, now)
             exchange.outcome = "answered"
@@ -94,8 +94,8 @@
 
     streams: ModelledStreams
     #: ``None`` for a single instance, which executes all stages locally
-    desk: ForwardingStageExecutor | None = None
-    machine: Machine | None = None
+    executor: ForwardingStageExecutor | None = None
+    host: ModelHost | None = None
 
 
 class InstanceFactory:
@@ -105,76 +105,82 @@
         self,
         *,
         clock: Clock,
-        book: TargetTable,
+        target_table: TargetTable,
         deployment: Deployment,
         engines: dict[str, Engine],
-        links: ModelLinks,
-        centres: list[str],
+        connections: ModelLinks,
+        data_centres: list[str],
         random_source: random.Random,
-        create_batches: Callable[[], BatchPolicy],
+        create_batch_policy: Callable[[], BatchPolicy],
         create_admission: Callable[[], RouteAdmission],
-        create_division: Callable[[], OwnershipPolicy],
+        create_ownership_policy: Callable[[], OwnershipPolicy],
     ) -> None:
         self._clock = clock
-        self._book = book
+        self._target_table = target_table
         self._deployment = deployment
         self._engines = engines
-        self._links = links
-        self._centres = centres
+        self._connections = connections
+        self._data_centres = data_centres
         self._random = random_source
-        self._create_batches = create_batches
+        self._create_batch_policy = create_batch_policy
         self._create_admission = create_admission
-        self._create_division = create_division
+        self._create_ownership_policy = create_ownership_policy
 
-    def create_single(self, *, sole: bool) -> ModelledInstance:
+    def create_single(self, *, exclusive: bool) -> ModelledInstance:
         """Create an instance that executes all stages locally.
 
-        :param sole: whether it has exclusive use of the makers and knows it
+        :param exclusive: whether it has exclusive use of the makers and knows it
         """
         groups = self._create_groups(tuple)
-        desk = self._create_local(self._links, groups, lambda group: sole)
-        return ModelledInstance(self._create_streams(desk, self._centres[0], ""))
+        executor = self._create_local_executor(
+            self._connections, groups, lambda group: exclusive
+        )
+        return ModelledInstance(
+            self._create_streams(executor, self._data_centres[0], "")
+        )
 
     def create_all(self, shape: FleetShape) -> list[ModelledInstance]:
         """Create the instances of a fleet, connected to each other as peers."""
         network = ModelNetwork()
         return [
-            self._create_linked(network, f"{centre}-{size}-{number}", centre, machine)
-            for centre in self._centres
+            self._create_connected(
+                network, f"{data_centre}-{size}-{number}", data_centre, host
+            )
+            for data_centre in self._data_centres
             for size, instances in enumerate(shape.instances)
-            for number, machine in enumerate(
-                Machine(instances) for _ in range(instances.count)
+            for number, host in enumerate(
+                ModelHost(instances) for _ in range(instances.count)
             )
         ]
 
-    def _create_linked(
-        self, network: ModelNetwork, instance_id: str, centre: str, machine: Machine
+    def _create_connected(
+        self, network: ModelNetwork, instance_id: str, data_centre: str, host: ModelHost
     ) -> ModelledInstance:
-        peers = network.join(instance_id, centre, machine)
-        ownership = Ownership(peers=peers, clock=self._clock, decisions=Silent())
+        peers = network.join(instance_id, data_centre, host)
+        ownership = Ownership(peers=peers, clock=self._clock, decisions=NullTelemetry())
         groups = self._create_groups(peers.members)
-        local = self._create_local(
-            self._links.through(machine), groups, ownership.is_exclusive
+        local = self._create_local_executor(
+            self._connections.on_host(host), groups, ownership.is_exclusive
         )
-        desk = ForwardingStageExecutor(
+        executor = ForwardingStageExecutor(
             local=local,
             groups=groups,
             ownership=ownership,
             peers=peers,
-            data_centre=centre,
+            data_centre=data_centre,
             find_profile=self._find_profile,
             clock=self._clock,
             random_source=self._random,
-            metrics=Silent(),
-            decisions=Silent(),
+            metrics=NullTelemetry(),
+            decisions=NullTelemetry(),
         )
-        streams = self._create_streams(desk, centre, centre)
-        return ModelledInstance(streams, desk, machine)
+        streams = self._create_streams(executor, data_centre, data_centre)
+        return ModelledInstance(streams, executor, host)
 
     def _create_groups(self, list_members) -> MakerGroups:
         return MakerGroups(
-            rule=self._create_division(),
-            target_table=self._book,
+            rule=self._create_ownership_policy(),
+            target_table=self._target_table,
             list_members=list_members,
             find_profile=self._find_profile,
         )
@@ -182,8 +188,11 @@
     def _find_profile(self, service: str) -> MakerProfile | None:
         return self._deployment.services[service].maker
 
-    def _create_local(
-        self, links, groups: MakerGroups, is_exclusive: Callable[[MakerGroup], bool]
+    def _create_local_executor(
+        self,
+        connections,
+        groups: MakerGroups,
+        is_exclusive: Callable[[MakerGroup], bool],
     ) -> LocalStageExecutor:
         return LocalStageExecutor(
             find_group=groups.find_group,
@@ -193,14 +202,14 @@
                 find_profile=lambda: self._find_profile(group.service),
                 is_exclusive=lambda: is_exclusive(group),
                 quarantine=DisabledBundleQuarantine(),
-                policy=self._create_batches(),
-                target_table=self._book,
-                connections=links,
+                policy=self._create_batch_policy(),
+                target_table=self._target_table,
+                connections=connections,
                 codec=ModelCodec(),
                 budgets=self._create_budgets(),
                 clock=self._clock,
-                metrics=Silent(),
-                decisions=Silent(),
+                metrics=NullTelemetry(),
+                decisions=NullTelemetry(),
             ),
         )
 
@@ -211,17 +220,21 @@
             count_instances=lambda: 1,
         )
 
-    def _create_streams(self, desk, centre: str, near: str) -> ModelledStreams:
-        fleet = LoadBalancer(
-            target_table=self._book, data_centre=near, random_source=self._random
+    def _create_streams(
+        self, executor, data_centre: str, balancer_data_centre: str
+    ) -> ModelledStreams:
+        load_balancer = LoadBalancer(
+            target_table=self._target_table,
+            data_centre=balancer_data_centre,
+            random_source=self._random,
         )
         stages = StageRunner(
-            executor=desk,
+            executor=executor,
             clock=self._clock,
-            decisions=Silent(),
-            data_centre=centre,
-            load_balancer=fleet,
-            target_table=self._book,
+            decisions=NullTelemetry(),
+            data_centre=data_centre,
+            load_balancer=load_balancer,
+            target_table=self._target_table,
         )
         return ModelledStreams(
             engines=self._engines,
@@ -231,7 +244,7 @@
             admission=self._create_admission(),
             sender=None,
             quarantine=Quarantine(),
-            load_balancer=fleet,
+            load_balancer=load_balancer,
             budgets=self._create_budgets(),
             clock=self._clock,
         )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -18,31 +18,31 @@
 
     from greengagelatch.relay.pieces import Piece
 
-    from .network import Machine
+    from .network import ModelHost
     from .shapes import MakerShape, StageShape
 
 __all__ = ("Engine", "Maker", "ModelCodec", "ModelLinks", "Results")
 
 #: bandwidth of a link, in bytes per second
-LINK_BYTES = 10_000e6 / 8
+LINK_BYTES_PER_SECOND = 10_000e6 / 8
 #: one-way network latency between two processes, in seconds
-ONE_WAY = 0.0006
+ONE_WAY_SECONDS = 0.0006
 #: seconds until a connection to an unreachable maker fails
-UNREACHABLE = 0.3
+CONNECT_TIMEOUT = 0.3
 #: bytes of a call's frame, of each requested piece and of each result handle in it
 CALL_BYTES = 250
 PIECE_BYTES = 78
 HANDLE_BYTES = 31
 #: CPU seconds of one core to send a call, and the same again to read its response
-CALL_WORK = 0.0006
+CALL_CPU_SECONDS = 0.0006
 #: relative jitter of a call's duration, in either direction
-VARIATION = 0.08
+CALL_JITTER = 0.08
 #: prefill rate of an engine, in prompt tokens per second
-READ_TOKENS = 41_400.0
+PREFILL_TOKENS_PER_SECOND = 41_400.0
 #: seconds of one decode step of an engine
-STEP = 0.006
+STEP_SECONDS = 0.006
 #: seconds for which an engine caches a prompt part
-PART_LIFE = 30.0
+PART_CACHE_SECONDS = 30.0
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
 
     maker: Maker
     size: int
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
@@ -63,9 +63,9 @@
     moved_bytes: float = 0.0
     #: results dropped without having been read
     unread: int = 0
-    made: int = 0
-    read: set[str] = field(default_factory=set)
-    numbers: count = field(default_factory=count)
+    produced: int = 0
+    read_handles: set[str] = field(default_factory=set)
+    handle_numbers: count = field(default_factory=count)
 
     def drop(self, handle: str) -> None:
         """Remove a result and free its memory at the maker."""
@@ -73,11 +73,11 @@
         if result is None:
             return
         result.maker.used -= result.size
-        if handle not in self.read:
+        if handle not in self.read_handles:
             self.unread += 1
-        self.read.discard(handle)
+        self.read_handles.discard(handle)
 
-    def read_all(self, handles: tuple[str, ...], data_centre: str) -> float | None:
+    def fetch(self, handles: tuple[str, ...], data_centre: str) -> float | None:
         """Return the seconds to fetch results; ``None`` if one no longer exists."""
         size = 0
         for handle in handles:
@@ -87,8 +87,8 @@
             size += result.size
             if result.maker.data_centre != data_centre:
                 self.moved_bytes += result.size
-        self.read.update(handles)
-        return size / LINK_BYTES
+        self.read_handles.update(handles)
+        return size / LINK_BYTES_PER_SECOND
 
 
 class Maker:
@@ -119,28 +119,28 @@
         pieces: tuple[Piece, ...],
         remaining: tuple[float, ...],
         sizes: tuple[int, ...],
-        works: tuple[float, ...],
+        duration_factors: tuple[float, ...],
     ) -> tuple[PieceResult, ...]:
         """Run pieces as one batch, after the calls queued before it.
 
-        :param works: duration of each piece, as a multiple of its service's item time
+        :param duration_factors: duration of each piece, in item times of its service
         """
         loop = asyncio.get_running_loop()
-        came = loop.time()
+        arrived_at = loop.time()
         async with self._turn:
-            waited = loop.time() - came
+            waited = loop.time() - arrived_at
             outcomes = [
-                self._begin(piece, left - waited, size)
-                for piece, left, size in zip(pieces, remaining, sizes, strict=True)
+                self._begin(piece, time_left - waited, size)
+                for piece, time_left, size in zip(pieces, remaining, sizes, strict=True)
             ]
             fetching = sum(seconds for seconds, _ in outcomes)
-            work = sum(
-                work
-                for (_, failure), work in zip(outcomes, works, strict=True)
+            total = sum(
+                factor
+                for (_, failure), factor in zip(outcomes, duration_factors, strict=True)
                 if failure is None
             )
-            seconds = self.shape.call_seconds + work * self.shape.item_seconds
-            seconds *= self._random.uniform(1 - VARIATION, 1 + VARIATION)
+            seconds = self.shape.call_seconds + total * self.shape.item_seconds
+            seconds *= self._random.uniform(1 - CALL_JITTER, 1 + CALL_JITTER)
             await asyncio.sleep(fetching + seconds)
         self.busy_seconds += seconds
         self.calls += 1
@@ -151,13 +151,13 @@
         )
 
     def _begin(
-        self, piece: Piece, left: float, size: int
+        self, piece: Piece, time_left: float, size: int
     ) -> tuple[float, PieceFailure | None]:
-        if left <= 0:
+        if time_left <= 0:
             return 0.0, PieceFailure.LATE
         if self.used + size > self.shape.room_bytes:
             return 0.0, PieceFailure.ROOM
-        seconds = self._results.read_all(piece.inputs, self.data_centre)
+        seconds = self._results.fetch(piece.inputs, self.data_centre)
         if seconds is None:
             return 0.0, PieceFailure.GONE
         self.used += size
@@ -165,11 +165,11 @@
 
     def _finish(self, size: int) -> PieceResult:
         loop = asyncio.get_running_loop()
-        handle = f"{self.address}/{next(self._results.numbers)}"
-        until = loop.time() + self.shape.keep_seconds
-        self._results.held[handle] = Result(self, size, until)
-        self._results.made += 1
-        loop.call_at(until, self._results.drop, handle)
+        handle = f"{self.address}/{next(self._results.handle_numbers)}"
+        expires_at = loop.time() + self.shape.keep_seconds
+        self._results.held[handle] = Result(self, size, expires_at)
+        self._results.produced += 1
+        loop.call_at(expires_at, self._results.drop, handle)
         return PieceResult(handle=handle, data_centre=self.data_centre)
 
 
@@ -179,25 +179,28 @@
     def __init__(self, target_id: str, data_centre: str, results: Results) -> None:
         self.target_id = target_id
         self.data_centre = data_centre
-        self.read_tokens = 0.0
+        self.prefilled_tokens = 0.0
         self._results = results
         self._parts: dict[str, float] = {}
-        self._reading = asyncio.Lock()
+        self._prefill_lock = asyncio.Lock()
 
-    async def read(
+    async def prefill(
         self, inputs: tuple[str, ...], part: str, shared: int, own: int
     ) -> bool:
         """Prefill a prompt up to its first event; ``False`` if an input is missing."""
-        seconds = self._results.read_all(inputs, self.data_centre)
+        seconds = self._results.fetch(inputs, self.data_centre)
         if seconds is None:
             return False
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(seconds + ONE_WAY)
-        async with self._reading:
-            kept = self._parts.get(part, -PART_LIFE) > loop.time() - PART_LIFE
+        await asyncio.sleep(seconds + ONE_WAY_SECONDS)
+        async with self._prefill_lock:
+            kept = (
+                self._parts.get(part, -PART_CACHE_SECONDS)
+                > loop.time() - PART_CACHE_SECONDS
+            )
             tokens = own if kept else own + shared
-            self.read_tokens += tokens
-            await asyncio.sleep(tokens / READ_TOKENS + STEP)
+            self.prefilled_tokens += tokens
+            await asyncio.sleep(tokens / PREFILL_TOKENS_PER_SECOND + STEP_SECONDS)
             self._parts[part] = loop.time()
         return True
 
@@ -234,17 +237,17 @@
         self._results = results
         self._find_stage = find_stage
 
-    def through(self, machine: Machine) -> ModelLinks:
+    def on_host(self, host: ModelHost) -> ModelLinks:
         """Return these connections charged to the host of one instance."""
-        return _MachineLinks(self, machine)
+        return _HostConnections(self, host)
 
     async def send(self, *, address: str, outbound: OutboundRequest, **_) -> _Reply:
         """Execute a call and return its response."""
         maker = self._makers[address]
         if maker.lost:
-            await asyncio.sleep(UNREACHABLE)
-            raise NotSentError(f"no connection to {address} within {UNREACHABLE} s")
-        await asyncio.sleep(ONE_WAY)
+            await asyncio.sleep(CONNECT_TIMEOUT)
+            raise NotSentError(f"no connection to {address} within {CONNECT_TIMEOUT} s")
+        await asyncio.sleep(ONE_WAY_SECONDS)
         if outbound.target == "free":
             for handle in outbound.body:
                 self._results.drop(handle)
@@ -255,28 +258,28 @@
             pieces,
             remaining,
             tuple(stage.result_bytes for stage in stages),
-            tuple(stage.work for stage in stages),
+            tuple(stage.duration_factor for stage in stages),
         )
-        await asyncio.sleep(ONE_WAY)
+        await asyncio.sleep(ONE_WAY_SECONDS)
         return _Reply(results)
 
 
-class _MachineLinks:
+class _HostConnections:
     """Connections whose calls use the CPU and the link of the sending instance."""
 
-    def __init__(self, links: ModelLinks, machine: Machine) -> None:
-        self._links = links
-        self._machine = machine
+    def __init__(self, connections: ModelLinks, host: ModelHost) -> None:
+        self._connections = connections
+        self._host = host
 
     async def send(self, *, outbound: OutboundRequest, **details) -> _Reply:
-        await self._machine.work(CALL_WORK)
-        await self._machine.send(_count_bytes(outbound))
-        reply = await self._links.send(outbound=outbound, **details)
-        await self._machine.work(CALL_WORK)
+        await self._host.work(CALL_CPU_SECONDS)
+        await self._host.send(_estimate_size(outbound))
+        reply = await self._connections.send(outbound=outbound, **details)
+        await self._host.work(CALL_CPU_SECONDS)
         return reply
 
 
-def _count_bytes(outbound: OutboundRequest) -> int:
+def _estimate_size(outbound: OutboundRequest) -> int:
     """Estimate the encoded size of a call, in bytes."""
     if outbound.target == "free":
         return CALL_BYTES + len(outbound.body) * HANDLE_BYTES
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/network.py
@@ -22,19 +22,19 @@
 if TYPE_CHECKING:
     from .shapes import InstanceShape
 
-__all__ = ("Machine", "ModelNetwork", "ModelPeers")
+__all__ = ("ModelHost", "ModelNetwork", "ModelPeers")
 
 #: one-way network latency between two instances, in seconds
-ONE_WAY = 0.0009
+ONE_WAY_SECONDS = 0.0009
 #: bytes of protocol headers per message
 HEADER_BYTES = 80
 #: CPU seconds of one core to send or to receive a message
-MESSAGE_SECONDS = 0.0002
+MESSAGE_CPU_SECONDS = 0.0002
 #: seconds of the window over which link utilisation is measured
-SPAN = 1.0
+UTILISATION_WINDOW = 1.0
 
 
-class _Queue:
+class _FifoResource:
     """A first-come, first-served resource, such as a CPU or a link."""
 
     def __init__(self) -> None:
@@ -47,16 +47,16 @@
         await asyncio.sleep(self._free_at - now)
 
 
-class Machine:
+class ModelHost:
     """The host of one instance: a CPU, and a link shared by all its peers."""
 
     def __init__(self, shape: InstanceShape) -> None:
         self.capacity = Capacity(cores=shape.cores, link_bytes=shape.link_bytes)
         self.busiest_link = 0.0
-        self._processor = _Queue()
-        self._link = _Queue()
-        self._span_end = 0.0
-        self._sent = 0
+        self._processor = _FifoResource()
+        self._link = _FifoResource()
+        self._window_end = 0.0
+        self._window_bytes = 0
 
     async def work(self, seconds: float) -> None:
         """Use the CPU for ``seconds`` of one core."""
@@ -64,15 +64,15 @@
 
     async def send(self, size: int) -> None:
         """Occupy the link while ``size`` bytes are sent."""
-        self._count(size)
+        self._record_sent(size)
         await self._link.use(size / self.capacity.link_bytes)
 
-    def _count(self, size: int) -> None:
+    def _record_sent(self, size: int) -> None:
         now = asyncio.get_running_loop().time()
-        if now >= self._span_end:
-            self._span_end, self._sent = now + SPAN, 0
-        self._sent += size
-        share = self._sent / (self.capacity.link_bytes * SPAN)
+        if now >= self._window_end:
+            self._window_end, self._window_bytes = now + UTILISATION_WINDOW, 0
+        self._window_bytes += size
+        share = self._window_bytes / (self.capacity.link_bytes * UTILISATION_WINDOW)
         self.busiest_link = max(self.busiest_link, share)
 
 
@@ -83,16 +83,16 @@
         self.peers: dict[str, ModelPeers] = {}
         self._members: tuple[Member, ...] = ()
 
-    def join(self, instance_id: str, data_centre: str, machine: Machine) -> ModelPeers:
+    def join(self, instance_id: str, data_centre: str, host: ModelHost) -> ModelPeers:
         """Add an instance and return its connections to the others."""
-        peers = ModelPeers(self, instance_id, machine)
+        peers = ModelPeers(self, instance_id, host)
         self.peers[instance_id] = peers
         member = Member(
             instance_id=instance_id,
             data_centre=data_centre,
             address="",
             state=MemberState.ALIVE,
-            capacity=machine.capacity.bundles,
+            capacity=host.capacity.bundles,
         )
         self._members = (*self._members, member)
         return peers
@@ -106,11 +106,11 @@
     """The peer network as seen by one instance."""
 
     def __init__(
-        self, network: ModelNetwork, instance_id: str, machine: Machine
+        self, network: ModelNetwork, instance_id: str, host: ModelHost
     ) -> None:
         self._network = network
         self._instance_id = instance_id
-        self._machine = machine
+        self._host = host
         self._handlers: dict[type[Message], MessageHandler] = {}
         self._tasks: set[asyncio.Task[object]] = set()
 
@@ -135,7 +135,7 @@
         try:
             async with asyncio.timeout(timeout):
                 answer = await self._deliver(receiver, message)
-                await receiver._carry(answer, self._machine)
+                await receiver._transmit(answer, self._host)
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "no answer in time"))
         return Ok(answer)
@@ -144,15 +144,15 @@
         self._handlers[message_type] = handler
 
     async def _deliver(self, receiver: ModelPeers, message: Message) -> Message | None:
-        await self._carry(message, receiver._machine)
+        await self._transmit(message, receiver._host)
         answer = receiver._handlers[type(message)](self._instance_id, message)
         if inspect.isawaitable(answer):
             return await asyncio.shield(asyncio.ensure_future(answer))
         return answer
 
-    async def _carry(self, message: Message, machine: Machine) -> None:
+    async def _transmit(self, message: Message, host: ModelHost) -> None:
         size = len(encode(Envelope(message))) + HEADER_BYTES
-        await self._machine.work(MESSAGE_SECONDS)
-        await self._machine.send(size)
-        await asyncio.sleep(ONE_WAY)
-        await machine.work(MESSAGE_SECONDS)
+        await self._host.work(MESSAGE_CPU_SECONDS)
+        await self._host.send(size)
+        await asyncio.sleep(ONE_WAY_SECONDS)
+        await host.work(MESSAGE_CPU_SECONDS)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -13,7 +13,7 @@
     "CallerClass",
     "FleetShape",
     "InstanceShape",
-    "Loss",
+    "Outage",
     "MakerShape",
     "Scenario",
     "StageShape",
@@ -59,7 +59,7 @@
     #: mean number of pieces; drawn numbers go up to four times the mean
     pieces: float = 1.0
     #: duration of a piece, as a multiple of its service's item time
-    work: float = 1.0
+    duration_factor: float = 1.0
     after: tuple[int, ...] = ()
 
 
@@ -71,16 +71,16 @@
     per_second: float
     objective: float
     deadline: float
-    worth: float
-    late_worth: float
+    utility: float
+    late_utility: float
     priority: int
     #: prompt tokens shared with other requests, and those of the request alone
     shared_tokens: int
     own_tokens: int
     #: number of distinct shared prompt parts
-    subjects: int
+    shared_part_count: int
     #: seconds of generation after the first event
-    generation: float
+    generation_seconds: float
     stages: tuple[StageShape, ...] = ()
 
 
@@ -121,7 +121,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class Outage:
     """A temporary outage of one maker of a service."""
 
     service: str
@@ -136,10 +136,10 @@
     name: str
     seconds: float = 34.0
     bursts: tuple[Burst, ...] = ()
-    losses: tuple[Loss, ...] = ()
+    outages: tuple[Outage, ...] = ()
 
 
-def _list_chain(
+def _create_chain(
     services: tuple[str, str, str],
     middle_pieces: int,
     first: int = 0,
@@ -147,7 +147,7 @@
 ) -> tuple[StageShape, ...]:
     """Return three stages in a chain; ``first`` is the index of the first of them."""
     return (
-        StageShape(service=services[0], result_bytes=8_000, work=0.3),
+        StageShape(service=services[0], result_bytes=8_000, duration_factor=0.3),
         StageShape(
             service=services[1],
             result_bytes=60_000,
@@ -163,7 +163,7 @@
     )
 
 
-def _list_classes(
+def _create_classes(
     *,
     rates: tuple[float, float, float],
     objectives: tuple[float, float, float],
@@ -183,20 +183,20 @@
     small = StageShape(
         service=services[0], result_bytes=1_500_000, pieces=1.5, share=0.4
     )
-    chained = (small, *_list_chain(services, middle_pieces, first=1))
+    chained = (small, *_create_chain(services, middle_pieces, first=1))
     return (
         CallerClass(
             name="draft",
             per_second=rates[0],
             objective=objectives[0],
             deadline=deadlines[0],
-            worth=3.8,
-            late_worth=0.57,
+            utility=3.8,
+            late_utility=0.57,
             priority=1,
             shared_tokens=6300,
             own_tokens=2890,
-            subjects=163,
-            generation=0.3,
+            shared_part_count=163,
+            generation_seconds=0.3,
             stages=chained if chained_drafts else (large,),
         ),
         CallerClass(
@@ -204,38 +204,38 @@
             per_second=rates[1],
             objective=objectives[1],
             deadline=deadlines[1],
-            worth=2.1,
-            late_worth=0.32,
+            utility=2.1,
+            late_utility=0.32,
             priority=0,
             shared_tokens=568,
             own_tokens=1800,
-            subjects=90,
-            generation=0.15,
-            stages=_list_chain(services, middle_pieces),
+            shared_part_count=90,
+            generation_seconds=0.15,
+            stages=_create_chain(services, middle_pieces),
         ),
         CallerClass(
             name="talk",
             per_second=rates[2],
             objective=objectives[2],
             deadline=deadlines[2],
-            worth=0.47,
-            late_worth=0.07,
+            utility=0.47,
+            late_utility=0.07,
             priority=2,
             shared_tokens=172,
             own_tokens=543,
-            subjects=136,
-            generation=1.5,
+            shared_part_count=136,
+            generation_seconds=1.5,
             stages=(large,) if chained_drafts else chained,
         ),
     )
 
 
-def _list_research_classes(
+def _create_research_classes(
     *,
     rates: tuple[float, float, float],
     objectives: tuple[float, float, float],
     deadlines: tuple[float, float, float],
-    worths: tuple[float, float, float],
+    utilities: tuple[float, float, float],
 ) -> tuple[CallerClass, ...]:
     """Return the classes of drafts, summaries and checks.
 
@@ -251,13 +251,13 @@
             per_second=rates[0],
             objective=objectives[0],
             deadline=deadlines[0],
-            worth=worths[0],
-            late_worth=worths[0] * 0.15,
+            utility=utilities[0],
+            late_utility=utilities[0] * 0.15,
             priority=1,
             shared_tokens=5382,
             own_tokens=6610,
-            subjects=300,
-            generation=1.5,
+            shared_part_count=300,
+            generation_seconds=1.5,
             stages=(large,),
         ),
         CallerClass(
@@ -265,33 +265,33 @@
             per_second=rates[1],
             objective=objectives[1],
             deadline=deadlines[1],
-            worth=worths[1],
-            late_worth=worths[1] * 0.15,
+            utility=utilities[1],
+            late_utility=utilities[1] * 0.15,
             priority=0,
             shared_tokens=198,
             own_tokens=628,
-            subjects=130,
-            generation=1.2,
-            stages=_list_chain(services, **chain),
+            shared_part_count=130,
+            generation_seconds=1.2,
+            stages=_create_chain(services, **chain),
         ),
         CallerClass(
             name="check",
             per_second=rates[2],
             objective=objectives[2],
             deadline=deadlines[2],
-            worth=worths[2],
-            late_worth=worths[2] * 0.15,
+            utility=utilities[2],
+            late_utility=utilities[2] * 0.15,
             priority=2,
             shared_tokens=568,
             own_tokens=1800,
-            subjects=200,
-            generation=0.15,
-            stages=(small, *_list_chain(services, first=1, **chain)),
+            shared_part_count=200,
+            generation_seconds=0.15,
+            stages=(small, *_create_chain(services, first=1, **chain)),
         ),
     )
 
 
-def _list_makers(
+def _create_makers(
     *rows: tuple[str, int, int, float, float], call_seconds: float = 0.2
 ) -> tuple[MakerShape, ...]:
     return tuple(
@@ -314,12 +314,12 @@
         data_centres=3,
         engines=5,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("portal", 3, 5, 0.0336, 11.25),
             ("ledger", 3, 17, 0.0101, 2.295),
             ("audit", 3, 28, 0.00607, 0.3624),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(4.65, 5.73, 5.8),
             objectives=(1.1, 1.9, 1.7),
             deadlines=(6.0, 6.0, 20.0),
@@ -332,12 +332,12 @@
         name="kyushu",
         data_centres=3,
         engines=5,
-        makers=_list_makers(
+        makers=_create_makers(
             ("price", 3, 4, 0.042, 9.5),
             ("ledger", 3, 8, 0.02125, 1.12),
             ("alert", 3, 23, 0.00743, 0.2957),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(4.2, 5.21, 5.25),
             objectives=(2.0, 1.9, 0.79),
             deadlines=(8.0, 6.0, 15.0),
@@ -351,12 +351,12 @@
         data_centres=3,
         engines=70,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("portal", 9, 18, 0.0095, 40.0),
             ("ledger", 8, 62, 0.00277, 8.079),
             ("audit", 8, 84, 0.00204, 1.12),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(77.7, 93.4, 35.9),
             objectives=(1.135, 1.819, 1.715),
             deadlines=(6.2, 6.06, 20.2),
@@ -369,12 +369,12 @@
         name="kyushu-grown",
         data_centres=4,
         engines=45,
-        makers=_list_makers(
+        makers=_create_makers(
             ("price", 9, 14, 0.012, 32.0),
             ("ledger", 8, 34, 0.00508, 4.533),
             ("alert", 8, 76, 0.0023, 0.99),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(48.0, 59.3, 50.7),
             objectives=(2.035, 1.819, 0.805),
             deadlines=(8.1, 6.06, 15.3),
@@ -388,17 +388,17 @@
         data_centres=4,
         engines=9,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("registry", 4, 9, 0.02333, 10.93),
             ("finance", 4, 19, 0.01089, 2.153),
             ("portal", 4, 29, 0.00714, 0.3152),
             call_seconds=0.24,
         ),
-        classes=_list_research_classes(
+        classes=_create_research_classes(
             rates=(8.28, 10.6, 11.2),
             objectives=(1.4, 1.9, 2.0),
             deadlines=(15.0, 15.0, 6.0),
-            worths=(4.6, 1.5, 0.48),
+            utilities=(4.6, 1.5, 0.48),
         ),
     ),
     "mwangaza-grown": FleetShape(
@@ -406,17 +406,17 @@
         data_centres=4,
         engines=70,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("registry", 9, 19, 0.01053, 22.8),
             ("finance", 8, 43, 0.00481, 4.861),
             ("portal", 8, 58, 0.0035, 0.65),
             call_seconds=0.24,
         ),
-        classes=_list_research_classes(
+        classes=_create_research_classes(
             rates=(50.5, 30.4, 85.6),
             objectives=(1.445, 1.919, 2.022),
             deadlines=(12.4, 12.1, 6.07),
-            worths=(3.6, 2.3, 0.31),
+            utilities=(3.6, 2.3, 0.31),
         ),
     ),
 }
@@ -425,7 +425,7 @@
 MEGABIT = 125_000
 
 
-def _list_instances(strong: int, small: int) -> tuple[InstanceShape, ...]:
+def _create_instance_shapes(strong: int, small: int) -> tuple[InstanceShape, ...]:
     """Return the sizes of instances, from their numbers in each data centre."""
     return (
         InstanceShape(count=strong, cores=2.15, link_bytes=100 * MEGABIT),
@@ -436,7 +436,7 @@
 #: the grown fleets with all entry instances and the links between these
 SHAPES |= {
     f"{name}-linked": replace(
-        SHAPES[name], name=f"{name}-linked", instances=_list_instances(*counts)
+        SHAPES[name], name=f"{name}-linked", instances=_create_instance_shapes(*counts)
     )
     for name, counts in {
         "luzon-grown": (2, 24),
@@ -448,7 +448,7 @@
 #: the grown fleets with small entry instances only
 SHAPES |= {
     f"{name}-small": replace(
-        SHAPES[name], name=f"{name}-small", instances=_list_instances(0, count)
+        SHAPES[name], name=f"{name}-small", instances=_create_instance_shapes(0, count)
     )
     for name, count in {
         "luzon-grown": 26,
@@ -476,12 +476,12 @@
         ),
     ),
     "lost-first": Scenario(
-        name="lost-first", bursts=_BURSTS, losses=(Loss(":0", 12.0, 5.0),)
+        name="lost-first", bursts=_BURSTS, outages=(Outage(":0", 12.0, 5.0),)
     ),
     "lost-second": Scenario(
-        name="lost-second", bursts=_BURSTS, losses=(Loss(":1", 13.0, 5.0),)
+        name="lost-second", bursts=_BURSTS, outages=(Outage(":1", 13.0, 5.0),)
     ),
     "lost-third": Scenario(
-        name="lost-third", bursts=_BURSTS, losses=(Loss(":2", 13.0, 5.0),)
+        name="lost-third", bursts=_BURSTS, outages=(Outage(":2", 13.0, 5.0),)
     ),
 }
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -26,7 +26,7 @@
 from greengagelatch.relay.urgency import compute_rank
 from greengagelatch_entry.relay.exchange import RelayExchange
 
-from .arrivals import draw_arrivals
+from .arrivals import generate_arrivals
 from .instances import ENGINES, InstanceFactory, ModelledInstance
 from .models import Engine, Maker, ModelLinks, Results
 from .outcomes import ClassOutcome, Outcome
@@ -42,9 +42,9 @@
 __all__ = ("Policies", "run_trial")
 
 #: maximum delay of a caller's retry, as a share of the time left to its deadline
-RETURN_SHARE = 1 / 3
+RETRY_DELAY_SHARE = 1 / 3
 #: seconds for which a trial continues after the last request, so that work drains
-TAIL = 8.0
+DRAIN_SECONDS = 8.0
 
 
 class _VirtualLoop(LoopTimeEventLoop, asyncio.SelectorEventLoop):
@@ -65,11 +65,11 @@
 class Policies:
     """The policies under which a trial runs."""
 
-    create_batches: Callable[[], BatchPolicy] = CrossRequestBatching
+    create_batch_policy: Callable[[], BatchPolicy] = CrossRequestBatching
     create_admission: Callable[[], RouteAdmission] = DeadlineAdmission
-    create_division: Callable[[], OwnershipPolicy] = CapacityBasedOwnership
+    create_ownership_policy: Callable[[], OwnershipPolicy] = CapacityBasedOwnership
     #: whether a single instance knows that it has exclusive use of the makers
-    sole: bool = True
+    exclusive: bool = True
 
 
 class _Trial:
@@ -83,65 +83,65 @@
         self.clock = LoopClock()
         self.results = Results()
         self.outcome = Outcome()
-        self.book = TargetTable()
+        self.target_table = TargetTable()
         self.makers: dict[str, Maker] = {}
         self.engines: dict[str, Engine] = {}
-        self.centres = [f"dc-{number}" for number in range(shape.data_centres)]
+        self.data_centres = [f"dc-{number}" for number in range(shape.data_centres)]
         self.classes = {one.name: one for one in shape.classes}
         self.routes = {one.name: _create_route(one) for one in shape.classes}
         self.deployment = _create_deployment(shape, tuple(self.routes.values()))
-        self._list_targets()
+        self._create_targets()
         self.instances = self._create_instances(policies)
         #: assigns callers to instances; a separate source, as its draws must not depend
         #: on the policies
         self.balancer = random.Random(f"{seed} balancer")
-        self.number = 0
+        self.request_number = 0
 
     async def run(self) -> Outcome:
-        losses = [self._lose(loss) for loss in self.scenario.losses]
-        desks = [one.desk for one in self.instances if one.desk is not None]
-        for desk in desks:
-            await desk.start()
-        await asyncio.gather(self._send_all(), *losses)
-        await asyncio.sleep(TAIL)
-        for desk in desks:
-            await desk.stop()
+        outages = [self._simulate_outage(outage) for outage in self.scenario.outages]
+        executors = [one.executor for one in self.instances if one.executor is not None]
+        for executor in executors:
+            await executor.start()
+        await asyncio.gather(self._send_all(), *outages)
+        await asyncio.sleep(DRAIN_SECONDS)
+        for executor in executors:
+            await executor.stop()
         self.outcome.maker_seconds = sum(
             maker.busy_seconds for maker in self.makers.values()
         )
-        self.outcome.unread_share = self.results.unread / max(1, self.results.made)
+        self.outcome.unread_share = self.results.unread / max(1, self.results.produced)
         self.outcome.moved_bytes = self.results.moved_bytes
-        self.outcome.read_tokens = sum(
-            engine.read_tokens for engine in self.engines.values()
+        self.outcome.prefilled_tokens = sum(
+            engine.prefilled_tokens for engine in self.engines.values()
         )
-        machines = [one.machine for one in self.instances if one.machine is not None]
+        hosts = [one.host for one in self.instances if one.host is not None]
         self.outcome.busiest_link = max(
-            (machine.busiest_link for machine in machines), default=0.0
+            (host.busiest_link for host in hosts), default=0.0
         )
         return self.outcome
 
-    def _list_targets(self) -> None:
+    def _create_targets(self) -> None:
         for shape in self.shape.makers:
             for number in range(shape.count):
                 address = f"{shape.name}-{number}"
-                place = self.centres[number % len(self.centres)]
+                data_centre = self.data_centres[number % len(self.data_centres)]
                 self.makers[address] = Maker(
-                    shape, address, place, self.results, self.random
+                    shape, address, data_centre, self.results, self.random
                 )
-                self._list_target(address, shape.name, place)
+                self._register_target(address, shape.name, data_centre)
         for number in range(self.shape.engines):
             target_id = f"engine-{number}"
-            place = self.centres[number % len(self.centres)]
-            self.engines[target_id] = Engine(target_id, place, self.results)
-            self._list_target(target_id, ENGINES, place)
+            data_centre = self.data_centres[number % len(self.data_centres)]
+            self.engines[target_id] = Engine(target_id, data_centre, self.results)
+            self._register_target(target_id, ENGINES, data_centre)
 
-    def _list_target(self, target_id: str, service: str, place: str) -> None:
-        self.book.put(
+    def _register_target(self, target_id: str, service: str, data_centre: str) -> None:
+        self.target_table.put(
             ListedTarget(
                 incarnation=Incarnation(target_id),
                 service=service,
                 address=target_id,
-                data_centre=place,
+                data_centre=data_centre,
                 revision=1,
             )
         )
@@ -149,68 +149,68 @@
     def _create_instances(self, policies: Policies) -> list[ModelledInstance]:
         factory = InstanceFactory(
             clock=self.clock,
-            book=self.book,
+            target_table=self.target_table,
             deployment=self.deployment,
             engines=self.engines,
-            links=ModelLinks(self.makers, self.results, self._find_stage),
-            centres=self.centres,
+            connections=ModelLinks(self.makers, self.results, self._find_stage),
+            data_centres=self.data_centres,
             random_source=self.random,
-            create_batches=policies.create_batches,
+            create_batch_policy=policies.create_batch_policy,
             create_admission=policies.create_admission,
-            create_division=policies.create_division,
+            create_ownership_policy=policies.create_ownership_policy,
         )
         if not self.shape.instances:
-            return [factory.create_single(sole=policies.sole)]
+            return [factory.create_single(exclusive=policies.exclusive)]
         return factory.create_all(self.shape)
 
     def _find_stage(self, piece: Piece) -> StageShape:
         name = piece.request_id.partition("/")[0]
         return self.classes[name].stages[piece.stage]
 
-    async def _lose(self, loss) -> None:
+    async def _simulate_outage(self, outage) -> None:
         """Take a maker down for a while; ``:N`` is the N-th service, counted from 0."""
-        service = self.shape.makers[int(loss.service[1:])].name
+        service = self.shape.makers[int(outage.service[1:])].name
         maker = self.makers[f"{service}-1"]
-        await asyncio.sleep(loss.begin)
+        await asyncio.sleep(outage.begin)
         maker.lost = True
-        await asyncio.sleep(loss.seconds)
+        await asyncio.sleep(outage.seconds)
         maker.lost = False
 
     async def _send_all(self) -> None:
         loop = asyncio.get_running_loop()
         tasks = []
-        for arrival in draw_arrivals(self.shape, self.scenario, self.seed):
+        for arrival in generate_arrivals(self.shape, self.scenario, self.seed):
             await asyncio.sleep(max(0.0, arrival.at - loop.time()))
-            tasks.append(asyncio.create_task(self._ask(arrival)))
+            tasks.append(asyncio.create_task(self._run_caller(arrival)))
         await asyncio.gather(*tasks)
 
-    async def _ask(self, arrival: Arrival) -> None:
+    async def _run_caller(self, arrival: Arrival) -> None:
         """Simulate one caller, which retries once after a refusal."""
         caller_class = arrival.caller_class
         outcome = self.outcome.classes.setdefault(caller_class.name, ClassOutcome())
-        outcome.asked += 1
-        self.outcome.owed += caller_class.worth
-        began = self.clock.now()
+        outcome.request_count += 1
+        self.outcome.offered_utility += caller_class.utility
+        started_at = self.clock.now()
         for attempt in range(2):
-            left = caller_class.deadline - (self.clock.now() - began)
-            retry = await self._try(arrival, left)
+            time_left = caller_class.deadline - (self.clock.now() - started_at)
+            retry = await self._send_once(arrival, time_left)
             if retry is None:
-                seconds = self.clock.now() - began
-                outcome.times.append(seconds)
+                seconds = self.clock.now() - started_at
+                outcome.latencies.append(seconds)
                 if seconds <= caller_class.objective:
                     outcome.in_time += 1
-                    self.outcome.earned += caller_class.worth
+                    self.outcome.earned_utility += caller_class.utility
                 elif seconds <= caller_class.deadline:
                     outcome.late += 1
-                    self.outcome.earned += caller_class.late_worth
+                    self.outcome.earned_utility += caller_class.late_utility
                 return
             outcome.refused += 1
             outcome.refused_again += attempt
             if not attempt:
-                left = caller_class.deadline - (self.clock.now() - began)
-                await asyncio.sleep(max(0.0, min(retry, left * RETURN_SHARE)))
+                time_left = caller_class.deadline - (self.clock.now() - started_at)
+                await asyncio.sleep(max(0.0, min(retry, time_left * RETRY_DELAY_SHARE)))
 
-    async def _try(self, arrival: Arrival, left: float) -> float | None:
+    async def _send_once(self, arrival: Arrival, time_left: float) -> float | None:
         """Send a request once.
 
         :return: ``None`` if it was answered, else seconds to wait before a retry.
@@ -220,19 +220,19 @@
         name = arrival.caller_class.name
         route = self.routes[name]
         request = OpaqueRequest(
-            request_id=f"{name}/{self.number}",
+            request_id=f"{name}/{self.request_number}",
             method="POST",
             host="",
             target="/",
             headers=(),
             body=b"",
             received=now,
-            timeout=left,
+            timeout=time_left,
             prompt=arrival.prompt,
             piece_counts=arrival.piece_counts,
             piece_key="key",
         )
-        self.number += 1
+        self.request_number += 1
         exchange = RelayExchange(
             request=request,
             writer=None,
@@ -240,10 +240,10 @@
             route=route,
             service=ENGINES,
             rank=compute_rank(route.priority, arrival.workspace_priority),
-            deadline=now + left,
+            deadline=now + time_left,
         )
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(time_left):
                 await instance.streams.run(exchange)
         except RefusedError as error:
             return (error.refusal.retry_after_ms or 0) / 1000
--- a/tests/test_lab/test_stage_load/test_trial.py
+++ b/tests/test_lab/test_stage_load/test_trial.py
@@ -14,7 +14,7 @@
 from greengagelatch_lab.stage_load.trial import Policies, run_trial
 
 CALM = dataclasses.replace(SCENARIOS["calm"], seconds=6.0)
-NAIVE = Policies(create_batches=PerRequestBatching, create_admission=AdmitAll)
+NAIVE = Policies(create_batch_policy=PerRequestBatching, create_admission=AdmitAll)
 
 
 def run(scenario: Scenario, policies: Policies, seed: int = 1) -> Outcome:
@@ -28,7 +28,7 @@
 def test_callers_are_the_same_whatever_is_decided():
     ours, naive = run(CALM, Policies()), run(CALM, NAIVE)
     for name, outcome in ours.classes.items():
-        assert naive.classes[name].asked == outcome.asked
+        assert naive.classes[name].request_count == outcome.request_count
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -49,8 +49,8 @@
 def test_bursts_leave_nobody_unserved(seed):
     """Guards against a tenth of all requests being refused twice after a burst.
 
-    One class arrives at 2.3 times its rate for six seconds, twice. The cause was that
-    retried requests were admitted like new ones.
+    One class arrives at 2.3 times its rate for six seconds, twice. Refusals repeat if
+    retried requests are admitted like new ones.
     """
     outcome = run(SCENARIOS["bursts"], Policies(), seed)
     assert outcome.credit > 0.85
