--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/histories.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/histories.py
@@ -19,11 +19,11 @@
 )
 
 #: seconds from the start within which all events begin
-LENGTH = 8.0
+HISTORY_SECONDS = 8.0
 #: resolution of event times, in seconds
-GRAIN = 0.05
+TIME_STEP = 0.05
 #: minimum and maximum duration of a fault, in seconds
-LASTING = (0.5, 6.0)
+FAULT_SECONDS = (0.5, 6.0)
 INSTANCES = 3
 #: maximum faults in a history; the end of a burst or of a kill undoes nothing, so
 #: such faults have to be survived without recovery
@@ -60,7 +60,7 @@
     at: float
     name: str
     instance: int
-    lasting: float
+    duration: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,12 +90,12 @@
     events: tuple[Event, ...]
 
 
-def _moments() -> st.SearchStrategy[float]:
-    steps = round(LENGTH / GRAIN)
-    return st.integers(0, steps).map(lambda step: round(step * GRAIN, 2))
+def _times() -> st.SearchStrategy[float]:
+    steps = round(HISTORY_SECONDS / TIME_STEP)
+    return st.integers(0, steps).map(lambda step: round(step * TIME_STEP, 2))
 
 
-def _places() -> st.SearchStrategy[int]:
+def _instances() -> st.SearchStrategy[int]:
     return st.integers(0, INSTANCES - 1)
 
 
@@ -103,22 +103,22 @@
     """Return the Hypothesis strategy that generates histories."""
     requests = st.builds(
         RequestEvent,
-        at=_moments(),
-        instance=_places(),
+        at=_times(),
+        instance=_instances(),
         booking=st.booleans(),
         keyed=st.booleans(),
         stream=st.booleans(),
     )
-    changes = st.builds(ChangeEvent, at=_moments(), instance=_places())
+    changes = st.builds(ChangeEvent, at=_times(), instance=_instances())
     faults = st.builds(
         FaultEvent,
-        at=_moments(),
+        at=_times(),
         name=st.sampled_from(sorted(FAULTS)),
-        instance=_places(),
-        lasting=st.floats(*LASTING, width=16),
+        instance=_instances(),
+        duration=st.floats(*FAULT_SECONDS, width=16),
     )
-    leaves = st.builds(LeaveEvent, at=_moments(), target=st.integers(0, 8))
-    stops = st.builds(StopEvent, at=_moments(), instance=_places())
+    leaves = st.builds(LeaveEvent, at=_times(), target=st.integers(0, 8))
+    stops = st.builds(StopEvent, at=_times(), instance=_instances())
     parts = st.tuples(
         st.lists(requests, min_size=1, max_size=MAX_REQUESTS),
         st.lists(changes, max_size=MAX_CHANGES),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -37,7 +37,7 @@
 ) -> list[Breach]:
     """Replay a history on a system and return the violated guarantees."""
     loop = create_loop()
-    player = _Player(history, create)
+    player = _HistoryRunner(history, create)
     try:
         return check(loop.run_until_complete(player.run()))
     finally:
@@ -45,7 +45,7 @@
         close_loop(loop, [one.process for one in instances])
 
 
-class _Player:
+class _HistoryRunner:
     def __init__(
         self, history: History, create: Callable[..., ServingInstance]
     ) -> None:
@@ -53,7 +53,7 @@
         self._history = history
         self._create = create
         self._pauses: dict[str, list[tuple[float, float]]] = {}
-        self._open: set[str] = set()
+        self._active_faults: set[str] = set()
 
     async def run(self) -> RunRecord:
         """Replay all events, then verify that the system recovers."""
@@ -61,33 +61,33 @@
         await bench.start()
         await warm_up(bench)
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        ends: list[tuple[float, FaultEvent]] = []
+        started_at = loop.time()
+        pending_ends: list[tuple[float, FaultEvent]] = []
         for number, event in enumerate(sorted(self._history.events, key=_get_time)):
-            await self._sleep_until(begun + event.at, ends)
-            self._begin(number, event, ends)
-        await self._sleep_until(float("inf"), ends)
+            await self._sleep_until(started_at + event.at, pending_ends)
+            self._begin(number, event, pending_ends)
+        await self._sleep_until(float("inf"), pending_ends)
         healed = loop.time()
         await conclude(bench, healed)
         return collect(bench, healed=healed, pauses=self._pauses)
 
     async def _sleep_until(
-        self, time: float, ends: list[tuple[float, FaultEvent]]
+        self, time: float, pending_ends: list[tuple[float, FaultEvent]]
     ) -> None:
         """Sleep until ``time``, and remove faults as their durations expire."""
         loop = asyncio.get_running_loop()
-        while ends:
-            due = min(ends, key=lambda end: end[0])
+        while pending_ends:
+            due = min(pending_ends, key=lambda end: end[0])
             if due[0] > time:
                 break
-            ends.remove(due)
+            pending_ends.remove(due)
             await asyncio.sleep(max(0.0, due[0] - loop.time()))
             self._end(due[1])
         if time != float("inf"):
             await asyncio.sleep(max(0.0, time - loop.time()))
 
     def _begin(
-        self, number: int, event: Event, ends: list[tuple[float, FaultEvent]]
+        self, number: int, event: Event, pending_ends: list[tuple[float, FaultEvent]]
     ) -> None:
         bench = self.bench
         match event:
@@ -107,26 +107,26 @@
                 if instance.alive:
                     instance.stop()
             case FaultEvent():
-                self._begin_fault(event, ends)
+                self._begin_fault(event, pending_ends)
 
     def _begin_fault(
-        self, event: FaultEvent, ends: list[tuple[float, FaultEvent]]
+        self, event: FaultEvent, pending_ends: list[tuple[float, FaultEvent]]
     ) -> None:
         # of two overlapping faults of one kind, the end of the first would end both
-        if event.name in self._open:
+        if event.name in self._active_faults:
             return
-        self._open.add(event.name)
+        self._active_faults.add(event.name)
         loop = asyncio.get_running_loop()
         instance = self.bench.instances[event.instance]
         was_running = instance.process.running
         FAULTS[event.name].begin(self.bench, instance)
-        end = loop.time() + event.lasting
+        end = loop.time() + event.duration
         if was_running and not instance.process.running and instance.alive:
             self._pauses.setdefault(instance.name, []).append((loop.time(), end))
-        ends.append((end, event))
+        pending_ends.append((end, event))
 
     def _end(self, event: FaultEvent) -> None:
-        self._open.discard(event.name)
+        self._active_faults.discard(event.name)
         FAULTS[event.name].end(self.bench, self.bench.instances[event.instance])
 
     def _send(self, number: int, event: RequestEvent) -> None:
--- a/tests/test_differential/test_differential.py
+++ b/tests/test_differential/test_differential.py
@@ -32,8 +32,8 @@
     )
 
 
-def fail(at, name, lasting=6.0):
-    return FaultEvent(at=at, name=name, instance=0, lasting=lasting)
+def fail(at, name, duration=6.0):
+    return FaultEvent(at=at, name=name, instance=0, duration=duration)
 
 
 #: minimal histories under which the naive version violates a guarantee
