--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__main__.py
@@ -22,7 +22,7 @@
     arguments = _parse()
     comparisons: list[Comparison] = []
     for fleet in arguments.fleet or sorted(FLEETS):
-        own = compare(fleet, arguments.scenario, arguments.seeds, _tell)
+        own = compare(fleet, arguments.scenario, arguments.seeds, _print_progress)
         comparisons.extend(own)
         if arguments.output is not None:
             arguments.output.mkdir(parents=True, exist_ok=True)
@@ -45,7 +45,7 @@
     return parser.parse_args()
 
 
-def _tell(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(text, file=sys.stderr, flush=True)
 
 
@@ -55,10 +55,10 @@
         ours = each.summaries["ours"]
         naive = each.summaries["naive"]
         result[f"{each.fleet}/{each.scenario.name}"] = {
-            "ours": round(spread([s.attainment for s in ours]).middle, 4),
-            "naive": round(spread([s.attainment for s in naive]).middle, 4),
-            "bound": round(spread(each.bounds).middle, 4),
-            "wasted": round(spread([s.wasted_share for s in ours]).middle, 4),
+            "ours": round(spread([s.attainment for s in ours]).median_value, 4),
+            "naive": round(spread([s.attainment for s in naive]).median_value, 4),
+            "bound": round(spread(each.bounds).median_value, 4),
+            "wasted": round(spread([s.wasted_share for s in ours]).median_value, 4),
         }
     return result
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/bound.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/bound.py
@@ -19,13 +19,13 @@
 )
 from .traces import Request
 
-__all__ = ("bound_attainment",)
+__all__ = ("compute_attainment_bound",)
 
 #: step between the boundaries of the examined intervals, in seconds
 STEP = 0.5
 
 
-def bound_attainment(trial: Trial) -> float:
+def compute_attainment_bound(trial: Trial) -> float:
     """Return an upper bound on the share of counted requests that can be attained.
 
     Of the requests that both arrive and are due within an interval, no more can be
@@ -55,7 +55,7 @@
         work = request.work[stage.name]
         if stage.kind is StageKind.GENERATE:
             engine = trial.engine
-            seconds += engine.prefill * engine.hit_share
+            seconds += engine.prefill * engine.cache_hit_factor
             seconds += work.tokens * engine.token
         else:
             seconds += work.seconds
@@ -72,7 +72,7 @@
         work = request.work[stage.name]
         if stage.kind is StageKind.GENERATE:
             token = engine.measure_step(best) / best
-            seconds += engine.prefill * engine.hit_share + work.tokens * token
+            seconds += engine.prefill * engine.cache_hit_factor + work.tokens * token
         else:
             seconds += work.seconds / POOL_CAPACITY
     return seconds
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
@@ -10,7 +10,7 @@
 from greengagelatch.config.policy_resolution import Weights
 
 from ..fleets import FLEETS
-from .bound import bound_attainment
+from .bound import compute_attainment_bound
 from .policies import NaiveEntry, SchedulingEntry
 from .scenarios import SCENARIOS, Scenario, run_trial
 from .summary import Summary, summarise
@@ -37,12 +37,12 @@
 INFORMED = Variant("informed", Weights(), informed=True)
 COMPARED = (OURS, NAIVE, INFORMED)
 #: both extremes of the weights, compared in some scenarios only
-ENDS = (
+EXTREMES = (
     Variant("attainment only", Weights(1.0, 0.0)),
     Variant("cost only", Weights(0.0, 1.0)),
 )
 #: scenarios that also compare the extremes of the weights
-WEIGHED = ("load-1.3", "slow-target")
+EXTREMES_SCENARIOS = ("load-1.3", "slow-target")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -60,9 +60,9 @@
 class Spread:
     """Median, minimum and maximum over the seeds."""
 
-    middle: float
-    least: float
-    most: float
+    median_value: float
+    minimum: float
+    maximum: float
 
 
 def spread(values: Sequence[float]) -> Spread:
@@ -71,7 +71,10 @@
 
 
 def compare(
-    fleet: str, names: Sequence[str], seeds: Sequence[int], tell: Callable[[str], None]
+    fleet: str,
+    names: Sequence[str],
+    seeds: Sequence[int],
+    report_progress: Callable[[str], None],
 ) -> tuple[Comparison, ...]:
     """Run the named scenarios of one fleet, or all if none is named."""
     chosen = [each for each in SCENARIOS if not names or each.name in names]
@@ -79,8 +82,8 @@
     with ProcessPoolExecutor(max_workers=WORKERS) as pool:
         for scenario in chosen:
             variants = list(COMPARED)
-            if scenario.name in WEIGHED:
-                variants.extend(ENDS)
+            if scenario.name in EXTREMES_SCENARIOS:
+                variants.extend(EXTREMES)
             jobs = [
                 [pool.submit(_run, fleet, scenario, each, seed) for seed in seeds]
                 for each in variants
@@ -97,7 +100,7 @@
                     },
                 )
             )
-            tell(f"{fleet}: {scenario.name}")
+            report_progress(f"{fleet}: {scenario.name}")
     return tuple(comparisons)
 
 
@@ -115,5 +118,5 @@
         informed=variant.informed,
         weights=variant.weights,
     )
-    bound = bound_attainment(trial) if variant == OURS else 0.0
+    bound = compute_attainment_bound(trial) if variant == OURS else 0.0
     return bound, summarise(trial)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -103,7 +103,7 @@
         """Apply admission control; return the refusal of a rejected request."""
         return None
 
-    def note_end(self, run: Run) -> None:  # noqa: B027
+    def handle_end(self, run: Run) -> None:  # noqa: B027
         """Handle the end of a request."""
 
     @abstractmethod
@@ -116,17 +116,17 @@
     ) -> object:
         """Request a target; ``receive`` is called with it, at once or later."""
 
-    def withdraw(self, waiting: object) -> None:  # noqa: B027
+    def cancel_pending(self, waiting: object) -> None:  # noqa: B027
         """Cancel the pending request that :meth:`acquire` returned."""
 
     @abstractmethod
     def release(self, grant: Grant, outcome: Outcome) -> None:
         """Release a grant and report the outcome of its call."""
 
-    def note_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
+    def record_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
         """Record the time to first token of a stream."""
 
-    def find_patience(self, grant: Grant) -> float | None:
+    def find_hedge_delay(self, grant: Grant) -> float | None:
         """Return the seconds after which to send a hedge, or ``None`` for no hedge."""
         return None
 
@@ -217,8 +217,10 @@
             work=run.request.work[name],
             priority=grant.ticket.priority,
             on_done=lambda: self._answer(stage_run, attempt),
-            on_cut=lambda: self._fail(stage_run, attempt, FailureKind.DISCONNECTED),
-            on_first_token=lambda: self._note_first_token(stage_run, attempt),
+            on_disconnect=lambda: self._fail(
+                stage_run, attempt, FailureKind.DISCONNECTED
+            ),
+            on_first_token=lambda: self._handle_first_token(stage_run, attempt),
         )
         attempt = Attempt(grant, call, self.clock.now())
         stage_run.attempts += 1
@@ -234,26 +236,26 @@
                 FailureKind.CONNECT if not_run else FailureKind.STALLED,
             ),
         )
-        self._plan_backup(stage_run, attempt)
+        self._schedule_hedge(stage_run, attempt)
 
-    def _plan_backup(self, stage_run: StageRun, attempt: Attempt) -> None:
+    def _schedule_hedge(self, stage_run: StageRun, attempt: Attempt) -> None:
         if not stage_run.stage.repeatable:
             return
         streamed = stage_run.run.request.arrival.stream
         if streamed and stage_run.attempts > 1:
             # attempts are limited: waiting is better than restarting a stream again
             return
-        patience = self.find_patience(attempt.grant)
-        if patience is None:
+        hedge_delay = self.find_hedge_delay(attempt.grant)
+        if hedge_delay is None:
             return
-        self.clock.call_later(patience, lambda: self._back_up(stage_run, attempt))
+        self.clock.call_later(hedge_delay, lambda: self._send_hedge(stage_run, attempt))
 
-    def _back_up(self, stage_run: StageRun, attempt: Attempt) -> None:
+    def _send_hedge(self, stage_run: StageRun, attempt: Attempt) -> None:
         run = stage_run.run
         if run.over or stage_run.open != [attempt]:
             return
         if run.request.arrival.stream:
-            if attempt.call.given:
+            if attempt.call.generated_tokens:
                 return
             # two concurrent streams could differ in tokens: cancel the first
             model = self.fleet.models[attempt.grant.target.target_id]
@@ -264,12 +266,12 @@
         stage_run.excluded |= {attempt.grant.target.target_id}
         self._ask(stage_run, retry=True, hedge=True)
 
-    def _note_first_token(self, stage_run: StageRun, attempt: Attempt) -> None:
+    def _handle_first_token(self, stage_run: StageRun, attempt: Attempt) -> None:
         run = stage_run.run
         if run.over or not run.request.arrival.stream:
             return
         now = self.clock.now()
-        self.note_first_token(attempt.grant, now - attempt.started)
+        self.record_first_token(attempt.grant, now - attempt.started)
         if run.first_token is None:
             run.first_token = now
 
@@ -310,14 +312,14 @@
         run = stage_run.run
         not_run = kind in (FailureKind.CONNECT, FailureKind.TARGET_REFUSED)
         verdict = Verdict.NOT_RUN if not_run else Verdict.MAY_HAVE_RUN
-        given_up = decide_retry(
+        stop_reason = decide_retry(
             self._rules,
             CallFailure(kind=kind, verdict=verdict, message=""),
             repeatable=stage_run.stage.repeatable,
             attempts=stage_run.attempts,
             remaining=run.request.deadline - self.clock.now(),
         )
-        if given_up is not None:
+        if stop_reason is not None:
             self._end(run)
             return
         run.retries += 1
@@ -326,12 +328,12 @@
 
     def _count_tokens(self, stage_run: StageRun, attempt: Attempt) -> int:
         streamed = stage_run.run.request.arrival.stream
-        return attempt.call.given if streamed else 0
+        return attempt.call.generated_tokens if streamed else 0
 
     def _close(self, stage_run: StageRun) -> None:
         """Cancel the open attempts of a stage and its pending ticket."""
         if stage_run.waiting is not None:
-            self.withdraw(stage_run.waiting)
+            self.cancel_pending(stage_run.waiting)
             stage_run.waiting = None
         for attempt in stage_run.open:
             model = self.fleet.models[attempt.grant.target.target_id]
@@ -348,10 +350,10 @@
         run.finished = self.clock.now()
         for stage_run in run.stages:
             self._close(stage_run)
-        self.note_end(run)
+        self.handle_end(run)
 
 
-def drive(coroutine) -> Result[Grant, Refusal]:
+def run_synchronously(coroutine) -> Result[Grant, Refusal]:
     """Run a coroutine that never suspends and return its result."""
     try:
         coroutine.send(None)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -16,16 +16,22 @@
 from .events import EventClock
 from .models import EngineModel, EngineRule, ModelCall, PoolModel, TargetModel
 
-__all__ = ("FRESH", "USUAL", "ModelDirectory", "ModelFleet", "ReportRule")
+__all__ = (
+    "IMMEDIATE_REPORTS",
+    "DELAYED_REPORTS",
+    "ModelDirectory",
+    "ModelFleet",
+    "ReportRule",
+)
 
 #: calls that a worker pool runs concurrently
 POOL_CAPACITY = 4
 #: one-way latency in seconds, within a data centre and between two
-NEAR = 0.0002
-FAR = 0.001
+LOCAL_LATENCY = 0.0002
+REMOTE_LATENCY = 0.001
 #: seconds until a refused connection fails, and until an unanswered one times out
-REFUSED = 0.002
-UNANSWERED = 1.0
+REFUSED_SECONDS = 0.002
+UNANSWERED_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,9 +42,9 @@
     lag: float
 
 
-USUAL = ReportRule(1.0, 0.25)
+DELAYED_REPORTS = ReportRule(1.0, 0.25)
 #: nearly continuous reports, as if every instance knew the load of all targets
-FRESH = ReportRule(0.05, 0.0)
+IMMEDIATE_REPORTS = ReportRule(0.05, 0.0)
 
 
 class ModelFleet:
@@ -74,30 +80,31 @@
         data_centre: str,
         target_id: str,
         call: ModelCall,
-        on_unreached: Callable[[bool], None],
+        on_failure: Callable[[bool], None],
     ) -> None:
         """Send a call to a target.
 
-        :param on_unreached: called if the call is not accepted, with ``True`` if
+        :param on_failure: called if the call is not accepted, with ``True`` if
             the target certainly did not run it.
         """
         model = self.models[target_id]
-        near = model.target.data_centre == data_centre
+        local = model.target.data_centre == data_centre
         self.clock.call_later(
-            NEAR if near else FAR, lambda: self._arrive(model, call, on_unreached)
+            LOCAL_LATENCY if local else REMOTE_LATENCY,
+            lambda: self._arrive(model, call, on_failure),
         )
 
     def _arrive(
-        self, model: TargetModel, call: ModelCall, on_unreached: Callable[[bool], None]
+        self, model: TargetModel, call: ModelCall, on_failure: Callable[[bool], None]
     ) -> None:
         if call.over:
             return
         if model.dead:
-            self.clock.call_later(REFUSED, lambda: on_unreached(True))
+            self.clock.call_later(REFUSED_SECONDS, lambda: on_failure(True))
         elif model.silent:
-            self.clock.call_later(UNANSWERED, lambda: on_unreached(False))
+            self.clock.call_later(UNANSWERED_SECONDS, lambda: on_failure(False))
         elif not model.submit(call):
-            on_unreached(True)
+            on_failure(True)
 
     def _create(
         self, kind: StageKind, target: Target, engine: EngineRule
@@ -119,36 +126,36 @@
     ) -> None:
         self._clock = fleet.clock
         self._reports = reports
-        self._ledger = TargetRegistry(
+        self._registry = TargetRegistry(
             instance_id=instance_id, rules=TargetRegistryRules()
         )
-        self._ledger.apply_listing(fleet.list_instances())
+        self._registry.apply_listing(fleet.list_instances())
         for model in fleet.models.values():
             delay = random_source.random() * reports.interval
-            self._clock.call_later(delay, lambda m=model: self._ask(m))
+            self._clock.call_later(delay, lambda m=model: self._poll_report(m))
 
     def candidates(self, service: str) -> tuple[Candidate, ...]:
-        return self._ledger.list_candidates(self._clock.now(), service)
+        return self._registry.list_candidates(self._clock.now(), service)
 
     def accepts(self, target_id: str) -> bool:
-        return self._ledger.accepts(target_id)
+        return self._registry.accepts(target_id)
 
     def mark_leaving(self, target_id: str) -> None:
-        self._ledger.mark_leaving((target_id,))
+        self._registry.mark_leaving((target_id,))
 
     def record_call(self, target_id: str, *, answered: bool) -> None:
         if answered:
-            self._ledger.record_success(target_id)
+            self._registry.record_success(target_id)
         else:
-            self._ledger.record_failure(target_id)
+            self._registry.record_failure(target_id)
 
-    def _ask(self, model: TargetModel) -> None:
+    def _poll_report(self, model: TargetModel) -> None:
         target_id = model.target.target_id
-        self._clock.call_later(self._reports.interval, lambda: self._ask(model))
+        self._clock.call_later(self._reports.interval, lambda: self._poll_report(model))
         if not model.reachable:
-            self._ledger.record_failure(target_id)
+            self._registry.record_failure(target_id)
             return
         report = model.report()
         self._clock.call_later(
-            self._reports.lag, lambda: self._ledger.apply_report(target_id, report)
+            self._reports.lag, lambda: self._registry.apply_report(target_id, report)
         )
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
@@ -39,12 +39,12 @@
     priority: int
     on_done: Callable[[], None]
     #: called if the target fails with the call queued or running
-    on_cut: Callable[[], None]
+    on_disconnect: Callable[[], None]
     on_first_token: Callable[[], None] = lambda: None
     over: bool = False
     #: whether the entry instance used its answer
     answered: bool = False
-    given: int = 0
+    generated_tokens: int = 0
     #: seconds of target time consumed so far
     cost: float = 0.0
 
@@ -94,7 +94,7 @@
         for call in calls:
             if not call.over:
                 call.over = True
-                call.on_cut()
+                call.on_disconnect()
 
     def report(self) -> LoadReport:
         """Return the current load."""
@@ -157,18 +157,18 @@
     #: relative increase of the step time for each further call in the batch
     growth: float = 0.1
     #: batch size beyond which memory pressure adds time quadratic in the excess
-    knee: int = 10
+    soft_batch_limit: int = 10
     #: relative increase of the step time by the square of that excess
-    shortage: float = 0.05
+    memory_penalty: float = 0.05
     #: seconds to prefill a prompt, and the share of it that is left on a cache hit
     prefill: float = 0.06
-    hit_share: float = 0.1
+    cache_hit_factor: float = 0.1
     cache_entries: int = 8
 
     def measure_step(self, size: int) -> float:
         """Return the decode seconds of one step of a batch, without prefill."""
-        excess = max(0, size - self.knee)
-        growth = self.growth * (size - 1) + self.shortage * excess * excess
+        excess = max(0, size - self.soft_batch_limit)
+        growth = self.growth * (size - 1) + self.memory_penalty * excess * excess
         return self.token * (1 + growth)
 
     def find_best_batch(self) -> int:
@@ -217,7 +217,9 @@
                 continue
             self.active.append(call)
             hit = self._use(call.work.prefix)
-            seconds += self._rule.prefill * (self._rule.hit_share if hit else 1.0)
+            seconds += self._rule.prefill * (
+                self._rule.cache_hit_factor if hit else 1.0
+            )
         return seconds
 
     def _end_step(self, seconds: float) -> None:
@@ -228,10 +230,10 @@
             call.cost += share
             if call.over:
                 continue
-            call.given += 1
-            if call.given == 1:
+            call.generated_tokens += 1
+            if call.generated_tokens == 1:
                 call.on_first_token()
-            if call.given >= call.work.tokens:
+            if call.generated_tokens >= call.work.tokens:
                 call.over = True
                 call.on_done()
         self._step()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/plots.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/plots.py
@@ -37,10 +37,10 @@
         spreads = [spread(row) for row in rows]
         places = [place + index * width for place in range(len(names))]
         errors = [
-            [each.middle - each.least for each in spreads],
-            [each.most - each.middle for each in spreads],
+            [each.median_value - each.minimum for each in spreads],
+            [each.maximum - each.median_value for each in spreads],
         ]
-        middles = [each.middle for each in spreads]
+        middles = [each.median_value for each in spreads]
         axes.bar(places, middles, width, yerr=errors, label=label)
     axes.set_xticks([place + width for place in range(len(names))], names, rotation=30)
     axes.set_ylabel("attainment")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -21,7 +21,7 @@
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import divide_by_share
 
-from .entry import Entry, Run, drive
+from .entry import Entry, Run, run_synchronously
 from .traces import Request
 
 __all__ = ("NaiveEntry", "SchedulingEntry")
@@ -31,7 +31,7 @@
 #: latency percentile above which a call counts as late; equal to the daemon's
 LATE_PERCENTILE = 95
 #: delay of the hedge of a probe, in medians of the call duration
-PROBE_PATIENCE = 2.0
+PROBE_HEDGE_FACTOR = 2.0
 
 
 class NaiveEntry(Entry):
@@ -41,7 +41,7 @@
         self,
         *,
         snapshot: Snapshot,
-        choosers: int,
+        sender_count: int,
         streams: frozenset[str],
         **values,
     ) -> None:
@@ -58,7 +58,7 @@
     def acquire(
         self, ticket: Ticket, receive: Callable[[Result[Grant, Refusal]], None]
     ) -> object:
-        receive(drive(self._dispatcher.acquire(ticket)))
+        receive(run_synchronously(self._dispatcher.acquire(ticket)))
         return None
 
     def release(self, grant: Grant, outcome: Outcome) -> None:
@@ -72,7 +72,7 @@
         self,
         *,
         snapshot: Snapshot,
-        choosers: int,
+        sender_count: int,
         streams: frozenset[str],
         weights: Weights = BALANCED,
         **values,
@@ -81,8 +81,8 @@
         self._weights = weights
         self._snapshot = snapshot
         self._durations = DurationTracker()
-        self._patience = HedgeRule()
-        self._stream_patience = HedgeRule(factor=3.0, min_delay=0.3)
+        self._hedge_rule = HedgeRule()
+        self._stream_hedge_rule = HedgeRule(factor=3.0, min_delay=0.3)
         self._streams = streams
         self._plan = DeadlinePlan(
             durations=self._durations, find_pipeline=snapshot.pipelines.get
@@ -93,7 +93,7 @@
             data_centre=self.data_centre,
             random_source=self.random,
             weigh=lambda workspace: 1.0,
-            count_senders=lambda service: choosers,
+            count_senders=lambda service: sender_count,
             estimate_remaining=self._plan.estimate_remaining,
             find_weights=lambda workspace, pipeline: weights,
             durations=self._durations,
@@ -104,7 +104,7 @@
         )
         self._receivers: dict[int, Callable[[Result[Grant, Refusal]], None]] = {}
         self._polling = False
-        self._waking = False
+        self._timer_set = False
 
     def find_priority(self, request: Request) -> int:
         urgent = request.pipeline.labels.get("urgency") == "short"
@@ -125,22 +125,22 @@
         request = run.request
         return self._plan(request.pipeline, stage, self.clock.now(), request.deadline)
 
-    def note_first_token(self, grant: Grant, seconds: float) -> None:
+    def record_first_token(self, grant: Grant, seconds: float) -> None:
         self._scheduler.record_first_token(grant, seconds, self.clock.now())
 
-    def find_patience(self, grant: Grant) -> float | None:
+    def find_hedge_delay(self, grant: Grant) -> float | None:
         ticket = grant.ticket
         now = self.clock.now()
         kind: Hashable = (ticket.pipeline, ticket.stage)
-        rule = self._patience
+        rule = self._hedge_rule
         if ticket.kind is StageKind.GENERATE and ticket.pipeline in self._streams:
             kind = create_first_token_kind(ticket.pipeline, ticket.stage)
-            rule = self._stream_patience
+            rule = self._stream_hedge_rule
         scale = scale_hedge_delay(self._weights)
         rule = replace(rule, factor=rule.factor * scale)
         median = self._durations.estimate(kind, 50, now, 0.0)
         if grant.probe and median > 0:
-            return PROBE_PATIENCE * median
+            return PROBE_HEDGE_FACTOR * median
         return choose_hedge_delay(
             rule,
             median=median,
@@ -156,7 +156,7 @@
         self._poll()
         return waiting_id
 
-    def withdraw(self, waiting: object) -> None:
+    def cancel_pending(self, waiting: object) -> None:
         self._scheduler.cancel(waiting)
         self._receivers.pop(waiting, None)
 
@@ -180,14 +180,14 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        if self._waking:
+        if self._timer_set:
             return
         wake = self._scheduler.find_next_wake(self.clock.now())
         if wake is not None:
-            self._waking = True
+            self._timer_set = True
             self.clock.call_at(wake, self._wake)
 
     def _wake(self) -> None:
-        self._waking = False
+        self._timer_set = False
         self._scheduler.expire(self.clock.now())
         self._poll()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/scenarios.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/scenarios.py
@@ -12,7 +12,7 @@
 from ..fleets import Fleet
 from .entry import Entry, Run
 from .events import EventClock
-from .fleet import FRESH, USUAL, ModelDirectory, ModelFleet
+from .fleet import DELAYED_REPORTS, IMMEDIATE_REPORTS, ModelDirectory, ModelFleet
 from .models import EngineRule
 from .traces import (
     Request,
@@ -25,7 +25,7 @@
 __all__ = ("SCENARIOS", "Fault", "FaultKind", "Scenario", "Trial", "run_trial")
 
 #: number of entry instances in each data centre
-ENTRIES = 3
+ENTRIES_PER_DATA_CENTRE = 3
 #: seconds for which the load balancer still sends to failed instances
 BALANCER_LAG = 1.0
 #: seconds of the warm-up, and of the measured period after it
@@ -34,7 +34,7 @@
 #: seconds from the start at which faults are injected
 FAULT_AT = 35.0
 #: seconds for the last requests to end; longer than any deadline
-TAIL = 8.0
+DRAIN_SECONDS = 8.0
 
 
 class FaultKind(Enum):
@@ -132,7 +132,9 @@
     requests = plan_requests(fleet, snapshot, rule, scale, seed)
     clock = EventClock()
     model = ModelFleet(fleet, clock, engine)
-    centres = [name for name in fleet.data_centres for _ in range(ENTRIES)]
+    centres = [
+        name for name in fleet.data_centres for _ in range(ENTRIES_PER_DATA_CENTRE)
+    ]
     if informed:
         centres = list(fleet.data_centres[:1])
     entries = []
@@ -142,14 +144,17 @@
         entries.append(
             entry_type(
                 snapshot=snapshot,
-                choosers=len(centres),
+                sender_count=len(centres),
                 streams=frozenset(t.pipeline for t in fleet.traffic if t.stream),
                 instance_id=instance_id,
                 data_centre=centre,
                 clock=clock,
                 fleet=model,
                 directory=ModelDirectory(
-                    instance_id, model, source, FRESH if informed else USUAL
+                    instance_id,
+                    model,
+                    source,
+                    IMMEDIATE_REPORTS if informed else DELAYED_REPORTS,
                 ),
                 random_source=source,
                 **values,
@@ -166,7 +171,7 @@
             request.received,
             lambda r=request, d=draw: _balance(r, d, entries, clock, runs, lost),
         )
-    clock.run(WARM_UP + MEASURED + TAIL)
+    clock.run(WARM_UP + MEASURED + DRAIN_SECONDS)
     return Trial(
         fleet=fleet,
         scenario=scenario,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/summary.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/summary.py
@@ -47,8 +47,8 @@
     wasted: dict[str, float] = defaultdict(float)
     for run in runs:
         for name, seconds in _split_cost(run):
-            book = useful if run.answered and seconds.useful else wasted
-            book[f"{run.request.pipeline.name}/{name}"] += seconds.cost
+            costs = useful if run.answered and seconds.useful else wasted
+            costs[f"{run.request.pipeline.name}/{name}"] += seconds.cost
     spent, lost = sum(useful.values()), sum(wasted.values())
     attained = [run for run in runs if run.answered]
     by_workspace = _rate(runs, lambda run: run.request.arrival.workspace)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/tables.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/tables.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable, Sequence
 
 from .comparison import COMPARED, Comparison, spread
-from .scenarios import BALANCER_LAG, ENTRIES, FAULT_AT, MEASURED, WARM_UP
+from .scenarios import (
+    BALANCER_LAG,
+    ENTRIES_PER_DATA_CENTRE,
+    FAULT_AT,
+    MEASURED,
+    WARM_UP,
+)
 from .summary import Summary
 
 __all__ = ("build_page",)
@@ -36,7 +42,7 @@
     lines = [
         HEAD.format(
             seeds=seeds,
-            entries=ENTRIES,
+            entries=ENTRIES_PER_DATA_CENTRE,
             warm_up=WARM_UP,
             measured=MEASURED,
             fault=FAULT_AT,
@@ -126,7 +132,9 @@
         for name in names:
             useful = [s.useful.get(name, 0.0) for s in each.summaries["ours"]]
             wasted = [s.wasted.get(name, 0.0) for s in each.summaries["ours"]]
-            cells.append(f"{spread(useful).middle:.0f} + {spread(wasted).middle:.1f}")
+            cells.append(
+                f"{spread(useful).median_value:.0f} + {spread(wasted).median_value:.1f}"
+            )
         rows.append([each.scenario.name, *cells])
     title = "Cost by stage, ours: target seconds useful + wasted"
     return _build_table(title, ["scenario", *names], rows)
@@ -167,12 +175,12 @@
 
 def _show(values: Sequence[float], digits: int = 3) -> str:
     found = spread(values)
-    middle = f"{found.middle:.{digits}f}"
-    if found.least == found.most:
-        return middle
-    return f"{middle} ({found.least:.{digits}f}-{found.most:.{digits}f})"
+    median_value = f"{found.median_value:.{digits}f}"
+    if found.minimum == found.maximum:
+        return median_value
+    return f"{median_value} ({found.minimum:.{digits}f}-{found.maximum:.{digits}f})"
 
 
 def _show_percentiles(values: Sequence[tuple[float, float, float]]) -> str:
     columns = zip(*values, strict=True)
-    return " ".join(f"{spread(column).middle:.2f}" for column in columns)
+    return " ".join(f"{spread(column).median_value:.2f}" for column in columns)
--- a/tests/test_lab/test_experiment/test_scenarios.py
+++ b/tests/test_lab/test_experiment/test_scenarios.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from greengagelatch_lab.experiment.bound import bound_attainment
+from greengagelatch_lab.experiment.bound import compute_attainment_bound
 from greengagelatch_lab.experiment.policies import NaiveEntry, SchedulingEntry
 from greengagelatch_lab.experiment.scenarios import (
     SCENARIOS,
@@ -53,4 +53,4 @@
         name="hard", load=2.5, faults=(Fault(FaultKind.DEAD), Fault(FaultKind.SLOW, 1))
     )
     trial = run_trial(KYUSHU, scenario, SchedulingEntry, 2)
-    assert summarise(trial).attainment <= bound_attainment(trial) < 1.0
+    assert summarise(trial).attainment <= compute_attainment_bound(trial) < 1.0
