--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/instances.py
@@ -35,7 +35,7 @@
     from greengagelatch_entry.relay.exchange import RelayExchange
     from greengagelatch_entry.relay.stages import StageResults, StageRun
 
-    from .models import Engine, ModelLinks
+    from .models import Engine, ModelConnections
     from .shapes import FleetShape
 
 __all__ = ("ENGINES", "InstanceFactory", "ModelledInstance", "NullTelemetry")
@@ -108,7 +108,7 @@
         target_table: TargetTable,
         deployment: Deployment,
         engines: dict[str, Engine],
-        connections: ModelLinks,
+        connections: ModelConnections,
         data_centres: list[str],
         random_source: random.Random,
         create_batch_policy: Callable[[], BatchPolicy],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -21,7 +21,7 @@
     from .network import ModelHost
     from .shapes import MakerShape, StageShape
 
-__all__ = ("Engine", "Maker", "ModelCodec", "ModelLinks", "Results")
+__all__ = ("Engine", "Maker", "ModelCodec", "ModelConnections", "Results")
 
 #: bandwidth of a link, in bytes per second
 LINK_BYTES_PER_SECOND = 10_000e6 / 8
@@ -221,7 +221,7 @@
         pass
 
 
-class ModelLinks:
+class ModelConnections:
     """Connections that deliver calls to modelled makers.
 
     :param find_stage: returns the shape of the stage that a piece belongs to
@@ -237,7 +237,7 @@
         self._results = results
         self._find_stage = find_stage
 
-    def on_host(self, host: ModelHost) -> ModelLinks:
+    def on_host(self, host: ModelHost) -> ModelConnections:
         """Return these connections charged to the host of one instance."""
         return _HostConnections(self, host)
 
@@ -267,7 +267,7 @@
 class _HostConnections:
     """Connections whose calls use the CPU and the link of the sending instance."""
 
-    def __init__(self, connections: ModelLinks, host: ModelHost) -> None:
+    def __init__(self, connections: ModelConnections, host: ModelHost) -> None:
         self._connections = connections
         self._host = host
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -28,7 +28,7 @@
 
 from .arrivals import generate_arrivals
 from .instances import ENGINES, InstanceFactory, ModelledInstance
-from .models import Engine, Maker, ModelLinks, Results
+from .models import Engine, Maker, ModelConnections, Results
 from .outcomes import ClassOutcome, Outcome
 
 if TYPE_CHECKING:
@@ -152,7 +152,7 @@
             target_table=self.target_table,
             deployment=self.deployment,
             engines=self.engines,
-            connections=ModelLinks(self.makers, self.results, self._find_stage),
+            connections=ModelConnections(self.makers, self.results, self._find_stage),
             data_centres=self.data_centres,
             random_source=self.random,
             create_batch_policy=policies.create_batch_policy,
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -45,7 +45,7 @@
         self.maker = Maker(target, PROFILE, ResultMemory(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
-            connections=models.ModelLinks(
+            connections=models.ModelConnections(
                 {"m:1": self.model}, self.results, lambda _: stage
             ),
             codec=models.ModelCodec(),
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -17,7 +17,12 @@
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_pool import RESCHEDULE_SECONDS, StagePool
-from greengagelatch_lab.stage_load.models import Maker, ModelCodec, ModelLinks, Results
+from greengagelatch_lab.stage_load.models import (
+    Maker,
+    ModelCodec,
+    ModelConnections,
+    Results,
+)
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
 
@@ -97,7 +102,7 @@
                 is_superseded=lambda incarnation: False,
                 has_superseded=lambda incarnations: False,
             ),
-            connections=ModelLinks(
+            connections=ModelConnections(
                 {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
             ),
             codec=ModelCodec(),
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -29,7 +29,7 @@
 from greengagelatch_lab.stage_load.models import (
     Maker,
     ModelCodec,
-    ModelLinks,
+    ModelConnections,
     Result,
     Results,
 )
@@ -66,7 +66,7 @@
         self.results = Results()
         source = random.Random(1)
         self.maker = Maker(SHAPE, "m:1", "north", self.results, source)
-        self.links = ModelLinks(
+        self.links = ModelConnections(
             {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
         )
         self.target = ListedTarget(
