--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -21,7 +21,7 @@
     from .network import ModelHost
     from .shapes import MakerShape, StageShape
 
-__all__ = ("Engine", "Maker", "ModelCodec", "ModelConnections", "Results")
+__all__ = ("Engine", "Maker", "ModelCodec", "ModelConnections", "ResultTable")
 
 #: bandwidth of a link, in bytes per second
 LINK_BYTES_PER_SECOND = 10_000e6 / 8
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Results:
+class ResultTable:
     """All results in makers' memory by handle, with counts of their use."""
 
     held: dict[str, Result] = field(default_factory=dict)
@@ -99,7 +99,7 @@
         shape: MakerShape,
         address: str,
         data_centre: str,
-        results: Results,
+        results: ResultTable,
         random_source: random.Random,
     ) -> None:
         self.shape = shape
@@ -176,7 +176,7 @@
 class Engine:
     """One engine: prefills one prompt at a time and caches prompt parts."""
 
-    def __init__(self, target_id: str, data_centre: str, results: Results) -> None:
+    def __init__(self, target_id: str, data_centre: str, results: ResultTable) -> None:
         self.target_id = target_id
         self.data_centre = data_centre
         self.prefilled_tokens = 0.0
@@ -230,7 +230,7 @@
     def __init__(
         self,
         makers: dict[str, Maker],
-        results: Results,
+        results: ResultTable,
         find_stage: Callable[[Piece], StageShape],
     ) -> None:
         self._makers = makers
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/trial.py
@@ -28,7 +28,7 @@
 
 from .arrivals import generate_arrivals
 from .instances import ENGINES, InstanceFactory, ModelledInstance
-from .models import Engine, Maker, ModelConnections, Results
+from .models import Engine, Maker, ModelConnections, ResultTable
 from .outcomes import ClassOutcome, Outcome
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
         self.seed = seed
         self.random = random.Random(seed)
         self.clock = LoopClock()
-        self.results = Results()
+        self.results = ResultTable()
         self.outcome = Outcome()
         self.target_table = TargetTable()
         self.makers: dict[str, Maker] = {}
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.clock = LoopClock()
-        self.results = models.Results()
+        self.results = models.ResultTable()
         self.model = models.Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         target = ListedTarget(
             incarnation=Incarnation("m", 1),
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -21,7 +21,7 @@
     Maker,
     ModelCodec,
     ModelConnections,
-    Results,
+    ResultTable,
 )
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -78,7 +78,7 @@
         self.clock = LoopClock()
         self.policy = CountingPolicy()
         self.quarantine = FakeQuarantine()
-        self.results = Results()
+        self.results = ResultTable()
         self.maker = Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         listed = (
             ListedTarget(
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -31,7 +31,7 @@
     ModelCodec,
     ModelConnections,
     Result,
-    Results,
+    ResultTable,
 )
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -63,7 +63,7 @@
         self.clock = LoopClock()
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
-        self.results = Results()
+        self.results = ResultTable()
         source = random.Random(1)
         self.maker = Maker(SHAPE, "m:1", "north", self.results, source)
         self.links = ModelConnections(
