--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(slots=True)
-class Result:
+class StoredResult:
     """A result held in the memory of the maker that produced it."""
 
     maker: Maker
@@ -58,7 +58,7 @@
 class ResultTable:
     """All results in makers' memory by handle, with counts of their use."""
 
-    held: dict[str, Result] = field(default_factory=dict)
+    held: dict[str, StoredResult] = field(default_factory=dict)
     #: bytes fetched from another data centre
     moved_bytes: float = 0.0
     #: results dropped without having been read
@@ -167,7 +167,7 @@
         loop = asyncio.get_running_loop()
         handle = f"{self.address}/{next(self._results.handle_numbers)}"
         expires_at = loop.time() + self.shape.keep_seconds
-        self._results.held[handle] = Result(self, size, expires_at)
+        self._results.held[handle] = StoredResult(self, size, expires_at)
         self._results.produced += 1
         loop.call_at(expires_at, self._results.drop, handle)
         return PieceResult(handle=handle, data_centre=self.data_centre)
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -30,8 +30,8 @@
     Maker,
     ModelCodec,
     ModelConnections,
-    Result,
     ResultTable,
+    StoredResult,
 )
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -147,7 +147,7 @@
 
     def add_input(self, handle: str) -> None:
         until = self.clock.now() + STABLE_SECONDS
-        self.results.held[handle] = Result(self.maker, 100, until)
+        self.results.held[handle] = StoredResult(self.maker, 100, until)
         self.maker.used += 100
 
     def create_bundle(self, request_id: str) -> Bundle:
