--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -112,7 +112,7 @@
         self.pieces = 0
         self._results = results
         self._random = random_source
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def run(
         self,
@@ -127,7 +127,7 @@
         """
         loop = asyncio.get_running_loop()
         arrived_at = loop.time()
-        async with self._turn:
+        async with self._lock:
             waited = loop.time() - arrived_at
             outcomes = [
                 self._begin(piece, time_left - waited, size)
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -100,7 +100,7 @@
 
 
 async def test_call_that_waited_in_vain_shows_that_its_maker_is_slow(world):
-    async with world.model._turn:
+    async with world.model._lock:
         task = asyncio.create_task(world.call("nowhere/1"))
         await asyncio.sleep(1.0)
     assert await task == {PieceFailure.GONE}
