--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -155,7 +155,7 @@
     ) -> tuple[float, PieceFailure | None]:
         if time_left <= 0:
             return 0.0, PieceFailure.LATE
-        if self.used + size > self.shape.room_bytes:
+        if self.used + size > self.shape.result_memory_bytes:
             return 0.0, PieceFailure.ROOM
         seconds = self._results.fetch(piece.inputs, self.data_centre)
         if seconds is None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -31,7 +31,7 @@
     count: int
     batch: int
     item_seconds: float
-    room_bytes: float
+    result_memory_bytes: float
     call_seconds: float = 0.2
     keep_seconds: float = 4.0
 
@@ -43,7 +43,7 @@
             batch=self.batch,
             call_seconds=self.call_seconds,
             item_seconds=self.item_seconds,
-            result_memory_bytes=round(self.room_bytes),
+            result_memory_bytes=round(self.result_memory_bytes),
             retention_seconds=self.keep_seconds,
         )
 
@@ -300,7 +300,7 @@
             count=count,
             batch=batch,
             item_seconds=item,
-            room_bytes=room * MEGABYTE,
+            result_memory_bytes=room * MEGABYTE,
             call_seconds=call_seconds,
         )
         for name, count, batch, item, room in rows
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -22,7 +22,7 @@
 pytestmark = pytest.mark.looptime
 
 SHAPE = MakerShape(
-    name="ledger", count=1, batch=10, item_seconds=0.01, room_bytes=10_000
+    name="ledger", count=1, batch=10, item_seconds=0.01, result_memory_bytes=10_000
 )
 PROFILE = SHAPE.create_profile()
 #: timeout of a call, in seconds
@@ -117,7 +117,7 @@
         count=1,
         batch=10,
         item_seconds=0.005,
-        room_bytes=10_000,
+        result_memory_bytes=10_000,
         call_seconds=0.1,
     )
     assert await world.call() == {None}
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -30,7 +30,7 @@
 
 SERVICE = "ledger"
 SHAPE = MakerShape(
-    name=SERVICE, count=1, batch=10, item_seconds=0.01, room_bytes=1_000_000
+    name=SERVICE, count=1, batch=10, item_seconds=0.01, result_memory_bytes=1_000_000
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
