--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -166,7 +166,7 @@
     def _finish(self, size: int) -> PieceResult:
         loop = asyncio.get_running_loop()
         handle = f"{self.address}/{next(self._results.handle_numbers)}"
-        expires_at = loop.time() + self.shape.keep_seconds
+        expires_at = loop.time() + self.shape.retention_seconds
         self._results.held[handle] = StoredResult(self, size, expires_at)
         self._results.produced += 1
         loop.call_at(expires_at, self._results.drop, handle)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -33,7 +33,7 @@
     item_seconds: float
     result_memory_bytes: float
     call_seconds: float = 0.2
-    keep_seconds: float = 4.0
+    retention_seconds: float = 4.0
 
     def create_profile(self) -> MakerProfile:
         """Return the profile that a deployment declares for these makers."""
@@ -44,7 +44,7 @@
             call_seconds=self.call_seconds,
             item_seconds=self.item_seconds,
             result_memory_bytes=round(self.result_memory_bytes),
-            retention_seconds=self.keep_seconds,
+            retention_seconds=self.retention_seconds,
         )
 
 
