--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -72,7 +72,7 @@
         result = self.held.pop(handle, None)
         if result is None:
             return
-        result.maker.used -= result.size
+        result.maker.used_bytes -= result.size
         if handle not in self.read_handles:
             self.unread += 1
         self.read_handles.discard(handle)
@@ -105,7 +105,7 @@
         self.shape = shape
         self.address = address
         self.data_centre = data_centre
-        self.used = 0.0
+        self.used_bytes = 0.0
         self.lost = False
         self.busy_seconds = 0.0
         self.calls = 0
@@ -155,12 +155,12 @@
     ) -> tuple[float, PieceFailure | None]:
         if time_left <= 0:
             return 0.0, PieceFailure.LATE
-        if self.used + size > self.shape.result_memory_bytes:
+        if self.used_bytes + size > self.shape.result_memory_bytes:
             return 0.0, PieceFailure.ROOM
         seconds = self._results.fetch(piece.inputs, self.data_centre)
         if seconds is None:
             return 0.0, PieceFailure.GONE
-        self.used += size
+        self.used_bytes += size
         return seconds, None
 
     def _finish(self, size: int) -> PieceResult:
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -94,7 +94,7 @@
 
 
 async def test_call_without_room_does_not_make_its_maker_seem_fast(world):
-    world.model.used = 10_000.0
+    world.model.used_bytes = 10_000.0
     assert await world.call() == {PieceFailure.ROOM}
     assert world.find_slowness() == 1.0
 
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -148,7 +148,7 @@
     def add_input(self, handle: str) -> None:
         until = self.clock.now() + STABLE_SECONDS
         self.results.held[handle] = StoredResult(self.maker, 100, until)
-        self.maker.used += 100
+        self.maker.used_bytes += 100
 
     def create_bundle(self, request_id: str) -> Bundle:
         """Return a bundle of four pieces that read one result."""
