--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/__main__.py
@@ -7,7 +7,7 @@
 import sys
 from concurrent.futures import ProcessPoolExecutor
 
-from .comparing import CATEGORIES, Comparison, compare
+from .comparison import CATEGORIES, Comparison, compare
 
 #: maximum number of failing histories to print
 MAX_SHOWN = 3
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparison.py
@@ -11,7 +11,7 @@
 from ..matrix.checker import Breach, Promise
 from .histories import History, histories
 from .naive import NaiveInstance
-from .playing import play
+from .replay import replay_history
 
 __all__ = ("CATEGORIES", "Comparison", "compare")
 
@@ -55,10 +55,10 @@
     )
     @given(histories())
     def play_both(history: History) -> None:
-        breaches = play(history)
+        breaches = replay_history(history)
         comparison.histories += 1
         comparison.ours.update(_categorize(breaches))
-        comparison.naive.update(_categorize(play(history, NaiveInstance)))
+        comparison.naive.update(_categorize(replay_history(history, NaiveInstance)))
         if breaches:
             comparison.failures.append((history, breaches))
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/replay.py
@@ -29,10 +29,10 @@
     from ..matrix.serving import ServingInstance
     from .histories import Event, History
 
-__all__ = ("play",)
+__all__ = ("replay_history",)
 
 
-def play(
+def replay_history(
     history: History, create: Callable[..., ServingInstance] = EntryInstance
 ) -> list[Breach]:
     """Replay a history on a system and return the violated guarantees."""
--- a/tests/test_differential/test_differential.py
+++ b/tests/test_differential/test_differential.py
@@ -7,7 +7,7 @@
 import pytest
 from hypothesis import HealthCheck, Phase, example, given, seed, settings
 
-from greengagelatch_lab.differential.comparing import CATEGORIES
+from greengagelatch_lab.differential.comparison import CATEGORIES
 from greengagelatch_lab.differential.histories import (
     ChangeEvent,
     FaultEvent,
@@ -18,7 +18,7 @@
     histories,
 )
 from greengagelatch_lab.differential.naive import NaiveInstance
-from greengagelatch_lab.differential.playing import play
+from greengagelatch_lab.differential.replay import replay_history
 
 #: seed of the generated histories, and seeds of the random draws in the shrunk ones
 SEED = 20
@@ -82,8 +82,8 @@
     seen = []
     for chance in CHANCES:
         history = History(seed=chance, events=SHRUNK[category])
-        assert play(history) == []
-        broken = {breach.promise for breach in play(history, NaiveInstance)}
+        assert replay_history(history) == []
+        broken = {breach.promise for breach in replay_history(history, NaiveInstance)}
         seen.append(bool(broken.intersection(CATEGORIES[category])))
     print(f"naive version fails with {seen.count(True)} of {len(seen)} seeds")
     assert any(seen)
@@ -100,5 +100,5 @@
 @example(History(seed=1, events=SHRUNK["crossed"]))
 @given(histories())
 def test_system_keeps_its_promises_under_drawn_histories(history):
-    breaches = play(history)
+    breaches = replay_history(history)
     assert not breaches, "\n".join(map(str, breaches))
