--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -22,7 +22,7 @@
 from .models import ModelCall
 from .traces import Request
 
-__all__ = ("Entry", "Run", "StageRun")
+__all__ = ("Entry", "RequestRun", "StageRun")
 
 _OUTCOMES = {
     FailureKind.TARGET_REFUSED: OutcomeKind.REJECTED,
@@ -42,19 +42,19 @@
 class StageRun:
     """The execution of one stage of a request."""
 
-    run: Run
+    run: RequestRun
     stage: Stage
     started: float
     deadline: float
     attempts: int = 0
     excluded: frozenset[str] = frozenset()
-    open: list[Attempt] = field(default_factory=list)
+    open_attempts: list[Attempt] = field(default_factory=list)
     waiting: object = None
     done: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Run:
+class RequestRun:
     """The execution of one request and its result."""
 
     request: Request
@@ -70,7 +70,7 @@
     hedges: int = 0
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Whether the request has been answered, refused or abandoned."""
         return self.finished is not None
 
@@ -99,15 +99,15 @@
 
     # policy hooks
 
-    def admit(self, run: Run) -> Refusal | None:
+    def admit(self, run: RequestRun) -> Refusal | None:
         """Apply admission control; return the refusal of a rejected request."""
         return None
 
-    def handle_end(self, run: Run) -> None:  # noqa: B027
+    def handle_end(self, run: RequestRun) -> None:  # noqa: B027
         """Handle the end of a request."""
 
     @abstractmethod
-    def plan(self, run: Run, stage: Stage) -> float:
+    def plan(self, run: RequestRun, stage: Stage) -> float:
         """Return the deadline of a stage that starts at this moment."""
 
     @abstractmethod
@@ -132,9 +132,9 @@
 
     # execution
 
-    def start(self, request: Request) -> Run:
+    def start(self, request: Request) -> RequestRun:
         """Start the execution of a request."""
-        run = Run(request)
+        run = RequestRun(request)
         if not self.alive:
             self._end(run)
             return run
@@ -147,18 +147,20 @@
         self._advance(run)
         return run
 
-    def _advance(self, run: Run) -> None:
+    def _advance(self, run: RequestRun) -> None:
         pipeline = run.request.pipeline
         for stage in find_ready(pipeline, run.begun, run.results):
             run.begun.add(stage.name)
             stage_run = StageRun(run, stage, self.clock.now(), self.plan(run, stage))
             run.stages.append(stage_run)
-            self._ask(stage_run, retry=False)
+            self._request_grant(stage_run, retry=False)
         if len(run.results) == len(pipeline.stages):
             run.answered = True
             self._end(run)
 
-    def _ask(self, stage_run: StageRun, *, retry: bool, hedge: bool = False) -> None:
+    def _request_grant(
+        self, stage_run: StageRun, *, retry: bool, hedge: bool = False
+    ) -> None:
         ticket = self._create_ticket(stage_run, retry=retry)
         received: list[bool] = []
 
@@ -199,13 +201,13 @@
     ) -> None:
         run = stage_run.run
         if isinstance(result, Err):
-            if hedge or run.over or stage_run.open:
+            if hedge or run.ended or stage_run.open_attempts:
                 return
             run.refusal = result.err_value
             self._end(run)
             return
         grant = result.ok_value
-        if run.over or stage_run.done or not self.alive:
+        if run.ended or stage_run.done or not self.alive:
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
             return
         self._call(stage_run, grant)
@@ -224,7 +226,7 @@
         )
         attempt = Attempt(grant, call, self.clock.now())
         stage_run.attempts += 1
-        stage_run.open.append(attempt)
+        stage_run.open_attempts.append(attempt)
         run.calls.append((name, call))
         self.fleet.send(
             self.data_centre,
@@ -252,7 +254,7 @@
 
     def _send_hedge(self, stage_run: StageRun, attempt: Attempt) -> None:
         run = stage_run.run
-        if run.over or stage_run.open != [attempt]:
+        if run.ended or stage_run.open_attempts != [attempt]:
             return
         if run.request.arrival.stream:
             if attempt.call.generated_tokens:
@@ -264,11 +266,11 @@
             return
         run.hedges += 1
         stage_run.excluded |= {attempt.grant.target.target_id}
-        self._ask(stage_run, retry=True, hedge=True)
+        self._request_grant(stage_run, retry=True, hedge=True)
 
     def _handle_first_token(self, stage_run: StageRun, attempt: Attempt) -> None:
         run = stage_run.run
-        if run.over or not run.request.arrival.stream:
+        if run.ended or not run.request.arrival.stream:
             return
         now = self.clock.now()
         self.record_first_token(attempt.grant, now - attempt.started)
@@ -276,13 +278,13 @@
             run.first_token = now
 
     def _answer(self, stage_run: StageRun, attempt: Attempt) -> None:
-        if attempt not in stage_run.open:
+        if attempt not in stage_run.open_attempts:
             return
-        stage_run.open.remove(attempt)
+        stage_run.open_attempts.remove(attempt)
         attempt.call.answered = True
         seconds = self.clock.now() - attempt.started
         self.directory.record_call(attempt.grant.target.target_id, answered=True)
-        self._close(stage_run)
+        self._cancel_attempts(stage_run)
         stage_run.done = True
         stage_run.run.results.add(stage_run.stage.name)
         tokens = self._count_tokens(stage_run, attempt)
@@ -291,10 +293,10 @@
         self._advance(stage_run.run)
 
     def _fail(self, stage_run: StageRun, attempt: Attempt, kind: FailureKind) -> None:
-        if attempt not in stage_run.open:
+        if attempt not in stage_run.open_attempts:
             return
-        stage_run.open.remove(attempt)
-        attempt.call.over = True
+        stage_run.open_attempts.remove(attempt)
+        attempt.call.ended = True
         target_id = attempt.grant.target.target_id
         model = self.fleet.models[target_id]
         if kind is FailureKind.CONNECT and model.reachable:
@@ -304,7 +306,7 @@
         seconds = self.clock.now() - attempt.started
         outcome = _OUTCOMES.get(kind, OutcomeKind.FAILURE)
         self.release(attempt.grant, Outcome(outcome, seconds))
-        if stage_run.open or stage_run.run.over:
+        if stage_run.open_attempts or stage_run.run.ended:
             return
         self._retry(stage_run, target_id, kind)
 
@@ -324,32 +326,32 @@
             return
         run.retries += 1
         stage_run.excluded |= {target_id}
-        self._ask(stage_run, retry=True)
+        self._request_grant(stage_run, retry=True)
 
     def _count_tokens(self, stage_run: StageRun, attempt: Attempt) -> int:
         streamed = stage_run.run.request.arrival.stream
         return attempt.call.generated_tokens if streamed else 0
 
-    def _close(self, stage_run: StageRun) -> None:
+    def _cancel_attempts(self, stage_run: StageRun) -> None:
         """Cancel the open attempts of a stage and its pending ticket."""
         if stage_run.waiting is not None:
             self.cancel_pending(stage_run.waiting)
             stage_run.waiting = None
-        for attempt in stage_run.open:
+        for attempt in stage_run.open_attempts:
             model = self.fleet.models[attempt.grant.target.target_id]
             model.cancel(attempt.call)
             seconds = self.clock.now() - attempt.started
             tokens = self._count_tokens(stage_run, attempt)
             outcome = Outcome(OutcomeKind.ABANDONED, seconds, tokens)
             self.release(attempt.grant, outcome)
-        stage_run.open.clear()
+        stage_run.open_attempts.clear()
 
-    def _end(self, run: Run) -> None:
-        if run.over:
+    def _end(self, run: RequestRun) -> None:
+        if run.ended:
             return
         run.finished = self.clock.now()
         for stage_run in run.stages:
-            self._close(stage_run)
+            self._cancel_attempts(stage_run)
         self.handle_end(run)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/fleet.py
@@ -97,7 +97,7 @@
     def _arrive(
         self, model: TargetModel, call: ModelCall, on_failure: Callable[[bool], None]
     ) -> None:
-        if call.over:
+        if call.ended:
             return
         if model.dead:
             self.clock.call_later(REFUSED_SECONDS, lambda: on_failure(True))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
@@ -41,7 +41,7 @@
     #: called if the target fails with the call queued or running
     on_disconnect: Callable[[], None]
     on_first_token: Callable[[], None] = lambda: None
-    over: bool = False
+    ended: bool = False
     #: whether the entry instance used its answer
     answered: bool = False
     generated_tokens: int = 0
@@ -73,7 +73,7 @@
     def submit(self, call: ModelCall) -> bool:
         """Enqueue a call; ``False`` if the queue is full."""
         if len(self.waiting) >= QUEUE_BOUND:
-            self.waiting = [entry for entry in self.waiting if not entry[2].over]
+            self.waiting = [entry for entry in self.waiting if not entry[2].ended]
             heapq.heapify(self.waiting)
         if len(self.waiting) >= QUEUE_BOUND:
             return False
@@ -84,7 +84,7 @@
 
     def cancel(self, call: ModelCall) -> None:
         """Cancel a call."""
-        call.over = True
+        call.ended = True
 
     def kill(self) -> None:
         """Fail the target and disconnect all its calls."""
@@ -92,15 +92,15 @@
         calls = [*self.active, *(call for _, _, call in self.waiting)]
         self.active, self.waiting = [], []
         for call in calls:
-            if not call.over:
-                call.over = True
+            if not call.ended:
+                call.ended = True
                 call.on_disconnect()
 
     def report(self) -> LoadReport:
         """Return the current load."""
         return LoadReport(
-            in_flight=sum(not call.over for call in self.active),
-            queued=sum(not call.over for _, _, call in self.waiting),
+            in_flight=sum(not call.ended for call in self.active),
+            queued=sum(not call.ended for _, _, call in self.waiting),
             capacity=self.capacity,
             taken=self.clock.now(),
             cached_prefixes=self.list_prefixes(),
@@ -123,10 +123,10 @@
     """A pool of workers that run one call each, first come, first served."""
 
     def start_waiting(self) -> None:
-        self.active = [call for call in self.active if not call.over]
+        self.active = [call for call in self.active if not call.ended]
         while self.waiting and len(self.active) < self.capacity and self.reachable:
             call = heapq.heappop(self.waiting)[2]
-            if call.over:
+            if call.ended:
                 continue
             self.active.append(call)
             seconds = call.work.seconds * self.slow
@@ -135,13 +135,13 @@
     def cancel(self, call: ModelCall) -> None:
         # a worker can't be interrupted: it completes the call and the result is dropped
         if call not in self.active:
-            call.over = True
+            call.ended = True
         call.on_done = lambda: None
 
     def _end(self, call: ModelCall, seconds: float) -> None:
-        if call.over or not self.reachable:
+        if call.ended or not self.reachable:
             return
-        call.over = True
+        call.ended = True
         call.cost += seconds
         call.on_done()
         self.start_waiting()
@@ -200,7 +200,7 @@
         self._stepping = False
         if not self.reachable:
             return
-        self.active = [call for call in self.active if not call.over]
+        self.active = [call for call in self.active if not call.ended]
         seconds = self._admit()
         if not self.active:
             return
@@ -213,7 +213,7 @@
         seconds = 0.0
         while self.waiting and len(self.active) < self.capacity:
             call = heapq.heappop(self.waiting)[2]
-            if call.over:
+            if call.ended:
                 continue
             self.active.append(call)
             hit = self._use(call.work.prefix)
@@ -228,13 +228,13 @@
         share = seconds / max(1, len(self.active))
         for call in self.active:
             call.cost += share
-            if call.over:
+            if call.ended:
                 continue
             call.generated_tokens += 1
             if call.generated_tokens == 1:
                 call.on_first_token()
             if call.generated_tokens >= call.work.tokens:
-                call.over = True
+                call.ended = True
                 call.on_done()
         self._step()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/policies.py
@@ -21,7 +21,7 @@
 from greengagelatch.stages.hedging import HedgeRule, choose_hedge_delay
 from greengagelatch.stages.plan import divide_by_share
 
-from .entry import Entry, Run, run_synchronously
+from .entry import Entry, RequestRun, run_synchronously
 from .traces import Request
 
 __all__ = ("NaiveEntry", "SchedulingEntry")
@@ -50,7 +50,7 @@
             directory=self.directory, clock=self.clock
         )
 
-    def plan(self, run: Run, stage: Stage) -> float:
+    def plan(self, run: RequestRun, stage: Stage) -> float:
         request = run.request
         now = self.clock.now()
         return divide_by_share(request.pipeline, stage, now, request.deadline)
@@ -110,7 +110,7 @@
         urgent = request.pipeline.labels.get("urgency") == "short"
         return 10 if urgent else 0
 
-    def admit(self, run: Run) -> Refusal | None:
+    def admit(self, run: RequestRun) -> Refusal | None:
         request = run.request
         arrival = Arrival(
             workspace=request.arrival.workspace,
@@ -121,7 +121,7 @@
         )
         return self._admission.check(arrival, self.clock.now())
 
-    def plan(self, run: Run, stage: Stage) -> float:
+    def plan(self, run: RequestRun, stage: Stage) -> float:
         request = run.request
         return self._plan(request.pipeline, stage, self.clock.now(), request.deadline)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/scenarios.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/scenarios.py
@@ -10,7 +10,7 @@
 from greengagelatch.config.objects import StageKind
 
 from ..fleets import Fleet
-from .entry import Entry, Run
+from .entry import Entry, RequestRun
 from .events import EventClock
 from .fleet import DELAYED_REPORTS, IMMEDIATE_REPORTS, ModelDirectory, ModelFleet
 from .models import EngineRule
@@ -91,12 +91,12 @@
     scenario: Scenario
     engine: EngineRule
     requests: tuple[Request, ...]
-    runs: Sequence[Run]
+    runs: Sequence[RequestRun]
     #: ids of the requests that were sent to a failed instance
     lost: frozenset[int]
 
     @property
-    def counted(self) -> list[Run]:
+    def counted(self) -> list[RequestRun]:
         """Runs of the requests in the measured period."""
         return [run for run in self.runs if is_counted(run.request)]
 
@@ -162,7 +162,7 @@
         )
     for fault in scenario.faults:
         clock.call_at(FAULT_AT, lambda f=fault: _apply(f, fleet, model, entries))
-    runs: list[Run] = []
+    runs: list[RequestRun] = []
     lost: set[int] = set()
     balancer = random.Random(f"{seed}/balancer")
     for request in requests:
@@ -187,7 +187,7 @@
     draw: float,
     entries: list[Entry],
     clock: EventClock,
-    runs: list[Run],
+    runs: list[RequestRun],
     lost: set[int],
 ) -> None:
     known = entries
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/summary.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/summary.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from .entry import Run
+from .entry import RequestRun
 from .scenarios import MEASURED, Trial
 
 __all__ = ("Summary", "summarise")
@@ -79,12 +79,12 @@
     useful: bool
 
 
-def _split_cost(run: Run) -> Iterable[tuple[str, _Cost]]:
+def _split_cost(run: RequestRun) -> Iterable[tuple[str, _Cost]]:
     for name, call in run.calls:
         yield name, _Cost(call.cost, call.answered)
 
 
-def _rate(runs: list[Run], key) -> dict[str, float]:
+def _rate(runs: list[RequestRun], key) -> dict[str, float]:
     offered: dict[str, int] = defaultdict(int)
     attained: dict[str, int] = defaultdict(int)
     for run in runs:
