--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/histories.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/histories.py
@@ -1,4 +1,4 @@
-"""Histories of requests, changes and faults, under which two systems are compared."""
+"""Histories of requests, changes and faults, on which two systems are compared."""
 
 from __future__ import annotations
 
@@ -18,14 +18,15 @@
     "histories",
 )
 
-#: seconds from the beginning within which everything begins
-LENGTH = 8.0
-#: seconds between two moments at which something may happen
-GRAIN = 0.05
-#: bounds of the seconds that a fault lasts
-LASTING = (0.5, 6.0)
+#: seconds from the start within which all events begin
+HISTORY_SECONDS = 8.0
+#: resolution of event times, in seconds
+TIME_STEP = 0.05
+#: minimum and maximum duration of a fault, in seconds
+FAULT_SECONDS = (0.5, 6.0)
 INSTANCES = 3
-#: what ends is not what a history may hold: nothing recovers from a burst or a kill
+#: maximum faults in a history; the end of a burst or of a kill undoes nothing, so
+#: such faults have to be survived without recovery
 MAX_FAULTS = 3
 MAX_REQUESTS = 14
 MAX_CHANGES = 4
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestEvent:
-    """A caller comes; it asks again by itself if it has a key."""
+    """A caller sends a request, and retries it if it has an idempotency key."""
 
     at: float
     instance: int
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeEvent:
-    """An operator makes a change."""
+    """An operator submits a configuration change."""
 
     at: float
     instance: int
@@ -54,17 +55,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultEvent:
-    """A fault begins, and ends some seconds later."""
+    """A fault that is injected, and removed some seconds later."""
 
     at: float
     name: str
     instance: int
-    lasting: float
+    duration: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveEvent:
-    """A target begins to leave."""
+    """A target announces that it is leaving."""
 
     at: float
     target: int
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopEvent:
-    """An instance is stopped as planned."""
+    """An instance is shut down gracefully."""
 
     at: float
     instance: int
@@ -83,41 +84,41 @@
 
 @dataclass(frozen=True, slots=True)
 class History:
-    """Events in any order; ``seed`` is that of latencies and other chance."""
+    """Events in any order; ``seed`` is for latencies and all other random draws."""
 
     seed: int
     events: tuple[Event, ...]
 
 
-def _moments() -> st.SearchStrategy[float]:
-    steps = round(LENGTH / GRAIN)
-    return st.integers(0, steps).map(lambda step: round(step * GRAIN, 2))
+def _times() -> st.SearchStrategy[float]:
+    steps = round(HISTORY_SECONDS / TIME_STEP)
+    return st.integers(0, steps).map(lambda step: round(step * TIME_STEP, 2))
 
 
-def _places() -> st.SearchStrategy[int]:
+def _instances() -> st.SearchStrategy[int]:
     return st.integers(0, INSTANCES - 1)
 
 
 def histories() -> st.SearchStrategy[History]:
-    """Return the strategy of histories."""
+    """Return the Hypothesis strategy that generates histories."""
     requests = st.builds(
         RequestEvent,
-        at=_moments(),
-        instance=_places(),
+        at=_times(),
+        instance=_instances(),
         booking=st.booleans(),
         keyed=st.booleans(),
         stream=st.booleans(),
     )
-    changes = st.builds(ChangeEvent, at=_moments(), instance=_places())
+    changes = st.builds(ChangeEvent, at=_times(), instance=_instances())
     faults = st.builds(
         FaultEvent,
-        at=_moments(),
+        at=_times(),
         name=st.sampled_from(sorted(FAULTS)),
-        instance=_places(),
-        lasting=st.floats(*LASTING, width=16),
+        instance=_instances(),
+        duration=st.floats(*FAULT_SECONDS, width=16),
     )
-    leaves = st.builds(LeaveEvent, at=_moments(), target=st.integers(0, 8))
-    stops = st.builds(StopEvent, at=_moments(), instance=_places())
+    leaves = st.builds(LeaveEvent, at=_times(), target=st.integers(0, 8))
+    stops = st.builds(StopEvent, at=_times(), instance=_instances())
     parts = st.tuples(
         st.lists(requests, min_size=1, max_size=MAX_REQUESTS),
         st.lists(changes, max_size=MAX_CHANGES),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/__main__.py
@@ -12,17 +12,17 @@
 from .plots import draw_attainment
 from .tables import build_page
 
-#: seeds of the trials, unless told otherwise
+#: default seeds of the trials
 SEEDS = (1, 2, 3)
 PAGE = "load.md"
 
 
 def main() -> None:
-    """Run the trials, write tables and plots, and print a summary as JSON."""
+    """Run the trials, write tables and plots, and print a JSON summary."""
     arguments = _parse()
     comparisons: list[Comparison] = []
     for fleet in arguments.fleet or sorted(FLEETS):
-        own = compare(fleet, arguments.scenario, arguments.seeds, _tell)
+        own = compare(fleet, arguments.scenario, arguments.seeds, _print_progress)
         comparisons.extend(own)
         if arguments.output is not None:
             arguments.output.mkdir(parents=True, exist_ok=True)
@@ -39,11 +39,13 @@
     parser.add_argument("--fleet", action="append", choices=sorted(FLEETS))
     parser.add_argument("--scenario", action="append", default=[])
     parser.add_argument("--seeds", type=int, nargs="+", default=list(SEEDS))
-    parser.add_argument("--output", type=Path, help="directory for page and plots")
+    parser.add_argument(
+        "--output", type=Path, help="output directory for the page and the plots"
+    )
     return parser.parse_args()
 
 
-def _tell(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(text, file=sys.stderr, flush=True)
 
 
@@ -53,10 +55,10 @@
         ours = each.summaries["ours"]
         naive = each.summaries["naive"]
         result[f"{each.fleet}/{each.scenario.name}"] = {
-            "ours": round(spread([s.attainment for s in ours]).middle, 4),
-            "naive": round(spread([s.attainment for s in naive]).middle, 4),
-            "bound": round(spread(each.bounds).middle, 4),
-            "wasted": round(spread([s.wasted_share for s in ours]).middle, 4),
+            "ours": round(spread([s.attainment for s in ours]).median_value, 4),
+            "naive": round(spread([s.attainment for s in naive]).median_value, 4),
+            "bound": round(spread(each.bounds).median_value, 4),
+            "wasted": round(spread([s.wasted_share for s in ours]).median_value, 4),
         }
     return result
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/bound.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/bound.py
@@ -1,4 +1,4 @@
-"""What no policy could exceed, knowing the whole trace in advance."""
+"""Upper bound on the attainment of any policy, given the whole trace in advance."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 )
 from .traces import Request
 
-__all__ = ("bound_attainment",)
+__all__ = ("compute_attainment_bound",)
 
-#: seconds between the ends of the intervals that are looked at
+#: step between the boundaries of the examined intervals, in seconds
 STEP = 0.5
 
 
-def bound_attainment(trial: Trial) -> float:
-    """Return the largest share of the counted requests that could be attained.
+def compute_attainment_bound(trial: Trial) -> float:
+    """Return an upper bound on the share of counted requests that can be attained.
 
-    Of the requests that arrive and are due within an interval, only as many can be
-    answered as fit into what their service can do in it, the smallest first, every
-    prompt's prefix cached, every batch at its best size, all targets as one. The
-    interval and service with the greatest shortfall give the bound. It is not
-    tight: other intervals, queues and the order of the stages cost more.
+    Of the requests that both arrive and are due within an interval, no more can be
+    answered than the capacity of their service in it allows. The estimate is
+    optimistic: smallest requests first, every prompt prefix cached, every batch of
+    optimal size, all targets of a service pooled into one. The interval and service
+    with the largest shortfall determine the bound. It is not tight: further intervals,
+    queueing and the order of stages lower the true optimum.
     """
     counted = [r for r in trial.requests if is_counted(r)]
     feasible = [
@@ -54,7 +55,7 @@
         work = request.work[stage.name]
         if stage.kind is StageKind.GENERATE:
             engine = trial.engine
-            seconds += engine.prefill * engine.hit_share
+            seconds += engine.prefill * engine.cache_hit_factor
             seconds += work.tokens * engine.token
         else:
             seconds += work.seconds
@@ -71,7 +72,7 @@
         work = request.work[stage.name]
         if stage.kind is StageKind.GENERATE:
             token = engine.measure_step(best) / best
-            seconds += engine.prefill * engine.hit_share + work.tokens * token
+            seconds += engine.prefill * engine.cache_hit_factor + work.tokens * token
         else:
             seconds += work.seconds / POOL_CAPACITY
     return seconds
@@ -102,7 +103,7 @@
 def _create_supply(
     trial: Trial, service: str, kind: StageKind
 ) -> Callable[[float, float], float]:
-    """Return a function giving the target seconds available in an interval."""
+    """Return a function that computes the target seconds available in an interval."""
     fleet = trial.fleet
     replicas = next(each.replicas for each in fleet.services if each.name == service)
     after = [1.0] * replicas
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/comparison.py
@@ -1,4 +1,4 @@
-"""Several seeds of each scenario under each policy, side by side."""
+"""Comparison of policies over several seeds of each scenario."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 from greengagelatch.config.policy_resolution import Weights
 
 from ..fleets import FLEETS
-from .bound import bound_attainment
+from .bound import compute_attainment_bound
 from .policies import NaiveEntry, SchedulingEntry
 from .scenarios import SCENARIOS, Scenario, run_trial
 from .summary import Summary, summarise
 
 __all__ = ("COMPARED", "Comparison", "Spread", "Variant", "compare", "spread")
 
-#: trials that run side by side
+#: trials that run in parallel
 WORKERS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A policy under a name."""
+    """A named policy."""
 
     name: str
     weights: Weights | None = None
-    #: one instance that sees the load of all targets takes all requests
+    #: a single instance with up-to-date load of all targets takes all requests
     informed: bool = False
 
 
-#: what is compared in every scenario
+#: variants compared in every scenario
 OURS = Variant("ours", Weights())
 NAIVE = Variant("naive")
 INFORMED = Variant("informed", Weights(), informed=True)
 COMPARED = (OURS, NAIVE, INFORMED)
-#: the two ends of the weighing, compared in some
-ENDS = (
+#: both extremes of the weights, compared in some scenarios only
+EXTREMES = (
     Variant("attainment only", Weights(1.0, 0.0)),
     Variant("cost only", Weights(0.0, 1.0)),
 )
-#: scenarios in which the ends are compared too
-WEIGHED = ("load-1.3", "slow-target")
+#: scenarios that also compare the extremes of the weights
+EXTREMES_SCENARIOS = ("load-1.3", "slow-target")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -58,29 +58,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Median, least and most over the seeds."""
+    """Median, minimum and maximum over the seeds."""
 
-    middle: float
-    least: float
-    most: float
+    median_value: float
+    minimum: float
+    maximum: float
 
 
 def spread(values: Sequence[float]) -> Spread:
-    """Return the spread of one figure over the seeds."""
+    """Compute the spread of one metric over the seeds."""
     return Spread(median(values), min(values), max(values))
 
 
 def compare(
-    fleet: str, names: Sequence[str], seeds: Sequence[int], tell: Callable[[str], None]
+    fleet: str,
+    names: Sequence[str],
+    seeds: Sequence[int],
+    report_progress: Callable[[str], None],
 ) -> tuple[Comparison, ...]:
-    """Run the named scenarios, by default all, of one fleet."""
+    """Run the named scenarios of one fleet, or all if none is named."""
     chosen = [each for each in SCENARIOS if not names or each.name in names]
     comparisons = []
     with ProcessPoolExecutor(max_workers=WORKERS) as pool:
         for scenario in chosen:
             variants = list(COMPARED)
-            if scenario.name in WEIGHED:
-                variants.extend(ENDS)
+            if scenario.name in EXTREMES_SCENARIOS:
+                variants.extend(EXTREMES)
             jobs = [
                 [pool.submit(_run, fleet, scenario, each, seed) for seed in seeds]
                 for each in variants
@@ -97,7 +100,7 @@
                     },
                 )
             )
-            tell(f"{fleet}: {scenario.name}")
+            report_progress(f"{fleet}: {scenario.name}")
     return tuple(comparisons)
 
 
@@ -115,5 +118,5 @@
         informed=variant.informed,
         weights=variant.weights,
     )
-    bound = bound_attainment(trial) if variant == OURS else 0.0
+    bound = compute_attainment_bound(trial) if variant == OURS else 0.0
     return bound, summarise(trial)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/entry.py
@@ -1,4 +1,4 @@
-"""An entry instance: runs requests through their stages under some policy."""
+"""Model of an entry instance that runs requests through their stages."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from .models import ModelCall
 from .traces import Request
 
-__all__ = ("Entry", "Run", "StageRun")
+__all__ = ("Entry", "RequestRun", "StageRun")
 
 _OUTCOMES = {
     FailureKind.TARGET_REFUSED: OutcomeKind.REJECTED,
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One call of a stage."""
+    """One attempt to run a stage on a target."""
 
     grant: Grant
     call: ModelCall
@@ -40,22 +40,22 @@
 
 @dataclass(slots=True, eq=False)
 class StageRun:
-    """One stage of one request."""
+    """The execution of one stage of a request."""
 
-    run: Run
+    run: RequestRun
     stage: Stage
     started: float
     deadline: float
     attempts: int = 0
     excluded: frozenset[str] = frozenset()
-    open: list[Attempt] = field(default_factory=list)
+    open_attempts: list[Attempt] = field(default_factory=list)
     waiting: object = None
     done: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Run:
-    """One request and what became of it."""
+class RequestRun:
+    """The execution of one request and its result."""
 
     request: Request
     begun: set[str] = field(default_factory=set)
@@ -70,13 +70,13 @@
     hedges: int = 0
 
     @property
-    def over(self) -> bool:
-        """Whether it is answered or given up."""
+    def ended(self) -> bool:
+        """Whether the request has been answered, refused or abandoned."""
         return self.finished is not None
 
 
 class Entry(ABC):
-    """Runs stages as the daemon's stage runner does; subclasses decide."""
+    """Runs stages like the daemon's pipeline runner; subclasses define the policy."""
 
     def __init__(
         self,
@@ -97,44 +97,44 @@
         self.alive = True
         self._rules = RetryRules()
 
-    # what a policy decides
+    # policy hooks
 
-    def admit(self, run: Run) -> Refusal | None:
-        """Return why a request is not begun at all."""
+    def admit(self, run: RequestRun) -> Refusal | None:
+        """Apply admission control; return the refusal of a rejected request."""
         return None
 
-    def note_end(self, run: Run) -> None:  # noqa: B027
-        """Take in that a request is over."""
+    def handle_end(self, run: RequestRun) -> None:  # noqa: B027
+        """Handle the end of a request."""
 
     @abstractmethod
-    def plan(self, run: Run, stage: Stage) -> float:
-        """Return the deadline of a stage that starts now."""
+    def plan(self, run: RequestRun, stage: Stage) -> float:
+        """Return the deadline of a stage that starts at this moment."""
 
     @abstractmethod
     def acquire(
         self, ticket: Ticket, receive: Callable[[Result[Grant, Refusal]], None]
     ) -> object:
-        """Ask for a target; ``receive`` may be called at once or later."""
+        """Request a target; ``receive`` is called with it, at once or later."""
 
-    def withdraw(self, waiting: object) -> None:  # noqa: B027
-        """Take back what :meth:`acquire` returned."""
+    def cancel_pending(self, waiting: object) -> None:  # noqa: B027
+        """Cancel the pending request that :meth:`acquire` returned."""
 
     @abstractmethod
     def release(self, grant: Grant, outcome: Outcome) -> None:
-        """Give back a grant."""
+        """Release a grant and report the outcome of its call."""
 
-    def note_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
-        """Take in that a stream has begun."""
+    def record_first_token(self, grant: Grant, seconds: float) -> None:  # noqa: B027
+        """Record the time to first token of a stream."""
 
-    def find_patience(self, grant: Grant) -> float | None:
-        """Return the seconds after which a backup call is made."""
+    def find_hedge_delay(self, grant: Grant) -> float | None:
+        """Return the seconds after which to send a hedge, or ``None`` for no hedge."""
         return None
 
-    # running
+    # execution
 
-    def start(self, request: Request) -> Run:
-        """Begin a request."""
-        run = Run(request)
+    def start(self, request: Request) -> RequestRun:
+        """Start the execution of a request."""
+        run = RequestRun(request)
         if not self.alive:
             self._end(run)
             return run
@@ -147,18 +147,20 @@
         self._advance(run)
         return run
 
-    def _advance(self, run: Run) -> None:
+    def _advance(self, run: RequestRun) -> None:
         pipeline = run.request.pipeline
         for stage in find_ready(pipeline, run.begun, run.results):
             run.begun.add(stage.name)
             stage_run = StageRun(run, stage, self.clock.now(), self.plan(run, stage))
             run.stages.append(stage_run)
-            self._ask(stage_run, retry=False)
+            self._request_grant(stage_run, retry=False)
         if len(run.results) == len(pipeline.stages):
             run.answered = True
             self._end(run)
 
-    def _ask(self, stage_run: StageRun, *, retry: bool, hedge: bool = False) -> None:
+    def _request_grant(
+        self, stage_run: StageRun, *, retry: bool, hedge: bool = False
+    ) -> None:
         ticket = self._create_ticket(stage_run, retry=retry)
         received: list[bool] = []
 
@@ -191,7 +193,7 @@
         )
 
     def find_priority(self, request: Request) -> int:
-        """Return the priority of a request's calls."""
+        """Return the scheduling priority of a request's calls."""
         return 0
 
     def _receive(
@@ -199,13 +201,13 @@
     ) -> None:
         run = stage_run.run
         if isinstance(result, Err):
-            if hedge or run.over or stage_run.open:
+            if hedge or run.ended or stage_run.open_attempts:
                 return
             run.refusal = result.err_value
             self._end(run)
             return
         grant = result.ok_value
-        if run.over or stage_run.done or not self.alive:
+        if run.ended or stage_run.done or not self.alive:
             self.release(grant, Outcome(OutcomeKind.ABANDONED, 0.0))
             return
         self._call(stage_run, grant)
@@ -217,12 +219,14 @@
             work=run.request.work[name],
             priority=grant.ticket.priority,
             on_done=lambda: self._answer(stage_run, attempt),
-            on_cut=lambda: self._fail(stage_run, attempt, FailureKind.DISCONNECTED),
-            on_first_token=lambda: self._note_first_token(stage_run, attempt),
+            on_disconnect=lambda: self._fail(
+                stage_run, attempt, FailureKind.DISCONNECTED
+            ),
+            on_first_token=lambda: self._handle_first_token(stage_run, attempt),
         )
         attempt = Attempt(grant, call, self.clock.now())
         stage_run.attempts += 1
-        stage_run.open.append(attempt)
+        stage_run.open_attempts.append(attempt)
         run.calls.append((name, call))
         self.fleet.send(
             self.data_centre,
@@ -234,53 +238,53 @@
                 FailureKind.CONNECT if not_run else FailureKind.STALLED,
             ),
         )
-        self._plan_backup(stage_run, attempt)
+        self._schedule_hedge(stage_run, attempt)
 
-    def _plan_backup(self, stage_run: StageRun, attempt: Attempt) -> None:
+    def _schedule_hedge(self, stage_run: StageRun, attempt: Attempt) -> None:
         if not stage_run.stage.repeatable:
             return
         streamed = stage_run.run.request.arrival.stream
         if streamed and stage_run.attempts > 1:
-            # the calls that may be made are better spent on waiting
+            # attempts are limited: waiting is better than restarting a stream again
             return
-        patience = self.find_patience(attempt.grant)
-        if patience is None:
+        hedge_delay = self.find_hedge_delay(attempt.grant)
+        if hedge_delay is None:
             return
-        self.clock.call_later(patience, lambda: self._back_up(stage_run, attempt))
+        self.clock.call_later(hedge_delay, lambda: self._send_hedge(stage_run, attempt))
 
-    def _back_up(self, stage_run: StageRun, attempt: Attempt) -> None:
+    def _send_hedge(self, stage_run: StageRun, attempt: Attempt) -> None:
         run = stage_run.run
-        if run.over or stage_run.open != [attempt]:
+        if run.ended or stage_run.open_attempts != [attempt]:
             return
         if run.request.arrival.stream:
-            if attempt.call.given:
+            if attempt.call.generated_tokens:
                 return
-            # two streams at once could differ: the first one is given up
+            # two concurrent streams could differ in tokens: cancel the first
             model = self.fleet.models[attempt.grant.target.target_id]
             model.cancel(attempt.call)
             self._fail(stage_run, attempt, FailureKind.STALLED)
             return
         run.hedges += 1
         stage_run.excluded |= {attempt.grant.target.target_id}
-        self._ask(stage_run, retry=True, hedge=True)
+        self._request_grant(stage_run, retry=True, hedge=True)
 
-    def _note_first_token(self, stage_run: StageRun, attempt: Attempt) -> None:
+    def _handle_first_token(self, stage_run: StageRun, attempt: Attempt) -> None:
         run = stage_run.run
-        if run.over or not run.request.arrival.stream:
+        if run.ended or not run.request.arrival.stream:
             return
         now = self.clock.now()
-        self.note_first_token(attempt.grant, now - attempt.started)
+        self.record_first_token(attempt.grant, now - attempt.started)
         if run.first_token is None:
             run.first_token = now
 
     def _answer(self, stage_run: StageRun, attempt: Attempt) -> None:
-        if attempt not in stage_run.open:
+        if attempt not in stage_run.open_attempts:
             return
-        stage_run.open.remove(attempt)
+        stage_run.open_attempts.remove(attempt)
         attempt.call.answered = True
         seconds = self.clock.now() - attempt.started
         self.directory.record_call(attempt.grant.target.target_id, answered=True)
-        self._close(stage_run)
+        self._cancel_attempts(stage_run)
         stage_run.done = True
         stage_run.run.results.add(stage_run.stage.name)
         tokens = self._count_tokens(stage_run, attempt)
@@ -289,10 +293,10 @@
         self._advance(stage_run.run)
 
     def _fail(self, stage_run: StageRun, attempt: Attempt, kind: FailureKind) -> None:
-        if attempt not in stage_run.open:
+        if attempt not in stage_run.open_attempts:
             return
-        stage_run.open.remove(attempt)
-        attempt.call.over = True
+        stage_run.open_attempts.remove(attempt)
+        attempt.call.ended = True
         target_id = attempt.grant.target.target_id
         model = self.fleet.models[target_id]
         if kind is FailureKind.CONNECT and model.reachable:
@@ -302,7 +306,7 @@
         seconds = self.clock.now() - attempt.started
         outcome = _OUTCOMES.get(kind, OutcomeKind.FAILURE)
         self.release(attempt.grant, Outcome(outcome, seconds))
-        if stage_run.open or stage_run.run.over:
+        if stage_run.open_attempts or stage_run.run.ended:
             return
         self._retry(stage_run, target_id, kind)
 
@@ -310,51 +314,51 @@
         run = stage_run.run
         not_run = kind in (FailureKind.CONNECT, FailureKind.TARGET_REFUSED)
         verdict = Verdict.NOT_RUN if not_run else Verdict.MAY_HAVE_RUN
-        given_up = decide_retry(
+        stop_reason = decide_retry(
             self._rules,
             CallFailure(kind=kind, verdict=verdict, message=""),
             repeatable=stage_run.stage.repeatable,
             attempts=stage_run.attempts,
             remaining=run.request.deadline - self.clock.now(),
         )
-        if given_up is not None:
+        if stop_reason is not None:
             self._end(run)
             return
         run.retries += 1
         stage_run.excluded |= {target_id}
-        self._ask(stage_run, retry=True)
+        self._request_grant(stage_run, retry=True)
 
     def _count_tokens(self, stage_run: StageRun, attempt: Attempt) -> int:
         streamed = stage_run.run.request.arrival.stream
-        return attempt.call.given if streamed else 0
+        return attempt.call.generated_tokens if streamed else 0
 
-    def _close(self, stage_run: StageRun) -> None:
-        """Cancel the calls of a stage that are still open, and its ticket."""
+    def _cancel_attempts(self, stage_run: StageRun) -> None:
+        """Cancel the open attempts of a stage and its pending ticket."""
         if stage_run.waiting is not None:
-            self.withdraw(stage_run.waiting)
+            self.cancel_pending(stage_run.waiting)
             stage_run.waiting = None
-        for attempt in stage_run.open:
+        for attempt in stage_run.open_attempts:
             model = self.fleet.models[attempt.grant.target.target_id]
             model.cancel(attempt.call)
             seconds = self.clock.now() - attempt.started
             tokens = self._count_tokens(stage_run, attempt)
             outcome = Outcome(OutcomeKind.ABANDONED, seconds, tokens)
             self.release(attempt.grant, outcome)
-        stage_run.open.clear()
+        stage_run.open_attempts.clear()
 
-    def _end(self, run: Run) -> None:
-        if run.over:
+    def _end(self, run: RequestRun) -> None:
+        if run.ended:
             return
         run.finished = self.clock.now()
         for stage_run in run.stages:
-            self._close(stage_run)
-        self.note_end(run)
+            self._cancel_attempts(stage_run)
+        self.handle_end(run)
 
 
-def drive(coroutine) -> Result[Grant, Refusal]:
-    """Return the result of a coroutine that never waits."""
+def run_synchronously(coroutine) -> Result[Grant, Refusal]:
+    """Run a coroutine that never suspends and return its result."""
     try:
         coroutine.send(None)
     except StopIteration as stop:
         return stop.value
-    raise RuntimeError("the coroutine waits")
+    raise RuntimeError(f"coroutine {coroutine} suspended instead of returning")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/models.py
@@ -1,4 +1,4 @@
-"""Models of targets: engines that batch continuously, and pools of workers."""
+"""Models of targets: engines with continuous batching, and worker pools."""
 
 from __future__ import annotations
 
@@ -16,50 +16,50 @@
 
 __all__ = ("EngineModel", "EngineRule", "ModelCall", "PoolModel", "TargetModel", "Work")
 
-#: calls that may wait at a target; more are refused as not run
+#: capacity of a target's queue; calls beyond it are refused as not run
 QUEUE_BOUND = 64
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Work:
-    """What one stage of one request asks of its target."""
+    """The demand of one stage of a request on its target."""
 
-    #: seconds of a worker, for pools
+    #: service time of a worker in seconds, for pools
     seconds: float = 0.0
-    #: tokens to generate, for engines
+    #: number of tokens to generate, for engines
     tokens: int = 0
     prefix: str = ""
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class ModelCall:
-    """A call at a target."""
+    """A call that a target has received."""
 
     work: Work
     priority: int
     on_done: Callable[[], None]
-    #: called if the target dies while it holds the call
-    on_cut: Callable[[], None]
+    #: called if the target fails with the call queued or running
+    on_disconnect: Callable[[], None]
     on_first_token: Callable[[], None] = lambda: None
-    over: bool = False
-    #: whether its answer was used
+    ended: bool = False
+    #: whether the entry instance used its answer
     answered: bool = False
-    given: int = 0
-    #: seconds of the target's time used up so far
+    generated_tokens: int = 0
+    #: seconds of target time consumed so far
     cost: float = 0.0
 
 
 class TargetModel(ABC):
-    """A target; ``slow`` multiplies all its times."""
+    """Base of the models of targets; ``slow`` multiplies all service times."""
 
     def __init__(self, target: Target, clock: EventClock, capacity: int) -> None:
         self.target = target
         self.clock = clock
         self.capacity = capacity
         self.slow = 1.0
-        #: refuses connections, and its calls are cut
+        #: refuses connections; its calls were disconnected
         self.dead = False
-        #: answers nothing at all any more
+        #: no longer answers any call, as in a network partition
         self.silent = False
         self.active: list[ModelCall] = []
         self.waiting: list[tuple[int, int, ModelCall]] = []
@@ -67,13 +67,13 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether a call to it comes to anything."""
+        """Whether the target answers calls."""
         return not (self.dead or self.silent)
 
     def submit(self, call: ModelCall) -> bool:
-        """Take in a call; ``False`` if too many wait."""
+        """Enqueue a call; ``False`` if the queue is full."""
         if len(self.waiting) >= QUEUE_BOUND:
-            self.waiting = [entry for entry in self.waiting if not entry[2].over]
+            self.waiting = [entry for entry in self.waiting if not entry[2].ended]
             heapq.heapify(self.waiting)
         if len(self.waiting) >= QUEUE_BOUND:
             return False
@@ -83,65 +83,65 @@
         return True
 
     def cancel(self, call: ModelCall) -> None:
-        """Stop a call."""
-        call.over = True
+        """Cancel a call."""
+        call.ended = True
 
     def kill(self) -> None:
-        """End the target; all its calls are cut."""
+        """Fail the target and disconnect all its calls."""
         self.dead = True
         calls = [*self.active, *(call for _, _, call in self.waiting)]
         self.active, self.waiting = [], []
         for call in calls:
-            if not call.over:
-                call.over = True
-                call.on_cut()
+            if not call.ended:
+                call.ended = True
+                call.on_disconnect()
 
     def report(self) -> LoadReport:
-        """Return the load at this moment."""
+        """Return the current load."""
         return LoadReport(
-            in_flight=sum(not call.over for call in self.active),
-            queued=sum(not call.over for _, _, call in self.waiting),
+            in_flight=sum(not call.ended for call in self.active),
+            queued=sum(not call.ended for _, _, call in self.waiting),
             capacity=self.capacity,
             taken=self.clock.now(),
             cached_prefixes=self.list_prefixes(),
         )
 
     def list_prefixes(self) -> frozenset[str]:
-        """Return the prefixes that are cached."""
+        """Return the cached prompt prefixes."""
         return frozenset()
 
     def rank(self, call: ModelCall) -> int:
-        """Return the order in which waiting calls are taken; lowest first."""
+        """Return the rank of a queued call; the lowest is started first."""
         return 0
 
     @abstractmethod
     def start_waiting(self) -> None:
-        """Begin waiting calls if there is room."""
+        """Start queued calls while there is free capacity."""
 
 
 class PoolModel(TargetModel):
-    """Workers that take one call each, in the order of arrival."""
+    """A pool of workers that run one call each, first come, first served."""
 
     def start_waiting(self) -> None:
-        self.active = [call for call in self.active if not call.over]
+        self.active = [call for call in self.active if not call.ended]
         while self.waiting and len(self.active) < self.capacity and self.reachable:
             call = heapq.heappop(self.waiting)[2]
-            if call.over:
+            if call.ended:
                 continue
             self.active.append(call)
             seconds = call.work.seconds * self.slow
             self.clock.call_later(seconds, lambda c=call, s=seconds: self._end(c, s))
 
     def cancel(self, call: ModelCall) -> None:
-        # a worker can't be interrupted: it goes on, for nothing
+        # a worker can't be interrupted: it completes the call and the result is dropped
         if call not in self.active:
-            call.over = True
+            call.ended = True
         call.on_done = lambda: None
 
     def _end(self, call: ModelCall, seconds: float) -> None:
-        if call.over or not self.reachable:
+        if call.ended or not self.reachable:
             return
-        call.over = True
+        call.ended = True
         call.cost += seconds
         call.on_done()
         self.start_waiting()
@@ -149,35 +149,36 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineRule:
-    """Parameters of an engine."""
+    """Performance parameters of an engine."""
 
     capacity: int = 16
-    #: seconds of one token for a batch of one
+    #: seconds per token at a batch size of one
     token: float = 0.012
-    #: share by which each further call of a batch lengthens a step
+    #: relative increase of the step time for each further call in the batch
     growth: float = 0.1
-    #: batch beyond which memory runs short and steps lengthen by the square
-    knee: int = 10
-    shortage: float = 0.05
-    #: seconds to read a prompt, and the share of it if its prefix is cached
+    #: batch size beyond which memory pressure adds time quadratic in the excess
+    soft_batch_limit: int = 10
+    #: relative increase of the step time by the square of that excess
+    memory_penalty: float = 0.05
+    #: seconds to prefill a prompt, and the share of it that is left on a cache hit
     prefill: float = 0.06
-    hit_share: float = 0.1
+    cache_hit_factor: float = 0.1
     cache_entries: int = 8
 
     def measure_step(self, size: int) -> float:
-        """Return the seconds of one step of a batch, without prompts."""
-        excess = max(0, size - self.knee)
-        growth = self.growth * (size - 1) + self.shortage * excess * excess
+        """Return the decode seconds of one step of a batch, without prefill."""
+        excess = max(0, size - self.soft_batch_limit)
+        growth = self.growth * (size - 1) + self.memory_penalty * excess * excess
         return self.token * (1 + growth)
 
     def find_best_batch(self) -> int:
-        """Return the batch that gives the most tokens a second."""
+        """Return the batch size with the highest token throughput."""
         sizes = range(1, self.capacity + 1)
         return max(sizes, key=lambda size: size / self.measure_step(size))
 
 
 class EngineModel(TargetModel):
-    """An engine: calls join and leave its batch at each step."""
+    """An engine with continuous batching: calls join and leave at each step."""
 
     def __init__(self, target: Target, clock: EventClock, rule: EngineRule) -> None:
         super().__init__(target, clock, rule.capacity)
@@ -199,7 +200,7 @@
         self._stepping = False
         if not self.reachable:
             return
-        self.active = [call for call in self.active if not call.over]
+        self.active = [call for call in self.active if not call.ended]
         seconds = self._admit()
         if not self.active:
             return
@@ -212,11 +213,13 @@
         seconds = 0.0
         while self.waiting and len(self.active) < self.capacity:
             call = heapq.heappop(self.waiting)[2]
-            if call.over:
+            if call.ended:
                 continue
             self.active.append(call)
             hit = self._use(call.work.prefix)
-            seconds += self._rule.prefill * (self._rule.hit_share if hit else 1.0)
+            seconds += self._rule.prefill * (
+                self._rule.cache_hit_factor if hit else 1.0
+            )
         return seconds
 
     def _end_step(self, seconds: float) -> None:
@@ -225,13 +228,13 @@
         share = seconds / max(1, len(self.active))
         for call in self.active:
             call.cost += share
-            if call.over:
+            if call.ended:
                 continue
-            call.given += 1
-            if call.given == 1:
+            call.generated_tokens += 1
+            if call.generated_tokens == 1:
                 call.on_first_token()
-            if call.given >= call.work.tokens:
-                call.over = True
+            if call.generated_tokens >= call.work.tokens:
+                call.ended = True
                 call.on_done()
         self._step()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/plots.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/plots.py
@@ -1,4 +1,4 @@
-"""The figures of experiments as plots."""
+"""Plots of the results of experiments."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 __all__ = ("draw_attainment",)
 
-#: without an id made from the time, equal figures give equal files
+#: a fixed salt makes element ids, and so the files, reproducible
 matplotlib.use("svg")
 matplotlib.rcParams["svg.hashsalt"] = "greengagelatch"
 matplotlib.rcParams["svg.fonttype"] = "none"
 
 
 def draw_attainment(comparisons: Sequence[Comparison], path: Path) -> None:
-    """Draw the attainment of all scenarios of one fleet."""
+    """Plot the attainment of all scenarios of one fleet."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(8, 3.6), layout="constrained")
@@ -37,10 +37,10 @@
         spreads = [spread(row) for row in rows]
         places = [place + index * width for place in range(len(names))]
         errors = [
-            [each.middle - each.least for each in spreads],
-            [each.most - each.middle for each in spreads],
+            [each.median_value - each.minimum for each in spreads],
+            [each.maximum - each.median_value for each in spreads],
         ]
-        middles = [each.middle for each in spreads]
+        middles = [each.median_value for each in spreads]
         axes.bar(places, middles, width, yerr=errors, label=label)
     axes.set_xticks([place + width for place in range(len(names))], names, rotation=30)
     axes.set_ylabel("attainment")
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/tables.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/experiment/tables.py
@@ -1,11 +1,17 @@
-"""The figures of experiments as tables of a page."""
+"""Results of experiments as a Markdown page of tables."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 
 from .comparison import COMPARED, Comparison, spread
-from .scenarios import BALANCER_LAG, ENTRIES, FAULT_AT, MEASURED, WARM_UP
+from .scenarios import (
+    BALANCER_LAG,
+    ENTRIES_PER_DATA_CENTRE,
+    FAULT_AT,
+    MEASURED,
+    WARM_UP,
+)
 from .summary import Summary
 
 __all__ = ("build_page",)
@@ -13,29 +19,30 @@
 HEAD = """# Load: decisions under load, measured
 
 Made by `make bench`; the decision code runs against modelled targets, see
-`greengagelatch_lab.experiment`. Figures are medians over {seeds} seeds, with the least
-and the most in brackets. Load 1.0 fills the engines while no prompt prefix is cached.
+`greengagelatch_lab.experiment`. Figures are medians over {seeds} seeds, with minimum
+and maximum in brackets. Load 1.0 fills the engines while no prompt prefix is cached.
 There are {entries} entry instances in each data centre; {warm_up:g} s of moderate load
-go before the {measured:g} s that count. Faults begin after {fault:g} s and last; the
-balancer sends to dead instances for {lag:g} s more. An engine with a batch of n takes
-12 ms * (1 + 0.1 (n - 1) + 0.05 max(0, n - 10)^2) for a token of each, tells a capacity
-of 16 and caches 8 prefixes; load reports come once a second, 0.25 s late.
-
-Attainment is the share of requests answered whole within their deadline. The bound
-knows the whole trace and takes all targets of a service as one, every prefix as cached
-and every batch as the best; no policy can reach it under overload. "Informed" is the
-same code in one instance that takes all requests and sees all loads at once: the
-difference to it is the price of many instances that have to guess. Wasted is the share
-of the targets' seconds spent on calls whose request was not attained.
+precede the measured {measured:g} s. Faults begin after {fault:g} s and persist; the
+load balancer sends to failed instances for {lag:g} s more. An engine with a batch of n
+takes 12 ms * (1 + 0.1 (n - 1) + 0.05 max(0, n - 10)^2) for a token of each, reports
+a capacity of 16 and caches 8 prefixes; load reports come once a second, 0.25 s late.
+
+Attainment is the share of requests answered in full within their deadline. The bound
+is computed from the whole trace, with all targets of a service pooled, every prefix
+cached and every batch of optimal size; no policy can reach it under overload.
+"Informed" is the same code in one instance that takes all requests and sees all loads
+at once: the difference to it is the cost of many instances with partial and stale
+information. Wasted is the share of target seconds spent on calls whose request was not
+attained.
 """
 
 
 def build_page(comparisons: Sequence[Comparison], seeds: int) -> str:
-    """Return the page."""
+    """Build the Markdown page."""
     lines = [
         HEAD.format(
             seeds=seeds,
-            entries=ENTRIES,
+            entries=ENTRIES_PER_DATA_CENTRE,
             warm_up=WARM_UP,
             measured=MEASURED,
             fault=FAULT_AT,
@@ -125,7 +132,9 @@
         for name in names:
             useful = [s.useful.get(name, 0.0) for s in each.summaries["ours"]]
             wasted = [s.wasted.get(name, 0.0) for s in each.summaries["ours"]]
-            cells.append(f"{spread(useful).middle:.0f} + {spread(wasted).middle:.1f}")
+            cells.append(
+                f"{spread(useful).median_value:.0f} + {spread(wasted).median_value:.1f}"
+            )
         rows.append([each.scenario.name, *cells])
     title = "Cost by stage, ours: target seconds useful + wasted"
     return _build_table(title, ["scenario", *names], rows)
@@ -166,12 +175,12 @@
 
 def _show(values: Sequence[float], digits: int = 3) -> str:
     found = spread(values)
-    middle = f"{found.middle:.{digits}f}"
-    if found.least == found.most:
-        return middle
-    return f"{middle} ({found.least:.{digits}f}-{found.most:.{digits}f})"
+    median_value = f"{found.median_value:.{digits}f}"
+    if found.minimum == found.maximum:
+        return median_value
+    return f"{median_value} ({found.minimum:.{digits}f}-{found.maximum:.{digits}f})"
 
 
 def _show_percentiles(values: Sequence[tuple[float, float, float]]) -> str:
     columns = zip(*values, strict=True)
-    return " ".join(f"{spread(column).middle:.2f}" for column in columns)
+    return " ".join(f"{spread(column).median_value:.2f}" for column in columns)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/models.py
@@ -1,4 +1,4 @@
-"""Makers and engines in virtual time."""
+"""Models of makers and engines in virtual time."""
 
 from __future__ import annotations
 
@@ -18,67 +18,67 @@
 
     from greengagelatch.relay.pieces import Piece
 
-    from .network import Machine
+    from .network import ModelHost
     from .shapes import MakerShape, StageShape
 
-__all__ = ("Engine", "Maker", "ModelCodec", "ModelLinks", "Results")
+__all__ = ("Engine", "Maker", "ModelCodec", "ModelConnections", "ResultTable")
 
-#: bytes that a link carries in a second
-LINK_BYTES = 10_000e6 / 8
-#: seconds of one way between two processes
-ONE_WAY = 0.0006
-#: seconds until a connection to a lost maker fails
-UNREACHABLE = 0.3
-#: bytes of a call, of each piece that it asks for, and of each handle that it names
+#: bandwidth of a link, in bytes per second
+LINK_BYTES_PER_SECOND = 10_000e6 / 8
+#: one-way network latency between two processes, in seconds
+ONE_WAY_SECONDS = 0.0006
+#: seconds until a connection to an unreachable maker fails
+CONNECT_TIMEOUT = 0.3
+#: bytes of a call's frame, of each requested piece and of each result handle in it
 CALL_BYTES = 250
 PIECE_BYTES = 78
 HANDLE_BYTES = 31
-#: processor seconds of one core to make a call, and again to read its answer
-CALL_WORK = 0.0006
-#: share by which the time of a call varies to either side
-VARIATION = 0.08
-#: prompt tokens that an engine reads in a second
-READ_TOKENS = 41_400.0
-#: seconds of one step of an engine
-STEP = 0.006
-#: seconds for which a prompt part is kept
-PART_LIFE = 30.0
+#: CPU seconds of one core to send a call, and the same again to read its response
+CALL_CPU_SECONDS = 0.0006
+#: relative jitter of a call's duration, in either direction
+CALL_JITTER = 0.08
+#: prefill rate of an engine, in prompt tokens per second
+PREFILL_TOKENS_PER_SECOND = 41_400.0
+#: seconds of one decode step of an engine
+STEP_SECONDS = 0.006
+#: seconds for which an engine caches a prompt part
+PART_CACHE_SECONDS = 30.0
 
 
 @dataclass(slots=True)
-class Result:
-    """A result that lies at its maker."""
+class StoredResult:
+    """A result held in the memory of the maker that produced it."""
 
     maker: Maker
     size: int
-    until: float
+    expires_at: float
 
 
 @dataclass(slots=True)
-class Results:
-    """All results that exist, by handle, and what became of the work on them."""
+class ResultTable:
+    """All results in makers' memory by handle, with counts of their use."""
 
-    held: dict[str, Result] = field(default_factory=dict)
-    #: bytes that crossed data centres
+    held: dict[str, StoredResult] = field(default_factory=dict)
+    #: bytes fetched from another data centre
     moved_bytes: float = 0.0
-    #: results that were never read
+    #: results dropped without having been read
     unread: int = 0
-    made: int = 0
-    read: set[str] = field(default_factory=set)
-    numbers: count = field(default_factory=count)
+    produced: int = 0
+    read_handles: set[str] = field(default_factory=set)
+    handle_numbers: count = field(default_factory=count)
 
     def drop(self, handle: str) -> None:
-        """Remove a result; its room is free."""
+        """Remove a result and free its memory at the maker."""
         result = self.held.pop(handle, None)
         if result is None:
             return
-        result.maker.used -= result.size
-        if handle not in self.read:
+        result.maker.used_bytes -= result.size
+        if handle not in self.read_handles:
             self.unread += 1
-        self.read.discard(handle)
+        self.read_handles.discard(handle)
 
-    def read_all(self, handles: tuple[str, ...], data_centre: str) -> float | None:
-        """Return the seconds of fetching results; ``None`` if one is gone."""
+    def fetch(self, handles: tuple[str, ...], data_centre: str) -> float | None:
+        """Return the seconds to fetch results; ``None`` if one no longer exists."""
         size = 0
         for handle in handles:
             result = self.held.get(handle)
@@ -87,60 +87,60 @@
             size += result.size
             if result.maker.data_centre != data_centre:
                 self.moved_bytes += result.size
-        self.read.update(handles)
-        return size / LINK_BYTES
+        self.read_handles.update(handles)
+        return size / LINK_BYTES_PER_SECOND
 
 
 class Maker:
-    """One maker: a call at a time, and room for few results."""
+    """One maker: runs one call at a time and has limited memory for results."""
 
     def __init__(
         self,
         shape: MakerShape,
         address: str,
         data_centre: str,
-        results: Results,
+        results: ResultTable,
         random_source: random.Random,
     ) -> None:
         self.shape = shape
         self.address = address
         self.data_centre = data_centre
-        self.used = 0.0
+        self.used_bytes = 0.0
         self.lost = False
         self.busy_seconds = 0.0
         self.calls = 0
         self.pieces = 0
         self._results = results
         self._random = random_source
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def run(
         self,
         pieces: tuple[Piece, ...],
         remaining: tuple[float, ...],
         sizes: tuple[int, ...],
-        works: tuple[float, ...],
+        duration_factors: tuple[float, ...],
     ) -> tuple[PieceResult, ...]:
-        """Make pieces when their turn comes.
+        """Run pieces as one batch, after the calls queued before it.
 
-        :param works: time of each, as a multiple of the usual one
+        :param duration_factors: duration of each piece, in item times of its service
         """
         loop = asyncio.get_running_loop()
-        came = loop.time()
-        async with self._turn:
-            waited = loop.time() - came
+        arrived_at = loop.time()
+        async with self._lock:
+            waited = loop.time() - arrived_at
             outcomes = [
-                self._begin(piece, left - waited, size)
-                for piece, left, size in zip(pieces, remaining, sizes, strict=True)
+                self._begin(piece, time_left - waited, size)
+                for piece, time_left, size in zip(pieces, remaining, sizes, strict=True)
             ]
             fetching = sum(seconds for seconds, _ in outcomes)
-            work = sum(
-                work
-                for (_, failure), work in zip(outcomes, works, strict=True)
+            total = sum(
+                factor
+                for (_, failure), factor in zip(outcomes, duration_factors, strict=True)
                 if failure is None
             )
-            seconds = self.shape.call_seconds + work * self.shape.item_seconds
-            seconds *= self._random.uniform(1 - VARIATION, 1 + VARIATION)
+            seconds = self.shape.call_seconds + total * self.shape.item_seconds
+            seconds *= self._random.uniform(1 - CALL_JITTER, 1 + CALL_JITTER)
             await asyncio.sleep(fetching + seconds)
         self.busy_seconds += seconds
         self.calls += 1
@@ -151,60 +151,63 @@
         )
 
     def _begin(
-        self, piece: Piece, left: float, size: int
+        self, piece: Piece, time_left: float, size: int
     ) -> tuple[float, PieceFailure | None]:
-        if left <= 0:
+        if time_left <= 0:
             return 0.0, PieceFailure.LATE
-        if self.used + size > self.shape.room_bytes:
+        if self.used_bytes + size > self.shape.result_memory_bytes:
             return 0.0, PieceFailure.ROOM
-        seconds = self._results.read_all(piece.inputs, self.data_centre)
+        seconds = self._results.fetch(piece.inputs, self.data_centre)
         if seconds is None:
             return 0.0, PieceFailure.GONE
-        self.used += size
+        self.used_bytes += size
         return seconds, None
 
     def _finish(self, size: int) -> PieceResult:
         loop = asyncio.get_running_loop()
-        handle = f"{self.address}/{next(self._results.numbers)}"
-        until = loop.time() + self.shape.keep_seconds
-        self._results.held[handle] = Result(self, size, until)
-        self._results.made += 1
-        loop.call_at(until, self._results.drop, handle)
+        handle = f"{self.address}/{next(self._results.handle_numbers)}"
+        expires_at = loop.time() + self.shape.retention_seconds
+        self._results.held[handle] = StoredResult(self, size, expires_at)
+        self._results.produced += 1
+        loop.call_at(expires_at, self._results.drop, handle)
         return PieceResult(handle=handle, data_centre=self.data_centre)
 
 
 class Engine:
-    """One engine: reads prompts one after the other, keeps their parts."""
+    """One engine: prefills one prompt at a time and caches prompt parts."""
 
-    def __init__(self, target_id: str, data_centre: str, results: Results) -> None:
+    def __init__(self, target_id: str, data_centre: str, results: ResultTable) -> None:
         self.target_id = target_id
         self.data_centre = data_centre
-        self.read_tokens = 0.0
+        self.prefilled_tokens = 0.0
         self._results = results
         self._parts: dict[str, float] = {}
-        self._reading = asyncio.Lock()
+        self._prefill_lock = asyncio.Lock()
 
-    async def read(
+    async def prefill(
         self, inputs: tuple[str, ...], part: str, shared: int, own: int
     ) -> bool:
-        """Wait until the first event is out; ``False`` if a result is gone."""
-        seconds = self._results.read_all(inputs, self.data_centre)
+        """Prefill a prompt up to its first event; ``False`` if an input is missing."""
+        seconds = self._results.fetch(inputs, self.data_centre)
         if seconds is None:
             return False
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(seconds + ONE_WAY)
-        async with self._reading:
-            kept = self._parts.get(part, -PART_LIFE) > loop.time() - PART_LIFE
+        await asyncio.sleep(seconds + ONE_WAY_SECONDS)
+        async with self._prefill_lock:
+            kept = (
+                self._parts.get(part, -PART_CACHE_SECONDS)
+                > loop.time() - PART_CACHE_SECONDS
+            )
             tokens = own if kept else own + shared
-            self.read_tokens += tokens
-            await asyncio.sleep(tokens / READ_TOKENS + STEP)
+            self.prefilled_tokens += tokens
+            await asyncio.sleep(tokens / PREFILL_TOKENS_PER_SECOND + STEP_SECONDS)
             self._parts[part] = loop.time()
         return True
 
 
 @dataclass(slots=True)
 class _Reply:
-    """What a maker answered, with nothing to decode."""
+    """A maker's response, which needs no decoding."""
 
     results: tuple[PieceResult, ...]
 
@@ -218,33 +221,33 @@
         pass
 
 
-class ModelLinks:
-    """Takes calls to their makers.
+class ModelConnections:
+    """Connections that deliver calls to modelled makers.
 
-    :param find_stage: returns the stage of a piece
+    :param find_stage: returns the shape of the stage that a piece belongs to
     """
 
     def __init__(
         self,
         makers: dict[str, Maker],
-        results: Results,
+        results: ResultTable,
         find_stage: Callable[[Piece], StageShape],
     ) -> None:
         self._makers = makers
         self._results = results
         self._find_stage = find_stage
 
-    def through(self, machine: Machine) -> ModelLinks:
-        """Return the same links as one instance uses them, by its own machine."""
-        return _MachineLinks(self, machine)
+    def on_host(self, host: ModelHost) -> ModelConnections:
+        """Return these connections charged to the host of one instance."""
+        return _HostConnections(self, host)
 
     async def send(self, *, address: str, outbound: OutboundRequest, **_) -> _Reply:
-        """Do what a call asks for."""
+        """Execute a call and return its response."""
         maker = self._makers[address]
         if maker.lost:
-            await asyncio.sleep(UNREACHABLE)
-            raise NotSentError("no connection in time")
-        await asyncio.sleep(ONE_WAY)
+            await asyncio.sleep(CONNECT_TIMEOUT)
+            raise NotSentError(f"no connection to {address} within {CONNECT_TIMEOUT} s")
+        await asyncio.sleep(ONE_WAY_SECONDS)
         if outbound.target == "free":
             for handle in outbound.body:
                 self._results.drop(handle)
@@ -255,29 +258,29 @@
             pieces,
             remaining,
             tuple(stage.result_bytes for stage in stages),
-            tuple(stage.work for stage in stages),
+            tuple(stage.duration_factor for stage in stages),
         )
-        await asyncio.sleep(ONE_WAY)
+        await asyncio.sleep(ONE_WAY_SECONDS)
         return _Reply(results)
 
 
-class _MachineLinks:
-    """Calls that cost their sender's processor and link."""
+class _HostConnections:
+    """Connections whose calls use the CPU and the link of the sending instance."""
 
-    def __init__(self, links: ModelLinks, machine: Machine) -> None:
-        self._links = links
-        self._machine = machine
+    def __init__(self, connections: ModelConnections, host: ModelHost) -> None:
+        self._connections = connections
+        self._host = host
 
     async def send(self, *, outbound: OutboundRequest, **details) -> _Reply:
-        await self._machine.work(CALL_WORK)
-        await self._machine.send(_count_bytes(outbound))
-        reply = await self._links.send(outbound=outbound, **details)
-        await self._machine.work(CALL_WORK)
+        await self._host.work(CALL_CPU_SECONDS)
+        await self._host.send(_estimate_size(outbound))
+        reply = await self._connections.send(outbound=outbound, **details)
+        await self._host.work(CALL_CPU_SECONDS)
         return reply
 
 
-def _count_bytes(outbound: OutboundRequest) -> int:
-    """Return about how many bytes a call takes on its way."""
+def _estimate_size(outbound: OutboundRequest) -> int:
+    """Estimate the encoded size of a call, in bytes."""
     if outbound.target == "free":
         return CALL_BYTES + len(outbound.body) * HANDLE_BYTES
     pieces, _ = outbound.body
@@ -286,7 +289,7 @@
 
 
 class ModelCodec(TargetCodec):
-    """Passes objects where the real one writes and reads bytes."""
+    """Passes objects through where a real codec encodes and decodes bytes."""
 
     def encode_request(self, request, call) -> OutboundRequest:
         raise NotImplementedError
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/network.py
@@ -1,4 +1,4 @@
-"""Entry instances of a trial, and the links between them, in virtual time."""
+"""Models of entry instances' hosts and of their peer network, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,95 +22,95 @@
 if TYPE_CHECKING:
     from .shapes import InstanceShape
 
-__all__ = ("Machine", "ModelNetwork", "ModelPeers")
+__all__ = ("ModelHost", "ModelNetwork", "ModelPeers")
 
-#: seconds of one way between two instances
-ONE_WAY = 0.0009
-#: bytes of a message's headers on its way
+#: one-way network latency between two instances, in seconds
+ONE_WAY_SECONDS = 0.0009
+#: bytes of protocol headers per message
 HEADER_BYTES = 80
-#: processor seconds of one core to send or to take in a message
-MESSAGE_SECONDS = 0.0002
-#: seconds over which the use of a link is measured
-SPAN = 1.0
+#: CPU seconds of one core to send or to receive a message
+MESSAGE_CPU_SECONDS = 0.0002
+#: seconds of the window over which link utilisation is measured
+UTILISATION_WINDOW = 1.0
 
 
-class _Queue:
-    """Something that serves one after the other, such as a processor or a link."""
+class _FifoResource:
+    """A first-come, first-served resource, such as a CPU or a link."""
 
     def __init__(self) -> None:
         self._free_at = 0.0
 
     async def use(self, seconds: float) -> None:
-        """Wait for one's turn and for so many seconds of service."""
+        """Wait in line, then occupy the resource for ``seconds``."""
         now = asyncio.get_running_loop().time()
         self._free_at = max(self._free_at, now) + seconds
         await asyncio.sleep(self._free_at - now)
 
 
-class Machine:
-    """What one instance runs on: a processor, and a link to all others."""
+class ModelHost:
+    """The host of one instance: a CPU, and a link shared by all its peers."""
 
     def __init__(self, shape: InstanceShape) -> None:
         self.capacity = Capacity(cores=shape.cores, link_bytes=shape.link_bytes)
         self.busiest_link = 0.0
-        self._processor = _Queue()
-        self._link = _Queue()
-        self._span_end = 0.0
-        self._sent = 0
+        self._processor = _FifoResource()
+        self._link = _FifoResource()
+        self._window_end = 0.0
+        self._window_bytes = 0
 
     async def work(self, seconds: float) -> None:
-        """Use so much of one core."""
+        """Use the CPU for ``seconds`` of one core."""
         await self._processor.use(seconds / self.capacity.cores)
 
     async def send(self, size: int) -> None:
-        """Send so many bytes."""
-        self._count(size)
+        """Occupy the link while ``size`` bytes are sent."""
+        self._record_sent(size)
         await self._link.use(size / self.capacity.link_bytes)
 
-    def _count(self, size: int) -> None:
+    def _record_sent(self, size: int) -> None:
         now = asyncio.get_running_loop().time()
-        if now >= self._span_end:
-            self._span_end, self._sent = now + SPAN, 0
-        self._sent += size
-        share = self._sent / (self.capacity.link_bytes * SPAN)
+        if now >= self._window_end:
+            self._window_end, self._window_bytes = now + UTILISATION_WINDOW, 0
+        self._window_bytes += size
+        share = self._window_bytes / (self.capacity.link_bytes * UTILISATION_WINDOW)
         self.busiest_link = max(self.busiest_link, share)
 
 
 class ModelNetwork:
-    """All instances of a trial."""
+    """The peer network of all instances of a trial."""
 
     def __init__(self) -> None:
         self.peers: dict[str, ModelPeers] = {}
         self._members: tuple[Member, ...] = ()
 
-    def join(self, instance_id: str, data_centre: str, machine: Machine) -> ModelPeers:
-        """Add an instance."""
-        peers = ModelPeers(self, instance_id, machine)
+    def join(self, instance_id: str, data_centre: str, host: ModelHost) -> ModelPeers:
+        """Add an instance and return its connections to the others."""
+        peers = ModelPeers(self, instance_id, host)
         self.peers[instance_id] = peers
         member = Member(
             instance_id=instance_id,
             data_centre=data_centre,
             address="",
             state=MemberState.ALIVE,
-            capacity=machine.capacity.bundles,
+            capacity=host.capacity.bundles,
         )
         self._members = (*self._members, member)
         return peers
 
     def list_members(self) -> tuple[Member, ...]:
-        """Return all instances."""
+        """Return all instances as cluster members."""
         return self._members
 
 
 class ModelPeers(PeerNetwork):
-    """One instance's end of the network."""
+    """The peer network as seen by one instance."""
 
     def __init__(
-        self, network: ModelNetwork, instance_id: str, machine: Machine
+        self, network: ModelNetwork, instance_id: str, host: ModelHost
     ) -> None:
         self._network = network
         self._instance_id = instance_id
-        self._machine = machine
+        self._host = host
         self._handlers: dict[type[Message], MessageHandler] = {}
         self._tasks: set[asyncio.Task[object]] = set()
 
@@ -135,7 +135,7 @@
         try:
             async with asyncio.timeout(timeout):
                 answer = await self._deliver(receiver, message)
-                await receiver._carry(answer, self._machine)
+                await receiver._transmit(answer, self._host)
         except TimeoutError:
             return Err(PeerError(PeerErrorKind.NO_ANSWER, "no answer in time"))
         return Ok(answer)
@@ -144,15 +144,15 @@
         self._handlers[message_type] = handler
 
     async def _deliver(self, receiver: ModelPeers, message: Message) -> Message | None:
-        await self._carry(message, receiver._machine)
+        await self._transmit(message, receiver._host)
         answer = receiver._handlers[type(message)](self._instance_id, message)
         if inspect.isawaitable(answer):
             return await asyncio.shield(asyncio.ensure_future(answer))
         return answer
 
-    async def _carry(self, message: Message, machine: Machine) -> None:
+    async def _transmit(self, message: Message, host: ModelHost) -> None:
         size = len(encode(Envelope(message))) + HEADER_BYTES
-        await self._machine.work(MESSAGE_SECONDS)
-        await self._machine.send(size)
-        await asyncio.sleep(ONE_WAY)
-        await machine.work(MESSAGE_SECONDS)
+        await self._host.work(MESSAGE_CPU_SECONDS)
+        await self._host.send(size)
+        await asyncio.sleep(ONE_WAY_SECONDS)
+        await host.work(MESSAGE_CPU_SECONDS)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/stage_load/shapes.py
@@ -1,4 +1,4 @@
-"""Fleets and loads of the experiments with stage work."""
+"""Fleets and load scenarios of the trials."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
     "CallerClass",
     "FleetShape",
     "InstanceShape",
-    "Loss",
+    "Outage",
     "MakerShape",
     "Scenario",
     "StageShape",
 )
 
-#: bytes in a megabyte of results
+#: bytes per megabyte
 MEGABYTE = 1_000_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MakerShape:
-    """The makers of one service; times in seconds."""
+    """The makers (targets that batch pieces) of one service; times in seconds."""
 
     name: str
     count: int
     batch: int
     item_seconds: float
-    room_bytes: float
+    result_memory_bytes: float
     call_seconds: float = 0.2
-    keep_seconds: float = 4.0
+    retention_seconds: float = 4.0
 
     def create_profile(self) -> MakerProfile:
-        """Return what a configuration says of these makers."""
+        """Return the profile that a deployment declares for these makers."""
         return MakerProfile(
             slots=1,
             queue=2,
             batch=self.batch,
             call_seconds=self.call_seconds,
             item_seconds=self.item_seconds,
-            result_memory_bytes=round(self.room_bytes),
-            retention_seconds=self.keep_seconds,
+            result_memory_bytes=round(self.result_memory_bytes),
+            retention_seconds=self.retention_seconds,
         )
 
 
@@ -54,33 +54,33 @@
 
     service: str
     result_bytes: int
-    #: share of the requests that have it
+    #: share of the requests that run this stage
     share: float = 1.0
-    #: mean number of pieces; numbers vary around it, up to four times as many
+    #: mean number of pieces; drawn numbers go up to four times the mean
     pieces: float = 1.0
-    #: time of a piece, as a multiple of the usual one of its service
-    work: float = 1.0
+    #: duration of a piece, as a multiple of its service's item time
+    duration_factor: float = 1.0
     after: tuple[int, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerClass:
-    """One kind of request; times in seconds."""
+    """One class of requests; times in seconds."""
 
     name: str
     per_second: float
     objective: float
     deadline: float
-    worth: float
-    late_worth: float
+    utility: float
+    late_utility: float
     priority: int
-    #: prompt tokens that other requests share, and those that are its own
+    #: prompt tokens shared with other requests, and those of the request alone
     shared_tokens: int
     own_tokens: int
-    #: subjects to which the shared parts belong
-    subjects: int
+    #: number of distinct shared prompt parts
+    shared_part_count: int
     #: seconds of generation after the first event
-    generation: float
+    generation_seconds: float
     stages: tuple[StageShape, ...] = ()
 
 
@@ -88,31 +88,31 @@
 class InstanceShape:
     """Entry instances of one size."""
 
-    #: in each data centre
+    #: instances in each data centre
     count: int
     cores: float
-    #: bytes a second
+    #: bandwidth of the link, in bytes per second
     link_bytes: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetShape:
-    """Makers, engines, entry instances and the usual load of one fleet."""
+    """Makers, engines, entry instances and baseline load of one fleet."""
 
     name: str
     data_centres: int
     engines: int
-    #: empty: one instance, which does all stage work by itself
+    #: if empty, a single instance executes all stages locally
     instances: tuple[InstanceShape, ...] = ()
     makers: tuple[MakerShape, ...]
     classes: tuple[CallerClass, ...]
-    #: those of the workspaces that callers belong to
+    #: priorities of the callers' workspaces
     workspace_priorities: tuple[int, ...] = (1,)
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """More traffic for a while; an empty name means that of all classes."""
+    """A temporary traffic increase of one class; an empty name stands for all."""
 
     caller_class: str
     begin: float
@@ -121,8 +121,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
-    """One maker of a service is lost for a while."""
+class Outage:
+    """A temporary outage of one maker of a service."""
 
     service: str
     begin: float
@@ -131,23 +131,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """What happens in one trial."""
+    """Duration, bursts and outages of one trial."""
 
     name: str
     seconds: float = 34.0
     bursts: tuple[Burst, ...] = ()
-    losses: tuple[Loss, ...] = ()
+    outages: tuple[Outage, ...] = ()
 
 
-def _list_chain(
+def _create_chain(
     services: tuple[str, str, str],
     middle_pieces: int,
     first: int = 0,
     last_pieces: int = 10,
 ) -> tuple[StageShape, ...]:
-    """Return three stages, each reading the one before; ``first`` is its number."""
+    """Return three stages in a chain; ``first`` is the index of the first of them."""
     return (
-        StageShape(service=services[0], result_bytes=8_000, work=0.3),
+        StageShape(service=services[0], result_bytes=8_000, duration_factor=0.3),
         StageShape(
             service=services[1],
             result_bytes=60_000,
@@ -163,7 +163,7 @@
     )
 
 
-def _list_classes(
+def _create_classes(
     *,
     rates: tuple[float, float, float],
     objectives: tuple[float, float, float],
@@ -172,8 +172,10 @@
     middle_pieces: int,
     chained_drafts: bool,
 ) -> tuple[CallerClass, ...]:
-    """Return drafts, summaries and short talks; either the first or the last ones
-    have the chain of stages besides their large results.
+    """Return the classes of drafts, summaries and short talks.
+
+    Summaries have a chain of stages. Either drafts or talks have it too, besides a
+    stage with large results; the other class has only the latter.
     """
     large = StageShape(
         service=services[0], result_bytes=1_500_000, pieces=2.5, share=0.7
@@ -181,20 +183,20 @@
     small = StageShape(
         service=services[0], result_bytes=1_500_000, pieces=1.5, share=0.4
     )
-    chained = (small, *_list_chain(services, middle_pieces, first=1))
+    chained = (small, *_create_chain(services, middle_pieces, first=1))
     return (
         CallerClass(
             name="draft",
             per_second=rates[0],
             objective=objectives[0],
             deadline=deadlines[0],
-            worth=3.8,
-            late_worth=0.57,
+            utility=3.8,
+            late_utility=0.57,
             priority=1,
             shared_tokens=6300,
             own_tokens=2890,
-            subjects=163,
-            generation=0.3,
+            shared_part_count=163,
+            generation_seconds=0.3,
             stages=chained if chained_drafts else (large,),
         ),
         CallerClass(
@@ -202,41 +204,42 @@
             per_second=rates[1],
             objective=objectives[1],
             deadline=deadlines[1],
-            worth=2.1,
-            late_worth=0.32,
+            utility=2.1,
+            late_utility=0.32,
             priority=0,
             shared_tokens=568,
             own_tokens=1800,
-            subjects=90,
-            generation=0.15,
-            stages=_list_chain(services, middle_pieces),
+            shared_part_count=90,
+            generation_seconds=0.15,
+            stages=_create_chain(services, middle_pieces),
         ),
         CallerClass(
             name="talk",
             per_second=rates[2],
             objective=objectives[2],
             deadline=deadlines[2],
-            worth=0.47,
-            late_worth=0.07,
+            utility=0.47,
+            late_utility=0.07,
             priority=2,
             shared_tokens=172,
             own_tokens=543,
-            subjects=136,
-            generation=1.5,
+            shared_part_count=136,
+            generation_seconds=1.5,
             stages=(large,) if chained_drafts else chained,
         ),
     )
 
 
-def _list_research_classes(
+def _create_research_classes(
     *,
     rates: tuple[float, float, float],
     objectives: tuple[float, float, float],
     deadlines: tuple[float, float, float],
-    worths: tuple[float, float, float],
+    utilities: tuple[float, float, float],
 ) -> tuple[CallerClass, ...]:
-    """Return drafts of large results, summaries with a chain of stages, and checks
-    that have both.
+    """Return the classes of drafts, summaries and checks.
+
+    Drafts have a stage with large results, summaries a chain of stages, checks both.
     """
     services = ("registry", "finance", "portal")
     chain = {"middle_pieces": 4, "last_pieces": 6}
@@ -248,13 +251,13 @@
             per_second=rates[0],
             objective=objectives[0],
             deadline=deadlines[0],
-            worth=worths[0],
-            late_worth=worths[0] * 0.15,
+            utility=utilities[0],
+            late_utility=utilities[0] * 0.15,
             priority=1,
             shared_tokens=5382,
             own_tokens=6610,
-            subjects=300,
-            generation=1.5,
+            shared_part_count=300,
+            generation_seconds=1.5,
             stages=(large,),
         ),
         CallerClass(
@@ -262,33 +265,33 @@
             per_second=rates[1],
             objective=objectives[1],
             deadline=deadlines[1],
-            worth=worths[1],
-            late_worth=worths[1] * 0.15,
+            utility=utilities[1],
+            late_utility=utilities[1] * 0.15,
             priority=0,
             shared_tokens=198,
             own_tokens=628,
-            subjects=130,
-            generation=1.2,
-            stages=_list_chain(services, **chain),
+            shared_part_count=130,
+            generation_seconds=1.2,
+            stages=_create_chain(services, **chain),
         ),
         CallerClass(
             name="check",
             per_second=rates[2],
             objective=objectives[2],
             deadline=deadlines[2],
-            worth=worths[2],
-            late_worth=worths[2] * 0.15,
+            utility=utilities[2],
+            late_utility=utilities[2] * 0.15,
             priority=2,
             shared_tokens=568,
             own_tokens=1800,
-            subjects=200,
-            generation=0.15,
-            stages=(small, *_list_chain(services, first=1, **chain)),
+            shared_part_count=200,
+            generation_seconds=0.15,
+            stages=(small, *_create_chain(services, first=1, **chain)),
         ),
     )
 
 
-def _list_makers(
+def _create_makers(
     *rows: tuple[str, int, int, float, float], call_seconds: float = 0.2
 ) -> tuple[MakerShape, ...]:
     return tuple(
@@ -297,26 +300,26 @@
             count=count,
             batch=batch,
             item_seconds=item,
-            room_bytes=room * MEGABYTE,
+            result_memory_bytes=room * MEGABYTE,
             call_seconds=call_seconds,
         )
         for name, count, batch, item, room in rows
     )
 
 
-#: the users' fleets, of today and as they will have grown
+#: the users' fleets, at their present and their projected size
 SHAPES = {
     "luzon": FleetShape(
         name="luzon",
         data_centres=3,
         engines=5,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("portal", 3, 5, 0.0336, 11.25),
             ("ledger", 3, 17, 0.0101, 2.295),
             ("audit", 3, 28, 0.00607, 0.3624),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(4.65, 5.73, 5.8),
             objectives=(1.1, 1.9, 1.7),
             deadlines=(6.0, 6.0, 20.0),
@@ -329,12 +332,12 @@
         name="kyushu",
         data_centres=3,
         engines=5,
-        makers=_list_makers(
+        makers=_create_makers(
             ("price", 3, 4, 0.042, 9.5),
             ("ledger", 3, 8, 0.02125, 1.12),
             ("alert", 3, 23, 0.00743, 0.2957),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(4.2, 5.21, 5.25),
             objectives=(2.0, 1.9, 0.79),
             deadlines=(8.0, 6.0, 15.0),
@@ -348,12 +351,12 @@
         data_centres=3,
         engines=70,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("portal", 9, 18, 0.0095, 40.0),
             ("ledger", 8, 62, 0.00277, 8.079),
             ("audit", 8, 84, 0.00204, 1.12),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(77.7, 93.4, 35.9),
             objectives=(1.135, 1.819, 1.715),
             deadlines=(6.2, 6.06, 20.2),
@@ -366,12 +369,12 @@
         name="kyushu-grown",
         data_centres=4,
         engines=45,
-        makers=_list_makers(
+        makers=_create_makers(
             ("price", 9, 14, 0.012, 32.0),
             ("ledger", 8, 34, 0.00508, 4.533),
             ("alert", 8, 76, 0.0023, 0.99),
         ),
-        classes=_list_classes(
+        classes=_create_classes(
             rates=(48.0, 59.3, 50.7),
             objectives=(2.035, 1.819, 0.805),
             deadlines=(8.1, 6.06, 15.3),
@@ -385,17 +388,17 @@
         data_centres=4,
         engines=9,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("registry", 4, 9, 0.02333, 10.93),
             ("finance", 4, 19, 0.01089, 2.153),
             ("portal", 4, 29, 0.00714, 0.3152),
             call_seconds=0.24,
         ),
-        classes=_list_research_classes(
+        classes=_create_research_classes(
             rates=(8.28, 10.6, 11.2),
             objectives=(1.4, 1.9, 2.0),
             deadlines=(15.0, 15.0, 6.0),
-            worths=(4.6, 1.5, 0.48),
+            utilities=(4.6, 1.5, 0.48),
         ),
     ),
     "mwangaza-grown": FleetShape(
@@ -403,37 +406,37 @@
         data_centres=4,
         engines=70,
         workspace_priorities=(1, 0, 1, 0, 1),
-        makers=_list_makers(
+        makers=_create_makers(
             ("registry", 9, 19, 0.01053, 22.8),
             ("finance", 8, 43, 0.00481, 4.861),
             ("portal", 8, 58, 0.0035, 0.65),
             call_seconds=0.24,
         ),
-        classes=_list_research_classes(
+        classes=_create_research_classes(
             rates=(50.5, 30.4, 85.6),
             objectives=(1.445, 1.919, 2.022),
             deadlines=(12.4, 12.1, 6.07),
-            worths=(3.6, 2.3, 0.31),
+            utilities=(3.6, 2.3, 0.31),
         ),
     ),
 }
 
-#: bytes a second of a link of one megabit
+#: bytes per second of a 1 Mbit/s link
 MEGABIT = 125_000
 
 
-def _list_instances(strong: int, small: int) -> tuple[InstanceShape, ...]:
-    """Return the instances of a grown fleet, by their number in each data centre."""
+def _create_instance_shapes(strong: int, small: int) -> tuple[InstanceShape, ...]:
+    """Return the sizes of instances, from their numbers in each data centre."""
     return (
         InstanceShape(count=strong, cores=2.15, link_bytes=100 * MEGABIT),
         InstanceShape(count=small, cores=0.516, link_bytes=5 * MEGABIT),
     )
 
 
-#: the same fleets with all their instances and the links between them
+#: the grown fleets with all entry instances and the links between these
 SHAPES |= {
     f"{name}-linked": replace(
-        SHAPES[name], name=f"{name}-linked", instances=_list_instances(*counts)
+        SHAPES[name], name=f"{name}-linked", instances=_create_instance_shapes(*counts)
     )
     for name, counts in {
         "luzon-grown": (2, 24),
@@ -442,10 +445,10 @@
     }.items()
 }
 
-#: the same of small instances only
+#: the grown fleets with small entry instances only
 SHAPES |= {
     f"{name}-small": replace(
-        SHAPES[name], name=f"{name}-small", instances=_list_instances(0, count)
+        SHAPES[name], name=f"{name}-small", instances=_create_instance_shapes(0, count)
     )
     for name, count in {
         "luzon-grown": 26,
@@ -460,7 +463,7 @@
     Burst("", 25.0, 4.0, 1.8),
 )
 
-#: loads that the decisions are for
+#: load scenarios by the name given on the command line
 SCENARIOS = {
     "calm": Scenario(name="calm"),
     "bursts": Scenario(name="bursts", bursts=_BURSTS),
@@ -473,12 +476,12 @@
         ),
     ),
     "lost-first": Scenario(
-        name="lost-first", bursts=_BURSTS, losses=(Loss(":0", 12.0, 5.0),)
+        name="lost-first", bursts=_BURSTS, outages=(Outage(":0", 12.0, 5.0),)
     ),
     "lost-second": Scenario(
-        name="lost-second", bursts=_BURSTS, losses=(Loss(":1", 13.0, 5.0),)
+        name="lost-second", bursts=_BURSTS, outages=(Outage(":1", 13.0, 5.0),)
     ),
     "lost-third": Scenario(
-        name="lost-third", bursts=_BURSTS, losses=(Loss(":2", 13.0, 5.0),)
+        name="lost-third", bursts=_BURSTS, outages=(Outage(":2", 13.0, 5.0),)
     ),
 }
--- a/tests/test_entry/test_relay/test_makers.py
+++ b/tests/test_entry/test_relay/test_makers.py
@@ -22,7 +22,7 @@
 pytestmark = pytest.mark.looptime
 
 SHAPE = MakerShape(
-    name="ledger", count=1, batch=10, item_seconds=0.01, room_bytes=10_000
+    name="ledger", count=1, batch=10, item_seconds=0.01, result_memory_bytes=10_000
 )
 PROFILE = SHAPE.create_profile()
 #: timeout of a call, in seconds
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self.clock = LoopClock()
-        self.results = models.Results()
+        self.results = models.ResultTable()
         self.model = models.Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         target = ListedTarget(
             incarnation=Incarnation("m", 1),
@@ -45,7 +45,7 @@
         self.maker = Maker(target, PROFILE, ResultMemory(10_000, 4.0))
         stage = StageShape(service="ledger", result_bytes=100)
         self.caller = MakerCaller(
-            connections=models.ModelLinks(
+            connections=models.ModelConnections(
                 {"m:1": self.model}, self.results, lambda _: stage
             ),
             codec=models.ModelCodec(),
@@ -94,13 +94,13 @@
 
 
 async def test_call_without_room_does_not_make_its_maker_seem_fast(world):
-    world.model.used = 10_000.0
+    world.model.used_bytes = 10_000.0
     assert await world.call() == {PieceFailure.ROOM}
     assert world.find_slowness() == 1.0
 
 
 async def test_call_that_waited_in_vain_shows_that_its_maker_is_slow(world):
-    async with world.model._turn:
+    async with world.model._lock:
         task = asyncio.create_task(world.call("nowhere/1"))
         await asyncio.sleep(1.0)
     assert await task == {PieceFailure.GONE}
@@ -117,7 +117,7 @@
         count=1,
         batch=10,
         item_seconds=0.005,
-        room_bytes=10_000,
+        result_memory_bytes=10_000,
         call_seconds=0.1,
     )
     assert await world.call() == {None}
--- a/tests/test_entry/test_relay/test_stage_pool.py
+++ b/tests/test_entry/test_relay/test_stage_pool.py
@@ -17,7 +17,12 @@
 from greengagelatch_entry.relay.decisions import DecisionLog
 from greengagelatch_entry.relay.prometheus import PrometheusMetrics
 from greengagelatch_entry.relay.stage_pool import RESCHEDULE_SECONDS, StagePool
-from greengagelatch_lab.stage_load.models import Maker, ModelCodec, ModelLinks, Results
+from greengagelatch_lab.stage_load.models import (
+    Maker,
+    ModelCodec,
+    ModelConnections,
+    ResultTable,
+)
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
 
@@ -25,7 +30,7 @@
 
 SERVICE = "ledger"
 SHAPE = MakerShape(
-    name=SERVICE, count=1, batch=10, item_seconds=0.01, room_bytes=1_000_000
+    name=SERVICE, count=1, batch=10, item_seconds=0.01, result_memory_bytes=1_000_000
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
@@ -73,7 +78,7 @@
         self.clock = LoopClock()
         self.policy = CountingPolicy()
         self.quarantine = FakeQuarantine()
-        self.results = Results()
+        self.results = ResultTable()
         self.maker = Maker(SHAPE, "m:1", "north", self.results, random.Random(1))
         listed = (
             ListedTarget(
@@ -97,7 +102,7 @@
                 is_superseded=lambda incarnation: False,
                 has_superseded=lambda incarnations: False,
             ),
-            connections=ModelLinks(
+            connections=ModelConnections(
                 {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
             ),
             codec=ModelCodec(),
--- a/tests/test_entry/test_relay/test_two_owners.py
+++ b/tests/test_entry/test_relay/test_two_owners.py
@@ -29,9 +29,9 @@
 from greengagelatch_lab.stage_load.models import (
     Maker,
     ModelCodec,
-    ModelLinks,
-    Result,
-    Results,
+    ModelConnections,
+    ResultTable,
+    StoredResult,
 )
 from greengagelatch_lab.stage_load.shapes import MakerShape, StageShape
 from greengagelatch_lab.stage_load.trial import LoopClock
@@ -44,7 +44,7 @@
 SERVICE = "ledger"
 WHOLE = MakerGroup(SERVICE)
 SHAPE = MakerShape(
-    name=SERVICE, count=1, batch=10, item_seconds=0.01, room_bytes=1_000_000
+    name=SERVICE, count=1, batch=10, item_seconds=0.01, result_memory_bytes=1_000_000
 )
 PROFILE = SHAPE.create_profile()
 STAGE = StageShape(service=SERVICE, result_bytes=100)
@@ -63,10 +63,10 @@
         self.clock = LoopClock()
         self.metrics = PrometheusMetrics()
         self.decisions = DecisionLog(clock=self.clock, metrics=self.metrics)
-        self.results = Results()
+        self.results = ResultTable()
         source = random.Random(1)
         self.maker = Maker(SHAPE, "m:1", "north", self.results, source)
-        self.links = ModelLinks(
+        self.links = ModelConnections(
             {"m:1": self.maker}, self.results, find_stage=lambda piece: STAGE
         )
         self.target = ListedTarget(
@@ -147,8 +147,8 @@
 
     def add_input(self, handle: str) -> None:
         until = self.clock.now() + STABLE_SECONDS
-        self.results.held[handle] = Result(self.maker, 100, until)
-        self.maker.used += 100
+        self.results.held[handle] = StoredResult(self.maker, 100, until)
+        self.maker.used_bytes += 100
 
     def create_bundle(self, request_id: str) -> Bundle:
         """Return a bundle of four pieces that read one result."""
--- a/tests/test_lab/test_experiment/test_scenarios.py
+++ b/tests/test_lab/test_experiment/test_scenarios.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from greengagelatch_lab.experiment.bound import bound_attainment
+from greengagelatch_lab.experiment.bound import compute_attainment_bound
 from greengagelatch_lab.experiment.policies import NaiveEntry, SchedulingEntry
 from greengagelatch_lab.experiment.scenarios import (
     SCENARIOS,
@@ -24,10 +24,10 @@
 
 
 def test_no_short_call_is_late_at_full_load():
-    """A booking misses its deadline behind shift-plan drafts.
+    """Guards against short calls missing their deadline behind long drafts.
 
-    The engines are filled with drafts, while bookings, status calls and profile
-    checks come between.
+    The engines are saturated with shift-plan drafts when bookings, status calls and
+    profile checks arrive.
     """
     trial = run_trial(LUZON, BY_NAME["load-1.0"], SchedulingEntry, 3)
     by_pipeline = summarise(trial).by_pipeline
@@ -36,9 +36,9 @@
 
 
 def test_overload_with_faults_costs_less_and_answers_more_than_without_limits():
-    """Under overload the engines work mostly for requests that are never answered.
+    """Guards against engines wasting most of their time on unanswered requests.
 
-    One engine has become slow and one has died, at more load than all could do.
+    One engine is slow and one has failed, at a load beyond the capacity of all engines.
     """
     scenario = BY_NAME["load-1.3-slow-failed"]
     ours = summarise(run_trial(KYUSHU, scenario, SchedulingEntry, 4))
@@ -53,4 +53,4 @@
         name="hard", load=2.5, faults=(Fault(FaultKind.DEAD), Fault(FaultKind.SLOW, 1))
     )
     trial = run_trial(KYUSHU, scenario, SchedulingEntry, 2)
-    assert summarise(trial).attainment <= bound_attainment(trial) < 1.0
+    assert summarise(trial).attainment <= compute_attainment_bound(trial) < 1.0
