--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/__init__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/__init__.py
@@ -1,1 +1,1 @@
-"""The fault matrix: real entry instances in one process, and faults at each step."""
+"""The fault matrix: injects each fault at each step of a simulated fleet."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/__main__.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/__main__.py
@@ -9,12 +9,12 @@
 from .cells import list_cells, list_pairs
 from .table import Outcome, format_attainment, format_json, format_table, run_cells
 
-#: reasons shown for one cell
+#: maximum number of violations printed for one failed cell
 MAX_SHOWN = 4
 
 
 def main() -> int:
-    """Run the matrix, print its table and, last, a line of JSON."""
+    """Run the matrix and print its result tables, followed by a line of JSON."""
     options = _read_options()
     seeds = range(options.first_seed, options.first_seed + options.seeds)
     cells = list_cells()
@@ -39,12 +39,18 @@
 
 def _read_options() -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=1, help="runs of each cell")
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of seeds to run each cell with"
+    )
     parser.add_argument("--first-seed", type=int, default=1)
     parser.add_argument("--workers", type=int, default=2)
-    parser.add_argument("--only", default="", help="part of the cells' names")
     parser.add_argument(
-        "--pairs", action="store_true", help="also two faults at the costly steps"
+        "--only", default="", help="run only cells whose name contains this text"
+    )
+    parser.add_argument(
+        "--pairs",
+        action="store_true",
+        help="also run pairs of faults at selected steps",
     )
     return parser.parse_args()
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -1,4 +1,4 @@
-"""Three entry instances, targets, platform and callers in one event loop."""
+"""Simulated fleet: instances, targets, platform and clients in one event loop."""
 
 from __future__ import annotations
 
@@ -43,25 +43,25 @@
 SOUTH = "south"
 #: data centre of each entry instance
 PLACES = (NORTH, NORTH, SOUTH)
-#: the same with one instance that does not watch the configuration in the store
+#: the same with an additional instance that does not watch the configuration head
 PLACES_WITH_SPARE = (NORTH, NORTH, NORTH, SOUTH)
 #: data centre of each replica of a service
 REPLICAS = (NORTH, NORTH, SOUTH)
 
-#: beginning of the keys of leases; data centre and service follow
+#: key prefix of leases, followed by data centre and service
 LEASES = "leases/"
 WRITES = frozenset({"swap", "delete", "revoke"})
-#: seconds between two looks at which generations are in force
+#: seconds between two polls of the generations in force
 WATCH_INTERVAL = 0.1
-#: seconds by which the list always lags
+#: replication lag of the instance list, in seconds
 LAG = 0.2
-#: seconds until the first generation is to be in force everywhere
+#: seconds within which the first generation must be in force on all instances
 START_LIMIT = 20.0
 
 
 @dataclass(slots=True, eq=False)
 class Change:
-    """One change that an operator asked for."""
+    """A configuration change submitted by an operator."""
 
     change_id: str
     instance: str
@@ -72,11 +72,11 @@
 
 
 class Bench:
-    """All parts of one run; everything random comes from its seed.
+    """All components of one run; all randomness derives from the seed.
 
-    :param create: makes one entry instance of the system that is looked at
+    :param create: factory of the entry instances under test
     :param places: data centre of each entry instance
-    :param engines_check: whether engines check fencing numbers
+    :param engines_check: whether engines reject stale fencing tokens
     """
 
     def __init__(
@@ -99,14 +99,14 @@
         self.record = TargetRecord()
         #: targets by address
         self.targets: dict[str, FleetTarget] = {}
-        #: marker of each request by its id
+        #: marker of each request by request id
         self.markers: dict[str, str] = {}
         self.asks: list[Ask] = []
         self.callers: list[Caller] = []
         self.changes: list[Change] = []
-        #: number of coming writes that take effect and get no answer
+        #: number of upcoming writes that are applied but whose responses are lost
         self.lost_answers = 0
-        #: markers of requests that nothing excuses from a result
+        #: markers of requests sent after the faults, which must all succeed
         self.last: set[str] = set()
         self._changing: dict[str, str] = {}
         self._keys: dict[bytes, str] = {}
@@ -119,7 +119,7 @@
         ]
 
     async def start(self) -> None:
-        """Start everything, and wait until the first configuration is in force."""
+        """Start all instances and wait until the first configuration is in force."""
         for instance in self.instances:
             instance.start()
         await asyncio.sleep(0.5)
@@ -133,17 +133,17 @@
         )
 
     async def finish(self) -> None:
-        """Wait until all callers have their answers."""
+        """Wait until all clients have finished."""
         await asyncio.gather(*self._calls)
 
     def find(self, name: str) -> ServingInstance:
-        """Return the instance with a name."""
+        """Return the instance named ``name``."""
         return next(one for one in self.instances if one.name == name)
 
-    # callers
+    # clients
 
     def call(self, wish: Wish, *instances: ServingInstance) -> Caller:
-        """Start a caller that asks the given instances one after the other."""
+        """Start a client that tries the given instances in turn."""
         caller = Caller(self, wish)
         self.callers.append(caller)
         if wish.keyed:
@@ -152,12 +152,12 @@
         return caller
 
     def send(self, ask: Ask, instance: ServingInstance) -> None:
-        """Carry a request to an instance."""
+        """Deliver a request to an instance, or refuse the connection."""
         if not instance.front.listening:
             ask.refused = True
             ask.over.set()
             return
-        # callers are in the data centre of the instance they ask
+        # clients are in the data centre of their instance, so that no latency is added
         instance.process.deliver(instance.front.accept, ask)
 
     # operators
@@ -165,7 +165,7 @@
     def submit(
         self, instance: ServingInstance, change_id: str, labels: dict[str, str]
     ) -> Change:
-        """Have an operator change the labels of the spare workspace."""
+        """Submit a change of the spare workspace's labels."""
         objects = (Workspace(name="spare", labels=labels),)
         return self.submit_objects(instance, change_id, objects)
 
@@ -175,7 +175,7 @@
         change_id: str,
         objects: tuple[ConfigObject, ...],
     ) -> Change:
-        """Have an operator make a change, and don't wait for its outcome."""
+        """Submit a change without waiting for its outcome."""
         change = self._note_change(instance, change_id, objects)
         self._tasks.append(instance.process.spawn(self._make(instance, change)))
         return change
@@ -186,7 +186,7 @@
         change_id: str,
         objects: tuple[ConfigObject, ...],
     ) -> Change:
-        """Make a change and wait for its outcome."""
+        """Submit a change and wait for its outcome."""
         change = self._note_change(instance, change_id, objects)
         await instance.process.spawn(self._make(instance, change))
         return change
@@ -213,12 +213,12 @@
         change.outcome = await instance.change(request)
         change.settled = asyncio.get_running_loop().time()
 
-    # what is noted
+    # observation
 
     def note_store_call(
         self, process: SimulatedProcess, kind: str, key: str, value: bytes, answer: Any
     ) -> Any:
-        """Announce what a call has done, and return the answer that it gets."""
+        """Announce the steps reached by a store call and return its response."""
         if kind == "swap" and answer.outcome is WriteOutcome.APPLIED:
             self._announce_write(process, key, value)
         if kind not in WRITES:
@@ -269,7 +269,7 @@
         if all(one.change_id == change_id for one in living):
             self.announcer.announce(Step.IN_FORCE, change_id, instance.process)
 
-    # parts
+    # components
 
     def _create_instance(
         self, create: Callable[..., ServingInstance], number: int, place: str
@@ -313,7 +313,7 @@
         self.list_target(self.targets[address])
 
     def list_target(self, target: FleetTarget) -> None:
-        """Show a target in the platform's list as it is now."""
+        """Publish a target's current state in the platform's instance list."""
         state = InstanceState.LEAVING if target.leaving else InstanceState.LIVE
         self.instance_list.put(
             Instance(
@@ -327,5 +327,5 @@
         )
 
     def spawn(self, work: Any) -> None:
-        """Start a task that belongs to no process."""
+        """Start a task that belongs to no simulated process."""
         self._tasks.append(spawn_outside(work))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
@@ -1,4 +1,4 @@
-"""Callers: send a request, wait for its answer and ask again where that is safe."""
+"""Clients that send a request and retry it where that is safe."""
 
 from __future__ import annotations
 
@@ -18,51 +18,52 @@
 
 __all__ = ("Caller", "Wish")
 
-#: seconds after its deadline at which a caller gives up waiting; an answer that
-#: comes later is noted all the same
+#: seconds after the deadline at which a client stops waiting; a response that
+#: arrives later is still recorded
 PATIENCE = 0.7
-#: times that a keyed request is asked for in all
+#: maximum number of attempts of one request, the first included
 MAX_ASKS = 4
-#: seconds until a caller whose connection broke asks again
+#: seconds until a client retries after its connection was refused or reset
 PAUSE = 0.3
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Wish:
-    """What a caller wants."""
+    """A request that a client wants answered."""
 
     marker: str
     pipeline: str = DRAFT
-    #: whether an ``Idempotency-Key`` is sent, without which nothing is asked twice
+    #: whether an ``Idempotency-Key`` is sent; a request without one is retried only
+    #: if it was not run
     keyed: bool = False
     stream: bool = True
-    #: seconds
+    #: seconds from sending to the deadline
     budget: float = 6.0
     key_suffix: str = ""
-    #: whether the first request under a key says that it is the first
+    #: whether the first attempt carries ``X-First-Attempt``
     first: bool = True
 
     @property
     def key(self) -> str:
-        """The caller's key."""
+        """The idempotency key."""
         return f"key-{self.marker}{self.key_suffix}"
 
     @property
     def repeatable(self) -> bool:
-        """Whether stages may be run twice for it."""
+        """Whether its stages are idempotent and may run twice."""
         return self.pipeline != BOOKING
 
 
 @dataclass(slots=True)
 class Caller:
-    """One caller with one wish, and all that it asked."""
+    """A client with one request, and its attempts."""
 
     bench: Bench
     wish: Wish
     asks: list[Ask] = field(default_factory=list)
 
     async def run(self, instances: list[ServingInstance]) -> None:
-        """Ask the first instance; further ones if there was no final answer."""
+        """Send the request, and retry it at the next instances where that is safe."""
         for number in range(MAX_ASKS):
             instance = self._choose(instances, number)
             ask = self._create_ask(instance, number)
@@ -109,7 +110,7 @@
         )
 
     def _decide(self, ask: Ask) -> float | None:
-        """Return the seconds after which to ask again; ``None``: not at all."""
+        """Return the seconds until the next attempt, or ``None`` to stop."""
         if ask.refused:
             return PAUSE
         if not ask.answers:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/cells.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/cells.py
@@ -1,4 +1,4 @@
-"""Which cells the matrix has, and why some of them can't occur."""
+"""The cells of the fault matrix, and the combinations that cannot occur."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 #: steps at which a lease is held
 LEASED_STEPS = (*ORDER_STEPS, Step.ORDER_LEASE)
 
-#: the steps by what they are steps of
+#: steps grouped by the operation they belong to, one table for each
 COLUMNS = {
     "request": REQUEST_STEPS,
     "configuration change": CHANGE_STEPS,
@@ -62,7 +62,7 @@
     "planned stop": STOP_STEPS,
 }
 
-#: steps at which two faults come together
+#: steps at which pairs of faults are injected
 COSTLY_STEPS = (
     Step.CLAIMED,
     Step.SENT,
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One or two faults at a step."""
+    """One or two faults injected at a step."""
 
     faults: tuple[str, ...]
     step: Step
@@ -90,12 +90,12 @@
 
 
 def list_cells() -> tuple[Cell, ...]:
-    """Return every single fault at every step."""
+    """Return a cell for each single fault at each step."""
     return tuple(Cell((name,), step) for name in FAULTS for step in Step)
 
 
 def list_pairs() -> tuple[Cell, ...]:
-    """Return every pair of faults at the costly steps."""
+    """Return a cell for each pair of faults at each of ``COSTLY_STEPS``."""
     names = [name for name in FAULTS if name != LEASE_FAULT]
     return tuple(
         Cell(pair, step) for step in COSTLY_STEPS for pair in combinations(names, 2)
@@ -103,7 +103,7 @@
 
 
 def find_excuse(cell: Cell) -> str:
-    """Return why a cell can't occur; empty if it can."""
+    """Return why a cell cannot occur, or an empty string if it can."""
     if LEASE_FAULT in cell.faults and cell.step not in LEASED_STEPS:
         return NO_LEASE
     return ""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -1,4 +1,4 @@
-"""Decides from the records of a run whether each promise was kept."""
+"""Checks the records of a run for violations of the system's guarantees."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 
 __all__ = ("Breach", "Promise", "check")
 
-#: seconds after its deadline by which a request must have its final answer
+#: seconds after its deadline within which a request must have its final response
 ANSWER_SLACK = 0.5
-#: seconds that a request may be on its way to an instance
+#: upper bound of a request's network latency to its instance, in seconds
 SENDING = 0.01
-#: seconds after which a leaving target gets no new work
+#: seconds after which a draining target must get no new calls
 LEAVING_BOUND = 5.0
-#: seconds after which an accepted change is in force everywhere, once nothing fails
+#: seconds within which an accepted change must be in force on all instances,
+#: counted from the end of the fault if that is later
 SPREADING_BOUND = 10.0
-#: seconds before its deadline by which a request that is given up is refused
+#: minimum seconds before the deadline at which an abandoned request is rejected
 LEAST_LEFT = 0.05
-#: refusals for which no time to come back is due: asking again changes nothing
+#: rejections that need no retry delay, as a retry would be rejected again
 FINAL_CODES = frozenset({"bad-request", "too-large", "key-reused"})
 
 NOT_RUN = "not-run"
@@ -37,7 +38,7 @@
 
 
 class Promise(Enum):
-    """What must always hold."""
+    """A guarantee that must hold in every run."""
 
     LOST = "lost"
     DOUBLED = "doubled"
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A broken promise."""
+    """A violated guarantee."""
 
     promise: Promise
     detail: str
@@ -67,7 +68,7 @@
 
 
 def check(record: RunRecord) -> list[Breach]:
-    """Return every broken promise of a run."""
+    """Return all violations found in a run."""
     return list(_Checker(record).check())
 
 
@@ -144,8 +145,8 @@
             detail = f"{ask.marker} at {ask.instance}: {ask.code}"
             yield Breach(Promise.NO_RETURN_TIME, detail)
         instance = self._instances[ask.instance]
-        # one that was tried until its time was over was not given up before, and the
-        # time of a keyed one may have gone by while its key was claimed
+        # a request that ran into its deadline was not abandoned early, and a keyed
+        # one may have spent its time on claiming its key
         given_up = ask.code != DEADLINE and not ask.keyed
         due = _find_due(ask, instance) - ANSWER_SLACK
         if given_up and ask.answered > due - LEAST_LEFT:
@@ -155,11 +156,11 @@
     def _check_recovery(self, ask: AskRecord) -> Iterator[Breach]:
         if ask.must_succeed and ask.result is None:
             what = ask.code or ("reset" if ask.reset else "refused or silent")
-            detail = f"{ask.marker} at {ask.instance}: {what} after the fault's end"
+            detail = f"{ask.marker} at {ask.instance}: {what} after the fault ended"
             yield Breach(Promise.NOT_RECOVERED, detail)
 
     def _check_groups(self) -> Iterator[Breach]:
-        """Check what was asked more than once under one key."""
+        """Check the attempts of each request together."""
         groups: dict[str, list[AskRecord]] = defaultdict(list)
         for ask in self._record.asks:
             groups[ask.marker].append(ask)
@@ -170,13 +171,15 @@
         for marker, asks in groups.items():
             runs = effects[marker]
             if runs > 1 and not asks[0].repeatable:
-                yield Breach(Promise.DOUBLED, f"{marker}: {runs} runs of book")
+                yield Breach(Promise.DOUBLED, f"{marker}: {runs} runs of stage book")
             untrue = all(ask.refused or ask.verdict == NOT_RUN for ask in asks)
             if runs and untrue:
-                detail = f"{marker}: no answer says that it ran"
+                detail = f"{marker}: no response says that it ran"
                 yield Breach(Promise.FALSE_NOT_RUN, detail)
             if not runs and any(ask.result for ask in asks) and not asks[0].repeatable:
-                yield Breach(Promise.LOST, f"{marker}: a result without a run of book")
+                yield Breach(
+                    Promise.LOST, f"{marker}: result without a run of stage book"
+                )
 
     # targets
 
@@ -187,7 +190,9 @@
         for time, target in targets.arrivals:
             since = targets.leaving.get(target)
             if since is not None and time > since + LEAVING_BOUND:
-                detail = f"{target} got a call {time - since:.1f} s after it left"
+                detail = (
+                    f"{target} got a call {time - since:.1f} s after it began to drain"
+                )
                 yield Breach(Promise.LEAVING_USED, detail)
 
     def _check_orders(self) -> Iterator[Breach]:
@@ -195,20 +200,22 @@
         for order in self._record.targets.orders:
             highest = newest.get(order.target, 0)
             if order.fence < highest:
-                detail = f"{order.target}: number {order.fence} after {highest}"
+                detail = f"{order.target}: fencing token {order.fence} after {highest}"
                 yield Breach(Promise.ORDER_UNDONE, detail)
             newest[order.target] = max(highest, order.fence)
         wanted = self._record.wanted
         for target, models in self._record.engines.items():
             if wanted and models != (wanted,):
-                detail = f"{target} holds {models}, wanted is {wanted}"
+                detail = f"{target} holds {models}, expected {wanted}"
                 yield Breach(Promise.ORDER_MISSING, detail)
 
     # instances and changes
 
     def _check_instance(self, instance: InstanceRecord) -> Iterator[Breach]:
         if instance.finished is False and not instance.killed:
-            yield Breach(Promise.CUT, f"{instance.name} stopped with requests open")
+            yield Breach(
+                Promise.CUT, f"{instance.name} stopped with requests in flight"
+            )
         numbers = [generation for _, generation in instance.generations]
         if numbers != sorted(numbers):
             yield Breach(Promise.REVERTED, f"{instance.name}: generations {numbers}")
@@ -230,7 +237,7 @@
                     detail = f"{change.change_id} at {instance.name}"
                     yield Breach(Promise.NOT_IN_FORCE, detail)
                 if change.state == ChangeState.REJECTED and present:
-                    detail = f"{change.change_id} was rejected and is in force"
+                    detail = f"{change.change_id} was rejected but is in force"
                     yield Breach(Promise.REVERTED, detail)
             if change.state == ChangeState.SETTLED:
                 yield from self._check_spreading(change, living)
@@ -251,10 +258,10 @@
 
 
 def _find_due(ask: AskRecord, instance: InstanceRecord) -> float:
-    """Return when the final answer is due; a pause of the instance puts it off.
+    """Return when the final response is due, extended by pauses of the instance.
 
-    What was sent to an instance that stood still is read when it goes on, and its
-    time is counted from then.
+    A request sent to a paused instance is read when that resumes, and its budget
+    counts from then.
     """
     due = ask.deadline
     for begin, end in instance.pauses:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -1,4 +1,4 @@
-"""Turns what a bench saw into records for the checker."""
+"""Converts the state of a finished bench to records for the checker."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 __all__ = ("collect",)
 
-#: service whose targets are engines
+#: service whose targets are inference engines
 ENGINES = "llm"
 
 
 def collect(
     bench: Bench, *, healed: float, pauses: Pauses, wanted: str = ""
 ) -> RunRecord:
-    """Return all that a run left behind.
+    """Return the records of a run.
 
     :param healed: when the last fault ended
-    :param pauses: when instances stood still, by their names
-    :param wanted: model that all engines are to hold by now
+    :param pauses: intervals in which instances were paused, by instance name
+    :param wanted: model that all engines must have loaded by now
     """
     return RunRecord(
         asks=[_describe_ask(ask, bench.last) for ask in bench.asks],
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/connections.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/connections.py
@@ -1,4 +1,4 @@
-"""Connections to the bench's targets: what they carry, lose and deliver late."""
+"""Simulated connections to targets, with delay, loss and retransmission."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
     from .sessions import SimulatedSession
     from .steps import Announcer
 
-    #: given status, bytes and whether these are the last
+    #: called with status, bytes and whether these are the last
     Answer = Callable[[int, bytes, bool], None]
-    #: what a target does with a request
+    #: the target's handler of a request
     Request = Callable[[FleetTarget, Answer], Awaitable[None]]
 
 __all__ = ("Connection", "Dialer", "SimulatedResponse")
 
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
-#: in the place of a status: the connection was reset
+#: status that stands for a reset connection
 RESET = 0
-#: seconds after which bytes are sent again that did not arrive
+#: retransmission timeout, in seconds
 RETRANSMISSION = 0.2
 
 
 class Dialer:
     """Opens one process's connections to targets.
 
-    :param markers: marker of each request by its id, for the announcer
+    :param markers: marker of each request by request id, for the announcer
     """
 
     def __init__(
@@ -61,31 +61,31 @@
         self._connections: list[Connection] = []
 
     def silence(self) -> None:
-        """Have all open connections go silent for good; new ones work."""
+        """Drop all further traffic on open connections; new ones work."""
         for connection in self._connections:
             connection.silent = True
 
     async def open(self, address: str, *, lingers_off: bool = False) -> Connection:
-        """Open a connection."""
+        """Open a connection; never returns if the target is unreachable."""
         target = self.targets[address]
         delay = 2 * self.network.draw_latency(self.place, target.data_centre)
         if not self.reaches(target):
-            # nothing comes back: whoever waits has a time limit
+            # the SYN is lost without an error; callers have a timeout
             await asyncio.Event().wait()
         await asyncio.sleep(delay)
         if not target.alive:
-            raise aiohttp.ClientConnectionError("refused")
+            raise aiohttp.ClientConnectionError(f"connection to {address} refused")
         connection = Connection(self, target, lingers_off=lingers_off)
         self._connections.append(connection)
         return connection
 
     def reaches(self, target: FleetTarget) -> bool:
-        """Whether messages pass both ways."""
+        """Whether messages get through in both directions."""
         there = self.network.reaches(self.place, target.data_centre)
         return there and self.network.reaches(target.data_centre, self.place)
 
     def forget(self, connection: Connection) -> None:
-        """Drop a closed connection."""
+        """Remove a closed connection."""
         if connection in self._connections:
             self._connections.remove(connection)
 
@@ -93,8 +93,8 @@
 class Connection:
     """One connection to one target; it carries one call at a time.
 
-    Bytes that were handed over wait while the way is cut, and arrive afterwards if
-    the connection is still open.
+    Bytes sent during a network partition are retransmitted, and arrive once it has
+    healed if the connection is still open.
     """
 
     def __init__(
@@ -102,21 +102,21 @@
     ) -> None:
         self.dialer = dialer
         self.target = target
-        #: whether bytes not yet sent are dropped when the process ends
+        #: whether unsent bytes are dropped when the process ends (``SO_LINGER`` 0)
         self.lingers_off = lingers_off
         self.silent = False
         self.open = True
         self._response: SimulatedResponse | None = None
-        #: from the target and to it
+        #: one from the target and one to it
         self._pipes = (Pipe(), Pipe())
 
     def send(self, request: Request, response: SimulatedResponse) -> None:
-        """Send a request, whose answer goes to ``response``."""
+        """Send a request, whose response is received by ``response``."""
         self._response = response
         self._pass(self.target.data_centre, self._arrive, request, response)
 
     def close(self) -> None:
-        """Close the connection; the target runs on until it is told to stop."""
+        """Close the connection; the target continues until the call is cancelled."""
         self.open = False
         self._response = None
         self.dialer.forget(self)
@@ -137,7 +137,7 @@
             self.dialer.process.deliver(response.take, *answer)
 
     def _pass(self, place: str, callback: Callable[..., None], *args: Any) -> None:
-        """Carry something to a place, as late as TCP does where the way is cut."""
+        """Deliver a message, retransmitting it during a partition as TCP does."""
         there = callback != self._return
         sender = self.dialer.place if there else self.target.data_centre
         network = self.dialer.network
@@ -157,15 +157,15 @@
     try:
         await request(target, answer)
     except asyncio.CancelledError:
-        # stopped at the caller's word; what ran until then is in the record
+        # cancelled by the caller; the run so far is in the record
         if not target.alive:
             answer(RESET, b"", True)
 
 
 class SimulatedResponse:
-    """The answer to one call, as far as the client of targets uses it.
+    """The response to one call, with the interface that the target client uses.
 
-    It stands for the response and for its body, which is read in chunks.
+    Serves both as the response and as its body, which is read in chunks.
     """
 
     def __init__(self, session: SimulatedSession, connection: Connection) -> None:
@@ -184,7 +184,7 @@
         return self
 
     def take(self, status: int, state: str, data: bytes, last: bool) -> None:
-        """Take in what has arrived."""
+        """Receive a part of the response."""
         self.status = status
         self.headers["X-Target-State"] = state
         if data.startswith(b"event:"):
@@ -195,21 +195,21 @@
         self._wanted.set()
 
     async def wait_for_head(self) -> None:
-        """Wait until the answer has begun."""
+        """Wait for the head of the response."""
         await self._wanted.wait()
         if self.status == RESET:
             raise aiohttp.ServerDisconnectedError
 
     def is_eof(self) -> bool:
-        """Whether all has arrived."""
+        """Whether the whole body has arrived."""
         return self._last
 
     def at_eof(self) -> bool:
-        """Whether all has been read."""
+        """Whether the whole body has been read."""
         return self._last and not self._chunks
 
     async def readany(self) -> bytes:
-        """Return what has arrived; empty at the end."""
+        """Return the next chunk, or empty bytes at the end of the body."""
         while not self._chunks:
             if self._last:
                 return b""
@@ -218,12 +218,12 @@
         return self._chunks.popleft()
 
     async def iter_any(self) -> AsyncIterator[bytes]:
-        """Yield what arrives until the end."""
+        """Yield chunks until the end of the body."""
         while chunk := await self.readany():
             yield chunk
 
     async def json(self) -> Any:
-        """Return the body read as JSON."""
+        """Return the body parsed as JSON."""
         return json.loads(b"".join(self._chunks))
 
     def close(self) -> None:
@@ -231,5 +231,5 @@
         self._connection.close()
 
     def release(self) -> None:
-        """Give the connection back."""
+        """Return the connection to its session."""
         self._session.keep(self._connection)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/engines.py
@@ -1,4 +1,4 @@
-"""What an engine does about orders, with an independent record of them."""
+"""Simulated inference engines that apply orders and record them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ("Engine", "EngineOrder")
 
-#: seconds that an order takes; less than the bench's ``orders.longest``
+#: seconds that an order takes; less than the setting ``orders.longest``
 ORDER_SECONDS = 0.6
 STATUS_OK = 200
 STATUS_OLD_FENCE = 409
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineOrder:
-    """An order that an engine carried out; times are loop time."""
+    """An order applied by an engine; times are loop time in seconds."""
 
     target: str
     fence: int
@@ -30,9 +30,10 @@
 
 
 class Engine:
-    """Carries out orders; one that does not check does so with any of them.
+    """Applies orders.
 
-    :param note: called with each order once it was carried out
+    :param checks: whether orders with a stale fencing token are rejected
+    :param note: called with each order once it was applied
     """
 
     def __init__(
@@ -46,14 +47,14 @@
         self._highest = 0
 
     def describe(self) -> bytes:
-        """Return the answer to ``GET /orders``."""
+        """Return the response body of ``GET /orders``."""
         state = {"models": self.models, "adapters": [], "role": ""}
         return json.dumps({"state": state, "fence": self._fence}).encode()
 
     async def carry_out(
         self, order: Mapping[str, Any], answer: Callable[[int, bytes, bool], None]
     ) -> None:
-        """Carry out one order, and answer it."""
+        """Apply one order and respond to it."""
         loop = asyncio.get_running_loop()
         arrived = loop.time()
         fence = order["fence"]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix: how each begins and how it ends."""
+"""The faults of the matrix: how each is injected and removed."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 __all__ = ("BURST_MARKER", "FAULTS", "Fault")
 
-#: factor by which a slow stage is slower
+#: factor by which a slow stage takes longer
 SLOWNESS = 25.0
-#: share of a failing stage's calls that fail
+#: fraction of a failing stage's calls that fail
 FAILING = 0.7
-#: requests of one burst
+#: number of requests in one burst
 BURST = 60
 BURST_MARKER = "burst-"
-#: bounds of the seconds that a slow store takes for each call
+#: bounds of the delay that a slow store adds to each call, in seconds
 SLOW_STORE = (0.4, 2.5)
-#: answers to writes that are lost, one after the other
+#: maximum number of consecutive writes whose responses are lost
 MAX_LOST = 3
-#: seconds by which a lagging list lags
+#: replication lag added to the instance list, in seconds
 LAG = 30.0
 
 
 class Fault(ABC):
-    """One kind of fault; it hits one instance, or all that it goes by."""
+    """One kind of fault, which affects one instance or shared infrastructure."""
 
-    #: what readers of the matrix see
+    #: name in tables and feature files
     name: str = ""
-    #: whether instances have to find out what is gone and what is back
+    #: whether instances have to detect lost members and their return
     parting: bool = False
 
     @abstractmethod
     def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        """Bring the fault about, now."""
+        """Inject the fault."""
 
     def end(self, bench: Bench, subject: ServingInstance) -> None:  # noqa: B027
-        """End the fault; what it broke for good, as most do, stays broken."""
+        """Remove the fault; permanent damage, such as a killed process, remains."""
 
 
 class SlowStage(Fault):
@@ -63,7 +63,7 @@
 
 
 class FailingStage(Fault):
-    """Most calls of all stages fail, before or after their effect."""
+    """Most calls of all stages fail, before or after their side effect."""
 
     name = "failing stage"
 
@@ -77,7 +77,7 @@
 
 
 class BurstingStage(Fault):
-    """Many requests come at once."""
+    """Many requests arrive at once."""
 
     name = "bursting stage"
 
@@ -90,7 +90,7 @@
 
 
 class ProcessKilled(Fault):
-    """The process ends without any further step, alone or with its whole instance."""
+    """The process is killed, alone or together with its operating system."""
 
     name = "process killed"
     parting = True
@@ -100,7 +100,7 @@
 
 
 class ProcessPaused(Fault):
-    """The process stands still, and goes on as if nothing had been."""
+    """The process is suspended and resumed."""
 
     name = "process paused"
     parting = True
@@ -113,7 +113,7 @@
 
 
 class StoreDown(Fault):
-    """The store is away: it refuses, or swallows what is sent to it."""
+    """The store is down: it returns errors, or drops what is sent to it."""
 
     name = "store down"
 
@@ -131,7 +131,7 @@
 
 
 class StoreSlow(Fault):
-    """Every call to the store takes long."""
+    """Every call to the store is delayed."""
 
     name = "store slow"
 
@@ -148,7 +148,7 @@
 
 
 class AnswerLost(Fault):
-    """Writes take effect, and their answers are lost."""
+    """Writes are applied, but their responses are lost."""
 
     name = "write applied but answer lost"
 
@@ -160,13 +160,13 @@
 
 
 class LeaseLapsed(ProcessPaused):
-    """The holder of a lease stands still for longer than the lease lasts."""
+    """The holder of a lease is suspended for longer than the lease's TTL."""
 
     name = "lease lapsed during a pause"
 
 
 class OperatorsRacing(Fault):
-    """Operators change the same object through all instances at once."""
+    """Operators change the same object through all instances concurrently."""
 
     name = "operators racing"
 
@@ -179,7 +179,7 @@
 
 
 class ConnectionSilent(Fault):
-    """All open connections of an instance swallow what is sent; new ones work."""
+    """All open connections of an instance drop their traffic; new ones work."""
 
     name = "connection gone silent"
     parting = True
@@ -189,7 +189,7 @@
 
 
 class ListLagging(Fault):
-    """The list falls far behind just when a target is replaced by another one."""
+    """The instance list lags far behind while a target is replaced by another one."""
 
     name = "list lagging"
 
@@ -206,7 +206,7 @@
 
 
 class DataCentresCut(Fault):
-    """The data centres do not reach each other."""
+    """A network partition between the data centres."""
 
     name = "data centres cut from each other"
     parting = True
@@ -220,7 +220,7 @@
 
 
 class PlatformCut(Fault):
-    """One data centre does not reach the platform."""
+    """A network partition between one data centre and the platform."""
 
     name = "cut from the platform"
     parting = True
@@ -233,7 +233,7 @@
 
 
 class BothCut(Fault):
-    """One data centre reaches neither the others nor the platform."""
+    """One data centre is partitioned from the other and from the platform."""
 
     name = "cut from both"
     parting = True
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
@@ -1,4 +1,4 @@
-"""Targets that keep an independent record of all that they ran."""
+"""Simulated targets that record every call they run."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 __all__ = ("FleetTarget", "Run", "TargetRecord", "find_markers", "write_tokens")
 
 TOKENS = 6
-#: seconds of one call by kind of stage, and of one token
+#: seconds of one call by stage kind, and seconds of one token
 SECONDS = {"retrieve": 0.02, "plain": 0.03, "generate": 0.02}
 TOKEN_SECONDS = 0.02
-#: calls that a target runs side by side, and that may wait there
+#: calls that a target runs concurrently, and calls that its queue holds
 CAPACITY = 4
 MAX_WAITING = 8
 
 
 @dataclass(slots=True, kw_only=True)
 class Run:
-    """One run of a call; ``effect`` once its side effect has happened."""
+    """One execution of a call; ``effect`` is set once its side effect has happened."""
 
     attempt: str
     request: str
@@ -46,26 +46,26 @@
 
 @dataclass(slots=True)
 class TargetRecord:
-    """What all targets ran and were given, in the order of time."""
+    """Everything that targets received and ran, in chronological order."""
 
     runs: list[Run] = field(default_factory=list)
     #: time and target of each call that arrived
     arrivals: list[tuple[float, str]] = field(default_factory=list)
-    #: time since which a target leaves, by its id
+    #: time at which a target began to drain, by target id
     leaving: dict[str, float] = field(default_factory=dict)
-    #: inputs that held the words of more than one request
+    #: inputs that contained data of more than one request, or of none
     mixed: list[str] = field(default_factory=list)
-    #: orders that engines carried out, in that order
+    #: orders applied by engines, in order of application
     orders: list[EngineOrder] = field(default_factory=list)
 
 
 def write_tokens(marker: str) -> tuple[str, ...]:
-    """Return the tokens of the answer to the request with a marker."""
+    """Return the tokens that the request with ``marker`` must be answered with."""
     return tuple(f"{marker}/{number} " for number in range(TOKENS))
 
 
 def find_markers(value: Any) -> set[str]:
-    """Return all markers that a value holds, at any depth."""
+    """Return all markers in a value, at any depth of nested objects."""
     if isinstance(value, dict):
         found = {value["marker"]} if isinstance(value.get("marker"), str) else set()
         for inner in value.values():
@@ -77,8 +77,8 @@
 class FleetTarget:
     """One replica of a service.
 
-    :param resumes: whether it can begin a stream at an offset
-    :param checks: whether it checks the fencing numbers of orders
+    :param resumes: whether it can resume a stream at an offset
+    :param checks: whether it rejects orders with stale fencing tokens
     """
 
     def __init__(
@@ -97,12 +97,12 @@
         self.service = service
         self.data_centre = data_centre
         self.address = address
-        #: factor by which it is slower than usual
+        #: factor by which calls take longer than usual
         self.slowness = 1.0
-        #: share of the calls that end in an error, before or after their effect
+        #: fraction of calls that fail, before or after their side effect
         self.failing = 0.0
         self.leaving = False
-        #: whether its process is there at all
+        #: whether its process is running
         self.alive = True
         self.engine = Engine(
             target_id=target_id, checks=checks, note=record.orders.append
@@ -117,19 +117,19 @@
         self._cancelled: set[str] = set()
 
     def begin_to_leave(self) -> None:
-        """Leave; from now on each answer says so."""
+        """Begin to drain; each response reports it from now on."""
         self.leaving = True
         now = asyncio.get_running_loop().time()
         self._record.leaving.setdefault(self.target_id, now)
 
     def die(self) -> None:
-        """End its process; what runs there is cut."""
+        """Kill the process, which aborts the calls it runs."""
         self.alive = False
         for task in self._tasks.values():
             task.cancel()
 
     def describe_load(self) -> bytes:
-        """Return the answer to ``GET /load``."""
+        """Return the response body of ``GET /load``."""
         report = {
             "in_flight": self._running,
             "queued": self._waiting,
@@ -140,7 +140,7 @@
         return json.dumps(report).encode()
 
     def cancel(self, attempt: str) -> bool:
-        """Stop an attempt, also one that is yet to arrive."""
+        """Cancel an attempt, even one that has not arrived yet."""
         self._cancelled.add(attempt)
         task = self._tasks.get(attempt)
         return task is not None and task.cancel()
@@ -223,7 +223,7 @@
             return
         for offset in range(start, len(tokens)):
             if fails and offset == len(tokens) // 2:
-                # the stream is cut half way
+                # the stream ends early, half way through
                 answer(200, b"", True)
                 return
             fields = {
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -1,4 +1,4 @@
-"""The callers' side of an entry instance, without sockets."""
+"""Simulated client-facing server of an entry instance, without sockets."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class Ask:
-    """One request of a caller on its connection, and what came back on it."""
+    """One attempt of a client on its own connection, with all that it received."""
 
     marker: str
     pipeline: str
@@ -48,37 +48,37 @@
     tokens: list[tuple[int, str]] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
     answered: float | None = None
-    #: whether the connection was refused, or reset before the answer was whole
+    #: whether the connection was refused, or reset before the response was complete
     refused: bool = False
     reset: bool = False
-    #: set once nothing more is to be expected
+    #: set once the response is complete or the connection is lost
     over: asyncio.Event = field(default_factory=asyncio.Event)
     pipe: Pipe = field(default_factory=Pipe)
 
     @property
     def body(self) -> bytes:
-        """The body of the request."""
+        """The request body."""
         fields = {"input": {"marker": self.marker}, "stream": self.stream}
         return json.dumps(fields).encode()
 
     def take_token(self, offset: int, text: str) -> None:
-        """Take a token that has arrived."""
+        """Record a received token."""
         self.tokens.append((offset, text))
 
     def take_answer(self, answer: Answer) -> None:
-        """Take the final answer."""
+        """Record the final response."""
         self.answers.append(answer)
         self.answered = asyncio.get_running_loop().time()
         self.over.set()
 
     def lose(self) -> None:
-        """Note that the connection was reset."""
+        """Record that the connection was reset."""
         self.reset = True
         self.over.set()
 
 
 class Front(Controller):
-    """Serves callers in the place of ``CallersServer``."""
+    """Serves simulated clients; replaces ``CallersServer``."""
 
     name = "callers"
 
@@ -114,27 +114,27 @@
 
     @property
     def listening(self) -> bool:
-        """Whether new connections are taken."""
+        """Whether new connections are accepted."""
         return self._listening and not self.process.killed
 
     @property
     def in_flight(self) -> int:
-        """Number of requests not yet answered."""
+        """Number of requests in flight."""
         return len(self._open)
 
     async def on_start(self) -> None:
         self.start_serving()
 
     def start_serving(self) -> None:
-        """Take connections."""
+        """Accept connections."""
         self._listening = True
 
     async def close_listener(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._listening = False
 
     async def wait_idle(self, timeout: float) -> bool:
-        """Wait at most ``timeout`` seconds until no request is in flight."""
+        """Wait up to ``timeout`` seconds until no request is in flight."""
         try:
             async with asyncio.timeout(timeout):
                 await self._idle.wait()
@@ -153,12 +153,12 @@
         return {"in_flight": self.in_flight}
 
     def reset(self) -> None:
-        """Close all connections of a process that has ended, as its system does."""
+        """Reset all connections, as the operating system does for a dead process."""
         for ask in self._open.values():
             ask.pipe.carry(self._network.draw_latency(self._place, ask.place), ask.lose)
 
     def accept(self, ask: Ask) -> None:
-        """Take a request that has arrived."""
+        """Start serving a request that has arrived."""
         task = asyncio.create_task(self._serve(ask))
         self._open[task] = ask
         self._idle.clear()
@@ -215,7 +215,7 @@
             self._announcer.announce(step, marker, self.process)
 
     def _give(self, ask: Ask, take: Callable[..., None], *given: Any) -> None:
-        """Hand something to the caller's connection."""
+        """Send a token or the final response over the client's connection."""
         latency = self._network.draw_latency(self._place, ask.place)
 
         def arrive() -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -1,4 +1,4 @@
-"""One entry instance of a bench, wired by the real composition root."""
+"""Simulated entry instance, wired by the daemon's composition root."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
 
 
 class CountingMetrics(Metrics):
-    """Metrics that are kept and sent nowhere."""
+    """Metrics that are counted in memory and never sent."""
 
     def __init__(self, _address: str) -> None:
         super().__init__("127.0.0.1:9")
@@ -95,18 +95,18 @@
         self._gauges[name] = value
 
     def timing(self, name: str, seconds: float) -> None:
-        """Keep nothing."""
+        """Discard the duration."""
 
 
 class PolledTargets(TargetsController):
-    """The real directory; only the polls of load reports need no socket."""
+    """The real target controller, polling load reports without sockets."""
 
     def __init__(self, *, dialer: Dialer, **parts: Any) -> None:
         super().__init__(**parts)
         self._dialer = dialer
 
     async def on_start(self) -> None:
-        """Open nothing."""
+        """Do nothing, as no HTTP session is needed."""
 
     async def _fetch_report(self, target: Target) -> bytes:
         polled = self._dialer.targets[target.address]
@@ -117,7 +117,7 @@
 
 
 class ObservedScheduling(SchedulingController):
-    """The real controller; it announces what has come to its queue."""
+    """The real scheduling controller; announces requests that enter its queue."""
 
     def __init__(self, *, dialer: Dialer, **parts: Any) -> None:
         super().__init__(**parts)
@@ -133,7 +133,7 @@
 
 
 class SimulatedOrderClient(HttpOrderClient):
-    """The real client of engines' orders; only its session needs no socket."""
+    """The real order client, with a simulated session in place of sockets."""
 
     def __init__(self, *, dialer: Dialer, **parts: Any) -> None:
         super().__init__(**parts)
@@ -144,7 +144,7 @@
 
 
 class NoOperators(Controller):
-    """In the place of ``OperatorsServer``; the bench calls controllers itself."""
+    """Replaces ``OperatorsServer``; the bench calls controllers directly."""
 
     name = "operators"
     port = 0
@@ -157,7 +157,7 @@
 
 
 class BenchApplication(Application):
-    """The real application, without signals and words to whoever started it."""
+    """The real application, without signal handlers and start-up message."""
 
     def _listen_to_signals(self) -> None:
         return
@@ -167,7 +167,7 @@
 
 
 class EntryInstance(ServingInstance):
-    """One process with all parts of the daemon."""
+    """One simulated process with all components of the daemon."""
 
     def __init__(self, bench: Bench, **place: Any) -> None:
         super().__init__(bench, **place)
@@ -218,7 +218,7 @@
             patch(
                 target_adapter, "TargetPool", partial(SimulatedPool, dialer=self.dialer)
             )
-            # it draws from the system, which no seed would bring back
+            # it draws from the system's entropy, which no seed reproduces
             patch(claims_controller, "secrets", mock.Mock(randbits=draws.getrandbits))
             return composition.compose(settings)
 
@@ -248,5 +248,5 @@
 
 
 def _patch(stack: ExitStack, owner: Any, name: str, substitute: Any) -> None:
-    # checks that the name exists: a part that was renamed is an error here
+    # raises if the name does not exist, so that a renamed component is noticed
     stack.enter_context(mock.patch.object(owner, name, substitute))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/network.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/network.py
@@ -1,4 +1,4 @@
-"""Which parts of the bench reach each other, and how long that takes."""
+"""Simulated network with latency and partitions."""
 
 from __future__ import annotations
 
@@ -13,58 +13,58 @@
 
 __all__ = ("PLATFORM", "Network", "Pipe")
 
-#: place of the platform's services
+#: location of the platform's services
 PLATFORM = "platform"
-#: seconds from one place to itself and to another one
+#: base latency in seconds within a place and between two places
 NEAR = 0.0003
 FAR = 0.001
-#: share of the cuts that go one way only
+#: fraction of partitions that affect one direction only
 ONE_WAY = 0.3
-#: seconds by which what follows on the same way arrives later
+#: minimum seconds between two arrivals in the same direction of a connection
 GAP = 0.00001
 
 
 class Network:
-    """Places, and cuts between them; nothing tells either side of a cut."""
+    """Places and the partitions between them, which drop messages silently."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
-        #: pairs of places from the first to the second of which nothing arrives
+        #: pairs of sending and receiving place between which messages are dropped
         self.cuts: set[tuple[str, str]] = set()
 
     def cut(self, one: str, other: str) -> None:
-        """Cut two places from each other."""
+        """Partition two places in both directions."""
         self.cuts |= {(one, other), (other, one)}
 
     def cut_some_way(self, one: str, other: str) -> None:
-        """Cut two places from each other, or one way only."""
+        """Partition two places, in both directions or in a random one."""
         ways = [(one, other), (other, one)]
         if self._random.random() < ONE_WAY:
             ways = [self._random.choice(ways)]
         self.cuts.update(ways)
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Remove all partitions."""
         self.cuts.clear()
 
     def reaches(self, sender: str, receiver: str) -> bool:
-        """Whether what one place sends arrives at the other."""
+        """Whether messages from one place reach the other."""
         return (sender, receiver) not in self.cuts
 
     def draw_latency(self, sender: str, receiver: str) -> float:
-        """Return the seconds that one message takes."""
+        """Return the latency of one message, in seconds."""
         base = NEAR if sender == receiver else FAR
         return base * self._random.uniform(0.8, 1.5)
 
 
 class Pipe:
-    """One way of a connection, on which nothing overtakes."""
+    """One direction of a connection, which delivers in order."""
 
     def __init__(self) -> None:
         self._last = 0.0
 
     def carry(self, latency: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Call ``callback`` after ``latency`` seconds, and after all before it."""
+        """Call ``callback`` after ``latency`` seconds and all earlier deliveries."""
         now = asyncio.get_running_loop().time()
         self._last = max(now + latency, self._last + GAP)
         schedule_outside(self._last - now, callback, *args)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/objects.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/objects.py
@@ -1,4 +1,4 @@
-"""The configuration that every run of the matrix begins with."""
+"""The initial configuration of every run of the matrix."""
 
 from __future__ import annotations
 
@@ -66,19 +66,19 @@
         ),
     ),
     Workspace(name=WORKSPACE),
-    # has no requests of its own: changes of the configuration go to its labels
+    # gets no requests: configuration changes of a run modify its labels
     Workspace(name="spare"),
 )
 
 
 def create_engines(*, checks: bool) -> Service:
-    """Return the service of the engines; ``checks``: whether they check numbers."""
+    """Return the engines' service; ``checks``: whether they check fencing tokens."""
     fencing = "checked" if checks else "ignored"
     return Service(name="llm", kind=StageKind.GENERATE, labels={"fencing": fencing})
 
 
 def create_placement(model: str) -> Policy:
-    """Return the policy by which all engines are to hold one model."""
+    """Return the policy that places a model on all engines."""
     return Policy(
         name="place",
         effect=PolicyEffect.PLACEMENT,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -1,4 +1,4 @@
-"""Links between the entry instances of a bench, with the real failure detector."""
+"""Simulated peer links between entry instances, with the real failure detector."""
 
 from __future__ import annotations
 
@@ -40,21 +40,21 @@
 
 __all__ = ("Exchange", "SimulatedPeers")
 
-#: seconds between two looks at the links
+#: seconds between two checks of the links
 TICK = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class _Link:
-    """A connection of two instances, as TCP keeps it: bytes wait while it is cut."""
+    """A connection of two instances; as in TCP, frames wait during a partition."""
 
     ends: tuple[SimulatedPeers, SimulatedPeers]
-    #: whether something between the ends has lost track of it
+    #: whether it drops all frames, as after a middlebox has lost its state
     silent: bool = False
     open: bool = True
-    #: loop time at which each end last heard of the other
+    #: loop time at which each end last received from the other
     heard: dict[str, float] = field(default_factory=dict)
-    #: frames by receiver that could not be handed over yet
+    #: undelivered frames by receiver
     waiting: dict[str, list[bytes]] = field(default_factory=dict)
     pipes: dict[str, Pipe] = field(default_factory=lambda: defaultdict(Pipe))
 
@@ -63,7 +63,7 @@
 
 
 class Exchange:
-    """All instances by address, and the links between them."""
+    """Registry of instances by address, and of the links between them."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
@@ -71,17 +71,17 @@
         self._links: dict[frozenset[str], _Link] = {}
 
     def join(self, address: str, peers: SimulatedPeers) -> None:
-        """Add an instance that listens at ``address``."""
+        """Register an instance that listens at ``address``."""
         self._peers[address] = peers
 
     def silence(self, instance_id: str) -> None:
-        """Have all open links of an instance go silent for good."""
+        """Drop all further traffic on an instance's open links."""
         for names, link in self._links.items():
             if instance_id in names:
                 link.silent = True
 
     def reset(self, instance_id: str) -> None:
-        """Close all links of a process that has ended, as its system does."""
+        """Close all links, as the operating system does for a dead process."""
         for names, link in list(self._links.items()):
             if instance_id in names:
                 self.close(link)
@@ -91,7 +91,7 @@
         return self._links.get(frozenset((one, other)))
 
     def dial(self, caller: SimulatedPeers, address: str) -> _Link | None:
-        """Open a link; ``None`` if nobody answers at the address."""
+        """Open a link or return the existing one; ``None`` if it cannot be opened."""
         called = self._peers.get(address)
         if called is None or not called.accepting or not self._connects(caller, called):
             return None
@@ -108,7 +108,7 @@
         return link
 
     def close(self, link: _Link) -> None:
-        """Close a link; an end that can be reached is told."""
+        """Close a link and notify both ends."""
         if not link.open:
             return
         link.open = False
@@ -118,7 +118,7 @@
             end.process.deliver(end.note_closed, link, link.get_other(end).instance_id)
 
     def carry(self, link: _Link, sender: SimulatedPeers, frame: bytes) -> None:
-        """Hand a frame over, or keep it until the link carries again."""
+        """Send a frame, or queue it while the receiver is unreachable."""
         receiver = link.get_other(sender)
         if not self._carries(link, sender, receiver):
             link.waiting.setdefault(receiver.instance_id, []).append(frame)
@@ -128,7 +128,7 @@
         pipe.carry(latency, self._arrive, link, receiver, frame)
 
     def tend(self, end: SimulatedPeers) -> list[_Link]:
-        """Note what one end hears on its links, and return its open ones."""
+        """Update an end's links, deliver frames queued for it, and return the links."""
         now = asyncio.get_running_loop().time()
         own = [link for link in self._links.values() if end in link.ends]
         for link in own:
@@ -156,7 +156,7 @@
 
 
 class SimulatedPeers(Controller, PeerNetwork):
-    """One instance's end of an :class:`Exchange`, in the place of ``PeerHub``."""
+    """One instance's side of an :class:`Exchange`; replaces ``PeerHub``."""
 
     name = "peers"
 
@@ -261,7 +261,7 @@
             paused = now - self._last_tick > 2 * TICK
             self._last_tick = now
             for link in self._exchange.tend(self):
-                # after a pause what was sent meanwhile is yet to be read
+                # after a pause, frames sent in the meantime are still unread
                 silent = now - link.heard[self.instance_id] > self._silence
                 if silent and not paused:
                     self._exchange.close(link)
@@ -270,7 +270,7 @@
             await self.sleep(TICK)
 
     def note_open(self, other: SimulatedPeers) -> None:
-        """Take note of a new link, on which each end has told who it is."""
+        """Register the peer of a new link, after the exchange of hello messages."""
         hello = other.describe()
         identity = Identity(
             instance_id=hello.instance_id,
@@ -281,18 +281,18 @@
         self._membership.register_peer(identity, leaving=hello.leaving)
 
     def describe(self) -> Any:
-        """Return what this instance says of itself."""
+        """Return this instance's hello message."""
         return self._membership.create_hello()
 
     def note_closed(self, link: _Link, instance_id: str) -> None:
-        """Take note that a link was closed."""
+        """Fail pending calls on a closed link and report its loss."""
         for used, answer in self._questions.values():
             if used is link and not answer.done():
                 answer.set_exception(ConnectionResetError())
         self._membership.handle_link_loss(instance_id)
 
     def receive(self, link: _Link, frame: bytes) -> None:
-        """Take in a frame."""
+        """Process a received frame."""
         envelope = decode(frame).unwrap()
         if envelope.reply_to:
             used, answer = self._questions.get(envelope.reply_to, (None, None))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/platform.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/platform.py
@@ -1,4 +1,4 @@
-"""The platform's services as one entry instance reaches them."""
+"""Simulated connection of an entry instance to the platform's services."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 class PlatformLink:
-    """Carries one process's calls to the platform and the answers back.
+    """Carries one process's calls to the platform and returns the responses.
 
-    What was sent takes effect whether or not its sender still lives: a write of a
-    process that has died meanwhile is in the platform's hands.
+    A call that was sent takes effect even if its sender has been killed since, as a
+    real service applies a write whose client is gone.
 
-    :param note: called with kind, key, value and answer after each call has had its
-        effect; it returns the answer that is given
+    :param note: called with process, kind, key, value and response once a call has
+        taken effect; returns the response to deliver
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def silence(self) -> None:
-        """Have the connections that are in use go silent."""
+        """Drop all further traffic on the connections in use."""
         for call in self._open:
             call.silent = True
 
@@ -72,9 +72,9 @@
         timeout: float,
         value: bytes = b"",
     ) -> Any:
-        """Make a call and return its answer.
+        """Make a call and return its response.
 
-        :raises TimeoutError: if there is none in time
+        :raises TimeoutError: if no response arrives within ``timeout`` seconds
         """
         call = _Call(asyncio.get_running_loop().create_future())
         self._open.add(call)
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """One call on its way; ``silent`` once its connection carries nothing more."""
+    """One call in flight; ``silent`` once its connection drops all traffic."""
 
     answer: asyncio.Future[Any]
     silent: bool = False
@@ -118,7 +118,7 @@
 
 
 class RemoteStore(Store):
-    """A store over a :class:`PlatformLink`, in the place of ``HttpStore``."""
+    """A store over a :class:`PlatformLink`; replaces ``HttpStore``."""
 
     def __init__(
         self, *, store: Store, link: PlatformLink, timeout: float, **_adapter: Any
@@ -128,7 +128,7 @@
         self._timeout = timeout
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as there is no connection to close."""
 
     async def get(self, key: str) -> Result[Entry | None, StoreError]:
         return await self._read("get", key, lambda: self._store.get(key))
@@ -199,7 +199,7 @@
 
 
 class RemoteInstanceList(InstanceList):
-    """The list over a :class:`PlatformLink`, in the place of ``HttpInstanceList``."""
+    """An instance list over a :class:`PlatformLink`; replaces ``HttpInstanceList``."""
 
     def __init__(
         self,
@@ -214,7 +214,7 @@
         self._timeout = timeout
 
     async def close(self) -> None:
-        """Close nothing."""
+        """Do nothing, as there is no connection to close."""
 
     async def fetch(self) -> Result[Listing, StoreError]:
         try:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/processes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/processes.py
@@ -1,4 +1,4 @@
-"""Processes inside one event loop that can be paused or killed at any callback."""
+"""Simulated processes in one event loop that can be paused or killed."""
 
 from __future__ import annotations
 
@@ -30,29 +30,29 @@
 
 _numbers = itertools.count()
 
-#: times that all tasks are cancelled at the end, as some make others on the way
+#: rounds of cancellation on closing, as cancelled tasks may start further ones
 CLEARING_ROUNDS = 5
 
 _current: ContextVar[SimulatedProcess | None] = ContextVar("process", default=None)
 
 
 class ProcessState(Enum):
-    """Whether a process gets to run."""
+    """The state of a process."""
 
     RUNNING = "running"
-    #: stopped as by SIGSTOP; what happens meanwhile waits for it
+    #: stopped as by SIGSTOP; callbacks wait until it resumes
     PAUSED = "paused"
-    #: ended as by SIGKILL; nothing of it ever runs again
+    #: ended as by SIGKILL; none of its callbacks runs again
     KILLED = "killed"
 
 
 class SimulatedProcess:
-    """Everything that runs in one context and the tasks and timers made there.
+    """A context with all tasks and timers created in it.
 
-    The loop asks it before each callback. A killed process gets no further one: not
-    even ``finally`` blocks run, as they would after a cancellation. A paused one gets
-    on resuming first what has arrived and then the timers that are due, in the order
-    in which an event loop finds them after a stop.
+    The loop checks its state before each callback. A killed process runs no further
+    callback, not even the ``finally`` blocks that a cancellation would run. A paused
+    one, when it resumes, first handles what has arrived and then the timers that are
+    due, which is the order in which an event loop finds them after SIGCONT.
     """
 
     def __init__(self, name: str) -> None:
@@ -65,16 +65,16 @@
 
     @property
     def running(self) -> bool:
-        """Whether it gets to run."""
+        """Whether its callbacks run."""
         return self.state is ProcessState.RUNNING
 
     @property
     def killed(self) -> bool:
-        """Whether it has ended."""
+        """Whether it was killed."""
         return self.state is ProcessState.KILLED
 
     def run(self, function: Callable[..., T], *args: Any) -> T:
-        """Call a function as part of the process, which must be running."""
+        """Call a function in the context of the process, which must be running."""
         return self._context.run(function, *args)
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
@@ -83,17 +83,17 @@
         return loop.create_task(work, context=self._context.copy())
 
     def deliver(self, callback: Callable[..., Any], *args: Any) -> None:
-        """Have something arrive: the process handles it when it gets to run."""
+        """Schedule a callback in the process, such as the receipt of a message."""
         loop = asyncio.get_running_loop()
         loop.call_soon(callback, *args, context=self._context)
 
     def pause(self) -> None:
-        """Stop running until :meth:`resume`."""
+        """Suspend the process until :meth:`resume`."""
         if self.state is ProcessState.RUNNING:
             self.state = ProcessState.PAUSED
 
     def resume(self) -> None:
-        """Run again."""
+        """Resume a paused process and reschedule its deferred callbacks."""
         if self.state is not ProcessState.PAUSED:
             return
         self.state = ProcessState.RUNNING
@@ -103,24 +103,24 @@
             gate.repeat()
 
     def kill(self) -> None:
-        """End without any further step."""
+        """End the process; none of its callbacks runs any more."""
         self.state = ProcessState.KILLED
 
     def clear(self) -> None:
-        """Let what is left be cancelled, once nothing is recorded any more."""
+        """Allow the remaining tasks to be cancelled after the end of a run."""
         self.state = ProcessState.RUNNING
 
     def hold(self, gate: _Gate) -> None:
-        """Keep a callback back; also what is never to run.
+        """Defer a callback; those of a killed process are kept as well.
 
-        Tasks whose last reference went away would be closed, and so run their
+        A task is closed when its last reference is dropped, which would run its
         ``finally`` blocks.
         """
         (self._due if gate.timer else self._arrived).append(gate)
 
 
 class _Gate:
-    """A callback of a process; it runs when the process does."""
+    """A callback that is deferred while its process does not run."""
 
     __slots__ = ("args", "callback", "context", "handle", "process", "timer")
 
@@ -149,16 +149,16 @@
         asyncio.get_running_loop().call_soon(self._run_late, context=self.context)
 
     def _run_late(self) -> None:
-        # whoever has the handle may have cancelled it, also just now
+        # the owner of the handle may have cancelled it in the meantime
         if self.handle is not None and not self.handle.cancelled():
             self.callback(*self.args)
 
 
 class _Numbered:
-    """Has sets put tasks and futures in the order in which these were made.
+    """Hashes tasks and futures by their order of creation.
 
-    By default the order in which a set of them is walked hangs on where they lie in
-    memory, and the same seed would give another run each time.
+    The default hash is derived from the memory address, so that the iteration order
+    of sets, and with it the run of a seed, would differ each time.
     """
 
     __slots__ = ()
@@ -181,7 +181,7 @@
 
 
 class ProcessLoop(LoopTimeEventLoop, asyncio.SelectorEventLoop):
-    """An event loop whose time jumps and whose processes can be stopped."""
+    """An event loop with virtual time whose processes can be stopped."""
 
     def create_future(self) -> asyncio.Future[Any]:
         return _NumberedFuture(loop=self)
@@ -212,7 +212,7 @@
 
 
 def create_loop() -> ProcessLoop:
-    """Return a loop at time zero that never waits in real time."""
+    """Return a loop with virtual time that starts at zero."""
     loop = ProcessLoop(start=0.0, noop_cycles=0)
     loop.set_task_factory(_create_task)
     return loop
@@ -229,7 +229,7 @@
     for process in processes:
         process.clear()
     level = logging.root.manager.disable
-    # each part complains of being broken off, which is what is meant here
+    # errors that components log about their cancellation are expected
     logging.disable(logging.CRITICAL)
     loop.set_exception_handler(lambda *_: None)
     try:
@@ -247,10 +247,10 @@
 
 
 def _close_unstarted(loop: ProcessLoop) -> None:
-    """Close the coroutines of tasks whose first step a stopped process held back.
+    """Close the coroutines of tasks whose first step was deferred.
 
-    Their cancellation would come with that step. Left open, each warns that it was
-    never awaited, in whatever test runs as it is collected.
+    A task is cancelled in its first step. A coroutine left open warns that it was
+    never awaited, in whichever test runs when it is garbage-collected.
     """
     for task in asyncio.all_tasks(loop):
         work = task.get_coro()
@@ -259,17 +259,17 @@
 
 
 def call_outside(function: Callable[..., T], *args: Any) -> T:
-    """Call a function as part of no process."""
+    """Call a function outside any simulated process."""
     return Context().run(function, *args)
 
 
 def spawn_outside(work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-    """Start a task that goes on whatever becomes of the process that starts it."""
+    """Start a task that is independent of the simulated process that starts it."""
     return asyncio.get_running_loop().create_task(work, context=Context())
 
 
 def schedule_outside(delay: float, callback: Callable[..., Any], *args: Any) -> None:
-    """Have something called after ``delay`` seconds, as part of no process."""
+    """Call ``callback`` after ``delay`` seconds, outside any simulated process."""
     loop = asyncio.get_running_loop()
     loop.call_later(delay, callback, *args, context=Context())
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
@@ -1,4 +1,4 @@
-"""What one run left behind, for the checker; it holds no part of the product."""
+"""Records of a run for the checker, independent of the code under test."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AskRecord:
-    """One request on one connection; times are loop time in seconds."""
+    """One attempt of a request; times are loop time in seconds."""
 
     marker: str
     request: str
     instance: str
     sent: float
     deadline: float
-    #: whether its stages may be run twice
+    #: whether its stages are idempotent and may run twice
     repeatable: bool
     keyed: bool
     stream: bool
     tokens: tuple[tuple[int, str], ...]
-    #: number of final answers
+    #: number of final responses
     answers: int
     answered: float | None
-    #: ``not-run``, ``may-have-run`` or ``ran``; empty without an answer
+    #: ``not-run``, ``may-have-run`` or ``ran``; empty without a response
     verdict: str
     result: str | None
-    #: code of the refusal, empty if there is none
+    #: error code of the rejection, empty if there is none
     code: str
     retry_after_ms: int | None
     #: whether the connection was refused before anything was sent on it
     refused: bool
     #: whether the connection was reset
     reset: bool
-    #: whether this request was sent to be answered in any case
+    #: whether it was sent after the faults and has to succeed
     must_succeed: bool
 
 
 class ChangeState:
-    """What an operator was told of a change."""
+    """The outcome of a change as reported to the operator."""
 
     SETTLED = "settled"
     REJECTED = "rejected"
@@ -54,11 +54,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeRecord:
-    """One change of the configuration."""
+    """One configuration change."""
 
     change_id: str
     state: str
-    #: generation that it was said to have
+    #: generation reported to the operator
     generation: int
     settled: float | None
 
@@ -70,30 +70,30 @@
     name: str
     #: whether it was killed
     killed: bool
-    #: whether it was asked to stop
+    #: whether a planned stop was requested
     stopping: bool
-    #: whether a planned stop finished all that was in flight; ``None``: no stop
+    #: whether a planned stop drained all requests; ``None`` without a planned stop
     finished: bool | None
-    #: when it stood still, from and to
+    #: start and end of each pause
     pauses: tuple[tuple[float, float], ...]
-    #: generations in force with the times at which they were first seen
+    #: generations in force, with the time at which each was first observed
     generations: tuple[tuple[float, int], ...]
-    #: ids of all changes in force at the end
+    #: ids of all changes in force at the end of the run
     changes: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunRecord:
-    """All that one run left behind."""
+    """All records of one run."""
 
     asks: Sequence[AskRecord]
     changes: Sequence[ChangeRecord]
     instances: Sequence[InstanceRecord]
     targets: TargetRecord
-    #: models that each engine holds at the end
+    #: models loaded by each engine at the end of the run
     engines: Mapping[str, tuple[str, ...]]
-    #: model that all engines are to hold by then; empty: none is named
+    #: model that all engines must have loaded by then; empty if there is none
     wanted: str
-    #: when the fault ended, and when the run did
+    #: times at which the fault and the run ended
     healed: float
     ended: float
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -1,4 +1,4 @@
-"""Runs one cell of the matrix and collects what it left behind."""
+"""Runs one cell of the matrix and collects its records."""
 
 from __future__ import annotations
 
@@ -43,28 +43,28 @@
 
 PROBE = "probe"
 PROBE_CHANGE = "change-probe"
-#: seconds for which a fault lasts
+#: duration of a fault, in seconds
 LASTING = 6.0
-#: seconds after a fault in which no instance lost sight of another one
+#: seconds of recovery after a fault that makes no instance unreachable to others
 SETTLING_TOGETHER = 6.0
-#: seconds of a pause that a lease outlasts
+#: duration in seconds of a pause that is shorter than a lease
 SHORT_PAUSE = 2.0
 PAUSE = "process paused"
-#: seconds after a fault until engines hold what they are to hold: a lease lapses,
-#: the next holder gets it and waits out the former one's orders
+#: seconds after a fault within which engines must hold the requested models: the
+#: lease expires, and its next holder waits until the former one's orders are done
 SETTLING_ORDERS = 22.0
-#: seconds until engines hold their first model
+#: seconds within which engines must hold their first model
 PLACING_LIMIT = 40.0
-#: change by which engines get their first model, and the models
+#: id of the change that places the first model, and the models
 PLACED = "placed"
 FIRST_MODEL = "model-1"
 SECOND_MODEL = "model-2"
 NORTHERN_ENGINES = f"{ORDERS}/{NORTH}"
-#: seconds from the fault's beginning at which other requests come
+#: offsets in seconds at which background requests are sent
 PULSES = (0.0, 0.4, 1.5, 3.0, 5.0)
-#: factor by which replies are slower while an instance stops
+#: factor by which replies take longer while an instance stops
 SLOW_REPLY = 30.0
-#: claim shards; see the settings of the bench's instances
+#: number of claim shards; must equal ``claims.shards`` in the instances' settings
 SHARDS = 4
 
 
@@ -75,16 +75,16 @@
     cell: Cell
     seed: int
     breaches: tuple[Breach, ...]
-    #: when the fault began and ended
+    #: times at which the fault was injected and removed
     lasting: tuple[float, float]
-    #: why the fault did not come about; empty if it did
+    #: why the fault was not injected; empty if it was
     missing: str
     record: RunRecord
 
     def count_attained(self) -> tuple[int, int]:
-        """Return how many requests came while the fault lasted, and got a result.
+        """Return the number of requests sent during the fault, and of those in time.
 
-        A request that was asked again counts once; bursts are left out.
+        A retried request counts once; those of bursts are excluded.
         """
         begun, healed = self.lasting
         wished: dict[str, bool] = {}
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True)
 class _Timing:
-    """When the fault began and ended, and who stood still."""
+    """Times of the fault, and the instances' pauses."""
 
     began: float = 0.0
     healed: float = 0.0
@@ -106,7 +106,7 @@
 
 
 def run_cell(cell: Cell, seed: int) -> CellResult:
-    """Run a cell in a loop of its own."""
+    """Run a cell in a new event loop."""
     loop = create_loop()
     runner = _CellRunner(cell, seed)
     try:
@@ -126,7 +126,7 @@
         self._begun = False
 
     async def run(self) -> CellResult:
-        """Play the cell from the start of all instances to the checks."""
+        """Run the cell from the start of all instances to the checks."""
         bench = self.bench = self._create_bench()
         await bench.start()
         await warm_up(bench)
@@ -153,10 +153,10 @@
         )
 
     def _create_bench(self) -> Bench:
-        # one is left where the holder of a role and whoever follows it are lost
+        # one instance must remain if both the holder of a role and its successor fail
         spare = self._cell.step in (Step.CONFIGURATION_WATCHER, Step.ORDER_LEASE)
-        # half of the cells have engines of either kind, and the other half with the
-        # next seed
+        # engines check fencing tokens in half of the cells, and in the other half
+        # with the next seed
         number = zlib.crc32(str(self._cell).encode()) + self._seed
         return Bench(
             self._seed,
@@ -165,7 +165,7 @@
         )
 
     async def _prepare_engines(self) -> None:
-        """Have the engines hold a first model, unless the lease is yet to be got."""
+        """Place a first model on the engines, unless the step acquires the lease."""
         bench = self.bench
         if self._cell.step is Step.LEASE_HELD:
             return
@@ -183,7 +183,7 @@
         return service, create_placement(model)
 
     def _find_wanted(self) -> str:
-        """Return the model that the configuration in force names."""
+        """Return the model that the configuration in force places on engines."""
         in_force = [one.list_changes() for one in self.bench.instances if one.alive]
         if any(PROBE_CHANGE in changes for changes in in_force):
             return SECOND_MODEL if self._cell.step in LEASED_STEPS else ""
@@ -195,7 +195,7 @@
         step = self._cell.step
         announcer = self.bench.announcer
         if step is Step.CONFIGURATION_WATCHER:
-            # the watcher is lost as there is something new to be seen
+            # the watcher is killed when there is a new head to read
             announcer.await_step(Step.HEAD_SWAPPED, PROBE_CHANGE, self._begin)
             return
         if step is Step.ORDER_LEASE:
@@ -209,7 +209,7 @@
         announcer.await_step(step, subject, self._begin)
 
     def _provoke(self) -> None:
-        """Set in motion what comes to the step."""
+        """Start the operation that reaches the step."""
         bench = self.bench
         first, second, third = bench.instances[:3]
         step = self._cell.step
@@ -230,18 +230,18 @@
             self._await_stop(first)
 
     def _slow_replies(self) -> None:
-        """Have replies take so long that one is still in flight when a stop ends."""
+        """Slow replies down so that one is still in flight as the stop ends."""
         for target in self.bench.targets.values():
             if target.service == "llm":
                 target.slowness = SLOW_REPLY
 
     def _send_probe(self, first: ServingInstance, second: ServingInstance) -> None:
-        """Send the watched request; its claim is written by the second instance."""
+        """Send the probe, whose claim is written by the second instance."""
         bench = self.bench
         third = next(one for one in bench.instances if one not in (first, second))
         wish = Wish(marker=PROBE, pipeline=BOOKING, keyed=True)
         names = [one.name for one in bench.instances]
-        # the writer of a key depends on the key alone: take one that suits
+        # the claim writer depends on the key alone: try keys until it is the second
         suffix = 0
         while True:
             key = create_key(WORKSPACE, wish.pipeline, wish.key)
@@ -264,7 +264,7 @@
         self.bench.spawn(watch())
 
     def _begin(self, process: SimulatedProcess) -> None:
-        """Bring the faults about, and plan their end."""
+        """Inject the faults and schedule their removal."""
         bench = self.bench
         loop = asyncio.get_running_loop()
         subject = bench.find(process.name)
@@ -282,7 +282,7 @@
         bench.spawn(self._heal(subject))
 
     def _take_over(self, announced: ServingInstance) -> ServingInstance:
-        """Kill who has the role, and return whom the fault is to hit on top."""
+        """Kill the holder of the role and return the instance that gets the fault."""
         bench = self.bench
         holder = announced
         if self._cell.step is Step.CONFIGURATION_WATCHER:
@@ -290,7 +290,7 @@
         holder.kill()
         if self._cell.step is not Step.CLAIM_WRITER:
             return next(one for one in bench.instances if _is_successor(one, holder))
-        # the instance that waits for the lost one's word
+        # the instance that waits for a response of the killed one
         return bench.instances[2]
 
     @property
@@ -320,7 +320,7 @@
         self._fault_over.set()
 
     async def _play(self) -> None:
-        """Send other requests and make a change while the fault lasts."""
+        """Send background requests and make a change while the fault lasts."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
         for number, offset in enumerate(PULSES):
@@ -349,11 +349,11 @@
 
 
 def _is_watcher(instance: ServingInstance) -> bool:
-    """Whether an instance watches the configuration in the store."""
+    """Whether an instance watches the configuration head in the store."""
     watching: bool = instance.controllers["configuration"].dump()["watching"]
     return watching
 
 
 def _is_successor(instance: ServingInstance, lost: ServingInstance) -> bool:
-    """Whether an instance watches beside, or soon instead of, the lost one."""
+    """Whether an instance can take over the role of the lost one."""
     return instance is not lost and instance.data_centre == lost.data_centre
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
@@ -1,4 +1,4 @@
-"""What a bench needs of an entry instance, whatever system it runs."""
+"""Interface of a bench's instances, independent of the system under test."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class ServingInstance(ABC):
-    """One process that serves callers and takes changes of the configuration."""
+    """One simulated process that serves clients and accepts configuration changes."""
 
-    #: set by those that derive from it, once they are wired
+    #: set by subclasses
     front: Front
 
     def __init__(
@@ -31,7 +31,7 @@
         self.data_centre = data_centre
         self.address = address
         self.process = SimulatedProcess(name)
-        #: generations in force, with the loop time at which each was first seen
+        #: loop time at which each generation was first observed, and the generation
         self.generations: list[tuple[float, int]] = []
         self.exit_code: int | None = None
         self.stopping = False
@@ -54,26 +54,26 @@
 
     @property
     def alive(self) -> bool:
-        """Whether it serves: neither killed nor stopped nor about to be."""
+        """Whether it is neither killed nor stopping."""
         return not self.process.killed and not self.stopping
 
     @property
     @abstractmethod
     def generation(self) -> int:
-        """Generation in force here."""
+        """The configuration generation in force on this instance."""
 
     @property
     @abstractmethod
     def change_id(self) -> str:
-        """Id of the newest change in force here."""
+        """The id of the latest change in force on this instance."""
 
     @abstractmethod
     def list_changes(self) -> frozenset[str]:
-        """Return the ids of all changes in force here."""
+        """Return the ids of all changes in force on this instance."""
 
     @abstractmethod
     async def change(self, request: ChangeRequest) -> ChangeOutcome:
-        """Make a change; called as part of the process."""
+        """Make a change; called in the context of the process."""
 
     @abstractmethod
     def start(self) -> None:
@@ -81,12 +81,13 @@
 
     @abstractmethod
     def stop(self) -> None:
-        """Begin a planned stop."""
+        """Request a planned stop."""
 
     def kill(self, *, silently: bool = False) -> None:
-        """End the process as by SIGKILL.
+        """Kill the process as by SIGKILL.
 
-        :param silently: its system ends as well, which so closes no connection
+        :param silently: whether the operating system fails as well, so that no
+            connection is closed
         """
         if self.process.killed:
             return
@@ -98,7 +99,7 @@
         self.bench.exchange.reset(self.name)
 
     def silence(self) -> None:
-        """Have all its open connections go silent for good."""
+        """Drop all further traffic on its open connections."""
         self.bench.exchange.silence(self.name)
         self.dialer.silence()
         self.link.silence()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/sessions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/sessions.py
@@ -1,4 +1,4 @@
-"""Sessions towards the bench's targets, in the place of those of aiohttp."""
+"""Simulated HTTP sessions to targets, in place of those of aiohttp."""
 
 from __future__ import annotations
 
@@ -22,18 +22,19 @@
 
 __all__ = ("ORDERS", "SimulatedPool", "SimulatedSession")
 
-#: beginning of the subject of steps of orders; the data centre follows
+#: first part of the subject of order steps, followed by the data centre
 ORDERS = "orders"
-#: share of a session's time limit that may pass until a connection is made
+#: fraction of a session's timeout within which a connection must be open
 CONNECT_SHARE = 0.4
-#: stage whose calls are announced
+#: stage whose calls are announced as steps
 WATCHED_STAGE = "book"
 
 
 class SimulatedSession:
-    """Connections to targets, kept for the next call or not.
+    """A client session with optional reuse of connections.
 
-    :param timeout: seconds for a whole exchange; ``None``: no limit here
+    :param keep: whether connections are kept open for further calls
+    :param timeout: timeout of a whole request in seconds, or ``None`` for no limit
     """
 
     def __init__(
@@ -47,7 +48,7 @@
     def post(
         self, url: URL | str, *, data: Any = None, json: Any = None, **_options: Any
     ) -> _Exchange:
-        """Make a call, which may be awaited or entered."""
+        """Make a call; the result is awaitable and an asynchronous context manager."""
         place = URL(url)
         address = f"{place.host}:{place.port}"
         if place.path == "/orders":
@@ -62,13 +63,13 @@
         return _Exchange(self._read_state(f"{place.host}:{place.port}"))
 
     async def close(self) -> None:
-        """Close the connections that are not in use."""
+        """Close the idle connections."""
         for connection in self._idle:
             connection.close()
         self._idle.clear()
 
     def keep(self, connection: Connection) -> None:
-        """Take a connection back."""
+        """Return a connection to the idle ones, or close it."""
         if self._keep and connection.open:
             self._idle.append(connection)
         else:
@@ -128,7 +129,7 @@
         subject: str = "",
         steps: tuple[Step | None, Step | None] = (None, None),
     ) -> SimulatedResponse:
-        """Make one request; ``steps`` are announced before and after it is sent."""
+        """Make one request and announce ``steps`` before and after it is sent."""
         dialer = self._dialer
         connection = await self._open(address)
         if steps[0] is not None:
@@ -150,23 +151,25 @@
             return self._idle.pop()
         if self._timeout is None:
             return await self._dialer.open(address)
-        # such sessions are those for orders, whose sockets drop what is not sent
+        # only sessions for orders have a timeout, and their sockets drop unsent bytes
         async with asyncio.timeout(self._timeout * CONNECT_SHARE):
             return await self._dialer.open(address, lingers_off=True)
 
 
 async def _write(data: Any) -> None:
-    """Have a body written; whatever it raises reaches the caller as aiohttp has it."""
+    """Write a body, turning exceptions into connection errors as aiohttp does."""
     if data is None:
         return
     try:
         await data.write_with_length(_Sink(), None)
     except Exception as error:
-        raise aiohttp.ClientConnectionError("failed to send") from error
+        raise aiohttp.ClientConnectionError(
+            f"failed to send request body: {error}"
+        ) from error
 
 
 class _Exchange:
-    """A call under way, as aiohttp gives it: to be awaited or entered."""
+    """A call in flight, awaitable or used as a context manager as in aiohttp."""
 
     def __init__(self, work: Any) -> None:
         self._work = work
@@ -185,14 +188,14 @@
 
 
 class _Sink:
-    """Takes the bytes of a body; the call itself is carried as a message."""
+    """Discards the written body; the call itself is passed as an object."""
 
     async def write(self, _data: bytes) -> None:
         return
 
 
 class SimulatedPool(TargetPool):
-    """The real pool of connections, with sessions of the bench."""
+    """The real connection pool, with simulated sessions."""
 
     def __init__(self, *, dialer: Dialer, **rules: Any) -> None:
         super().__init__(**rules)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/steps.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/steps.py
@@ -1,4 +1,4 @@
-"""The steps at which faults are brought about, and who announces them."""
+"""The steps at which faults are injected, and their notification."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Step(Enum):
-    """A moment at which a fault may come."""
+    """A point of an operation at which a fault may be injected."""
 
     RECEIVED = "received"
     CLAIMED = "claimed"
@@ -52,7 +52,8 @@
 class Announcer:
     """Calls a listener the first time that a step is reached for a subject.
 
-    A subject is the marker of a request, the id of a change or a group of engines.
+    A subject is the marker of a request, the id of a change or a group of engines
+    (such as ``orders/north``).
     """
 
     def __init__(self) -> None:
@@ -63,15 +64,15 @@
     def await_step(
         self, step: Step, subject: str, listener: Callable[[SimulatedProcess], None]
     ) -> None:
-        """Have ``listener`` called once the step is reached."""
+        """Register ``listener`` to be called once when the step is reached."""
         self._listeners[step, subject] = listener
 
     def forget(self, subject: str) -> None:
-        """Take the steps of a subject as not reached."""
+        """Mark all steps of a subject as not reached."""
         self.reached = {one for one in self.reached if one[1] != subject}
 
     def announce(self, step: Step, subject: str, process: SimulatedProcess) -> None:
-        """Tell that ``process`` has come to a step."""
+        """Record that ``process`` has reached a step and call the listener."""
         self.reached.add((step, subject))
         listener = self._listeners.pop((step, subject), None)
         if listener is not None:
@@ -80,7 +81,7 @@
     async def reach(self, step: Step, subject: str, process: SimulatedProcess) -> None:
         """Announce a step from within the process.
 
-        The caller's task goes on only if the process still runs afterwards.
+        The caller's task continues only if the process still runs afterwards.
         """
         self.announce(step, subject, process)
         await asyncio.sleep(0)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/table.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/table.py
@@ -1,4 +1,4 @@
-"""Runs many cells and shows what became of them."""
+"""Runs many cells and formats their outcomes."""
 
 from __future__ import annotations
 
@@ -26,38 +26,39 @@
     "run_cells",
 )
 
-#: seconds after which a cell counts as hanging; it takes about half a second
+#: seconds until a cell is aborted as hanging; a cell takes about half a second
 HANGING = 60
-#: cells that one worker is given at a time
+#: cells sent to a worker process at a time
 CHUNK = 4
 
 
 class Outcome(Enum):
-    """What became of a cell."""
+    """The outcome of a cell."""
 
     HELD = "held"
     FAILED = "failed"
-    #: the fault did not come about
+    #: the step was not reached, so that no fault was injected
     NOT_RUN = "not run"
+    #: the combination cannot occur
     EXCUSED = "excused"
 
 
-#: the order in which outcomes of one cell under several seeds count
+#: precedence of outcomes when a cell runs with several seeds, worst first
 RANKS = (Outcome.FAILED, Outcome.NOT_RUN, Outcome.HELD)
 
 
 class HangingError(SystemExit):
-    """A cell did not end; as no ``Exception``, so that no task can swallow it."""
+    """A cell did not end; no ``Exception``, so that no task can suppress it."""
 
 
 @dataclass(slots=True)
 class CellSummary:
-    """Outcome of one cell over all its seeds, with the reasons."""
+    """Outcome of one cell over all its seeds, with violations or errors."""
 
     cell: Cell
     outcome: Outcome
     reasons: list[str] = field(default_factory=list)
-    #: requests that came while the faults lasted, and those of them with a result
+    #: requests sent while the faults lasted, and those answered before the deadline
     asked: int = 0
     attained: int = 0
 
@@ -75,7 +76,7 @@
 def run_cells(
     cells: Sequence[Cell], seeds: Sequence[int], *, workers: int
 ) -> list[CellSummary]:
-    """Run each cell with each seed, unless it is excused."""
+    """Run each cell with each seed, except for cells that cannot occur."""
     summaries = [_begin(cell) for cell in cells]
     due = [
         (summary.cell, seed)
@@ -101,8 +102,8 @@
 
 def _run(work: tuple[Cell, int]) -> _Found:
     cell, seed = work
-    # what the parts complain of while faults last is meant to happen, and so is that
-    # a killed process leaves things undone
+    # errors logged while faults last are expected, and so are coroutines that a
+    # killed process never awaits
     logging.disable(logging.CRITICAL)
     warnings.filterwarnings("ignore", message="coroutine .* was never awaited")
     signal.signal(signal.SIGALRM, _interrupt)
@@ -110,7 +111,7 @@
     try:
         result = run_cell(cell, seed)
     except HangingError:
-        return _Found(Outcome.FAILED, [f"seed {seed}: did not end in {HANGING} s"])
+        return _Found(Outcome.FAILED, [f"seed {seed}: did not end within {HANGING} s"])
     except Exception as error:
         reason = f"seed {seed}: {type(error).__name__}: {error}"
         return _Found(Outcome.FAILED, [reason])
@@ -135,9 +136,10 @@
 
 
 def format_attainment(summaries: Iterable[CellSummary]) -> str:
-    """Return what each single fault cost requests that came while it lasted.
+    """Return the share of requests answered in time, for each single fault.
 
-    Only cells at the steps of a request count: a stop, say, is costly by itself.
+    Only cells at request steps count, as an operation such as a planned stop
+    lowers the share without any fault.
     """
     asked: Counter[str] = Counter()
     attained: Counter[str] = Counter()
@@ -146,7 +148,9 @@
             asked[summary.cell.faults[0]] += summary.asked
             attained[summary.cell.faults[0]] += summary.attained
     width = max(map(len, FAULTS)) + 2
-    lines = ["answered whole and in time, of what came while the fault lasted:"]
+    lines = [
+        "share of requests sent during the fault that got a result by their deadline:"
+    ]
     for fault in FAULTS:
         if asked[fault]:
             share = attained[fault] / asked[fault]
@@ -155,7 +159,7 @@
 
 
 def format_table(summaries: Iterable[CellSummary]) -> str:
-    """Return the single faults as tables of faults by steps."""
+    """Return the outcomes of single faults as tables of faults by steps."""
     found = {
         (summary.cell.faults[0], summary.cell.step): summary
         for summary in summaries
@@ -175,7 +179,7 @@
 
 
 def format_json(summaries: Sequence[CellSummary], seeds: Sequence[int]) -> str:
-    """Return counts and reasons as one line of JSON."""
+    """Return the number of cells by outcome and the reasons as one line of JSON."""
     counts = Counter(summary.outcome for summary in summaries)
     reasons: dict[str, dict[str, list[str]]] = {}
     for summary in summaries:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -1,4 +1,4 @@
-"""The requests that every run makes beside the one that is watched."""
+"""Background requests of every run, besides the probe."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 __all__ = ("SETTLING", "conclude", "send_pulse", "warm_up")
 
-#: seconds from the first configuration in force to the first requests
+#: seconds between the first configuration in force and the first requests
 WARMING = 1.5
-#: seconds after the last fault until everything has to be as before
+#: seconds after the end of the fault within which the fleet must have recovered
 SETTLING = 12.0
 
 
 async def warm_up(bench: Bench) -> None:
-    """Have each instance use its connections once."""
+    """Send requests to each instance so that connections are established."""
     await asyncio.sleep(WARMING)
     for number, instance in enumerate(bench.instances):
         bench.call(Wish(marker=f"warm-{number}"), instance)
@@ -31,7 +31,7 @@
 
 
 def send_pulse(bench: Bench, number: int) -> None:
-    """Send one request of each sort to each instance that listens."""
+    """Send one request of each kind to each listening instance."""
     for place, instance in enumerate(bench.instances):
         if not instance.front.listening:
             continue
@@ -46,7 +46,7 @@
 
 
 def _send_twins(bench: Bench, number: int) -> None:
-    """Send one keyed request through two instances at the same time."""
+    """Send a keyed request to two instances concurrently."""
     listening = [one for one in bench.instances if one.front.listening]
     wish = Wish(marker=f"twin-{number}", pipeline=BOOKING, keyed=True, first=False)
     for instance in bench.random.sample(listening, min(2, len(listening))):
@@ -54,7 +54,7 @@
 
 
 async def conclude(bench: Bench, healed: float, settling: float = SETTLING) -> None:
-    """Wait until all is settled, and see that everything works again."""
+    """Wait for recovery, then send requests that must all succeed."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(max(0.0, healed + settling - loop.time()))
     for place, instance in enumerate(bench.instances):
--- a/tests/test_matrix/conftest.py
+++ b/tests/test_matrix/conftest.py
@@ -1,4 +1,4 @@
-"""Steps that the features of the matrix share."""
+"""Shared steps of the fault matrix's feature files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from greengagelatch_lab.matrix.run import run_cell
 from greengagelatch_lab.matrix.steps import Step
 
-#: seed of the cells in the usual run of the tests
+#: seed with which the tests run each cell
 SEED = 1
 
 
--- a/tests/test_matrix/test_cells.py
+++ b/tests/test_matrix/test_cells.py
@@ -1,4 +1,4 @@
-"""Whether the features hold every cell of the matrix."""
+"""Tests that the feature files cover every cell of the matrix."""
 
 from __future__ import annotations
 
--- a/tests/test_matrix/test_changes.py
+++ b/tests/test_matrix/test_changes.py
@@ -1,4 +1,4 @@
-"""The cells of changes.feature."""
+"""Tests of the cells in changes.feature."""
 
 from __future__ import annotations
 
--- a/tests/test_matrix/test_orders.py
+++ b/tests/test_matrix/test_orders.py
@@ -1,4 +1,4 @@
-"""The cells of orders.feature."""
+"""Tests of the cells in orders.feature."""
 
 from __future__ import annotations
 
--- a/tests/test_matrix/test_pairs.py
+++ b/tests/test_matrix/test_pairs.py
@@ -1,4 +1,4 @@
-"""The cells of pairs.feature."""
+"""Tests of the cells in pairs.feature."""
 
 from __future__ import annotations
 
--- a/tests/test_matrix/test_requests.py
+++ b/tests/test_matrix/test_requests.py
@@ -1,4 +1,4 @@
-"""The cells of requests.feature."""
+"""Tests of the cells in requests.feature."""
 
 from __future__ import annotations
 
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -1,4 +1,4 @@
-"""Whether the matrix notices the loss of what it is there to prove."""
+"""Mutation tests: the matrix detects the removal of each safeguard."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Loss:
-    """A guard that is taken out, and the cell that has to notice it."""
+    """A safeguard to disable, and the cell and violation that must detect it."""
 
     owner: Any
     name: str
--- a/tests/test_matrix/test_simulated_processes.py
+++ b/tests/test_matrix/test_simulated_processes.py
@@ -1,4 +1,4 @@
-"""Tests of simulated processes that are stopped and ended."""
+"""Tests of paused and killed simulated processes."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 @pytest.mark.parametrize("end", [SimulatedProcess.kill, SimulatedProcess.pause])
 def test_task_that_a_stopped_process_had_just_started_is_closed(end):
     """
-    Symptom: a run of the matrix warns that a coroutine was never awaited. Sequence: a
-    process starts a task and is stopped in the same turn, and the run ends. Cause: the
-    task's first step was held back with the process, so that its cancellation never
-    reached it either.
+    Guards against the warning that a coroutine was never awaited. It came when a
+    process was paused or killed in the same loop iteration in which it started a task:
+    the first step was deferred, so that the cancellation at the end of the run never
+    reached the task.
     """
     begun = []
 
@@ -33,7 +33,7 @@
         end(process)
         await asyncio.sleep(1.0)
 
-    # what other tests have left is not this one's
+    # collect the garbage of other tests, whose warnings are not counted here
     gc.collect()
     loop = create_loop()
     with warnings.catch_warnings(record=True) as caught:
--- a/tests/test_matrix/test_stops.py
+++ b/tests/test_matrix/test_stops.py
@@ -1,4 +1,4 @@
-"""The cells of stops.feature."""
+"""Tests of the cells in stops.feature."""
 
 from __future__ import annotations
 
--- a/tests/test_matrix/test_takeovers.py
+++ b/tests/test_matrix/test_takeovers.py
@@ -1,4 +1,4 @@
-"""The cells of takeovers.feature."""
+"""Tests of the cells in takeovers.feature."""
 
 from __future__ import annotations
 
