--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -8,7 +8,7 @@
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-from ..matrix.checker import Breach, Promise
+from ..matrix.checker import Breach, Guarantee
 from .histories import History, histories
 from .naive import NaiveInstance
 from .playing import play
@@ -17,15 +17,15 @@
 
 #: what is counted for both, and the broken promises that belong to it
 CATEGORIES = {
-    "lost": (Promise.LOST,),
-    "doubled": (Promise.DOUBLED,),
-    "crossed": (Promise.CROSSED,),
-    "false not run": (Promise.FALSE_NOT_RUN,),
-    "cut": (Promise.CUT,),
-    "reverted": (Promise.REVERTED, Promise.NOT_IN_FORCE),
-    "late": (Promise.LATE,),
-    "leaving target used": (Promise.LEAVING_USED,),
-    "other": (Promise.NO_RETURN_TIME, Promise.HELD_BACK, Promise.NOT_RECOVERED),
+    "lost": (Guarantee.LOST,),
+    "doubled": (Guarantee.DOUBLED,),
+    "crossed": (Guarantee.CROSSED,),
+    "false not run": (Guarantee.FALSE_NOT_RUN,),
+    "cut": (Guarantee.CUT,),
+    "reverted": (Guarantee.REVERTED, Guarantee.NOT_IN_FORCE),
+    "late": (Guarantee.LATE,),
+    "leaving target used": (Guarantee.LEAVING_USED,),
+    "other": (Guarantee.NO_RETURN_TIME, Guarantee.HELD_BACK, Guarantee.NOT_RECOVERED),
 }
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -16,7 +16,7 @@
     from .fleet import Run
     from .records import AskRecord, ChangeRecord, InstanceRecord, RunRecord
 
-__all__ = ("Breach", "Promise", "check")
+__all__ = ("Breach", "Guarantee", "check")
 
 #: seconds after its deadline within which a request must have its final response
 ANSWER_SLACK = 0.5
@@ -37,7 +37,7 @@
 UNREPEATABLE_STAGE = "book"
 
 
-class Promise(Enum):
+class Guarantee(Enum):
     """A guarantee that must hold in every run."""
 
     LOST = "lost"
@@ -60,7 +60,7 @@
 class Breach:
     """A violated guarantee."""
 
-    promise: Promise
+    promise: Guarantee
     detail: str
 
     def __str__(self) -> str:
@@ -99,19 +99,21 @@
     def _check_answer(self, ask: AskRecord) -> Iterator[Breach]:
         instance = self._instances[ask.instance]
         if ask.answers > 1:
-            yield Breach(Promise.DOUBLED, f"{ask.marker}: {ask.answers} final answers")
+            yield Breach(
+                Guarantee.DOUBLED, f"{ask.marker}: {ask.answers} final answers"
+            )
         if ask.refused or instance.killed:
             return
         if ask.reset or not ask.answers:
             what = "was reset" if ask.reset else "has no final answer"
-            kind = Promise.CUT if instance.stopping else Promise.LOST
+            kind = Guarantee.CUT if instance.stopping else Guarantee.LOST
             yield Breach(kind, f"{ask.marker} at {ask.instance} {what}")
             return
         due = _find_due(ask, instance)
         if ask.answered > due:
             late = ask.answered - due
             detail = f"{ask.marker} at {ask.instance}: {late:.3f} s after it was due"
-            yield Breach(Promise.LATE, detail)
+            yield Breach(Guarantee.LATE, detail)
 
     def _check_tokens(self, ask: AskRecord) -> Iterator[Breach]:
         expected = write_tokens(ask.marker)
@@ -119,31 +121,33 @@
         offsets = [offset for offset, _ in ask.tokens]
         text = "".join(text for _, text in ask.tokens)
         if not whole.startswith(text):
-            yield Breach(Promise.CROSSED, f"{ask.marker} was given {text!r}")
+            yield Breach(Guarantee.CROSSED, f"{ask.marker} was given {text!r}")
         if offsets != list(range(len(offsets))):
-            yield Breach(Promise.DOUBLED, f"{ask.marker}: tokens at {offsets}")
+            yield Breach(Guarantee.DOUBLED, f"{ask.marker}: tokens at {offsets}")
         if ask.result is None:
             return
         if ask.result != whole:
-            yield Breach(Promise.CROSSED, f"{ask.marker}: result {ask.result!r}")
+            yield Breach(Guarantee.CROSSED, f"{ask.marker}: result {ask.result!r}")
         if ask.stream and text != whole:
-            yield Breach(Promise.LOST, f"{ask.marker}: only {text!r} and the end")
+            yield Breach(Guarantee.LOST, f"{ask.marker}: only {text!r} and the end")
         if ask.verdict != "ran":
-            yield Breach(Promise.FALSE_NOT_RUN, f"{ask.marker}: result, {ask.verdict}")
+            yield Breach(
+                Guarantee.FALSE_NOT_RUN, f"{ask.marker}: result, {ask.verdict}"
+            )
 
     def _check_not_run(self, ask: AskRecord) -> Iterator[Breach]:
         runs = self._runs.get(ask.request, ())
         if ask.verdict == NOT_RUN and runs:
             stages = ", ".join(run.stage for run in runs)
             detail = f"{ask.marker} at {ask.instance} ({ask.code}); ran: {stages}"
-            yield Breach(Promise.FALSE_NOT_RUN, detail)
+            yield Breach(Guarantee.FALSE_NOT_RUN, detail)
 
     def _check_refusal(self, ask: AskRecord) -> Iterator[Breach]:
         if ask.verdict != NOT_RUN or not ask.code or ask.code in FINAL_CODES:
             return
         if ask.retry_after_ms is None:
             detail = f"{ask.marker} at {ask.instance}: {ask.code}"
-            yield Breach(Promise.NO_RETURN_TIME, detail)
+            yield Breach(Guarantee.NO_RETURN_TIME, detail)
         instance = self._instances[ask.instance]
         # a request that ran into its deadline was not abandoned early, and a keyed
         # one may have spent its time on claiming its key
@@ -151,13 +155,13 @@
         due = _find_due(ask, instance) - ANSWER_SLACK
         if given_up and ask.answered > due - LEAST_LEFT:
             detail = f"{ask.marker} at {ask.instance}: {ask.code} at its deadline"
-            yield Breach(Promise.HELD_BACK, detail)
+            yield Breach(Guarantee.HELD_BACK, detail)
 
     def _check_recovery(self, ask: AskRecord) -> Iterator[Breach]:
         if ask.must_succeed and ask.result is None:
             what = ask.code or ("reset" if ask.reset else "refused or silent")
             detail = f"{ask.marker} at {ask.instance}: {what} after the fault ended"
-            yield Breach(Promise.NOT_RECOVERED, detail)
+            yield Breach(Guarantee.NOT_RECOVERED, detail)
 
     def _check_groups(self) -> Iterator[Breach]:
         """Check the attempts of each request together."""
@@ -171,14 +175,14 @@
         for marker, asks in groups.items():
             runs = effects[marker]
             if runs > 1 and not asks[0].repeatable:
-                yield Breach(Promise.DOUBLED, f"{marker}: {runs} runs of stage book")
+                yield Breach(Guarantee.DOUBLED, f"{marker}: {runs} runs of stage book")
             untrue = all(ask.refused or ask.verdict == NOT_RUN for ask in asks)
             if runs and untrue:
                 detail = f"{marker}: no response says that it ran"
-                yield Breach(Promise.FALSE_NOT_RUN, detail)
+                yield Breach(Guarantee.FALSE_NOT_RUN, detail)
             if not runs and any(ask.result for ask in asks) and not asks[0].repeatable:
                 yield Breach(
-                    Promise.LOST, f"{marker}: result without a run of stage book"
+                    Guarantee.LOST, f"{marker}: result without a run of stage book"
                 )
 
     # targets
@@ -186,14 +190,14 @@
     def _check_targets(self) -> Iterator[Breach]:
         targets = self._record.targets
         for text in targets.mixed:
-            yield Breach(Promise.CROSSED, f"inputs of one stage: {text}")
+            yield Breach(Guarantee.CROSSED, f"inputs of one stage: {text}")
         for time, target in targets.arrivals:
             since = targets.leaving.get(target)
             if since is not None and time > since + LEAVING_BOUND:
                 detail = (
                     f"{target} got a call {time - since:.1f} s after it began to drain"
                 )
-                yield Breach(Promise.LEAVING_USED, detail)
+                yield Breach(Guarantee.LEAVING_USED, detail)
 
     def _check_orders(self) -> Iterator[Breach]:
         newest: dict[str, int] = {}
@@ -201,24 +205,24 @@
             highest = newest.get(order.target, 0)
             if order.fence < highest:
                 detail = f"{order.target}: fencing token {order.fence} after {highest}"
-                yield Breach(Promise.ORDER_UNDONE, detail)
+                yield Breach(Guarantee.ORDER_UNDONE, detail)
             newest[order.target] = max(highest, order.fence)
         wanted = self._record.wanted
         for target, models in self._record.engines.items():
             if wanted and models != (wanted,):
                 detail = f"{target} holds {models}, expected {wanted}"
-                yield Breach(Promise.ORDER_MISSING, detail)
+                yield Breach(Guarantee.ORDER_MISSING, detail)
 
     # instances and changes
 
     def _check_instance(self, instance: InstanceRecord) -> Iterator[Breach]:
         if instance.finished is False and not instance.killed:
             yield Breach(
-                Promise.CUT, f"{instance.name} stopped with requests in flight"
+                Guarantee.CUT, f"{instance.name} stopped with requests in flight"
             )
         numbers = [generation for _, generation in instance.generations]
         if numbers != sorted(numbers):
-            yield Breach(Promise.REVERTED, f"{instance.name}: generations {numbers}")
+            yield Breach(Guarantee.REVERTED, f"{instance.name}: generations {numbers}")
 
     def _check_changes(self) -> Iterator[Breach]:
         living = [
@@ -229,16 +233,16 @@
         generations = {one.generations[-1][1] for one in living if one.generations}
         if len(generations) > 1:
             detail = f"generations at the end: {sorted(generations)}"
-            yield Breach(Promise.NOT_IN_FORCE, detail)
+            yield Breach(Guarantee.NOT_IN_FORCE, detail)
         for change in self._record.changes:
             for instance in living:
                 present = change.change_id in instance.changes
                 if change.state == ChangeState.SETTLED and not present:
                     detail = f"{change.change_id} at {instance.name}"
-                    yield Breach(Promise.NOT_IN_FORCE, detail)
+                    yield Breach(Guarantee.NOT_IN_FORCE, detail)
                 if change.state == ChangeState.REJECTED and present:
                     detail = f"{change.change_id} was rejected but is in force"
-                    yield Breach(Promise.REVERTED, detail)
+                    yield Breach(Guarantee.REVERTED, detail)
             if change.state == ChangeState.SETTLED:
                 yield from self._check_spreading(change, living)
 
@@ -254,7 +258,7 @@
             ]
             if times and times[0] > start + SPREADING_BOUND:
                 detail = f"{change.change_id} at {instance.name} only at {times[0]:.1f}"
-                yield Breach(Promise.NOT_IN_FORCE, detail)
+                yield Breach(Guarantee.NOT_IN_FORCE, detail)
 
 
 def _find_due(ask: AskRecord, instance: InstanceRecord) -> float:
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -15,7 +15,7 @@
 from greengagelatch_entry import stage_caller
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_lab.matrix.cells import Cell
-from greengagelatch_lab.matrix.checker import Promise
+from greengagelatch_lab.matrix.checker import Guarantee
 from greengagelatch_lab.matrix.front import Front
 from greengagelatch_lab.matrix.run import run_cell
 from greengagelatch_lab.matrix.steps import Step
@@ -30,7 +30,7 @@
     replacement: Any
     fault: str
     step: Step
-    promise: Promise
+    promise: Guarantee
 
 
 async def pass_unclaimed(self, exchange, proceed):
@@ -48,7 +48,7 @@
         lambda rules, failure, *, attempts, **_: "attempts" if attempts > 2 else None,
         "failing stage",
         Step.SENT,
-        Promise.DOUBLED,
+        Guarantee.DOUBLED,
     ),
     "claims": Loss(
         DeduplicationFilter,
@@ -56,7 +56,7 @@
         pass_unclaimed,
         "process killed",
         Step.BETWEEN_STAGES,
-        Promise.DOUBLED,
+        Guarantee.DOUBLED,
     ),
     "verdicts": Loss(
         ledger.AttemptLedger,
@@ -64,7 +64,7 @@
         Verdict.NOT_RUN,
         "failing stage",
         Step.RECEIVED,
-        Promise.FALSE_NOT_RUN,
+        Guarantee.FALSE_NOT_RUN,
     ),
     "what was already given": Loss(
         tokens.StreamedTokens,
@@ -72,7 +72,7 @@
         lambda self, offset, text: tokens.TokenCheck.NEW,
         "failing stage",
         Step.RECEIVED,
-        Promise.DOUBLED,
+        Guarantee.DOUBLED,
     ),
     "leaving targets": Loss(
         TargetRegistry,
@@ -80,7 +80,7 @@
         lambda self, target_ids: TargetRegistryChange(),
         "store slow",
         Step.RECEIVED,
-        Promise.LEAVING_USED,
+        Guarantee.LEAVING_USED,
     ),
     "waiting for requests in flight": Loss(
         Front,
@@ -88,7 +88,7 @@
         wait_for_nothing,
         "store slow",
         Step.LEAVING,
-        Promise.CUT,
+        Guarantee.CUT,
     ),
     "higher generations only": Loss(
         replica.Replica,
@@ -98,7 +98,7 @@
         ),
         "operators racing",
         Step.HEAD_SWAPPED,
-        Promise.NOT_IN_FORCE,
+        Guarantee.NOT_IN_FORCE,
     ),
 }
 
