--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -8,7 +8,7 @@
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-from ..matrix.checker import Breach, Guarantee
+from ..matrix.checker import Guarantee, Violation
 from .histories import History, histories
 from .naive import NaiveInstance
 from .playing import play
@@ -38,7 +38,7 @@
     ours: Counter[str] = field(default_factory=Counter)
     naive: Counter[str] = field(default_factory=Counter)
     #: histories under which the system itself broke something
-    failures: list[tuple[History, list[Breach]]] = field(default_factory=list)
+    failures: list[tuple[History, list[Violation]]] = field(default_factory=list)
 
 
 def compare(seed_number: int, examples: int) -> Comparison:
@@ -72,6 +72,6 @@
     return comparison
 
 
-def _categorize(breaches: list[Breach]) -> set[str]:
+def _categorize(breaches: list[Violation]) -> set[str]:
     broken = {breach.promise for breach in breaches}
     return {name for name, kinds in CATEGORIES.items() if broken.intersection(kinds)}
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -7,7 +7,7 @@
 
 from ..matrix.bench import Bench
 from ..matrix.callers import Wish
-from ..matrix.checker import Breach, check
+from ..matrix.checker import Violation, check
 from ..matrix.collecting import collect
 from ..matrix.faults import FAULTS
 from ..matrix.instance import EntryInstance
@@ -34,7 +34,7 @@
 
 def play(
     history: History, create: Callable[..., ServingInstance] = EntryInstance
-) -> list[Breach]:
+) -> list[Violation]:
     """Return the promises that a system breaks under a history."""
     loop = create_loop()
     player = _Player(history, create)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -16,7 +16,7 @@
     from .fleet import Run
     from .records import AskRecord, ChangeRecord, InstanceRecord, RunRecord
 
-__all__ = ("Breach", "Guarantee", "check")
+__all__ = ("Violation", "Guarantee", "check")
 
 #: seconds after its deadline within which a request must have its final response
 ANSWER_SLACK = 0.5
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
+class Violation:
     """A violated guarantee."""
 
     promise: Guarantee
@@ -67,7 +67,7 @@
         return f"{self.promise.value}: {self.detail}"
 
 
-def check(record: RunRecord) -> list[Breach]:
+def check(record: RunRecord) -> list[Violation]:
     """Return all violations found in a run."""
     return list(_Checker(record).check())
 
@@ -80,7 +80,7 @@
         for run in record.targets.runs:
             self._runs[run.request].append(run)
 
-    def check(self) -> Iterator[Breach]:
+    def check(self) -> Iterator[Violation]:
         for ask in self._record.asks:
             yield from self._check_answer(ask)
             yield from self._check_tokens(ask)
@@ -96,10 +96,10 @@
 
     # requests
 
-    def _check_answer(self, ask: AskRecord) -> Iterator[Breach]:
+    def _check_answer(self, ask: AskRecord) -> Iterator[Violation]:
         instance = self._instances[ask.instance]
         if ask.answers > 1:
-            yield Breach(
+            yield Violation(
                 Guarantee.DOUBLED, f"{ask.marker}: {ask.answers} final answers"
             )
         if ask.refused or instance.killed:
@@ -107,47 +107,47 @@
         if ask.reset or not ask.answers:
             what = "was reset" if ask.reset else "has no final answer"
             kind = Guarantee.CUT if instance.stopping else Guarantee.LOST
-            yield Breach(kind, f"{ask.marker} at {ask.instance} {what}")
+            yield Violation(kind, f"{ask.marker} at {ask.instance} {what}")
             return
         due = _find_due(ask, instance)
         if ask.answered > due:
             late = ask.answered - due
             detail = f"{ask.marker} at {ask.instance}: {late:.3f} s after it was due"
-            yield Breach(Guarantee.LATE, detail)
+            yield Violation(Guarantee.LATE, detail)
 
-    def _check_tokens(self, ask: AskRecord) -> Iterator[Breach]:
+    def _check_tokens(self, ask: AskRecord) -> Iterator[Violation]:
         expected = write_tokens(ask.marker)
         whole = "".join(expected)
         offsets = [offset for offset, _ in ask.tokens]
         text = "".join(text for _, text in ask.tokens)
         if not whole.startswith(text):
-            yield Breach(Guarantee.CROSSED, f"{ask.marker} was given {text!r}")
+            yield Violation(Guarantee.CROSSED, f"{ask.marker} was given {text!r}")
         if offsets != list(range(len(offsets))):
-            yield Breach(Guarantee.DOUBLED, f"{ask.marker}: tokens at {offsets}")
+            yield Violation(Guarantee.DOUBLED, f"{ask.marker}: tokens at {offsets}")
         if ask.result is None:
             return
         if ask.result != whole:
-            yield Breach(Guarantee.CROSSED, f"{ask.marker}: result {ask.result!r}")
+            yield Violation(Guarantee.CROSSED, f"{ask.marker}: result {ask.result!r}")
         if ask.stream and text != whole:
-            yield Breach(Guarantee.LOST, f"{ask.marker}: only {text!r} and the end")
+            yield Violation(Guarantee.LOST, f"{ask.marker}: only {text!r} and the end")
         if ask.verdict != "ran":
-            yield Breach(
+            yield Violation(
                 Guarantee.FALSE_NOT_RUN, f"{ask.marker}: result, {ask.verdict}"
             )
 
-    def _check_not_run(self, ask: AskRecord) -> Iterator[Breach]:
+    def _check_not_run(self, ask: AskRecord) -> Iterator[Violation]:
         runs = self._runs.get(ask.request, ())
         if ask.verdict == NOT_RUN and runs:
             stages = ", ".join(run.stage for run in runs)
             detail = f"{ask.marker} at {ask.instance} ({ask.code}); ran: {stages}"
-            yield Breach(Guarantee.FALSE_NOT_RUN, detail)
+            yield Violation(Guarantee.FALSE_NOT_RUN, detail)
 
-    def _check_refusal(self, ask: AskRecord) -> Iterator[Breach]:
+    def _check_refusal(self, ask: AskRecord) -> Iterator[Violation]:
         if ask.verdict != NOT_RUN or not ask.code or ask.code in FINAL_CODES:
             return
         if ask.retry_after_ms is None:
             detail = f"{ask.marker} at {ask.instance}: {ask.code}"
-            yield Breach(Guarantee.NO_RETURN_TIME, detail)
+            yield Violation(Guarantee.NO_RETURN_TIME, detail)
         instance = self._instances[ask.instance]
         # a request that ran into its deadline was not abandoned early, and a keyed
         # one may have spent its time on claiming its key
@@ -155,15 +155,15 @@
         due = _find_due(ask, instance) - ANSWER_SLACK
         if given_up and ask.answered > due - LEAST_LEFT:
             detail = f"{ask.marker} at {ask.instance}: {ask.code} at its deadline"
-            yield Breach(Guarantee.HELD_BACK, detail)
+            yield Violation(Guarantee.HELD_BACK, detail)
 
-    def _check_recovery(self, ask: AskRecord) -> Iterator[Breach]:
+    def _check_recovery(self, ask: AskRecord) -> Iterator[Violation]:
         if ask.must_succeed and ask.result is None:
             what = ask.code or ("reset" if ask.reset else "refused or silent")
             detail = f"{ask.marker} at {ask.instance}: {what} after the fault ended"
-            yield Breach(Guarantee.NOT_RECOVERED, detail)
+            yield Violation(Guarantee.NOT_RECOVERED, detail)
 
-    def _check_groups(self) -> Iterator[Breach]:
+    def _check_groups(self) -> Iterator[Violation]:
         """Check the attempts of each request together."""
         groups: dict[str, list[AskRecord]] = defaultdict(list)
         for ask in self._record.asks:
@@ -175,56 +175,60 @@
         for marker, asks in groups.items():
             runs = effects[marker]
             if runs > 1 and not asks[0].repeatable:
-                yield Breach(Guarantee.DOUBLED, f"{marker}: {runs} runs of stage book")
+                yield Violation(
+                    Guarantee.DOUBLED, f"{marker}: {runs} runs of stage book"
+                )
             untrue = all(ask.refused or ask.verdict == NOT_RUN for ask in asks)
             if runs and untrue:
                 detail = f"{marker}: no response says that it ran"
-                yield Breach(Guarantee.FALSE_NOT_RUN, detail)
+                yield Violation(Guarantee.FALSE_NOT_RUN, detail)
             if not runs and any(ask.result for ask in asks) and not asks[0].repeatable:
-                yield Breach(
+                yield Violation(
                     Guarantee.LOST, f"{marker}: result without a run of stage book"
                 )
 
     # targets
 
-    def _check_targets(self) -> Iterator[Breach]:
+    def _check_targets(self) -> Iterator[Violation]:
         targets = self._record.targets
         for text in targets.mixed:
-            yield Breach(Guarantee.CROSSED, f"inputs of one stage: {text}")
+            yield Violation(Guarantee.CROSSED, f"inputs of one stage: {text}")
         for time, target in targets.arrivals:
             since = targets.leaving.get(target)
             if since is not None and time > since + LEAVING_BOUND:
                 detail = (
                     f"{target} got a call {time - since:.1f} s after it began to drain"
                 )
-                yield Breach(Guarantee.LEAVING_USED, detail)
+                yield Violation(Guarantee.LEAVING_USED, detail)
 
-    def _check_orders(self) -> Iterator[Breach]:
+    def _check_orders(self) -> Iterator[Violation]:
         newest: dict[str, int] = {}
         for order in self._record.targets.orders:
             highest = newest.get(order.target, 0)
             if order.fence < highest:
                 detail = f"{order.target}: fencing token {order.fence} after {highest}"
-                yield Breach(Guarantee.ORDER_UNDONE, detail)
+                yield Violation(Guarantee.ORDER_UNDONE, detail)
             newest[order.target] = max(highest, order.fence)
         wanted = self._record.wanted
         for target, models in self._record.engines.items():
             if wanted and models != (wanted,):
                 detail = f"{target} holds {models}, expected {wanted}"
-                yield Breach(Guarantee.ORDER_MISSING, detail)
+                yield Violation(Guarantee.ORDER_MISSING, detail)
 
     # instances and changes
 
-    def _check_instance(self, instance: InstanceRecord) -> Iterator[Breach]:
+    def _check_instance(self, instance: InstanceRecord) -> Iterator[Violation]:
         if instance.finished is False and not instance.killed:
-            yield Breach(
+            yield Violation(
                 Guarantee.CUT, f"{instance.name} stopped with requests in flight"
             )
         numbers = [generation for _, generation in instance.generations]
         if numbers != sorted(numbers):
-            yield Breach(Guarantee.REVERTED, f"{instance.name}: generations {numbers}")
+            yield Violation(
+                Guarantee.REVERTED, f"{instance.name}: generations {numbers}"
+            )
 
-    def _check_changes(self) -> Iterator[Breach]:
+    def _check_changes(self) -> Iterator[Violation]:
         living = [
             one
             for one in self._record.instances
@@ -233,22 +237,22 @@
         generations = {one.generations[-1][1] for one in living if one.generations}
         if len(generations) > 1:
             detail = f"generations at the end: {sorted(generations)}"
-            yield Breach(Guarantee.NOT_IN_FORCE, detail)
+            yield Violation(Guarantee.NOT_IN_FORCE, detail)
         for change in self._record.changes:
             for instance in living:
                 present = change.change_id in instance.changes
                 if change.state == ChangeState.SETTLED and not present:
                     detail = f"{change.change_id} at {instance.name}"
-                    yield Breach(Guarantee.NOT_IN_FORCE, detail)
+                    yield Violation(Guarantee.NOT_IN_FORCE, detail)
                 if change.state == ChangeState.REJECTED and present:
                     detail = f"{change.change_id} was rejected but is in force"
-                    yield Breach(Guarantee.REVERTED, detail)
+                    yield Violation(Guarantee.REVERTED, detail)
             if change.state == ChangeState.SETTLED:
                 yield from self._check_spreading(change, living)
 
     def _check_spreading(
         self, change: ChangeRecord, living: list[InstanceRecord]
-    ) -> Iterator[Breach]:
+    ) -> Iterator[Violation]:
         start = max(change.settled, self._record.healed)
         for instance in living:
             times = [
@@ -258,7 +262,7 @@
             ]
             if times and times[0] > start + SPREADING_BOUND:
                 detail = f"{change.change_id} at {instance.name} only at {times[0]:.1f}"
-                yield Breach(Guarantee.NOT_IN_FORCE, detail)
+                yield Violation(Guarantee.NOT_IN_FORCE, detail)
 
 
 def _find_due(ask: AskRecord, instance: InstanceRecord) -> float:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -24,7 +24,7 @@
     STOP_STEPS,
     TAKEOVER_STEPS,
 )
-from .checker import Breach, check
+from .checker import Violation, check
 from .collecting import collect
 from .faults import BURST_MARKER, FAULTS
 from .objects import BOOKING, WORKSPACE, create_engines, create_placement
@@ -74,7 +74,7 @@
 
     cell: Cell
     seed: int
-    breaches: tuple[Breach, ...]
+    breaches: tuple[Violation, ...]
     #: times at which the fault was injected and removed
     lasting: tuple[float, float]
     #: why the fault was not injected; empty if it was
