--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..matrix.bench import Bench
-from ..matrix.callers import Wish
+from ..matrix.callers import ClientRequest
 from ..matrix.checker import Violation, check
 from ..matrix.collecting import collect
 from ..matrix.faults import FAULTS
@@ -131,7 +131,7 @@
 
     def _send(self, number: int, event: RequestEvent) -> None:
         bench = self.bench
-        wish = Wish(
+        wish = ClientRequest(
             marker=f"r{number}",
             pipeline=BOOKING if event.booking else DRAFT,
             keyed=event.keyed,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -18,7 +18,7 @@
 
 from ..standins.memory import MemoryInstanceList, MemoryStore, StoreFaults
 from ..waiting import wait_until
-from .callers import Caller, Wish
+from .callers import Caller, ClientRequest
 from .fleet import FleetTarget, TargetRecord
 from .front import Ask
 from .instance import EntryInstance, LoopClock
@@ -142,7 +142,7 @@
 
     # clients
 
-    def call(self, wish: Wish, *instances: ServingInstance) -> Caller:
+    def call(self, wish: ClientRequest, *instances: ServingInstance) -> Caller:
         """Start a client that tries the given instances in turn."""
         caller = Caller(self, wish)
         self.callers.append(caller)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
@@ -16,7 +16,7 @@
     from .bench import Bench
     from .serving import ServingInstance
 
-__all__ = ("Caller", "Wish")
+__all__ = ("Caller", "ClientRequest")
 
 #: seconds after the deadline at which a client stops waiting; a response that
 #: arrives later is still recorded
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Wish:
+class ClientRequest:
     """A request that a client wants answered."""
 
     marker: str
@@ -59,7 +59,7 @@
     """A client with one request, and its attempts."""
 
     bench: Bench
-    wish: Wish
+    wish: ClientRequest
     asks: list[Ask] = field(default_factory=list)
 
     async def run(self, instances: list[ServingInstance]) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -6,7 +6,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from .callers import Wish
+from .callers import ClientRequest
 from .network import PLATFORM
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
 
     def begin(self, bench: Bench, subject: ServingInstance) -> None:
         for number in range(BURST):
-            wish = Wish(
+            wish = ClientRequest(
                 marker=f"{BURST_MARKER}{len(bench.callers)}", stream=number % 2 == 0
             )
             bench.call(wish, bench.instances[number % len(bench.instances)])
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -16,7 +16,7 @@
 
 from ..waiting import wait_until
 from .bench import NORTH, PLACES, PLACES_WITH_SPARE, Bench
-from .callers import Wish
+from .callers import ClientRequest
 from .cells import (
     CHANGE_STEPS,
     LEASED_STEPS,
@@ -239,7 +239,7 @@
         """Send the probe, whose claim is written by the second instance."""
         bench = self.bench
         third = next(one for one in bench.instances if one not in (first, second))
-        wish = Wish(marker=PROBE, pipeline=BOOKING, keyed=True)
+        wish = ClientRequest(marker=PROBE, pipeline=BOOKING, keyed=True)
         names = [one.name for one in bench.instances]
         # the claim writer depends on the key alone: try keys until it is the second
         suffix = 0
@@ -249,7 +249,7 @@
             if ranked[0] == second.name or suffix > 64:
                 break
             suffix += 1
-            wish = Wish(
+            wish = ClientRequest(
                 marker=PROBE, pipeline=BOOKING, keyed=True, key_suffix=str(suffix)
             )
         bench.call(wish, first, second, third)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .callers import Wish
+from .callers import ClientRequest
 from .objects import BOOKING
 
 if TYPE_CHECKING:
@@ -23,8 +23,8 @@
     """Send requests to each instance so that connections are established."""
     await asyncio.sleep(WARMING)
     for number, instance in enumerate(bench.instances):
-        bench.call(Wish(marker=f"warm-{number}"), instance)
-        keyed = Wish(marker=f"warm-key-{number}", pipeline=BOOKING, keyed=True)
+        bench.call(ClientRequest(marker=f"warm-{number}"), instance)
+        keyed = ClientRequest(marker=f"warm-key-{number}", pipeline=BOOKING, keyed=True)
         bench.call(keyed, instance)
     await bench.finish()
     await asyncio.sleep(0.3)
@@ -36,11 +36,11 @@
         if not instance.front.listening:
             continue
         name = f"{number}-{place}"
-        bench.call(Wish(marker=f"draft-{name}"), instance)
-        book = Wish(marker=f"book-{name}", pipeline=BOOKING, stream=False)
+        bench.call(ClientRequest(marker=f"draft-{name}"), instance)
+        book = ClientRequest(marker=f"book-{name}", pipeline=BOOKING, stream=False)
         bench.call(book, instance)
         others = [one for one in bench.instances if one is not instance]
-        keyed = Wish(marker=f"keyed-{name}", pipeline=BOOKING, keyed=True)
+        keyed = ClientRequest(marker=f"keyed-{name}", pipeline=BOOKING, keyed=True)
         bench.call(keyed, instance, *others)
     _send_twins(bench, number)
 
@@ -48,7 +48,9 @@
 def _send_twins(bench: Bench, number: int) -> None:
     """Send a keyed request to two instances concurrently."""
     listening = [one for one in bench.instances if one.front.listening]
-    wish = Wish(marker=f"twin-{number}", pipeline=BOOKING, keyed=True, first=False)
+    wish = ClientRequest(
+        marker=f"twin-{number}", pipeline=BOOKING, keyed=True, first=False
+    )
     for instance in bench.random.sample(listening, min(2, len(listening))):
         bench.call(wish, instance)
 
@@ -61,8 +63,8 @@
         if not instance.front.listening or instance.stopping:
             continue
         wishes = (
-            Wish(marker=f"last-draft-{place}"),
-            Wish(marker=f"last-keyed-{place}", pipeline=BOOKING, keyed=True),
+            ClientRequest(marker=f"last-draft-{place}"),
+            ClientRequest(marker=f"last-keyed-{place}", pipeline=BOOKING, keyed=True),
         )
         for wish in wishes:
             bench.last.add(wish.marker)
