--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -20,7 +20,7 @@
 from ..waiting import wait_until
 from .callers import Caller, ClientRequest
 from .fleet import FleetTarget, TargetRecord
-from .front import Ask
+from .front import ClientAttempt
 from .instance import EntryInstance, LoopClock
 from .network import Network
 from .objects import OBJECTS, SERVICES, WORKSPACE
@@ -101,7 +101,7 @@
         self.targets: dict[str, FleetTarget] = {}
         #: marker of each request by request id
         self.markers: dict[str, str] = {}
-        self.asks: list[Ask] = []
+        self.asks: list[ClientAttempt] = []
         self.callers: list[Caller] = []
         self.changes: list[Change] = []
         #: number of upcoming writes that are applied but whose responses are lost
@@ -151,7 +151,7 @@
         self._calls.append(spawn_outside(caller.run(list(instances))))
         return caller
 
-    def send(self, ask: Ask, instance: ServingInstance) -> None:
+    def send(self, ask: ClientAttempt, instance: ServingInstance) -> None:
         """Deliver a request to an instance, or refuse the connection."""
         if not instance.front.listening:
             ask.refused = True
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.verdict import Verdict
 
-from .front import Ask
+from .front import ClientAttempt
 from .objects import BOOKING, DRAFT, WORKSPACE
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
 
     bench: Bench
     wish: ClientRequest
-    asks: list[Ask] = field(default_factory=list)
+    asks: list[ClientAttempt] = field(default_factory=list)
 
     async def run(self, instances: list[ServingInstance]) -> None:
         """Send the request, and retry it at the next instances where that is safe."""
@@ -85,7 +85,7 @@
                 return instance
         return instances[number % len(instances)]
 
-    def _create_ask(self, instance: ServingInstance, number: int) -> Ask:
+    def _create_ask(self, instance: ServingInstance, number: int) -> ClientAttempt:
         wish = self.wish
         headers = {
             "X-Workspace": WORKSPACE,
@@ -98,7 +98,7 @@
         if wish.keyed and wish.first and number == 0:
             headers["X-First-Attempt"] = "yes"
         now = asyncio.get_running_loop().time()
-        return Ask(
+        return ClientAttempt(
             marker=wish.marker,
             pipeline=wish.pipeline,
             headers=headers,
@@ -109,7 +109,7 @@
             deadline=now + wish.budget,
         )
 
-    def _decide(self, ask: Ask) -> float | None:
+    def _decide(self, ask: ClientAttempt) -> float | None:
         """Return the seconds until the next attempt, or ``None`` to stop."""
         if ask.refused:
             return PAUSE
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -13,7 +13,7 @@
     from collections.abc import Mapping, Sequence
 
     from .bench import Bench, Change
-    from .front import Ask
+    from .front import ClientAttempt
     from .serving import ServingInstance
 
     Pauses = Mapping[str, Sequence[tuple[float, float]]]
@@ -51,7 +51,7 @@
     )
 
 
-def _describe_ask(ask: Ask, last: set[str]) -> AskRecord:
+def _describe_ask(ask: ClientAttempt, last: set[str]) -> AskRecord:
     answer = ask.answers[0] if ask.answers else None
     refusal = None if answer is None else answer.refusal
     verdict = ""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -29,11 +29,11 @@
     from .processes import SimulatedProcess
     from .steps import Announcer
 
-__all__ = ("Ask", "Front")
+__all__ = ("ClientAttempt", "Front")
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
+class ClientAttempt:
     """One attempt of a client on its own connection, with all that it received."""
 
     marker: str
@@ -108,7 +108,7 @@
         self._clock = clock
         self._draining = draining
         self._listening = False
-        self._open: dict[asyncio.Task[None], Ask] = {}
+        self._open: dict[asyncio.Task[None], ClientAttempt] = {}
         self._idle = asyncio.Event()
         self._idle.set()
 
@@ -157,7 +157,7 @@
         for ask in self._open.values():
             ask.pipe.carry(self._network.draw_latency(self._place, ask.place), ask.lose)
 
-    def accept(self, ask: Ask) -> None:
+    def accept(self, ask: ClientAttempt) -> None:
         """Start serving a request that has arrived."""
         task = asyncio.create_task(self._serve(ask))
         self._open[task] = ask
@@ -169,7 +169,7 @@
         if not self._open:
             self._idle.set()
 
-    async def _serve(self, ask: Ask) -> None:
+    async def _serve(self, ask: ClientAttempt) -> None:
         received = self._clock.now()
         request_id = self._identifier.create_request_id()
         ask.request_id = request_id
@@ -214,7 +214,7 @@
         if step is not None:
             self._announcer.announce(step, marker, self.process)
 
-    def _give(self, ask: Ask, take: Callable[..., None], *given: Any) -> None:
+    def _give(self, ask: ClientAttempt, take: Callable[..., None], *given: Any) -> None:
         """Send a token or the final response over the client's connection."""
         latency = self._network.draw_latency(self._place, ask.place)
 
