--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterator
 
     from .fleet import Run
-    from .records import AskRecord, ChangeRecord, InstanceRecord, RunRecord
+    from .records import AttemptRecord, ChangeRecord, InstanceRecord, RunRecord
 
 __all__ = ("Violation", "Guarantee", "check")
 
@@ -96,7 +96,7 @@
 
     # requests
 
-    def _check_answer(self, ask: AskRecord) -> Iterator[Violation]:
+    def _check_answer(self, ask: AttemptRecord) -> Iterator[Violation]:
         instance = self._instances[ask.instance]
         if ask.answers > 1:
             yield Violation(
@@ -115,7 +115,7 @@
             detail = f"{ask.marker} at {ask.instance}: {late:.3f} s after it was due"
             yield Violation(Guarantee.LATE, detail)
 
-    def _check_tokens(self, ask: AskRecord) -> Iterator[Violation]:
+    def _check_tokens(self, ask: AttemptRecord) -> Iterator[Violation]:
         expected = write_tokens(ask.marker)
         whole = "".join(expected)
         offsets = [offset for offset, _ in ask.tokens]
@@ -135,14 +135,14 @@
                 Guarantee.FALSE_NOT_RUN, f"{ask.marker}: result, {ask.verdict}"
             )
 
-    def _check_not_run(self, ask: AskRecord) -> Iterator[Violation]:
+    def _check_not_run(self, ask: AttemptRecord) -> Iterator[Violation]:
         runs = self._runs.get(ask.request, ())
         if ask.verdict == NOT_RUN and runs:
             stages = ", ".join(run.stage for run in runs)
             detail = f"{ask.marker} at {ask.instance} ({ask.code}); ran: {stages}"
             yield Violation(Guarantee.FALSE_NOT_RUN, detail)
 
-    def _check_refusal(self, ask: AskRecord) -> Iterator[Violation]:
+    def _check_refusal(self, ask: AttemptRecord) -> Iterator[Violation]:
         if ask.verdict != NOT_RUN or not ask.code or ask.code in FINAL_CODES:
             return
         if ask.retry_after_ms is None:
@@ -157,7 +157,7 @@
             detail = f"{ask.marker} at {ask.instance}: {ask.code} at its deadline"
             yield Violation(Guarantee.HELD_BACK, detail)
 
-    def _check_recovery(self, ask: AskRecord) -> Iterator[Violation]:
+    def _check_recovery(self, ask: AttemptRecord) -> Iterator[Violation]:
         if ask.must_succeed and ask.result is None:
             what = ask.code or ("reset" if ask.reset else "refused or silent")
             detail = f"{ask.marker} at {ask.instance}: {what} after the fault ended"
@@ -165,7 +165,7 @@
 
     def _check_groups(self) -> Iterator[Violation]:
         """Check the attempts of each request together."""
-        groups: dict[str, list[AskRecord]] = defaultdict(list)
+        groups: dict[str, list[AttemptRecord]] = defaultdict(list)
         for ask in self._record.asks:
             groups[ask.marker].append(ask)
         effects: Counter[str] = Counter()
@@ -265,7 +265,7 @@
                 yield Violation(Guarantee.NOT_IN_FORCE, detail)
 
 
-def _find_due(ask: AskRecord, instance: InstanceRecord) -> float:
+def _find_due(ask: AttemptRecord, instance: InstanceRecord) -> float:
     """Return when the final response is due, extended by pauses of the instance.
 
     A request sent to a paused instance is read when that resumes, and its budget
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -7,7 +7,7 @@
 
 from greengagelatch.config.requests import Settled, Unsettled
 
-from .records import AskRecord, ChangeRecord, ChangeState, InstanceRecord, RunRecord
+from .records import AttemptRecord, ChangeRecord, ChangeState, InstanceRecord, RunRecord
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -51,13 +51,13 @@
     )
 
 
-def _describe_ask(ask: ClientAttempt, last: set[str]) -> AskRecord:
+def _describe_ask(ask: ClientAttempt, last: set[str]) -> AttemptRecord:
     answer = ask.answers[0] if ask.answers else None
     refusal = None if answer is None else answer.refusal
     verdict = ""
     if answer is not None:
         verdict = answer.verdict.name.lower().replace("_", "-")
-    return AskRecord(
+    return AttemptRecord(
         marker=ask.marker,
         request=ask.request_id,
         instance=ask.instance,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
@@ -10,11 +10,17 @@
 
     from .fleet import TargetRecord
 
-__all__ = ("AskRecord", "ChangeRecord", "ChangeState", "InstanceRecord", "RunRecord")
+__all__ = (
+    "AttemptRecord",
+    "ChangeRecord",
+    "ChangeState",
+    "InstanceRecord",
+    "RunRecord",
+)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AskRecord:
+class AttemptRecord:
     """One attempt of a request; times are loop time in seconds."""
 
     marker: str
@@ -86,7 +92,7 @@
 class RunRecord:
     """All records of one run."""
 
-    asks: Sequence[AskRecord]
+    asks: Sequence[AttemptRecord]
     changes: Sequence[ChangeRecord]
     instances: Sequence[InstanceRecord]
     targets: TargetRecord
