--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -18,7 +18,7 @@
 
 from ..standins.memory import MemoryInstanceList, MemoryStore, StoreFaults
 from ..waiting import wait_until
-from .callers import Caller, ClientRequest
+from .callers import Client, ClientRequest
 from .fleet import FleetTarget, TargetRecord
 from .front import ClientAttempt
 from .instance import EntryInstance, LoopClock
@@ -102,7 +102,7 @@
         #: marker of each request by request id
         self.markers: dict[str, str] = {}
         self.asks: list[ClientAttempt] = []
-        self.callers: list[Caller] = []
+        self.callers: list[Client] = []
         self.changes: list[Change] = []
         #: number of upcoming writes that are applied but whose responses are lost
         self.lost_answers = 0
@@ -142,9 +142,9 @@
 
     # clients
 
-    def call(self, wish: ClientRequest, *instances: ServingInstance) -> Caller:
+    def call(self, wish: ClientRequest, *instances: ServingInstance) -> Client:
         """Start a client that tries the given instances in turn."""
-        caller = Caller(self, wish)
+        caller = Client(self, wish)
         self.callers.append(caller)
         if wish.keyed:
             self._keys[create_key(WORKSPACE, wish.pipeline, wish.key)] = wish.marker
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
@@ -16,7 +16,7 @@
     from .bench import Bench
     from .serving import ServingInstance
 
-__all__ = ("Caller", "ClientRequest")
+__all__ = ("Client", "ClientRequest")
 
 #: seconds after the deadline at which a client stops waiting; a response that
 #: arrives later is still recorded
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Caller:
+class Client:
     """A client with one request, and its attempts."""
 
     bench: Bench
