--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -119,7 +119,7 @@
         loop = asyncio.get_running_loop()
         instance = self.bench.instances[event.instance]
         was_running = instance.process.running
-        FAULTS[event.name].begin(self.bench, instance)
+        FAULTS[event.name].inject(self.bench, instance)
         end = loop.time() + event.lasting
         if was_running and not instance.process.running and instance.alive:
             self._pauses.setdefault(instance.name, []).append((loop.time(), end))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -39,7 +39,7 @@
     parting: bool = False
 
     @abstractmethod
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         """Inject the fault."""
 
     def end(self, bench: Bench, subject: ServingInstance) -> None:  # noqa: B027
@@ -51,7 +51,7 @@
 
     name = "slow stage"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         service = bench.random.choice(("profiles", "desk", "llm"))
         for target in bench.targets.values():
             if target.service == service:
@@ -67,7 +67,7 @@
 
     name = "failing stage"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
             target.failing = FAILING
 
@@ -81,7 +81,7 @@
 
     name = "bursting stage"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for number in range(BURST):
             wish = ClientRequest(
                 marker=f"{BURST_MARKER}{len(bench.callers)}", stream=number % 2 == 0
@@ -95,7 +95,7 @@
     name = "process killed"
     parting = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.kill(silently=bench.random.random() < 0.5)
 
 
@@ -105,7 +105,7 @@
     name = "process paused"
     parting = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.process.pause()
 
     def end(self, bench: Bench, subject: ServingInstance) -> None:
@@ -117,7 +117,7 @@
 
     name = "store down"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         if bench.random.random() < 0.5:
             bench.faults.outage = True
             bench.store.interrupt_watches()
@@ -135,7 +135,7 @@
 
     name = "store slow"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         seconds = bench.random.uniform(*SLOW_STORE)
 
         async def wait(_kind: str, _key: str) -> None:
@@ -152,7 +152,7 @@
 
     name = "write applied but answer lost"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.lost_answers = bench.random.randint(1, MAX_LOST)
 
     def end(self, bench: Bench, subject: ServingInstance) -> None:
@@ -170,7 +170,7 @@
 
     name = "operators racing"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for instance in bench.instances:
             if not instance.process.running:
                 continue
@@ -184,7 +184,7 @@
     name = "connection gone silent"
     parting = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.silence()
 
 
@@ -193,7 +193,7 @@
 
     name = "list lagging"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.instance_list.lag += LAG
         desks = [one for one in bench.targets.values() if one.service == "desk"]
         gone = bench.random.choice(desks)
@@ -211,7 +211,7 @@
     name = "data centres cut from each other"
     parting = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         centres = sorted({one.data_centre for one in bench.instances})
         bench.network.cut_some_way(*centres)
 
@@ -225,7 +225,7 @@
     name = "cut from the platform"
     parting = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.cut_some_way(subject.data_centre, PLATFORM)
 
     def end(self, bench: Bench, subject: ServingInstance) -> None:
@@ -238,9 +238,9 @@
     name = "cut from both"
     parting = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        PlatformCut().begin(bench, subject)
-        DataCentresCut().begin(bench, subject)
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        PlatformCut().inject(bench, subject)
+        DataCentresCut().inject(bench, subject)
 
     def end(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -275,7 +275,7 @@
         self._begun = True
         self._timing.began = loop.time()
         for name in self._cell.faults:
-            FAULTS[name].begin(bench, subject)
+            FAULTS[name].inject(bench, subject)
         if not subject.process.running and not subject.process.killed:
             pause = (loop.time(), loop.time() + self._lasting)
             self._timing.pauses[subject.name] = [pause]
