--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -127,7 +127,7 @@
 
     def _end(self, event: FaultEvent) -> None:
         self._open.discard(event.name)
-        FAULTS[event.name].end(self.bench, self.bench.instances[event.instance])
+        FAULTS[event.name].remove(self.bench, self.bench.instances[event.instance])
 
     def _send(self, number: int, event: RequestEvent) -> None:
         bench = self.bench
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -42,7 +42,7 @@
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         """Inject the fault."""
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:  # noqa: B027
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:  # noqa: B027
         """Remove the fault; permanent damage, such as a killed process, remains."""
 
 
@@ -57,7 +57,7 @@
             if target.service == service:
                 target.slowness = SLOWNESS
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
             target.slowness = 1.0
 
@@ -71,7 +71,7 @@
         for target in bench.targets.values():
             target.failing = FAILING
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
             target.failing = 0.0
 
@@ -108,7 +108,7 @@
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.process.pause()
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         subject.process.resume()
 
 
@@ -125,7 +125,7 @@
         for instance in bench.instances:
             bench.network.cut(instance.data_centre, PLATFORM)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.faults.outage = False
         bench.network.heal()
 
@@ -143,7 +143,7 @@
 
         bench.faults.before_call = wait
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.faults.before_call = None
 
 
@@ -155,7 +155,7 @@
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.lost_answers = bench.random.randint(1, MAX_LOST)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.lost_answers = 0
 
 
@@ -201,7 +201,7 @@
         bench.instance_list.remove(gone.target_id)
         bench.add_target("desk", f"desk-{len(bench.targets)}", gone.data_centre)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.instance_list.lag -= LAG
 
 
@@ -215,7 +215,7 @@
         centres = sorted({one.data_centre for one in bench.instances})
         bench.network.cut_some_way(*centres)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
@@ -228,7 +228,7 @@
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.cut_some_way(subject.data_centre, PLATFORM)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
@@ -242,7 +242,7 @@
         PlatformCut().inject(bench, subject)
         DataCentresCut().inject(bench, subject)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -315,7 +315,7 @@
     async def _heal(self, subject: ServingInstance) -> None:
         await asyncio.sleep(self._lasting)
         for name in self._cell.faults:
-            FAULTS[name].end(self.bench, subject)
+            FAULTS[name].remove(self.bench, subject)
         self._timing.healed = asyncio.get_running_loop().time()
         self._fault_over.set()
 
