--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -73,5 +73,5 @@
 
 
 def _categorize(breaches: list[Violation]) -> set[str]:
-    broken = {breach.promise for breach in breaches}
+    broken = {breach.guarantee for breach in breaches}
     return {name for name, kinds in CATEGORIES.items() if broken.intersection(kinds)}
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -60,11 +60,11 @@
 class Violation:
     """A violated guarantee."""
 
-    promise: Guarantee
+    guarantee: Guarantee
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.promise.value}: {self.detail}"
+        return f"{self.guarantee.value}: {self.detail}"
 
 
 def check(record: RunRecord) -> list[Violation]:
--- a/tests/test_differential/test_differential.py
+++ b/tests/test_differential/test_differential.py
@@ -83,7 +83,7 @@
     for chance in CHANCES:
         history = History(seed=chance, events=SHRUNK[category])
         assert play(history) == []
-        broken = {breach.promise for breach in play(history, NaiveInstance)}
+        broken = {breach.guarantee for breach in play(history, NaiveInstance)}
         seen.append(bool(broken.intersection(CATEGORIES[category])))
     print(f"naive version breaks it with {seen.count(True)} of {len(seen)} seeds")
     assert any(seen)
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -111,5 +111,5 @@
     with mock.patch.object(loss.owner, loss.name, loss.replacement):
         result = run_cell(Cell((loss.fault,), loss.step), seed=1)
     assert not result.missing
-    found = {breach.promise for breach in result.breaches}
+    found = {breach.guarantee for breach in result.breaches}
     assert loss.promise in found, sorted(str(one) for one in result.breaches)
