--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -19,7 +19,7 @@
 CATEGORIES = {
     "lost": (Guarantee.LOST,),
     "doubled": (Guarantee.DOUBLED,),
-    "crossed": (Guarantee.CROSSED,),
+    "crossed": (Guarantee.MISROUTED,),
     "false not run": (Guarantee.FALSE_NOT_RUN,),
     "cut": (Guarantee.CUT,),
     "reverted": (Guarantee.REVERTED, Guarantee.NOT_IN_FORCE),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -42,7 +42,7 @@
 
     LOST = "lost"
     DOUBLED = "doubled"
-    CROSSED = "crossed"
+    MISROUTED = "crossed"
     CUT = "cut"
     FALSE_NOT_RUN = "false not run"
     LATE = "late"
@@ -121,13 +121,13 @@
         offsets = [offset for offset, _ in ask.tokens]
         text = "".join(text for _, text in ask.tokens)
         if not whole.startswith(text):
-            yield Violation(Guarantee.CROSSED, f"{ask.marker} was given {text!r}")
+            yield Violation(Guarantee.MISROUTED, f"{ask.marker} was given {text!r}")
         if offsets != list(range(len(offsets))):
             yield Violation(Guarantee.DOUBLED, f"{ask.marker}: tokens at {offsets}")
         if ask.result is None:
             return
         if ask.result != whole:
-            yield Violation(Guarantee.CROSSED, f"{ask.marker}: result {ask.result!r}")
+            yield Violation(Guarantee.MISROUTED, f"{ask.marker}: result {ask.result!r}")
         if ask.stream and text != whole:
             yield Violation(Guarantee.LOST, f"{ask.marker}: only {text!r} and the end")
         if ask.verdict != "ran":
@@ -192,7 +192,7 @@
     def _check_targets(self) -> Iterator[Violation]:
         targets = self._record.targets
         for text in targets.mixed:
-            yield Violation(Guarantee.CROSSED, f"inputs of one stage: {text}")
+            yield Violation(Guarantee.MISROUTED, f"inputs of one stage: {text}")
         for time, target in targets.arrivals:
             since = targets.leaving.get(target)
             if since is not None and time > since + LEAVING_BOUND:
