--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -21,7 +21,7 @@
     "doubled": (Guarantee.DOUBLED,),
     "crossed": (Guarantee.MISROUTED,),
     "false not run": (Guarantee.FALSE_NOT_RUN,),
-    "cut": (Guarantee.CUT,),
+    "cut": (Guarantee.DISCONNECTED,),
     "reverted": (Guarantee.REVERTED, Guarantee.NOT_IN_FORCE),
     "late": (Guarantee.LATE,),
     "leaving target used": (Guarantee.LEAVING_USED,),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -43,7 +43,7 @@
     LOST = "lost"
     DOUBLED = "doubled"
     MISROUTED = "crossed"
-    CUT = "cut"
+    DISCONNECTED = "cut"
     FALSE_NOT_RUN = "false not run"
     LATE = "late"
     NO_RETURN_TIME = "no time to come back"
@@ -106,7 +106,7 @@
             return
         if ask.reset or not ask.answers:
             what = "was reset" if ask.reset else "has no final answer"
-            kind = Guarantee.CUT if instance.stopping else Guarantee.LOST
+            kind = Guarantee.DISCONNECTED if instance.stopping else Guarantee.LOST
             yield Violation(kind, f"{ask.marker} at {ask.instance} {what}")
             return
         due = _find_due(ask, instance)
@@ -220,7 +220,8 @@
     def _check_instance(self, instance: InstanceRecord) -> Iterator[Violation]:
         if instance.finished is False and not instance.killed:
             yield Violation(
-                Guarantee.CUT, f"{instance.name} stopped with requests in flight"
+                Guarantee.DISCONNECTED,
+                f"{instance.name} stopped with requests in flight",
             )
         numbers = [generation for _, generation in instance.generations]
         if numbers != sorted(numbers):
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -88,7 +88,7 @@
         wait_for_nothing,
         "store slow",
         Step.LEAVING,
-        Guarantee.CUT,
+        Guarantee.DISCONNECTED,
     ),
     "higher generations only": Loss(
         replica.Replica,
