--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -18,7 +18,7 @@
 #: what is counted for both, and the broken promises that belong to it
 CATEGORIES = {
     "lost": (Guarantee.LOST,),
-    "doubled": (Guarantee.DOUBLED,),
+    "doubled": (Guarantee.DUPLICATED,),
     "crossed": (Guarantee.MISROUTED,),
     "false not run": (Guarantee.FALSE_NOT_RUN,),
     "cut": (Guarantee.DISCONNECTED,),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -41,7 +41,7 @@
     """A guarantee that must hold in every run."""
 
     LOST = "lost"
-    DOUBLED = "doubled"
+    DUPLICATED = "doubled"
     MISROUTED = "crossed"
     DISCONNECTED = "cut"
     FALSE_NOT_RUN = "false not run"
@@ -100,7 +100,7 @@
         instance = self._instances[ask.instance]
         if ask.answers > 1:
             yield Violation(
-                Guarantee.DOUBLED, f"{ask.marker}: {ask.answers} final answers"
+                Guarantee.DUPLICATED, f"{ask.marker}: {ask.answers} final answers"
             )
         if ask.refused or instance.killed:
             return
@@ -123,7 +123,7 @@
         if not whole.startswith(text):
             yield Violation(Guarantee.MISROUTED, f"{ask.marker} was given {text!r}")
         if offsets != list(range(len(offsets))):
-            yield Violation(Guarantee.DOUBLED, f"{ask.marker}: tokens at {offsets}")
+            yield Violation(Guarantee.DUPLICATED, f"{ask.marker}: tokens at {offsets}")
         if ask.result is None:
             return
         if ask.result != whole:
@@ -176,7 +176,7 @@
             runs = effects[marker]
             if runs > 1 and not asks[0].repeatable:
                 yield Violation(
-                    Guarantee.DOUBLED, f"{marker}: {runs} runs of stage book"
+                    Guarantee.DUPLICATED, f"{marker}: {runs} runs of stage book"
                 )
             untrue = all(ask.refused or ask.verdict == NOT_RUN for ask in asks)
             if runs and untrue:
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -48,7 +48,7 @@
         lambda rules, failure, *, attempts, **_: "attempts" if attempts > 2 else None,
         "failing stage",
         Step.SENT,
-        Guarantee.DOUBLED,
+        Guarantee.DUPLICATED,
     ),
     "claims": Loss(
         DeduplicationFilter,
@@ -56,7 +56,7 @@
         pass_unclaimed,
         "process killed",
         Step.BETWEEN_STAGES,
-        Guarantee.DOUBLED,
+        Guarantee.DUPLICATED,
     ),
     "verdicts": Loss(
         ledger.AttemptLedger,
@@ -72,7 +72,7 @@
         lambda self, offset, text: tokens.TokenCheck.NEW,
         "failing stage",
         Step.RECEIVED,
-        Guarantee.DOUBLED,
+        Guarantee.DUPLICATED,
     ),
     "leaving targets": Loss(
         TargetRegistry,
