--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -25,7 +25,11 @@
     "reverted": (Guarantee.REVERTED, Guarantee.NOT_IN_FORCE),
     "late": (Guarantee.LATE,),
     "leaving target used": (Guarantee.LEAVING_USED,),
-    "other": (Guarantee.NO_RETURN_TIME, Guarantee.HELD_BACK, Guarantee.NOT_RECOVERED),
+    "other": (
+        Guarantee.NO_RETURN_TIME,
+        Guarantee.REJECTED_LATE,
+        Guarantee.NOT_RECOVERED,
+    ),
 }
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -47,7 +47,7 @@
     FALSE_NOT_RUN = "false not run"
     LATE = "late"
     NO_RETURN_TIME = "no time to come back"
-    HELD_BACK = "refusal held back"
+    REJECTED_LATE = "refusal held back"
     LEAVING_USED = "leaving target used"
     REVERTED = "reverted"
     NOT_IN_FORCE = "not in force"
@@ -155,7 +155,7 @@
         due = _find_due(ask, instance) - ANSWER_SLACK
         if given_up and ask.answered > due - LEAST_LEFT:
             detail = f"{ask.marker} at {ask.instance}: {ask.code} at its deadline"
-            yield Violation(Guarantee.HELD_BACK, detail)
+            yield Violation(Guarantee.REJECTED_LATE, detail)
 
     def _check_recovery(self, ask: AttemptRecord) -> Iterator[Violation]:
         if ask.must_succeed and ask.result is None:
