--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -26,7 +26,7 @@
     "late": (Guarantee.LATE,),
     "leaving target used": (Guarantee.LEAVING_USED,),
     "other": (
-        Guarantee.NO_RETURN_TIME,
+        Guarantee.NO_RETRY_DELAY,
         Guarantee.REJECTED_LATE,
         Guarantee.NOT_RECOVERED,
     ),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -46,7 +46,7 @@
     DISCONNECTED = "cut"
     FALSE_NOT_RUN = "false not run"
     LATE = "late"
-    NO_RETURN_TIME = "no time to come back"
+    NO_RETRY_DELAY = "no time to come back"
     REJECTED_LATE = "refusal held back"
     LEAVING_USED = "leaving target used"
     REVERTED = "reverted"
@@ -147,7 +147,7 @@
             return
         if ask.retry_after_ms is None:
             detail = f"{ask.marker} at {ask.instance}: {ask.code}"
-            yield Violation(Guarantee.NO_RETURN_TIME, detail)
+            yield Violation(Guarantee.NO_RETRY_DELAY, detail)
         instance = self._instances[ask.instance]
         # a request that ran into its deadline was not abandoned early, and a keyed
         # one may have spent its time on claiming its key
