--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparing.py
@@ -24,7 +24,7 @@
     "cut": (Guarantee.DISCONNECTED,),
     "reverted": (Guarantee.REVERTED, Guarantee.NOT_IN_FORCE),
     "late": (Guarantee.LATE,),
-    "leaving target used": (Guarantee.LEAVING_USED,),
+    "leaving target used": (Guarantee.DRAINING_TARGET_USED,),
     "other": (
         Guarantee.NO_RETRY_DELAY,
         Guarantee.REJECTED_LATE,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -48,7 +48,7 @@
     LATE = "late"
     NO_RETRY_DELAY = "no time to come back"
     REJECTED_LATE = "refusal held back"
-    LEAVING_USED = "leaving target used"
+    DRAINING_TARGET_USED = "leaving target used"
     REVERTED = "reverted"
     NOT_IN_FORCE = "not in force"
     ORDER_UNDONE = "newer order undone"
@@ -199,7 +199,7 @@
                 detail = (
                     f"{target} got a call {time - since:.1f} s after it began to drain"
                 )
-                yield Violation(Guarantee.LEAVING_USED, detail)
+                yield Violation(Guarantee.DRAINING_TARGET_USED, detail)
 
     def _check_orders(self) -> Iterator[Violation]:
         newest: dict[str, int] = {}
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -80,7 +80,7 @@
         lambda self, target_ids: TargetRegistryChange(),
         "store slow",
         Step.RECEIVED,
-        Guarantee.LEAVING_USED,
+        Guarantee.DRAINING_TARGET_USED,
     ),
     "waiting for requests in flight": Loss(
         Front,
