--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -51,7 +51,7 @@
     DRAINING_TARGET_USED = "leaving target used"
     REVERTED = "reverted"
     NOT_IN_FORCE = "not in force"
-    ORDER_UNDONE = "newer order undone"
+    STALE_ORDER_APPLIED = "newer order undone"
     ORDER_MISSING = "order not carried out"
     NOT_RECOVERED = "not recovered"
 
@@ -207,7 +207,7 @@
             highest = newest.get(order.target, 0)
             if order.fence < highest:
                 detail = f"{order.target}: fencing token {order.fence} after {highest}"
-                yield Violation(Guarantee.ORDER_UNDONE, detail)
+                yield Violation(Guarantee.STALE_ORDER_APPLIED, detail)
             newest[order.target] = max(highest, order.fence)
         wanted = self._record.wanted
         for target, models in self._record.engines.items():
