--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -23,7 +23,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters.request_parser import RequestParser
 
-from ..matrix.front import Front
+from ..matrix.front import SimulatedCallersServer
 from ..matrix.instance import LoopClock
 from ..matrix.objects import OBJECTS
 from ..matrix.platform import RemoteInstanceList, RemoteStore
@@ -91,7 +91,7 @@
         self._tasks: list[asyncio.Task[Any]] = []
         clock = LoopClock()
         self.front = self.process.run(
-            lambda: Front(
+            lambda: SimulatedCallersServer(
                 process=self.process,
                 place=self.data_centre,
                 network=bench.network,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
@@ -29,7 +29,7 @@
     from .processes import SimulatedProcess
     from .steps import Announcer
 
-__all__ = ("ClientAttempt", "Front")
+__all__ = ("ClientAttempt", "SimulatedCallersServer")
 
 
 @dataclass(slots=True, eq=False)
@@ -77,7 +77,7 @@
         self.over.set()
 
 
-class Front(Controller):
+class SimulatedCallersServer(Controller):
     """Serves simulated clients; replaces ``CallersServer``."""
 
     name = "callers"
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -21,7 +21,7 @@
 from greengagelatch_entry.controllers.targets import TargetsController
 from greengagelatch_entry.metrics import Metrics
 
-from .front import Front
+from .front import SimulatedCallersServer
 from .peers import SimulatedPeers
 from .platform import RemoteInstanceList, RemoteStore
 from .serving import ServingInstance
@@ -238,7 +238,7 @@
             "HttpOrderClient": partial(SimulatedOrderClient, dialer=self.dialer),
             "OperatorsServer": NoOperators,
             "CallersServer": partial(
-                Front,
+                SimulatedCallersServer,
                 network=bench.network,
                 announcer=bench.announcer,
                 markers=bench.markers,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
@@ -13,7 +13,7 @@
     from greengagelatch.config.requests import ChangeOutcome, ChangeRequest
 
     from .bench import Bench
-    from .front import Front
+    from .front import SimulatedCallersServer
 
 __all__ = ("ServingInstance",)
 
@@ -22,7 +22,7 @@
     """One simulated process that serves clients and accepts configuration changes."""
 
     #: set by subclasses
-    front: Front
+    front: SimulatedCallersServer
 
     def __init__(
         self, bench: Bench, *, name: str, data_centre: str, address: str, seed: int
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -16,7 +16,7 @@
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
 from greengagelatch_lab.matrix.cells import Cell
 from greengagelatch_lab.matrix.checker import Guarantee
-from greengagelatch_lab.matrix.front import Front
+from greengagelatch_lab.matrix.front import SimulatedCallersServer
 from greengagelatch_lab.matrix.run import run_cell
 from greengagelatch_lab.matrix.steps import Step
 
@@ -83,7 +83,7 @@
         Guarantee.DRAINING_TARGET_USED,
     ),
     "waiting for requests in flight": Loss(
-        Front,
+        SimulatedCallersServer,
         "wait_idle",
         wait_for_nothing,
         "store slow",
