--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -23,7 +23,7 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry.filters.request_parser import RequestParser
 
-from ..matrix.front import SimulatedCallersServer
+from ..matrix.callers_server import SimulatedCallersServer
 from ..matrix.instance import LoopClock
 from ..matrix.objects import OBJECTS
 from ..matrix.platform import RemoteInstanceList, RemoteStore
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers.py
@@ -9,7 +9,7 @@
 
 from greengagelatch.verdict import Verdict
 
-from .front import ClientAttempt
+from .callers_server import ClientAttempt
 from .objects import BOOKING, DRAFT, WORKSPACE
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -13,7 +13,7 @@
     from collections.abc import Mapping, Sequence
 
     from .bench import Bench, Change
-    from .front import ClientAttempt
+    from .callers_server import ClientAttempt
     from .serving import ServingInstance
 
     Pauses = Mapping[str, Sequence[tuple[float, float]]]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -21,7 +21,7 @@
 from greengagelatch_entry.controllers.targets import TargetsController
 from greengagelatch_entry.metrics import Metrics
 
-from .front import SimulatedCallersServer
+from .callers_server import SimulatedCallersServer
 from .peers import SimulatedPeers
 from .platform import RemoteInstanceList, RemoteStore
 from .serving import ServingInstance
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
@@ -13,7 +13,7 @@
     from greengagelatch.config.requests import ChangeOutcome, ChangeRequest
 
     from .bench import Bench
-    from .front import SimulatedCallersServer
+    from .callers_server import SimulatedCallersServer
 
 __all__ = ("ServingInstance",)
 
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -14,9 +14,9 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import stage_caller
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
+from greengagelatch_lab.matrix.callers_server import SimulatedCallersServer
 from greengagelatch_lab.matrix.cells import Cell
 from greengagelatch_lab.matrix.checker import Guarantee
-from greengagelatch_lab.matrix.front import SimulatedCallersServer
 from greengagelatch_lab.matrix.run import run_cell
 from greengagelatch_lab.matrix.steps import Step
 
