--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from ..matrix.bench import Bench
-from ..matrix.callers import ClientRequest
 from ..matrix.checker import Violation, check
+from ..matrix.clients import ClientRequest
 from ..matrix.collecting import collect
 from ..matrix.faults import FAULTS
 from ..matrix.instance import EntryInstance
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -18,8 +18,8 @@
 
 from ..standins.memory import MemoryInstanceList, MemoryStore, StoreFaults
 from ..waiting import wait_until
-from .callers import Client, ClientRequest
 from .callers_server import ClientAttempt
+from .clients import Client, ClientRequest
 from .fleet import FleetTarget, TargetRecord
 from .instance import EntryInstance, LoopClock
 from .network import Network
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -6,7 +6,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from .callers import ClientRequest
+from .clients import ClientRequest
 from .network import PLATFORM
 
 if TYPE_CHECKING:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -16,7 +16,6 @@
 
 from ..waiting import wait_until
 from .bench import NORTH, PLACES, PLACES_WITH_SPARE, Bench
-from .callers import ClientRequest
 from .cells import (
     CHANGE_STEPS,
     LEASED_STEPS,
@@ -25,6 +24,7 @@
     TAKEOVER_STEPS,
 )
 from .checker import Violation, check
+from .clients import ClientRequest
 from .collecting import collect
 from .faults import BURST_MARKER, FAULTS
 from .objects import BOOKING, WORKSPACE, create_engines, create_placement
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .callers import ClientRequest
+from .clients import ClientRequest
 from .objects import BOOKING
 
 if TYPE_CHECKING:
