--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -8,7 +8,7 @@
 from ..matrix.bench import Bench
 from ..matrix.checker import Violation, check
 from ..matrix.clients import ClientRequest
-from ..matrix.collecting import collect
+from ..matrix.collecting import create_run_record
 from ..matrix.faults import FAULTS
 from ..matrix.instance import EntryInstance
 from ..matrix.objects import BOOKING, DRAFT
@@ -69,7 +69,7 @@
         await self._sleep_until(float("inf"), ends)
         healed = loop.time()
         await conclude(bench, healed)
-        return collect(bench, healed=healed, pauses=self._pauses)
+        return create_run_record(bench, healed=healed, pauses=self._pauses)
 
     async def _sleep_until(
         self, time: float, ends: list[tuple[float, FaultEvent]]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -18,13 +18,13 @@
 
     Pauses = Mapping[str, Sequence[tuple[float, float]]]
 
-__all__ = ("collect",)
+__all__ = ("create_run_record",)
 
 #: service whose targets are inference engines
 ENGINES = "llm"
 
 
-def collect(
+def create_run_record(
     bench: Bench, *, healed: float, pauses: Pauses, wanted: str = ""
 ) -> RunRecord:
     """Return the records of a run.
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -25,7 +25,7 @@
 )
 from .checker import Violation, check
 from .clients import ClientRequest
-from .collecting import collect
+from .collecting import create_run_record
 from .faults import BURST_MARKER, FAULTS
 from .objects import BOOKING, WORKSPACE, create_engines, create_placement
 from .processes import close_loop, create_loop
@@ -136,7 +136,7 @@
         self._provoke()
         await self._play()
         await conclude(bench, self._timing.healed, self._settling)
-        record = collect(
+        record = create_run_record(
             bench,
             healed=self._timing.healed,
             pauses=self._timing.pauses,
