--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -13,7 +13,7 @@
 from ..matrix.instance import EntryInstance
 from ..matrix.objects import BOOKING, DRAFT
 from ..matrix.processes import close_loop, create_loop
-from ..matrix.traffic import conclude, warm_up
+from ..matrix.traffic import verify_recovery, warm_up
 from .histories import (
     ChangeEvent,
     FaultEvent,
@@ -68,7 +68,7 @@
             self._begin(number, event, ends)
         await self._sleep_until(float("inf"), ends)
         healed = loop.time()
-        await conclude(bench, healed)
+        await verify_recovery(bench, healed)
         return create_run_record(bench, healed=healed, pauses=self._pauses)
 
     async def _sleep_until(
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -31,7 +31,7 @@
 from .processes import close_loop, create_loop
 from .sessions import ORDERS
 from .steps import Step
-from .traffic import SETTLING, conclude, send_pulse, warm_up
+from .traffic import SETTLING, send_pulse, verify_recovery, warm_up
 
 if TYPE_CHECKING:
     from .cells import Cell
@@ -135,7 +135,7 @@
         self._arm()
         self._provoke()
         await self._play()
-        await conclude(bench, self._timing.healed, self._settling)
+        await verify_recovery(bench, self._timing.healed, self._settling)
         record = create_run_record(
             bench,
             healed=self._timing.healed,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from .bench import Bench
 
-__all__ = ("SETTLING", "conclude", "send_pulse", "warm_up")
+__all__ = ("SETTLING", "verify_recovery", "send_pulse", "warm_up")
 
 #: seconds between the first configuration in force and the first requests
 WARMING = 1.5
@@ -55,7 +55,9 @@
         bench.call(wish, instance)
 
 
-async def conclude(bench: Bench, healed: float, settling: float = SETTLING) -> None:
+async def verify_recovery(
+    bench: Bench, healed: float, settling: float = SETTLING
+) -> None:
     """Wait for recovery, then send requests that must all succeed."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(max(0.0, healed + settling - loop.time()))
