--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/naive.py
@@ -90,7 +90,7 @@
         self._value: dict[str, Any] = {"generation": 0, "changes": []}
         self._tasks: list[asyncio.Task[Any]] = []
         clock = LoopClock()
-        self.front = self.process.run(
+        self.callers_server = self.process.run(
             lambda: SimulatedCallersServer(
                 process=self.process,
                 place=self.data_centre,
@@ -122,15 +122,15 @@
 
     def start(self) -> None:
         self._tasks.append(self.process.spawn(self._refresh_forever()))
-        self.process.deliver(self.front.start_serving)
+        self.process.deliver(self.callers_server.start_serving)
 
     def stop(self) -> None:
         self.stopping = True
         self._tasks.append(self.process.spawn(self._stop()))
 
     async def _stop(self) -> None:
-        busy = self.front.in_flight > 0
-        await self.front.on_stop()
+        busy = self.callers_server.in_flight > 0
+        await self.callers_server.on_stop()
         self.exit_code = int(busy)
 
     async def _refresh_forever(self) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -153,12 +153,12 @@
 
     def send(self, ask: ClientAttempt, instance: ServingInstance) -> None:
         """Deliver a request to an instance, or refuse the connection."""
-        if not instance.front.listening:
+        if not instance.callers_server.listening:
             ask.refused = True
             ask.over.set()
             return
         # clients are in the data centre of their instance, so that no latency is added
-        instance.process.deliver(instance.front.accept, ask)
+        instance.process.deliver(instance.callers_server.accept, ask)
 
     # operators
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/clients.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/clients.py
@@ -81,7 +81,7 @@
     def _choose(self, instances: list[ServingInstance], number: int) -> ServingInstance:
         for step in range(len(instances)):
             instance = instances[(number + step) % len(instances)]
-            if instance.front.listening:
+            if instance.callers_server.listening:
                 return instance
         return instances[number % len(instances)]
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -172,7 +172,7 @@
     def __init__(self, bench: Bench, **place: Any) -> None:
         super().__init__(bench, **place)
         self.parts = self.process.run(self._compose)
-        self.front = self.parts.callers
+        self.callers_server = self.parts.callers
         self.controllers = {part.name: part for part in self.parts.controllers}
         self._configuration = self.controllers["configuration"]
         self._task: asyncio.Task[None] | None = None
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
@@ -22,7 +22,7 @@
     """One simulated process that serves clients and accepts configuration changes."""
 
     #: set by subclasses
-    front: SimulatedCallersServer
+    callers_server: SimulatedCallersServer
 
     def __init__(
         self, bench: Bench, *, name: str, data_centre: str, address: str, seed: int
@@ -95,7 +95,7 @@
         if silently:
             self.bench.exchange.silence(self.name)
             return
-        self.front.reset()
+        self.callers_server.reset()
         self.bench.exchange.reset(self.name)
 
     def silence(self) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -33,7 +33,7 @@
 def send_pulse(bench: Bench, number: int) -> None:
     """Send one request of each kind to each listening instance."""
     for place, instance in enumerate(bench.instances):
-        if not instance.front.listening:
+        if not instance.callers_server.listening:
             continue
         name = f"{number}-{place}"
         bench.call(ClientRequest(marker=f"draft-{name}"), instance)
@@ -47,7 +47,7 @@
 
 def _send_twins(bench: Bench, number: int) -> None:
     """Send a keyed request to two instances concurrently."""
-    listening = [one for one in bench.instances if one.front.listening]
+    listening = [one for one in bench.instances if one.callers_server.listening]
     wish = ClientRequest(
         marker=f"twin-{number}", pipeline=BOOKING, keyed=True, first=False
     )
@@ -62,7 +62,7 @@
     loop = asyncio.get_running_loop()
     await asyncio.sleep(max(0.0, healed + settling - loop.time()))
     for place, instance in enumerate(bench.instances):
-        if not instance.front.listening or instance.stopping:
+        if not instance.callers_server.listening or instance.stopping:
             continue
         wishes = (
             ClientRequest(marker=f"last-draft-{place}"),
