--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -100,7 +100,7 @@
                     bench.submit(instance, f"change-{number}", labels)
             case LeaveEvent():
                 target = list(bench.targets.values())[event.target]
-                target.begin_to_leave()
+                target.start_draining()
                 bench.list_target(target)
             case StopEvent():
                 instance = bench.instances[event.instance]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
@@ -116,7 +116,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._cancelled: set[str] = set()
 
-    def begin_to_leave(self) -> None:
+    def start_draining(self) -> None:
         """Begin to drain; each response reports it from now on."""
         self.leaving = True
         now = asyncio.get_running_loop().time()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -338,7 +338,7 @@
 
     def _begin_to_leave(self) -> None:
         leaving = next(iter(self.bench.targets.values()))
-        leaving.begin_to_leave()
+        leaving.start_draining()
         self.bench.list_target(leaving)
 
     def _make_change(self) -> None:
