--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/playing.py
@@ -69,7 +69,7 @@
         await self._sleep_until(float("inf"), ends)
         healed = loop.time()
         await verify_recovery(bench, healed)
-        return create_run_record(bench, healed=healed, pauses=self._pauses)
+        return create_run_record(bench, fault_ended=healed, pauses=self._pauses)
 
     async def _sleep_until(
         self, time: float, ends: list[tuple[float, FaultEvent]]
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -254,7 +254,7 @@
     def _check_spreading(
         self, change: ChangeRecord, living: list[InstanceRecord]
     ) -> Iterator[Violation]:
-        start = max(change.settled, self._record.healed)
+        start = max(change.settled, self._record.fault_ended)
         for instance in living:
             times = [
                 time
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -25,7 +25,7 @@
 
 
 def create_run_record(
-    bench: Bench, *, healed: float, pauses: Pauses, wanted: str = ""
+    bench: Bench, *, fault_ended: float, pauses: Pauses, wanted: str = ""
 ) -> RunRecord:
     """Return the records of a run.
 
@@ -46,7 +46,7 @@
             if target.service == ENGINES
         },
         wanted=wanted,
-        healed=healed,
+        fault_ended=fault_ended,
         ended=asyncio.get_running_loop().time(),
     )
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
@@ -101,5 +101,5 @@
     #: model that all engines must have loaded by then; empty if there is none
     wanted: str
     #: times at which the fault and the run ended
-    healed: float
+    fault_ended: float
     ended: float
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -86,10 +86,12 @@
 
         A retried request counts once; those of bursts are excluded.
         """
-        begun, healed = self.lasting
+        begun, fault_ended = self.lasting
         wished: dict[str, bool] = {}
         for ask in self.record.asks:
-            if not begun <= ask.sent <= healed or ask.marker.startswith(BURST_MARKER):
+            if not begun <= ask.sent <= fault_ended or ask.marker.startswith(
+                BURST_MARKER
+            ):
                 continue
             attained = ask.result is not None and ask.answered <= ask.deadline
             wished[ask.marker] = wished.get(ask.marker, False) or attained
@@ -101,7 +103,7 @@
     """Times of the fault, and the instances' pauses."""
 
     began: float = 0.0
-    healed: float = 0.0
+    fault_ended: float = 0.0
     pauses: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
 
@@ -135,10 +137,10 @@
         self._arm()
         self._provoke()
         await self._play()
-        await verify_recovery(bench, self._timing.healed, self._settling)
+        await verify_recovery(bench, self._timing.fault_ended, self._settling)
         record = create_run_record(
             bench,
-            healed=self._timing.healed,
+            fault_ended=self._timing.fault_ended,
             pauses=self._timing.pauses,
             wanted=self._find_wanted(),
         )
@@ -147,7 +149,7 @@
             cell=self._cell,
             seed=self._seed,
             breaches=tuple(check(record)),
-            lasting=(self._timing.began, self._timing.healed),
+            lasting=(self._timing.began, self._timing.fault_ended),
             missing=missing,
             record=record,
         )
@@ -316,7 +318,7 @@
         await asyncio.sleep(self._lasting)
         for name in self._cell.faults:
             FAULTS[name].remove(self.bench, subject)
-        self._timing.healed = asyncio.get_running_loop().time()
+        self._timing.fault_ended = asyncio.get_running_loop().time()
         self._fault_over.set()
 
     async def _play(self) -> None:
@@ -334,7 +336,7 @@
             async with asyncio.timeout(LASTING * 2):
                 await self._fault_over.wait()
         except TimeoutError:
-            self._timing.healed = loop.time()
+            self._timing.fault_ended = loop.time()
 
     def _begin_to_leave(self) -> None:
         leaving = next(iter(self.bench.targets.values()))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -56,11 +56,11 @@
 
 
 async def verify_recovery(
-    bench: Bench, healed: float, settling: float = SETTLING
+    bench: Bench, fault_ended: float, settling: float = SETTLING
 ) -> None:
     """Wait for recovery, then send requests that must all succeed."""
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(max(0.0, healed + settling - loop.time()))
+    await asyncio.sleep(max(0.0, fault_ended + settling - loop.time()))
     for place, instance in enumerate(bench.instances):
         if not instance.callers_server.listening or instance.stopping:
             continue
