--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -24,7 +24,7 @@
 from .instance import EntryInstance, LoopClock
 from .network import Network
 from .objects import OBJECTS, SERVICES, WORKSPACE
-from .peers import Exchange
+from .peers import LinkRegistry
 from .processes import SimulatedProcess, spawn_outside
 from .sessions import ORDERS
 from .steps import Announcer, Step
@@ -90,7 +90,7 @@
         self.random = random.Random(seed)
         self.network = Network(self.random)
         self.announcer = Announcer()
-        self.exchange = Exchange(self.network)
+        self.links = LinkRegistry(self.network)
         self.faults = StoreFaults()
         clock = LoopClock()
         self.store = MemoryStore(clock=clock, faults=self.faults)
@@ -101,7 +101,7 @@
         self.targets: dict[str, FleetTarget] = {}
         #: marker of each request by request id
         self.markers: dict[str, str] = {}
-        self.asks: list[ClientAttempt] = []
+        self.attempts: list[ClientAttempt] = []
         self.callers: list[Client] = []
         self.changes: list[Change] = []
         #: number of upcoming writes that are applied but whose responses are lost
@@ -142,23 +142,25 @@
 
     # clients
 
-    def call(self, wish: ClientRequest, *instances: ServingInstance) -> Client:
+    def call(self, request: ClientRequest, *instances: ServingInstance) -> Client:
         """Start a client that tries the given instances in turn."""
-        caller = Client(self, wish)
+        caller = Client(self, request)
         self.callers.append(caller)
-        if wish.keyed:
-            self._keys[create_key(WORKSPACE, wish.pipeline, wish.key)] = wish.marker
+        if request.keyed:
+            self._keys[create_key(WORKSPACE, request.pipeline, request.key)] = (
+                request.marker
+            )
         self._calls.append(spawn_outside(caller.run(list(instances))))
         return caller
 
-    def send(self, ask: ClientAttempt, instance: ServingInstance) -> None:
+    def send(self, attempt: ClientAttempt, instance: ServingInstance) -> None:
         """Deliver a request to an instance, or refuse the connection."""
         if not instance.callers_server.listening:
-            ask.refused = True
-            ask.over.set()
+            attempt.refused = True
+            attempt.over.set()
             return
         # clients are in the data centre of their instance, so that no latency is added
-        instance.process.deliver(instance.callers_server.accept, ask)
+        instance.process.deliver(instance.callers_server.accept, attempt)
 
     # operators
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers_server.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers_server.py
@@ -61,11 +61,11 @@
         fields = {"input": {"marker": self.marker}, "stream": self.stream}
         return json.dumps(fields).encode()
 
-    def take_token(self, offset: int, text: str) -> None:
+    def record_token(self, offset: int, text: str) -> None:
         """Record a received token."""
         self.tokens.append((offset, text))
 
-    def take_answer(self, answer: Answer) -> None:
+    def record_answer(self, answer: Answer) -> None:
         """Record the final response."""
         self.answers.append(answer)
         self.answered = asyncio.get_running_loop().time()
@@ -144,9 +144,9 @@
 
     async def on_stop(self) -> None:
         await self.close_listener()
-        for task, ask in list(self._open.items()):
+        for task, attempt in list(self._open.items()):
             task.cancel()
-            ask.lose()
+            attempt.lose()
         await asyncio.gather(*self._open, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
@@ -154,13 +154,15 @@
 
     def reset(self) -> None:
         """Reset all connections, as the operating system does for a dead process."""
-        for ask in self._open.values():
-            ask.pipe.carry(self._network.draw_latency(self._place, ask.place), ask.lose)
+        for attempt in self._open.values():
+            attempt.pipe.carry(
+                self._network.draw_latency(self._place, attempt.place), attempt.lose
+            )
 
-    def accept(self, ask: ClientAttempt) -> None:
+    def accept(self, attempt: ClientAttempt) -> None:
         """Start serving a request that has arrived."""
-        task = asyncio.create_task(self._serve(ask))
-        self._open[task] = ask
+        task = asyncio.create_task(self._serve(attempt))
+        self._open[task] = attempt
         self._idle.clear()
         task.add_done_callback(self._end)
 
@@ -169,17 +171,17 @@
         if not self._open:
             self._idle.set()
 
-    async def _serve(self, ask: ClientAttempt) -> None:
+    async def _serve(self, attempt: ClientAttempt) -> None:
         received = self._clock.now()
         request_id = self._identifier.create_request_id()
-        ask.request_id = request_id
-        self._markers[request_id] = ask.marker
-        await self._announcer.reach(Step.RECEIVED, ask.marker, self.process)
+        attempt.request_id = request_id
+        self._markers[request_id] = attempt.marker
+        await self._announcer.reach(Step.RECEIVED, attempt.marker, self.process)
         arrival = ReceivedRequest(
             request_id=request_id,
-            pipeline=ask.pipeline,
-            headers=ask.headers,
-            body=ask.body,
+            pipeline=attempt.pipeline,
+            headers=attempt.headers,
+            body=attempt.body,
             received=received,
         )
         result = self._identifier.parse(arrival)
@@ -189,37 +191,39 @@
                 verdict=Verdict.NOT_RUN,
                 refusal=result.err_value,
             )
-            self._give(ask, ask.take_answer, answer)
+            self._give(attempt, attempt.record_answer, answer)
             return
         exchange = Exchange(request=result.ok_value)
         given = 0
 
-        def take_token(offset: int, text: str) -> None:
+        def record_token(offset: int, text: str) -> None:
             nonlocal given
             given += 1
-            self._announce_token(ask.marker, given)
-            self._give(ask, ask.take_token, offset, text)
+            self._announce_token(attempt.marker, given)
+            self._give(attempt, attempt.record_token, offset, text)
 
         if exchange.request.stream:
-            exchange.on_token = take_token
+            exchange.on_token = record_token
         answer = await self._handler(exchange)
-        await self._announcer.reach(Step.ANSWERING, ask.marker, self.process)
-        if ask.stream and not given and isinstance(answer.result, str):
-            take_token(0, answer.result)
-        self._give(ask, ask.take_answer, answer)
-        await self._announcer.reach(Step.ANSWERED, ask.marker, self.process)
+        await self._announcer.reach(Step.ANSWERING, attempt.marker, self.process)
+        if attempt.stream and not given and isinstance(answer.result, str):
+            record_token(0, answer.result)
+        self._give(attempt, attempt.record_answer, answer)
+        await self._announcer.reach(Step.ANSWERED, attempt.marker, self.process)
 
     def _announce_token(self, marker: str, given: int) -> None:
         step = {1: Step.FIRST_TOKEN, 3: Step.BETWEEN_TOKENS}.get(given)
         if step is not None:
             self._announcer.announce(step, marker, self.process)
 
-    def _give(self, ask: ClientAttempt, take: Callable[..., None], *given: Any) -> None:
+    def _give(
+        self, attempt: ClientAttempt, take: Callable[..., None], *given: Any
+    ) -> None:
         """Send a token or the final response over the client's connection."""
-        latency = self._network.draw_latency(self._place, ask.place)
+        latency = self._network.draw_latency(self._place, attempt.place)
 
         def arrive() -> None:
-            if not ask.over.is_set():
+            if not attempt.over.is_set():
                 take(*given)
 
-        ask.pipe.carry(latency, arrive)
+        attempt.pipe.carry(latency, arrive)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/cells.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/cells.py
@@ -17,7 +17,7 @@
     "STOP_STEPS",
     "TAKEOVER_STEPS",
     "Cell",
-    "find_excuse",
+    "find_exclusion_reason",
     "list_cells",
     "list_pairs",
 )
@@ -63,7 +63,7 @@
 }
 
 #: steps at which pairs of faults are injected
-COSTLY_STEPS = (
+PAIR_STEPS = (
     Step.CLAIMED,
     Step.SENT,
     Step.BETWEEN_STAGES,
@@ -95,14 +95,14 @@
 
 
 def list_pairs() -> tuple[Cell, ...]:
-    """Return a cell for each pair of faults at each of ``COSTLY_STEPS``."""
+    """Return a cell for each pair of faults at each of ``PAIR_STEPS``."""
     names = [name for name in FAULTS if name != LEASE_FAULT]
     return tuple(
-        Cell(pair, step) for step in COSTLY_STEPS for pair in combinations(names, 2)
+        Cell(pair, step) for step in PAIR_STEPS for pair in combinations(names, 2)
     )
 
 
-def find_excuse(cell: Cell) -> str:
+def find_exclusion_reason(cell: Cell) -> str:
     """Return why a cell cannot occur, or an empty string if it can."""
     if LEASE_FAULT in cell.faults and cell.step not in LEASED_STEPS:
         return NO_LEASE
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -81,12 +81,12 @@
             self._runs[run.request].append(run)
 
     def check(self) -> Iterator[Violation]:
-        for ask in self._record.asks:
-            yield from self._check_answer(ask)
-            yield from self._check_tokens(ask)
-            yield from self._check_not_run(ask)
-            yield from self._check_refusal(ask)
-            yield from self._check_recovery(ask)
+        for attempt in self._record.attempts:
+            yield from self._check_answer(attempt)
+            yield from self._check_tokens(attempt)
+            yield from self._check_not_run(attempt)
+            yield from self._check_refusal(attempt)
+            yield from self._check_recovery(attempt)
         yield from self._check_groups()
         yield from self._check_targets()
         yield from self._check_orders()
@@ -96,93 +96,120 @@
 
     # requests
 
-    def _check_answer(self, ask: AttemptRecord) -> Iterator[Violation]:
-        instance = self._instances[ask.instance]
-        if ask.answers > 1:
+    def _check_answer(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        instance = self._instances[attempt.instance]
+        if attempt.answers > 1:
             yield Violation(
-                Guarantee.DUPLICATED, f"{ask.marker}: {ask.answers} final answers"
+                Guarantee.DUPLICATED,
+                f"{attempt.marker}: {attempt.answers} final answers",
             )
-        if ask.refused or instance.killed:
+        if attempt.refused or instance.killed:
             return
-        if ask.reset or not ask.answers:
-            what = "was reset" if ask.reset else "has no final answer"
+        if attempt.reset or not attempt.answers:
+            what = "was reset" if attempt.reset else "has no final answer"
             kind = Guarantee.DISCONNECTED if instance.stopping else Guarantee.LOST
-            yield Violation(kind, f"{ask.marker} at {ask.instance} {what}")
+            yield Violation(kind, f"{attempt.marker} at {attempt.instance} {what}")
             return
-        due = _find_due(ask, instance)
-        if ask.answered > due:
-            late = ask.answered - due
-            detail = f"{ask.marker} at {ask.instance}: {late:.3f} s after it was due"
+        due = _find_due(attempt, instance)
+        if attempt.answered > due:
+            late = attempt.answered - due
+            detail = (
+                f"{attempt.marker} at {attempt.instance}: {late:.3f} s after it was due"
+            )
             yield Violation(Guarantee.LATE, detail)
 
-    def _check_tokens(self, ask: AttemptRecord) -> Iterator[Violation]:
-        expected = write_tokens(ask.marker)
+    def _check_tokens(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        expected = write_tokens(attempt.marker)
         whole = "".join(expected)
-        offsets = [offset for offset, _ in ask.tokens]
-        text = "".join(text for _, text in ask.tokens)
+        offsets = [offset for offset, _ in attempt.tokens]
+        text = "".join(text for _, text in attempt.tokens)
         if not whole.startswith(text):
-            yield Violation(Guarantee.MISROUTED, f"{ask.marker} was given {text!r}")
+            yield Violation(Guarantee.MISROUTED, f"{attempt.marker} was given {text!r}")
         if offsets != list(range(len(offsets))):
-            yield Violation(Guarantee.DUPLICATED, f"{ask.marker}: tokens at {offsets}")
-        if ask.result is None:
+            yield Violation(
+                Guarantee.DUPLICATED, f"{attempt.marker}: tokens at {offsets}"
+            )
+        if attempt.result is None:
             return
-        if ask.result != whole:
-            yield Violation(Guarantee.MISROUTED, f"{ask.marker}: result {ask.result!r}")
-        if ask.stream and text != whole:
-            yield Violation(Guarantee.LOST, f"{ask.marker}: only {text!r} and the end")
-        if ask.verdict != "ran":
+        if attempt.result != whole:
             yield Violation(
-                Guarantee.FALSE_NOT_RUN, f"{ask.marker}: result, {ask.verdict}"
+                Guarantee.MISROUTED, f"{attempt.marker}: result {attempt.result!r}"
+            )
+        if attempt.stream and text != whole:
+            yield Violation(
+                Guarantee.LOST, f"{attempt.marker}: only {text!r} and the end"
+            )
+        if attempt.verdict != "ran":
+            yield Violation(
+                Guarantee.FALSE_NOT_RUN, f"{attempt.marker}: result, {attempt.verdict}"
             )
 
-    def _check_not_run(self, ask: AttemptRecord) -> Iterator[Violation]:
-        runs = self._runs.get(ask.request, ())
-        if ask.verdict == NOT_RUN and runs:
+    def _check_not_run(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        runs = self._runs.get(attempt.request, ())
+        if attempt.verdict == NOT_RUN and runs:
             stages = ", ".join(run.stage for run in runs)
-            detail = f"{ask.marker} at {ask.instance} ({ask.code}); ran: {stages}"
+            detail = (
+                f"{attempt.marker} at {attempt.instance} ({attempt.code});"
+                f" ran: {stages}"
+            )
             yield Violation(Guarantee.FALSE_NOT_RUN, detail)
 
-    def _check_refusal(self, ask: AttemptRecord) -> Iterator[Violation]:
-        if ask.verdict != NOT_RUN or not ask.code or ask.code in FINAL_CODES:
+    def _check_refusal(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        if (
+            attempt.verdict != NOT_RUN
+            or not attempt.code
+            or attempt.code in FINAL_CODES
+        ):
             return
-        if ask.retry_after_ms is None:
-            detail = f"{ask.marker} at {ask.instance}: {ask.code}"
+        if attempt.retry_after_ms is None:
+            detail = f"{attempt.marker} at {attempt.instance}: {attempt.code}"
             yield Violation(Guarantee.NO_RETRY_DELAY, detail)
-        instance = self._instances[ask.instance]
+        instance = self._instances[attempt.instance]
         # a request that ran into its deadline was not abandoned early, and a keyed
         # one may have spent its time on claiming its key
-        given_up = ask.code != DEADLINE and not ask.keyed
-        due = _find_due(ask, instance) - ANSWER_SLACK
-        if given_up and ask.answered > due - LEAST_LEFT:
-            detail = f"{ask.marker} at {ask.instance}: {ask.code} at its deadline"
+        given_up = attempt.code != DEADLINE and not attempt.keyed
+        due = _find_due(attempt, instance) - ANSWER_SLACK
+        if given_up and attempt.answered > due - LEAST_LEFT:
+            detail = (
+                f"{attempt.marker} at {attempt.instance}: {attempt.code}"
+                " at its deadline"
+            )
             yield Violation(Guarantee.REJECTED_LATE, detail)
 
-    def _check_recovery(self, ask: AttemptRecord) -> Iterator[Violation]:
-        if ask.must_succeed and ask.result is None:
-            what = ask.code or ("reset" if ask.reset else "refused or silent")
-            detail = f"{ask.marker} at {ask.instance}: {what} after the fault ended"
+    def _check_recovery(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        if attempt.must_succeed and attempt.result is None:
+            what = attempt.code or ("reset" if attempt.reset else "refused or silent")
+            detail = (
+                f"{attempt.marker} at {attempt.instance}: {what} after the fault ended"
+            )
             yield Violation(Guarantee.NOT_RECOVERED, detail)
 
     def _check_groups(self) -> Iterator[Violation]:
         """Check the attempts of each request together."""
         groups: dict[str, list[AttemptRecord]] = defaultdict(list)
-        for ask in self._record.asks:
-            groups[ask.marker].append(ask)
+        for attempt in self._record.attempts:
+            groups[attempt.marker].append(attempt)
         effects: Counter[str] = Counter()
         for run in self._record.targets.runs:
             if run.stage == UNREPEATABLE_STAGE:
                 effects[run.marker] += 1
-        for marker, asks in groups.items():
+        for marker, attempts in groups.items():
             runs = effects[marker]
-            if runs > 1 and not asks[0].repeatable:
+            if runs > 1 and not attempts[0].repeatable:
                 yield Violation(
                     Guarantee.DUPLICATED, f"{marker}: {runs} runs of stage book"
                 )
-            untrue = all(ask.refused or ask.verdict == NOT_RUN for ask in asks)
+            untrue = all(
+                attempt.refused or attempt.verdict == NOT_RUN for attempt in attempts
+            )
             if runs and untrue:
                 detail = f"{marker}: no response says that it ran"
                 yield Violation(Guarantee.FALSE_NOT_RUN, detail)
-            if not runs and any(ask.result for ask in asks) and not asks[0].repeatable:
+            if (
+                not runs
+                and any(attempt.result for attempt in attempts)
+                and not attempts[0].repeatable
+            ):
                 yield Violation(
                     Guarantee.LOST, f"{marker}: result without a run of stage book"
                 )
@@ -209,10 +236,10 @@
                 detail = f"{order.target}: fencing token {order.fence} after {highest}"
                 yield Violation(Guarantee.STALE_ORDER_APPLIED, detail)
             newest[order.target] = max(highest, order.fence)
-        wanted = self._record.wanted
+        expected_model = self._record.expected_model
         for target, models in self._record.engines.items():
-            if wanted and models != (wanted,):
-                detail = f"{target} holds {models}, expected {wanted}"
+            if expected_model and models != (expected_model,):
+                detail = f"{target} holds {models}, expected {expected_model}"
                 yield Violation(Guarantee.ORDER_MISSING, detail)
 
     # instances and changes
@@ -266,16 +293,16 @@
                 yield Violation(Guarantee.NOT_IN_FORCE, detail)
 
 
-def _find_due(ask: AttemptRecord, instance: InstanceRecord) -> float:
+def _find_due(attempt: AttemptRecord, instance: InstanceRecord) -> float:
     """Return when the final response is due, extended by pauses of the instance.
 
     A request sent to a paused instance is read when that resumes, and its budget
     counts from then.
     """
-    due = ask.deadline
+    due = attempt.deadline
     for begin, end in instance.pauses:
-        if begin - SENDING <= ask.sent <= end:
-            due = max(due, end + ask.deadline - ask.sent)
+        if begin - SENDING <= attempt.sent <= end:
+            due = max(due, end + attempt.deadline - attempt.sent)
         elif begin <= due + ANSWER_SLACK:
             due = max(due, end)
     return due + ANSWER_SLACK
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/clients.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/clients.py
@@ -22,7 +22,7 @@
 #: arrives later is still recorded
 PATIENCE = 0.7
 #: maximum number of attempts of one request, the first included
-MAX_ASKS = 4
+MAX_ATTEMPTS = 4
 #: seconds until a client retries after its connection was refused or reset
 PAUSE = 0.3
 
@@ -59,21 +59,21 @@
     """A client with one request, and its attempts."""
 
     bench: Bench
-    wish: ClientRequest
-    asks: list[ClientAttempt] = field(default_factory=list)
+    request: ClientRequest
+    attempts: list[ClientAttempt] = field(default_factory=list)
 
     async def run(self, instances: list[ServingInstance]) -> None:
         """Send the request, and retry it at the next instances where that is safe."""
-        for number in range(MAX_ASKS):
+        for number in range(MAX_ATTEMPTS):
             instance = self._choose(instances, number)
-            ask = self._create_ask(instance, number)
-            self.asks.append(ask)
-            self.bench.asks.append(ask)
-            self.bench.send(ask, instance)
+            attempt = self._create_attempt(instance, number)
+            self.attempts.append(attempt)
+            self.bench.attempts.append(attempt)
+            self.bench.send(attempt, instance)
             with suppress(TimeoutError):
-                async with asyncio.timeout(self.wish.budget + PATIENCE):
-                    await ask.over.wait()
-            pause = self._decide(ask)
+                async with asyncio.timeout(self.request.budget + PATIENCE):
+                    await attempt.over.wait()
+            pause = self._decide(attempt)
             if pause is None:
                 return
             await asyncio.sleep(pause)
@@ -85,39 +85,39 @@
                 return instance
         return instances[number % len(instances)]
 
-    def _create_ask(self, instance: ServingInstance, number: int) -> ClientAttempt:
-        wish = self.wish
+    def _create_attempt(self, instance: ServingInstance, number: int) -> ClientAttempt:
+        request = self.request
         headers = {
             "X-Workspace": WORKSPACE,
-            "X-Deadline-Ms": str(int(wish.budget * 1000)),
+            "X-Deadline-Ms": str(int(request.budget * 1000)),
         }
-        if not wish.repeatable:
+        if not request.repeatable:
             headers["X-Repeatable"] = "no"
-        if wish.keyed:
-            headers["Idempotency-Key"] = wish.key
-        if wish.keyed and wish.first and number == 0:
+        if request.keyed:
+            headers["Idempotency-Key"] = request.key
+        if request.keyed and request.first and number == 0:
             headers["X-First-Attempt"] = "yes"
         now = asyncio.get_running_loop().time()
         return ClientAttempt(
-            marker=wish.marker,
-            pipeline=wish.pipeline,
+            marker=request.marker,
+            pipeline=request.pipeline,
             headers=headers,
-            stream=wish.stream,
+            stream=request.stream,
             place=instance.data_centre,
             instance=instance.name,
             sent=now,
-            deadline=now + wish.budget,
+            deadline=now + request.budget,
         )
 
-    def _decide(self, ask: ClientAttempt) -> float | None:
+    def _decide(self, attempt: ClientAttempt) -> float | None:
         """Return the seconds until the next attempt, or ``None`` to stop."""
-        if ask.refused:
+        if attempt.refused:
             return PAUSE
-        if not ask.answers:
-            return PAUSE if self.wish.keyed else None
-        refusal = ask.answers[0].refusal
+        if not attempt.answers:
+            return PAUSE if self.request.keyed else None
+        refusal = attempt.answers[0].refusal
         if refusal is None or refusal.retry_after_ms is None:
             return None
-        if ask.answers[0].verdict is Verdict.NOT_RUN or self.wish.keyed:
+        if attempt.answers[0].verdict is Verdict.NOT_RUN or self.request.keyed:
             return refusal.retry_after_ms / 1000
         return None
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -25,16 +25,18 @@
 
 
 def create_run_record(
-    bench: Bench, *, fault_ended: float, pauses: Pauses, wanted: str = ""
+    bench: Bench, *, fault_ended: float, pauses: Pauses, expected_model: str = ""
 ) -> RunRecord:
     """Return the records of a run.
 
-    :param healed: when the last fault ended
+    :param fault_ended: when the last fault ended
     :param pauses: intervals in which instances were paused, by instance name
-    :param wanted: model that all engines must have loaded by now
+    :param expected_model: model that all engines must have loaded by now
     """
     return RunRecord(
-        asks=[_describe_ask(ask, bench.last) for ask in bench.asks],
+        attempts=[
+            _create_attempt_record(attempt, bench.last) for attempt in bench.attempts
+        ],
         changes=[_describe_change(change) for change in bench.changes],
         instances=[
             _describe_instance(one, pauses.get(one.name, ())) for one in bench.instances
@@ -45,37 +47,37 @@
             for target in bench.targets.values()
             if target.service == ENGINES
         },
-        wanted=wanted,
+        expected_model=expected_model,
         fault_ended=fault_ended,
         ended=asyncio.get_running_loop().time(),
     )
 
 
-def _describe_ask(ask: ClientAttempt, last: set[str]) -> AttemptRecord:
-    answer = ask.answers[0] if ask.answers else None
+def _create_attempt_record(attempt: ClientAttempt, last: set[str]) -> AttemptRecord:
+    answer = attempt.answers[0] if attempt.answers else None
     refusal = None if answer is None else answer.refusal
     verdict = ""
     if answer is not None:
         verdict = answer.verdict.name.lower().replace("_", "-")
     return AttemptRecord(
-        marker=ask.marker,
-        request=ask.request_id,
-        instance=ask.instance,
-        sent=ask.sent,
-        deadline=ask.deadline,
-        repeatable="X-Repeatable" not in ask.headers,
-        keyed="Idempotency-Key" in ask.headers,
-        stream=ask.stream,
-        tokens=tuple(ask.tokens),
-        answers=len(ask.answers),
-        answered=ask.answered,
+        marker=attempt.marker,
+        request=attempt.request_id,
+        instance=attempt.instance,
+        sent=attempt.sent,
+        deadline=attempt.deadline,
+        repeatable="X-Repeatable" not in attempt.headers,
+        keyed="Idempotency-Key" in attempt.headers,
+        stream=attempt.stream,
+        tokens=tuple(attempt.tokens),
+        answers=len(attempt.answers),
+        answered=attempt.answered,
         verdict=verdict,
         result=None if refusal is not None or answer is None else answer.result,
         code="" if refusal is None else refusal.code.value,
         retry_after_ms=None if refusal is None else refusal.retry_after_ms,
-        refused=ask.refused,
-        reset=ask.reset,
-        must_succeed=ask.marker in last,
+        refused=attempt.refused,
+        reset=attempt.reset,
+        must_succeed=attempt.marker in last,
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -16,16 +16,16 @@
 __all__ = ("BURST_MARKER", "FAULTS", "Fault")
 
 #: factor by which a slow stage takes longer
-SLOWNESS = 25.0
+SLOWDOWN_FACTOR = 25.0
 #: fraction of a failing stage's calls that fail
-FAILING = 0.7
+FAILURE_RATE = 0.7
 #: number of requests in one burst
-BURST = 60
+BURST_SIZE = 60
 BURST_MARKER = "burst-"
 #: bounds of the delay that a slow store adds to each call, in seconds
-SLOW_STORE = (0.4, 2.5)
+STORE_DELAY_BOUNDS = (0.4, 2.5)
 #: maximum number of consecutive writes whose responses are lost
-MAX_LOST = 3
+MAX_LOST_RESPONSES = 3
 #: replication lag added to the instance list, in seconds
 LAG = 30.0
 
@@ -36,7 +36,7 @@
     #: name in tables and feature files
     name: str = ""
     #: whether instances have to detect lost members and their return
-    parting: bool = False
+    affects_membership: bool = False
 
     @abstractmethod
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
@@ -55,7 +55,7 @@
         service = bench.random.choice(("profiles", "desk", "llm"))
         for target in bench.targets.values():
             if target.service == service:
-                target.slowness = SLOWNESS
+                target.slowness = SLOWDOWN_FACTOR
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
@@ -69,7 +69,7 @@
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
-            target.failing = FAILING
+            target.failing = FAILURE_RATE
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
@@ -82,18 +82,18 @@
     name = "bursting stage"
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
-        for number in range(BURST):
-            wish = ClientRequest(
+        for number in range(BURST_SIZE):
+            request = ClientRequest(
                 marker=f"{BURST_MARKER}{len(bench.callers)}", stream=number % 2 == 0
             )
-            bench.call(wish, bench.instances[number % len(bench.instances)])
+            bench.call(request, bench.instances[number % len(bench.instances)])
 
 
 class ProcessKilled(Fault):
     """The process is killed, alone or together with its operating system."""
 
     name = "process killed"
-    parting = True
+    affects_membership = True
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.kill(silently=bench.random.random() < 0.5)
@@ -103,7 +103,7 @@
     """The process is suspended and resumed."""
 
     name = "process paused"
-    parting = True
+    affects_membership = True
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.process.pause()
@@ -123,7 +123,7 @@
             bench.store.interrupt_watches()
             return
         for instance in bench.instances:
-            bench.network.cut(instance.data_centre, PLATFORM)
+            bench.network.partition(instance.data_centre, PLATFORM)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.faults.outage = False
@@ -136,7 +136,7 @@
     name = "store slow"
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
-        seconds = bench.random.uniform(*SLOW_STORE)
+        seconds = bench.random.uniform(*STORE_DELAY_BOUNDS)
 
         async def wait(_kind: str, _key: str) -> None:
             await asyncio.sleep(seconds)
@@ -147,19 +147,19 @@
         bench.faults.before_call = None
 
 
-class AnswerLost(Fault):
+class ResponseLost(Fault):
     """Writes are applied, but their responses are lost."""
 
     name = "write applied but answer lost"
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.lost_answers = bench.random.randint(1, MAX_LOST)
+        bench.lost_answers = bench.random.randint(1, MAX_LOST_RESPONSES)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.lost_answers = 0
 
 
-class LeaseLapsed(ProcessPaused):
+class LeaseExpired(ProcessPaused):
     """The holder of a lease is suspended for longer than the lease's TTL."""
 
     name = "lease lapsed during a pause"
@@ -182,7 +182,7 @@
     """All open connections of an instance drop their traffic; new ones work."""
 
     name = "connection gone silent"
-    parting = True
+    affects_membership = True
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.silence()
@@ -195,52 +195,52 @@
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.instance_list.lag += LAG
-        desks = [one for one in bench.targets.values() if one.service == "desk"]
-        gone = bench.random.choice(desks)
-        gone.die()
-        bench.instance_list.remove(gone.target_id)
-        bench.add_target("desk", f"desk-{len(bench.targets)}", gone.data_centre)
+        replicas = [one for one in bench.targets.values() if one.service == "desk"]
+        replaced = bench.random.choice(replicas)
+        replaced.die()
+        bench.instance_list.remove(replaced.target_id)
+        bench.add_target("desk", f"desk-{len(bench.targets)}", replaced.data_centre)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.instance_list.lag -= LAG
 
 
-class DataCentresCut(Fault):
+class DataCentresPartitioned(Fault):
     """A network partition between the data centres."""
 
     name = "data centres cut from each other"
-    parting = True
+    affects_membership = True
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         centres = sorted({one.data_centre for one in bench.instances})
-        bench.network.cut_some_way(*centres)
+        bench.network.partition_randomly(*centres)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
-class PlatformCut(Fault):
+class PlatformPartitioned(Fault):
     """A network partition between one data centre and the platform."""
 
     name = "cut from the platform"
-    parting = True
+    affects_membership = True
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.network.cut_some_way(subject.data_centre, PLATFORM)
+        bench.network.partition_randomly(subject.data_centre, PLATFORM)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
-class BothCut(Fault):
+class FullyPartitioned(Fault):
     """One data centre is partitioned from the other and from the platform."""
 
     name = "cut from both"
-    parting = True
+    affects_membership = True
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
-        PlatformCut().inject(bench, subject)
-        DataCentresCut().inject(bench, subject)
+        PlatformPartitioned().inject(bench, subject)
+        DataCentresPartitioned().inject(bench, subject)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
@@ -256,13 +256,13 @@
         ProcessPaused(),
         StoreDown(),
         StoreSlow(),
-        AnswerLost(),
-        LeaseLapsed(),
+        ResponseLost(),
+        LeaseExpired(),
         OperatorsRacing(),
         ConnectionSilent(),
         ListLagging(),
-        DataCentresCut(),
-        PlatformCut(),
-        BothCut(),
+        DataCentresPartitioned(),
+        PlatformPartitioned(),
+        FullyPartitioned(),
     )
 }
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -232,7 +232,7 @@
             "HttpInstanceList": partial(
                 RemoteInstanceList, instance_list=bench.instance_list, link=self.link
             ),
-            "PeerHub": partial(SimulatedPeers, exchange=bench.exchange, **common),
+            "PeerHub": partial(SimulatedPeers, links=bench.links, **common),
             "TargetsController": partial(PolledTargets, dialer=self.dialer),
             "SchedulingController": partial(ObservedScheduling, dialer=self.dialer),
             "HttpOrderClient": partial(SimulatedOrderClient, dialer=self.dialer),
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -38,7 +38,7 @@
     from .network import Network
     from .processes import SimulatedProcess
 
-__all__ = ("Exchange", "SimulatedPeers")
+__all__ = ("LinkRegistry", "SimulatedPeers")
 
 #: seconds between two checks of the links
 TICK = 0.5
@@ -62,7 +62,7 @@
         return self.ends[1] if self.ends[0] is end else self.ends[0]
 
 
-class Exchange:
+class LinkRegistry:
     """Registry of instances by address, and of the links between them."""
 
     def __init__(self, network: Network) -> None:
@@ -156,14 +156,14 @@
 
 
 class SimulatedPeers(Controller, PeerNetwork):
-    """One instance's side of an :class:`Exchange`; replaces ``PeerHub``."""
+    """One instance's side of an :class:`LinkRegistry`; replaces ``PeerHub``."""
 
     name = "peers"
 
     def __init__(
         self,
         *,
-        exchange: Exchange,
+        links: LinkRegistry,
         process: SimulatedProcess,
         place: str,
         clock: Clock,
@@ -177,7 +177,7 @@
         self.place = place
         self.accepting = False
         self.port = 0
-        self._exchange = exchange
+        self._links = links
         self._address: str = settings["peers.listen"]
         self._silence: float = settings["peers.silence"]
         self._handlers: dict[type[Message], MessageHandler] = {}
@@ -206,7 +206,7 @@
         link = self._find_link(instance_id)
         if link is None:
             return False
-        self._exchange.carry(link, self, encode(Envelope(message)))
+        self._links.carry(link, self, encode(Envelope(message)))
         return True
 
     async def ask(
@@ -218,7 +218,7 @@
         number = next(self._numbers)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
         self._questions[number] = (link, answer)
-        self._exchange.carry(link, self, encode(Envelope(message, call_id=number)))
+        self._links.carry(link, self, encode(Envelope(message, call_id=number)))
         try:
             async with asyncio.timeout(timeout):
                 reply = await answer
@@ -246,12 +246,12 @@
         return self._membership.dump()
 
     async def on_start(self) -> None:
-        self._exchange.join(self._address, self)
+        self._links.join(self._address, self)
         self.accepting = True
 
     async def on_stop(self) -> None:
         self.accepting = False
-        self._exchange.reset(self.instance_id)
+        self._links.reset(self.instance_id)
 
     @Service.task
     async def _tend_forever(self) -> None:
@@ -260,11 +260,11 @@
             now = loop.time()
             paused = now - self._last_tick > 2 * TICK
             self._last_tick = now
-            for link in self._exchange.tend(self):
+            for link in self._links.tend(self):
                 # after a pause, frames sent in the meantime are still unread
                 silent = now - link.heard[self.instance_id] > self._silence
                 if silent and not paused:
-                    self._exchange.close(link)
+                    self._links.close(link)
             for instance_id in self._membership.list_neighbours():
                 self._find_link(instance_id)
             await self.sleep(TICK)
@@ -316,13 +316,11 @@
 
     def _answer(self, link: _Link, question: int, message: Message) -> None:
         if question and link.open:
-            self._exchange.carry(
-                link, self, encode(Envelope(message, reply_to=question))
-            )
+            self._links.carry(link, self, encode(Envelope(message, reply_to=question)))
 
     def _find_link(self, instance_id: str) -> _Link | None:
-        link = self._exchange.find(self.instance_id, instance_id)
+        link = self._links.find(self.instance_id, instance_id)
         if link is not None:
             return link
         address = self._membership.find_address(instance_id)
-        return self._exchange.dial(self, address) if address else None
+        return self._links.dial(self, address) if address else None
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/records.py
@@ -92,14 +92,14 @@
 class RunRecord:
     """All records of one run."""
 
-    asks: Sequence[AttemptRecord]
+    attempts: Sequence[AttemptRecord]
     changes: Sequence[ChangeRecord]
     instances: Sequence[InstanceRecord]
     targets: TargetRecord
     #: models loaded by each engine at the end of the run
     engines: Mapping[str, tuple[str, ...]]
     #: model that all engines must have loaded by then; empty if there is none
-    wanted: str
+    expected_model: str
     #: times at which the fault and the run ended
     fault_ended: float
     ended: float
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -31,7 +31,12 @@
 from .processes import close_loop, create_loop
 from .sessions import ORDERS
 from .steps import Step
-from .traffic import SETTLING, send_pulse, verify_recovery, warm_up
+from .traffic import (
+    RECOVERY_SECONDS,
+    send_background_requests,
+    verify_recovery,
+    warm_up,
+)
 
 if TYPE_CHECKING:
     from .cells import Cell
@@ -44,24 +49,24 @@
 PROBE = "probe"
 PROBE_CHANGE = "change-probe"
 #: duration of a fault, in seconds
-LASTING = 6.0
+FAULT_SECONDS = 6.0
 #: seconds of recovery after a fault that makes no instance unreachable to others
-SETTLING_TOGETHER = 6.0
+SHORT_RECOVERY_SECONDS = 6.0
 #: duration in seconds of a pause that is shorter than a lease
 SHORT_PAUSE = 2.0
 PAUSE = "process paused"
 #: seconds after a fault within which engines must hold the requested models: the
 #: lease expires, and its next holder waits until the former one's orders are done
-SETTLING_ORDERS = 22.0
+ORDERS_RECOVERY_SECONDS = 22.0
 #: seconds within which engines must hold their first model
-PLACING_LIMIT = 40.0
+PLACEMENT_TIMEOUT = 40.0
 #: id of the change that places the first model, and the models
 PLACED = "placed"
 FIRST_MODEL = "model-1"
 SECOND_MODEL = "model-2"
 NORTHERN_ENGINES = f"{ORDERS}/{NORTH}"
 #: offsets in seconds at which background requests are sent
-PULSES = (0.0, 0.4, 1.5, 3.0, 5.0)
+TRAFFIC_OFFSETS = (0.0, 0.4, 1.5, 3.0, 5.0)
 #: factor by which replies take longer while an instance stops
 SLOW_REPLY = 30.0
 #: number of claim shards; must equal ``claims.shards`` in the instances' settings
@@ -74,28 +79,30 @@
 
     cell: Cell
     seed: int
-    breaches: tuple[Violation, ...]
+    violations: tuple[Violation, ...]
     #: times at which the fault was injected and removed
-    lasting: tuple[float, float]
+    fault_interval: tuple[float, float]
     #: why the fault was not injected; empty if it was
-    missing: str
+    not_injected: str
     record: RunRecord
 
-    def count_attained(self) -> tuple[int, int]:
+    def count_in_time(self) -> tuple[int, int]:
         """Return the number of requests sent during the fault, and of those in time.
 
         A retried request counts once; those of bursts are excluded.
         """
-        begun, fault_ended = self.lasting
-        wished: dict[str, bool] = {}
-        for ask in self.record.asks:
-            if not begun <= ask.sent <= fault_ended or ask.marker.startswith(
+        begun, fault_ended = self.fault_interval
+        outcomes: dict[str, bool] = {}
+        for attempt in self.record.attempts:
+            if not begun <= attempt.sent <= fault_ended or attempt.marker.startswith(
                 BURST_MARKER
             ):
                 continue
-            attained = ask.result is not None and ask.answered <= ask.deadline
-            wished[ask.marker] = wished.get(ask.marker, False) or attained
-        return len(wished), sum(wished.values())
+            in_time = (
+                attempt.result is not None and attempt.answered <= attempt.deadline
+            )
+            outcomes[attempt.marker] = outcomes.get(attempt.marker, False) or in_time
+        return len(outcomes), sum(outcomes.values())
 
 
 @dataclass(slots=True)
@@ -125,7 +132,7 @@
         self._seed = seed
         self._timing = _Timing()
         self._fault_over = asyncio.Event()
-        self._begun = False
+        self._injected = False
 
     async def run(self) -> CellResult:
         """Run the cell from the start of all instances to the checks."""
@@ -134,23 +141,23 @@
         await warm_up(bench)
         if self._cell.step in LEASED_STEPS:
             await self._prepare_engines()
-        self._arm()
-        self._provoke()
-        await self._play()
-        await verify_recovery(bench, self._timing.fault_ended, self._settling)
+        self._schedule_fault()
+        self._start_operation()
+        await self._generate_traffic()
+        await verify_recovery(bench, self._timing.fault_ended, self._recovery_seconds)
         record = create_run_record(
             bench,
             fault_ended=self._timing.fault_ended,
             pauses=self._timing.pauses,
-            wanted=self._find_wanted(),
+            expected_model=self._find_expected_model(),
         )
-        missing = "" if self._begun else "the step was not reached"
+        not_injected = "" if self._injected else "the step was not reached"
         return CellResult(
             cell=self._cell,
             seed=self._seed,
-            breaches=tuple(check(record)),
-            lasting=(self._timing.began, self._timing.fault_ended),
-            missing=missing,
+            violations=tuple(check(record)),
+            fault_interval=(self._timing.began, self._timing.fault_ended),
+            not_injected=not_injected,
             record=record,
         )
 
@@ -171,20 +178,22 @@
         bench = self.bench
         if self._cell.step is Step.LEASE_HELD:
             return
-        await bench.operate(bench.instances[0], PLACED, self._place(FIRST_MODEL))
+        await bench.operate(
+            bench.instances[0], PLACED, self._create_placement_objects(FIRST_MODEL)
+        )
         engines = [one.engine for one in bench.targets.values() if one.service == "llm"]
         await wait_until(
             lambda: all(engine.models == (FIRST_MODEL,) for engine in engines),
-            timeout=PLACING_LIMIT,
+            timeout=PLACEMENT_TIMEOUT,
             what="first orders",
         )
         bench.announcer.forget(NORTHERN_ENGINES)
 
-    def _place(self, model: str) -> tuple[Any, ...]:
+    def _create_placement_objects(self, model: str) -> tuple[Any, ...]:
         service = create_engines(checks=self.bench.engines_check)
         return service, create_placement(model)
 
-    def _find_wanted(self) -> str:
+    def _find_expected_model(self) -> str:
         """Return the model that the configuration in force places on engines."""
         in_force = [one.list_changes() for one in self.bench.instances if one.alive]
         if any(PROBE_CHANGE in changes for changes in in_force):
@@ -193,24 +202,24 @@
             return FIRST_MODEL
         return ""
 
-    def _arm(self) -> None:
+    def _schedule_fault(self) -> None:
         step = self._cell.step
         announcer = self.bench.announcer
         if step is Step.CONFIGURATION_WATCHER:
             # the watcher is killed when there is a new head to read
-            announcer.await_step(Step.HEAD_SWAPPED, PROBE_CHANGE, self._begin)
+            announcer.await_step(Step.HEAD_SWAPPED, PROBE_CHANGE, self._inject_faults)
             return
         if step is Step.ORDER_LEASE:
-            announcer.await_step(Step.ORDER_SENT, NORTHERN_ENGINES, self._begin)
+            announcer.await_step(Step.ORDER_SENT, NORTHERN_ENGINES, self._inject_faults)
             return
         subject = PROBE
         if step in CHANGE_STEPS:
             subject = PROBE_CHANGE
         elif step in LEASED_STEPS:
             subject = NORTHERN_ENGINES
-        announcer.await_step(step, subject, self._begin)
+        announcer.await_step(step, subject, self._inject_faults)
 
-    def _provoke(self) -> None:
+    def _start_operation(self) -> None:
         """Start the operation that reaches the step."""
         bench = self.bench
         first, second, third = bench.instances[:3]
@@ -223,13 +232,15 @@
             spare = next(one for one in bench.instances if not _is_watcher(one))
             bench.submit(spare, PROBE_CHANGE, {"by": PROBE_CHANGE})
         elif step in LEASED_STEPS:
-            bench.submit_objects(third, PROBE_CHANGE, self._place(SECOND_MODEL))
+            bench.submit_objects(
+                third, PROBE_CHANGE, self._create_placement_objects(SECOND_MODEL)
+            )
         else:
             bench.submit(first, PROBE_CHANGE, {"by": PROBE_CHANGE})
         if step in STOP_STEPS:
             self._slow_replies()
             first.stop()
-            self._await_stop(first)
+            self._announce_stop_step(first)
 
     def _slow_replies(self) -> None:
         """Slow replies down so that one is still in flight as the stop ends."""
@@ -241,22 +252,22 @@
         """Send the probe, whose claim is written by the second instance."""
         bench = self.bench
         third = next(one for one in bench.instances if one not in (first, second))
-        wish = ClientRequest(marker=PROBE, pipeline=BOOKING, keyed=True)
+        request = ClientRequest(marker=PROBE, pipeline=BOOKING, keyed=True)
         names = [one.name for one in bench.instances]
         # the claim writer depends on the key alone: try keys until it is the second
         suffix = 0
         while True:
-            key = create_key(WORKSPACE, wish.pipeline, wish.key)
+            key = create_key(WORKSPACE, request.pipeline, request.key)
             ranked = rank_instances(name_head(choose_shard(key, SHARDS)), names)
             if ranked[0] == second.name or suffix > 64:
                 break
             suffix += 1
-            wish = ClientRequest(
+            request = ClientRequest(
                 marker=PROBE, pipeline=BOOKING, keyed=True, key_suffix=str(suffix)
             )
-        bench.call(wish, first, second, third)
+        bench.call(request, first, second, third)
 
-    def _await_stop(self, instance: ServingInstance) -> None:
+    def _announce_stop_step(self, instance: ServingInstance) -> None:
         async def watch() -> None:
             drain = instance.parts.drain
             wanted = self._cell.step.value
@@ -265,7 +276,7 @@
 
         self.bench.spawn(watch())
 
-    def _begin(self, process: SimulatedProcess) -> None:
+    def _inject_faults(self, process: SimulatedProcess) -> None:
         """Inject the faults and schedule their removal."""
         bench = self.bench
         loop = asyncio.get_running_loop()
@@ -273,17 +284,17 @@
         if self._cell.step in REQUEST_STEPS:
             subject = bench.instances[0]
         elif self._cell.step in TAKEOVER_STEPS:
-            subject = self._take_over(subject)
-        self._begun = True
+            subject = self._kill_role_holder(subject)
+        self._injected = True
         self._timing.began = loop.time()
         for name in self._cell.faults:
             FAULTS[name].inject(bench, subject)
         if not subject.process.running and not subject.process.killed:
-            pause = (loop.time(), loop.time() + self._lasting)
+            pause = (loop.time(), loop.time() + self._fault_seconds)
             self._timing.pauses[subject.name] = [pause]
-        bench.spawn(self._heal(subject))
+        bench.spawn(self._remove_faults(subject))
 
-    def _take_over(self, announced: ServingInstance) -> ServingInstance:
+    def _kill_role_holder(self, announced: ServingInstance) -> ServingInstance:
         """Kill the holder of the role and return the instance that gets the fault."""
         bench = self.bench
         holder = announced
@@ -296,44 +307,46 @@
         return bench.instances[2]
 
     @property
-    def _settling(self) -> float:
+    def _recovery_seconds(self) -> float:
         if self._cell.step in LEASED_STEPS:
-            return SETTLING_ORDERS
-        parting = any(FAULTS[name].parting for name in self._cell.faults)
+            return ORDERS_RECOVERY_SECONDS
+        affects_membership = any(
+            FAULTS[name].affects_membership for name in self._cell.faults
+        )
         if (
-            parting
+            affects_membership
             or self._cell.step in TAKEOVER_STEPS
             or self._cell.step in STOP_STEPS
         ):
-            return SETTLING
-        return SETTLING_TOGETHER
+            return RECOVERY_SECONDS
+        return SHORT_RECOVERY_SECONDS
 
     @property
-    def _lasting(self) -> float:
+    def _fault_seconds(self) -> float:
         if self._cell.step in LEASED_STEPS and PAUSE in self._cell.faults:
             return SHORT_PAUSE
-        return LASTING
+        return FAULT_SECONDS
 
-    async def _heal(self, subject: ServingInstance) -> None:
-        await asyncio.sleep(self._lasting)
+    async def _remove_faults(self, subject: ServingInstance) -> None:
+        await asyncio.sleep(self._fault_seconds)
         for name in self._cell.faults:
             FAULTS[name].remove(self.bench, subject)
         self._timing.fault_ended = asyncio.get_running_loop().time()
         self._fault_over.set()
 
-    async def _play(self) -> None:
+    async def _generate_traffic(self) -> None:
         """Send background requests and make a change while the fault lasts."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        for number, offset in enumerate(PULSES):
+        for number, offset in enumerate(TRAFFIC_OFFSETS):
             await asyncio.sleep(max(0.0, begun + offset - loop.time()))
-            send_pulse(self.bench, number)
+            send_background_requests(self.bench, number)
             if number == 1:
                 self._begin_to_leave()
             if number == 2:
                 self._make_change()
         try:
-            async with asyncio.timeout(LASTING * 2):
+            async with asyncio.timeout(FAULT_SECONDS * 2):
                 await self._fault_over.wait()
         except TimeoutError:
             self._timing.fault_ended = loop.time()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
@@ -93,13 +93,13 @@
             return
         self.process.kill()
         if silently:
-            self.bench.exchange.silence(self.name)
+            self.bench.links.silence(self.name)
             return
         self.callers_server.reset()
-        self.bench.exchange.reset(self.name)
+        self.bench.links.reset(self.name)
 
     def silence(self) -> None:
         """Drop all further traffic on its open connections."""
-        self.bench.exchange.silence(self.name)
+        self.bench.links.silence(self.name)
         self.dialer.silence()
         self.link.silence()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/table.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/table.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from .cells import COLUMNS, REQUEST_STEPS, Cell, find_excuse
+from .cells import COLUMNS, REQUEST_STEPS, Cell, find_exclusion_reason
 from .faults import FAULTS
 from .run import run_cell
 
@@ -27,9 +27,9 @@
 )
 
 #: seconds until a cell is aborted as hanging; a cell takes about half a second
-HANGING = 60
+CELL_TIMEOUT = 60
 #: cells sent to a worker process at a time
-CHUNK = 4
+CHUNK_SIZE = 4
 
 
 class Outcome(Enum):
@@ -40,11 +40,11 @@
     #: the step was not reached, so that no fault was injected
     NOT_RUN = "not run"
     #: the combination cannot occur
-    EXCUSED = "excused"
+    EXCLUDED = "excused"
 
 
 #: precedence of outcomes when a cell runs with several seeds, worst first
-RANKS = (Outcome.FAILED, Outcome.NOT_RUN, Outcome.HELD)
+OUTCOME_PRECEDENCE = (Outcome.FAILED, Outcome.NOT_RUN, Outcome.HELD)
 
 
 class HangingError(SystemExit):
@@ -59,80 +59,82 @@
     outcome: Outcome
     reasons: list[str] = field(default_factory=list)
     #: requests sent while the faults lasted, and those answered before the deadline
-    asked: int = 0
-    attained: int = 0
+    request_count: int = 0
+    in_time: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
+class _RunOutcome:
     """Outcome of one run of a cell."""
 
     outcome: Outcome
     reasons: list[str] = field(default_factory=list)
-    asked: int = 0
-    attained: int = 0
+    request_count: int = 0
+    in_time: int = 0
 
 
 def run_cells(
     cells: Sequence[Cell], seeds: Sequence[int], *, workers: int
 ) -> list[CellSummary]:
     """Run each cell with each seed, except for cells that cannot occur."""
-    summaries = [_begin(cell) for cell in cells]
-    due = [
+    summaries = [_create_summary(cell) for cell in cells]
+    pending = [
         (summary.cell, seed)
         for summary in summaries
         for seed in seeds
         if summary.outcome is Outcome.HELD
     ]
-    places = dict(zip(cells, summaries, strict=True))
+    summaries_by_cell = dict(zip(cells, summaries, strict=True))
     with ProcessPoolExecutor(workers) as executor:
         for (cell, _), found in zip(
-            due, executor.map(_run, due, chunksize=CHUNK), strict=True
+            pending, executor.map(_run, pending, chunksize=CHUNK_SIZE), strict=True
         ):
-            _merge(places[cell], found)
+            _update_summary(summaries_by_cell[cell], found)
     return summaries
 
 
-def _begin(cell: Cell) -> CellSummary:
-    excuse = find_excuse(cell)
-    if excuse:
-        return CellSummary(cell, Outcome.EXCUSED, [excuse])
+def _create_summary(cell: Cell) -> CellSummary:
+    reason = find_exclusion_reason(cell)
+    if reason:
+        return CellSummary(cell, Outcome.EXCLUDED, [reason])
     return CellSummary(cell, Outcome.HELD)
 
 
-def _run(work: tuple[Cell, int]) -> _Found:
+def _run(work: tuple[Cell, int]) -> _RunOutcome:
     cell, seed = work
     # errors logged while faults last are expected, and so are coroutines that a
     # killed process never awaits
     logging.disable(logging.CRITICAL)
     warnings.filterwarnings("ignore", message="coroutine .* was never awaited")
     signal.signal(signal.SIGALRM, _interrupt)
-    signal.alarm(HANGING)
+    signal.alarm(CELL_TIMEOUT)
     try:
         result = run_cell(cell, seed)
     except HangingError:
-        return _Found(Outcome.FAILED, [f"seed {seed}: did not end within {HANGING} s"])
+        return _RunOutcome(
+            Outcome.FAILED, [f"seed {seed}: did not end within {CELL_TIMEOUT} s"]
+        )
     except Exception as error:
         reason = f"seed {seed}: {type(error).__name__}: {error}"
-        return _Found(Outcome.FAILED, [reason])
+        return _RunOutcome(Outcome.FAILED, [reason])
     finally:
         signal.alarm(0)
-    if result.missing:
-        return _Found(Outcome.NOT_RUN, [f"seed {seed}: {result.missing}"])
-    reasons = [f"seed {seed}: {one}" for one in result.breaches]
+    if result.not_injected:
+        return _RunOutcome(Outcome.NOT_RUN, [f"seed {seed}: {result.not_injected}"])
+    reasons = [f"seed {seed}: {one}" for one in result.violations]
     outcome = Outcome.FAILED if reasons else Outcome.HELD
-    return _Found(outcome, reasons, *result.count_attained())
+    return _RunOutcome(outcome, reasons, *result.count_in_time())
 
 
 def _interrupt(_number: int, _frame: Any) -> None:
     raise HangingError
 
 
-def _merge(summary: CellSummary, found: _Found) -> None:
-    summary.outcome = min(summary.outcome, found.outcome, key=RANKS.index)
+def _update_summary(summary: CellSummary, found: _RunOutcome) -> None:
+    summary.outcome = min(summary.outcome, found.outcome, key=OUTCOME_PRECEDENCE.index)
     summary.reasons.extend(found.reasons)
-    summary.asked += found.asked
-    summary.attained += found.attained
+    summary.request_count += found.request_count
+    summary.in_time += found.in_time
 
 
 def format_attainment(summaries: Iterable[CellSummary]) -> str:
@@ -141,20 +143,20 @@
     Only cells at request steps count, as an operation such as a planned stop
     lowers the share without any fault.
     """
-    asked: Counter[str] = Counter()
-    attained: Counter[str] = Counter()
+    request_count: Counter[str] = Counter()
+    in_time: Counter[str] = Counter()
     for summary in summaries:
         if len(summary.cell.faults) == 1 and summary.cell.step in REQUEST_STEPS:
-            asked[summary.cell.faults[0]] += summary.asked
-            attained[summary.cell.faults[0]] += summary.attained
+            request_count[summary.cell.faults[0]] += summary.request_count
+            in_time[summary.cell.faults[0]] += summary.in_time
     width = max(map(len, FAULTS)) + 2
     lines = [
         "share of requests sent during the fault that got a result by their deadline:"
     ]
     for fault in FAULTS:
-        if asked[fault]:
-            share = attained[fault] / asked[fault]
-            lines.append(f"  {fault:{width}}{share:7.1%} of {asked[fault]}")
+        if request_count[fault]:
+            share = in_time[fault] / request_count[fault]
+            lines.append(f"  {fault:{width}}{share:7.1%} of {request_count[fault]}")
     return "\n".join(lines)
 
 
@@ -188,13 +190,13 @@
             kind[str(summary.cell)] = summary.reasons
     excuses: dict[str, int] = Counter()
     for summary in summaries:
-        if summary.outcome is Outcome.EXCUSED:
+        if summary.outcome is Outcome.EXCLUDED:
             excuses[summary.reasons[0]] += 1
     fields = {
         "held": counts[Outcome.HELD],
         "failed": counts[Outcome.FAILED],
         "not_run": counts[Outcome.NOT_RUN],
-        "excused": counts[Outcome.EXCUSED],
+        "excused": counts[Outcome.EXCLUDED],
         "seeds": list(seeds),
         "reasons": reasons | {"excused": excuses},
     }
--- a/tests/test_matrix/conftest.py
+++ b/tests/test_matrix/conftest.py
@@ -40,5 +40,5 @@
 
 @then("every promise is kept")
 def every_promise_is_kept(result):
-    assert not result.missing
-    assert not result.breaches, "\n".join(map(str, result.breaches))
+    assert not result.not_injected
+    assert not result.violations, "\n".join(map(str, result.violations))
--- a/tests/test_matrix/test_cells.py
+++ b/tests/test_matrix/test_cells.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from greengagelatch_lab.matrix.cells import Cell, find_excuse, list_cells
+from greengagelatch_lab.matrix.cells import Cell, find_exclusion_reason, list_cells
 from greengagelatch_lab.matrix.faults import FAULTS
 from greengagelatch_lab.matrix.steps import Step
 
@@ -25,5 +25,5 @@
 def test_every_cell_is_in_a_feature_or_excused():
     cells = read_cells()
     assert len(cells) == len(set(cells))
-    wanted = {cell for cell in list_cells() if not find_excuse(cell)}
+    wanted = {cell for cell in list_cells() if not find_exclusion_reason(cell)}
     assert set(cells) == wanted
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Loss:
+class Mutation:
     """A safeguard to disable, and the cell and violation that must detect it."""
 
     owner: Any
@@ -30,19 +30,19 @@
     replacement: Any
     fault: str
     step: Step
-    promise: Guarantee
+    guarantee: Guarantee
 
 
-async def pass_unclaimed(self, exchange, proceed):
+async def skip_claim(self, exchange, proceed):
     return await proceed(exchange)
 
 
-async def wait_for_nothing(self, timeout):
+async def return_idle(self, timeout):
     return True
 
 
-LOSSES = {
-    "retries of what may have run": Loss(
+MUTATIONS = {
+    "retries of what may have run": Mutation(
         stage_caller,
         "decide_retry",
         lambda rules, failure, *, attempts, **_: "attempts" if attempts > 2 else None,
@@ -50,15 +50,15 @@
         Step.SENT,
         Guarantee.DUPLICATED,
     ),
-    "claims": Loss(
+    "claims": Mutation(
         DeduplicationFilter,
         "apply",
-        pass_unclaimed,
+        skip_claim,
         "process killed",
         Step.BETWEEN_STAGES,
         Guarantee.DUPLICATED,
     ),
-    "verdicts": Loss(
+    "verdicts": Mutation(
         ledger.AttemptLedger,
         "verdict",
         Verdict.NOT_RUN,
@@ -66,7 +66,7 @@
         Step.RECEIVED,
         Guarantee.FALSE_NOT_RUN,
     ),
-    "what was already given": Loss(
+    "what was already given": Mutation(
         tokens.StreamedTokens,
         "append",
         lambda self, offset, text: tokens.TokenCheck.NEW,
@@ -74,7 +74,7 @@
         Step.RECEIVED,
         Guarantee.DUPLICATED,
     ),
-    "leaving targets": Loss(
+    "leaving targets": Mutation(
         TargetRegistry,
         "mark_leaving",
         lambda self, target_ids: TargetRegistryChange(),
@@ -82,15 +82,15 @@
         Step.RECEIVED,
         Guarantee.DRAINING_TARGET_USED,
     ),
-    "waiting for requests in flight": Loss(
+    "waiting for requests in flight": Mutation(
         SimulatedCallersServer,
         "wait_idle",
-        wait_for_nothing,
+        return_idle,
         "store slow",
         Step.LEAVING,
         Guarantee.DISCONNECTED,
     ),
-    "higher generations only": Loss(
+    "higher generations only": Mutation(
         replica.Replica,
         "adopt",
         lambda self, head, fresh: (
@@ -105,11 +105,11 @@
 ADOPT = replica.Replica.adopt
 
 
-@pytest.mark.parametrize("name", LOSSES)
-def test_lost_guard_is_noticed(name):
-    loss = LOSSES[name]
-    with mock.patch.object(loss.owner, loss.name, loss.replacement):
-        result = run_cell(Cell((loss.fault,), loss.step), seed=1)
-    assert not result.missing
-    found = {breach.guarantee for breach in result.breaches}
-    assert loss.promise in found, sorted(str(one) for one in result.breaches)
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_disabled_safeguard_is_detected(name):
+    mutation = MUTATIONS[name]
+    with mock.patch.object(mutation.owner, mutation.name, mutation.replacement):
+        result = run_cell(Cell((mutation.fault,), mutation.step), seed=1)
+    assert not result.not_injected
+    found = {violation.guarantee for violation in result.violations}
+    assert mutation.guarantee in found, sorted(str(one) for one in result.violations)
