--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -49,14 +49,14 @@
 REPLICAS = (NORTH, NORTH, SOUTH)
 
 #: key prefix of leases, followed by data centre and service
-LEASES = "leases/"
-WRITES = frozenset({"swap", "delete", "revoke"})
+LEASE_PREFIX = "leases/"
+WRITE_KINDS = frozenset({"swap", "delete", "revoke"})
 #: seconds between two polls of the generations in force
 WATCH_INTERVAL = 0.1
 #: replication lag of the instance list, in seconds
-LAG = 0.2
+LIST_LAG_SECONDS = 0.2
 #: seconds within which the first generation must be in force on all instances
-START_LIMIT = 20.0
+START_TIMEOUT = 20.0
 
 
 @dataclass(slots=True, eq=False)
@@ -102,16 +102,16 @@
         #: marker of each request by request id
         self.markers: dict[str, str] = {}
         self.attempts: list[ClientAttempt] = []
-        self.callers: list[Client] = []
+        self.clients: list[Client] = []
         self.changes: list[Change] = []
         #: number of upcoming writes that are applied but whose responses are lost
-        self.lost_answers = 0
+        self.lost_responses = 0
         #: markers of requests sent after the faults, which must all succeed
-        self.last: set[str] = set()
-        self._changing: dict[str, str] = {}
-        self._keys: dict[bytes, str] = {}
+        self.must_succeed: set[str] = set()
+        self._current_change_ids: dict[str, str] = {}
+        self._markers_by_key: dict[bytes, str] = {}
         self._tasks: list[asyncio.Task[Any]] = []
-        self._calls: list[asyncio.Task[None]] = []
+        self._client_tasks: list[asyncio.Task[None]] = []
         self._create_targets()
         self.instances = [
             self._create_instance(create, number, place)
@@ -123,18 +123,18 @@
         for instance in self.instances:
             instance.start()
         await asyncio.sleep(0.5)
-        self.instance_list.lag = LAG
+        self.instance_list.lag = LIST_LAG_SECONDS
         self.spawn(self._watch_generations())
         await self.operate(self.instances[0], "base", OBJECTS)
         await wait_until(
             lambda: all(one.generations for one in self.instances),
-            timeout=START_LIMIT,
+            timeout=START_TIMEOUT,
             what="first configuration in force",
         )
 
     async def finish(self) -> None:
         """Wait until all clients have finished."""
-        await asyncio.gather(*self._calls)
+        await asyncio.gather(*self._client_tasks)
 
     def find(self, name: str) -> ServingInstance:
         """Return the instance named ``name``."""
@@ -144,14 +144,14 @@
 
     def call(self, request: ClientRequest, *instances: ServingInstance) -> Client:
         """Start a client that tries the given instances in turn."""
-        caller = Client(self, request)
-        self.callers.append(caller)
+        client = Client(self, request)
+        self.clients.append(client)
         if request.keyed:
-            self._keys[create_key(WORKSPACE, request.pipeline, request.key)] = (
-                request.marker
-            )
-        self._calls.append(spawn_outside(caller.run(list(instances))))
-        return caller
+            self._markers_by_key[
+                create_key(WORKSPACE, request.pipeline, request.key)
+            ] = request.marker
+        self._client_tasks.append(spawn_outside(client.run(list(instances))))
+        return client
 
     def send(self, attempt: ClientAttempt, instance: ServingInstance) -> None:
         """Deliver a request to an instance, or refuse the connection."""
@@ -178,8 +178,10 @@
         objects: tuple[ConfigObject, ...],
     ) -> Change:
         """Submit a change without waiting for its outcome."""
-        change = self._note_change(instance, change_id, objects)
-        self._tasks.append(instance.process.spawn(self._make(instance, change)))
+        change = self._record_change(instance, change_id, objects)
+        self._tasks.append(
+            instance.process.spawn(self._submit_change(instance, change))
+        )
         return change
 
     async def operate(
@@ -189,11 +191,11 @@
         objects: tuple[ConfigObject, ...],
     ) -> Change:
         """Submit a change and wait for its outcome."""
-        change = self._note_change(instance, change_id, objects)
-        await instance.process.spawn(self._make(instance, change))
+        change = self._record_change(instance, change_id, objects)
+        await instance.process.spawn(self._submit_change(instance, change))
         return change
 
-    def _note_change(
+    def _record_change(
         self,
         instance: ServingInstance,
         change_id: str,
@@ -204,9 +206,11 @@
         self.changes.append(change)
         return change
 
-    async def _make(self, instance: ServingInstance, change: Change) -> None:
-        self._changing[instance.name] = change.change_id
-        await self.announcer.reach(Step.SUBMITTED, change.change_id, instance.process)
+    async def _submit_change(self, instance: ServingInstance, change: Change) -> None:
+        self._current_change_ids[instance.name] = change.change_id
+        await self.announcer.announce_and_yield(
+            Step.SUBMITTED, change.change_id, instance.process
+        )
         request = ChangeRequest(
             change_id=change.change_id,
             mode=ChangeMode.APPLY,
@@ -217,18 +221,18 @@
 
     # observation
 
-    def note_store_call(
+    def handle_store_call(
         self, process: SimulatedProcess, kind: str, key: str, value: bytes, answer: Any
     ) -> Any:
         """Announce the steps reached by a store call and return its response."""
         if kind == "swap" and answer.outcome is WriteOutcome.APPLIED:
             self._announce_write(process, key, value)
-        if kind not in WRITES:
+        if kind not in WRITE_KINDS:
             if self.faults.outage:
                 return Err(StoreError(StoreErrorKind.TIMEOUT, "no answer"))
             return answer
-        if self.lost_answers > 0:
-            self.lost_answers -= 1
+        if self.lost_responses > 0:
+            self.lost_responses -= 1
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         if self.faults.outage and answer.outcome is WriteOutcome.APPLIED:
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
@@ -237,15 +241,15 @@
     def _announce_write(
         self, process: SimulatedProcess, key: str, value: bytes
     ) -> None:
-        change_id = self._changing.get(process.name, "")
+        change_id = self._current_change_ids.get(process.name, "")
         if key.startswith(SHARD_PREFIX):
             self.announcer.announce(Step.SHARDS_WRITTEN, change_id, process)
         elif key == HEAD_KEY:
             self.announcer.announce(Step.HEAD_SWAPPED, change_id, process)
-        elif key.startswith(LEASES):
-            group = key.removeprefix(LEASES).split("/")[0]
+        elif key.startswith(LEASE_PREFIX):
+            group = key.removeprefix(LEASE_PREFIX).split("/")[0]
             self.announcer.announce(Step.LEASE_HELD, f"{ORDERS}/{group}", process)
-        for claimed, marker in self._keys.items():
+        for claimed, marker in self._markers_by_key.items():
             if claimed in value:
                 self.announcer.announce(Step.CLAIMED, marker, process)
                 self.announcer.announce(Step.CLAIM_WRITER, marker, process)
@@ -254,13 +258,13 @@
         while True:
             now = asyncio.get_running_loop().time()
             for instance in self.instances:
-                self._note_generation(instance, now)
+                self._record_generation(instance, now)
             await asyncio.sleep(WATCH_INTERVAL)
 
-    def _note_generation(self, instance: ServingInstance, now: float) -> None:
+    def _record_generation(self, instance: ServingInstance, now: float) -> None:
         generation = instance.generation
-        seen = instance.generations[-1][1] if instance.generations else 0
-        if generation == seen:
+        previous = instance.generations[-1][1] if instance.generations else 0
+        if generation == previous:
             return
         instance.generations.append((now, generation))
         change_id = instance.change_id
@@ -310,7 +314,7 @@
             record=self.record,
             random_source=self.random,
             resumes=self.random.random() < 0.5,
-            checks=self.engines_check,
+            checks_fence=self.engines_check,
         )
         self.list_target(self.targets[address])
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers_server.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers_server.py
@@ -71,7 +71,7 @@
         self.answered = asyncio.get_running_loop().time()
         self.over.set()
 
-    def lose(self) -> None:
+    def record_reset(self) -> None:
         """Record that the connection was reset."""
         self.reset = True
         self.over.set()
@@ -146,7 +146,7 @@
         await self.close_listener()
         for task, attempt in list(self._open.items()):
             task.cancel()
-            attempt.lose()
+            attempt.record_reset()
         await asyncio.gather(*self._open, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
@@ -156,7 +156,8 @@
         """Reset all connections, as the operating system does for a dead process."""
         for attempt in self._open.values():
             attempt.pipe.carry(
-                self._network.draw_latency(self._place, attempt.place), attempt.lose
+                self._network.draw_latency(self._place, attempt.place),
+                attempt.record_reset,
             )
 
     def accept(self, attempt: ClientAttempt) -> None:
@@ -176,7 +177,9 @@
         request_id = self._identifier.create_request_id()
         attempt.request_id = request_id
         self._markers[request_id] = attempt.marker
-        await self._announcer.reach(Step.RECEIVED, attempt.marker, self.process)
+        await self._announcer.announce_and_yield(
+            Step.RECEIVED, attempt.marker, self.process
+        )
         arrival = ReceivedRequest(
             request_id=request_id,
             pipeline=attempt.pipeline,
@@ -191,39 +194,43 @@
                 verdict=Verdict.NOT_RUN,
                 refusal=result.err_value,
             )
-            self._give(attempt, attempt.record_answer, answer)
+            self._send_to_client(attempt, attempt.record_answer, answer)
             return
         exchange = Exchange(request=result.ok_value)
-        given = 0
+        token_count = 0
 
         def record_token(offset: int, text: str) -> None:
-            nonlocal given
-            given += 1
-            self._announce_token(attempt.marker, given)
-            self._give(attempt, attempt.record_token, offset, text)
+            nonlocal token_count
+            token_count += 1
+            self._announce_token(attempt.marker, token_count)
+            self._send_to_client(attempt, attempt.record_token, offset, text)
 
         if exchange.request.stream:
             exchange.on_token = record_token
         answer = await self._handler(exchange)
-        await self._announcer.reach(Step.ANSWERING, attempt.marker, self.process)
-        if attempt.stream and not given and isinstance(answer.result, str):
+        await self._announcer.announce_and_yield(
+            Step.ANSWERING, attempt.marker, self.process
+        )
+        if attempt.stream and not token_count and isinstance(answer.result, str):
             record_token(0, answer.result)
-        self._give(attempt, attempt.record_answer, answer)
-        await self._announcer.reach(Step.ANSWERED, attempt.marker, self.process)
+        self._send_to_client(attempt, attempt.record_answer, answer)
+        await self._announcer.announce_and_yield(
+            Step.ANSWERED, attempt.marker, self.process
+        )
 
-    def _announce_token(self, marker: str, given: int) -> None:
-        step = {1: Step.FIRST_TOKEN, 3: Step.BETWEEN_TOKENS}.get(given)
+    def _announce_token(self, marker: str, token_count: int) -> None:
+        step = {1: Step.FIRST_TOKEN, 3: Step.BETWEEN_TOKENS}.get(token_count)
         if step is not None:
             self._announcer.announce(step, marker, self.process)
 
-    def _give(
-        self, attempt: ClientAttempt, take: Callable[..., None], *given: Any
+    def _send_to_client(
+        self, attempt: ClientAttempt, take: Callable[..., None], *arguments: Any
     ) -> None:
         """Send a token or the final response over the client's connection."""
         latency = self._network.draw_latency(self._place, attempt.place)
 
         def arrive() -> None:
             if not attempt.over.is_set():
-                take(*given)
+                take(*arguments)
 
         attempt.pipe.carry(latency, arrive)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -7,28 +7,28 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from .fleet import write_tokens
+from .fleet import create_tokens
 from .records import ChangeState
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from .fleet import Run
+    from .fleet import StageRun
     from .records import AttemptRecord, ChangeRecord, InstanceRecord, RunRecord
 
-__all__ = ("Violation", "Guarantee", "check")
+__all__ = ("Guarantee", "Violation", "check")
 
 #: seconds after its deadline within which a request must have its final response
 ANSWER_SLACK = 0.5
 #: upper bound of a request's network latency to its instance, in seconds
-SENDING = 0.01
+MAX_SEND_SECONDS = 0.01
 #: seconds after which a draining target must get no new calls
-LEAVING_BOUND = 5.0
+DRAIN_NOTICE_SECONDS = 5.0
 #: seconds within which an accepted change must be in force on all instances,
 #: counted from the end of the fault if that is later
-SPREADING_BOUND = 10.0
+PROPAGATION_SECONDS = 10.0
 #: minimum seconds before the deadline at which an abandoned request is rejected
-LEAST_LEFT = 0.05
+MIN_SECONDS_LEFT = 0.05
 #: rejections that need no retry delay, as a retry would be rejected again
 FINAL_CODES = frozenset({"bad-request", "too-large", "key-reused"})
 
@@ -76,7 +76,7 @@
     def __init__(self, record: RunRecord) -> None:
         self._record = record
         self._instances = {one.name: one for one in record.instances}
-        self._runs: dict[str, list[Run]] = defaultdict(list)
+        self._runs: dict[str, list[StageRun]] = defaultdict(list)
         for run in record.targets.runs:
             self._runs[run.request].append(run)
 
@@ -87,7 +87,7 @@
             yield from self._check_not_run(attempt)
             yield from self._check_refusal(attempt)
             yield from self._check_recovery(attempt)
-        yield from self._check_groups()
+        yield from self._check_retried_requests()
         yield from self._check_targets()
         yield from self._check_orders()
         for instance in self._record.instances:
@@ -119,7 +119,7 @@
             yield Violation(Guarantee.LATE, detail)
 
     def _check_tokens(self, attempt: AttemptRecord) -> Iterator[Violation]:
-        expected = write_tokens(attempt.marker)
+        expected = create_tokens(attempt.marker)
         whole = "".join(expected)
         offsets = [offset for offset, _ in attempt.tokens]
         text = "".join(text for _, text in attempt.tokens)
@@ -167,9 +167,9 @@
         instance = self._instances[attempt.instance]
         # a request that ran into its deadline was not abandoned early, and a keyed
         # one may have spent its time on claiming its key
-        given_up = attempt.code != DEADLINE and not attempt.keyed
+        abandoned = attempt.code != DEADLINE and not attempt.keyed
         due = _find_due(attempt, instance) - ANSWER_SLACK
-        if given_up and attempt.answered > due - LEAST_LEFT:
+        if abandoned and attempt.answered > due - MIN_SECONDS_LEFT:
             detail = (
                 f"{attempt.marker} at {attempt.instance}: {attempt.code}"
                 " at its deadline"
@@ -184,7 +184,7 @@
             )
             yield Violation(Guarantee.NOT_RECOVERED, detail)
 
-    def _check_groups(self) -> Iterator[Violation]:
+    def _check_retried_requests(self) -> Iterator[Violation]:
         """Check the attempts of each request together."""
         groups: dict[str, list[AttemptRecord]] = defaultdict(list)
         for attempt in self._record.attempts:
@@ -199,10 +199,10 @@
                 yield Violation(
                     Guarantee.DUPLICATED, f"{marker}: {runs} runs of stage book"
                 )
-            untrue = all(
+            reported_not_run = all(
                 attempt.refused or attempt.verdict == NOT_RUN for attempt in attempts
             )
-            if runs and untrue:
+            if runs and reported_not_run:
                 detail = f"{marker}: no response says that it ran"
                 yield Violation(Guarantee.FALSE_NOT_RUN, detail)
             if (
@@ -218,11 +218,11 @@
 
     def _check_targets(self) -> Iterator[Violation]:
         targets = self._record.targets
-        for text in targets.mixed:
+        for text in targets.mixed_inputs:
             yield Violation(Guarantee.MISROUTED, f"inputs of one stage: {text}")
         for time, target in targets.arrivals:
             since = targets.leaving.get(target)
-            if since is not None and time > since + LEAVING_BOUND:
+            if since is not None and time > since + DRAIN_NOTICE_SECONDS:
                 detail = (
                     f"{target} got a call {time - since:.1f} s after it began to drain"
                 )
@@ -276,9 +276,9 @@
                     detail = f"{change.change_id} was rejected but is in force"
                     yield Violation(Guarantee.REVERTED, detail)
             if change.state == ChangeState.SETTLED:
-                yield from self._check_spreading(change, living)
+                yield from self._check_propagation(change, living)
 
-    def _check_spreading(
+    def _check_propagation(
         self, change: ChangeRecord, living: list[InstanceRecord]
     ) -> Iterator[Violation]:
         start = max(change.settled, self._record.fault_ended)
@@ -288,7 +288,7 @@
                 for time, generation in instance.generations
                 if generation >= change.generation
             ]
-            if times and times[0] > start + SPREADING_BOUND:
+            if times and times[0] > start + PROPAGATION_SECONDS:
                 detail = f"{change.change_id} at {instance.name} only at {times[0]:.1f}"
                 yield Violation(Guarantee.NOT_IN_FORCE, detail)
 
@@ -301,7 +301,7 @@
     """
     due = attempt.deadline
     for begin, end in instance.pauses:
-        if begin - SENDING <= attempt.sent <= end:
+        if begin - MAX_SEND_SECONDS <= attempt.sent <= end:
             due = max(due, end + attempt.deadline - attempt.sent)
         elif begin <= due + ANSWER_SLACK:
             due = max(due, end)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/clients.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/clients.py
@@ -20,11 +20,11 @@
 
 #: seconds after the deadline at which a client stops waiting; a response that
 #: arrives later is still recorded
-PATIENCE = 0.7
+RESPONSE_GRACE_SECONDS = 0.7
 #: maximum number of attempts of one request, the first included
 MAX_ATTEMPTS = 4
 #: seconds until a client retries after its connection was refused or reset
-PAUSE = 0.3
+RETRY_DELAY_SECONDS = 0.3
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -41,7 +41,7 @@
     budget: float = 6.0
     key_suffix: str = ""
     #: whether the first attempt carries ``X-First-Attempt``
-    first: bool = True
+    marks_first_attempt: bool = True
 
     @property
     def key(self) -> str:
@@ -65,20 +65,24 @@
     async def run(self, instances: list[ServingInstance]) -> None:
         """Send the request, and retry it at the next instances where that is safe."""
         for number in range(MAX_ATTEMPTS):
-            instance = self._choose(instances, number)
+            instance = self._choose_instance(instances, number)
             attempt = self._create_attempt(instance, number)
             self.attempts.append(attempt)
             self.bench.attempts.append(attempt)
             self.bench.send(attempt, instance)
             with suppress(TimeoutError):
-                async with asyncio.timeout(self.request.budget + PATIENCE):
+                async with asyncio.timeout(
+                    self.request.budget + RESPONSE_GRACE_SECONDS
+                ):
                     await attempt.over.wait()
-            pause = self._decide(attempt)
+            pause = self._find_retry_delay(attempt)
             if pause is None:
                 return
             await asyncio.sleep(pause)
 
-    def _choose(self, instances: list[ServingInstance], number: int) -> ServingInstance:
+    def _choose_instance(
+        self, instances: list[ServingInstance], number: int
+    ) -> ServingInstance:
         for step in range(len(instances)):
             instance = instances[(number + step) % len(instances)]
             if instance.callers_server.listening:
@@ -95,7 +99,7 @@
             headers["X-Repeatable"] = "no"
         if request.keyed:
             headers["Idempotency-Key"] = request.key
-        if request.keyed and request.first and number == 0:
+        if request.keyed and request.marks_first_attempt and number == 0:
             headers["X-First-Attempt"] = "yes"
         now = asyncio.get_running_loop().time()
         return ClientAttempt(
@@ -109,12 +113,12 @@
             deadline=now + request.budget,
         )
 
-    def _decide(self, attempt: ClientAttempt) -> float | None:
+    def _find_retry_delay(self, attempt: ClientAttempt) -> float | None:
         """Return the seconds until the next attempt, or ``None`` to stop."""
         if attempt.refused:
-            return PAUSE
+            return RETRY_DELAY_SECONDS
         if not attempt.answers:
-            return PAUSE if self.request.keyed else None
+            return RETRY_DELAY_SECONDS if self.request.keyed else None
         refusal = attempt.answers[0].refusal
         if refusal is None or refusal.retry_after_ms is None:
             return None
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -35,7 +35,8 @@
     """
     return RunRecord(
         attempts=[
-            _create_attempt_record(attempt, bench.last) for attempt in bench.attempts
+            _create_attempt_record(attempt, bench.must_succeed)
+            for attempt in bench.attempts
         ],
         changes=[_describe_change(change) for change in bench.changes],
         instances=[
@@ -53,7 +54,9 @@
     )
 
 
-def _create_attempt_record(attempt: ClientAttempt, last: set[str]) -> AttemptRecord:
+def _create_attempt_record(
+    attempt: ClientAttempt, must_succeed: set[str]
+) -> AttemptRecord:
     answer = attempt.answers[0] if attempt.answers else None
     refusal = None if answer is None else answer.refusal
     verdict = ""
@@ -77,7 +80,7 @@
         retry_after_ms=None if refusal is None else refusal.retry_after_ms,
         refused=attempt.refused,
         reset=attempt.reset,
-        must_succeed=attempt.marker in last,
+        must_succeed=attempt.marker in must_succeed,
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/connections.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/connections.py
@@ -33,7 +33,7 @@
 #: status that stands for a reset connection
 RESET = 0
 #: retransmission timeout, in seconds
-RETRANSMISSION = 0.2
+RETRANSMISSION_SECONDS = 0.2
 
 
 class Dialer:
@@ -65,7 +65,7 @@
         for connection in self._connections:
             connection.silent = True
 
-    async def open(self, address: str, *, lingers_off: bool = False) -> Connection:
+    async def open(self, address: str, *, drops_unsent: bool = False) -> Connection:
         """Open a connection; never returns if the target is unreachable."""
         target = self.targets[address]
         delay = 2 * self.network.draw_latency(self.place, target.data_centre)
@@ -75,14 +75,14 @@
         await asyncio.sleep(delay)
         if not target.alive:
             raise aiohttp.ClientConnectionError(f"connection to {address} refused")
-        connection = Connection(self, target, lingers_off=lingers_off)
+        connection = Connection(self, target, drops_unsent=drops_unsent)
         self._connections.append(connection)
         return connection
 
     def reaches(self, target: FleetTarget) -> bool:
         """Whether messages get through in both directions."""
-        there = self.network.reaches(self.place, target.data_centre)
-        return there and self.network.reaches(target.data_centre, self.place)
+        to_target = self.network.reaches(self.place, target.data_centre)
+        return to_target and self.network.reaches(target.data_centre, self.place)
 
     def forget(self, connection: Connection) -> None:
         """Remove a closed connection."""
@@ -98,12 +98,12 @@
     """
 
     def __init__(
-        self, dialer: Dialer, target: FleetTarget, *, lingers_off: bool = False
+        self, dialer: Dialer, target: FleetTarget, *, drops_unsent: bool = False
     ) -> None:
         self.dialer = dialer
         self.target = target
         #: whether unsent bytes are dropped when the process ends (``SO_LINGER`` 0)
-        self.lingers_off = lingers_off
+        self.drops_unsent = drops_unsent
         self.silent = False
         self.open = True
         self._response: SimulatedResponse | None = None
@@ -113,7 +113,7 @@
     def send(self, request: Request, response: SimulatedResponse) -> None:
         """Send a request, whose response is received by ``response``."""
         self._response = response
-        self._pass(self.target.data_centre, self._arrive, request, response)
+        self._deliver(self.target.data_centre, self._arrive, request, response)
 
     def close(self) -> None:
         """Close the connection; the target continues until the call is cancelled."""
@@ -125,7 +125,7 @@
         def answer(status: int, data: bytes, last: bool) -> None:
             state = "leaving" if self.target.leaving else "live"
             place = self.dialer.place
-            self._pass(place, self._return, response, status, state, data, last)
+            self._deliver(place, self._return, response, status, state, data, last)
 
         if not self.target.alive:
             answer(RESET, b"", True)
@@ -136,10 +136,10 @@
         if self._response is response:
             self.dialer.process.deliver(response.take, *answer)
 
-    def _pass(self, place: str, callback: Callable[..., None], *args: Any) -> None:
+    def _deliver(self, place: str, callback: Callable[..., None], *args: Any) -> None:
         """Deliver a message, retransmitting it during a partition as TCP does."""
-        there = callback != self._return
-        sender = self.dialer.place if there else self.target.data_centre
+        to_target = callback != self._return
+        sender = self.dialer.place if to_target else self.target.data_centre
         network = self.dialer.network
 
         def arrive() -> None:
@@ -147,10 +147,10 @@
                 return
             if network.reaches(sender, place):
                 callback(*args)
-            elif not (self.lingers_off and self.dialer.process.killed):
-                schedule_outside(RETRANSMISSION, arrive)
+            elif not (self.drops_unsent and self.dialer.process.killed):
+                schedule_outside(RETRANSMISSION_SECONDS, arrive)
 
-        self._pipes[there].carry(network.draw_latency(sender, place), arrive)
+        self._pipes[to_target].carry(network.draw_latency(sender, place), arrive)
 
 
 async def _serve(target: FleetTarget, request: Request, answer: Answer) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/engines.py
@@ -32,17 +32,21 @@
 class Engine:
     """Applies orders.
 
-    :param checks: whether orders with a stale fencing token are rejected
-    :param note: called with each order once it was applied
+    :param checks_fence: whether orders with a stale fencing token are rejected
+    :param on_order: called with each order once it was applied
     """
 
     def __init__(
-        self, *, target_id: str, checks: bool, note: Callable[[EngineOrder], None]
+        self,
+        *,
+        target_id: str,
+        checks_fence: bool,
+        on_order: Callable[[EngineOrder], None],
     ) -> None:
         self.models: tuple[str, ...] = ()
         self._target_id = target_id
-        self._checks = checks
-        self._note = note
+        self._checks_fence = checks_fence
+        self._on_order = on_order
         self._fence = 0
         self._highest = 0
 
@@ -51,7 +55,7 @@
         state = {"models": self.models, "adapters": [], "role": ""}
         return json.dumps({"state": state, "fence": self._fence}).encode()
 
-    async def carry_out(
+    async def apply(
         self, order: Mapping[str, Any], answer: Callable[[int, bytes, bool], None]
     ) -> None:
         """Apply one order and respond to it."""
@@ -72,7 +76,7 @@
             return
         self.models = tuple(order["wanted"]["models"])
         self._fence = fence
-        self._note(
+        self._on_order(
             EngineOrder(
                 target=self._target_id,
                 fence=fence,
@@ -87,4 +91,4 @@
         answer(STATUS_OLD_FENCE, json.dumps({"fence": self._highest}).encode(), True)
 
     def _is_old(self, fence: int) -> bool:
-        return self._checks and fence < self._highest
+        return self._checks_fence and fence < self._highest
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -69,11 +69,11 @@
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
-            target.failing = FAILURE_RATE
+            target.failure_rate = FAILURE_RATE
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
-            target.failing = 0.0
+            target.failure_rate = 0.0
 
 
 class BurstingStage(Fault):
@@ -84,7 +84,7 @@
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for number in range(BURST_SIZE):
             request = ClientRequest(
-                marker=f"{BURST_MARKER}{len(bench.callers)}", stream=number % 2 == 0
+                marker=f"{BURST_MARKER}{len(bench.clients)}", stream=number % 2 == 0
             )
             bench.call(request, bench.instances[number % len(bench.instances)])
 
@@ -153,10 +153,10 @@
     name = "write applied but answer lost"
 
     def inject(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.lost_answers = bench.random.randint(1, MAX_LOST_RESPONSES)
+        bench.lost_responses = bench.random.randint(1, MAX_LOST_RESPONSES)
 
     def remove(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.lost_answers = 0
+        bench.lost_responses = 0
 
 
 class LeaseExpired(ProcessPaused):
@@ -197,7 +197,7 @@
         bench.instance_list.lag += LAG
         replicas = [one for one in bench.targets.values() if one.service == "desk"]
         replaced = bench.random.choice(replicas)
-        replaced.die()
+        replaced.kill()
         bench.instance_list.remove(replaced.target_id)
         bench.add_target("desk", f"desk-{len(bench.targets)}", replaced.data_centre)
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
@@ -19,7 +19,7 @@
 
     from .engines import EngineOrder
 
-__all__ = ("FleetTarget", "Run", "TargetRecord", "find_markers", "write_tokens")
+__all__ = ("FleetTarget", "StageRun", "TargetRecord", "create_tokens", "find_markers")
 
 TOKENS = 6
 #: seconds of one call by stage kind, and seconds of one token
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Run:
+class StageRun:
     """One execution of a call; ``effect`` is set once its side effect has happened."""
 
     attempt: str
@@ -48,18 +48,18 @@
 class TargetRecord:
     """Everything that targets received and ran, in chronological order."""
 
-    runs: list[Run] = field(default_factory=list)
+    runs: list[StageRun] = field(default_factory=list)
     #: time and target of each call that arrived
     arrivals: list[tuple[float, str]] = field(default_factory=list)
     #: time at which a target began to drain, by target id
     leaving: dict[str, float] = field(default_factory=dict)
     #: inputs that contained data of more than one request, or of none
-    mixed: list[str] = field(default_factory=list)
+    mixed_inputs: list[str] = field(default_factory=list)
     #: orders applied by engines, in order of application
     orders: list[EngineOrder] = field(default_factory=list)
 
 
-def write_tokens(marker: str) -> tuple[str, ...]:
+def create_tokens(marker: str) -> tuple[str, ...]:
     """Return the tokens that the request with ``marker`` must be answered with."""
     return tuple(f"{marker}/{number} " for number in range(TOKENS))
 
@@ -78,7 +78,7 @@
     """One replica of a service.
 
     :param resumes: whether it can resume a stream at an offset
-    :param checks: whether it rejects orders with stale fencing tokens
+    :param checks_fence: whether it rejects orders with stale fencing tokens
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         record: TargetRecord,
         random_source: random.Random,
         resumes: bool = True,
-        checks: bool = True,
+        checks_fence: bool = True,
     ) -> None:
         self.target_id = target_id
         self.service = service
@@ -100,12 +100,14 @@
         #: factor by which calls take longer than usual
         self.slowness = 1.0
         #: fraction of calls that fail, before or after their side effect
-        self.failing = 0.0
+        self.failure_rate = 0.0
         self.leaving = False
         #: whether its process is running
         self.alive = True
         self.engine = Engine(
-            target_id=target_id, checks=checks, note=record.orders.append
+            target_id=target_id,
+            checks_fence=checks_fence,
+            on_order=record.orders.append,
         )
         self._record = record
         self._random = random_source
@@ -122,7 +124,7 @@
         now = asyncio.get_running_loop().time()
         self._record.leaving.setdefault(self.target_id, now)
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """Kill the process, which aborts the calls it runs."""
         self.alive = False
         for task in self._tasks.values():
@@ -156,7 +158,7 @@
         self._record.arrivals.append((now, self.target_id))
         attempt = call["attempt"]
         if attempt in self._cancelled or self._waiting >= MAX_WAITING:
-            answer(503, _refuse(attempt), True)
+            answer(503, _create_rejection(attempt), True)
             return
         self._tasks[attempt] = asyncio.current_task()
         try:
@@ -179,8 +181,10 @@
     ) -> None:
         markers = sorted(find_markers(call["input"]))
         if len(markers) != 1:
-            self._record.mixed.append(f"{call['request']} {call['stage']}: {markers}")
-        run = Run(
+            self._record.mixed_inputs.append(
+                f"{call['request']} {call['stage']}: {markers}"
+            )
+        run = StageRun(
             attempt=call["attempt"],
             request=call["request"],
             stage=call["stage"],
@@ -190,7 +194,7 @@
         )
         self._record.runs.append(run)
         early, late = self._random.random(), self._random.random()
-        fails = self._random.random() < self.failing
+        fails = self._random.random() < self.failure_rate
         if fails and early < 0.5:
             answer(500, b"failed before its effect", True)
             return
@@ -200,19 +204,19 @@
             answer(500, b"failed after its effect", True)
             return
         if call["kind"] == "generate":
-            await self._write(run, call, answer, fails)
+            await self._generate(run, call, answer, fails)
         else:
             answer(200, _create_answer(call, {"marker": run.marker}), True)
         run.ended = asyncio.get_running_loop().time()
 
-    async def _write(
+    async def _generate(
         self,
-        run: Run,
+        run: StageRun,
         call: Mapping[str, Any],
         answer: Callable[[int, bytes, bool], None],
         fails: bool,
     ) -> None:
-        tokens = write_tokens(run.marker)
+        tokens = create_tokens(run.marker)
         if not call["stream"]:
             await asyncio.sleep(TOKEN_SECONDS * self.slowness * len(tokens))
             answer(200, _create_answer(call, "".join(tokens)), True)
@@ -233,7 +237,7 @@
             }
             answer(200, encode_event("token", fields), False)
             await asyncio.sleep(TOKEN_SECONDS * self.slowness)
-        answer(200, encode_event("end", _describe_end(call, tokens)), True)
+        answer(200, encode_event("end", _create_end_fields(call, tokens)), True)
 
 
 def _create_answer(call: Mapping[str, Any], output: Any) -> bytes:
@@ -247,7 +251,9 @@
     return json.dumps(fields).encode()
 
 
-def _describe_end(call: Mapping[str, Any], tokens: tuple[str, ...]) -> dict[str, Any]:
+def _create_end_fields(
+    call: Mapping[str, Any], tokens: tuple[str, ...]
+) -> dict[str, Any]:
     return {
         "attempt": call["attempt"],
         "request": call["request"],
@@ -258,6 +264,6 @@
     }
 
 
-def _refuse(attempt: str) -> bytes:
+def _create_rejection(attempt: str) -> bytes:
     fields = {"attempt": attempt, "not_run": True, "retry_after_ms": 100}
     return json.dumps(fields).encode()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -128,7 +128,7 @@
         if step is not None:
             dialer = self._dialer
             marker = dialer.markers.get(ticket.request_id, "")
-            await dialer.announcer.reach(step, marker, dialer.process)
+            await dialer.announcer.announce_and_yield(step, marker, dialer.process)
         return await super().acquire(ticket)
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -41,7 +41,7 @@
 __all__ = ("LinkRegistry", "SimulatedPeers")
 
 #: seconds between two checks of the links
-TICK = 0.5
+CHECK_INTERVAL = 0.5
 
 
 @dataclass(slots=True, eq=False)
@@ -53,9 +53,9 @@
     silent: bool = False
     open: bool = True
     #: loop time at which each end last received from the other
-    heard: dict[str, float] = field(default_factory=dict)
+    last_received: dict[str, float] = field(default_factory=dict)
     #: undelivered frames by receiver
-    waiting: dict[str, list[bytes]] = field(default_factory=dict)
+    undelivered: dict[str, list[bytes]] = field(default_factory=dict)
     pipes: dict[str, Pipe] = field(default_factory=lambda: defaultdict(Pipe))
 
     def get_other(self, end: SimulatedPeers) -> SimulatedPeers:
@@ -92,19 +92,23 @@
 
     def dial(self, caller: SimulatedPeers, address: str) -> _Link | None:
         """Open a link or return the existing one; ``None`` if it cannot be opened."""
-        called = self._peers.get(address)
-        if called is None or not called.accepting or not self._connects(caller, called):
+        callee = self._peers.get(address)
+        if (
+            callee is None
+            or not callee.accepting
+            or not self._can_connect(caller, callee)
+        ):
             return None
-        names = frozenset((caller.instance_id, called.instance_id))
-        held = self._links.get(names)
-        if held is not None:
-            return held
-        link = _Link((caller, called))
+        names = frozenset((caller.instance_id, callee.instance_id))
+        existing = self._links.get(names)
+        if existing is not None:
+            return existing
+        link = _Link((caller, callee))
         now = asyncio.get_running_loop().time()
         self._links[names] = link
         for end in link.ends:
-            link.heard[end.instance_id] = now
-            end.process.deliver(end.note_open, link.get_other(end))
+            link.last_received[end.instance_id] = now
+            end.process.deliver(end.handle_link_open, link.get_other(end))
         return link
 
     def close(self, link: _Link) -> None:
@@ -115,37 +119,39 @@
         names = frozenset(end.instance_id for end in link.ends)
         self._links.pop(names, None)
         for end in link.ends:
-            end.process.deliver(end.note_closed, link, link.get_other(end).instance_id)
+            end.process.deliver(
+                end.handle_link_closed, link, link.get_other(end).instance_id
+            )
 
     def carry(self, link: _Link, sender: SimulatedPeers, frame: bytes) -> None:
         """Send a frame, or queue it while the receiver is unreachable."""
         receiver = link.get_other(sender)
-        if not self._carries(link, sender, receiver):
-            link.waiting.setdefault(receiver.instance_id, []).append(frame)
+        if not self._can_deliver(link, sender, receiver):
+            link.undelivered.setdefault(receiver.instance_id, []).append(frame)
             return
         latency = self.network.draw_latency(sender.place, receiver.place)
         pipe = link.pipes[receiver.instance_id]
         pipe.carry(latency, self._arrive, link, receiver, frame)
 
-    def tend(self, end: SimulatedPeers) -> list[_Link]:
+    def check_links(self, end: SimulatedPeers) -> list[_Link]:
         """Update an end's links, deliver frames queued for it, and return the links."""
         now = asyncio.get_running_loop().time()
         own = [link for link in self._links.values() if end in link.ends]
         for link in own:
             other = link.get_other(end)
-            if other.process.running and self._carries(link, other, end):
-                link.heard[end.instance_id] = now
-                for frame in link.waiting.pop(end.instance_id, ()):
+            if other.process.running and self._can_deliver(link, other, end):
+                link.last_received[end.instance_id] = now
+                for frame in link.undelivered.pop(end.instance_id, ()):
                     end.process.deliver(end.receive, link, frame)
         return own
 
-    def _connects(self, one: SimulatedPeers, other: SimulatedPeers) -> bool:
+    def _can_connect(self, one: SimulatedPeers, other: SimulatedPeers) -> bool:
         both_ways = self.network.reaches(one.place, other.place) and (
             self.network.reaches(other.place, one.place)
         )
         return both_ways and other.process.running
 
-    def _carries(
+    def _can_deliver(
         self, link: _Link, sender: SimulatedPeers, receiver: SimulatedPeers
     ) -> bool:
         return not link.silent and self.network.reaches(sender.place, receiver.place)
@@ -181,8 +187,8 @@
         self._address: str = settings["peers.listen"]
         self._silence: float = settings["peers.silence"]
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._questions: dict[int, tuple[_Link, asyncio.Future[Any]]] = {}
-        self._numbers = itertools.count(1)
+        self._pending_calls: dict[int, tuple[_Link, asyncio.Future[Any]]] = {}
+        self._call_ids = itertools.count(1)
         self._last_tick = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._membership = MembershipController(
@@ -215,10 +221,10 @@
         link = self._find_link(instance_id)
         if link is None:
             return Err(PeerError(PeerErrorKind.NOT_SENT, f"no link to {instance_id}"))
-        number = next(self._numbers)
+        call_id = next(self._call_ids)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._questions[number] = (link, answer)
-        self._links.carry(link, self, encode(Envelope(message, call_id=number)))
+        self._pending_calls[call_id] = (link, answer)
+        self._links.carry(link, self, encode(Envelope(message, call_id=call_id)))
         try:
             async with asyncio.timeout(timeout):
                 reply = await answer
@@ -229,7 +235,7 @@
                 PeerError(PeerErrorKind.NO_ANSWER, "the link closed", disconnected=True)
             )
         finally:
-            del self._questions[number]
+            del self._pending_calls[call_id]
         if isinstance(reply, NotUnderstood):
             return Err(PeerError(PeerErrorKind.REFUSED, "not understood"))
         if isinstance(reply, Unanswered):
@@ -254,24 +260,24 @@
         self._links.reset(self.instance_id)
 
     @Service.task
-    async def _tend_forever(self) -> None:
+    async def _check_links_forever(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.should_stop:
             now = loop.time()
-            paused = now - self._last_tick > 2 * TICK
+            paused = now - self._last_tick > 2 * CHECK_INTERVAL
             self._last_tick = now
-            for link in self._links.tend(self):
+            for link in self._links.check_links(self):
                 # after a pause, frames sent in the meantime are still unread
-                silent = now - link.heard[self.instance_id] > self._silence
+                silent = now - link.last_received[self.instance_id] > self._silence
                 if silent and not paused:
                     self._links.close(link)
             for instance_id in self._membership.list_neighbours():
                 self._find_link(instance_id)
-            await self.sleep(TICK)
+            await self.sleep(CHECK_INTERVAL)
 
-    def note_open(self, other: SimulatedPeers) -> None:
+    def handle_link_open(self, other: SimulatedPeers) -> None:
         """Register the peer of a new link, after the exchange of hello messages."""
-        hello = other.describe()
+        hello = other.create_hello()
         identity = Identity(
             instance_id=hello.instance_id,
             data_centre=hello.data_centre,
@@ -280,13 +286,13 @@
         )
         self._membership.register_peer(identity, leaving=hello.leaving)
 
-    def describe(self) -> Any:
+    def create_hello(self) -> Any:
         """Return this instance's hello message."""
         return self._membership.create_hello()
 
-    def note_closed(self, link: _Link, instance_id: str) -> None:
+    def handle_link_closed(self, link: _Link, instance_id: str) -> None:
         """Fail pending calls on a closed link and report its loss."""
-        for used, answer in self._questions.values():
+        for used, answer in self._pending_calls.values():
             if used is link and not answer.done():
                 answer.set_exception(ConnectionResetError())
         self._membership.handle_link_loss(instance_id)
@@ -295,7 +301,7 @@
         """Process a received frame."""
         envelope = decode(frame).unwrap()
         if envelope.reply_to:
-            used, answer = self._questions.get(envelope.reply_to, (None, None))
+            used, answer = self._pending_calls.get(envelope.reply_to, (None, None))
             if used is link and not answer.done():
                 answer.set_result(envelope.message)
             return
@@ -311,12 +317,12 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _finish(self, link: _Link, question: int, pending: Any) -> None:
-        self._answer(link, question, await pending or Unanswered())
+    async def _finish(self, link: _Link, call_id: int, pending: Any) -> None:
+        self._answer(link, call_id, await pending or Unanswered())
 
-    def _answer(self, link: _Link, question: int, message: Message) -> None:
-        if question and link.open:
-            self._links.carry(link, self, encode(Envelope(message, reply_to=question)))
+    def _answer(self, link: _Link, call_id: int, message: Message) -> None:
+        if call_id and link.open:
+            self._links.carry(link, self, encode(Envelope(message, reply_to=call_id)))
 
     def _find_link(self, instance_id: str) -> _Link | None:
         link = self._links.find(self.instance_id, instance_id)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/platform.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/platform.py
@@ -39,7 +39,7 @@
     A call that was sent takes effect even if its sender has been killed since, as a
     real service applies a write whose client is gone.
 
-    :param note: called with process, kind, key, value and response once a call has
+    :param on_call: called with process, kind, key, value and response once a call has
         taken effect; returns the response to deliver
     """
 
@@ -49,12 +49,12 @@
         network: Network,
         process: SimulatedProcess,
         place: str,
-        note: Callable[[SimulatedProcess, str, str, bytes, Any], Any],
+        on_call: Callable[[SimulatedProcess, str, str, bytes, Any], Any],
     ) -> None:
         self.process = process
         self._network = network
         self._place = place
-        self._note = note
+        self._on_call = on_call
         self._open: set[_Call] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -97,7 +97,7 @@
         if call.silent or not self._network.reaches(self._place, PLATFORM):
             return
         answer = await operate()
-        answer = self._note(self.process, kind, key, value, answer)
+        answer = self._on_call(self.process, kind, key, value, answer)
         await asyncio.sleep(self._network.draw_latency(PLATFORM, self._place))
         if call.silent or not self._network.reaches(PLATFORM, self._place):
             return
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/processes.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/processes.py
@@ -31,7 +31,7 @@
 _numbers = itertools.count()
 
 #: rounds of cancellation on closing, as cancelled tasks may start further ones
-CLEARING_ROUNDS = 5
+MAX_CANCEL_ROUNDS = 5
 
 _current: ContextVar[SimulatedProcess | None] = ContextVar("process", default=None)
 
@@ -60,8 +60,8 @@
         self.state = ProcessState.RUNNING
         self._context = copy_context()
         self._context.run(_current.set, self)
-        self._arrived: list[_Gate] = []
-        self._due: list[_Gate] = []
+        self._deferred_calls: list[_DeferrableCallback] = []
+        self._deferred_timers: list[_DeferrableCallback] = []
 
     @property
     def running(self) -> bool:
@@ -97,29 +97,31 @@
         if self.state is not ProcessState.PAUSED:
             return
         self.state = ProcessState.RUNNING
-        waiting = self._arrived + self._due
-        self._arrived, self._due = [], []
-        for gate in waiting:
-            gate.repeat()
+        deferred = self._deferred_calls + self._deferred_timers
+        self._deferred_calls, self._deferred_timers = [], []
+        for deferrable in deferred:
+            deferrable.reschedule()
 
     def kill(self) -> None:
         """End the process; none of its callbacks runs any more."""
         self.state = ProcessState.KILLED
 
-    def clear(self) -> None:
+    def allow_cleanup(self) -> None:
         """Allow the remaining tasks to be cancelled after the end of a run."""
         self.state = ProcessState.RUNNING
 
-    def hold(self, gate: _Gate) -> None:
+    def defer(self, deferrable: _DeferrableCallback) -> None:
         """Defer a callback; those of a killed process are kept as well.
 
         A task is closed when its last reference is dropped, which would run its
         ``finally`` blocks.
         """
-        (self._due if gate.timer else self._arrived).append(gate)
+        (self._deferred_timers if deferrable.timer else self._deferred_calls).append(
+            deferrable
+        )
 
 
-class _Gate:
+class _DeferrableCallback:
     """A callback that is deferred while its process does not run."""
 
     __slots__ = ("args", "callback", "context", "handle", "process", "timer")
@@ -143,18 +145,18 @@
             self.callback(*args)
             return
         self.args = args
-        self.process.hold(self)
+        self.process.defer(self)
 
-    def repeat(self) -> None:
-        asyncio.get_running_loop().call_soon(self._run_late, context=self.context)
+    def reschedule(self) -> None:
+        asyncio.get_running_loop().call_soon(self._run_deferred, context=self.context)
 
-    def _run_late(self) -> None:
+    def _run_deferred(self) -> None:
         # the owner of the handle may have cancelled it in the meantime
         if self.handle is not None and not self.handle.cancelled():
             self.callback(*self.args)
 
 
-class _Numbered:
+class _OrderedHash:
     """Hashes tasks and futures by their order of creation.
 
     The default hash is derived from the memory address, so that the iteration order
@@ -163,20 +165,20 @@
 
     __slots__ = ()
 
-    def __new__(cls, *_args: Any, **_options: Any) -> _Numbered:
-        made = super().__new__(cls)
-        made.number = next(_numbers)
-        return made
+    def __new__(cls, *_args: Any, **_options: Any) -> _OrderedHash:
+        instance = super().__new__(cls)
+        instance.number = next(_numbers)
+        return instance
 
     def __hash__(self) -> int:
         return self.number
 
 
-class _NumberedTask(_Numbered, asyncio.Task):
+class _OrderedTask(_OrderedHash, asyncio.Task):
     __slots__ = ("number",)
 
 
-class _NumberedFuture(_Numbered, asyncio.Future):
+class _OrderedFuture(_OrderedHash, asyncio.Future):
     __slots__ = ("number",)
 
 
@@ -184,7 +186,7 @@
     """An event loop with virtual time whose processes can be stopped."""
 
     def create_future(self) -> asyncio.Future[Any]:
-        return _NumberedFuture(loop=self)
+        return _OrderedFuture(loop=self)
 
     def call_soon(
         self, callback: Callable[..., Any], *args: Any, context: Context | None = None
@@ -192,9 +194,9 @@
         process = _find_process(context)
         if process is None:
             return super().call_soon(callback, *args, context=context)
-        gate = _Gate(process, callback, context, timer=False)
-        gate.handle = super().call_soon(gate, *args, context=context)
-        return gate.handle
+        deferrable = _DeferrableCallback(process, callback, context, timer=False)
+        deferrable.handle = super().call_soon(deferrable, *args, context=context)
+        return deferrable.handle
 
     def call_at(
         self,
@@ -206,9 +208,9 @@
         process = _find_process(context)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
-        gate = _Gate(process, callback, context, timer=True)
-        gate.handle = super().call_at(when, gate, *args, context=context)
-        return gate.handle
+        deferrable = _DeferrableCallback(process, callback, context, timer=True)
+        deferrable.handle = super().call_at(when, deferrable, *args, context=context)
+        return deferrable.handle
 
 
 def create_loop() -> ProcessLoop:
@@ -221,19 +223,19 @@
 def _create_task(
     loop: asyncio.AbstractEventLoop, work: Any, context: Context | None = None
 ) -> asyncio.Task[Any]:
-    return _NumberedTask(work, loop=loop, context=context)
+    return _OrderedTask(work, loop=loop, context=context)
 
 
 def close_loop(loop: ProcessLoop, processes: Iterable[SimulatedProcess]) -> None:
     """Cancel all tasks of a finished run and close its loop."""
     for process in processes:
-        process.clear()
+        process.allow_cleanup()
     level = logging.root.manager.disable
     # errors that components log about their cancellation are expected
     logging.disable(logging.CRITICAL)
     loop.set_exception_handler(lambda *_: None)
     try:
-        for _ in range(CLEARING_ROUNDS):
+        for _ in range(MAX_CANCEL_ROUNDS):
             tasks = asyncio.all_tasks(loop)
             if not tasks:
                 break
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -207,17 +207,19 @@
         announcer = self.bench.announcer
         if step is Step.CONFIGURATION_WATCHER:
             # the watcher is killed when there is a new head to read
-            announcer.await_step(Step.HEAD_SWAPPED, PROBE_CHANGE, self._inject_faults)
+            announcer.add_listener(Step.HEAD_SWAPPED, PROBE_CHANGE, self._inject_faults)
             return
         if step is Step.ORDER_LEASE:
-            announcer.await_step(Step.ORDER_SENT, NORTHERN_ENGINES, self._inject_faults)
+            announcer.add_listener(
+                Step.ORDER_SENT, NORTHERN_ENGINES, self._inject_faults
+            )
             return
         subject = PROBE
         if step in CHANGE_STEPS:
             subject = PROBE_CHANGE
         elif step in LEASED_STEPS:
             subject = NORTHERN_ENGINES
-        announcer.await_step(step, subject, self._inject_faults)
+        announcer.add_listener(step, subject, self._inject_faults)
 
     def _start_operation(self) -> None:
         """Start the operation that reaches the step."""
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/serving.py
@@ -41,7 +41,7 @@
             network=bench.network,
             process=self.process,
             place=data_centre,
-            note=bench.note_store_call,
+            on_call=bench.handle_store_call,
         )
         self.dialer = Dialer(
             process=self.process,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/sessions.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/sessions.py
@@ -52,7 +52,7 @@
         place = URL(url)
         address = f"{place.host}:{place.port}"
         if place.path == "/orders":
-            return _Exchange(self._order(address, data))
+            return _Exchange(self._send_order(address, data))
         if data is None:
             return _Exchange(self._cancel(address, json["attempt"]))
         return _Exchange(self._call(address, data))
@@ -95,7 +95,7 @@
 
         return await self._exchange(address, cancel)
 
-    async def _order(self, address: str, data: Any) -> SimulatedResponse:
+    async def _send_order(self, address: str, data: Any) -> SimulatedResponse:
         order = json.loads(data.decode())
         target = self._dialer.targets[address]
         group = f"{ORDERS}/{target.data_centre}"
@@ -103,7 +103,7 @@
         async with asyncio.timeout(self._timeout):
             return await self._exchange(
                 address,
-                lambda target, answer: target.engine.carry_out(order, answer),
+                lambda target, answer: target.engine.apply(order, answer),
                 data,
                 group,
                 steps,
@@ -118,7 +118,9 @@
         announcer = self._dialer.announcer
         async with asyncio.timeout(self._timeout):
             if (Step.ORDER_SENT, group) in announcer.reached:
-                await announcer.reach(Step.ORDER_READ_BACK, group, self._dialer.process)
+                await announcer.announce_and_yield(
+                    Step.ORDER_READ_BACK, group, self._dialer.process
+                )
             return await self._exchange(address, read)
 
     async def _exchange(
@@ -133,13 +135,15 @@
         dialer = self._dialer
         connection = await self._open(address)
         if steps[0] is not None:
-            await dialer.announcer.reach(steps[0], subject, dialer.process)
+            await dialer.announcer.announce_and_yield(steps[0], subject, dialer.process)
         response = SimulatedResponse(self, connection)
         try:
             await _write(data)
             connection.send(request, response)
             if steps[1] is not None:
-                await dialer.announcer.reach(steps[1], subject, dialer.process)
+                await dialer.announcer.announce_and_yield(
+                    steps[1], subject, dialer.process
+                )
             await response.wait_for_head()
         except BaseException:
             connection.close()
@@ -153,7 +157,7 @@
             return await self._dialer.open(address)
         # only sessions for orders have a timeout, and their sockets drop unsent bytes
         async with asyncio.timeout(self._timeout * CONNECT_SHARE):
-            return await self._dialer.open(address, lingers_off=True)
+            return await self._dialer.open(address, drops_unsent=True)
 
 
 async def _write(data: Any) -> None:
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/steps.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/steps.py
@@ -61,7 +61,7 @@
         #: steps reached, with their subjects
         self.reached: set[tuple[Step, str]] = set()
 
-    def await_step(
+    def add_listener(
         self, step: Step, subject: str, listener: Callable[[SimulatedProcess], None]
     ) -> None:
         """Register ``listener`` to be called once when the step is reached."""
@@ -78,7 +78,9 @@
         if listener is not None:
             call_outside(listener, process)
 
-    async def reach(self, step: Step, subject: str, process: SimulatedProcess) -> None:
+    async def announce_and_yield(
+        self, step: Step, subject: str, process: SimulatedProcess
+    ) -> None:
         """Announce a step from within the process.
 
         The caller's task continues only if the process still runs afterwards.
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -49,7 +49,7 @@
     """Send a keyed request to two instances concurrently."""
     listening = [one for one in bench.instances if one.callers_server.listening]
     request = ClientRequest(
-        marker=f"twin-{number}", pipeline=BOOKING, keyed=True, first=False
+        marker=f"twin-{number}", pipeline=BOOKING, keyed=True, marks_first_attempt=False
     )
     for instance in bench.random.sample(listening, min(2, len(listening))):
         bench.call(request, instance)
@@ -69,6 +69,6 @@
             ClientRequest(marker=f"last-keyed-{place}", pipeline=BOOKING, keyed=True),
         )
         for request in requests:
-            bench.last.add(request.marker)
+            bench.must_succeed.add(request.marker)
             bench.call(request, instance)
     await bench.finish()
--- a/tests/test_matrix/conftest.py
+++ b/tests/test_matrix/conftest.py
@@ -39,6 +39,6 @@
 
 
 @then("every promise is kept")
-def every_promise_is_kept(result):
+def check_guarantees(result):
     assert not result.not_injected
     assert not result.violations, "\n".join(map(str, result.violations))
