--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparison.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/comparison.py
@@ -8,7 +8,7 @@
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 
-from ..matrix.checker import Breach, Promise
+from ..matrix.checker import Guarantee, Violation
 from .histories import History, histories
 from .naive import NaiveInstance
 from .replay import replay_history
@@ -17,15 +17,19 @@
 
 #: the violated guarantees that each counted category comprises
 CATEGORIES = {
-    "lost": (Promise.LOST,),
-    "doubled": (Promise.DOUBLED,),
-    "crossed": (Promise.CROSSED,),
-    "false not run": (Promise.FALSE_NOT_RUN,),
-    "cut": (Promise.CUT,),
-    "reverted": (Promise.REVERTED, Promise.NOT_IN_FORCE),
-    "late": (Promise.LATE,),
-    "leaving target used": (Promise.LEAVING_USED,),
-    "other": (Promise.NO_RETURN_TIME, Promise.HELD_BACK, Promise.NOT_RECOVERED),
+    "lost": (Guarantee.LOST,),
+    "doubled": (Guarantee.DUPLICATED,),
+    "crossed": (Guarantee.MISROUTED,),
+    "false not run": (Guarantee.FALSE_NOT_RUN,),
+    "cut": (Guarantee.DISCONNECTED,),
+    "reverted": (Guarantee.REVERTED, Guarantee.NOT_IN_FORCE),
+    "late": (Guarantee.LATE,),
+    "leaving target used": (Guarantee.DRAINING_TARGET_USED,),
+    "other": (
+        Guarantee.NO_RETRY_DELAY,
+        Guarantee.REJECTED_LATE,
+        Guarantee.NOT_RECOVERED,
+    ),
 }
 
 
@@ -38,7 +42,7 @@
     ours: Counter[str] = field(default_factory=Counter)
     naive: Counter[str] = field(default_factory=Counter)
     #: histories under which the system under test violated any guarantee
-    failures: list[tuple[History, list[Breach]]] = field(default_factory=list)
+    failures: list[tuple[History, list[Violation]]] = field(default_factory=list)
 
 
 def compare(seed_number: int, examples: int) -> Comparison:
@@ -72,6 +76,6 @@
     return comparison
 
 
-def _categorize(breaches: list[Breach]) -> set[str]:
-    broken = {breach.promise for breach in breaches}
+def _categorize(breaches: list[Violation]) -> set[str]:
+    broken = {breach.guarantee for breach in breaches}
     return {name for name, kinds in CATEGORIES.items() if broken.intersection(kinds)}
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/differential/replay.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/differential/replay.py
@@ -6,21 +6,15 @@
 from typing import TYPE_CHECKING
 
 from ..matrix.bench import Bench
-from ..matrix.callers import Wish
-from ..matrix.checker import Breach, check
-from ..matrix.collecting import collect
+from ..matrix.checker import Violation, check
+from ..matrix.clients import ClientRequest
+from ..matrix.collecting import create_run_record
 from ..matrix.faults import FAULTS
 from ..matrix.instance import EntryInstance
 from ..matrix.objects import BOOKING, DRAFT
 from ..matrix.processes import close_loop, create_loop
-from ..matrix.traffic import conclude, warm_up
-from .histories import (
-    ChangeEvent,
-    FaultEvent,
-    LeaveEvent,
-    RequestEvent,
-    StopEvent,
-)
+from ..matrix.traffic import verify_recovery, warm_up
+from .histories import ChangeEvent, FaultEvent, LeaveEvent, RequestEvent, StopEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,7 +28,7 @@
 
 def replay_history(
     history: History, create: Callable[..., ServingInstance] = EntryInstance
-) -> list[Breach]:
+) -> list[Violation]:
     """Replay a history on a system and return the violated guarantees."""
     loop = create_loop()
     player = _HistoryRunner(history, create)
@@ -68,8 +62,8 @@
             self._begin(number, event, pending_ends)
         await self._sleep_until(float("inf"), pending_ends)
         healed = loop.time()
-        await conclude(bench, healed)
-        return collect(bench, healed=healed, pauses=self._pauses)
+        await verify_recovery(bench, healed)
+        return create_run_record(bench, fault_ended=healed, pauses=self._pauses)
 
     async def _sleep_until(
         self, time: float, pending_ends: list[tuple[float, FaultEvent]]
@@ -100,7 +94,7 @@
                     bench.submit(instance, f"change-{number}", labels)
             case LeaveEvent():
                 target = list(bench.targets.values())[event.target]
-                target.begin_to_leave()
+                target.start_draining()
                 bench.list_target(target)
             case StopEvent():
                 instance = bench.instances[event.instance]
@@ -119,7 +113,7 @@
         loop = asyncio.get_running_loop()
         instance = self.bench.instances[event.instance]
         was_running = instance.process.running
-        FAULTS[event.name].begin(self.bench, instance)
+        FAULTS[event.name].inject(self.bench, instance)
         end = loop.time() + event.duration
         if was_running and not instance.process.running and instance.alive:
             self._pauses.setdefault(instance.name, []).append((loop.time(), end))
@@ -127,11 +121,11 @@
 
     def _end(self, event: FaultEvent) -> None:
         self._active_faults.discard(event.name)
-        FAULTS[event.name].end(self.bench, self.bench.instances[event.instance])
+        FAULTS[event.name].remove(self.bench, self.bench.instances[event.instance])
 
     def _send(self, number: int, event: RequestEvent) -> None:
         bench = self.bench
-        wish = Wish(
+        wish = ClientRequest(
             marker=f"r{number}",
             pipeline=BOOKING if event.booking else DRAFT,
             keyed=event.keyed,
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/bench.py
@@ -1,4 +1,4 @@
-"""Three entry instances, targets, platform and callers in one event loop."""
+"""Simulated fleet: instances, targets, platform and clients in one event loop."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 from ..standins.memory import MemoryInstanceList, MemoryStore, StoreFaults
 from ..waiting import wait_until
-from .callers import Caller, Wish
+from .callers_server import ClientAttempt
+from .clients import Client, ClientRequest
 from .fleet import FleetTarget, TargetRecord
-from .front import Ask
 from .instance import EntryInstance, LoopClock
 from .network import Network
 from .objects import OBJECTS, SERVICES, WORKSPACE
-from .peers import Exchange
+from .peers import LinkRegistry
 from .processes import SimulatedProcess, spawn_outside
 from .sessions import ORDERS
 from .steps import Announcer, Step
@@ -43,25 +43,25 @@
 SOUTH = "south"
 #: data centre of each entry instance
 PLACES = (NORTH, NORTH, SOUTH)
-#: the same with one instance that does not watch the configuration in the store
+#: the same with an additional instance that does not watch the configuration head
 PLACES_WITH_SPARE = (NORTH, NORTH, NORTH, SOUTH)
 #: data centre of each replica of a service
 REPLICAS = (NORTH, NORTH, SOUTH)
 
-#: beginning of the keys of leases; data centre and service follow
-LEASES = "leases/"
-WRITES = frozenset({"swap", "delete", "revoke"})
-#: seconds between two looks at which generations are in force
+#: key prefix of leases, followed by data centre and service
+LEASE_PREFIX = "leases/"
+WRITE_KINDS = frozenset({"swap", "delete", "revoke"})
+#: seconds between two polls of the generations in force
 WATCH_INTERVAL = 0.1
-#: seconds by which the list always lags
-LAG = 0.2
-#: seconds until the first generation is to be in force everywhere
-START_LIMIT = 20.0
+#: replication lag of the instance list, in seconds
+LIST_LAG_SECONDS = 0.2
+#: seconds within which the first generation must be in force on all instances
+START_TIMEOUT = 20.0
 
 
 @dataclass(slots=True, eq=False)
 class Change:
-    """One change that an operator asked for."""
+    """A configuration change submitted by an operator."""
 
     change_id: str
     instance: str
@@ -72,11 +72,11 @@
 
 
 class Bench:
-    """All parts of one run; everything random comes from its seed.
+    """All components of one run; all randomness derives from the seed.
 
-    :param create: makes one entry instance of the system that is looked at
+    :param create: factory of the entry instances under test
     :param places: data centre of each entry instance
-    :param engines_check: whether engines check fencing numbers
+    :param engines_check: whether engines reject stale fencing tokens
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self.random = random.Random(seed)
         self.network = Network(self.random)
         self.announcer = Announcer()
-        self.exchange = Exchange(self.network)
+        self.links = LinkRegistry(self.network)
         self.faults = StoreFaults()
         clock = LoopClock()
         self.store = MemoryStore(clock=clock, faults=self.faults)
@@ -99,19 +99,19 @@
         self.record = TargetRecord()
         #: targets by address
         self.targets: dict[str, FleetTarget] = {}
-        #: marker of each request by its id
+        #: marker of each request by request id
         self.markers: dict[str, str] = {}
-        self.asks: list[Ask] = []
-        self.callers: list[Caller] = []
+        self.attempts: list[ClientAttempt] = []
+        self.clients: list[Client] = []
         self.changes: list[Change] = []
-        #: number of coming writes that take effect and get no answer
-        self.lost_answers = 0
-        #: markers of requests that nothing excuses from a result
-        self.last: set[str] = set()
-        self._changing: dict[str, str] = {}
-        self._keys: dict[bytes, str] = {}
+        #: number of upcoming writes that are applied but whose responses are lost
+        self.lost_responses = 0
+        #: markers of requests sent after the faults, which must all succeed
+        self.must_succeed: set[str] = set()
+        self._current_change_ids: dict[str, str] = {}
+        self._markers_by_key: dict[bytes, str] = {}
         self._tasks: list[asyncio.Task[Any]] = []
-        self._calls: list[asyncio.Task[None]] = []
+        self._client_tasks: list[asyncio.Task[None]] = []
         self._create_targets()
         self.instances = [
             self._create_instance(create, number, place)
@@ -119,53 +119,55 @@
         ]
 
     async def start(self) -> None:
-        """Start everything, and wait until the first configuration is in force."""
+        """Start all instances and wait until the first configuration is in force."""
         for instance in self.instances:
             instance.start()
         await asyncio.sleep(0.5)
-        self.instance_list.lag = LAG
+        self.instance_list.lag = LIST_LAG_SECONDS
         self.spawn(self._watch_generations())
         await self.operate(self.instances[0], "base", OBJECTS)
         await wait_until(
             lambda: all(one.generations for one in self.instances),
-            timeout=START_LIMIT,
+            timeout=START_TIMEOUT,
             what="first configuration in force",
         )
 
     async def finish(self) -> None:
-        """Wait until all callers have their answers."""
-        await asyncio.gather(*self._calls)
+        """Wait until all clients have finished."""
+        await asyncio.gather(*self._client_tasks)
 
     def find(self, name: str) -> ServingInstance:
-        """Return the instance with a name."""
+        """Return the instance named ``name``."""
         return next(one for one in self.instances if one.name == name)
 
-    # callers
-
-    def call(self, wish: Wish, *instances: ServingInstance) -> Caller:
-        """Start a caller that asks the given instances one after the other."""
-        caller = Caller(self, wish)
-        self.callers.append(caller)
-        if wish.keyed:
-            self._keys[create_key(WORKSPACE, wish.pipeline, wish.key)] = wish.marker
-        self._calls.append(spawn_outside(caller.run(list(instances))))
-        return caller
-
-    def send(self, ask: Ask, instance: ServingInstance) -> None:
-        """Carry a request to an instance."""
-        if not instance.front.listening:
-            ask.refused = True
-            ask.over.set()
+    # clients
+
+    def call(self, request: ClientRequest, *instances: ServingInstance) -> Client:
+        """Start a client that tries the given instances in turn."""
+        client = Client(self, request)
+        self.clients.append(client)
+        if request.keyed:
+            self._markers_by_key[
+                create_key(WORKSPACE, request.pipeline, request.key)
+            ] = request.marker
+        self._client_tasks.append(spawn_outside(client.run(list(instances))))
+        return client
+
+    def send(self, attempt: ClientAttempt, instance: ServingInstance) -> None:
+        """Deliver a request to an instance, or refuse the connection."""
+        if not instance.callers_server.listening:
+            attempt.refused = True
+            attempt.over.set()
             return
-        # callers are in the data centre of the instance they ask
-        instance.process.deliver(instance.front.accept, ask)
+        # clients are in the data centre of their instance, so that no latency is added
+        instance.process.deliver(instance.callers_server.accept, attempt)
 
     # operators
 
     def submit(
         self, instance: ServingInstance, change_id: str, labels: dict[str, str]
     ) -> Change:
-        """Have an operator change the labels of the spare workspace."""
+        """Submit a change of the spare workspace's labels."""
         objects = (Workspace(name="spare", labels=labels),)
         return self.submit_objects(instance, change_id, objects)
 
@@ -175,9 +177,11 @@
         change_id: str,
         objects: tuple[ConfigObject, ...],
     ) -> Change:
-        """Have an operator make a change, and don't wait for its outcome."""
-        change = self._note_change(instance, change_id, objects)
-        self._tasks.append(instance.process.spawn(self._make(instance, change)))
+        """Submit a change without waiting for its outcome."""
+        change = self._record_change(instance, change_id, objects)
+        self._tasks.append(
+            instance.process.spawn(self._submit_change(instance, change))
+        )
         return change
 
     async def operate(
@@ -186,12 +190,12 @@
         change_id: str,
         objects: tuple[ConfigObject, ...],
     ) -> Change:
-        """Make a change and wait for its outcome."""
-        change = self._note_change(instance, change_id, objects)
-        await instance.process.spawn(self._make(instance, change))
+        """Submit a change and wait for its outcome."""
+        change = self._record_change(instance, change_id, objects)
+        await instance.process.spawn(self._submit_change(instance, change))
         return change
 
-    def _note_change(
+    def _record_change(
         self,
         instance: ServingInstance,
         change_id: str,
@@ -202,9 +206,11 @@
         self.changes.append(change)
         return change
 
-    async def _make(self, instance: ServingInstance, change: Change) -> None:
-        self._changing[instance.name] = change.change_id
-        await self.announcer.reach(Step.SUBMITTED, change.change_id, instance.process)
+    async def _submit_change(self, instance: ServingInstance, change: Change) -> None:
+        self._current_change_ids[instance.name] = change.change_id
+        await self.announcer.announce_and_yield(
+            Step.SUBMITTED, change.change_id, instance.process
+        )
         request = ChangeRequest(
             change_id=change.change_id,
             mode=ChangeMode.APPLY,
@@ -213,20 +219,20 @@
         change.outcome = await instance.change(request)
         change.settled = asyncio.get_running_loop().time()
 
-    # what is noted
+    # observation
 
-    def note_store_call(
+    def handle_store_call(
         self, process: SimulatedProcess, kind: str, key: str, value: bytes, answer: Any
     ) -> Any:
-        """Announce what a call has done, and return the answer that it gets."""
+        """Announce the steps reached by a store call and return its response."""
         if kind == "swap" and answer.outcome is WriteOutcome.APPLIED:
             self._announce_write(process, key, value)
-        if kind not in WRITES:
+        if kind not in WRITE_KINDS:
             if self.faults.outage:
                 return Err(StoreError(StoreErrorKind.TIMEOUT, "no answer"))
             return answer
-        if self.lost_answers > 0:
-            self.lost_answers -= 1
+        if self.lost_responses > 0:
+            self.lost_responses -= 1
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
         if self.faults.outage and answer.outcome is WriteOutcome.APPLIED:
             return WriteResult(WriteOutcome.UNKNOWN, message="no answer")
@@ -235,15 +241,15 @@
     def _announce_write(
         self, process: SimulatedProcess, key: str, value: bytes
     ) -> None:
-        change_id = self._changing.get(process.name, "")
+        change_id = self._current_change_ids.get(process.name, "")
         if key.startswith(SHARD_PREFIX):
             self.announcer.announce(Step.SHARDS_WRITTEN, change_id, process)
         elif key == HEAD_KEY:
             self.announcer.announce(Step.HEAD_SWAPPED, change_id, process)
-        elif key.startswith(LEASES):
-            group = key.removeprefix(LEASES).split("/")[0]
+        elif key.startswith(LEASE_PREFIX):
+            group = key.removeprefix(LEASE_PREFIX).split("/")[0]
             self.announcer.announce(Step.LEASE_HELD, f"{ORDERS}/{group}", process)
-        for claimed, marker in self._keys.items():
+        for claimed, marker in self._markers_by_key.items():
             if claimed in value:
                 self.announcer.announce(Step.CLAIMED, marker, process)
                 self.announcer.announce(Step.CLAIM_WRITER, marker, process)
@@ -252,13 +258,13 @@
         while True:
             now = asyncio.get_running_loop().time()
             for instance in self.instances:
-                self._note_generation(instance, now)
+                self._record_generation(instance, now)
             await asyncio.sleep(WATCH_INTERVAL)
 
-    def _note_generation(self, instance: ServingInstance, now: float) -> None:
+    def _record_generation(self, instance: ServingInstance, now: float) -> None:
         generation = instance.generation
-        seen = instance.generations[-1][1] if instance.generations else 0
-        if generation == seen:
+        previous = instance.generations[-1][1] if instance.generations else 0
+        if generation == previous:
             return
         instance.generations.append((now, generation))
         change_id = instance.change_id
@@ -269,7 +275,7 @@
         if all(one.change_id == change_id for one in living):
             self.announcer.announce(Step.IN_FORCE, change_id, instance.process)
 
-    # parts
+    # components
 
     def _create_instance(
         self, create: Callable[..., ServingInstance], number: int, place: str
@@ -308,12 +314,12 @@
             record=self.record,
             random_source=self.random,
             resumes=self.random.random() < 0.5,
-            checks=self.engines_check,
+            checks_fence=self.engines_check,
         )
         self.list_target(self.targets[address])
 
     def list_target(self, target: FleetTarget) -> None:
-        """Show a target in the platform's list as it is now."""
+        """Publish a target's current state in the platform's instance list."""
         state = InstanceState.LEAVING if target.leaving else InstanceState.LIVE
         self.instance_list.put(
             Instance(
@@ -327,5 +333,5 @@
         )
 
     def spawn(self, work: Any) -> None:
-        """Start a task that belongs to no process."""
+        """Start a task that belongs to no simulated process."""
         self._tasks.append(spawn_outside(work))
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/front.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/callers_server.py
@@ -1,4 +1,4 @@
-"""The callers' side of an entry instance, without sockets."""
+"""Simulated client-facing server of an entry instance, without sockets."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     from .processes import SimulatedProcess
     from .steps import Announcer
 
-__all__ = ("Ask", "Front")
+__all__ = ("ClientAttempt", "SimulatedCallersServer")
 
 
 @dataclass(slots=True, eq=False)
-class Ask:
-    """One request of a caller on its connection, and what came back on it."""
+class ClientAttempt:
+    """One attempt of a client on its own connection, with all that it received."""
 
     marker: str
     pipeline: str
@@ -48,37 +48,37 @@
     tokens: list[tuple[int, str]] = field(default_factory=list)
     answers: list[Answer] = field(default_factory=list)
     answered: float | None = None
-    #: whether the connection was refused, or reset before the answer was whole
+    #: whether the connection was refused, or reset before the response was complete
     refused: bool = False
     reset: bool = False
-    #: set once nothing more is to be expected
+    #: set once the response is complete or the connection is lost
     over: asyncio.Event = field(default_factory=asyncio.Event)
     pipe: Pipe = field(default_factory=Pipe)
 
     @property
     def body(self) -> bytes:
-        """The body of the request."""
+        """The request body."""
         fields = {"input": {"marker": self.marker}, "stream": self.stream}
         return json.dumps(fields).encode()
 
-    def take_token(self, offset: int, text: str) -> None:
-        """Take a token that has arrived."""
+    def record_token(self, offset: int, text: str) -> None:
+        """Record a received token."""
         self.tokens.append((offset, text))
 
-    def take_answer(self, answer: Answer) -> None:
-        """Take the final answer."""
+    def record_answer(self, answer: Answer) -> None:
+        """Record the final response."""
         self.answers.append(answer)
         self.answered = asyncio.get_running_loop().time()
         self.over.set()
 
-    def lose(self) -> None:
-        """Note that the connection was reset."""
+    def record_reset(self) -> None:
+        """Record that the connection was reset."""
         self.reset = True
         self.over.set()
 
 
-class Front(Controller):
-    """Serves callers in the place of ``CallersServer``."""
+class SimulatedCallersServer(Controller):
+    """Serves simulated clients; replaces ``CallersServer``."""
 
     name = "callers"
 
@@ -108,33 +108,33 @@
         self._clock = clock
         self._draining = draining
         self._listening = False
-        self._open: dict[asyncio.Task[None], Ask] = {}
+        self._open: dict[asyncio.Task[None], ClientAttempt] = {}
         self._idle = asyncio.Event()
         self._idle.set()
 
     @property
     def listening(self) -> bool:
-        """Whether new connections are taken."""
+        """Whether new connections are accepted."""
         return self._listening and not self.process.killed
 
     @property
     def in_flight(self) -> int:
-        """Number of requests not yet answered."""
+        """Number of requests in flight."""
         return len(self._open)
 
     async def on_start(self) -> None:
         self.start_serving()
 
     def start_serving(self) -> None:
-        """Take connections."""
+        """Accept connections."""
         self._listening = True
 
     async def close_listener(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._listening = False
 
     async def wait_idle(self, timeout: float) -> bool:
-        """Wait at most ``timeout`` seconds until no request is in flight."""
+        """Wait up to ``timeout`` seconds until no request is in flight."""
         try:
             async with asyncio.timeout(timeout):
                 await self._idle.wait()
@@ -144,23 +144,26 @@
 
     async def on_stop(self) -> None:
         await self.close_listener()
-        for task, ask in list(self._open.items()):
+        for task, attempt in list(self._open.items()):
             task.cancel()
-            ask.lose()
+            attempt.record_reset()
         await asyncio.gather(*self._open, return_exceptions=True)
 
     def dump(self) -> dict[str, Any]:
         return {"in_flight": self.in_flight}
 
     def reset(self) -> None:
-        """Close all connections of a process that has ended, as its system does."""
-        for ask in self._open.values():
-            ask.pipe.carry(self._network.draw_latency(self._place, ask.place), ask.lose)
-
-    def accept(self, ask: Ask) -> None:
-        """Take a request that has arrived."""
-        task = asyncio.create_task(self._serve(ask))
-        self._open[task] = ask
+        """Reset all connections, as the operating system does for a dead process."""
+        for attempt in self._open.values():
+            attempt.pipe.carry(
+                self._network.draw_latency(self._place, attempt.place),
+                attempt.record_reset,
+            )
+
+    def accept(self, attempt: ClientAttempt) -> None:
+        """Start serving a request that has arrived."""
+        task = asyncio.create_task(self._serve(attempt))
+        self._open[task] = attempt
         self._idle.clear()
         task.add_done_callback(self._end)
 
@@ -169,17 +172,19 @@
         if not self._open:
             self._idle.set()
 
-    async def _serve(self, ask: Ask) -> None:
+    async def _serve(self, attempt: ClientAttempt) -> None:
         received = self._clock.now()
         request_id = self._identifier.create_request_id()
-        ask.request_id = request_id
-        self._markers[request_id] = ask.marker
-        await self._announcer.reach(Step.RECEIVED, ask.marker, self.process)
+        attempt.request_id = request_id
+        self._markers[request_id] = attempt.marker
+        await self._announcer.announce_and_yield(
+            Step.RECEIVED, attempt.marker, self.process
+        )
         arrival = ReceivedRequest(
             request_id=request_id,
-            pipeline=ask.pipeline,
-            headers=ask.headers,
-            body=ask.body,
+            pipeline=attempt.pipeline,
+            headers=attempt.headers,
+            body=attempt.body,
             received=received,
         )
         result = self._identifier.parse(arrival)
@@ -189,37 +194,43 @@
                 verdict=Verdict.NOT_RUN,
                 refusal=result.err_value,
             )
-            self._give(ask, ask.take_answer, answer)
+            self._send_to_client(attempt, attempt.record_answer, answer)
             return
         exchange = Exchange(request=result.ok_value)
-        given = 0
+        token_count = 0
 
-        def take_token(offset: int, text: str) -> None:
-            nonlocal given
-            given += 1
-            self._announce_token(ask.marker, given)
-            self._give(ask, ask.take_token, offset, text)
+        def record_token(offset: int, text: str) -> None:
+            nonlocal token_count
+            token_count += 1
+            self._announce_token(attempt.marker, token_count)
+            self._send_to_client(attempt, attempt.record_token, offset, text)
 
         if exchange.request.stream:
-            exchange.on_token = take_token
+            exchange.on_token = record_token
         answer = await self._handler(exchange)
-        await self._announcer.reach(Step.ANSWERING, ask.marker, self.process)
-        if ask.stream and not given and isinstance(answer.result, str):
-            take_token(0, answer.result)
-        self._give(ask, ask.take_answer, answer)
-        await self._announcer.reach(Step.ANSWERED, ask.marker, self.process)
-
-    def _announce_token(self, marker: str, given: int) -> None:
-        step = {1: Step.FIRST_TOKEN, 3: Step.BETWEEN_TOKENS}.get(given)
+        await self._announcer.announce_and_yield(
+            Step.ANSWERING, attempt.marker, self.process
+        )
+        if attempt.stream and not token_count and isinstance(answer.result, str):
+            record_token(0, answer.result)
+        self._send_to_client(attempt, attempt.record_answer, answer)
+        await self._announcer.announce_and_yield(
+            Step.ANSWERED, attempt.marker, self.process
+        )
+
+    def _announce_token(self, marker: str, token_count: int) -> None:
+        step = {1: Step.FIRST_TOKEN, 3: Step.BETWEEN_TOKENS}.get(token_count)
         if step is not None:
             self._announcer.announce(step, marker, self.process)
 
-    def _give(self, ask: Ask, take: Callable[..., None], *given: Any) -> None:
-        """Hand something to the caller's connection."""
-        latency = self._network.draw_latency(self._place, ask.place)
+    def _send_to_client(
+        self, attempt: ClientAttempt, take: Callable[..., None], *arguments: Any
+    ) -> None:
+        """Send a token or the final response over the client's connection."""
+        latency = self._network.draw_latency(self._place, attempt.place)
 
         def arrive() -> None:
-            if not ask.over.is_set():
-                take(*given)
+            if not attempt.over.is_set():
+                take(*arguments)
 
-        ask.pipe.carry(latency, arrive)
+        attempt.pipe.carry(latency, arrive)
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/checker.py
@@ -1,4 +1,4 @@
-"""Decides from the records of a run whether each promise was kept."""
+"""Checks the records of a run for violations of the system's guarantees."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from .fleet import write_tokens
+from .fleet import create_tokens
 from .records import ChangeState
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from .fleet import Run
-    from .records import AskRecord, ChangeRecord, InstanceRecord, RunRecord
+    from .fleet import StageRun
+    from .records import AttemptRecord, ChangeRecord, InstanceRecord, RunRecord
 
-__all__ = ("Breach", "Promise", "check")
+__all__ = ("Guarantee", "Violation", "check")
 
-#: seconds after its deadline by which a request must have its final answer
+#: seconds after its deadline within which a request must have its final response
 ANSWER_SLACK = 0.5
-#: seconds that a request may be on its way to an instance
-SENDING = 0.01
-#: seconds after which a leaving target gets no new work
-LEAVING_BOUND = 5.0
-#: seconds after which an accepted change is in force everywhere, once nothing fails
-SPREADING_BOUND = 10.0
-#: seconds before its deadline by which a request that is given up is refused
-LEAST_LEFT = 0.05
-#: refusals for which no time to come back is due: asking again changes nothing
+#: upper bound of a request's network latency to its instance, in seconds
+MAX_SEND_SECONDS = 0.01
+#: seconds after which a draining target must get no new calls
+DRAIN_NOTICE_SECONDS = 5.0
+#: seconds within which an accepted change must be in force on all instances,
+#: counted from the end of the fault if that is later
+PROPAGATION_SECONDS = 10.0
+#: minimum seconds before the deadline at which an abandoned request is rejected
+MIN_SECONDS_LEFT = 0.05
+#: rejections that need no retry delay, as a retry would be rejected again
 FINAL_CODES = frozenset({"bad-request", "too-large", "key-reused"})
 
 NOT_RUN = "not-run"
@@ -36,38 +37,38 @@
 UNREPEATABLE_STAGE = "book"
 
 
-class Promise(Enum):
-    """What must always hold."""
+class Guarantee(Enum):
+    """A guarantee that must hold in every run."""
 
     LOST = "lost"
-    DOUBLED = "doubled"
-    CROSSED = "crossed"
-    CUT = "cut"
+    DUPLICATED = "doubled"
+    MISROUTED = "crossed"
+    DISCONNECTED = "cut"
     FALSE_NOT_RUN = "false not run"
     LATE = "late"
-    NO_RETURN_TIME = "no time to come back"
-    HELD_BACK = "refusal held back"
-    LEAVING_USED = "leaving target used"
+    NO_RETRY_DELAY = "no time to come back"
+    REJECTED_LATE = "refusal held back"
+    DRAINING_TARGET_USED = "leaving target used"
     REVERTED = "reverted"
     NOT_IN_FORCE = "not in force"
-    ORDER_UNDONE = "newer order undone"
+    STALE_ORDER_APPLIED = "newer order undone"
     ORDER_MISSING = "order not carried out"
     NOT_RECOVERED = "not recovered"
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
-    """A broken promise."""
+class Violation:
+    """A violated guarantee."""
 
-    promise: Promise
+    guarantee: Guarantee
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.promise.value}: {self.detail}"
+        return f"{self.guarantee.value}: {self.detail}"
 
 
-def check(record: RunRecord) -> list[Breach]:
-    """Return every broken promise of a run."""
+def check(record: RunRecord) -> list[Violation]:
+    """Return all violations found in a run."""
     return list(_Checker(record).check())
 
 
@@ -75,18 +76,18 @@
     def __init__(self, record: RunRecord) -> None:
         self._record = record
         self._instances = {one.name: one for one in record.instances}
-        self._runs: dict[str, list[Run]] = defaultdict(list)
+        self._runs: dict[str, list[StageRun]] = defaultdict(list)
         for run in record.targets.runs:
             self._runs[run.request].append(run)
 
-    def check(self) -> Iterator[Breach]:
-        for ask in self._record.asks:
-            yield from self._check_answer(ask)
-            yield from self._check_tokens(ask)
-            yield from self._check_not_run(ask)
-            yield from self._check_refusal(ask)
-            yield from self._check_recovery(ask)
-        yield from self._check_groups()
+    def check(self) -> Iterator[Violation]:
+        for attempt in self._record.attempts:
+            yield from self._check_answer(attempt)
+            yield from self._check_tokens(attempt)
+            yield from self._check_not_run(attempt)
+            yield from self._check_refusal(attempt)
+            yield from self._check_recovery(attempt)
+        yield from self._check_retried_requests()
         yield from self._check_targets()
         yield from self._check_orders()
         for instance in self._record.instances:
@@ -95,125 +96,167 @@
 
     # requests
 
-    def _check_answer(self, ask: AskRecord) -> Iterator[Breach]:
-        instance = self._instances[ask.instance]
-        if ask.answers > 1:
-            yield Breach(Promise.DOUBLED, f"{ask.marker}: {ask.answers} final answers")
-        if ask.refused or instance.killed:
+    def _check_answer(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        instance = self._instances[attempt.instance]
+        if attempt.answers > 1:
+            yield Violation(
+                Guarantee.DUPLICATED,
+                f"{attempt.marker}: {attempt.answers} final answers",
+            )
+        if attempt.refused or instance.killed:
             return
-        if ask.reset or not ask.answers:
-            what = "was reset" if ask.reset else "has no final answer"
-            kind = Promise.CUT if instance.stopping else Promise.LOST
-            yield Breach(kind, f"{ask.marker} at {ask.instance} {what}")
+        if attempt.reset or not attempt.answers:
+            what = "was reset" if attempt.reset else "has no final answer"
+            kind = Guarantee.DISCONNECTED if instance.stopping else Guarantee.LOST
+            yield Violation(kind, f"{attempt.marker} at {attempt.instance} {what}")
             return
-        due = _find_due(ask, instance)
-        if ask.answered > due:
-            late = ask.answered - due
-            detail = f"{ask.marker} at {ask.instance}: {late:.3f} s after it was due"
-            yield Breach(Promise.LATE, detail)
-
-    def _check_tokens(self, ask: AskRecord) -> Iterator[Breach]:
-        expected = write_tokens(ask.marker)
+        due = _find_due(attempt, instance)
+        if attempt.answered > due:
+            late = attempt.answered - due
+            detail = (
+                f"{attempt.marker} at {attempt.instance}: {late:.3f} s after it was due"
+            )
+            yield Violation(Guarantee.LATE, detail)
+
+    def _check_tokens(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        expected = create_tokens(attempt.marker)
         whole = "".join(expected)
-        offsets = [offset for offset, _ in ask.tokens]
-        text = "".join(text for _, text in ask.tokens)
+        offsets = [offset for offset, _ in attempt.tokens]
+        text = "".join(text for _, text in attempt.tokens)
         if not whole.startswith(text):
-            yield Breach(Promise.CROSSED, f"{ask.marker} was given {text!r}")
+            yield Violation(Guarantee.MISROUTED, f"{attempt.marker} was given {text!r}")
         if offsets != list(range(len(offsets))):
-            yield Breach(Promise.DOUBLED, f"{ask.marker}: tokens at {offsets}")
-        if ask.result is None:
+            yield Violation(
+                Guarantee.DUPLICATED, f"{attempt.marker}: tokens at {offsets}"
+            )
+        if attempt.result is None:
             return
-        if ask.result != whole:
-            yield Breach(Promise.CROSSED, f"{ask.marker}: result {ask.result!r}")
-        if ask.stream and text != whole:
-            yield Breach(Promise.LOST, f"{ask.marker}: only {text!r} and the end")
-        if ask.verdict != "ran":
-            yield Breach(Promise.FALSE_NOT_RUN, f"{ask.marker}: result, {ask.verdict}")
-
-    def _check_not_run(self, ask: AskRecord) -> Iterator[Breach]:
-        runs = self._runs.get(ask.request, ())
-        if ask.verdict == NOT_RUN and runs:
+        if attempt.result != whole:
+            yield Violation(
+                Guarantee.MISROUTED, f"{attempt.marker}: result {attempt.result!r}"
+            )
+        if attempt.stream and text != whole:
+            yield Violation(
+                Guarantee.LOST, f"{attempt.marker}: only {text!r} and the end"
+            )
+        if attempt.verdict != "ran":
+            yield Violation(
+                Guarantee.FALSE_NOT_RUN, f"{attempt.marker}: result, {attempt.verdict}"
+            )
+
+    def _check_not_run(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        runs = self._runs.get(attempt.request, ())
+        if attempt.verdict == NOT_RUN and runs:
             stages = ", ".join(run.stage for run in runs)
-            detail = f"{ask.marker} at {ask.instance} ({ask.code}); ran: {stages}"
-            yield Breach(Promise.FALSE_NOT_RUN, detail)
-
-    def _check_refusal(self, ask: AskRecord) -> Iterator[Breach]:
-        if ask.verdict != NOT_RUN or not ask.code or ask.code in FINAL_CODES:
+            detail = (
+                f"{attempt.marker} at {attempt.instance} ({attempt.code});"
+                f" ran: {stages}"
+            )
+            yield Violation(Guarantee.FALSE_NOT_RUN, detail)
+
+    def _check_refusal(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        if (
+            attempt.verdict != NOT_RUN
+            or not attempt.code
+            or attempt.code in FINAL_CODES
+        ):
             return
-        if ask.retry_after_ms is None:
-            detail = f"{ask.marker} at {ask.instance}: {ask.code}"
-            yield Breach(Promise.NO_RETURN_TIME, detail)
-        instance = self._instances[ask.instance]
-        # one that was tried until its time was over was not given up before, and the
-        # time of a keyed one may have gone by while its key was claimed
-        given_up = ask.code != DEADLINE and not ask.keyed
-        due = _find_due(ask, instance) - ANSWER_SLACK
-        if given_up and ask.answered > due - LEAST_LEFT:
-            detail = f"{ask.marker} at {ask.instance}: {ask.code} at its deadline"
-            yield Breach(Promise.HELD_BACK, detail)
-
-    def _check_recovery(self, ask: AskRecord) -> Iterator[Breach]:
-        if ask.must_succeed and ask.result is None:
-            what = ask.code or ("reset" if ask.reset else "refused or silent")
-            detail = f"{ask.marker} at {ask.instance}: {what} after the fault's end"
-            yield Breach(Promise.NOT_RECOVERED, detail)
-
-    def _check_groups(self) -> Iterator[Breach]:
-        """Check what was asked more than once under one key."""
-        groups: dict[str, list[AskRecord]] = defaultdict(list)
-        for ask in self._record.asks:
-            groups[ask.marker].append(ask)
+        if attempt.retry_after_ms is None:
+            detail = f"{attempt.marker} at {attempt.instance}: {attempt.code}"
+            yield Violation(Guarantee.NO_RETRY_DELAY, detail)
+        instance = self._instances[attempt.instance]
+        # a request that ran into its deadline was not abandoned early, and a keyed
+        # one may have spent its time on claiming its key
+        abandoned = attempt.code != DEADLINE and not attempt.keyed
+        due = _find_due(attempt, instance) - ANSWER_SLACK
+        if abandoned and attempt.answered > due - MIN_SECONDS_LEFT:
+            detail = (
+                f"{attempt.marker} at {attempt.instance}: {attempt.code}"
+                " at its deadline"
+            )
+            yield Violation(Guarantee.REJECTED_LATE, detail)
+
+    def _check_recovery(self, attempt: AttemptRecord) -> Iterator[Violation]:
+        if attempt.must_succeed and attempt.result is None:
+            what = attempt.code or ("reset" if attempt.reset else "refused or silent")
+            detail = (
+                f"{attempt.marker} at {attempt.instance}: {what} after the fault ended"
+            )
+            yield Violation(Guarantee.NOT_RECOVERED, detail)
+
+    def _check_retried_requests(self) -> Iterator[Violation]:
+        """Check the attempts of each request together."""
+        groups: dict[str, list[AttemptRecord]] = defaultdict(list)
+        for attempt in self._record.attempts:
+            groups[attempt.marker].append(attempt)
         effects: Counter[str] = Counter()
         for run in self._record.targets.runs:
             if run.stage == UNREPEATABLE_STAGE:
                 effects[run.marker] += 1
-        for marker, asks in groups.items():
+        for marker, attempts in groups.items():
             runs = effects[marker]
-            if runs > 1 and not asks[0].repeatable:
-                yield Breach(Promise.DOUBLED, f"{marker}: {runs} runs of book")
-            untrue = all(ask.refused or ask.verdict == NOT_RUN for ask in asks)
-            if runs and untrue:
-                detail = f"{marker}: no answer says that it ran"
-                yield Breach(Promise.FALSE_NOT_RUN, detail)
-            if not runs and any(ask.result for ask in asks) and not asks[0].repeatable:
-                yield Breach(Promise.LOST, f"{marker}: a result without a run of book")
+            if runs > 1 and not attempts[0].repeatable:
+                yield Violation(
+                    Guarantee.DUPLICATED, f"{marker}: {runs} runs of stage book"
+                )
+            reported_not_run = all(
+                attempt.refused or attempt.verdict == NOT_RUN for attempt in attempts
+            )
+            if runs and reported_not_run:
+                detail = f"{marker}: no response says that it ran"
+                yield Violation(Guarantee.FALSE_NOT_RUN, detail)
+            if (
+                not runs
+                and any(attempt.result for attempt in attempts)
+                and not attempts[0].repeatable
+            ):
+                yield Violation(
+                    Guarantee.LOST, f"{marker}: result without a run of stage book"
+                )
 
     # targets
 
-    def _check_targets(self) -> Iterator[Breach]:
+    def _check_targets(self) -> Iterator[Violation]:
         targets = self._record.targets
-        for text in targets.mixed:
-            yield Breach(Promise.CROSSED, f"inputs of one stage: {text}")
+        for text in targets.mixed_inputs:
+            yield Violation(Guarantee.MISROUTED, f"inputs of one stage: {text}")
         for time, target in targets.arrivals:
             since = targets.leaving.get(target)
-            if since is not None and time > since + LEAVING_BOUND:
-                detail = f"{target} got a call {time - since:.1f} s after it left"
-                yield Breach(Promise.LEAVING_USED, detail)
+            if since is not None and time > since + DRAIN_NOTICE_SECONDS:
+                detail = (
+                    f"{target} got a call {time - since:.1f} s after it began to drain"
+                )
+                yield Violation(Guarantee.DRAINING_TARGET_USED, detail)
 
-    def _check_orders(self) -> Iterator[Breach]:
+    def _check_orders(self) -> Iterator[Violation]:
         newest: dict[str, int] = {}
         for order in self._record.targets.orders:
             highest = newest.get(order.target, 0)
             if order.fence < highest:
-                detail = f"{order.target}: number {order.fence} after {highest}"
-                yield Breach(Promise.ORDER_UNDONE, detail)
+                detail = f"{order.target}: fencing token {order.fence} after {highest}"
+                yield Violation(Guarantee.STALE_ORDER_APPLIED, detail)
             newest[order.target] = max(highest, order.fence)
-        wanted = self._record.wanted
+        expected_model = self._record.expected_model
         for target, models in self._record.engines.items():
-            if wanted and models != (wanted,):
-                detail = f"{target} holds {models}, wanted is {wanted}"
-                yield Breach(Promise.ORDER_MISSING, detail)
+            if expected_model and models != (expected_model,):
+                detail = f"{target} holds {models}, expected {expected_model}"
+                yield Violation(Guarantee.ORDER_MISSING, detail)
 
     # instances and changes
 
-    def _check_instance(self, instance: InstanceRecord) -> Iterator[Breach]:
+    def _check_instance(self, instance: InstanceRecord) -> Iterator[Violation]:
         if instance.finished is False and not instance.killed:
-            yield Breach(Promise.CUT, f"{instance.name} stopped with requests open")
+            yield Violation(
+                Guarantee.DISCONNECTED,
+                f"{instance.name} stopped with requests in flight",
+            )
         numbers = [generation for _, generation in instance.generations]
         if numbers != sorted(numbers):
-            yield Breach(Promise.REVERTED, f"{instance.name}: generations {numbers}")
+            yield Violation(
+                Guarantee.REVERTED, f"{instance.name}: generations {numbers}"
+            )
 
-    def _check_changes(self) -> Iterator[Breach]:
+    def _check_changes(self) -> Iterator[Violation]:
         living = [
             one
             for one in self._record.instances
@@ -222,44 +265,44 @@
         generations = {one.generations[-1][1] for one in living if one.generations}
         if len(generations) > 1:
             detail = f"generations at the end: {sorted(generations)}"
-            yield Breach(Promise.NOT_IN_FORCE, detail)
+            yield Violation(Guarantee.NOT_IN_FORCE, detail)
         for change in self._record.changes:
             for instance in living:
                 present = change.change_id in instance.changes
                 if change.state == ChangeState.SETTLED and not present:
                     detail = f"{change.change_id} at {instance.name}"
-                    yield Breach(Promise.NOT_IN_FORCE, detail)
+                    yield Violation(Guarantee.NOT_IN_FORCE, detail)
                 if change.state == ChangeState.REJECTED and present:
-                    detail = f"{change.change_id} was rejected and is in force"
-                    yield Breach(Promise.REVERTED, detail)
+                    detail = f"{change.change_id} was rejected but is in force"
+                    yield Violation(Guarantee.REVERTED, detail)
             if change.state == ChangeState.SETTLED:
-                yield from self._check_spreading(change, living)
+                yield from self._check_propagation(change, living)
 
-    def _check_spreading(
+    def _check_propagation(
         self, change: ChangeRecord, living: list[InstanceRecord]
-    ) -> Iterator[Breach]:
-        start = max(change.settled, self._record.healed)
+    ) -> Iterator[Violation]:
+        start = max(change.settled, self._record.fault_ended)
         for instance in living:
             times = [
                 time
                 for time, generation in instance.generations
                 if generation >= change.generation
             ]
-            if times and times[0] > start + SPREADING_BOUND:
+            if times and times[0] > start + PROPAGATION_SECONDS:
                 detail = f"{change.change_id} at {instance.name} only at {times[0]:.1f}"
-                yield Breach(Promise.NOT_IN_FORCE, detail)
+                yield Violation(Guarantee.NOT_IN_FORCE, detail)
 
 
-def _find_due(ask: AskRecord, instance: InstanceRecord) -> float:
-    """Return when the final answer is due; a pause of the instance puts it off.
+def _find_due(attempt: AttemptRecord, instance: InstanceRecord) -> float:
+    """Return when the final response is due, extended by pauses of the instance.
 
-    What was sent to an instance that stood still is read when it goes on, and its
-    time is counted from then.
+    A request sent to a paused instance is read when that resumes, and its budget
+    counts from then.
     """
-    due = ask.deadline
+    due = attempt.deadline
     for begin, end in instance.pauses:
-        if begin - SENDING <= ask.sent <= end:
-            due = max(due, end + ask.deadline - ask.sent)
+        if begin - MAX_SEND_SECONDS <= attempt.sent <= end:
+            due = max(due, end + attempt.deadline - attempt.sent)
         elif begin <= due + ANSWER_SLACK:
             due = max(due, end)
     return due + ANSWER_SLACK
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/collecting.py
@@ -1,4 +1,4 @@
-"""Turns what a bench saw into records for the checker."""
+"""Converts the state of a finished bench to records for the checker."""
 
 from __future__ import annotations
 
@@ -7,34 +7,37 @@
 
 from greengagelatch.config.requests import Settled, Unsettled
 
-from .records import AskRecord, ChangeRecord, ChangeState, InstanceRecord, RunRecord
+from .records import AttemptRecord, ChangeRecord, ChangeState, InstanceRecord, RunRecord
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
     from .bench import Bench, Change
-    from .front import Ask
+    from .callers_server import ClientAttempt
     from .serving import ServingInstance
 
     Pauses = Mapping[str, Sequence[tuple[float, float]]]
 
-__all__ = ("collect",)
+__all__ = ("create_run_record",)
 
-#: service whose targets are engines
+#: service whose targets are inference engines
 ENGINES = "llm"
 
 
-def collect(
-    bench: Bench, *, healed: float, pauses: Pauses, wanted: str = ""
+def create_run_record(
+    bench: Bench, *, fault_ended: float, pauses: Pauses, expected_model: str = ""
 ) -> RunRecord:
-    """Return all that a run left behind.
+    """Return the records of a run.
 
-    :param healed: when the last fault ended
-    :param pauses: when instances stood still, by their names
-    :param wanted: model that all engines are to hold by now
+    :param fault_ended: when the last fault ended
+    :param pauses: intervals in which instances were paused, by instance name
+    :param expected_model: model that all engines must have loaded by now
     """
     return RunRecord(
-        asks=[_describe_ask(ask, bench.last) for ask in bench.asks],
+        attempts=[
+            _create_attempt_record(attempt, bench.must_succeed)
+            for attempt in bench.attempts
+        ],
         changes=[_describe_change(change) for change in bench.changes],
         instances=[
             _describe_instance(one, pauses.get(one.name, ())) for one in bench.instances
@@ -45,37 +48,39 @@
             for target in bench.targets.values()
             if target.service == ENGINES
         },
-        wanted=wanted,
-        healed=healed,
+        expected_model=expected_model,
+        fault_ended=fault_ended,
         ended=asyncio.get_running_loop().time(),
     )
 
 
-def _describe_ask(ask: Ask, last: set[str]) -> AskRecord:
-    answer = ask.answers[0] if ask.answers else None
+def _create_attempt_record(
+    attempt: ClientAttempt, must_succeed: set[str]
+) -> AttemptRecord:
+    answer = attempt.answers[0] if attempt.answers else None
     refusal = None if answer is None else answer.refusal
     verdict = ""
     if answer is not None:
         verdict = answer.verdict.name.lower().replace("_", "-")
-    return AskRecord(
-        marker=ask.marker,
-        request=ask.request_id,
-        instance=ask.instance,
-        sent=ask.sent,
-        deadline=ask.deadline,
-        repeatable="X-Repeatable" not in ask.headers,
-        keyed="Idempotency-Key" in ask.headers,
-        stream=ask.stream,
-        tokens=tuple(ask.tokens),
-        answers=len(ask.answers),
-        answered=ask.answered,
+    return AttemptRecord(
+        marker=attempt.marker,
+        request=attempt.request_id,
+        instance=attempt.instance,
+        sent=attempt.sent,
+        deadline=attempt.deadline,
+        repeatable="X-Repeatable" not in attempt.headers,
+        keyed="Idempotency-Key" in attempt.headers,
+        stream=attempt.stream,
+        tokens=tuple(attempt.tokens),
+        answers=len(attempt.answers),
+        answered=attempt.answered,
         verdict=verdict,
         result=None if refusal is not None or answer is None else answer.result,
         code="" if refusal is None else refusal.code.value,
         retry_after_ms=None if refusal is None else refusal.retry_after_ms,
-        refused=ask.refused,
-        reset=ask.reset,
-        must_succeed=ask.marker in last,
+        refused=attempt.refused,
+        reset=attempt.reset,
+        must_succeed=attempt.marker in must_succeed,
     )
 
 
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/engines.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/engines.py
@@ -1,4 +1,4 @@
-"""What an engine does about orders, with an independent record of them."""
+"""Simulated inference engines that apply orders and record them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ("Engine", "EngineOrder")
 
-#: seconds that an order takes; less than the bench's ``orders.longest``
+#: seconds that an order takes; less than the setting ``orders.longest``
 ORDER_SECONDS = 0.6
 STATUS_OK = 200
 STATUS_OLD_FENCE = 409
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineOrder:
-    """An order that an engine carried out; times are loop time."""
+    """An order applied by an engine; times are loop time in seconds."""
 
     target: str
     fence: int
@@ -30,30 +30,35 @@
 
 
 class Engine:
-    """Carries out orders; one that does not check does so with any of them.
+    """Applies orders.
 
-    :param note: called with each order once it was carried out
+    :param checks_fence: whether orders with a stale fencing token are rejected
+    :param on_order: called with each order once it was applied
     """
 
     def __init__(
-        self, *, target_id: str, checks: bool, note: Callable[[EngineOrder], None]
+        self,
+        *,
+        target_id: str,
+        checks_fence: bool,
+        on_order: Callable[[EngineOrder], None],
     ) -> None:
         self.models: tuple[str, ...] = ()
         self._target_id = target_id
-        self._checks = checks
-        self._note = note
+        self._checks_fence = checks_fence
+        self._on_order = on_order
         self._fence = 0
         self._highest = 0
 
     def describe(self) -> bytes:
-        """Return the answer to ``GET /orders``."""
+        """Return the response body of ``GET /orders``."""
         state = {"models": self.models, "adapters": [], "role": ""}
         return json.dumps({"state": state, "fence": self._fence}).encode()
 
-    async def carry_out(
+    async def apply(
         self, order: Mapping[str, Any], answer: Callable[[int, bytes, bool], None]
     ) -> None:
-        """Carry out one order, and answer it."""
+        """Apply one order and respond to it."""
         loop = asyncio.get_running_loop()
         arrived = loop.time()
         fence = order["fence"]
@@ -71,7 +76,7 @@
             return
         self.models = tuple(order["wanted"]["models"])
         self._fence = fence
-        self._note(
+        self._on_order(
             EngineOrder(
                 target=self._target_id,
                 fence=fence,
@@ -86,4 +91,4 @@
         answer(STATUS_OLD_FENCE, json.dumps({"fence": self._highest}).encode(), True)
 
     def _is_old(self, fence: int) -> bool:
-        return self._checks and fence < self._highest
+        return self._checks_fence and fence < self._highest
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix: how each begins and how it ends."""
+"""The faults of the matrix: how each is injected and removed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from .callers import Wish
+from .clients import ClientRequest
 from .network import PLATFORM
 
 if TYPE_CHECKING:
@@ -15,35 +15,35 @@
 
 __all__ = ("BURST_MARKER", "FAULTS", "Fault")
 
-#: factor by which a slow stage is slower
-SLOWNESS = 25.0
-#: share of a failing stage's calls that fail
-FAILING = 0.7
-#: requests of one burst
-BURST = 60
+#: factor by which a slow stage takes longer
+SLOWDOWN_FACTOR = 25.0
+#: fraction of a failing stage's calls that fail
+FAILURE_RATE = 0.7
+#: number of requests in one burst
+BURST_SIZE = 60
 BURST_MARKER = "burst-"
-#: bounds of the seconds that a slow store takes for each call
-SLOW_STORE = (0.4, 2.5)
-#: answers to writes that are lost, one after the other
-MAX_LOST = 3
-#: seconds by which a lagging list lags
+#: bounds of the delay that a slow store adds to each call, in seconds
+STORE_DELAY_BOUNDS = (0.4, 2.5)
+#: maximum number of consecutive writes whose responses are lost
+MAX_LOST_RESPONSES = 3
+#: replication lag added to the instance list, in seconds
 LAG = 30.0
 
 
 class Fault(ABC):
-    """One kind of fault; it hits one instance, or all that it goes by."""
+    """One kind of fault, which affects one instance or shared infrastructure."""
 
-    #: what readers of the matrix see
+    #: name in tables and feature files
     name: str = ""
-    #: whether instances have to find out what is gone and what is back
-    parting: bool = False
+    #: whether instances have to detect lost members and their return
+    affects_membership: bool = False
 
     @abstractmethod
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        """Bring the fault about, now."""
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        """Inject the fault."""
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:  # noqa: B027
-        """End the fault; what it broke for good, as most do, stays broken."""
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:  # noqa: B027
+        """Remove the fault; permanent damage, such as a killed process, remains."""
 
 
 class SlowStage(Fault):
@@ -51,126 +51,126 @@
 
     name = "slow stage"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         service = bench.random.choice(("profiles", "desk", "llm"))
         for target in bench.targets.values():
             if target.service == service:
-                target.slowness = SLOWNESS
+                target.slowness = SLOWDOWN_FACTOR
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
             target.slowness = 1.0
 
 
 class FailingStage(Fault):
-    """Most calls of all stages fail, before or after their effect."""
+    """Most calls of all stages fail, before or after their side effect."""
 
     name = "failing stage"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
-            target.failing = FAILING
+            target.failure_rate = FAILURE_RATE
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         for target in bench.targets.values():
-            target.failing = 0.0
+            target.failure_rate = 0.0
 
 
 class BurstingStage(Fault):
-    """Many requests come at once."""
+    """Many requests arrive at once."""
 
     name = "bursting stage"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        for number in range(BURST):
-            wish = Wish(
-                marker=f"{BURST_MARKER}{len(bench.callers)}", stream=number % 2 == 0
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        for number in range(BURST_SIZE):
+            request = ClientRequest(
+                marker=f"{BURST_MARKER}{len(bench.clients)}", stream=number % 2 == 0
             )
-            bench.call(wish, bench.instances[number % len(bench.instances)])
+            bench.call(request, bench.instances[number % len(bench.instances)])
 
 
 class ProcessKilled(Fault):
-    """The process ends without any further step, alone or with its whole instance."""
+    """The process is killed, alone or together with its operating system."""
 
     name = "process killed"
-    parting = True
+    affects_membership = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.kill(silently=bench.random.random() < 0.5)
 
 
 class ProcessPaused(Fault):
-    """The process stands still, and goes on as if nothing had been."""
+    """The process is suspended and resumed."""
 
     name = "process paused"
-    parting = True
+    affects_membership = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.process.pause()
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         subject.process.resume()
 
 
 class StoreDown(Fault):
-    """The store is away: it refuses, or swallows what is sent to it."""
+    """The store is down: it returns errors, or drops what is sent to it."""
 
     name = "store down"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         if bench.random.random() < 0.5:
             bench.faults.outage = True
             bench.store.interrupt_watches()
             return
         for instance in bench.instances:
-            bench.network.cut(instance.data_centre, PLATFORM)
+            bench.network.partition(instance.data_centre, PLATFORM)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.faults.outage = False
         bench.network.heal()
 
 
 class StoreSlow(Fault):
-    """Every call to the store takes long."""
+    """Every call to the store is delayed."""
 
     name = "store slow"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        seconds = bench.random.uniform(*SLOW_STORE)
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        seconds = bench.random.uniform(*STORE_DELAY_BOUNDS)
 
         async def wait(_kind: str, _key: str) -> None:
             await asyncio.sleep(seconds)
 
         bench.faults.before_call = wait
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.faults.before_call = None
 
 
-class AnswerLost(Fault):
-    """Writes take effect, and their answers are lost."""
+class ResponseLost(Fault):
+    """Writes are applied, but their responses are lost."""
 
     name = "write applied but answer lost"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.lost_answers = bench.random.randint(1, MAX_LOST)
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        bench.lost_responses = bench.random.randint(1, MAX_LOST_RESPONSES)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.lost_answers = 0
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
+        bench.lost_responses = 0
 
 
-class LeaseLapsed(ProcessPaused):
-    """The holder of a lease stands still for longer than the lease lasts."""
+class LeaseExpired(ProcessPaused):
+    """The holder of a lease is suspended for longer than the lease's TTL."""
 
     name = "lease lapsed during a pause"
 
 
 class OperatorsRacing(Fault):
-    """Operators change the same object through all instances at once."""
+    """Operators change the same object through all instances concurrently."""
 
     name = "operators racing"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         for instance in bench.instances:
             if not instance.process.running:
                 continue
@@ -179,70 +179,70 @@
 
 
 class ConnectionSilent(Fault):
-    """All open connections of an instance swallow what is sent; new ones work."""
+    """All open connections of an instance drop their traffic; new ones work."""
 
     name = "connection gone silent"
-    parting = True
+    affects_membership = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         subject.silence()
 
 
 class ListLagging(Fault):
-    """The list falls far behind just when a target is replaced by another one."""
+    """The instance list lags far behind while a target is replaced by another one."""
 
     name = "list lagging"
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         bench.instance_list.lag += LAG
-        desks = [one for one in bench.targets.values() if one.service == "desk"]
-        gone = bench.random.choice(desks)
-        gone.die()
-        bench.instance_list.remove(gone.target_id)
-        bench.add_target("desk", f"desk-{len(bench.targets)}", gone.data_centre)
+        replicas = [one for one in bench.targets.values() if one.service == "desk"]
+        replaced = bench.random.choice(replicas)
+        replaced.kill()
+        bench.instance_list.remove(replaced.target_id)
+        bench.add_target("desk", f"desk-{len(bench.targets)}", replaced.data_centre)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.instance_list.lag -= LAG
 
 
-class DataCentresCut(Fault):
-    """The data centres do not reach each other."""
+class DataCentresPartitioned(Fault):
+    """A network partition between the data centres."""
 
     name = "data centres cut from each other"
-    parting = True
+    affects_membership = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
         centres = sorted({one.data_centre for one in bench.instances})
-        bench.network.cut_some_way(*centres)
+        bench.network.partition_randomly(*centres)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
-class PlatformCut(Fault):
-    """One data centre does not reach the platform."""
+class PlatformPartitioned(Fault):
+    """A network partition between one data centre and the platform."""
 
     name = "cut from the platform"
-    parting = True
+    affects_membership = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        bench.network.cut_some_way(subject.data_centre, PLATFORM)
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        bench.network.partition_randomly(subject.data_centre, PLATFORM)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
-class BothCut(Fault):
-    """One data centre reaches neither the others nor the platform."""
+class FullyPartitioned(Fault):
+    """One data centre is partitioned from the other and from the platform."""
 
     name = "cut from both"
-    parting = True
+    affects_membership = True
 
-    def begin(self, bench: Bench, subject: ServingInstance) -> None:
-        PlatformCut().begin(bench, subject)
-        DataCentresCut().begin(bench, subject)
+    def inject(self, bench: Bench, subject: ServingInstance) -> None:
+        PlatformPartitioned().inject(bench, subject)
+        DataCentresPartitioned().inject(bench, subject)
 
-    def end(self, bench: Bench, subject: ServingInstance) -> None:
+    def remove(self, bench: Bench, subject: ServingInstance) -> None:
         bench.network.heal()
 
 
@@ -256,13 +256,13 @@
         ProcessPaused(),
         StoreDown(),
         StoreSlow(),
-        AnswerLost(),
-        LeaseLapsed(),
+        ResponseLost(),
+        LeaseExpired(),
         OperatorsRacing(),
         ConnectionSilent(),
         ListLagging(),
-        DataCentresCut(),
-        PlatformCut(),
-        BothCut(),
+        DataCentresPartitioned(),
+        PlatformPartitioned(),
+        FullyPartitioned(),
     )
 }
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/fleet.py
@@ -1,4 +1,4 @@
-"""Targets that keep an independent record of all that they ran."""
+"""Simulated targets that record every call they run."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
     from .engines import EngineOrder
 
-__all__ = ("FleetTarget", "Run", "TargetRecord", "find_markers", "write_tokens")
+__all__ = ("FleetTarget", "StageRun", "TargetRecord", "create_tokens", "find_markers")
 
 TOKENS = 6
-#: seconds of one call by kind of stage, and of one token
+#: seconds of one call by stage kind, and seconds of one token
 SECONDS = {"retrieve": 0.02, "plain": 0.03, "generate": 0.02}
 TOKEN_SECONDS = 0.02
-#: calls that a target runs side by side, and that may wait there
+#: calls that a target runs concurrently, and calls that its queue holds
 CAPACITY = 4
 MAX_WAITING = 8
 
 
 @dataclass(slots=True, kw_only=True)
-class Run:
-    """One run of a call; ``effect`` once its side effect has happened."""
+class StageRun:
+    """One execution of a call; ``effect`` is set once its side effect has happened."""
 
     attempt: str
     request: str
@@ -46,26 +46,26 @@
 
 @dataclass(slots=True)
 class TargetRecord:
-    """What all targets ran and were given, in the order of time."""
+    """Everything that targets received and ran, in chronological order."""
 
-    runs: list[Run] = field(default_factory=list)
+    runs: list[StageRun] = field(default_factory=list)
     #: time and target of each call that arrived
     arrivals: list[tuple[float, str]] = field(default_factory=list)
-    #: time since which a target leaves, by its id
+    #: time at which a target began to drain, by target id
     leaving: dict[str, float] = field(default_factory=dict)
-    #: inputs that held the words of more than one request
-    mixed: list[str] = field(default_factory=list)
-    #: orders that engines carried out, in that order
+    #: inputs that contained data of more than one request, or of none
+    mixed_inputs: list[str] = field(default_factory=list)
+    #: orders applied by engines, in order of application
     orders: list[EngineOrder] = field(default_factory=list)
 
 
-def write_tokens(marker: str) -> tuple[str, ...]:
-    """Return the tokens of the answer to the request with a marker."""
+def create_tokens(marker: str) -> tuple[str, ...]:
+    """Return the tokens that the request with ``marker`` must be answered with."""
     return tuple(f"{marker}/{number} " for number in range(TOKENS))
 
 
 def find_markers(value: Any) -> set[str]:
-    """Return all markers that a value holds, at any depth."""
+    """Return all markers in a value, at any depth of nested objects."""
     if isinstance(value, dict):
         found = {value["marker"]} if isinstance(value.get("marker"), str) else set()
         for inner in value.values():
@@ -77,8 +77,8 @@
 class FleetTarget:
     """One replica of a service.
 
-    :param resumes: whether it can begin a stream at an offset
-    :param checks: whether it checks the fencing numbers of orders
+    :param resumes: whether it can resume a stream at an offset
+    :param checks_fence: whether it rejects orders with stale fencing tokens
     """
 
     def __init__(
@@ -91,21 +91,23 @@
         record: TargetRecord,
         random_source: random.Random,
         resumes: bool = True,
-        checks: bool = True,
+        checks_fence: bool = True,
     ) -> None:
         self.target_id = target_id
         self.service = service
         self.data_centre = data_centre
         self.address = address
-        #: factor by which it is slower than usual
+        #: factor by which calls take longer than usual
         self.slowness = 1.0
-        #: share of the calls that end in an error, before or after their effect
-        self.failing = 0.0
+        #: fraction of calls that fail, before or after their side effect
+        self.failure_rate = 0.0
         self.leaving = False
-        #: whether its process is there at all
+        #: whether its process is running
         self.alive = True
         self.engine = Engine(
-            target_id=target_id, checks=checks, note=record.orders.append
+            target_id=target_id,
+            checks_fence=checks_fence,
+            on_order=record.orders.append,
         )
         self._record = record
         self._random = random_source
@@ -116,20 +118,20 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._cancelled: set[str] = set()
 
-    def begin_to_leave(self) -> None:
-        """Leave; from now on each answer says so."""
+    def start_draining(self) -> None:
+        """Begin to drain; each response reports it from now on."""
         self.leaving = True
         now = asyncio.get_running_loop().time()
         self._record.leaving.setdefault(self.target_id, now)
 
-    def die(self) -> None:
-        """End its process; what runs there is cut."""
+    def kill(self) -> None:
+        """Kill the process, which aborts the calls it runs."""
         self.alive = False
         for task in self._tasks.values():
             task.cancel()
 
     def describe_load(self) -> bytes:
-        """Return the answer to ``GET /load``."""
+        """Return the response body of ``GET /load``."""
         report = {
             "in_flight": self._running,
             "queued": self._waiting,
@@ -140,7 +142,7 @@
         return json.dumps(report).encode()
 
     def cancel(self, attempt: str) -> bool:
-        """Stop an attempt, also one that is yet to arrive."""
+        """Cancel an attempt, even one that has not arrived yet."""
         self._cancelled.add(attempt)
         task = self._tasks.get(attempt)
         return task is not None and task.cancel()
@@ -156,7 +158,7 @@
         self._record.arrivals.append((now, self.target_id))
         attempt = call["attempt"]
         if attempt in self._cancelled or self._waiting >= MAX_WAITING:
-            answer(503, _refuse(attempt), True)
+            answer(503, _create_rejection(attempt), True)
             return
         self._tasks[attempt] = asyncio.current_task()
         try:
@@ -179,8 +181,10 @@
     ) -> None:
         markers = sorted(find_markers(call["input"]))
         if len(markers) != 1:
-            self._record.mixed.append(f"{call['request']} {call['stage']}: {markers}")
-        run = Run(
+            self._record.mixed_inputs.append(
+                f"{call['request']} {call['stage']}: {markers}"
+            )
+        run = StageRun(
             attempt=call["attempt"],
             request=call["request"],
             stage=call["stage"],
@@ -190,7 +194,7 @@
         )
         self._record.runs.append(run)
         early, late = self._random.random(), self._random.random()
-        fails = self._random.random() < self.failing
+        fails = self._random.random() < self.failure_rate
         if fails and early < 0.5:
             answer(500, b"failed before its effect", True)
             return
@@ -200,19 +204,19 @@
             answer(500, b"failed after its effect", True)
             return
         if call["kind"] == "generate":
-            await self._write(run, call, answer, fails)
+            await self._generate(run, call, answer, fails)
         else:
             answer(200, _create_answer(call, {"marker": run.marker}), True)
         run.ended = asyncio.get_running_loop().time()
 
-    async def _write(
+    async def _generate(
         self,
-        run: Run,
+        run: StageRun,
         call: Mapping[str, Any],
         answer: Callable[[int, bytes, bool], None],
         fails: bool,
     ) -> None:
-        tokens = write_tokens(run.marker)
+        tokens = create_tokens(run.marker)
         if not call["stream"]:
             await asyncio.sleep(TOKEN_SECONDS * self.slowness * len(tokens))
             answer(200, _create_answer(call, "".join(tokens)), True)
@@ -223,7 +227,7 @@
             return
         for offset in range(start, len(tokens)):
             if fails and offset == len(tokens) // 2:
-                # the stream is cut half way
+                # the stream ends early, half way through
                 answer(200, b"", True)
                 return
             fields = {
@@ -233,7 +237,7 @@
             }
             answer(200, encode_event("token", fields), False)
             await asyncio.sleep(TOKEN_SECONDS * self.slowness)
-        answer(200, encode_event("end", _describe_end(call, tokens)), True)
+        answer(200, encode_event("end", _create_end_fields(call, tokens)), True)
 
 
 def _create_answer(call: Mapping[str, Any], output: Any) -> bytes:
@@ -247,7 +251,9 @@
     return json.dumps(fields).encode()
 
 
-def _describe_end(call: Mapping[str, Any], tokens: tuple[str, ...]) -> dict[str, Any]:
+def _create_end_fields(
+    call: Mapping[str, Any], tokens: tuple[str, ...]
+) -> dict[str, Any]:
     return {
         "attempt": call["attempt"],
         "request": call["request"],
@@ -258,6 +264,6 @@
     }
 
 
-def _refuse(attempt: str) -> bytes:
+def _create_rejection(attempt: str) -> bytes:
     fields = {"attempt": attempt, "not_run": True, "retry_after_ms": 100}
     return json.dumps(fields).encode()
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/peers.py
@@ -1,4 +1,4 @@
-"""Links between the entry instances of a bench, with the real failure detector."""
+"""Simulated peer links between entry instances, with the real failure detector."""
 
 from __future__ import annotations
 
@@ -38,32 +38,32 @@
     from .network import Network
     from .processes import SimulatedProcess
 
-__all__ = ("Exchange", "SimulatedPeers")
+__all__ = ("LinkRegistry", "SimulatedPeers")
 
-#: seconds between two looks at the links
-TICK = 0.5
+#: seconds between two checks of the links
+CHECK_INTERVAL = 0.5
 
 
 @dataclass(slots=True, eq=False)
 class _Link:
-    """A connection of two instances, as TCP keeps it: bytes wait while it is cut."""
+    """A connection of two instances; as in TCP, frames wait during a partition."""
 
     ends: tuple[SimulatedPeers, SimulatedPeers]
-    #: whether something between the ends has lost track of it
+    #: whether it drops all frames, as after a middlebox has lost its state
     silent: bool = False
     open: bool = True
-    #: loop time at which each end last heard of the other
-    heard: dict[str, float] = field(default_factory=dict)
-    #: frames by receiver that could not be handed over yet
-    waiting: dict[str, list[bytes]] = field(default_factory=dict)
+    #: loop time at which each end last received from the other
+    last_received: dict[str, float] = field(default_factory=dict)
+    #: undelivered frames by receiver
+    undelivered: dict[str, list[bytes]] = field(default_factory=dict)
     pipes: dict[str, Pipe] = field(default_factory=lambda: defaultdict(Pipe))
 
     def get_other(self, end: SimulatedPeers) -> SimulatedPeers:
         return self.ends[1] if self.ends[0] is end else self.ends[0]
 
 
-class Exchange:
-    """All instances by address, and the links between them."""
+class LinkRegistry:
+    """Registry of instances by address, and of the links between them."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
@@ -71,17 +71,17 @@
         self._links: dict[frozenset[str], _Link] = {}
 
     def join(self, address: str, peers: SimulatedPeers) -> None:
-        """Add an instance that listens at ``address``."""
+        """Register an instance that listens at ``address``."""
         self._peers[address] = peers
 
     def silence(self, instance_id: str) -> None:
-        """Have all open links of an instance go silent for good."""
+        """Drop all further traffic on an instance's open links."""
         for names, link in self._links.items():
             if instance_id in names:
                 link.silent = True
 
     def reset(self, instance_id: str) -> None:
-        """Close all links of a process that has ended, as its system does."""
+        """Close all links, as the operating system does for a dead process."""
         for names, link in list(self._links.items()):
             if instance_id in names:
                 self.close(link)
@@ -91,61 +91,67 @@
         return self._links.get(frozenset((one, other)))
 
     def dial(self, caller: SimulatedPeers, address: str) -> _Link | None:
-        """Open a link; ``None`` if nobody answers at the address."""
-        called = self._peers.get(address)
-        if called is None or not called.accepting or not self._connects(caller, called):
+        """Open a link or return the existing one; ``None`` if it cannot be opened."""
+        callee = self._peers.get(address)
+        if (
+            callee is None
+            or not callee.accepting
+            or not self._can_connect(caller, callee)
+        ):
             return None
-        names = frozenset((caller.instance_id, called.instance_id))
-        held = self._links.get(names)
-        if held is not None:
-            return held
-        link = _Link((caller, called))
+        names = frozenset((caller.instance_id, callee.instance_id))
+        existing = self._links.get(names)
+        if existing is not None:
+            return existing
+        link = _Link((caller, callee))
         now = asyncio.get_running_loop().time()
         self._links[names] = link
         for end in link.ends:
-            link.heard[end.instance_id] = now
-            end.process.deliver(end.note_open, link.get_other(end))
+            link.last_received[end.instance_id] = now
+            end.process.deliver(end.handle_link_open, link.get_other(end))
         return link
 
     def close(self, link: _Link) -> None:
-        """Close a link; an end that can be reached is told."""
+        """Close a link and notify both ends."""
         if not link.open:
             return
         link.open = False
         names = frozenset(end.instance_id for end in link.ends)
         self._links.pop(names, None)
         for end in link.ends:
-            end.process.deliver(end.note_closed, link, link.get_other(end).instance_id)
+            end.process.deliver(
+                end.handle_link_closed, link, link.get_other(end).instance_id
+            )
 
     def carry(self, link: _Link, sender: SimulatedPeers, frame: bytes) -> None:
-        """Hand a frame over, or keep it until the link carries again."""
+        """Send a frame, or queue it while the receiver is unreachable."""
         receiver = link.get_other(sender)
-        if not self._carries(link, sender, receiver):
-            link.waiting.setdefault(receiver.instance_id, []).append(frame)
+        if not self._can_deliver(link, sender, receiver):
+            link.undelivered.setdefault(receiver.instance_id, []).append(frame)
             return
         latency = self.network.draw_latency(sender.place, receiver.place)
         pipe = link.pipes[receiver.instance_id]
         pipe.carry(latency, self._arrive, link, receiver, frame)
 
-    def tend(self, end: SimulatedPeers) -> list[_Link]:
-        """Note what one end hears on its links, and return its open ones."""
+    def check_links(self, end: SimulatedPeers) -> list[_Link]:
+        """Update an end's links, deliver frames queued for it, and return the links."""
         now = asyncio.get_running_loop().time()
         own = [link for link in self._links.values() if end in link.ends]
         for link in own:
             other = link.get_other(end)
-            if other.process.running and self._carries(link, other, end):
-                link.heard[end.instance_id] = now
-                for frame in link.waiting.pop(end.instance_id, ()):
+            if other.process.running and self._can_deliver(link, other, end):
+                link.last_received[end.instance_id] = now
+                for frame in link.undelivered.pop(end.instance_id, ()):
                     end.process.deliver(end.receive, link, frame)
         return own
 
-    def _connects(self, one: SimulatedPeers, other: SimulatedPeers) -> bool:
+    def _can_connect(self, one: SimulatedPeers, other: SimulatedPeers) -> bool:
         both_ways = self.network.reaches(one.place, other.place) and (
             self.network.reaches(other.place, one.place)
         )
         return both_ways and other.process.running
 
-    def _carries(
+    def _can_deliver(
         self, link: _Link, sender: SimulatedPeers, receiver: SimulatedPeers
     ) -> bool:
         return not link.silent and self.network.reaches(sender.place, receiver.place)
@@ -156,14 +162,14 @@
 
 
 class SimulatedPeers(Controller, PeerNetwork):
-    """One instance's end of an :class:`Exchange`, in the place of ``PeerHub``."""
+    """One instance's side of an :class:`LinkRegistry`; replaces ``PeerHub``."""
 
     name = "peers"
 
     def __init__(
         self,
         *,
-        exchange: Exchange,
+        links: LinkRegistry,
         process: SimulatedProcess,
         place: str,
         clock: Clock,
@@ -177,12 +183,12 @@
         self.place = place
         self.accepting = False
         self.port = 0
-        self._exchange = exchange
+        self._links = links
         self._address: str = settings["peers.listen"]
         self._silence: float = settings["peers.silence"]
         self._handlers: dict[type[Message], MessageHandler] = {}
-        self._questions: dict[int, tuple[_Link, asyncio.Future[Any]]] = {}
-        self._numbers = itertools.count(1)
+        self._pending_calls: dict[int, tuple[_Link, asyncio.Future[Any]]] = {}
+        self._call_ids = itertools.count(1)
         self._last_tick = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
         self._membership = MembershipController(
@@ -206,7 +212,7 @@
         link = self._find_link(instance_id)
         if link is None:
             return False
-        self._exchange.carry(link, self, encode(Envelope(message)))
+        self._links.carry(link, self, encode(Envelope(message)))
         return True
 
     async def ask(
@@ -215,10 +221,10 @@
         link = self._find_link(instance_id)
         if link is None:
             return Err(PeerError(PeerErrorKind.NOT_SENT, f"no link to {instance_id}"))
-        number = next(self._numbers)
+        call_id = next(self._call_ids)
         answer: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._questions[number] = (link, answer)
-        self._exchange.carry(link, self, encode(Envelope(message, call_id=number)))
+        self._pending_calls[call_id] = (link, answer)
+        self._links.carry(link, self, encode(Envelope(message, call_id=call_id)))
         try:
             async with asyncio.timeout(timeout):
                 reply = await answer
@@ -229,7 +235,7 @@
                 PeerError(PeerErrorKind.NO_ANSWER, "the link closed", disconnected=True)
             )
         finally:
-            del self._questions[number]
+            del self._pending_calls[call_id]
         if isinstance(reply, NotUnderstood):
             return Err(PeerError(PeerErrorKind.REFUSED, "not understood"))
         if isinstance(reply, Unanswered):
@@ -246,32 +252,32 @@
         return self._membership.dump()
 
     async def on_start(self) -> None:
-        self._exchange.join(self._address, self)
+        self._links.join(self._address, self)
         self.accepting = True
 
     async def on_stop(self) -> None:
         self.accepting = False
-        self._exchange.reset(self.instance_id)
+        self._links.reset(self.instance_id)
 
     @Service.task
-    async def _tend_forever(self) -> None:
+    async def _check_links_forever(self) -> None:
         loop = asyncio.get_running_loop()
         while not self.should_stop:
             now = loop.time()
-            paused = now - self._last_tick > 2 * TICK
+            paused = now - self._last_tick > 2 * CHECK_INTERVAL
             self._last_tick = now
-            for link in self._exchange.tend(self):
-                # after a pause what was sent meanwhile is yet to be read
-                silent = now - link.heard[self.instance_id] > self._silence
+            for link in self._links.check_links(self):
+                # after a pause, frames sent in the meantime are still unread
+                silent = now - link.last_received[self.instance_id] > self._silence
                 if silent and not paused:
-                    self._exchange.close(link)
+                    self._links.close(link)
             for instance_id in self._membership.list_neighbours():
                 self._find_link(instance_id)
-            await self.sleep(TICK)
+            await self.sleep(CHECK_INTERVAL)
 
-    def note_open(self, other: SimulatedPeers) -> None:
-        """Take note of a new link, on which each end has told who it is."""
-        hello = other.describe()
+    def handle_link_open(self, other: SimulatedPeers) -> None:
+        """Register the peer of a new link, after the exchange of hello messages."""
+        hello = other.create_hello()
         identity = Identity(
             instance_id=hello.instance_id,
             data_centre=hello.data_centre,
@@ -280,22 +286,22 @@
         )
         self._membership.register_peer(identity, leaving=hello.leaving)
 
-    def describe(self) -> Any:
-        """Return what this instance says of itself."""
+    def create_hello(self) -> Any:
+        """Return this instance's hello message."""
         return self._membership.create_hello()
 
-    def note_closed(self, link: _Link, instance_id: str) -> None:
-        """Take note that a link was closed."""
-        for used, answer in self._questions.values():
+    def handle_link_closed(self, link: _Link, instance_id: str) -> None:
+        """Fail pending calls on a closed link and report its loss."""
+        for used, answer in self._pending_calls.values():
             if used is link and not answer.done():
                 answer.set_exception(ConnectionResetError())
         self._membership.handle_link_loss(instance_id)
 
     def receive(self, link: _Link, frame: bytes) -> None:
-        """Take in a frame."""
+        """Process a received frame."""
         envelope = decode(frame).unwrap()
         if envelope.reply_to:
-            used, answer = self._questions.get(envelope.reply_to, (None, None))
+            used, answer = self._pending_calls.get(envelope.reply_to, (None, None))
             if used is link and not answer.done():
                 answer.set_result(envelope.message)
             return
@@ -311,18 +317,16 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _finish(self, link: _Link, question: int, pending: Any) -> None:
-        self._answer(link, question, await pending or Unanswered())
+    async def _finish(self, link: _Link, call_id: int, pending: Any) -> None:
+        self._answer(link, call_id, await pending or Unanswered())
 
-    def _answer(self, link: _Link, question: int, message: Message) -> None:
-        if question and link.open:
-            self._exchange.carry(
-                link, self, encode(Envelope(message, reply_to=question))
-            )
+    def _answer(self, link: _Link, call_id: int, message: Message) -> None:
+        if call_id and link.open:
+            self._links.carry(link, self, encode(Envelope(message, reply_to=call_id)))
 
     def _find_link(self, instance_id: str) -> _Link | None:
-        link = self._exchange.find(self.instance_id, instance_id)
+        link = self._links.find(self.instance_id, instance_id)
         if link is not None:
             return link
         address = self._membership.find_address(instance_id)
-        return self._exchange.dial(self, address) if address else None
+        return self._links.dial(self, address) if address else None
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/run.py
@@ -1,4 +1,4 @@
-"""Runs one cell of the matrix and collects what it left behind."""
+"""Runs one cell of the matrix and collects its records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,6 @@
 
 from ..waiting import wait_until
 from .bench import NORTH, PLACES, PLACES_WITH_SPARE, Bench
-from .callers import Wish
 from .cells import (
     CHANGE_STEPS,
     LEASED_STEPS,
@@ -24,14 +23,20 @@
     STOP_STEPS,
     TAKEOVER_STEPS,
 )
-from .checker import Breach, check
-from .collecting import collect
+from .checker import Violation, check
+from .clients import ClientRequest
+from .collecting import create_run_record
 from .faults import BURST_MARKER, FAULTS
 from .objects import BOOKING, WORKSPACE, create_engines, create_placement
 from .processes import close_loop, create_loop
 from .sessions import ORDERS
 from .steps import Step
-from .traffic import SETTLING, conclude, send_pulse, warm_up
+from .traffic import (
+    RECOVERY_SECONDS,
+    send_background_requests,
+    verify_recovery,
+    warm_up,
+)
 
 if TYPE_CHECKING:
     from .cells import Cell
@@ -43,28 +48,28 @@
 
 PROBE = "probe"
 PROBE_CHANGE = "change-probe"
-#: seconds for which a fault lasts
-LASTING = 6.0
-#: seconds after a fault in which no instance lost sight of another one
-SETTLING_TOGETHER = 6.0
-#: seconds of a pause that a lease outlasts
+#: duration of a fault, in seconds
+FAULT_SECONDS = 6.0
+#: seconds of recovery after a fault that makes no instance unreachable to others
+SHORT_RECOVERY_SECONDS = 6.0
+#: duration in seconds of a pause that is shorter than a lease
 SHORT_PAUSE = 2.0
 PAUSE = "process paused"
-#: seconds after a fault until engines hold what they are to hold: a lease lapses,
-#: the next holder gets it and waits out the former one's orders
-SETTLING_ORDERS = 22.0
-#: seconds until engines hold their first model
-PLACING_LIMIT = 40.0
-#: change by which engines get their first model, and the models
+#: seconds after a fault within which engines must hold the requested models: the
+#: lease expires, and its next holder waits until the former one's orders are done
+ORDERS_RECOVERY_SECONDS = 22.0
+#: seconds within which engines must hold their first model
+PLACEMENT_TIMEOUT = 40.0
+#: id of the change that places the first model, and the models
 PLACED = "placed"
 FIRST_MODEL = "model-1"
 SECOND_MODEL = "model-2"
 NORTHERN_ENGINES = f"{ORDERS}/{NORTH}"
-#: seconds from the fault's beginning at which other requests come
-PULSES = (0.0, 0.4, 1.5, 3.0, 5.0)
-#: factor by which replies are slower while an instance stops
+#: offsets in seconds at which background requests are sent
+TRAFFIC_OFFSETS = (0.0, 0.4, 1.5, 3.0, 5.0)
+#: factor by which replies take longer while an instance stops
 SLOW_REPLY = 30.0
-#: claim shards; see the settings of the bench's instances
+#: number of claim shards; must equal ``claims.shards`` in the instances' settings
 SHARDS = 4
 
 
@@ -74,39 +79,43 @@
 
     cell: Cell
     seed: int
-    breaches: tuple[Breach, ...]
-    #: when the fault began and ended
-    lasting: tuple[float, float]
-    #: why the fault did not come about; empty if it did
-    missing: str
+    violations: tuple[Violation, ...]
+    #: times at which the fault was injected and removed
+    fault_interval: tuple[float, float]
+    #: why the fault was not injected; empty if it was
+    not_injected: str
     record: RunRecord
 
-    def count_attained(self) -> tuple[int, int]:
-        """Return how many requests came while the fault lasted, and got a result.
+    def count_in_time(self) -> tuple[int, int]:
+        """Return the number of requests sent during the fault, and of those in time.
 
-        A request that was asked again counts once; bursts are left out.
+        A retried request counts once; those of bursts are excluded.
         """
-        begun, healed = self.lasting
-        wished: dict[str, bool] = {}
-        for ask in self.record.asks:
-            if not begun <= ask.sent <= healed or ask.marker.startswith(BURST_MARKER):
+        begun, fault_ended = self.fault_interval
+        outcomes: dict[str, bool] = {}
+        for attempt in self.record.attempts:
+            if not begun <= attempt.sent <= fault_ended or attempt.marker.startswith(
+                BURST_MARKER
+            ):
                 continue
-            attained = ask.result is not None and ask.answered <= ask.deadline
-            wished[ask.marker] = wished.get(ask.marker, False) or attained
-        return len(wished), sum(wished.values())
+            in_time = (
+                attempt.result is not None and attempt.answered <= attempt.deadline
+            )
+            outcomes[attempt.marker] = outcomes.get(attempt.marker, False) or in_time
+        return len(outcomes), sum(outcomes.values())
 
 
 @dataclass(slots=True)
 class _Timing:
-    """When the fault began and ended, and who stood still."""
+    """Times of the fault, and the instances' pauses."""
 
     began: float = 0.0
-    healed: float = 0.0
+    fault_ended: float = 0.0
     pauses: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
 
 def run_cell(cell: Cell, seed: int) -> CellResult:
-    """Run a cell in a loop of its own."""
+    """Run a cell in a new event loop."""
     loop = create_loop()
     runner = _CellRunner(cell, seed)
     try:
@@ -123,40 +132,40 @@
         self._seed = seed
         self._timing = _Timing()
         self._fault_over = asyncio.Event()
-        self._begun = False
+        self._injected = False
 
     async def run(self) -> CellResult:
-        """Play the cell from the start of all instances to the checks."""
+        """Run the cell from the start of all instances to the checks."""
         bench = self.bench = self._create_bench()
         await bench.start()
         await warm_up(bench)
         if self._cell.step in LEASED_STEPS:
             await self._prepare_engines()
-        self._arm()
-        self._provoke()
-        await self._play()
-        await conclude(bench, self._timing.healed, self._settling)
-        record = collect(
+        self._schedule_fault()
+        self._start_operation()
+        await self._generate_traffic()
+        await verify_recovery(bench, self._timing.fault_ended, self._recovery_seconds)
+        record = create_run_record(
             bench,
-            healed=self._timing.healed,
+            fault_ended=self._timing.fault_ended,
             pauses=self._timing.pauses,
-            wanted=self._find_wanted(),
+            expected_model=self._find_expected_model(),
         )
-        missing = "" if self._begun else "the step was not reached"
+        not_injected = "" if self._injected else "the step was not reached"
         return CellResult(
             cell=self._cell,
             seed=self._seed,
-            breaches=tuple(check(record)),
-            lasting=(self._timing.began, self._timing.healed),
-            missing=missing,
+            violations=tuple(check(record)),
+            fault_interval=(self._timing.began, self._timing.fault_ended),
+            not_injected=not_injected,
             record=record,
         )
 
     def _create_bench(self) -> Bench:
-        # one is left where the holder of a role and whoever follows it are lost
+        # one instance must remain if both the holder of a role and its successor fail
         spare = self._cell.step in (Step.CONFIGURATION_WATCHER, Step.ORDER_LEASE)
-        # half of the cells have engines of either kind, and the other half with the
-        # next seed
+        # engines check fencing tokens in half of the cells, and in the other half
+        # with the next seed
         number = zlib.crc32(str(self._cell).encode()) + self._seed
         return Bench(
             self._seed,
@@ -165,25 +174,27 @@
         )
 
     async def _prepare_engines(self) -> None:
-        """Have the engines hold a first model, unless the lease is yet to be got."""
+        """Place a first model on the engines, unless the step acquires the lease."""
         bench = self.bench
         if self._cell.step is Step.LEASE_HELD:
             return
-        await bench.operate(bench.instances[0], PLACED, self._place(FIRST_MODEL))
+        await bench.operate(
+            bench.instances[0], PLACED, self._create_placement_objects(FIRST_MODEL)
+        )
         engines = [one.engine for one in bench.targets.values() if one.service == "llm"]
         await wait_until(
             lambda: all(engine.models == (FIRST_MODEL,) for engine in engines),
-            timeout=PLACING_LIMIT,
+            timeout=PLACEMENT_TIMEOUT,
             what="first orders",
         )
         bench.announcer.forget(NORTHERN_ENGINES)
 
-    def _place(self, model: str) -> tuple[Any, ...]:
+    def _create_placement_objects(self, model: str) -> tuple[Any, ...]:
         service = create_engines(checks=self.bench.engines_check)
         return service, create_placement(model)
 
-    def _find_wanted(self) -> str:
-        """Return the model that the configuration in force names."""
+    def _find_expected_model(self) -> str:
+        """Return the model that the configuration in force places on engines."""
         in_force = [one.list_changes() for one in self.bench.instances if one.alive]
         if any(PROBE_CHANGE in changes for changes in in_force):
             return SECOND_MODEL if self._cell.step in LEASED_STEPS else ""
@@ -191,25 +202,27 @@
             return FIRST_MODEL
         return ""
 
-    def _arm(self) -> None:
+    def _schedule_fault(self) -> None:
         step = self._cell.step
         announcer = self.bench.announcer
         if step is Step.CONFIGURATION_WATCHER:
-            # the watcher is lost as there is something new to be seen
-            announcer.await_step(Step.HEAD_SWAPPED, PROBE_CHANGE, self._begin)
+            # the watcher is killed when there is a new head to read
+            announcer.add_listener(Step.HEAD_SWAPPED, PROBE_CHANGE, self._inject_faults)
             return
         if step is Step.ORDER_LEASE:
-            announcer.await_step(Step.ORDER_SENT, NORTHERN_ENGINES, self._begin)
+            announcer.add_listener(
+                Step.ORDER_SENT, NORTHERN_ENGINES, self._inject_faults
+            )
             return
         subject = PROBE
         if step in CHANGE_STEPS:
             subject = PROBE_CHANGE
         elif step in LEASED_STEPS:
             subject = NORTHERN_ENGINES
-        announcer.await_step(step, subject, self._begin)
+        announcer.add_listener(step, subject, self._inject_faults)
 
-    def _provoke(self) -> None:
-        """Set in motion what comes to the step."""
+    def _start_operation(self) -> None:
+        """Start the operation that reaches the step."""
         bench = self.bench
         first, second, third = bench.instances[:3]
         step = self._cell.step
@@ -221,40 +234,42 @@
             spare = next(one for one in bench.instances if not _is_watcher(one))
             bench.submit(spare, PROBE_CHANGE, {"by": PROBE_CHANGE})
         elif step in LEASED_STEPS:
-            bench.submit_objects(third, PROBE_CHANGE, self._place(SECOND_MODEL))
+            bench.submit_objects(
+                third, PROBE_CHANGE, self._create_placement_objects(SECOND_MODEL)
+            )
         else:
             bench.submit(first, PROBE_CHANGE, {"by": PROBE_CHANGE})
         if step in STOP_STEPS:
             self._slow_replies()
             first.stop()
-            self._await_stop(first)
+            self._announce_stop_step(first)
 
     def _slow_replies(self) -> None:
-        """Have replies take so long that one is still in flight when a stop ends."""
+        """Slow replies down so that one is still in flight as the stop ends."""
         for target in self.bench.targets.values():
             if target.service == "llm":
                 target.slowness = SLOW_REPLY
 
     def _send_probe(self, first: ServingInstance, second: ServingInstance) -> None:
-        """Send the watched request; its claim is written by the second instance."""
+        """Send the probe, whose claim is written by the second instance."""
         bench = self.bench
         third = next(one for one in bench.instances if one not in (first, second))
-        wish = Wish(marker=PROBE, pipeline=BOOKING, keyed=True)
+        request = ClientRequest(marker=PROBE, pipeline=BOOKING, keyed=True)
         names = [one.name for one in bench.instances]
-        # the writer of a key depends on the key alone: take one that suits
+        # the claim writer depends on the key alone: try keys until it is the second
         suffix = 0
         while True:
-            key = create_key(WORKSPACE, wish.pipeline, wish.key)
+            key = create_key(WORKSPACE, request.pipeline, request.key)
             ranked = rank_instances(name_head(choose_shard(key, SHARDS)), names)
             if ranked[0] == second.name or suffix > 64:
                 break
             suffix += 1
-            wish = Wish(
+            request = ClientRequest(
                 marker=PROBE, pipeline=BOOKING, keyed=True, key_suffix=str(suffix)
             )
-        bench.call(wish, first, second, third)
+        bench.call(request, first, second, third)
 
-    def _await_stop(self, instance: ServingInstance) -> None:
+    def _announce_stop_step(self, instance: ServingInstance) -> None:
         async def watch() -> None:
             drain = instance.parts.drain
             wanted = self._cell.step.value
@@ -263,26 +278,26 @@
 
         self.bench.spawn(watch())
 
-    def _begin(self, process: SimulatedProcess) -> None:
-        """Bring the faults about, and plan their end."""
+    def _inject_faults(self, process: SimulatedProcess) -> None:
+        """Inject the faults and schedule their removal."""
         bench = self.bench
         loop = asyncio.get_running_loop()
         subject = bench.find(process.name)
         if self._cell.step in REQUEST_STEPS:
             subject = bench.instances[0]
         elif self._cell.step in TAKEOVER_STEPS:
-            subject = self._take_over(subject)
-        self._begun = True
+            subject = self._kill_role_holder(subject)
+        self._injected = True
         self._timing.began = loop.time()
         for name in self._cell.faults:
-            FAULTS[name].begin(bench, subject)
+            FAULTS[name].inject(bench, subject)
         if not subject.process.running and not subject.process.killed:
-            pause = (loop.time(), loop.time() + self._lasting)
+            pause = (loop.time(), loop.time() + self._fault_seconds)
             self._timing.pauses[subject.name] = [pause]
-        bench.spawn(self._heal(subject))
+        bench.spawn(self._remove_faults(subject))
 
-    def _take_over(self, announced: ServingInstance) -> ServingInstance:
-        """Kill who has the role, and return whom the fault is to hit on top."""
+    def _kill_role_holder(self, announced: ServingInstance) -> ServingInstance:
+        """Kill the holder of the role and return the instance that gets the fault."""
         bench = self.bench
         holder = announced
         if self._cell.step is Step.CONFIGURATION_WATCHER:
@@ -290,55 +305,57 @@
         holder.kill()
         if self._cell.step is not Step.CLAIM_WRITER:
             return next(one for one in bench.instances if _is_successor(one, holder))
-        # the instance that waits for the lost one's word
+        # the instance that waits for a response of the killed one
         return bench.instances[2]
 
     @property
-    def _settling(self) -> float:
+    def _recovery_seconds(self) -> float:
         if self._cell.step in LEASED_STEPS:
-            return SETTLING_ORDERS
-        parting = any(FAULTS[name].parting for name in self._cell.faults)
+            return ORDERS_RECOVERY_SECONDS
+        affects_membership = any(
+            FAULTS[name].affects_membership for name in self._cell.faults
+        )
         if (
-            parting
+            affects_membership
             or self._cell.step in TAKEOVER_STEPS
             or self._cell.step in STOP_STEPS
         ):
-            return SETTLING
-        return SETTLING_TOGETHER
+            return RECOVERY_SECONDS
+        return SHORT_RECOVERY_SECONDS
 
     @property
-    def _lasting(self) -> float:
+    def _fault_seconds(self) -> float:
         if self._cell.step in LEASED_STEPS and PAUSE in self._cell.faults:
             return SHORT_PAUSE
-        return LASTING
+        return FAULT_SECONDS
 
-    async def _heal(self, subject: ServingInstance) -> None:
-        await asyncio.sleep(self._lasting)
+    async def _remove_faults(self, subject: ServingInstance) -> None:
+        await asyncio.sleep(self._fault_seconds)
         for name in self._cell.faults:
-            FAULTS[name].end(self.bench, subject)
-        self._timing.healed = asyncio.get_running_loop().time()
+            FAULTS[name].remove(self.bench, subject)
+        self._timing.fault_ended = asyncio.get_running_loop().time()
         self._fault_over.set()
 
-    async def _play(self) -> None:
-        """Send other requests and make a change while the fault lasts."""
+    async def _generate_traffic(self) -> None:
+        """Send background requests and make a change while the fault lasts."""
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        for number, offset in enumerate(PULSES):
+        for number, offset in enumerate(TRAFFIC_OFFSETS):
             await asyncio.sleep(max(0.0, begun + offset - loop.time()))
-            send_pulse(self.bench, number)
+            send_background_requests(self.bench, number)
             if number == 1:
                 self._begin_to_leave()
             if number == 2:
                 self._make_change()
         try:
-            async with asyncio.timeout(LASTING * 2):
+            async with asyncio.timeout(FAULT_SECONDS * 2):
                 await self._fault_over.wait()
         except TimeoutError:
-            self._timing.healed = loop.time()
+            self._timing.fault_ended = loop.time()
 
     def _begin_to_leave(self) -> None:
         leaving = next(iter(self.bench.targets.values()))
-        leaving.begin_to_leave()
+        leaving.start_draining()
         self.bench.list_target(leaving)
 
     def _make_change(self) -> None:
@@ -349,11 +366,11 @@
 
 
 def _is_watcher(instance: ServingInstance) -> bool:
-    """Whether an instance watches the configuration in the store."""
+    """Whether an instance watches the configuration head in the store."""
     watching: bool = instance.controllers["configuration"].dump()["watching"]
     return watching
 
 
 def _is_successor(instance: ServingInstance, lost: ServingInstance) -> bool:
-    """Whether an instance watches beside, or soon instead of, the lost one."""
+    """Whether an instance can take over the role of the lost one."""
     return instance is not lost and instance.data_centre == lost.data_centre
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/table.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/table.py
@@ -1,4 +1,4 @@
-"""Runs many cells and shows what became of them."""
+"""Runs many cells and formats their outcomes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import Any
 
-from .cells import COLUMNS, REQUEST_STEPS, Cell, find_excuse
+from .cells import COLUMNS, REQUEST_STEPS, Cell, find_exclusion_reason
 from .faults import FAULTS
 from .run import run_cell
 
@@ -26,136 +26,142 @@
     "run_cells",
 )
 
-#: seconds after which a cell counts as hanging; it takes about half a second
-HANGING = 60
-#: cells that one worker is given at a time
-CHUNK = 4
+#: seconds until a cell is aborted as hanging; a cell takes about half a second
+CELL_TIMEOUT = 60
+#: cells sent to a worker process at a time
+CHUNK_SIZE = 4
 
 
 class Outcome(Enum):
-    """What became of a cell."""
+    """The outcome of a cell."""
 
     HELD = "held"
     FAILED = "failed"
-    #: the fault did not come about
+    #: the step was not reached, so that no fault was injected
     NOT_RUN = "not run"
-    EXCUSED = "excused"
+    #: the combination cannot occur
+    EXCLUDED = "excused"
 
 
-#: the order in which outcomes of one cell under several seeds count
-RANKS = (Outcome.FAILED, Outcome.NOT_RUN, Outcome.HELD)
+#: precedence of outcomes when a cell runs with several seeds, worst first
+OUTCOME_PRECEDENCE = (Outcome.FAILED, Outcome.NOT_RUN, Outcome.HELD)
 
 
 class HangingError(SystemExit):
-    """A cell did not end; as no ``Exception``, so that no task can swallow it."""
+    """A cell did not end; no ``Exception``, so that no task can suppress it."""
 
 
 @dataclass(slots=True)
 class CellSummary:
-    """Outcome of one cell over all its seeds, with the reasons."""
+    """Outcome of one cell over all its seeds, with violations or errors."""
 
     cell: Cell
     outcome: Outcome
     reasons: list[str] = field(default_factory=list)
-    #: requests that came while the faults lasted, and those of them with a result
-    asked: int = 0
-    attained: int = 0
+    #: requests sent while the faults lasted, and those answered before the deadline
+    request_count: int = 0
+    in_time: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class _Found:
+class _RunOutcome:
     """Outcome of one run of a cell."""
 
     outcome: Outcome
     reasons: list[str] = field(default_factory=list)
-    asked: int = 0
-    attained: int = 0
+    request_count: int = 0
+    in_time: int = 0
 
 
 def run_cells(
     cells: Sequence[Cell], seeds: Sequence[int], *, workers: int
 ) -> list[CellSummary]:
-    """Run each cell with each seed, unless it is excused."""
-    summaries = [_begin(cell) for cell in cells]
-    due = [
+    """Run each cell with each seed, except for cells that cannot occur."""
+    summaries = [_create_summary(cell) for cell in cells]
+    pending = [
         (summary.cell, seed)
         for summary in summaries
         for seed in seeds
         if summary.outcome is Outcome.HELD
     ]
-    places = dict(zip(cells, summaries, strict=True))
+    summaries_by_cell = dict(zip(cells, summaries, strict=True))
     with ProcessPoolExecutor(workers) as executor:
         for (cell, _), found in zip(
-            due, executor.map(_run, due, chunksize=CHUNK), strict=True
+            pending, executor.map(_run, pending, chunksize=CHUNK_SIZE), strict=True
         ):
-            _merge(places[cell], found)
+            _update_summary(summaries_by_cell[cell], found)
     return summaries
 
 
-def _begin(cell: Cell) -> CellSummary:
-    excuse = find_excuse(cell)
-    if excuse:
-        return CellSummary(cell, Outcome.EXCUSED, [excuse])
+def _create_summary(cell: Cell) -> CellSummary:
+    reason = find_exclusion_reason(cell)
+    if reason:
+        return CellSummary(cell, Outcome.EXCLUDED, [reason])
     return CellSummary(cell, Outcome.HELD)
 
 
-def _run(work: tuple[Cell, int]) -> _Found:
+def _run(work: tuple[Cell, int]) -> _RunOutcome:
     cell, seed = work
-    # what the parts complain of while faults last is meant to happen, and so is that
-    # a killed process leaves things undone
+    # errors logged while faults last are expected, and so are coroutines that a
+    # killed process never awaits
     logging.disable(logging.CRITICAL)
     warnings.filterwarnings("ignore", message="coroutine .* was never awaited")
     signal.signal(signal.SIGALRM, _interrupt)
-    signal.alarm(HANGING)
+    signal.alarm(CELL_TIMEOUT)
     try:
         result = run_cell(cell, seed)
     except HangingError:
-        return _Found(Outcome.FAILED, [f"seed {seed}: did not end in {HANGING} s"])
+        return _RunOutcome(
+            Outcome.FAILED, [f"seed {seed}: did not end within {CELL_TIMEOUT} s"]
+        )
     except Exception as error:
         reason = f"seed {seed}: {type(error).__name__}: {error}"
-        return _Found(Outcome.FAILED, [reason])
+        return _RunOutcome(Outcome.FAILED, [reason])
     finally:
         signal.alarm(0)
-    if result.missing:
-        return _Found(Outcome.NOT_RUN, [f"seed {seed}: {result.missing}"])
-    reasons = [f"seed {seed}: {one}" for one in result.breaches]
+    if result.not_injected:
+        return _RunOutcome(Outcome.NOT_RUN, [f"seed {seed}: {result.not_injected}"])
+    reasons = [f"seed {seed}: {one}" for one in result.violations]
     outcome = Outcome.FAILED if reasons else Outcome.HELD
-    return _Found(outcome, reasons, *result.count_attained())
+    return _RunOutcome(outcome, reasons, *result.count_in_time())
 
 
 def _interrupt(_number: int, _frame: Any) -> None:
     raise HangingError
 
 
-def _merge(summary: CellSummary, found: _Found) -> None:
-    summary.outcome = min(summary.outcome, found.outcome, key=RANKS.index)
+def _update_summary(summary: CellSummary, found: _RunOutcome) -> None:
+    summary.outcome = min(summary.outcome, found.outcome, key=OUTCOME_PRECEDENCE.index)
     summary.reasons.extend(found.reasons)
-    summary.asked += found.asked
-    summary.attained += found.attained
+    summary.request_count += found.request_count
+    summary.in_time += found.in_time
 
 
 def format_attainment(summaries: Iterable[CellSummary]) -> str:
-    """Return what each single fault cost requests that came while it lasted.
+    """Return the share of requests answered in time, for each single fault.
 
-    Only cells at the steps of a request count: a stop, say, is costly by itself.
+    Only cells at request steps count, as an operation such as a planned stop
+    lowers the share without any fault.
     """
-    asked: Counter[str] = Counter()
-    attained: Counter[str] = Counter()
+    request_count: Counter[str] = Counter()
+    in_time: Counter[str] = Counter()
     for summary in summaries:
         if len(summary.cell.faults) == 1 and summary.cell.step in REQUEST_STEPS:
-            asked[summary.cell.faults[0]] += summary.asked
-            attained[summary.cell.faults[0]] += summary.attained
+            request_count[summary.cell.faults[0]] += summary.request_count
+            in_time[summary.cell.faults[0]] += summary.in_time
     width = max(map(len, FAULTS)) + 2
-    lines = ["answered whole and in time, of what came while the fault lasted:"]
+    lines = [
+        "share of requests sent during the fault that got a result by their deadline:"
+    ]
     for fault in FAULTS:
-        if asked[fault]:
-            share = attained[fault] / asked[fault]
-            lines.append(f"  {fault:{width}}{share:7.1%} of {asked[fault]}")
+        if request_count[fault]:
+            share = in_time[fault] / request_count[fault]
+            lines.append(f"  {fault:{width}}{share:7.1%} of {request_count[fault]}")
     return "\n".join(lines)
 
 
 def format_table(summaries: Iterable[CellSummary]) -> str:
-    """Return the single faults as tables of faults by steps."""
+    """Return the outcomes of single faults as tables of faults by steps."""
     found = {
         (summary.cell.faults[0], summary.cell.step): summary
         for summary in summaries
@@ -175,7 +181,7 @@
 
 
 def format_json(summaries: Sequence[CellSummary], seeds: Sequence[int]) -> str:
-    """Return counts and reasons as one line of JSON."""
+    """Return the number of cells by outcome and the reasons as one line of JSON."""
     counts = Counter(summary.outcome for summary in summaries)
     reasons: dict[str, dict[str, list[str]]] = {}
     for summary in summaries:
@@ -184,13 +190,13 @@
             kind[str(summary.cell)] = summary.reasons
     excuses: dict[str, int] = Counter()
     for summary in summaries:
-        if summary.outcome is Outcome.EXCUSED:
+        if summary.outcome is Outcome.EXCLUDED:
             excuses[summary.reasons[0]] += 1
     fields = {
         "held": counts[Outcome.HELD],
         "failed": counts[Outcome.FAILED],
         "not_run": counts[Outcome.NOT_RUN],
-        "excused": counts[Outcome.EXCUSED],
+        "excused": counts[Outcome.EXCLUDED],
         "seeds": list(seeds),
         "reasons": reasons | {"excused": excuses},
     }
--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/traffic.py
@@ -1,70 +1,74 @@
-"""The requests that every run makes beside the one that is watched."""
+"""Background requests of every run, besides the probe."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import TYPE_CHECKING
 
-from .callers import Wish
+from .clients import ClientRequest
 from .objects import BOOKING
 
 if TYPE_CHECKING:
     from .bench import Bench
 
-__all__ = ("SETTLING", "conclude", "send_pulse", "warm_up")
+__all__ = ("RECOVERY_SECONDS", "send_background_requests", "verify_recovery", "warm_up")
 
-#: seconds from the first configuration in force to the first requests
-WARMING = 1.5
-#: seconds after the last fault until everything has to be as before
-SETTLING = 12.0
+#: seconds between the first configuration in force and the first requests
+WARM_UP_SECONDS = 1.5
+#: seconds after the end of the fault within which the fleet must have recovered
+RECOVERY_SECONDS = 12.0
 
 
 async def warm_up(bench: Bench) -> None:
-    """Have each instance use its connections once."""
-    await asyncio.sleep(WARMING)
+    """Send requests to each instance so that connections are established."""
+    await asyncio.sleep(WARM_UP_SECONDS)
     for number, instance in enumerate(bench.instances):
-        bench.call(Wish(marker=f"warm-{number}"), instance)
-        keyed = Wish(marker=f"warm-key-{number}", pipeline=BOOKING, keyed=True)
+        bench.call(ClientRequest(marker=f"warm-{number}"), instance)
+        keyed = ClientRequest(marker=f"warm-key-{number}", pipeline=BOOKING, keyed=True)
         bench.call(keyed, instance)
     await bench.finish()
     await asyncio.sleep(0.3)
 
 
-def send_pulse(bench: Bench, number: int) -> None:
-    """Send one request of each sort to each instance that listens."""
+def send_background_requests(bench: Bench, number: int) -> None:
+    """Send one request of each kind to each listening instance."""
     for place, instance in enumerate(bench.instances):
-        if not instance.front.listening:
+        if not instance.callers_server.listening:
             continue
         name = f"{number}-{place}"
-        bench.call(Wish(marker=f"draft-{name}"), instance)
-        book = Wish(marker=f"book-{name}", pipeline=BOOKING, stream=False)
+        bench.call(ClientRequest(marker=f"draft-{name}"), instance)
+        book = ClientRequest(marker=f"book-{name}", pipeline=BOOKING, stream=False)
         bench.call(book, instance)
         others = [one for one in bench.instances if one is not instance]
-        keyed = Wish(marker=f"keyed-{name}", pipeline=BOOKING, keyed=True)
+        keyed = ClientRequest(marker=f"keyed-{name}", pipeline=BOOKING, keyed=True)
         bench.call(keyed, instance, *others)
-    _send_twins(bench, number)
+    _send_concurrent_duplicates(bench, number)
 
 
-def _send_twins(bench: Bench, number: int) -> None:
-    """Send one keyed request through two instances at the same time."""
-    listening = [one for one in bench.instances if one.front.listening]
-    wish = Wish(marker=f"twin-{number}", pipeline=BOOKING, keyed=True, first=False)
+def _send_concurrent_duplicates(bench: Bench, number: int) -> None:
+    """Send a keyed request to two instances concurrently."""
+    listening = [one for one in bench.instances if one.callers_server.listening]
+    request = ClientRequest(
+        marker=f"twin-{number}", pipeline=BOOKING, keyed=True, marks_first_attempt=False
+    )
     for instance in bench.random.sample(listening, min(2, len(listening))):
-        bench.call(wish, instance)
+        bench.call(request, instance)
 
 
-async def conclude(bench: Bench, healed: float, settling: float = SETTLING) -> None:
-    """Wait until all is settled, and see that everything works again."""
+async def verify_recovery(
+    bench: Bench, fault_ended: float, recovery_seconds: float = RECOVERY_SECONDS
+) -> None:
+    """Wait for recovery, then send requests that must all succeed."""
     loop = asyncio.get_running_loop()
-    await asyncio.sleep(max(0.0, healed + settling - loop.time()))
+    await asyncio.sleep(max(0.0, fault_ended + recovery_seconds - loop.time()))
     for place, instance in enumerate(bench.instances):
-        if not instance.front.listening or instance.stopping:
+        if not instance.callers_server.listening or instance.stopping:
             continue
-        wishes = (
-            Wish(marker=f"last-draft-{place}"),
-            Wish(marker=f"last-keyed-{place}", pipeline=BOOKING, keyed=True),
+        requests = (
+            ClientRequest(marker=f"last-draft-{place}"),
+            ClientRequest(marker=f"last-keyed-{place}", pipeline=BOOKING, keyed=True),
         )
-        for wish in wishes:
-            bench.last.add(wish.marker)
-            bench.call(wish, instance)
+        for request in requests:
+            bench.must_succeed.add(request.marker)
+            bench.call(request, instance)
     await bench.finish()
--- a/tests/test_matrix/conftest.py
+++ b/tests/test_matrix/conftest.py
@@ -1,4 +1,4 @@
-"""Steps that the features of the matrix share."""
+"""Shared steps of the fault matrix's feature files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from greengagelatch_lab.matrix.run import run_cell
 from greengagelatch_lab.matrix.steps import Step
 
-#: seed of the cells in the usual run of the tests
+#: seed with which the tests run each cell
 SEED = 1
 
 
@@ -39,6 +39,6 @@
 
 
 @then("every promise is kept")
-def every_promise_is_kept(result):
-    assert not result.missing
-    assert not result.breaches, "\n".join(map(str, result.breaches))
+def check_guarantees(result):
+    assert not result.not_injected
+    assert not result.violations, "\n".join(map(str, result.violations))
--- a/tests/test_matrix/test_sensitivity.py
+++ b/tests/test_matrix/test_sensitivity.py
@@ -1,4 +1,4 @@
-"""Whether the matrix notices the loss of what it is there to prove."""
+"""Mutation tests: the matrix detects the removal of each safeguard."""
 
 from __future__ import annotations
 
@@ -14,83 +14,83 @@
 from greengagelatch.verdict import Verdict
 from greengagelatch_entry import stage_caller
 from greengagelatch_entry.filters.deduplication import DeduplicationFilter
+from greengagelatch_lab.matrix.callers_server import SimulatedCallersServer
 from greengagelatch_lab.matrix.cells import Cell
-from greengagelatch_lab.matrix.checker import Promise
-from greengagelatch_lab.matrix.front import Front
+from greengagelatch_lab.matrix.checker import Guarantee
 from greengagelatch_lab.matrix.run import run_cell
 from greengagelatch_lab.matrix.steps import Step
 
 
 @dataclass(frozen=True)
-class Loss:
-    """A guard that is taken out, and the cell that has to notice it."""
+class Mutation:
+    """A safeguard to disable, and the cell and violation that must detect it."""
 
     owner: Any
     name: str
     replacement: Any
     fault: str
     step: Step
-    promise: Promise
+    guarantee: Guarantee
 
 
-async def pass_unclaimed(self, exchange, proceed):
+async def skip_claim(self, exchange, proceed):
     return await proceed(exchange)
 
 
-async def wait_for_nothing(self, timeout):
+async def return_idle(self, timeout):
     return True
 
 
-LOSSES = {
-    "retries of what may have run": Loss(
+MUTATIONS = {
+    "retries of what may have run": Mutation(
         stage_caller,
         "decide_retry",
         lambda rules, failure, *, attempts, **_: "attempts" if attempts > 2 else None,
         "failing stage",
         Step.SENT,
-        Promise.DOUBLED,
+        Guarantee.DUPLICATED,
     ),
-    "claims": Loss(
+    "claims": Mutation(
         DeduplicationFilter,
         "apply",
-        pass_unclaimed,
+        skip_claim,
         "process killed",
         Step.BETWEEN_STAGES,
-        Promise.DOUBLED,
+        Guarantee.DUPLICATED,
     ),
-    "verdicts": Loss(
+    "verdicts": Mutation(
         ledger.AttemptLedger,
         "verdict",
         Verdict.NOT_RUN,
         "failing stage",
         Step.RECEIVED,
-        Promise.FALSE_NOT_RUN,
+        Guarantee.FALSE_NOT_RUN,
     ),
-    "what was already given": Loss(
+    "what was already given": Mutation(
         tokens.StreamedTokens,
         "append",
         lambda self, offset, text: tokens.TokenCheck.NEW,
         "failing stage",
         Step.RECEIVED,
-        Promise.DOUBLED,
+        Guarantee.DUPLICATED,
     ),
-    "leaving targets": Loss(
+    "leaving targets": Mutation(
         TargetRegistry,
         "mark_leaving",
         lambda self, target_ids: TargetRegistryChange(),
         "store slow",
         Step.RECEIVED,
-        Promise.LEAVING_USED,
+        Guarantee.DRAINING_TARGET_USED,
     ),
-    "waiting for requests in flight": Loss(
-        Front,
+    "waiting for requests in flight": Mutation(
+        SimulatedCallersServer,
         "wait_idle",
-        wait_for_nothing,
+        return_idle,
         "store slow",
         Step.LEAVING,
-        Promise.CUT,
+        Guarantee.DISCONNECTED,
     ),
-    "higher generations only": Loss(
+    "higher generations only": Mutation(
         replica.Replica,
         "adopt",
         lambda self, head, fresh: (
@@ -98,18 +98,18 @@
         ),
         "operators racing",
         Step.HEAD_SWAPPED,
-        Promise.NOT_IN_FORCE,
+        Guarantee.NOT_IN_FORCE,
     ),
 }
 
 ADOPT = replica.Replica.adopt
 
 
-@pytest.mark.parametrize("name", LOSSES)
-def test_lost_guard_is_noticed(name):
-    loss = LOSSES[name]
-    with mock.patch.object(loss.owner, loss.name, loss.replacement):
-        result = run_cell(Cell((loss.fault,), loss.step), seed=1)
-    assert not result.missing
-    found = {breach.promise for breach in result.breaches}
-    assert loss.promise in found, sorted(str(one) for one in result.breaches)
+@pytest.mark.parametrize("name", MUTATIONS)
+def test_disabled_safeguard_is_detected(name):
+    mutation = MUTATIONS[name]
+    with mock.patch.object(mutation.owner, mutation.name, mutation.replacement):
+        result = run_cell(Cell((mutation.fault,), mutation.step), seed=1)
+    assert not result.not_injected
+    found = {violation.guarantee for violation in result.violations}
+    assert mutation.guarantee in found, sorted(str(one) for one in result.violations)
