--- a/tests/test_differential/test_differential.py
+++ b/tests/test_differential/test_differential.py
@@ -102,3 +102,13 @@
 def test_system_keeps_its_promises_under_drawn_histories(history):
     breaches = replay_history(history)
     assert not breaches, "\n".join(map(str, breaches))
+
+
+def test_simulated_instances_print_nothing_at_their_start(capfd):
+    """Guards against simulated instances that run the start of a real process.
+
+    Methods of the application were renamed, but not those that replace them in the
+    simulation: each instance printed its addresses and handled signals.
+    """
+    replay_history(History(seed=SEED, events=(ask(1.0),)))
+    assert capfd.readouterr().out == ""
