--- a/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
+++ b/packages/greengagelatch-lab/src/greengagelatch_lab/matrix/instance.py
@@ -159,10 +159,10 @@
 class BenchApplication(Application):
     """The real application, without signal handlers and start-up message."""
 
-    def _listen_to_signals(self) -> None:
+    def _install_signal_handlers(self) -> None:
         return
 
-    def _announce(self) -> None:
+    def _print_addresses(self) -> None:
         return
 
 
